--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -23,9 +23,14 @@
     let size = wire::frame_size(&frame)?;
     let body = (size - wire::EVENT_HEADER) as u64;
     // Read by what comes, not by what the header claims, so a false length cannot claim memory.
-    let read = input.take(body).read_to_end(&mut frame).map_err(|e| format!("cannot read a batch: {e}"))?;
+    let read = input
+        .take(body)
+        .read_to_end(&mut frame)
+        .map_err(|e| format!("cannot read a batch: {e}"))?;
     if (read as u64) < body {
-        return Err(format!("input ended inside a batch: {read} of {body} bytes after its header"));
+        return Err(format!(
+            "input ended inside a batch: {read} of {body} bytes after its header"
+        ));
     }
     Ok(Some(frame))
 }
@@ -49,7 +54,11 @@
             let record = batch.record(index);
             let event = match record.decode(&fields)? {
                 None => continue,
-                Some(wire::Decoded::Start { instance, seed, conf }) => {
+                Some(wire::Decoded::Start {
+                    instance,
+                    seed,
+                    conf,
+                }) => {
                     let (settings, names) = parse(conf).map_err(|e| record.error("conf", &e))?;
                     fields.insert(instance, names);
                     gateways.insert(instance, Gateway::new(settings, seed, batch.clock));
@@ -68,11 +77,18 @@
                     gateway.handle(batch.clock, event, &mut actions);
                     reply.push(instance, &actions);
                 }
-                None => eprintln!("{}", record.error("ingress", "no such instance is running; ignored")),
+                None => eprintln!(
+                    "{}",
+                    record.error("ingress", "no such instance is running; ignored")
+                ),
             }
         }
-        output.write_all(&reply.finish()).map_err(|e| format!("cannot write a reply: {e}"))?;
-        output.flush().map_err(|e| format!("cannot write a reply: {e}"))?;
+        output
+            .write_all(&reply.finish())
+            .map_err(|e| format!("cannot write a reply: {e}"))?;
+        output
+            .flush()
+            .map_err(|e| format!("cannot write a reply: {e}"))?;
     }
     Ok(())
 }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use wrenfork_config::settings::note_field;
 use wrenfork_decision::{
-    Action, Availability, BackendId, CustomerId, Event, GatewayNo, Listed, Outcome, Report, Request,
-    RequestId, RosterKind,
+    Action, Availability, BackendId, CustomerId, Event, GatewayNo, Listed, Outcome, Report,
+    Request, RequestId, RosterKind,
 };
 
 /// Bytes of a batch's header.
@@ -39,9 +39,15 @@
 
 /// The size of the whole frame whose header this is.
 pub fn frame_size(header: &[u8]) -> Result<usize, String> {
-    let (count, size, number) = (u32_at(header, 0), u32_at(header, 4) as usize, u32_at(header, 16));
+    let (count, size, number) = (
+        u32_at(header, 0),
+        u32_at(header, 4) as usize,
+        u32_at(header, 16),
+    );
     if size < EVENT_HEADER + count as usize * EVENT {
-        return Err(format!("batch {number}: length {size} is too short for its {count} records"));
+        return Err(format!(
+            "batch {number}: length {size} is too short for its {count} records"
+        ));
     }
     Ok(size)
 }
@@ -99,29 +105,52 @@
         let tail_at = EVENT_HEADER + count * EVENT;
         let records = &frame[EVENT_HEADER..tail_at];
         let tail = &frame[tail_at..size];
-        Ok(Batch { number: u32_at(frame, 16), clock: u64_at(frame, 8), count, records, tail })
+        Ok(Batch {
+            number: u32_at(frame, 16),
+            clock: u64_at(frame, 8),
+            count,
+            records,
+            tail,
+        })
     }
 
     /// The record with this index, below `count`.
     pub fn record(&self, index: usize) -> Record<'a> {
         let body = &self.records[index * EVENT..(index + 1) * EVENT];
-        Record { batch: self.number, index, body, tail: self.tail }
+        Record {
+            batch: self.number,
+            index,
+            body,
+            tail: self.tail,
+        }
     }
 }
 
 impl<'a> Record<'a> {
     /// A message that says where the trouble is.
     pub fn error(&self, field: &str, what: &str) -> String {
-        format!("batch {}, record {}, field {field}: {what}", self.batch, self.index)
+        format!(
+            "batch {}, record {}, field {field}: {what}",
+            self.batch, self.index
+        )
     }
 
     fn tail_part(&self, at: usize, field: &str, each: usize) -> Result<&'a [u8], String> {
-        let (start, count) = (u32_at(self.body, at) as usize, u32_at(self.body, at + 4) as usize);
-        let end = count.checked_mul(each).and_then(|len| len.checked_add(start));
-        end.and_then(|end| self.tail.get(start..end)).ok_or_else(|| {
-            let length = self.tail.len();
-            self.error(field, &format!("offset {start} and count {count} leave the tail of {length} bytes"))
-        })
+        let (start, count) = (
+            u32_at(self.body, at) as usize,
+            u32_at(self.body, at + 4) as usize,
+        );
+        let end = count
+            .checked_mul(each)
+            .and_then(|len| len.checked_add(start));
+        end.and_then(|end| self.tail.get(start..end))
+            .ok_or_else(|| {
+                let length = self.tail.len();
+                self.error(
+                    field,
+                    &format!("offset {start} and count {count} leave the tail of {length} bytes"),
+                )
+            })
     }
 
     fn outcome(&self, at: usize) -> Result<Outcome, String> {
@@ -164,7 +193,9 @@
                 0 => Availability::Draining,
                 1 => Availability::Ready,
                 2 => Availability::Gone,
-                other => return Err(self.error("rows.availability", &format!("unknown state {other}"))),
+                other => {
+                    return Err(self.error("rows.availability", &format!("unknown state {other}")))
+                }
             };
             list.push(Listed {
                 backend: backend_at(row, 0),
@@ -181,7 +212,10 @@
     }
 
     /// What the record says; none for a code that this adapter does not know.
-    pub fn decode(&self, fields: &BTreeMap<u16, Vec<String>>) -> Result<Option<Decoded<'a>>, String> {
+    pub fn decode(
+        &self,
+        fields: &BTreeMap<u16, Vec<String>>,
+    ) -> Result<Option<Decoded<'a>>, String> {
         let b = self.body;
         let instance = u16_at(b, 1);
         let names = fields.get(&instance).map_or(&[][..], Vec::as_slice);
@@ -189,7 +223,11 @@
             50 => {
                 let conf = std::str::from_utf8(self.tail_part(11, "conf", 1)?)
                     .map_err(|e| self.error("conf", &e.to_string()))?;
-                return Ok(Some(Decoded::Start { instance, seed: u64_at(b, 3), conf }));
+                return Ok(Some(Decoded::Start {
+                    instance,
+                    seed: u64_at(b, 3),
+                    conf,
+                }));
             }
             110 => return Ok(Some(Decoded::Stop { instance })),
             60 => self.roster()?,
@@ -216,18 +254,28 @@
                 outcome: self.outcome(15)?,
                 complete: b[17] != 0,
                 attempt: u16_at(b, 18),
-                metered: Some(u16_at(b, 20)).filter(|m| *m > 0).map(|m| f64::from(m - 1) / 100.0),
+                metered: Some(u16_at(b, 20))
+                    .filter(|m| *m > 0)
+                    .map(|m| f64::from(m - 1) / 100.0),
                 backend: backend_at(b, 22),
                 charged: Some(u16_at(b, 28)).filter(|c| *c > 0).map(f64::from),
                 report: self.report(30, names),
             },
-            40 => Event::Counted { name: u64_at(b, 3), outcome: self.outcome(11)?, total: f32_at(b, 13) },
+            40 => Event::Counted {
+                name: u64_at(b, 3),
+                outcome: self.outcome(11)?,
+                total: f32_at(b, 13),
+            },
             90 => Event::Withdrawn(RequestId(u64_at(b, 3))),
             70 => Event::Timer(u32_at(b, 3)),
-            100 => Event::FirstByte { id: RequestId(u64_at(b, 3)), attempt: u16_at(b, 11) },
-            80 => {
-                Event::Peer { from: GatewayNo(u16_at(b, 3)), bytes: self.tail_part(5, "octets", 1)?.to_vec() }
-            }
+            100 => Event::FirstByte {
+                id: RequestId(u64_at(b, 3)),
+                attempt: u16_at(b, 11),
+            },
+            80 => Event::Peer {
+                from: GatewayNo(u16_at(b, 3)),
+                bytes: self.tail_part(5, "octets", 1)?.to_vec(),
+            },
             _ => return Ok(None),
         };
         Ok(Some(Decoded::Event { instance, event }))
@@ -244,7 +292,11 @@
 impl Reply {
     /// A reply to the batch with this number.
     pub fn new(number: u32) -> Self {
-        Reply { number, records: Vec::new(), tail: Vec::new() }
+        Reply {
+            number,
+            records: Vec::new(),
+            tail: Vec::new(),
+        }
     }
 
     /// Adds an instance's actions.
@@ -255,7 +307,12 @@
             let mut put = |at: usize, bytes: &[u8]| r[at..at + bytes.len()].copy_from_slice(bytes);
             let mut code = |value: u8| put(0, &[value]);
             match action {
-                Action::Send { id, backend, expires, .. } => {
+                Action::Send {
+                    id,
+                    backend,
+                    expires,
+                    ..
+                } => {
                     code(10);
                     put(3, &id.0.to_le_bytes());
                     put(11, &expires.to_le_bytes());
@@ -306,9 +363,16 @@
                     put(3, &[u8::from(*on)]);
                 }
                 Action::FetchRoster => code(120),
-                Action::Count { name, delta, lifetime } => {
+                Action::Count {
+                    name,
+                    delta,
+                    lifetime,
+                } => {
                     code(130);
-                    put(3, &u32::try_from(*lifetime).unwrap_or(u32::MAX).to_le_bytes());
+                    put(
+                        3,
+                        &u32::try_from(*lifetime).unwrap_or(u32::MAX).to_le_bytes(),
+                    );
                     put(7, &(*delta as f32).to_le_bytes());
                     put(11, &name.to_le_bytes());
                 }
--- a/crates/adapter/src/wire/tests.rs
+++ b/crates/adapter/src/wire/tests.rs
@@ -8,23 +8,58 @@
     let actions = [
         (
             10,
-            Action::Send { id, backend, expires: 77, begin_by: 99 },
+            Action::Send {
+                id,
+                backend,
+                expires: 77,
+                begin_by: 99,
+            },
             vec![(3, 0x0c), (11, 77), (19, 1), (24, 6)],
         ),
-        (20, Action::Refuse { id, pause: 300 }, vec![(3, 0x0c), (11, 44), (12, 1)]),
+        (
+            20,
+            Action::Refuse { id, pause: 300 },
+            vec![(3, 0x0c), (11, 44), (12, 1)],
+        ),
         (30, Action::Fail(id), vec![(3, 0x0c), (4, 0x0b)]),
-        (40, Action::Cancel { id, attempt: 258 }, vec![(3, 0x0c), (11, 2), (12, 1)]),
-        (50, Action::SetTimer { delay: 5, token: 9 }, vec![(3, 5), (7, 9)]),
+        (
+            40,
+            Action::Cancel { id, attempt: 258 },
+            vec![(3, 0x0c), (11, 2), (12, 1)],
+        ),
+        (
+            50,
+            Action::SetTimer { delay: 5, token: 9 },
+            vec![(3, 5), (7, 9)],
+        ),
         (60, Action::Probe(backend), vec![(3, 1), (8, 6)]),
         (70, Action::CloseIdle(backend), vec![(3, 1), (8, 6)]),
-        (80, Action::Tell { to: Some(GatewayNo(2)), bytes: vec![8, 9] }, vec![(3, 2), (5, 0), (9, 2)]),
-        (80, Action::Tell { to: None, bytes: vec![7] }, vec![(3, 255), (4, 255), (5, 2), (9, 1)]),
+        (
+            80,
+            Action::Tell {
+                to: Some(GatewayNo(2)),
+                bytes: vec![8, 9],
+            },
+            vec![(3, 2), (5, 0), (9, 2)],
+        ),
+        (
+            80,
+            Action::Tell {
+                to: None,
+                bytes: vec![7],
+            },
+            vec![(3, 255), (4, 255), (5, 2), (9, 1)],
+        ),
         (90, Action::Log("abc".into()), vec![(3, 3), (7, 3)]),
         (110, Action::Watch(true), vec![(3, 1)]),
         (120, Action::FetchRoster, vec![(3, 0)]),
         (
             130,
-            Action::Count { name: 6, delta: 4.0, lifetime: 8 },
+            Action::Count {
+                name: 6,
+                delta: 4.0,
+                lifetime: 8,
+            },
             vec![(3, 8), (9, 0x80), (10, 0x40), (11, 6)],
         ),
     ];
@@ -34,7 +69,10 @@
     let frame = reply.finish();
     assert_eq!(u32_at(&frame, 0) as usize, actions.len());
     assert_eq!(u32_at(&frame, 4) as usize, frame.len());
-    assert_eq!(&frame[REPLY_HEADER + ACTION * actions.len()..], b"\x08\x09\x07abc");
+    assert_eq!(
+        &frame[REPLY_HEADER + ACTION * actions.len()..],
+        b"\x08\x09\x07abc"
+    );
     for (n, (code, action, fields)) in actions.iter().enumerate() {
         let record = &frame[REPLY_HEADER + ACTION * n..][..ACTION];
         assert_eq!((record[0], u16_at(record, 1)), (*code, 3), "{action:?}");
@@ -48,7 +86,12 @@
 fn events_are_read_from_their_places() {
     let read = |body: [u8; EVENT]| {
         let fields = BTreeMap::from([(1, vec!["depth".to_string()])]);
-        let record = Record { batch: 1, index: 0, body: &body, tail: &[4, 5, 6] };
+        let record = Record {
+            batch: 1,
+            index: 0,
+            body: &body,
+            tail: &[4, 5, 6],
+        };
         match record.decode(&fields) {
             Ok(Some(Decoded::Event { instance: 1, event })) => format!("{event:?}"),
             _ => panic!("not an event of instance 1"),
@@ -57,17 +100,33 @@
     let body = |code: u8, parts: &[(usize, &[u8])]| {
         let mut b = [0; EVENT];
         (b[0], b[1]) = (code, 1);
-        parts.iter().for_each(|(at, bytes)| b[*at..*at + bytes.len()].copy_from_slice(bytes));
+        parts
+            .iter()
+            .for_each(|(at, bytes)| b[*at..*at + bytes.len()].copy_from_slice(bytes));
         b
     };
     let float = |x: f32| x.to_le_bytes();
     let call = body(
         10,
-        &[(3, &[9]), (11, &[2]), (12, &[3]), (14, &[4]), (22, &[5]), (30, &float(2.0)), (34, &float(3.0))],
+        &[
+            (3, &[9]),
+            (11, &[2]),
+            (12, &[3]),
+            (14, &[4]),
+            (22, &[5]),
+            (30, &float(2.0)),
+            (34, &float(3.0)),
+        ],
     );
     let text = read(call);
-    assert!(text.contains("RequestId(9), class: 2, plan: 3, customer: CustomerId(4), deadline: 5"), "{text}");
-    assert!(text.contains("units: 2.0, width: 3.0, first: 0.0"), "{text}");
+    assert!(
+        text.contains("RequestId(9), class: 2, plan: 3, customer: CustomerId(4), deadline: 5"),
+        "{text}"
+    );
+    assert!(
+        text.contains("units: 2.0, width: 3.0, first: 0.0"),
+        "{text}"
+    );
     let settled = body(
         20,
         &[
@@ -97,11 +156,20 @@
     }
     assert_eq!(read(body(90, &[(3, &[6])])), "Withdrawn(RequestId(6))");
     assert_eq!(read(body(70, &[(3, &[6])])), "Timer(6)");
-    assert_eq!(read(body(100, &[(3, &[6]), (11, &[2])])), "FirstByte { id: RequestId(6), attempt: 2 }");
+    assert_eq!(
+        read(body(100, &[(3, &[6]), (11, &[2])])),
+        "FirstByte { id: RequestId(6), attempt: 2 }"
+    );
     let peer = body(80, &[(3, &[2]), (5, &[1]), (9, &[2])]);
     assert_eq!(read(peer), "Peer { from: GatewayNo(2), bytes: [5, 6] }");
     let probed = read(body(30, &[(3, &[8]), (9, &[0x99, 1]), (11, &[7])]));
-    assert!(probed.contains("Moot") && probed.contains("took: 7"), "{probed}");
+    assert!(
+        probed.contains("Moot") && probed.contains("took: 7"),
+        "{probed}"
+    );
     let counted = read(body(40, &[(3, &[5]), (11, &[200]), (13, &float(38.0))]));
-    assert!(counted.contains("name: 5") && counted.contains("38.0"), "{counted}");
+    assert!(
+        counted.contains("name: 5") && counted.contains("38.0"),
+        "{counted}"
+    );
 }
--- a/crates/adapter/tests/adapter.rs
+++ b/crates/adapter/tests/adapter.rs
@@ -52,7 +52,10 @@
 
 #[test]
 fn cut_or_lying_frames_are_named_and_get_no_reply() {
-    complains(&run(&batch(1, 5, &[], &[])[..13]), &["13 bytes of a batch header"]);
+    complains(
+        &run(&batch(1, 5, &[], &[])[..13]),
+        &["13 bytes of a batch header"],
+    );
     let whole = batch(1, 5, &[record(70, &[0; 6])], &[]);
     let output = run(&whole[..40]);
     complains(&output, &["20 of 48 bytes"]);
@@ -66,16 +69,34 @@
 fn bad_fields_are_named_by_batch_record_and_field() {
     // A message whose bytes leave the tail.
     let peer = record(80, &[0, 0, 1, 0, 200, 0, 0, 0, 9, 0, 0, 0]);
-    complains(&run(&batch(4, 5, &[record(70, &[0; 6]), peer], b"abc")), &["batch 4", "record 1", "octets"]);
+    complains(
+        &run(&batch(4, 5, &[record(70, &[0; 6]), peer], b"abc")),
+        &["batch 4", "record 1", "octets"],
+    );
     let settled = record(20, &[0; 30]);
-    complains(&run(&batch(4, 5, &[settled], &[])), &["record 0", "outcome", "unknown code 0"]);
+    complains(
+        &run(&batch(4, 5, &[settled], &[])),
+        &["record 0", "outcome", "unknown code 0"],
+    );
     let start = record(50, &[0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0, 15, 0, 0, 0]);
-    complains(&run(&batch(2, 5, &[start], b"grades.count=1\n")), &["record 0", "conf", "grades.0.effect"]);
+    complains(
+        &run(&batch(2, 5, &[start], b"grades.count=1\n")),
+        &["record 0", "conf", "grades.0.effect"],
+    );
 }
 
 #[test]
 fn unknown_codes_and_instances_that_are_not_running_harm_nobody() {
-    let output = run(&batch(3, 5, &[record(222, &[1; 40]), record(90, &[7, 0]), record(110, &[7, 0])], &[]));
+    let output = run(&batch(
+        3,
+        5,
+        &[
+            record(222, &[1; 40]),
+            record(90, &[7, 0]),
+            record(110, &[7, 0]),
+        ],
+        &[],
+    ));
     assert!(output.status.success());
     assert_eq!(output.stdout, [0, 0, 0, 0, 12, 0, 0, 0, 3, 0, 0, 0]);
     assert!(String::from_utf8_lossy(&output.stderr).contains("no such instance"));
--- a/crates/config/examples/large.rs
+++ b/crates/config/examples/large.rs
@@ -11,7 +11,8 @@
 const ACCOUNTS: usize = 100;
 
 fn site() -> String {
-    let mut text = String::from("version = 1\nkind = \"site\"\nname = \"large\"\nhalls = [\"a\", \"b\"]\n");
+    let mut text =
+        String::from("version = 1\nkind = \"site\"\nname = \"large\"\nhalls = [\"a\", \"b\"]\n");
     for (name, effect) in [("quote", "safe"), ("refer", "unsafe")] {
         let _ = write!(
             text,
@@ -19,8 +20,10 @@
         );
     }
     for plan in ["starter", "business"] {
-        let _ =
-            write!(text, "[[plan]]\nname = \"{plan}\"\nquota = \"8/s\"\nburst = 16\nnever-over = \"16/s\"\n");
+        let _ = write!(
+            text,
+            "[[plan]]\nname = \"{plan}\"\nquota = \"8/s\"\nburst = 16\nnever-over = \"16/s\"\n"
+        );
     }
     text + "[[ceiling]]\nplan = \"business\"\nrate = \"1000000/s\"\n"
 }
@@ -35,8 +38,18 @@
         n % 250
     );
     for account in 0..ACCOUNTS {
-        let (id, plan) = (n * ACCOUNTS + account + 1, if account % 2 == 0 { "starter" } else { "business" });
-        let _ = write!(text, "[[account]]\nid = \"{id:016x}\"\nplan = \"{plan}\"\nquota = \"6/s\"\n");
+        let (id, plan) = (
+            n * ACCOUNTS + account + 1,
+            if account % 2 == 0 {
+                "starter"
+            } else {
+                "business"
+            },
+        );
+        let _ = write!(
+            text,
+            "[[account]]\nid = \"{id:016x}\"\nplan = \"{plan}\"\nquota = \"6/s\"\n"
+        );
     }
     text
 }
@@ -44,14 +57,25 @@
 /// The most memory that this process has held, in kB.
 fn memory() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap_or("0");
-    line.split_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(0)
+    let line = status
+        .lines()
+        .find_map(|l| l.strip_prefix("VmHWM:"))
+        .unwrap_or("0");
+    line.split_whitespace()
+        .next()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0)
 }
 
 fn main() {
-    if let Some(count) = std::env::args().nth(1).and_then(|n| n.parse::<usize>().ok()) {
+    if let Some(count) = std::env::args()
+        .nth(1)
+        .and_then(|n| n.parse::<usize>().ok())
+    {
         let apps = (0..count).map(|n| Source::new(format!("app-{n}.toml"), application(n)));
-        let sources: Vec<Source> = std::iter::once(Source::new("site.toml", site())).chain(apps).collect();
+        let sources: Vec<Source> = std::iter::once(Source::new("site.toml", site()))
+            .chain(apps)
+            .collect();
         let bytes: usize = sources.iter().map(|s| s.text.len()).sum();
         let (before, start) = (memory(), Instant::now());
         let set = Set::from_sources(sources);
@@ -70,6 +94,9 @@
     let program = std::env::current_exe().expect("a program has a path");
     for count in ["10", "100", "1000"] {
         let ran = Command::new(&program).arg(count).status();
-        assert!(ran.is_ok_and(|s| s.success()), "the check of {count} failed");
+        assert!(
+            ran.is_ok_and(|s| s.success()),
+            "the check of {count} failed"
+        );
     }
 }
--- a/crates/config/src/callers.rs
+++ b/crates/config/src/callers.rs
@@ -26,14 +26,22 @@
 pub fn trust(from: &Identity) -> Trust {
     let key = |k: &crate::model::IssuerKey| {
         let public = public(&k.public.value)?;
-        Some(Key { name: k.name.value.clone(), public, from: k.from, until: k.until })
+        Some(Key {
+            name: k.name.value.clone(),
+            public,
+            from: k.from,
+            until: k.until,
+        })
     };
-    let issuers = from
-        .issuers
-        .iter()
-        .map(|i| Issuer { name: i.name.value.clone(), keys: i.keys.iter().filter_map(key).collect() });
+    let issuers = from.issuers.iter().map(|i| Issuer {
+        name: i.name.value.clone(),
+        keys: i.keys.iter().filter_map(key).collect(),
+    });
     Trust {
-        audience: from.audience.as_ref().map_or(String::new(), |a| a.value.clone()),
+        audience: from
+            .audience
+            .as_ref()
+            .map_or(String::new(), |a| a.value.clone()),
         issuers: issuers.collect(),
         skew: from.skew / SECOND,
         longest: from.longest / SECOND,
@@ -43,10 +51,18 @@
 /// Writes what a file says into what is enforced.
 pub fn put(state: &mut Pairs, from: &Identity) {
     let mut add = |key: String, value: String| drop(state.insert(key, value));
-    add(AUDIENCE.into(), from.audience.as_ref().map_or(String::new(), |a| a.value.clone()));
+    add(
+        AUDIENCE.into(),
+        from.audience
+            .as_ref()
+            .map_or(String::new(), |a| a.value.clone()),
+    );
     add("identity.required".into(), from.required.to_string());
     add("identity.skew_s".into(), (from.skew / SECOND).to_string());
-    add("identity.longest_s".into(), (from.longest / SECOND).to_string());
+    add(
+        "identity.longest_s".into(),
+        (from.longest / SECOND).to_string(),
+    );
     for issuer in &from.issuers {
         for key in &issuer.keys {
             let at = format!("identity.issuers.{}/{}", issuer.name.value, key.name.value);
@@ -59,7 +75,11 @@
     }
     for tenant in &from.tenants {
         let at = format!("identity.tenants.{}", tenant.name.value);
-        let accounts: Vec<String> = tenant.accounts.iter().map(|a| format!("{:016x}", a.value)).collect();
+        let accounts: Vec<String> = tenant
+            .accounts
+            .iter()
+            .map(|a| format!("{:016x}", a.value))
+            .collect();
         add(format!("{at}.accounts"), accounts.join(","));
         if let Some(classes) = &tenant.classes {
             let classes: Vec<&str> = classes.iter().map(|c| c.value.as_str()).collect();
@@ -70,7 +90,9 @@
 
 /// Whether a key is one of these.
 pub fn changeable(key: &str) -> bool {
-    let Some(rest) = key.strip_prefix("identity.") else { return false };
+    let Some(rest) = key.strip_prefix("identity.") else {
+        return false;
+    };
     let field = |list: &str, fields: &[&str]| {
         let within = rest.strip_prefix(list).and_then(|r| r.rsplit_once('.'));
         within.is_some_and(|(name, field)| !name.is_empty() && fields.contains(&field))
@@ -86,10 +108,13 @@
 ///
 /// Names the key whose value is of no use.
 pub fn read(state: &Pairs, classes: &[String]) -> Result<Option<Callers>, String> {
-    let Some(audience) = state.get(AUDIENCE) else { return Ok(None) };
+    let Some(audience) = state.get(AUDIENCE) else {
+        return Ok(None);
+    };
     let whole = |key: &str| {
         let text = state.get(key).ok_or_else(|| format!("{key} is missing"))?;
-        text.parse::<u64>().map_err(|_| format!("{key} is no whole number"))
+        text.parse::<u64>()
+            .map_err(|_| format!("{key} is no whole number"))
     };
     let mut trust = Trust {
         audience: audience.clone(),
@@ -99,36 +124,66 @@
     };
     let below = |prefix: &'static str, field: &'static str| {
         let rows = state.iter().filter_map(move |(key, value)| {
-            Some((key.strip_prefix(prefix)?.strip_suffix(field)?.to_string(), value.clone()))
+            Some((
+                key.strip_prefix(prefix)?.strip_suffix(field)?.to_string(),
+                value.clone(),
+            ))
         });
         rows.collect::<Vec<_>>()
     };
     for (name, text) in below("identity.issuers.", ".public") {
         let at = format!("identity.issuers.{name}");
-        let (issuer, key) = name.split_once('/').ok_or_else(|| format!("{at} names no key"))?;
+        let (issuer, key) = name
+            .split_once('/')
+            .ok_or_else(|| format!("{at} names no key"))?;
         let public = public(&text).ok_or_else(|| format!("{at}.public is no public key"))?;
-        let until =
-            state.contains_key(&format!("{at}.until")).then(|| whole(&format!("{at}.until"))).transpose()?;
-        let key = Key { name: key.into(), public, from: whole(&format!("{at}.from"))?, until };
+        let until = state
+            .contains_key(&format!("{at}.until"))
+            .then(|| whole(&format!("{at}.until")))
+            .transpose()?;
+        let key = Key {
+            name: key.into(),
+            public,
+            from: whole(&format!("{at}.from"))?,
+            until,
+        };
         match trust.issuers.iter_mut().find(|i| i.name == issuer) {
             Some(known) => known.keys.push(key),
-            None => trust.issuers.push(Issuer { name: issuer.into(), keys: vec![key] }),
+            None => trust.issuers.push(Issuer {
+                name: issuer.into(),
+                keys: vec![key],
+            }),
         }
     }
     let mut tenants = Vec::new();
     for (name, text) in below("identity.tenants.", ".accounts") {
-        let accounts: Result<_, String> =
-            text.split(',').filter(|a| !a.is_empty()).map(values::account).collect();
+        let accounts: Result<_, String> = text
+            .split(',')
+            .filter(|a| !a.is_empty())
+            .map(values::account)
+            .collect();
         let place = |class: &str| {
             let at = classes.iter().position(|c| c == class && !class.is_empty());
             let at = at.and_then(|n| u8::try_from(n).ok());
             at.ok_or_else(|| format!("identity.tenants.{name}.classes: there is no class {class}"))
         };
         let some = state.get(&format!("identity.tenants.{name}.classes"));
-        let some = some.map(|list| list.split(',').map(place).collect::<Result<_, _>>()).transpose()?;
-        tenants.push(Tenant { name: name.clone(), names: Vec::new(), accounts: accounts?, classes: some });
+        let some = some
+            .map(|list| list.split(',').map(place).collect::<Result<_, _>>())
+            .transpose()?;
+        tenants.push(Tenant {
+            name: name.clone(),
+            names: Vec::new(),
+            accounts: accounts?,
+            classes: some,
+        });
     }
     let required = state.get("identity.required").is_none_or(|r| r != "false");
-    let tenants = Tenants::new(tenants, classes.to_vec()).map_err(|f| format!("identity: {f:?}"))?;
-    Ok(Some(Callers { trust, tenants, required }))
+    let tenants =
+        Tenants::new(tenants, classes.to_vec()).map_err(|f| format!("identity: {f:?}"))?;
+    Ok(Some(Callers {
+        trust,
+        tenants,
+        required,
+    }))
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -30,10 +30,18 @@
 
 impl<T> In<'_, T> {
     pub(crate) fn at(&self, span: &Range<usize>) -> Place {
-        Place { file: self.file, span: span.clone() }
+        Place {
+            file: self.file,
+            span: span.clone(),
+        }
     }
 
-    pub(crate) fn wrong<V>(&self, code: Code, at: &At<V>, message: impl Into<String>) -> Diagnostic {
+    pub(crate) fn wrong<V>(
+        &self,
+        code: Code,
+        at: &At<V>,
+        message: impl Into<String>,
+    ) -> Diagnostic {
         Diagnostic::new(code, self.at(&at.span), message)
     }
 }
@@ -49,8 +57,12 @@
     for (name, shown) in names {
         match first.get(&name.value) {
             Some(before) => found.push(
-                file.wrong(Code::NameTwice, name, format!("{what} {shown} is there twice"))
-                    .with(file.at(&before.span), "first here"),
+                file.wrong(
+                    Code::NameTwice,
+                    name,
+                    format!("{what} {shown} is there twice"),
+                )
+                .with(file.at(&before.span), "first here"),
             ),
             None => drop(first.insert(&name.value, name)),
         }
@@ -85,7 +97,12 @@
 /// Halls in order of nearness: each hall that there is, once.
 fn nearness(s: &In<Site>, found: &mut Vec<Diagnostic>) {
     let site = s.content;
-    twice(s, "an order of nearness for", site.near.iter().map(|n| quoted(&n.hall)), found);
+    twice(
+        s,
+        "an order of nearness for",
+        site.near.iter().map(|n| quoted(&n.hall)),
+        found,
+    );
     let halls = || site.halls.iter().map(|h| h.value.as_str());
     for near in &site.near {
         let named = || std::iter::once(&near.hall).chain(&near.others);
@@ -99,21 +116,43 @@
 /// A site by itself.
 pub fn site(s: &In<Site>, found: &mut Vec<Diagnostic>) {
     let site = s.content;
-    twice(s, "class", site.classes.iter().map(|c| quoted(&c.name)), found);
+    twice(
+        s,
+        "class",
+        site.classes.iter().map(|c| quoted(&c.name)),
+        found,
+    );
     twice(s, "plan", site.plans.iter().map(|p| quoted(&p.name)), found);
     nearness(s, found);
-    twice(s, "a ceiling for", site.ceilings.iter().map(|c| quoted(&c.plan)), found);
+    twice(
+        s,
+        "a ceiling for",
+        site.ceilings.iter().map(|c| quoted(&c.plan)),
+        found,
+    );
     for class in &site.classes {
         let name = &class.name.value;
         let keyed = class.effect.as_ref().map(|e| e.value == "keyed");
-        if let Some(window) = class.window.as_ref().filter(|w| keyed == Some(true) && w.value == 0) {
-            let message = format!("class \"{}\" has keys that are known for no time", class.name.value);
-            found
-                .push(s.wrong(Code::OutOfRange, window, message).help("if none may run twice, it is unsafe"));
+        if let Some(window) = class
+            .window
+            .as_ref()
+            .filter(|w| keyed == Some(true) && w.value == 0)
+        {
+            let message = format!(
+                "class \"{}\" has keys that are known for no time",
+                class.name.value
+            );
+            found.push(
+                s.wrong(Code::OutOfRange, window, message)
+                    .help("if none may run twice, it is unsafe"),
+            );
         }
         if keyed == Some(true) && class.window.is_none() && !class.bad_key {
             let message = format!("class \"{name}\" is keyed, but not for how long");
-            found.push(s.wrong(Code::NoWindow, &class.name, message).help("add window = \"3s\""));
+            found.push(
+                s.wrong(Code::NoWindow, &class.name, message)
+                    .help("add window = \"3s\""),
+            );
         }
         if keyed == Some(true) && class.group.is_none() && !class.bad_key {
             let message = format!("class \"{name}\" is keyed, but not in which group of nodes");
@@ -123,16 +162,23 @@
             );
         }
         if keyed == Some(false) {
-            let places = [class.window.as_ref().map(|w| &w.span), class.group.as_ref().map(|g| &g.span)];
+            let places = [
+                class.window.as_ref().map(|w| &w.span),
+                class.group.as_ref().map(|g| &g.span),
+            ];
             for span in places.into_iter().flatten() {
                 let message = format!("class \"{name}\" has no keys");
-                found.push(Diagnostic::new(Code::IdleWindow, s.at(span), message).help("take the line out"));
+                found.push(
+                    Diagnostic::new(Code::IdleWindow, s.at(span), message)
+                        .help("take the line out"),
+                );
             }
         }
         if let (Some(wanted), Some(deadline)) = (&class.wanted, &class.deadline) {
             if deadline.value < wanted.value {
                 let (wanted_shown, shown) = (show_time(wanted.value), show_time(deadline.value));
-                let message = format!("class \"{name}\" is given up after {shown}, before it is wanted");
+                let message =
+                    format!("class \"{name}\" is given up after {shown}, before it is wanted");
                 found.push(
                     s.wrong(Code::LateDeadline, deadline, message)
                         .with(s.at(&wanted.span), format!("wanted within {wanted_shown}")),
@@ -140,7 +186,11 @@
             }
         }
         if let Some(worth) = class.worth.as_ref().filter(|w| w.value <= 0.0) {
-            found.push(s.wrong(Code::Unpriced, worth, format!("class \"{name}\" is worth nothing")));
+            found.push(s.wrong(
+                Code::Unpriced,
+                worth,
+                format!("class \"{name}\" is worth nothing"),
+            ));
         }
     }
     let largest = site.largest(|_| true);
@@ -178,8 +228,14 @@
 ) {
     if burst.value < class.units.value {
         let (name, units) = (&class.name.value, class.units.value);
-        let message = format!("{whose} holds {} units, and one \"{name}\" takes up to {units}", burst.value);
-        let place = Place { file: class_file, span: class.units.span.clone() };
+        let message = format!(
+            "{whose} holds {} units, and one \"{name}\" takes up to {units}",
+            burst.value
+        );
+        let place = Place {
+            file: class_file,
+            span: class.units.span.clone(),
+        };
         found.push(
             file.wrong(Code::SmallBurst, burst, message)
                 .with(place, format!("up to {units} units"))
@@ -197,20 +253,37 @@
                 "the application is for site \"{}\", the site given is \"{}\"",
                 name.value, own.value
             );
-            found.push(a.wrong(Code::NoSite, name, message).with(s.at(&own.span), "the site given"));
+            found.push(
+                a.wrong(Code::NoSite, name, message)
+                    .with(s.at(&own.span), "the site given"),
+            );
         }
     }
     let classes = site.classes.iter().map(|c| c.name.value.as_str());
     for class in &app.sends {
         if site.class(&class.value).is_none() {
-            found.push(unknown(a, Code::NoSuchClass, "class", class, classes.clone()));
+            found.push(unknown(
+                a,
+                Code::NoSuchClass,
+                "class",
+                class,
+                classes.clone(),
+            ));
         }
     }
     if app.memory.value < LEAST_MEMORY {
-        found.push(a.wrong(Code::TooTight, &app.memory, "a sidecar needs 16MiB of memory at the least"));
+        found.push(a.wrong(
+            Code::TooTight,
+            &app.memory,
+            "a sidecar needs 16MiB of memory at the least",
+        ));
     }
     if app.descriptors.value < LEAST_DESCRIPTORS {
-        found.push(a.wrong(Code::TooTight, &app.descriptors, "a sidecar needs 64 descriptors at the least"));
+        found.push(a.wrong(
+            Code::TooTight,
+            &app.descriptors,
+            "a sidecar needs 64 descriptors at the least",
+        ));
     }
     sidecars(a, site, found);
     crate::group::check(a, found);
@@ -224,22 +297,47 @@
 
 /// What an operator adds to an ingress. The halls and classes are the platform's; where they are not known, those that the
 /// file names are taken to be there.
-pub fn ingress(i: &In<Ingress>, known: Option<(&[String], &[String])>, found: &mut Vec<Diagnostic>) {
+pub fn ingress(
+    i: &In<Ingress>,
+    known: Option<(&[String], &[String])>,
+    found: &mut Vec<Diagnostic>,
+) {
     let file = i.content;
     let values = |list: &[At<String>]| list.iter().map(|n| n.value.clone()).collect::<Vec<_>>();
     let (site, ways) = match known {
         Some((halls, classes)) => file.at(halls, classes),
         None => {
-            let mut halls: Vec<String> = file.ways.pools.iter().flat_map(|p| values(&p.halls)).collect();
+            let mut halls: Vec<String> = file
+                .ways
+                .pools
+                .iter()
+                .flat_map(|p| values(&p.halls))
+                .collect();
             halls.extend(
-                file.near.iter().flat_map(|n| [vec![n.hall.value.clone()], values(&n.others)].concat()),
+                file.near
+                    .iter()
+                    .flat_map(|n| [vec![n.hall.value.clone()], values(&n.others)].concat()),
             );
-            let classes: Vec<String> = file.ways.routes.iter().map(|r| r.class.value.clone()).collect();
+            let classes: Vec<String> = file
+                .ways
+                .routes
+                .iter()
+                .map(|r| r.class.value.clone())
+                .collect();
             file.at(&halls, &classes)
         }
     };
-    nearness(&In { file: i.file, content: &site }, found);
-    let ways = In { file: i.file, content: &ways };
+    nearness(
+        &In {
+            file: i.file,
+            content: &site,
+        },
+        found,
+    );
+    let ways = In {
+        file: i.file,
+        content: &ways,
+    };
     if !ways.content.bad_pools {
         pools(&ways, &site, found);
     }
@@ -249,9 +347,21 @@
 
 /// Who may call: names once, keys without a gap, and accounts and classes that there are.
 fn identity(a: &In<Application>, site: &Site, own: bool, found: &mut Vec<Diagnostic>) {
-    let Some(identity) = &a.content.identity else { return };
-    twice(a, "issuer", identity.issuers.iter().map(|i| quoted(&i.name)), found);
-    twice(a, "tenant", identity.tenants.iter().map(|t| quoted(&t.name)), found);
+    let Some(identity) = &a.content.identity else {
+        return;
+    };
+    twice(
+        a,
+        "issuer",
+        identity.issuers.iter().map(|i| quoted(&i.name)),
+        found,
+    );
+    twice(
+        a,
+        "tenant",
+        identity.tenants.iter().map(|t| quoted(&t.name)),
+        found,
+    );
     for issuer in &identity.issuers {
         twice(a, "key", issuer.keys.iter().map(|k| quoted(&k.name)), found);
         let mut trust = crate::callers::trust(identity);
@@ -262,7 +372,10 @@
         for doubt in trust.rotation(start) {
             let message = match &doubt {
                 Doubt::Gap(_, at) => {
-                    format!("issuer \"{name}\" has no key from {} on", wrenfork_identity::token::told(*at))
+                    format!(
+                        "issuer \"{name}\" has no key from {} on",
+                        wrenfork_identity::token::told(*at)
+                    )
                 }
                 Doubt::Never(_, key) => format!("key \"{key}\" ends before it begins"),
                 Doubt::NoKey(_) | Doubt::Twice(..) => continue,
@@ -272,11 +385,18 @@
     }
     let classes = || site.classes.iter().map(|c| c.name.value.as_str());
     for tenant in &identity.tenants {
-        for class in tenant.classes.iter().flatten().filter(|c| classes().all(|k| k != c.value)) {
+        for class in tenant
+            .classes
+            .iter()
+            .flatten()
+            .filter(|c| classes().all(|k| k != c.value))
+        {
             found.push(unknown(a, Code::NoSuchClass, "class", class, classes()));
         }
-        let others =
-            tenant.accounts.iter().filter(|id| a.content.accounts.iter().all(|x| x.id.value != id.value));
+        let others = tenant
+            .accounts
+            .iter()
+            .filter(|id| a.content.accounts.iter().all(|x| x.id.value != id.value));
         for id in others.filter(|_| own) {
             let message = format!(
                 "account {:016x} of tenant \"{}\" is not the application's",
@@ -289,29 +409,51 @@
 
 fn sidecars(a: &In<Application>, site: &Site, found: &mut Vec<Diagnostic>) {
     let app = a.content;
-    twice(a, "sidecar", app.sidecars.iter().map(|c| quoted(&c.name)), found);
+    twice(
+        a,
+        "sidecar",
+        app.sidecars.iter().map(|c| quoted(&c.name)),
+        found,
+    );
     let halls = || site.halls.iter().map(|h| h.value.as_str());
     for sidecar in &app.sidecars {
-        if let Some(hall) = sidecar.hall.as_ref().filter(|h| halls().all(|k| k != h.value)) {
+        if let Some(hall) = sidecar
+            .hall
+            .as_ref()
+            .filter(|h| halls().all(|k| k != h.value))
+        {
             found.push(unknown(a, Code::NoSuchHall, "hall", hall, halls()));
         }
-        let tcp = matches!(sidecar.listen.as_ref().map(|l| &l.value), Some(Listener::Tcp(_)));
+        let tcp = matches!(
+            sidecar.listen.as_ref().map(|l| &l.value),
+            Some(Listener::Tcp(_))
+        );
         if let Some(user) = sidecar.users.first().filter(|_| tcp) {
-            let message = format!("sidecar \"{}\" can't tell whose a connection is", sidecar.name.value);
+            let message = format!(
+                "sidecar \"{}\" can't tell whose a connection is",
+                sidecar.name.value
+            );
             let wrong = a.wrong(Code::IdleUsers, user, message);
             found.push(wrong.help("listen = \"unix:/run/...\" can, or take users out"));
         }
         let listen = sidecar.listen.as_ref().map(|l| l.value.to_string());
-        if let Some(own) =
-            sidecar.discovery.as_ref().filter(|d| listen.as_ref() == Some(&d.value.to_string()))
+        if let Some(own) = sidecar
+            .discovery
+            .as_ref()
+            .filter(|d| listen.as_ref() == Some(&d.value.to_string()))
         {
-            let message = format!("sidecar \"{}\" would ask itself for nodes", sidecar.name.value);
+            let message = format!(
+                "sidecar \"{}\" would ask itself for nodes",
+                sidecar.name.value
+            );
             let wrong = a.wrong(Code::AddressTwice, own, message);
             found.push(wrong.help("discovery is another program's address"));
         }
         if app.sidecars.len() > 1 && sidecar.peers.is_none() {
-            let message =
-                format!("sidecar \"{}\" can't be told what the others let through", sidecar.name.value);
+            let message = format!(
+                "sidecar \"{}\" can't be told what the others let through",
+                sidecar.name.value
+            );
             let wrong = Diagnostic::new(Code::NoPeer, a.at(&sidecar.name.span), message);
             found.push(wrong.help("add peers = \"127.0.0.1:7946\", an address of its own"));
         }
@@ -320,17 +462,30 @@
 
 fn accounts(a: &In<Application>, s: &In<Site>, found: &mut Vec<Diagnostic>) {
     let (app, site) = (a.content, s.content);
-    twice(a, "account", app.accounts.iter().map(|c| (&c.id, format!("{:016x}", c.id.value))), found);
-    let plans: HashMap<&str, &crate::model::Plan> =
-        site.plans.iter().map(|p| (p.name.value.as_str(), p)).collect();
+    twice(
+        a,
+        "account",
+        app.accounts
+            .iter()
+            .map(|c| (&c.id, format!("{:016x}", c.id.value))),
+        found,
+    );
+    let plans: HashMap<&str, &crate::model::Plan> = site
+        .plans
+        .iter()
+        .map(|p| (p.name.value.as_str(), p))
+        .collect();
     let largest = site.largest(|name| app.sends.iter().any(|c| c.value == name));
     let mut own: HashMap<&str, Vec<f64>> = HashMap::new();
     for account in &app.accounts {
         if let (Some(plan), Some(quota)) = (&account.plan, &account.quota) {
-            own.entry(plan.value.as_str()).or_default().push(quota.value);
+            own.entry(plan.value.as_str())
+                .or_default()
+                .push(quota.value);
         }
     }
-    own.values_mut().for_each(|list| list.sort_by(f64::total_cmp));
+    own.values_mut()
+        .for_each(|list| list.sort_by(f64::total_cmp));
     for account in &app.accounts {
         let Some(name) = &account.plan else { continue };
         let Some(plan) = plans.get(name.value.as_str()) else {
@@ -342,18 +497,27 @@
         if let (Some(quota), Some(most)) = (&account.quota, &plan.never_over) {
             if quota.value > most.value * (1.0 + ROUNDING) {
                 let (q, m) = (show_rate(quota.value), show_rate(most.value));
-                let message =
-                    format!("{} has a quota of {q}, and plan \"{}\" is never over {m}", whose(), name.value);
+                let message = format!(
+                    "{} has a quota of {q}, and plan \"{}\" is never over {m}",
+                    whose(),
+                    name.value
+                );
                 found.push(
-                    a.wrong(Code::OverPlan, quota, message).with(s.at(&most.span), format!("never over {m}")),
+                    a.wrong(Code::OverPlan, quota, message)
+                        .with(s.at(&most.span), format!("never over {m}")),
                 );
             }
         }
         if let (Some(burst), Some(class)) = (&account.burst, largest) {
             small_burst(a, burst, &whose(), class, s.file, found);
         }
-        let Some(quota) = &account.quota else { continue };
-        let middle = own.get(name.value.as_str()).filter(|l| l.len() >= 3).map(|l| l[l.len() / 2]);
+        let Some(quota) = &account.quota else {
+            continue;
+        };
+        let middle = own
+            .get(name.value.as_str())
+            .filter(|l| l.len() >= 3)
+            .map(|l| l[l.len() / 2]);
         let neighbours = [
             (plan.quota.as_ref().map(|q| q.value), "its plan's quota is"),
             (middle, "the middle of those on its plan is"),
@@ -363,9 +527,14 @@
             (quota.value > rate * ODD || quota.value * ODD < rate).then_some((rate, what))
         });
         if let Some((rate, what)) = odd {
-            let message =
-                format!("{} has a quota of {}, {what} {}", whose(), show_rate(quota.value), show_rate(rate));
-            let help = "6/s, 360/min and 21600/h are the same; if it is meant, give it a plan of its own";
+            let message = format!(
+                "{} has a quota of {}, {what} {}",
+                whose(),
+                show_rate(quota.value),
+                show_rate(rate)
+            );
+            let help =
+                "6/s, 360/min and 21600/h are the same; if it is meant, give it a plan of its own";
             found.push(a.wrong(Code::OddRate, quota, message).help(help));
         }
     }
@@ -376,7 +545,11 @@
 }
 
 fn number(pools: &[Pool], name: &str) -> Option<PoolNo> {
-    pools.iter().position(|p| p.name.value == name).and_then(|n| u8::try_from(n).ok()).map(PoolNo)
+    pools
+        .iter()
+        .position(|p| p.name.value == name)
+        .and_then(|n| u8::try_from(n).ok())
+        .map(PoolNo)
 }
 
 /// The pools and routes as [`wrenfork_routes`] has them, the routes in the order of the site's classes. What leads
@@ -388,12 +561,25 @@
     });
     let routes = site.classes.iter().map(|class| {
         let route = routes.iter().find(|r| r.class.value == class.name.value)?;
-        let trial = route.trial.as_ref().zip(route.share.as_ref()).and_then(|(pool, share)| {
-            Some(wrenfork_routes::Trial { pool: number(own, &pool.value)?, share: share.value })
-        });
-        Some(wrenfork_routes::Route { pool: number(own, &route.pool.as_ref()?.value)?, trial })
+        let trial = route
+            .trial
+            .as_ref()
+            .zip(route.share.as_ref())
+            .and_then(|(pool, share)| {
+                Some(wrenfork_routes::Trial {
+                    pool: number(own, &pool.value)?,
+                    share: share.value,
+                })
+            });
+        Some(wrenfork_routes::Route {
+            pool: number(own, &route.pool.as_ref()?.value)?,
+            trial,
+        })
     });
-    Table { pools: pools.collect(), routes: routes.collect() }
+    Table {
+        pools: pools.collect(),
+        routes: routes.collect(),
+    }
 }
 
 fn pools(a: &In<Application>, site: &Site, found: &mut Vec<Diagnostic>) {
@@ -402,15 +588,36 @@
     let halls = || site.halls.iter().map(|h| h.value.as_str());
     let mut used: Vec<&str> = Vec::new();
     for route in &app.routes {
-        used.extend(route.pool.iter().chain(&route.trial).map(|p| p.value.as_str()));
+        used.extend(
+            route
+                .pool
+                .iter()
+                .chain(&route.trial)
+                .map(|p| p.value.as_str()),
+        );
     }
-    used.extend(app.pools.iter().filter_map(|p| p.fallback.as_ref()).map(|f| f.value.as_str()));
+    used.extend(
+        app.pools
+            .iter()
+            .filter_map(|p| p.fallback.as_ref())
+            .map(|f| f.value.as_str()),
+    );
     for pool in &app.pools {
         for hall in pool.halls.iter().filter(|h| halls().all(|k| k != h.value)) {
             found.push(unknown(a, Code::NoSuchHall, "hall", hall, halls()));
         }
-        if let Some(fallback) = pool.fallback.as_ref().filter(|f| number(&app.pools, &f.value).is_none()) {
-            found.push(unknown(a, Code::NoSuchPool, "pool", fallback, pool_names(app)));
+        if let Some(fallback) = pool
+            .fallback
+            .as_ref()
+            .filter(|f| number(&app.pools, &f.value).is_none())
+        {
+            found.push(unknown(
+                a,
+                Code::NoSuchPool,
+                "pool",
+                fallback,
+                pool_names(app),
+            ));
         }
         if !used.contains(&pool.name.value.as_str()) {
             let message = format!("nothing leads to pool \"{}\"", pool.name.value);
@@ -418,18 +625,30 @@
         }
     }
     if !site.near.is_empty() && app.pools.len() + MOST_TIERS > MOST_POOLS {
-        let message =
-            format!("there are {} pools, and the nearness of halls takes {MOST_TIERS} more", app.pools.len());
-        let wrong = a.wrong(Code::TooMany, &app.pools[MOST_POOLS - MOST_TIERS].name, message);
+        let message = format!(
+            "there are {} pools, and the nearness of halls takes {MOST_TIERS} more",
+            app.pools.len()
+        );
+        let wrong = a.wrong(
+            Code::TooMany,
+            &app.pools[MOST_POOLS - MOST_TIERS].name,
+            message,
+        );
         found.push(wrong.help("64 pools are the most"));
     }
     for fault in table(&app.pools, &app.routes, site).faults() {
-        let Fault::Circle(circle) = fault else { continue };
+        let Fault::Circle(circle) = fault else {
+            continue;
+        };
         let of = |p: &PoolNo| &app.pools[usize::from(p.0)];
         let mut names: Vec<&str> = circle.iter().map(|p| of(p).name.value.as_str()).collect();
         names.push(names[0]);
         let message = format!("pools fall back in a circle: {}", names.join(", then "));
-        let place = |pool: &Pool| pool.fallback.as_ref().map_or(pool.name.span.clone(), |f| f.span.clone());
+        let place = |pool: &Pool| {
+            pool.fallback
+                .as_ref()
+                .map_or(pool.name.span.clone(), |f| f.span.clone())
+        };
         let mut wrong = Diagnostic::new(Code::Circle, a.at(&place(of(&circle[0]))), message);
         for p in &circle[1..] {
             wrong = wrong.with(a.at(&place(of(p))), "and on from here");
@@ -445,7 +664,10 @@
         let class = &route.class;
         if let Some(first) = routed.get(class.value.as_str()) {
             let message = format!("class \"{}\" has two routes", class.value);
-            found.push(a.wrong(Code::RoutedTwice, class, message).with(a.at(&first.span), "the first one"));
+            found.push(
+                a.wrong(Code::RoutedTwice, class, message)
+                    .with(a.at(&first.span), "the first one"),
+            );
         } else {
             routed.insert(&class.value, class);
         }
@@ -466,11 +688,17 @@
             _ if route.bad_trial => {}
             (Some(trial), None) => {
                 let message = format!("a trial in pool \"{}\" of no share", trial.value);
-                found.push(a.wrong(Code::MissingKey, trial, message).help("add share = 0.05"));
+                found.push(
+                    a.wrong(Code::MissingKey, trial, message)
+                        .help("add share = 0.05"),
+                );
             }
             (None, Some(share)) => {
                 let message = "a share of customers, but no pool for their trial";
-                found.push(a.wrong(Code::MissingKey, share, message).help("add trial = and the pool's name"));
+                found.push(
+                    a.wrong(Code::MissingKey, share, message)
+                        .help("add trial = and the pool's name"),
+                );
             }
             _ => {}
         }
@@ -492,9 +720,13 @@
                 .and_then(|p| table(&app.pools, &app.routes, site).order(p).ok())
                 .unwrap_or_default();
             if number(&app.pools, &trial.value).is_some_and(|t| order.contains(&t)) {
-                let message = format!("class \"{}\" goes to pool \"{}\" anyway", class.value, trial.value);
+                let message = format!(
+                    "class \"{}\" goes to pool \"{}\" anyway",
+                    class.value, trial.value
+                );
                 found.push(
-                    a.wrong(Code::TrialAtHome, trial, message).with(a.at(&pool.span), "it begins here"),
+                    a.wrong(Code::TrialAtHome, trial, message)
+                        .with(a.at(&pool.span), "it begins here"),
                 );
             }
         }
@@ -502,25 +734,39 @@
 }
 
 fn traits(node: &Node) -> Traits<'_> {
-    Traits { name: &node.name.value, hall: &node.hall.value, model: &node.model, group: node.group }
+    Traits {
+        name: &node.name.value,
+        hall: &node.hall.value,
+        model: &node.model,
+        group: node.group,
+    }
 }
 
 /// A fleet snapshot by itself.
 pub fn fleet(f: &In<Fleet>, found: &mut Vec<Diagnostic>) {
-    twice(f, "node", f.content.nodes.iter().map(|n| quoted(&n.name)), found);
+    twice(
+        f,
+        "node",
+        f.content.nodes.iter().map(|n| quoted(&n.name)),
+        found,
+    );
     // One that is gone may have left its address to another.
     let mut at: HashMap<&Address, &Node> = HashMap::new();
     for node in f.content.nodes.iter().filter(|n| n.status == Status::Up) {
         let places = std::iter::once(&node.address).chain(node.addresses.iter().map(|a| &a.value));
         for (n, place) in places.enumerate() {
-            let Some(first) = at.insert(place, node) else { continue };
+            let Some(first) = at.insert(place, node) else {
+                continue;
+            };
             let (name, other) = (&node.name.value, &first.name.value);
             let message = if std::ptr::eq(first, node) {
                 format!("node \"{name}\" lists {place} twice")
             } else {
                 format!("nodes \"{other}\" and \"{name}\" are both up at {place}")
             };
-            let span = n.checked_sub(1).map_or(&node.name.span, |n| &node.addresses[n].span);
+            let span = n
+                .checked_sub(1)
+                .map_or(&node.name.span, |n| &node.addresses[n].span);
             let wrong = Diagnostic::new(Code::AddressTwice, f.at(span), message);
             found.push(wrong.with(f.at(&first.name.span), "the first one"));
         }
@@ -537,7 +783,11 @@
 /// An application beside the nodes as they are.
 pub fn nodes(a: &In<Application>, s: &In<Site>, f: &In<Fleet>, found: &mut Vec<Diagnostic>) {
     let (app, fleet) = (a.content, f.content);
-    let by_name: HashMap<&str, &Node> = fleet.nodes.iter().map(|n| (n.name.value.as_str(), n)).collect();
+    let by_name: HashMap<&str, &Node> = fleet
+        .nodes
+        .iter()
+        .map(|n| (n.name.value.as_str(), n))
+        .collect();
     for pool in &app.pools {
         let before = found.len();
         for name in &pool.nodes {
@@ -561,12 +811,19 @@
         if found.len() > before {
             continue; // its nodes are spoken of already
         }
-        let members: Vec<&Node> = fleet.nodes.iter().filter(|n| pool.selector.takes(&traits(n))).collect();
+        let members: Vec<&Node> = fleet
+            .nodes
+            .iter()
+            .filter(|n| pool.selector.takes(&traits(n)))
+            .collect();
         if members.is_empty() {
             let message = format!("no node is of pool \"{}\"", pool.name.value);
             found.push(a.wrong(Code::NoNodes, &pool.name, message));
         } else if members.iter().all(|n| n.status != Status::Up) {
-            let message = format!("every node of pool \"{}\" is draining or gone", pool.name.value);
+            let message = format!(
+                "every node of pool \"{}\" is draining or gone",
+                pool.name.value
+            );
             found.push(a.wrong(Code::AllDrain, &pool.name, message));
         }
     }
@@ -593,27 +850,52 @@
     member: &[(u64, &Node)],
     found: &mut Vec<Diagnostic>,
 ) {
-    let Some(class) = site.class(&route.class.value) else { return };
-    let Some(Effect::Keyed { group, .. }) = class.repeat().filter(|_| route.pool.is_some()) else { return };
-    let first = route.pool.as_ref().and_then(|p| number(&a.content.pools, &p.value));
+    let Some(class) = site.class(&route.class.value) else {
+        return;
+    };
+    let Some(Effect::Keyed { group, .. }) = class.repeat().filter(|_| route.pool.is_some()) else {
+        return;
+    };
+    let first = route
+        .pool
+        .as_ref()
+        .and_then(|p| number(&a.content.pools, &p.value));
     let order = first.and_then(|p| table.order(p).ok()).unwrap_or_default();
-    let trial = route.trial.as_ref().and_then(|p| number(&a.content.pools, &p.value));
-    let set = order.into_iter().chain(trial).fold(0, |set, p| set | p.bit());
+    let trial = route
+        .trial
+        .as_ref()
+        .and_then(|p| number(&a.content.pools, &p.value));
+    let set = order
+        .into_iter()
+        .chain(trial)
+        .fold(0, |set, p| set | p.bit());
     let of = |n: &Node| match group.as_str() {
         "hall" => n.hall.value.clone(),
         "group" => n.group.to_string(),
         _ => String::new(),
     };
-    let mut groups: Vec<String> = member.iter().filter(|(m, _)| m & set != 0).map(|(_, n)| of(n)).collect();
+    let mut groups: Vec<String> = member
+        .iter()
+        .filter(|(m, _)| m & set != 0)
+        .map(|(_, n)| of(n))
+        .collect();
     groups.sort_unstable();
     groups.dedup();
     if groups.len() > 1 {
-        let list = groups.iter().take(6).map(String::as_str).collect::<Vec<_>>().join(", ");
+        let list = groups
+            .iter()
+            .take(6)
+            .map(String::as_str)
+            .collect::<Vec<_>>()
+            .join(", ");
         let name = &class.name.value;
-        let message =
-            format!("repeats of \"{name}\" are dropped by {group}, and its pools lie in several: {list}");
-        found
-            .push(a.wrong(Code::GroupsMixed, &route.class, message).help("let its pools lie in one of them"));
+        let message = format!(
+            "repeats of \"{name}\" are dropped by {group}, and its pools lie in several: {list}"
+        );
+        found.push(
+            a.wrong(Code::GroupsMixed, &route.class, message)
+                .help("let its pools lie in one of them"),
+        );
     }
 }
 
@@ -627,15 +909,20 @@
     found: &mut Vec<Diagnostic>,
 ) {
     let (app, site) = (a.content, s.content);
-    let Some(per_weight) = site.per_weight else { return };
+    let Some(per_weight) = site.per_weight else {
+        return;
+    };
     let pool = |name: &Option<At<String>>| {
-        name.as_ref().and_then(|n| Some((n.clone(), number(&app.pools, &n.value)?)))
+        name.as_ref()
+            .and_then(|n| Some((n.clone(), number(&app.pools, &n.value)?)))
     };
     let trial = pool(&route.trial).zip(route.share.as_ref().map(|s| s.value));
     let share = trial.as_ref().map_or(0.0, |t| t.1);
     let trial_set = trial.as_ref().map_or(0, |((_, p), _)| p.bit());
     let mut look = |name: &At<String>, set: u64, without: u64, share: f64| {
-        let nodes = member.iter().filter(|(m, _)| m & set != 0 && m & without == 0);
+        let nodes = member
+            .iter()
+            .filter(|(m, _)| m & set != 0 && m & without == 0);
         let (count, weight) = nodes.fold((0, 0.0), |(n, w), (_, node)| (n + 1, w + node.weight));
         let (need, serves) = (promised * share, weight * per_weight);
         if count > 0 && need > serves * (1.0 + ROUNDING) {
@@ -656,12 +943,22 @@
 }
 
 /// Each account's plan and quota, as far as the site knows the plan.
-fn quotas<'a>(app: &'a Application, site: &'a Site) -> impl Iterator<Item = (&'a At<String>, f64)> + 'a {
-    let plans: HashMap<&str, Option<f64>> =
-        site.plans.iter().map(|p| (p.name.value.as_str(), p.quota.as_ref().map(|q| q.value))).collect();
+fn quotas<'a>(
+    app: &'a Application,
+    site: &'a Site,
+) -> impl Iterator<Item = (&'a At<String>, f64)> + 'a {
+    let plans: HashMap<&str, Option<f64>> = site
+        .plans
+        .iter()
+        .map(|p| (p.name.value.as_str(), p.quota.as_ref().map(|q| q.value)))
+        .collect();
     app.accounts.iter().filter_map(move |account| {
         let name = account.plan.as_ref()?;
-        let quota = account.quota.as_ref().map(|q| q.value).or(*plans.get(name.value.as_str())?)?;
+        let quota = account
+            .quota
+            .as_ref()
+            .map(|q| q.value)
+            .or(*plans.get(name.value.as_str())?)?;
         Some((name, quota))
     })
 }
@@ -677,7 +974,8 @@
             if let Some(first) = names.get(name.value.as_str()) {
                 let message = format!("two applications are called \"{}\"", name.value);
                 found.push(
-                    a.wrong(Code::ApplicationTwice, name, message).with(first.clone(), "the first one"),
+                    a.wrong(Code::ApplicationTwice, name, message)
+                        .with(first.clone(), "the first one"),
                 );
             } else {
                 names.insert(&name.value, a.at(&name.span));
@@ -687,24 +985,39 @@
             let place = a.at(&account.id.span);
             match ids.get(&account.id.value) {
                 Some((file, other, first)) if *file != a.file => {
-                    let message = format!("account {:016x} is \"{other}\"'s already", account.id.value);
-                    found
-                        .push(a.wrong(Code::AccountTwice, &account.id, message).with(first.clone(), "there"));
+                    let message =
+                        format!("account {:016x} is \"{other}\"'s already", account.id.value);
+                    found.push(
+                        a.wrong(Code::AccountTwice, &account.id, message)
+                            .with(first.clone(), "there"),
+                    );
                 }
                 Some(_) => {} // twice in one file: told with that file
                 None => drop(ids.insert(account.id.value, (a.file, app.called(), place))),
             }
         }
         for sidecar in &app.sidecars {
-            let listen = sidecar.listen.as_ref().map(|l| (l.value.to_string(), &l.span));
-            let peers = sidecar.peers.as_ref().map(|p| (format!("{}/udp", p.value), &p.span));
+            let listen = sidecar
+                .listen
+                .as_ref()
+                .map(|l| (l.value.to_string(), &l.span));
+            let peers = sidecar
+                .peers
+                .as_ref()
+                .map(|p| (format!("{}/udp", p.value), &p.span));
             let paths = [&sidecar.control, &sidecar.state, &sidecar.links];
-            let paths = paths.into_iter().flatten().map(|p| (p.value.clone(), &p.span));
+            let paths = paths
+                .into_iter()
+                .flatten()
+                .map(|p| (p.value.clone(), &p.span));
             for (address, span) in listen.into_iter().chain(peers).chain(paths) {
                 let shown = address.trim_end_matches("/udp").to_string();
                 if let Some(first) = addresses.get(&address) {
-                    let wrong =
-                        Diagnostic::new(Code::AddressTwice, a.at(span), format!("{shown} is taken already"));
+                    let wrong = Diagnostic::new(
+                        Code::AddressTwice,
+                        a.at(span),
+                        format!("{shown} is taken already"),
+                    );
                     found.push(wrong.with(first.clone(), "by this one"));
                 } else {
                     addresses.insert(address, a.at(span));
@@ -723,15 +1036,22 @@
     for a in apps {
         let mut own: BTreeMap<&str, (f64, Place)> = BTreeMap::new();
         for (plan, quota) in quotas(a.content, s.content) {
-            own.entry(&plan.value).or_insert_with(|| (0.0, a.at(&plan.span))).0 += quota;
+            own.entry(&plan.value)
+                .or_insert_with(|| (0.0, a.at(&plan.span)))
+                .0 += quota;
         }
         for (plan, (sum, place)) in own {
-            promised.entry(plan).or_default().push((a.content.called(), sum, place));
+            promised
+                .entry(plan)
+                .or_default()
+                .push((a.content.called(), sum, place));
         }
     }
     for ceiling in &s.content.ceilings {
         let (plan, most) = (ceiling.plan.value.as_str(), ceiling.rate.value);
-        let Some(parts) = promised.get(plan) else { continue };
+        let Some(parts) = promised.get(plan) else {
+            continue;
+        };
         let sum: f64 = parts.iter().map(|p| p.1).sum();
         if sum <= most * (1.0 + ROUNDING) {
             continue;
@@ -743,12 +1063,29 @@
             so_far > most * (1.0 + ROUNDING)
         });
         let past = past.unwrap_or(parts.len() - 1);
-        let mut others: Vec<&(&str, f64, Place)> =
-            parts.iter().enumerate().filter(|(n, _)| *n != past).map(|(_, p)| p).collect();
+        let mut others: Vec<&(&str, f64, Place)> = parts
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| *n != past)
+            .map(|(_, p)| p)
+            .collect();
         others.sort_by(|a, b| b.1.total_cmp(&a.1));
-        let mut shown = vec![format!("\"{}\" {}", parts[past].0, show_rate(parts[past].1))];
-        shown.extend(others.iter().take(4).map(|p| format!("\"{}\" {}", p.0, show_rate(p.1))));
-        let more = if others.len() > 4 { format!(" and {} more", others.len() - 4) } else { String::new() };
+        let mut shown = vec![format!(
+            "\"{}\" {}",
+            parts[past].0,
+            show_rate(parts[past].1)
+        )];
+        shown.extend(
+            others
+                .iter()
+                .take(4)
+                .map(|p| format!("\"{}\" {}", p.0, show_rate(p.1))),
+        );
+        let more = if others.len() > 4 {
+            format!(" and {} more", others.len() - 4)
+        } else {
+            String::new()
+        };
         let message = format!(
             "quotas on plan \"{plan}\" come to {}, and the ceiling is {}: {}{more}",
             show_rate(sum),
@@ -756,9 +1093,15 @@
             shown.join(" + "),
         );
         let mut wrong = Diagnostic::new(Code::CeilingTogether, parts[past].2.clone(), message)
-            .with(s.at(&ceiling.rate.span), format!("the ceiling of {}", show_rate(most)));
+            .with(
+                s.at(&ceiling.rate.span),
+                format!("the ceiling of {}", show_rate(most)),
+            );
         for other in others.iter().take(4) {
-            wrong = wrong.with(other.2.clone(), format!("\"{}\" has {} of it", other.0, show_rate(other.1)));
+            wrong = wrong.with(
+                other.2.clone(),
+                format!("\"{}\" has {} of it", other.0, show_rate(other.1)),
+            );
         }
         found.push(wrong.help("lower a quota, or have the site raise the ceiling"));
     }
--- a/crates/config/src/codes.rs
+++ b/crates/config/src/codes.rs
@@ -196,7 +196,10 @@
 impl Code {
     /// The code with a number such as `C101`, in any case.
     pub fn by_id(id: &str) -> Option<Code> {
-        Code::ALL.iter().copied().find(|c| c.id().eq_ignore_ascii_case(id))
+        Code::ALL
+            .iter()
+            .copied()
+            .find(|c| c.id().eq_ignore_ascii_case(id))
     }
 }
 
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -31,7 +31,13 @@
 impl Diagnostic {
     /// A mistake at a place.
     pub fn new(code: Code, place: Place, message: impl Into<String>) -> Self {
-        Diagnostic { code, message: message.into(), place, related: Vec::new(), help: None }
+        Diagnostic {
+            code,
+            message: message.into(),
+            place,
+            related: Vec::new(),
+            help: None,
+        }
     }
 
     /// Adds another place.
@@ -59,7 +65,10 @@
             return format!("{}: {}", self.code, self.message);
         };
         let (line, column) = source.position(self.place.span.start);
-        format!("{}:{line}:{column}: {}: {}", source.name, self.code, self.message)
+        format!(
+            "{}:{line}:{column}: {}: {}",
+            source.name, self.code, self.message
+        )
     }
 }
 
--- a/crates/config/src/enforced.rs
+++ b/crates/config/src/enforced.rs
@@ -93,15 +93,25 @@
 
 /// Flattens nested settings to paths with values.
 pub fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
-    let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
+    let below = |key: &str| {
+        if path.is_empty() {
+            key.to_string()
+        } else {
+            format!("{path}.{key}")
+        }
+    };
     let plain = |v: &Value| v.as_str().map_or_else(|| v.to_string(), String::from);
     match value {
         Value::Null => {}
-        Value::Object(map) => map.iter().for_each(|(key, v)| flatten(&below(key), v, pairs)),
+        Value::Object(map) => map
+            .iter()
+            .for_each(|(key, v)| flatten(&below(key), v, pairs)),
         Value::Array(list) => {
             if list.iter().all(Value::is_object) {
                 pairs.push((below("count"), list.len().to_string()));
-                list.iter().enumerate().for_each(|(i, v)| flatten(&below(&i.to_string()), v, pairs));
+                list.iter()
+                    .enumerate()
+                    .for_each(|(i, v)| flatten(&below(&i.to_string()), v, pairs));
             }
             if !list.iter().any(Value::is_object) {
                 let joined: Vec<String> = list.iter().map(plain).collect();
@@ -128,8 +138,14 @@
 /// Where it has no settings.
 pub fn split(told: &Value) -> Result<Told, String> {
     let mut pairs = Vec::new();
-    flatten("", told.get("settings").ok_or("settings is missing")?, &mut pairs);
-    let (state, fixed) = pairs.into_iter().partition::<Vec<_>, _>(|(key, _)| changeable(key));
+    flatten(
+        "",
+        told.get("settings").ok_or("settings is missing")?,
+        &mut pairs,
+    );
+    let (state, fixed) = pairs
+        .into_iter()
+        .partition::<Vec<_>, _>(|(key, _)| changeable(key));
     let mut state: Pairs = state.into_iter().collect();
     if let Some(discovery) = told.get("discovery").and_then(Value::as_str) {
         state.insert("discovery".into(), discovery.into());
@@ -155,14 +171,23 @@
         let place = list.of.get(&a.id.value)?;
         Some((a.id.value, list.list.get(*place)?.0.as_str()))
     });
-    identify(&mut split.state, accounts, app.sends.iter().map(|c| c.value.as_str()));
+    identify(
+        &mut split.state,
+        accounts,
+        app.sends.iter().map(|c| c.value.as_str()),
+    );
     let place = app.sidecars.iter().find(|c| c.name.value == name);
     let (pools, routes) = ways(app, site, place);
     route(&mut split.state, &pools, &routes);
     if let Some(program) = &app.program {
-        split.state.insert(PROGRAM.into(), format!("{}@{}", program.name.value, program.sha256.value));
+        split.state.insert(
+            PROGRAM.into(),
+            format!("{}@{}", program.name.value, program.sha256.value),
+        );
     }
-    app.identity.iter().for_each(|identity| callers::put(&mut split.state, identity));
+    app.identity
+        .iter()
+        .for_each(|identity| callers::put(&mut split.state, identity));
     Ok((told, split))
 }
 
@@ -180,7 +205,12 @@
             ("models", pool.selector.models.join(",")),
             ("groups", groups.join(",")),
             ("nodes", pool.selector.nodes.join(",")),
-            ("fallback", pool.fallback.as_ref().map_or(String::new(), |f| f.value.clone())),
+            (
+                "fallback",
+                pool.fallback
+                    .as_ref()
+                    .map_or(String::new(), |f| f.value.clone()),
+            ),
         ];
         let given = fields.into_iter().filter(|(_, value)| !value.is_empty());
         state.extend(given.map(|(key, value)| (format!("pools.{n}.{key}"), value)));
@@ -207,18 +237,26 @@
     let pool_names = names(state, "pools");
     let number = |name: &str| {
         let at = pool_names.iter().position(|n| !n.is_empty() && n == name);
-        at.and_then(|n| u8::try_from(n).ok()).map(PoolNo).ok_or_else(|| format!("there is no pool {name}"))
+        at.and_then(|n| u8::try_from(n).ok())
+            .map(PoolNo)
+            .ok_or_else(|| format!("there is no pool {name}"))
+    };
+    let field = |list: &str, at: &str, key: &str| {
+        state.get(&format!("{list}.{at}.{key}")).map(String::as_str)
     };
-    let field =
-        |list: &str, at: &str, key: &str| state.get(&format!("{list}.{at}.{key}")).map(String::as_str);
     let words = |n: usize, key: &str| -> Vec<String> {
         let text = field("pools", &n.to_string(), key).unwrap_or("");
-        text.split(',').filter(|w| !w.is_empty()).map(String::from).collect()
+        text.split(',')
+            .filter(|w| !w.is_empty())
+            .map(String::from)
+            .collect()
     };
     let mut table = Table::default();
     for (n, name) in pool_names.iter().enumerate() {
-        let groups =
-            words(n, "groups").iter().map(|g| g.parse().map_err(|_| format!("{g} is no group"))).collect();
+        let groups = words(n, "groups")
+            .iter()
+            .map(|g| g.parse().map_err(|_| format!("{g} is no group")))
+            .collect();
         let groups: Result<Vec<u64>, String> = groups;
         let selector = Selector {
             halls: words(n, "halls"),
@@ -227,22 +265,34 @@
             nodes: words(n, "nodes"),
         };
         let fallback = field("pools", &n.to_string(), "fallback").filter(|_| !name.is_empty());
-        table.pools.push(Pool { selector, fallback: fallback.map(number).transpose()? });
+        table.pools.push(Pool {
+            selector,
+            fallback: fallback.map(number).transpose()?,
+        });
     }
     for class in names(state, "grades") {
         let Some(pool) = field("routes", &class, "pool").filter(|_| !class.is_empty()) else {
             table.routes.push(None);
             continue;
         };
-        let trial = match (field("routes", &class, "trial"), field("routes", &class, "share")) {
+        let trial = match (
+            field("routes", &class, "trial"),
+            field("routes", &class, "share"),
+        ) {
             (Some(trial), Some(share)) => {
                 let share = share.parse().ok().filter(|s: &f64| (0.0..=1.0).contains(s));
                 let share = share.ok_or_else(|| format!("routes.{class}.share is no share"))?;
-                Some(Trial { pool: number(trial)?, share })
+                Some(Trial {
+                    pool: number(trial)?,
+                    share,
+                })
             }
             _ => None,
         };
-        table.routes.push(Some(Route { pool: number(pool)?, trial }));
+        table.routes.push(Some(Route {
+            pool: number(pool)?,
+            trial,
+        }));
     }
     match table.faults().first() {
         Some(fault) => Err(format!("the pools can't be used: {fault:?}")),
@@ -276,15 +326,32 @@
 /// Names a key that this program does not know, or whose value it can't use.
 pub fn join(fixed: &[(String, String)], state: &Pairs) -> Result<Conf, String> {
     if let Some(key) = state.keys().find(|key| !changeable(key)) {
-        return Err(format!("the key {key} is unknown here, or fixed from the start on"));
+        return Err(format!(
+            "the key {key} is unknown here, or fixed from the start on"
+        ));
     }
-    Ok(Conf::new(fixed.iter().cloned().chain(state.iter().map(|(k, v)| (k.clone(), v.clone())))))
+    Ok(Conf::new(
+        fixed
+            .iter()
+            .cloned()
+            .chain(state.iter().map(|(k, v)| (k.clone(), v.clone()))),
+    ))
 }
 
 /// The names of a list by their places; empty for one that went.
 pub(crate) fn names(state: &Pairs, list: &str) -> Vec<String> {
-    let count = state.get(&format!("{list}.count")).and_then(|n| n.parse().ok()).unwrap_or(0);
-    (0..count).map(|n: usize| state.get(&format!("{list}.{n}.name")).cloned().unwrap_or_default()).collect()
+    let count = state
+        .get(&format!("{list}.count"))
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0);
+    (0..count)
+        .map(|n: usize| {
+            state
+                .get(&format!("{list}.{n}.name"))
+                .cloned()
+                .unwrap_or_default()
+        })
+        .collect()
 }
 
 /// A wanted state with the places that running ones have, those of all ingresses that tell each other what is used: a place
@@ -296,18 +363,32 @@
 ///
 /// Where no place is left.
 pub fn align(running: &[&Pairs], wanted: &Pairs) -> Result<Pairs, String> {
-    let of_list =
-        |key: &str| LISTS.iter().any(|l| key.strip_prefix(l).is_some_and(|rest| rest.starts_with('.')));
-    let mut out: Pairs =
-        wanted.iter().filter(|(key, _)| !of_list(key)).map(|(k, v)| (k.clone(), v.clone())).collect();
+    let of_list = |key: &str| {
+        LISTS.iter().any(|l| {
+            key.strip_prefix(l)
+                .is_some_and(|rest| rest.starts_with('.'))
+        })
+    };
+    let mut out: Pairs = wanted
+        .iter()
+        .filter(|(key, _)| !of_list(key))
+        .map(|(k, v)| (k.clone(), v.clone()))
+        .collect();
     for list in LISTS {
-        let (has, wants) = (running.iter().map(|r| names(r, list)).collect::<Vec<_>>(), names(wanted, list));
+        let (has, wants) = (
+            running.iter().map(|r| names(r, list)).collect::<Vec<_>>(),
+            names(wanted, list),
+        );
         let known = has.iter().map(Vec::len).max().unwrap_or(0);
         // Who has a place, at any of them; two who have one place keep it neither.
         let mut holders: Vec<Option<&str>> = vec![None; known];
         let mut torn = vec![false; known];
         for names in &has {
-            for (place, name) in names.iter().enumerate().filter(|(_, name)| !name.is_empty()) {
+            for (place, name) in names
+                .iter()
+                .enumerate()
+                .filter(|(_, name)| !name.is_empty())
+            {
                 torn[place] |= holders[place].is_some_and(|h| h != name);
                 holders[place] = Some(name);
             }
@@ -315,16 +396,29 @@
         let mut place_of: HashMap<&str, usize> = HashMap::new();
         let mut split: Vec<&str> = Vec::new();
         for (place, holder) in holders.iter().enumerate() {
-            let Some(name) = holder.filter(|_| !torn[place]) else { continue };
+            let Some(name) = holder.filter(|_| !torn[place]) else {
+                continue;
+            };
             if place_of.insert(name, place).is_some() {
                 split.push(name); // at one place here, at another there
             }
         }
         place_of.retain(|name, _| !split.contains(name));
-        let mut free: Vec<usize> = (0..known).rev().filter(|place| holders[*place].is_none()).collect();
+        let mut free: Vec<usize> = (0..known)
+            .rev()
+            .filter(|place| holders[*place].is_none())
+            .collect();
         let (mut next, mut from): (usize, BTreeMap<usize, usize>) = (known, BTreeMap::new());
-        for (at, name) in wants.iter().enumerate().filter(|(_, name)| !name.is_empty()) {
-            let place = place_of.get(name.as_str()).copied().or_else(|| free.pop()).unwrap_or(next);
+        for (at, name) in wants
+            .iter()
+            .enumerate()
+            .filter(|(_, name)| !name.is_empty())
+        {
+            let place = place_of
+                .get(name.as_str())
+                .copied()
+                .or_else(|| free.pop())
+                .unwrap_or(next);
             next = next.max(place + 1);
             from.insert(place, at);
         }
@@ -343,9 +437,14 @@
         for place in 0..count {
             let named = from.get(&place);
             let prefix = format!("{list}.{}.", named.unwrap_or(&first));
-            let fields = wanted.range(prefix.clone()..).take_while(|(key, _)| key.starts_with(&prefix));
+            let fields = wanted
+                .range(prefix.clone()..)
+                .take_while(|(key, _)| key.starts_with(&prefix));
             for (key, value) in fields {
-                out.insert(format!("{list}.{place}.{}", &key[prefix.len()..]), value.clone());
+                out.insert(
+                    format!("{list}.{place}.{}", &key[prefix.len()..]),
+                    value.clone(),
+                );
             }
             if named.is_none() {
                 out.insert(format!("{list}.{place}.name"), String::new());
@@ -362,7 +461,9 @@
 pub fn spoken(key: &str, old: &Pairs, new: &Pairs) -> String {
     let mut parts = key.splitn(3, '.');
     let (Some(list), Some(place), Some(field)) = (parts.next(), parts.next(), parts.next()) else {
-        return key.strip_prefix("accounts.").map_or(key.to_string(), |id| format!("account {id}"));
+        return key
+            .strip_prefix("accounts.")
+            .map_or(key.to_string(), |id| format!("account {id}"));
     };
     let word = match list {
         "contracts" => "plan",
@@ -372,8 +473,13 @@
         _ => return key.to_string(),
     };
     let at = format!("{list}.{place}.name");
-    let name = [new, old].iter().find_map(|s| s.get(&at).filter(|n| !n.is_empty()).cloned());
-    format!("{word} {} {field}", name.unwrap_or_else(|| place.to_string()))
+    let name = [new, old]
+        .iter()
+        .find_map(|s| s.get(&at).filter(|n| !n.is_empty()).cloned());
+    format!(
+        "{word} {} {field}",
+        name.unwrap_or_else(|| place.to_string())
+    )
 }
 
 #[cfg(test)]
@@ -405,20 +511,34 @@
         let later = align(&[&next], &state(&[("a", 1), ("c", 30), ("d", 4), ("e", 5)])).unwrap();
         assert_eq!(names(&later, "contracts"), ["a", "e", "c", "d"]);
         let other_order = state(&[("e", 5), ("d", 4), ("c", 30), ("a", 1)]);
-        assert_eq!(align(&[&later], &other_order).unwrap(), later, "nothing differs");
-        assert_eq!(align(&[&next], &running).unwrap(), running, "there and back again is the same state");
+        assert_eq!(
+            align(&[&later], &other_order).unwrap(),
+            later,
+            "nothing differs"
+        );
+        assert_eq!(
+            align(&[&next], &running).unwrap(),
+            running,
+            "there and back again is the same state"
+        );
     }
 
     /// Guards against ingresses that tell each other of a plan by a place that means another one there.
     #[test]
     fn ingresses_with_other_histories_come_to_the_same_places() {
-        let (one, two) =
-            (state(&[("a", 1), ("b", 2), ("c", 3)]), state(&[("a", 1), ("c", 3), ("b", 2), ("x", 9)]));
+        let (one, two) = (
+            state(&[("a", 1), ("b", 2), ("c", 3)]),
+            state(&[("a", 1), ("c", 3), ("b", 2), ("x", 9)]),
+        );
         let wanted = state(&[("a", 1), ("b", 2), ("c", 3), ("d", 4)]);
         let next = align(&[&one, &two], &wanted).unwrap();
         assert_eq!(next, align(&[&two, &one], &wanted).unwrap());
         let has = names(&next, "contracts");
-        assert_eq!((&*has[0], has[1].is_empty(), has[2].is_empty()), ("a", true, true), "{has:?}");
+        assert_eq!(
+            (&*has[0], has[1].is_empty(), has[2].is_empty()),
+            ("a", true, true),
+            "{has:?}"
+        );
         let mut named: Vec<&String> = has.iter().filter(|n| !n.is_empty()).collect();
         named.sort();
         assert_eq!(named, ["a", "b", "c", "d"]);
@@ -434,11 +554,19 @@
 
     #[test]
     fn what_is_fixed_or_unknown_is_refused_by_its_key() {
-        for key in
-            ["n_instances", "grades.0.colour", "limits.peers", "accounts.xyz", "contracts.-1.name", "tick_us"]
-        {
+        for key in [
+            "n_instances",
+            "grades.0.colour",
+            "limits.peers",
+            "accounts.xyz",
+            "contracts.-1.name",
+            "tick_us",
+        ] {
             let state: Pairs = [(key.to_string(), "1".to_string())].into();
-            assert!(join(&[], &state).err().is_some_and(|e| e.contains(key)), "{key}");
+            assert!(
+                join(&[], &state).err().is_some_and(|e| e.contains(key)),
+                "{key}"
+            );
         }
         assert!(changeable("accounts.00000000000004d2") && changeable("rules.cold_us"));
     }
@@ -446,8 +574,14 @@
     #[test]
     fn people_read_names_in_place_of_numbers() {
         let s = state(&[("a", 1)]);
-        assert_eq!(spoken("contracts.0.quota_rate", &s, &s), "plan a quota_rate");
-        assert_eq!(spoken("accounts.00000000000004d2", &s, &s), "account 00000000000004d2");
+        assert_eq!(
+            spoken("contracts.0.quota_rate", &s, &s),
+            "plan a quota_rate"
+        );
+        assert_eq!(
+            spoken("accounts.00000000000004d2", &s, &s),
+            "account 00000000000004d2"
+        );
         assert_eq!(spoken("rules.cold_us", &s, &s), "rules.cold_us");
     }
 }
--- a/crates/config/src/form.rs
+++ b/crates/config/src/form.rs
@@ -100,7 +100,13 @@
 }
 
 const fn must(key: &'static str, kind: Kind, about: &'static str, example: &'static str) -> Field {
-    Field { key, kind, need: Need::Must, about, example }
+    Field {
+        key,
+        kind,
+        need: Need::Must,
+        about,
+        example,
+    }
 }
 
 const fn may(
@@ -110,7 +116,13 @@
     about: &'static str,
     example: &'static str,
 ) -> Field {
-    Field { key, kind, need: Need::May(without), about, example }
+    Field {
+        key,
+        kind,
+        need: Need::May(without),
+        about,
+        example,
+    }
 }
 
 /// The kinds of files.
@@ -128,8 +140,12 @@
 
 impl FileKind {
     /// All of them.
-    pub const ALL: [FileKind; 4] =
-        [FileKind::Site, FileKind::Application, FileKind::Fleet, FileKind::Ingress];
+    pub const ALL: [FileKind; 4] = [
+        FileKind::Site,
+        FileKind::Application,
+        FileKind::Fleet,
+        FileKind::Ingress,
+    ];
 
     /// The word that stands at `kind`.
     pub fn word(self) -> &'static str {
@@ -152,7 +168,12 @@
     }
 }
 
-const VERSION_FIELD: Field = must("version", Kind::Whole(VERSION, VERSION), "The version of this form.", "1");
+const VERSION_FIELD: Field = must(
+    "version",
+    Kind::Whole(VERSION, VERSION),
+    "The version of this form.",
+    "1",
+);
 const MOST_UNITS: f64 = 1e9;
 
 /// A site.
@@ -161,9 +182,24 @@
     about: "What all applications of a site share. It is kept by those who run the site.",
     fields: &[
         VERSION_FIELD,
-        must("kind", Kind::Choice(&["site"]), "What this file is.", "\"site\""),
-        must("name", Kind::Name, "The site's name; applications say it in `site`.", "\"bangna\""),
-        must("halls", Kind::Names, "The halls that nodes and sidecars stand in.", "[\"hall-a\", \"hall-b\"]"),
+        must(
+            "kind",
+            Kind::Choice(&["site"]),
+            "What this file is.",
+            "\"site\"",
+        ),
+        must(
+            "name",
+            Kind::Name,
+            "The site's name; applications say it in `site`.",
+            "\"bangna\"",
+        ),
+        must(
+            "halls",
+            Kind::Names,
+            "The halls that nodes and sidecars stand in.",
+            "[\"hall-a\", \"hall-b\"]",
+        ),
         may(
             "near",
             Kind::Tables(&NEAR, 250),
@@ -178,7 +214,13 @@
             "What a node of weight 1 serves.",
             "\"12/s\"",
         ),
-        may("limits", Kind::Table(&SITE_LIMITS), "the defaults of its keys", "What an ingress may do.", ""),
+        may(
+            "limits",
+            Kind::Table(&SITE_LIMITS),
+            "the defaults of its keys",
+            "What an ingress may do.",
+            "",
+        ),
         may(
             "rules",
             Kind::Table(&RULES),
@@ -186,8 +228,18 @@
             "The figures of the platform's rules.",
             "",
         ),
-        must("class", Kind::Tables(&CLASS, 250), "The classes of requests.", ""),
-        must("plan", Kind::Tables(&PLAN, 1_000), "The plans that accounts are on.", ""),
+        must(
+            "class",
+            Kind::Tables(&CLASS, 250),
+            "The classes of requests.",
+            "",
+        ),
+        must(
+            "plan",
+            Kind::Tables(&PLAN, 1_000),
+            "The plans that accounts are on.",
+            "",
+        ),
         may(
             "ceiling",
             Kind::Tables(&CEILING, 1_000),
@@ -216,7 +268,13 @@
     name: "limits of a site",
     about: "What an ingress may do.",
     fields: &[
-        may("attempts", Kind::Whole(1, 16), "3", "Attempts for one request.", "3"),
+        may(
+            "attempts",
+            Kind::Whole(1, 16),
+            "3",
+            "Attempts for one request.",
+            "3",
+        ),
         may(
             "second-copies",
             Kind::Flag,
@@ -224,9 +282,27 @@
             "Whether two attempts of one request may be out together.",
             "true",
         ),
-        may("cancel", Kind::Flag, "true", "Whether attempts may be called off.", "true"),
-        may("probes", Kind::Flag, "false", "Whether nodes may be probed.", "false"),
-        may("open", Kind::Whole(1, 1_000_000), "20000", "Requests open at once.", "20000"),
+        may(
+            "cancel",
+            Kind::Flag,
+            "true",
+            "Whether attempts may be called off.",
+            "true",
+        ),
+        may(
+            "probes",
+            Kind::Flag,
+            "false",
+            "Whether nodes may be probed.",
+            "false",
+        ),
+        may(
+            "open",
+            Kind::Whole(1, 1_000_000),
+            "20000",
+            "Requests open at once.",
+            "20000",
+        ),
         may(
             "retry-after",
             Kind::Time,
@@ -234,9 +310,27 @@
             "The longest pause that a client is told to keep.",
             "\"2s\"",
         ),
-        may("connect", Kind::Time, "250ms", "How long a node may take to accept a connection.", "\"250ms\""),
-        may("keepalive", Kind::Time, "15s", "How long a node keeps an idle connection.", "\"15s\""),
-        may("tick", Kind::Time, "4ms", "The least time between two looks at the clock.", "\"4ms\""),
+        may(
+            "connect",
+            Kind::Time,
+            "250ms",
+            "How long a node may take to accept a connection.",
+            "\"250ms\"",
+        ),
+        may(
+            "keepalive",
+            Kind::Time,
+            "15s",
+            "How long a node keeps an idle connection.",
+            "\"15s\"",
+        ),
+        may(
+            "tick",
+            Kind::Time,
+            "4ms",
+            "The least time between two looks at the clock.",
+            "\"4ms\"",
+        ),
         may(
             "messages",
             Kind::Number(0.0, 1e6),
@@ -272,7 +366,13 @@
             "The share of its speed with which a node starts.",
             "0.28",
         ),
-        may("cold", Kind::Time, "16s", "How long a node takes to be warm.", "\"16s\""),
+        may(
+            "cold",
+            Kind::Time,
+            "16s",
+            "How long a node takes to be warm.",
+            "\"16s\"",
+        ),
         may(
             "cold-factor",
             Kind::Number(1.0, 100.0),
@@ -280,7 +380,13 @@
             "The multiple of its speed that pushes a cold node over.",
             "4",
         ),
-        may("cold-push", Kind::Time, "1s", "How long it must last to do so.", "\"1s\""),
+        may(
+            "cold-push",
+            Kind::Time,
+            "1s",
+            "How long it must last to do so.",
+            "\"1s\"",
+        ),
     ],
 };
 
@@ -320,8 +426,18 @@
     name: "plan",
     about: "A plan. Each account on it has a quota of its own.",
     fields: &[
-        must("name", Kind::Name, "What accounts and clients call it.", "\"business\""),
-        must("quota", Kind::Rate, "What each account on it may use, over all ingresses together.", "\"8/s\""),
+        must(
+            "name",
+            Kind::Name,
+            "What accounts and clients call it.",
+            "\"business\"",
+        ),
+        must(
+            "quota",
+            Kind::Rate,
+            "What each account on it may use, over all ingresses together.",
+            "\"8/s\"",
+        ),
         must(
             "burst",
             Kind::Number(0.001, MOST_UNITS),
@@ -342,7 +458,13 @@
             "Units that the hard limit lets through at once.",
             "32",
         ),
-        may("price", Kind::Number(0.0, MOST_UNITS), "1", "Factor on what its answers are worth.", "1.1"),
+        may(
+            "price",
+            Kind::Number(0.0, MOST_UNITS),
+            "1",
+            "Factor on what its answers are worth.",
+            "1.1",
+        ),
         may(
             "beyond-costs",
             Kind::Number(0.0, 1.0),
@@ -441,7 +563,12 @@
     name: "issuer",
     about: "Whoever signs tokens.",
     fields: &[
-        must("name", Kind::Name, "What tokens say in `iss`, and in `kid` before the slash.", "\"desk\""),
+        must(
+            "name",
+            Kind::Name,
+            "What tokens say in `iss`, and in `kid` before the slash.",
+            "\"desk\"",
+        ),
         must(
             "key",
             Kind::Tables(&ISSUER_KEY, 16),
@@ -455,7 +582,12 @@
     name: "key",
     about: "A key that signs tokens.",
     fields: &[
-        must("name", Kind::Name, "What tokens say in `kid` behind the slash.", "\"2026-12\""),
+        must(
+            "name",
+            Kind::Name,
+            "What tokens say in `kid` behind the slash.",
+            "\"2026-12\"",
+        ),
         must(
             "public",
             Kind::PublicKey,
@@ -483,9 +615,25 @@
     name: "tenant",
     about: "Somebody on whose behalf tokens speak.",
     fields: &[
-        must("name", Kind::Name, "What tokens say in `sub`.", "\"broker\""),
-        must("accounts", Kind::Accounts, "The accounts that it may name.", "[\"00000000000004d2\"]"),
-        may("classes", Kind::Names, "all that may be sent", "The classes that it may send.", "[\"quote\"]"),
+        must(
+            "name",
+            Kind::Name,
+            "What tokens say in `sub`.",
+            "\"broker\"",
+        ),
+        must(
+            "accounts",
+            Kind::Accounts,
+            "The accounts that it may name.",
+            "[\"00000000000004d2\"]",
+        ),
+        may(
+            "classes",
+            Kind::Names,
+            "all that may be sent",
+            "The classes that it may send.",
+            "[\"quote\"]",
+        ),
     ],
 };
 
@@ -501,7 +649,13 @@
             "File descriptors: two for each open request, and some more.",
             "256",
         ),
-        may("cores", Kind::Number(0.05, 1.0), "1", "Part of a core; one thread uses no more than one.", "1"),
+        may(
+            "cores",
+            Kind::Number(0.05, 1.0),
+            "1",
+            "Part of a core; one thread uses no more than one.",
+            "1",
+        ),
     ],
 };
 
@@ -616,10 +770,27 @@
     name: "account",
     about: "An account of the application.",
     fields: &[
-        must("id", Kind::Account, "Its number, as clients send it.", "\"00000000000004d2\""),
+        must(
+            "id",
+            Kind::Account,
+            "Its number, as clients send it.",
+            "\"00000000000004d2\"",
+        ),
         must("plan", Kind::Name, "Its plan.", "\"business\""),
-        may("quota", Kind::Rate, "the plan's", "A quota of its own.", "\"6/s\""),
-        may("burst", Kind::Number(0.001, MOST_UNITS), "the plan's", "A burst of its own.", "12"),
+        may(
+            "quota",
+            Kind::Rate,
+            "the plan's",
+            "A quota of its own.",
+            "\"6/s\"",
+        ),
+        may(
+            "burst",
+            Kind::Number(0.001, MOST_UNITS),
+            "the plan's",
+            "A burst of its own.",
+            "12",
+        ),
     ],
 };
 
@@ -648,7 +819,13 @@
     fields: &[
         must("class", Kind::Name, "The class.", "\"quote\""),
         must("pool", Kind::Name, "The pool that it goes to.", "\"fast\""),
-        may("trial", Kind::Name, "no trial", "A pool that some customers go to first.", "\"new\""),
+        may(
+            "trial",
+            Kind::Name,
+            "no trial",
+            "A pool that some customers go to first.",
+            "\"new\"",
+        ),
         may(
             "share",
             Kind::Number(0.0, 1.0),
@@ -730,11 +907,37 @@
             "Where else it listens, over IPv4, IPv6 and sockets; all lead to the same node.",
             "[\"unix:/run/node/s-0001\", \"[::1]:9001\"]",
         ),
-        must("hall", Kind::Name, "The hall that it stands in.", "\"hall-a\""),
-        must("model", Kind::Name, "The kind of its machine.", "\"std-3c\""),
-        must("group", Kind::Whole(0, 65_535), "The group of nodes that know each other's keys.", "1"),
-        must("status", Kind::Choice(&["up", "draining", "removed"]), "Its state.", "\"up\""),
-        may("weight", Kind::Number(0.0, 1e6), "1", "Its capacity beside others.", "3"),
+        must(
+            "hall",
+            Kind::Name,
+            "The hall that it stands in.",
+            "\"hall-a\"",
+        ),
+        must(
+            "model",
+            Kind::Name,
+            "The kind of its machine.",
+            "\"std-3c\"",
+        ),
+        must(
+            "group",
+            Kind::Whole(0, 65_535),
+            "The group of nodes that know each other's keys.",
+            "1",
+        ),
+        must(
+            "status",
+            Kind::Choice(&["up", "draining", "removed"]),
+            "Its state.",
+            "\"up\"",
+        ),
+        may(
+            "weight",
+            Kind::Number(0.0, 1e6),
+            "1",
+            "Its capacity beside others.",
+            "3",
+        ),
         may(
             "since-ms",
             Kind::Whole(0, u64::MAX >> 1),
--- a/crates/config/src/format.rs
+++ b/crates/config/src/format.rs
@@ -14,11 +14,19 @@
     table(document.as_table_mut());
     let before = raw(Some(document.trailing()));
     let trailing = comments(before.clone());
-    let blank = if before.starts_with('\n') && !trailing.is_empty() { "\n" } else { "" };
+    let blank = if before.starts_with('\n') && !trailing.is_empty() {
+        "\n"
+    } else {
+        ""
+    };
     document.set_trailing(format!("{blank}{trailing}"));
     let out = document.to_string();
     let out = out.trim_matches('\n');
-    Ok(if out.is_empty() { String::new() } else { format!("{out}\n") })
+    Ok(if out.is_empty() {
+        String::new()
+    } else {
+        format!("{out}\n")
+    })
 }
 
 fn raw(text: Option<&RawString>) -> String {
@@ -67,7 +75,8 @@
                 // A blank line that parts groups of keys stays, but for one before the first.
                 let blank = !first && before.starts_with('\n');
                 let before = comments(before);
-                key.leaf_decor_mut().set_prefix(if blank { format!("\n{before}") } else { before });
+                key.leaf_decor_mut()
+                    .set_prefix(if blank { format!("\n{before}") } else { before });
                 key.leaf_decor_mut().set_suffix(" ");
                 let suffix = behind(value.decor());
                 self::value(value);
@@ -96,7 +105,11 @@
     // What stands right behind the table before, with a blank line after it, is that table's.
     let others = before.starts_with(|c: char| c != '\n') && comments.contains("\n\n");
     let suffix = behind(of.decor());
-    of.decor_mut().set_prefix(if others { comments } else { format!("\n{comments}") });
+    of.decor_mut().set_prefix(if others {
+        comments
+    } else {
+        format!("\n{comments}")
+    });
     of.decor_mut().set_suffix(suffix);
 }
 
--- a/crates/config/src/locality.rs
+++ b/crates/config/src/locality.rs
@@ -24,9 +24,16 @@
     if named.len() < all || named.len() > MOST_TIERS {
         named.truncate(MOST_TIERS - 1);
     }
-    let rest = site.halls.iter().map(|h| &h.value).filter(|h| !named.contains(&h.as_str()));
+    let rest = site
+        .halls
+        .iter()
+        .map(|h| &h.value)
+        .filter(|h| !named.contains(&h.as_str()));
     let rest: Vec<String> = rest.cloned().collect();
-    let mut order: Vec<_> = named.iter().map(|h| (called(h), vec![h.to_string()])).collect();
+    let mut order: Vec<_> = named
+        .iter()
+        .map(|h| (called(h), vec![h.to_string()]))
+        .collect();
     if !rest.is_empty() {
         order.push((OTHERS.to_string(), rest));
     }
@@ -35,27 +42,54 @@
 
 /// The pools and routes of one of an application's sidecars: those of its file, and those that follow from its hall.
 pub fn ways(app: &Application, site: &Site, sidecar: Option<&Sidecar>) -> (Vec<Pool>, Vec<Route>) {
-    ways_from(app, site, sidecar.and_then(|s| s.hall.as_ref()).or(site.halls.first()))
+    ways_from(
+        app,
+        site,
+        sidecar.and_then(|s| s.hall.as_ref()).or(site.halls.first()),
+    )
 }
 
 /// The same for a hall.
-pub fn ways_from(app: &Application, site: &Site, home: Option<&At<String>>) -> (Vec<Pool>, Vec<Route>) {
+pub fn ways_from(
+    app: &Application,
+    site: &Site,
+    home: Option<&At<String>>,
+) -> (Vec<Pool>, Vec<Route>) {
     let (mut pools, mut routes) = (app.pools.clone(), app.routes.clone());
     let Some((home, order)) = home.and_then(|h| Some((h, order(site, &h.value)?))) else {
         return (pools, routes);
     };
-    let here = |value: &str| At { value: value.to_string(), span: home.span.clone() };
+    let here = |value: &str| At {
+        value: value.to_string(),
+        span: home.span.clone(),
+    };
     let mut local: Vec<Pool> = Vec::with_capacity(order.len());
     for (n, (name, halls)) in order.iter().enumerate() {
-        let selector = Selector { halls: halls.clone(), ..Selector::default() };
+        let selector = Selector {
+            halls: halls.clone(),
+            ..Selector::default()
+        };
         let fallback = order.get(n + 1).map(|next| here(&next.0));
-        local.push(Pool { name: here(name), selector, halls: Vec::new(), nodes: Vec::new(), fallback });
+        local.push(Pool {
+            name: here(name),
+            selector,
+            halls: Vec::new(),
+            nodes: Vec::new(),
+            fallback,
+        });
     }
     // In the order of the site's halls: sidecars of different halls have the same pools at the same places.
-    let place = |p: &Pool| site.halls.iter().position(|h| p.selector.halls[0] == h.value);
+    let place = |p: &Pool| {
+        site.halls
+            .iter()
+            .position(|h| p.selector.halls[0] == h.value)
+    };
     local.sort_by_key(|p| (p.name.value == OTHERS, place(p)));
     pools.extend(local);
-    let without = site.classes.iter().filter(|c| app.routes.iter().all(|r| r.class.value != c.name.value));
+    let without = site
+        .classes
+        .iter()
+        .filter(|c| app.routes.iter().all(|r| r.class.value != c.name.value));
     routes.extend(without.map(|class| Route {
         span: home.span.clone(),
         class: here(&class.name.value),
@@ -74,14 +108,19 @@
     use crate::source::Source;
 
     fn set(near: &str) -> Set {
-        let site = include_str!("../tests/good/site.toml")
-            .replace("halls = [\"hall-a\", \"hall-b\"]", "halls = [\"a\", \"b\", \"c\", \"d\", \"e\"]");
+        let site = include_str!("../tests/good/site.toml").replace(
+            "halls = [\"hall-a\", \"hall-b\"]",
+            "halls = [\"a\", \"b\", \"c\", \"d\", \"e\"]",
+        );
         let desk = "version = 1\nkind = \"application\"\nname = \"desk\"\nsite = \"bangna\"\nsends = [\"quote\"]\n\
                     [[sidecar]]\nname = \"d\"\nlisten = \"127.0.0.1:7600\"\ndiscovery = \"127.0.0.1:8500\"\nhall = \"b\"\n\
                     [[account]]\nid = \"00000000000004d2\"\nplan = \"starter\"\n\
                     [[pool]]\nname = \"own\"\nhalls = [\"a\"]\n[[route]]\nclass = \"quote\"\npool = \"own\"\n";
         let site = format!("{site}\n{near}");
-        Set::from_sources([Source::new("site.toml", &site), Source::new("desk.toml", desk)])
+        Set::from_sources([
+            Source::new("site.toml", &site),
+            Source::new("desk.toml", desk),
+        ])
     }
 
     fn pools(near: &str) -> Vec<(String, String, String)> {
@@ -90,11 +129,25 @@
         let (site, app) = (set.site().unwrap().content, set.applications()[0].content);
         let (pools, routes) = ways(app, site, app.sidecars.first());
         let own = routes.iter().find(|r| r.class.value == "quote").unwrap();
-        assert_eq!(own.pool.as_ref().unwrap().value, "own", "a route that is written stays");
-        let local = routes.iter().filter(|r| r.pool.as_ref().unwrap().value == "hall:b").count();
-        assert_eq!(local, if near.is_empty() { 0 } else { 2 }, "all classes without a route");
+        assert_eq!(
+            own.pool.as_ref().unwrap().value,
+            "own",
+            "a route that is written stays"
+        );
+        let local = routes
+            .iter()
+            .filter(|r| r.pool.as_ref().unwrap().value == "hall:b")
+            .count();
+        assert_eq!(
+            local,
+            if near.is_empty() { 0 } else { 2 },
+            "all classes without a route"
+        );
         let shown = |p: &Pool| {
-            let fallback = p.fallback.as_ref().map_or(String::new(), |f| f.value.clone());
+            let fallback = p
+                .fallback
+                .as_ref()
+                .map_or(String::new(), |f| f.value.clone());
             (p.name.value.clone(), p.selector.halls.join(","), fallback)
         };
         pools[1..].iter().map(shown).collect()
@@ -109,18 +162,36 @@
         assert_eq!(pools(""), []);
         let b = "[[near]]\nhall = \"b\"\nothers = [\"d\"]\n";
         let rest = row("hall:*", "a,c,e", "");
-        assert_eq!(pools(b), [row("hall:b", "b", "hall:d"), row("hall:d", "d", "hall:*"), rest]);
+        assert_eq!(
+            pools(b),
+            [
+                row("hall:b", "b", "hall:d"),
+                row("hall:d", "d", "hall:*"),
+                rest
+            ]
+        );
         // Five halls, four pools: the last two share one.
         let all = "[[near]]\nhall = \"b\"\nothers = [\"e\", \"a\", \"d\", \"c\"]\n";
-        let (a, b, e) =
-            (row("hall:a", "a", "hall:*"), row("hall:b", "b", "hall:e"), row("hall:e", "e", "hall:a"));
+        let (a, b, e) = (
+            row("hall:a", "a", "hall:*"),
+            row("hall:b", "b", "hall:e"),
+            row("hall:e", "e", "hall:a"),
+        );
         assert_eq!(pools(all), [a, b, e, row("hall:*", "c,d", "")]);
         let other = "[[near]]\nhall = \"a\"\nothers = [\"b\"]\n";
         assert_eq!(set(other).applications().len(), 1);
         let set = set(other);
         let (site, app) = (set.site().unwrap().content, set.applications()[0].content);
-        assert_eq!(ways(app, site, app.sidecars.first()).0.len(), 1, "b has no order: as before");
-        assert_eq!(ways(app, site, None).0.len(), 4, "without a hall of its own it stands in the first");
+        assert_eq!(
+            ways(app, site, app.sidecars.first()).0.len(),
+            1,
+            "b has no order: as before"
+        );
+        assert_eq!(
+            ways(app, site, None).0.len(),
+            4,
+            "without a hall of its own it stands in the first"
+        );
     }
 
     /// Guards against an order of halls that names what there is not, or a hall twice.
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -222,7 +222,10 @@
 }
 
 fn near(f: &Fields) -> Option<Near> {
-    Some(Near { hall: f.text("hall")?, others: or(f.names("others"), Vec::new()) })
+    Some(Near {
+        hall: f.text("hall")?,
+        others: or(f.names("others"), Vec::new()),
+    })
 }
 
 fn class(f: &Fields) -> Option<Class> {
@@ -235,7 +238,10 @@
         wanted: f.whole("wanted"),
         deadline: f.whole("deadline"),
         worth: f.number("worth"),
-        units: f.number("units").unwrap_or(At { value: 1.0, span: f.span.clone() }),
+        units: f.number("units").unwrap_or(At {
+            value: 1.0,
+            span: f.span.clone(),
+        }),
     })
 }
 
@@ -252,7 +258,10 @@
 }
 
 fn ceiling(f: &Fields) -> Option<Ceiling> {
-    Some(Ceiling { plan: f.text("plan")?, rate: f.number("rate")? })
+    Some(Ceiling {
+        plan: f.text("plan")?,
+        rate: f.number("rate")?,
+    })
 }
 
 /// A sidecar.
@@ -459,7 +468,10 @@
         })
     };
     let issuer = |i: &Fields| {
-        Some(Issuer { name: i.text("name")?, keys: i.tables("key").iter().filter_map(key).collect() })
+        Some(Issuer {
+            name: i.text("name")?,
+            keys: i.tables("key").iter().filter_map(key).collect(),
+        })
     };
     let tenant = |t: &Fields| {
         Some(Tenant {
@@ -484,7 +496,10 @@
     pub fn new(f: &Fields) -> Application {
         let empty = Fields::default();
         let limits = f.table("limits").unwrap_or(&empty);
-        let here = |value| At { value, span: limits.span.clone() };
+        let here = |value| At {
+            value,
+            span: limits.span.clone(),
+        };
         Application {
             name: f.text("name"),
             site: f.text("site"),
@@ -528,11 +543,19 @@
 
 fn witness(f: &Fields) -> Option<Witness> {
     let (control, state, links) = (f.text("control"), f.text("state"), f.text("links"));
-    Some(Witness { name: f.text("name")?, control, state, links })
+    Some(Witness {
+        name: f.text("name")?,
+        control,
+        state,
+        links,
+    })
 }
 
 fn roster(f: &Fields) -> Roster {
-    let here = |value| At { value, span: f.span.clone() };
+    let here = |value| At {
+        value,
+        span: f.span.clone(),
+    };
     Roster {
         span: f.span.clone(),
         lease: f.whole("lease").unwrap_or_else(|| here(1_500_000)),
@@ -542,12 +565,20 @@
 }
 
 fn program(f: &Fields) -> Option<Program> {
-    Some(Program { name: f.text("name")?, sha256: f.text("sha256")? })
+    Some(Program {
+        name: f.text("name")?,
+        sha256: f.text("sha256")?,
+    })
 }
 
 fn account(f: &Fields) -> Option<Account> {
     let (plan, quota, burst) = (f.text("plan"), f.number("quota"), f.number("burst"));
-    Some(Account { id: f.whole("id")?, plan, quota, burst })
+    Some(Account {
+        id: f.whole("id")?,
+        plan,
+        quota,
+        burst,
+    })
 }
 
 fn pool(f: &Fields) -> Option<Pool> {
@@ -557,10 +588,19 @@
     let selector = Selector {
         halls: texts(&halls),
         models: texts(&or(f.names("models"), Vec::new())),
-        groups: or(f.wholes("groups"), Vec::new()).iter().map(|g| g.value).collect(),
+        groups: or(f.wholes("groups"), Vec::new())
+            .iter()
+            .map(|g| g.value)
+            .collect(),
         nodes: texts(&nodes),
     };
-    Some(Pool { name: f.text("name")?, selector, halls, nodes, fallback: f.text("fallback") })
+    Some(Pool {
+        name: f.text("name")?,
+        selector,
+        halls,
+        nodes,
+        fallback: f.text("fallback"),
+    })
 }
 
 fn route(f: &Fields) -> Option<Route> {
@@ -604,7 +644,10 @@
     /// The site that the platform's file describes, as far as pools and routes ask for it, and the application that may
     /// send all of its classes.
     pub fn at(&self, halls: &[String], classes: &[String]) -> (Site, Application) {
-        let here = |value: &String| At { value: value.clone(), span: 0..0 };
+        let here = |value: &String| At {
+            value: value.clone(),
+            span: 0..0,
+        };
         let mut site = Site::new(&Fields::default());
         (site.halls, site.near) = (halls.iter().map(here).collect(), self.near.clone());
         site.classes = classes
@@ -618,7 +661,10 @@
                 wanted: None,
                 deadline: None,
                 worth: None,
-                units: At { value: 1.0, span: 0..0 },
+                units: At {
+                    value: 1.0,
+                    span: 0..0,
+                },
             })
             .collect();
         let mut ways = self.ways.clone();
@@ -673,7 +719,10 @@
 impl Fleet {
     /// What a file's values mean.
     pub fn new(f: &Fields) -> Fleet {
-        Fleet { index: or(f.whole("index"), 0), nodes: f.tables("node").iter().filter_map(node).collect() }
+        Fleet {
+            index: or(f.whole("index"), 0),
+            nodes: f.tables("node").iter().filter_map(node).collect(),
+        }
     }
 
     /// Discovery's own list.
@@ -716,7 +765,12 @@
             };
             let place = |text: &String| Address::read(text).map_err(|e| format!("{}: {e}", l.name));
             let address = place(&l.address)?;
-            let more = l.addresses.iter().map(|a| Ok(At { value: place(a)?, span: 0..0 }));
+            let more = l.addresses.iter().map(|a| {
+                Ok(At {
+                    value: place(a)?,
+                    span: 0..0,
+                })
+            });
             let addresses = more.collect::<Result<Vec<_>, String>>()?;
             if !l.weight.is_finite() || l.weight < 0.0 {
                 return Err(format!("{}: the weight is no number from 0 up", l.name));
@@ -734,7 +788,10 @@
                 since_ms: l.since_ms,
             })
         });
-        Ok(Fleet { index: list.index, nodes: nodes.collect::<Result<_, String>>()? })
+        Ok(Fleet {
+            index: list.index,
+            nodes: nodes.collect::<Result<_, String>>()?,
+        })
     }
 }
 
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -25,14 +25,23 @@
 /// # Errors
 ///
 /// All that is wrong, a line each.
-pub fn read(path: &Path, halls: &[String], classes: &[String], hall: usize) -> Result<Operator, String> {
+pub fn read(
+    path: &Path,
+    halls: &[String],
+    classes: &[String],
+    hall: usize,
+) -> Result<Operator, String> {
     let set = Set::read([path]);
     let mut found = set.found.clone();
     let files = set.ingresses();
     if let [file] = &files[..] {
         check::ingress(file, Some((halls, classes)), &mut found);
     }
-    let mut wrong: Vec<String> = found.iter().filter(|d| d.refused()).map(|d| d.line(&set.sources)).collect();
+    let mut wrong: Vec<String> = found
+        .iter()
+        .filter(|d| d.refused())
+        .map(|d| d.line(&set.sources))
+        .collect();
     wrong.dedup();
     if !wrong.is_empty() {
         return Err(format!("refused:\n{}", wrong.join("\n")));
@@ -44,7 +53,9 @@
     let (pools, routes) = ways_from(&app, &site, site.halls.get(hall));
     let mut ways = Pairs::new();
     route(&mut ways, &pools, &routes);
-    app.identity.iter().for_each(|identity| crate::callers::put(&mut ways, identity));
+    app.identity
+        .iter()
+        .for_each(|identity| crate::callers::put(&mut ways, identity));
     let place = |p: &Option<crate::reader::At<String>>| p.as_ref().map(|p| PathBuf::from(&p.value));
     let file = file.content;
     Ok(Operator {
@@ -72,11 +83,18 @@
     #[test]
     fn pools_and_routes_are_checked_beside_the_platforms_own_names() {
         assert_eq!(told(""), Ok(Operator::default()));
-        let pool = "[[pool]]\nname = \"p\"\nhalls = [\"a\"]\n[[route]]\nclass = \"quote\"\npool = \"p\"\n";
+        let pool =
+            "[[pool]]\nname = \"p\"\nhalls = [\"a\"]\n[[route]]\nclass = \"quote\"\npool = \"p\"\n";
         let near = "[[near]]\nhall = \"b\"\nothers = [\"a\"]\n";
         let said = told(&format!("control = \"/run/c\"\n{pool}{near}")).unwrap();
         assert_eq!(said.control, Some("/run/c".into()));
-        assert_eq!((&*said.ways["routes.quote.pool"], &*said.ways["routes.save.pool"]), ("p", "hall:b"));
+        assert_eq!(
+            (
+                &*said.ways["routes.quote.pool"],
+                &*said.ways["routes.save.pool"]
+            ),
+            ("p", "hall:b")
+        );
         for (text, code) in [
             (pool.replace("\"a\"", "\"c\""), "C204"),
             (pool.replace("quote", "quite"), "C202"),
--- a/crates/config/src/reach.rs
+++ b/crates/config/src/reach.rs
@@ -26,19 +26,38 @@
 
 /// The pools that each class goes over, best first, those of a trial left out: it falls back on the others' way.
 fn ways(state: &Pairs, nodes: &[Node]) -> BTreeMap<String, Vec<Stop>> {
-    let Ok((table, pools)) = table(state) else { return BTreeMap::new() };
-    let classes = names(state, "grades").into_iter().enumerate().filter(|(_, class)| !class.is_empty());
+    let Ok((table, pools)) = table(state) else {
+        return BTreeMap::new();
+    };
+    let classes = names(state, "grades")
+        .into_iter()
+        .enumerate()
+        .filter(|(_, class)| !class.is_empty());
     let way = |(place, class): (usize, String)| {
         let able = |n: &&Node| n.takes && !n.rests.contains(&class);
         let Some(route) = table.routes.get(place).copied().flatten() else {
-            return (class.clone(), vec![Stop { pool: None, healthy: nodes.iter().filter(able).count() }]);
+            return (
+                class.clone(),
+                vec![Stop {
+                    pool: None,
+                    healthy: nodes.iter().filter(able).count(),
+                }],
+            );
         };
         let order = table.order(route.pool).unwrap_or_else(|_| vec![route.pool]);
         let stop = |no: PoolNo| {
             let at = usize::from(no.0);
-            let of = |n: &&Node| table.pools.get(at).is_some_and(|p| p.selector.takes(&n.traits));
+            let of = |n: &&Node| {
+                table
+                    .pools
+                    .get(at)
+                    .is_some_and(|p| p.selector.takes(&n.traits))
+            };
             let healthy = nodes.iter().filter(of).filter(able).count();
-            Stop { pool: pools.get(at).cloned(), healthy }
+            Stop {
+                pool: pools.get(at).cloned(),
+                healthy,
+            }
         };
         let stops = order.into_iter().map(stop).collect();
         (class.clone(), stops)
@@ -59,7 +78,10 @@
         let was = before.get(class);
         let pools: Vec<&str> = way.iter().filter_map(|s| s.pool.as_deref()).collect();
         let pools = pools.join(", ");
-        let first = way.first().filter(|s| s.healthy == 0).and_then(|s| s.pool.as_deref());
+        let first = way
+            .first()
+            .filter(|s| s.healthy == 0)
+            .and_then(|s| s.pool.as_deref());
         let first_had = was.is_none_or(|w| w.first().is_some_and(|s| s.healthy > 0));
         let what = if !any(way) && was.is_some_and(|w| any(w)) {
             format!("it loses its last healthy node: none of {pools} has one right now, and its requests are refused")
@@ -80,8 +102,10 @@
     use super::*;
 
     fn state(pools: &[(&str, &str, &str)], pool: Option<&str>) -> Pairs {
-        let mut s =
-            Pairs::from([("grades.count".into(), "1".into()), ("grades.0.name".into(), "quote".into())]);
+        let mut s = Pairs::from([
+            ("grades.count".into(), "1".into()),
+            ("grades.0.name".into(), "quote".into()),
+        ]);
         s.insert("pools.count".into(), pools.len().to_string());
         for (n, (name, nodes, fallback)) in pools.iter().enumerate() {
             let fields = [("name", name), ("nodes", nodes), ("fallback", fallback)];
@@ -94,7 +118,16 @@
     }
 
     fn node<'a>(name: &'a str, takes: bool, rests: &'a [String]) -> Node<'a> {
-        Node { traits: Traits { name, hall: "h", model: "m", group: 1 }, takes, rests }
+        Node {
+            traits: Traits {
+                name,
+                hall: "h",
+                model: "m",
+                group: 1,
+            },
+            takes,
+            rests,
+        }
     }
 
     /// Guards against a change that refuses every request of a class and passes for harmless.
@@ -102,28 +135,65 @@
     fn a_class_that_loses_its_last_healthy_node_is_told_and_no_other() {
         let quote = ["quote".to_string()];
         let other = ["save-scenario".to_string()];
-        let nodes =
-            [node("a", true, &[]), node("b", false, &[]), node("c", true, &quote), node("d", true, &other)];
+        let nodes = [
+            node("a", true, &[]),
+            node("b", false, &[]),
+            node("c", true, &quote),
+            node("d", true, &other),
+        ];
         let from = |pool| {
-            state(&[("a", "a", ""), ("b", "b", ""), ("c", "c", "b"), ("d", "d", ""), ("e", "b", "a")], pool)
+            state(
+                &[
+                    ("a", "a", ""),
+                    ("b", "b", ""),
+                    ("c", "c", "b"),
+                    ("d", "d", ""),
+                    ("e", "b", "a"),
+                ],
+                pool,
+            )
         };
         let told = |has: &Pairs, wanted: &Pairs| {
             let found = stranded(has, wanted, &nodes);
-            found.first().map_or(String::new(), |f| f.1.split(':').next().unwrap().to_string())
+            found.first().map_or(String::new(), |f| {
+                f.1.split(':').next().unwrap().to_string()
+            })
         };
         let (free, a) = (from(None), from(Some("a")));
         assert_eq!(told(&free, &a), "");
-        assert_eq!(told(&a, &from(Some("d"))), "", "resting for another class is no harm");
+        assert_eq!(
+            told(&a, &from(Some("d"))),
+            "",
+            "resting for another class is no harm"
+        );
         let loses = "it loses its last healthy node";
         assert_eq!(told(&a, &from(Some("b"))), loses, "it drains");
-        assert_eq!(told(&free, &from(Some("c"))), loses, "one rests, its fallback drains");
-        assert_eq!(told(&a, &from(Some("e"))), "its first pool e has no healthy node right now");
-        assert_eq!(told(&from(Some("b")), &from(Some("b"))), "", "nothing changes");
-        assert_eq!(told(&from(Some("b")), &from(Some("c"))), "none of c, b has a healthy node right now");
+        assert_eq!(
+            told(&free, &from(Some("c"))),
+            loses,
+            "one rests, its fallback drains"
+        );
+        assert_eq!(
+            told(&a, &from(Some("e"))),
+            "its first pool e has no healthy node right now"
+        );
+        assert_eq!(
+            told(&from(Some("b")), &from(Some("b"))),
+            "",
+            "nothing changes"
+        );
+        assert_eq!(
+            told(&from(Some("b")), &from(Some("c"))),
+            "none of c, b has a healthy node right now"
+        );
         // The route stays, its pool is another.
         let mut moved = a.clone();
         moved.insert("pools.0.nodes".into(), "b".into());
         assert_eq!(told(&a, &moved), loses);
-        assert_eq!(stranded(&a, &moved, &[]), [], "who knows no node says nothing");
+        assert_eq!(
+            stranded(&a, &moved, &[]),
+            [],
+            "who knows no node says nothing"
+        );
     }
 }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -130,8 +130,12 @@
 /// Reads a file's text. What is wrong is added to `found`; none where not even its kind is known.
 pub fn read(text: &str, file: usize, found: &mut Vec<Diagnostic>) -> Option<Document> {
     let (root, errors) = DeTable::parse_recoverable(text);
-    let errors =
-        errors.into_iter().map(|e| (e.span().unwrap_or(0..0), e.message().trim().replace('\n', "; ")));
+    let errors = errors.into_iter().map(|e| {
+        (
+            e.span().unwrap_or(0..0),
+            e.message().trim().replace('\n', "; "),
+        )
+    });
     let errors = causes(errors.collect());
     let broken = !errors.is_empty();
     let before = found.len();
@@ -141,11 +145,15 @@
         // from that.
         let line = |at: usize| text[..at.min(text.len())].matches('\n').count();
         let lines: BTreeSet<usize> = errors.iter().map(|e| line(e.0.start)).collect();
-        let open = errors.iter().find(|e| e.1 == NEVER_CLOSED).map_or(usize::MAX, |e| e.0.start);
+        let open = errors
+            .iter()
+            .find(|e| e.1 == NEVER_CLOSED)
+            .map_or(usize::MAX, |e| e.0.start);
         let mut at = before;
         found.retain(|d| {
             at += 1;
-            at <= before || (d.place.span.start < open && !lines.contains(&line(d.place.span.start)))
+            at <= before
+                || (d.place.span.start < open && !lines.contains(&line(d.place.span.start)))
         });
     }
     for (span, message) in errors {
@@ -161,7 +169,8 @@
 /// never closed.
 fn causes(mut errors: Vec<(Range<usize>, String)>) -> Vec<(Range<usize>, String)> {
     if errors.iter().any(|e| e.1.starts_with("unclosed")) {
-        let inside = |e: &(Range<usize>, String)| e.1.contains("array") || e.1.contains("inline table");
+        let inside =
+            |e: &(Range<usize>, String)| e.1.contains("array") || e.1.contains("inline table");
         if let Some(first) = errors.iter().position(inside) {
             errors.truncate(first + 1);
             errors[first].1 = NEVER_CLOSED.into();
@@ -183,7 +192,9 @@
     }
     let Some(kind) = kind else {
         let help = "begin the file with kind = \"site\", \"application\" or \"fleet\"";
-        reader.wrong(Code::NoKind, 0..0, "the file does not say what it is").help = Some(help.into());
+        reader
+            .wrong(Code::NoKind, 0..0, "the file does not say what it is")
+            .help = Some(help.into());
         return None;
     };
     // A table that the parser gave up in the middle lacks keys that may well be there.
@@ -192,9 +203,21 @@
 }
 
 impl Reader<'_> {
-    fn wrong(&mut self, code: Code, span: Range<usize>, message: impl Into<String>) -> &mut Diagnostic {
+    fn wrong(
+        &mut self,
+        code: Code,
+        span: Range<usize>,
+        message: impl Into<String>,
+    ) -> &mut Diagnostic {
         let at = self.found.len();
-        self.found.push(Diagnostic::new(code, Place { file: self.file, span }, message));
+        self.found.push(Diagnostic::new(
+            code,
+            Place {
+                file: self.file,
+                span,
+            },
+            message,
+        ));
         &mut self.found[at]
     }
 
@@ -205,7 +228,13 @@
         FileKind::ALL.into_iter().find(|k| k.word() == text)
     }
 
-    fn table(&mut self, table: &'static Table, from: &DeTable, span: Range<usize>, whole: bool) -> Fields {
+    fn table(
+        &mut self,
+        table: &'static Table,
+        from: &DeTable,
+        span: Range<usize>,
+        whole: bool,
+    ) -> Fields {
         let (mut values, mut bad) = (BTreeMap::new(), BTreeSet::new());
         for (key, value) in from.iter() {
             let name: &str = key.get_ref();
@@ -228,8 +257,10 @@
                 }
             }
         }
-        for field in
-            table.fields.iter().filter(|f| whole && f.need == Need::Must && from.get(f.key).is_none())
+        for field in table
+            .fields
+            .iter()
+            .filter(|f| whole && f.need == Need::Must && from.get(f.key).is_none())
         {
             let (code, example) = match field.key {
                 "version" => (Code::NoVersion, field.example),
@@ -247,7 +278,12 @@
         Fields { span, values, bad }
     }
 
-    fn value(&mut self, table: &Table, field: &'static Field, value: &Spanned<DeValue>) -> Option<Value> {
+    fn value(
+        &mut self,
+        table: &Table,
+        field: &'static Field,
+        value: &Spanned<DeValue>,
+    ) -> Option<Value> {
         let span = value.span();
         let value = value.get_ref();
         match field.kind {
@@ -260,8 +296,12 @@
                 Some(flag) => Some(Value::Flag(flag)),
                 None => self.type_wanted(field, "true or false", value, span),
             },
-            Kind::Whole(least, most) => self.whole(field, least, most, value, span).map(Value::Whole),
-            Kind::Number(least, most) => self.number(field, least, most, value, span).map(Value::Number),
+            Kind::Whole(least, most) => self
+                .whole(field, least, most, value, span)
+                .map(Value::Whole),
+            Kind::Number(least, most) => self
+                .number(field, least, most, value, span)
+                .map(Value::Number),
             Kind::Names => self.names(field, value, span),
             Kind::Wholes(least, most) => self.wholes(field, least, most, value, span),
             Kind::NodeAddresses => self.node_addresses(field, value, span),
@@ -307,7 +347,13 @@
         }
     }
 
-    fn text(&mut self, table: &Table, field: &Field, text: &str, span: Range<usize>) -> Option<Value> {
+    fn text(
+        &mut self,
+        table: &Table,
+        field: &Field,
+        text: &str,
+        span: Range<usize>,
+    ) -> Option<Value> {
         let key = field.key;
         let (code, read) = match field.kind {
             Kind::Name if values::is_name(text) => return Some(Value::Text(text.into())),
@@ -315,8 +361,11 @@
             Kind::Choice(words) if words.contains(&text) => return Some(Value::Text(text.into())),
             Kind::Choice(words) => {
                 let meant = nearest(text, words.iter().copied());
-                let message =
-                    format!("`{key}` of {} is {}, not \"{text}\"", with_article(table.name), choices(words));
+                let message = format!(
+                    "`{key}` of {} is {}, not \"{text}\"",
+                    with_article(table.name),
+                    choices(words)
+                );
                 let told = self.wrong(Code::BadChoice, span, message);
                 told.help = meant.map(|m| format!("was \"{m}\" meant?"));
                 return None;
@@ -328,11 +377,23 @@
             Kind::PublicKey => (Code::BadKey, values::public_key(text).map(Value::Text)),
             Kind::Digest => (Code::BadDigest, values::digest(text).map(Value::Text)),
             Kind::Moment => (Code::BadMoment, values::moment(text).map(Value::Whole)),
-            Kind::NodeAddress => (Code::BadAddress, Address::read(text).map(Value::NodeAddress)),
-            Kind::Listener => (Code::BadAddress, values::listener(text).map(Value::Listener)),
-            Kind::Path => (Code::BadPath, values::path(text).map(|()| Value::Text(text.into()))),
+            Kind::NodeAddress => (
+                Code::BadAddress,
+                Address::read(text).map(Value::NodeAddress),
+            ),
+            Kind::Listener => (
+                Code::BadAddress,
+                values::listener(text).map(Value::Listener),
+            ),
+            Kind::Path => (
+                Code::BadPath,
+                values::path(text).map(|()| Value::Text(text.into())),
+            ),
             Kind::Account => (Code::BadAccount, values::account(text).map(Value::Whole)),
-            Kind::Mode => (Code::OutOfRange, values::mode(text).map(|m| Value::Whole(u64::from(m)))),
+            Kind::Mode => (
+                Code::OutOfRange,
+                values::mode(text).map(|m| Value::Whole(u64::from(m))),
+            ),
             _ => return Some(Value::Text(text.into())),
         };
         match read {
@@ -359,13 +420,19 @@
         match integer(number) {
             Some(n) if (least..=most).contains(&n) => Some(n),
             _ if field.key == "version" => {
-                let message =
-                    format!("version {} of the form is not known, only {VERSION} is", number.as_str());
+                let message = format!(
+                    "version {} of the form is not known, only {VERSION} is",
+                    number.as_str()
+                );
                 self.wrong(Code::NoVersion, span, message);
                 None
             }
             _ => {
-                let message = format!("`{}` is from {least} to {most}, not {}", field.key, number.as_str());
+                let message = format!(
+                    "`{}` is from {least} to {most}, not {}",
+                    field.key,
+                    number.as_str()
+                );
                 self.wrong(Code::OutOfRange, span, message);
                 None
             }
@@ -389,7 +456,8 @@
             }
         };
         // A minus before a nought is a slip, and passes for nought.
-        let number = number.filter(|n| (least..=most).contains(n) && !(*n == 0.0 && n.is_sign_negative()));
+        let number =
+            number.filter(|n| (least..=most).contains(n) && !(*n == 0.0 && n.is_sign_negative()));
         if number.is_none() {
             let message = format!("`{}` is a number from {least} to {most}", field.key);
             self.wrong(Code::OutOfRange, span, message);
@@ -410,7 +478,11 @@
             return None;
         };
         if list.is_empty() {
-            self.wrong(Code::Empty, span, format!("`{}` is an empty list", field.key));
+            self.wrong(
+                Code::Empty,
+                span,
+                format!("`{}` is an empty list", field.key),
+            );
             return None;
         }
         Some(list)
@@ -422,18 +494,34 @@
         for one in list {
             match one.get_ref().as_str() {
                 Some(text) if !values::is_name(text) => {
-                    self.wrong(Code::BadName, one.span(), format!("\"{text}\" can't be a name"));
+                    self.wrong(
+                        Code::BadName,
+                        one.span(),
+                        format!("\"{text}\" can't be a name"),
+                    );
                 }
                 Some(text) => match names.iter().find(|n| n.value == text) {
                     Some(first) => {
                         let (file, first) = (self.file, first.span.clone());
-                        let told =
-                            self.wrong(Code::NameTwice, one.span(), format!("\"{text}\" is listed twice"));
-                        told.related.push((Place { file, span: first }, "first here".into()));
+                        let told = self.wrong(
+                            Code::NameTwice,
+                            one.span(),
+                            format!("\"{text}\" is listed twice"),
+                        );
+                        told.related
+                            .push((Place { file, span: first }, "first here".into()));
                     }
-                    None => names.push(At { value: text.into(), span: one.span() }),
+                    None => names.push(At {
+                        value: text.into(),
+                        span: one.span(),
+                    }),
                 },
-                None => self.type_told(field, "a list of names in quotes", one.get_ref(), one.span()),
+                None => self.type_told(
+                    field,
+                    "a list of names in quotes",
+                    one.get_ref(),
+                    one.span(),
+                ),
             }
         }
         Some(Value::Names(names))
@@ -445,24 +533,49 @@
         for one in list {
             match one.get_ref().as_str().map(values::account) {
                 Some(Ok(id)) if accounts.iter().any(|a| a.value == id) => {
-                    self.wrong(Code::NameTwice, one.span(), format!("account {id:016x} is listed twice"));
+                    self.wrong(
+                        Code::NameTwice,
+                        one.span(),
+                        format!("account {id:016x} is listed twice"),
+                    );
                 }
-                Some(Ok(id)) => accounts.push(At { value: id, span: one.span() }),
+                Some(Ok(id)) => accounts.push(At {
+                    value: id,
+                    span: one.span(),
+                }),
                 Some(Err(why)) => drop(self.wrong(Code::BadAccount, one.span(), why)),
-                None => self.type_told(field, "a list of accounts in quotes", one.get_ref(), one.span()),
+                None => self.type_told(
+                    field,
+                    "a list of accounts in quotes",
+                    one.get_ref(),
+                    one.span(),
+                ),
             }
         }
         Some(Value::Wholes(accounts))
     }
 
-    fn node_addresses(&mut self, field: &Field, value: &DeValue, span: Range<usize>) -> Option<Value> {
+    fn node_addresses(
+        &mut self,
+        field: &Field,
+        value: &DeValue,
+        span: Range<usize>,
+    ) -> Option<Value> {
         let list = self.list(field, "a list of addresses", value, span)?;
         let mut places = Vec::new();
         for one in list {
             match one.get_ref().as_str().map(Address::read) {
-                Some(Ok(place)) => places.push(At { value: place, span: one.span() }),
+                Some(Ok(place)) => places.push(At {
+                    value: place,
+                    span: one.span(),
+                }),
                 Some(Err(why)) => drop(self.wrong(Code::BadAddress, one.span(), why)),
-                None => self.type_told(field, "a list of addresses in quotes", one.get_ref(), one.span()),
+                None => self.type_told(
+                    field,
+                    "a list of addresses in quotes",
+                    one.get_ref(),
+                    one.span(),
+                ),
             }
         }
         Some(Value::NodeAddresses(places))
@@ -479,7 +592,10 @@
         let list = self.list(field, "a list of whole numbers", value, span)?;
         let numbers = list.iter().filter_map(|one| {
             let n = self.whole(field, least, most, one.get_ref(), one.span())?;
-            Some(At { value: n, span: one.span() })
+            Some(At {
+                value: n,
+                span: one.span(),
+            })
         });
         Some(Value::Wholes(numbers.collect()))
     }
@@ -499,7 +615,11 @@
             return None;
         };
         if list.is_empty() && field.need == Need::Must {
-            self.wrong(Code::Empty, span, format!("`{}` is an empty list", field.key));
+            self.wrong(
+                Code::Empty,
+                span,
+                format!("`{}` is an empty list", field.key),
+            );
             return None;
         }
         if list.len() > most {
@@ -519,7 +639,11 @@
 }
 
 fn with_article(name: &str) -> String {
-    let article = if name.starts_with(['a', 'e', 'i', 'o', 'u']) { "an" } else { "a" };
+    let article = if name.starts_with(['a', 'e', 'i', 'o', 'u']) {
+        "an"
+    } else {
+        "a"
+    };
     format!("{article} {name}")
 }
 
@@ -539,6 +663,8 @@
 /// The one of some words that was most likely meant; none if none is close.
 pub fn nearest<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let distance = |k: &str| strsim::damerau_levenshtein(word, k);
-    let close = known.map(|k| (distance(k), k)).filter(|(d, k)| *d <= 2 && *d * 2 <= k.len().max(2));
+    let close = known
+        .map(|k| (distance(k), k))
+        .filter(|(d, k)| *d <= 2 && *d * 2 <= k.len().max(2));
     close.min_by_key(|(d, _)| *d).map(|(_, k)| k)
 }
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -26,27 +26,29 @@
         let p = &site.plans[plan];
         let quota = quota.or(p.quota.as_ref().map(|q| q.value)).unwrap_or(0.0);
         let burst = burst.or(p.burst.as_ref().map(|b| b.value)).unwrap_or(0.0);
-        *known.entry((plan, quota.to_bits(), burst.to_bits())).or_insert_with(|| {
-            // By its figures, not by its number: other accounts that come or go must not rename it.
-            let name = if list.len() >= site.plans.len() {
-                format!("{}~{quota}~{burst}", p.name.value)
-            } else {
-                p.name.value.clone()
-            };
-            let ceiling_burst = match &p.never_over {
-                Some(_) => p.never_over_burst.unwrap_or(2.0 * burst),
-                None => 0.0,
-            };
-            let value = json!({
-                "name": name, "quota_rate": quota, "burst": burst, "max_out": 0,
-                "never_over_rate": p.never_over.as_ref().map_or(0.0, |n| n.value),
-                "ceiling_burst": ceiling_burst,
-                "ceiling_slack": (ceiling_burst * CEILING_SLACK).max(most),
-                "worth_factor": p.price, "over_worth": 0.0, "beyond_costs": p.beyond_costs,
-            });
-            list.push((name, value));
-            list.len() - 1
-        })
+        *known
+            .entry((plan, quota.to_bits(), burst.to_bits()))
+            .or_insert_with(|| {
+                // By its figures, not by its number: other accounts that come or go must not rename it.
+                let name = if list.len() >= site.plans.len() {
+                    format!("{}~{quota}~{burst}", p.name.value)
+                } else {
+                    p.name.value.clone()
+                };
+                let ceiling_burst = match &p.never_over {
+                    Some(_) => p.never_over_burst.unwrap_or(2.0 * burst),
+                    None => 0.0,
+                };
+                let value = json!({
+                    "name": name, "quota_rate": quota, "burst": burst, "max_out": 0,
+                    "never_over_rate": p.never_over.as_ref().map_or(0.0, |n| n.value),
+                    "ceiling_burst": ceiling_burst,
+                    "ceiling_slack": (ceiling_burst * CEILING_SLACK).max(most),
+                    "worth_factor": p.price, "over_worth": 0.0, "beyond_costs": p.beyond_costs,
+                });
+                list.push((name, value));
+                list.len() - 1
+            })
     };
     // The plans themselves come first, in the site's order.
     for plan in 0..site.plans.len() {
@@ -54,11 +56,16 @@
     }
     let mut of = BTreeMap::new();
     for account in &app.accounts {
-        let plan =
-            account.plan.as_ref().and_then(|name| site.plans.iter().position(|p| p.name.value == name.value));
+        let plan = account
+            .plan
+            .as_ref()
+            .and_then(|name| site.plans.iter().position(|p| p.name.value == name.value));
         if let Some(plan) = plan {
             let own = |v: &Option<crate::reader::At<f64>>| v.as_ref().map(|q| q.value);
-            of.insert(account.id.value, place(plan, own(&account.quota), own(&account.burst)));
+            of.insert(
+                account.id.value,
+                place(plan, own(&account.quota), own(&account.burst)),
+            );
         }
     }
     Contracts { of, list }
@@ -69,17 +76,36 @@
 /// # Errors
 ///
 /// Where the application has no sidecar of that name.
-pub fn render(app: &Application, site: &Site, fleet: Option<&Fleet>, sidecar: &str) -> Result<Value, String> {
+pub fn render(
+    app: &Application,
+    site: &Site,
+    fleet: Option<&Fleet>,
+    sidecar: &str,
+) -> Result<Value, String> {
     let place = app.sidecars.iter().position(|s| s.name.value == sidecar);
     let place = place.ok_or_else(|| {
         let names: Vec<&str> = app.sidecars.iter().map(|s| s.name.value.as_str()).collect();
-        format!("application \"{}\" has no sidecar \"{sidecar}\", only {}", app.called(), names.join(", "))
+        format!(
+            "application \"{}\" has no sidecar \"{sidecar}\", only {}",
+            app.called(),
+            names.join(", ")
+        )
     })?;
     let own = &app.sidecars[place];
-    let listen = own.listen.as_ref().map_or(String::new(), |l| l.value.to_string());
-    let listen_tcp = matches!(own.listen.as_ref().map(|l| &l.value), Some(Listener::Tcp(_)));
-    let peers: Vec<String> =
-        app.sidecars.iter().filter_map(|s| s.peers.as_ref()).map(|p| p.value.to_string()).collect();
+    let listen = own
+        .listen
+        .as_ref()
+        .map_or(String::new(), |l| l.value.to_string());
+    let listen_tcp = matches!(
+        own.listen.as_ref().map(|l| &l.value),
+        Some(Listener::Tcp(_))
+    );
+    let peers: Vec<String> = app
+        .sidecars
+        .iter()
+        .filter_map(|s| s.peers.as_ref())
+        .map(|p| p.value.to_string())
+        .collect();
     let talk = app.sidecars.len() > 1 && peers.len() == app.sidecars.len();
     let name = format!("{}/{sidecar}", app.called());
     let mut told = json!({
@@ -104,7 +130,9 @@
 
 /// A start for random numbers that is the same for the same name (FNV-1a, from its public description).
 fn fnv(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xCBF2_9CE4_8422_2325, |hash, b| (hash ^ u64::from(*b)).wrapping_mul(0x0100_0000_01B3))
+    bytes.iter().fold(0xCBF2_9CE4_8422_2325, |hash, b| {
+        (hash ^ u64::from(*b)).wrapping_mul(0x0100_0000_01B3)
+    })
 }
 
 fn known(fleet: Option<&Fleet>) -> Value {
@@ -122,7 +150,13 @@
     json!({"index": fleet.map_or(0, |f| f.index), "snapshot": true, "endpoints": listed.collect::<Vec<_>>()})
 }
 
-fn settings(app: &Application, site: &Site, fleet: Option<&Fleet>, place: usize, talk: bool) -> Value {
+fn settings(
+    app: &Application,
+    site: &Site,
+    fleet: Option<&Fleet>,
+    place: usize,
+    talk: bool,
+) -> Value {
     let classes = site.classes.iter().map(|c| {
         let (effect, group, window) = match c.repeat() {
             Some(Effect::Safe) => ("repeatable", "all", 0),
@@ -138,13 +172,24 @@
                "give_up_us": c.deadline.as_ref().map_or(0, |d| d.value),
                "worth": c.worth.as_ref().map_or(0.0, |w| w.value), "late_worth": 0.0, "stream": false})
     });
-    let contracts: Vec<Value> = contracts(app, site).list.into_iter().map(|(_, v)| v).collect();
+    let contracts: Vec<Value> = contracts(app, site)
+        .list
+        .into_iter()
+        .map(|(_, v)| v)
+        .collect();
     let halls: Vec<&str> = site.halls.iter().map(|h| h.value.as_str()).collect();
     let own_hall = app.sidecars[place].hall.as_ref().map(|h| h.value.as_str());
-    let zone = own_hall.and_then(|h| halls.iter().position(|k| *k == h)).unwrap_or(0);
-    let mut models: Vec<&str> =
-        fleet.map_or(Vec::new(), |f| f.nodes.iter().map(|n| n.model.as_str()).collect());
-    models.extend(app.pools.iter().flat_map(|p| p.selector.models.iter().map(String::as_str)));
+    let zone = own_hall
+        .and_then(|h| halls.iter().position(|k| *k == h))
+        .unwrap_or(0);
+    let mut models: Vec<&str> = fleet.map_or(Vec::new(), |f| {
+        f.nodes.iter().map(|n| n.model.as_str()).collect()
+    });
+    models.extend(
+        app.pools
+            .iter()
+            .flat_map(|p| p.selector.models.iter().map(String::as_str)),
+    );
     models.sort_unstable();
     models.dedup();
     let (limits, rules) = (&site.limits, &site.rules);
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -29,17 +29,23 @@
         Kind::Listener => text("^(unix:/.+[^/]|(\\[::1\\]|127\\.[0-9.]+):[0-9]+)$"),
         Kind::Path => text("^/.*[^/]$"),
         Kind::Account => text("^0000000[01][0-9a-f]{8}$"),
-        Kind::Accounts => json!({"type": "array", "minItems": 1, "items": text("^0000000[01][0-9a-f]{8}$")}),
+        Kind::Accounts => {
+            json!({"type": "array", "minItems": 1, "items": text("^0000000[01][0-9a-f]{8}$")})
+        }
         Kind::PublicKey | Kind::Digest => text("^[0-9a-f]{64}$"),
         Kind::Moment => text("^[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9]{2}:[0-9]{2}:[0-9]{2}Z$"),
         Kind::Mode => text("^0[67][0-7]{2}$"),
-        Kind::Names => json!({"type": "array", "minItems": 1, "uniqueItems": true, "items": text(NAME)}),
+        Kind::Names => {
+            json!({"type": "array", "minItems": 1, "uniqueItems": true, "items": text(NAME)})
+        }
         Kind::Wholes(least, most) => {
             json!({"type": "array", "minItems": 1,
                    "items": {"type": "integer", "minimum": least, "maximum": most}})
         }
         Kind::Table(inner) => table(inner),
-        Kind::Tables(inner, most) => json!({"type": "array", "maxItems": most, "items": table(inner)}),
+        Kind::Tables(inner, most) => {
+            json!({"type": "array", "maxItems": most, "items": table(inner)})
+        }
     }
 }
 
@@ -53,7 +59,12 @@
         }
         properties.insert(field.key.into(), value);
     }
-    let must: Vec<&str> = from.fields.iter().filter(|f| f.need == Need::Must).map(|f| f.key).collect();
+    let must: Vec<&str> = from
+        .fields
+        .iter()
+        .filter(|f| f.need == Need::Must)
+        .map(|f| f.key)
+        .collect();
     json!({"type": "object", "description": from.about, "additionalProperties": false,
            "properties": properties, "required": must})
 }
@@ -73,7 +84,11 @@
     match kind {
         Kind::Text => "text".into(),
         Kind::Name => "name".into(),
-        Kind::Choice(words) => words.iter().map(|w| format!("`{w}`")).collect::<Vec<_>>().join(", "),
+        Kind::Choice(words) => words
+            .iter()
+            .map(|w| format!("`{w}`"))
+            .collect::<Vec<_>>()
+            .join(", "),
         Kind::Flag => "true or false".into(),
         Kind::Whole(least, most) if least == most => format!("{least}"),
         Kind::Whole(least, most) => format!("whole number, {least} to {most}"),
@@ -100,13 +115,28 @@
 fn rows(out: &mut String, heading: &str, from: &Table) {
     let _ = writeln!(out, "\n### {heading}\n\n{}\n", from.about);
     out.push_str("| key | value | example | without it |  |\n| --- | --- | --- | --- | --- |\n");
-    for Field { key, kind, need, about, example } in from.fields {
-        let example = if example.is_empty() { String::new() } else { format!("`{example}`") };
+    for Field {
+        key,
+        kind,
+        need,
+        about,
+        example,
+    } in from.fields
+    {
+        let example = if example.is_empty() {
+            String::new()
+        } else {
+            format!("`{example}`")
+        };
         let without = match need {
             Need::Must => "must be given",
             Need::May(without) => without,
         };
-        let _ = writeln!(out, "| `{key}` | {} | {example} | {without} | {about} |", form(*kind));
+        let _ = writeln!(
+            out,
+            "| `{key}` | {} | {example} | {without} | {about} |",
+            form(*kind)
+        );
     }
     for field in from.fields {
         match field.kind {
@@ -129,12 +159,26 @@
     );
     for kind in FileKind::ALL {
         let _ = write!(out, "\n## Files with `kind = \"{}\"`\n", kind.word());
-        rows(&mut out, &format!("The {}", kind.table().name), kind.table());
+        rows(
+            &mut out,
+            &format!("The {}", kind.table().name),
+            kind.table(),
+        );
     }
     out.push_str("\n## Codes\n\n`wrenctl config explain CODE` tells the same.\n\n| code | what |  |\n| --- | --- | --- |\n");
     for code in Code::ALL {
-        let taken = if code.severity() == Severity::Warned { " (told, not refused)" } else { "" };
-        let _ = writeln!(out, "| {} | {}{taken} | {} |", code.id(), code.title(), code.explain());
+        let taken = if code.severity() == Severity::Warned {
+            " (told, not refused)"
+        } else {
+            ""
+        };
+        let _ = writeln!(
+            out,
+            "| {} | {}{taken} | {} |",
+            code.id(),
+            code.title(),
+            code.explain()
+        );
     }
     out
 }
--- a/crates/config/src/set.rs
+++ b/crates/config/src/set.rs
@@ -79,7 +79,11 @@
         match Fleet::from_discovery(&source.text) {
             Ok(fleet) => Content::Fleet(fleet),
             Err(why) => {
-                self.found.push(Diagnostic::new(Code::BadJson, Place { file, span: 0..0 }, why));
+                self.found.push(Diagnostic::new(
+                    Code::BadJson,
+                    Place { file, span: 0..0 },
+                    why,
+                ));
                 Content::Broken
             }
         }
@@ -102,35 +106,49 @@
 
     /// The site, if there is one.
     pub fn site(&self) -> Option<In<'_, Site>> {
-        self.contents.iter().enumerate().find_map(|(file, c)| match c {
-            Content::Site(content) => Some(In { file, content }),
-            _ => None,
-        })
+        self.contents
+            .iter()
+            .enumerate()
+            .find_map(|(file, c)| match c {
+                Content::Site(content) => Some(In { file, content }),
+                _ => None,
+            })
     }
 
     /// The fleet snapshot, if there is one.
     pub fn fleet(&self) -> Option<In<'_, Fleet>> {
-        self.contents.iter().enumerate().find_map(|(file, c)| match c {
-            Content::Fleet(content) => Some(In { file, content }),
-            _ => None,
-        })
+        self.contents
+            .iter()
+            .enumerate()
+            .find_map(|(file, c)| match c {
+                Content::Fleet(content) => Some(In { file, content }),
+                _ => None,
+            })
     }
 
     /// What an operator adds to ingresses.
     pub fn ingresses(&self) -> Vec<In<'_, Ingress>> {
-        let all = self.contents.iter().enumerate().filter_map(|(file, c)| match c {
-            Content::Ingress(content) => Some(In { file, content }),
-            _ => None,
-        });
+        let all = self
+            .contents
+            .iter()
+            .enumerate()
+            .filter_map(|(file, c)| match c {
+                Content::Ingress(content) => Some(In { file, content }),
+                _ => None,
+            });
         all.collect()
     }
 
     /// The applications.
     pub fn applications(&self) -> Vec<In<'_, Application>> {
-        let apps = self.contents.iter().enumerate().filter_map(|(file, c)| match c {
-            Content::Application(content) => Some(In { file, content }),
-            _ => None,
-        });
+        let apps = self
+            .contents
+            .iter()
+            .enumerate()
+            .filter_map(|(file, c)| match c {
+                Content::Application(content) => Some(In { file, content }),
+                _ => None,
+            });
         apps.collect()
     }
 
@@ -139,7 +157,12 @@
         let (site, fleet, apps) = (self.site(), self.fleet(), self.applications());
         let broken = self.contents.iter().any(|c| matches!(c, Content::Broken));
         let second = |kind: fn(&Content) -> bool| {
-            let files = self.contents.iter().enumerate().filter(move |(_, c)| kind(c)).map(|(n, _)| n);
+            let files = self
+                .contents
+                .iter()
+                .enumerate()
+                .filter(move |(_, c)| kind(c))
+                .map(|(n, _)| n);
             files.skip(1).collect::<Vec<_>>()
         };
         let twice = [
@@ -149,7 +172,11 @@
         for (files, what) in twice {
             for file in files {
                 let place = Place { file, span: 0..0 };
-                found.push(Diagnostic::new(Code::SiteTwice, place, format!("a second {what} is given")));
+                found.push(Diagnostic::new(
+                    Code::SiteTwice,
+                    place,
+                    format!("a second {what} is given"),
+                ));
             }
         }
         if let Some(site) = &site {
@@ -171,7 +198,14 @@
                     let span = app.content.site.as_ref().map_or(0..0, |s| s.span.clone());
                     let name = app.content.site.as_ref().map_or("?", |s| &s.value);
                     let message = format!("site \"{name}\" is not among the files given");
-                    let wrong = Diagnostic::new(Code::NoSite, Place { file: app.file, span }, message);
+                    let wrong = Diagnostic::new(
+                        Code::NoSite,
+                        Place {
+                            file: app.file,
+                            span,
+                        },
+                        message,
+                    );
                     found.push(wrong.help("give the site's file as well"));
                 }
             }
@@ -191,6 +225,8 @@
 
     /// Whether any file could not be read.
     pub fn unreadable(&self) -> bool {
-        self.found.iter().any(|d| d.code.severity() == Severity::Unreadable)
+        self.found
+            .iter()
+            .any(|d| d.code.severity() == Severity::Unreadable)
     }
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -4,7 +4,8 @@
 
 use std::collections::HashMap;
 use wrenfork_decision::{
-    Class, Discovery, GatewayNo, Group, Limits, Micros, Plan, Repeat, Report, Rules, Settings, SizeMeaning,
+    Class, Discovery, GatewayNo, Group, Limits, Micros, Plan, Repeat, Report, Rules, Settings,
+    SizeMeaning,
 };
 
 /// The longest deadline of a class, a day, and the most attempts for a request: more than either is a slip of the hand.
@@ -23,16 +24,24 @@
     /// Reads lines of the form `path=value`.
     pub fn from_lines(text: &str) -> Result<Self, String> {
         let mut map = HashMap::new();
-        for (at, line) in text.lines().enumerate().filter(|(_, line)| !line.is_empty()) {
-            let (key, value) =
-                line.split_once('=').ok_or_else(|| format!("line {} of the settings has no '='", at + 1))?;
+        for (at, line) in text
+            .lines()
+            .enumerate()
+            .filter(|(_, line)| !line.is_empty())
+        {
+            let (key, value) = line
+                .split_once('=')
+                .ok_or_else(|| format!("line {} of the settings has no '='", at + 1))?;
             map.insert(key.to_string(), value.to_string());
         }
         Ok(Conf(map))
     }
 
     fn text(&self, key: &str) -> Result<&str, String> {
-        self.0.get(key).map(String::as_str).ok_or_else(|| format!("setting {key} is missing"))
+        self.0
+            .get(key)
+            .map(String::as_str)
+            .ok_or_else(|| format!("setting {key} is missing"))
     }
 
     fn number(&self, key: &str) -> Result<f64, String> {
@@ -56,13 +65,17 @@
         let text = self.text(key)?;
         match text.parse::<u64>() {
             Ok(n) if n <= most => Ok(n),
-            _ => Err(format!("setting {key} is not a whole number up to {most}: {text}")),
+            _ => Err(format!(
+                "setting {key} is not a whole number up to {most}: {text}"
+            )),
         }
     }
 
     fn positive(&self, key: &str, most: u64) -> Result<u64, String> {
         match self.whole(key, most)? {
-            0 => Err(format!("setting {key} is 0: a whole number from 1 up to {most} is wanted")),
+            0 => Err(format!(
+                "setting {key} is 0: a whole number from 1 up to {most} is wanted"
+            )),
             n => Ok(n),
         }
     }
@@ -85,9 +98,16 @@
         let count = self.whole(&format!("{list}.count"), 65_535)?;
         let prefix = format!("{list}.");
         for key in self.0.keys() {
-            let index = key.strip_prefix(&prefix).and_then(|rest| rest.split('.').next());
-            if index.and_then(|i| i.parse::<u64>().ok()).is_some_and(|i| i >= count) {
-                return Err(format!("setting {list}.count is {count}, but there is {key}"));
+            let index = key
+                .strip_prefix(&prefix)
+                .and_then(|rest| rest.split('.').next());
+            if index
+                .and_then(|i| i.parse::<u64>().ok())
+                .is_some_and(|i| i >= count)
+            {
+                return Err(format!(
+                    "setting {list}.count is {count}, but there is {key}"
+                ));
             }
         }
         Ok(count)
@@ -137,17 +157,23 @@
 
     /// A digest of the names in a list at their places (FNV-1a, folded).
     fn words(&self, list: &str) -> u8 {
-        let names =
-            (0..self.count(list).unwrap_or(0)).map(|i| self.text(&format!("{list}.{i}.name")).unwrap_or(""));
+        let names = (0..self.count(list).unwrap_or(0))
+            .map(|i| self.text(&format!("{list}.{i}.name")).unwrap_or(""));
         let bytes = names.flat_map(|name| name.bytes().chain([0]));
-        let hash = bytes.fold(0x811c_9dc5_u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
+        let hash = bytes.fold(0x811c_9dc5_u32, |h, b| {
+            (h ^ u32::from(b)).wrapping_mul(0x0100_0193)
+        });
         hash.to_le_bytes().into_iter().fold(0, |a, b| a ^ b)
     }
 
     /// What the module is told at its start.
     pub fn settings(&self) -> Result<Settings, String> {
-        let classes = (0..self.count("grades")?).map(|i| self.class(i)).collect::<Result<Vec<_>, _>>()?;
-        let plans = (0..self.count("contracts")?).map(|i| self.plan(i)).collect::<Result<Vec<_>, _>>()?;
+        let classes = (0..self.count("grades")?)
+            .map(|i| self.class(i))
+            .collect::<Result<Vec<_>, _>>()?;
+        let plans = (0..self.count("contracts")?)
+            .map(|i| self.plan(i))
+            .collect::<Result<Vec<_>, _>>()?;
         Ok(Settings {
             gateways: self.whole("n_instances", 65_535)? as u16,
             me: GatewayNo(self.whole("slot_no", 65_535)? as u16),
@@ -204,7 +230,12 @@
 
     /// A list of plain values.
     pub fn list(&self, key: &str) -> Result<Vec<String>, String> {
-        Ok(self.text(key)?.split(',').filter(|n| !n.is_empty()).map(String::from).collect())
+        Ok(self
+            .text(key)?
+            .split(',')
+            .filter(|n| !n.is_empty())
+            .map(String::from)
+            .collect())
     }
 
     /// The names of the objects in a list, such as the classes in `grades`.
@@ -243,7 +274,8 @@
         assert!(err.contains("grades.count"), "{err}");
         let err = parse("nonsense\n").unwrap_err();
         assert!(err.contains("line 1"), "{err}");
-        let err = parse("grades.count=0\ncontracts.count=1\ncontracts.0.quota_rate=inf\n").unwrap_err();
+        let err =
+            parse("grades.count=0\ncontracts.count=1\ncontracts.0.quota_rate=inf\n").unwrap_err();
         assert!(err.contains("contracts.0.quota_rate"), "{err}");
     }
 }
--- a/crates/config/src/template.rs
+++ b/crates/config/src/template.rs
@@ -70,21 +70,37 @@
     name("an application", &wishes.name)?;
     name("a site", &wishes.site)?;
     wishes.sends.iter().try_for_each(|c| name("a class", c))?;
-    wishes.accounts.iter().try_for_each(|a| name("a plan", &a.1))?;
+    wishes
+        .accounts
+        .iter()
+        .try_for_each(|a| name("a plan", &a.1))?;
     values::listener(&wishes.listen)?;
     values::address(&wishes.discovery)?;
     if wishes.sends.is_empty() || wishes.accounts.is_empty() {
-        return Err("an application has a class that it may send and an account at the least".into());
+        return Err(
+            "an application has a class that it may send and an account at the least".into(),
+        );
     }
     let mut out = format!("# {}\n", APPLICATION.about);
-    let _ = writeln!(out, "# Check it with: wrenctl config check SITE.toml {}.toml\n", wishes.name);
+    let _ = writeln!(
+        out,
+        "# Check it with: wrenctl config check SITE.toml {}.toml\n",
+        wishes.name
+    );
     let _ = writeln!(out, "version = {VERSION}\nkind = \"application\"");
     line(&mut out, &APPLICATION, "name", &quoted(&wishes.name));
     line(&mut out, &APPLICATION, "site", &quoted(&wishes.site));
     let sends: Vec<String> = wishes.sends.iter().map(|c| quoted(c)).collect();
-    line(&mut out, &APPLICATION, "sends", &format!("[{}]", sends.join(", ")));
+    line(
+        &mut out,
+        &APPLICATION,
+        "sends",
+        &format!("[{}]", sends.join(", ")),
+    );
     for key in ["limits", "sidecar", "account", "pool", "route"] {
-        let (Some(field), Some(table)) = (APPLICATION.field(key), inner(key)) else { continue };
+        let (Some(field), Some(table)) = (APPLICATION.field(key), inner(key)) else {
+            continue;
+        };
         let _ = writeln!(out, "\n# {}", field.about);
         match key {
             "limits" => {
@@ -97,7 +113,10 @@
                     &mut out,
                     table,
                     "name",
-                    &quoted(&format!("{}-1", wishes.name.chars().take(60).collect::<String>())),
+                    &quoted(&format!(
+                        "{}-1",
+                        wishes.name.chars().take(60).collect::<String>()
+                    )),
                 );
                 line(&mut out, table, "listen", &quoted(&wishes.listen));
                 line(&mut out, table, "discovery", &quoted(&wishes.discovery));
@@ -108,7 +127,11 @@
                     if n > 0 {
                         out.push('\n');
                     }
-                    let _ = writeln!(out, "[[account]]\nid = \"{id:016x}\"\nplan = {}", quoted(plan));
+                    let _ = writeln!(
+                        out,
+                        "[[account]]\nid = \"{id:016x}\"\nplan = {}",
+                        quoted(plan)
+                    );
                     if n == 0 {
                         choices(&mut out, table, &[]);
                     }
@@ -117,7 +140,11 @@
             _ => {
                 let _ = writeln!(out, "# [[{key}]]");
                 for field in table.fields {
-                    let _ = writeln!(out, "# # {}\n# {} = {}", field.about, field.key, field.example);
+                    let _ = writeln!(
+                        out,
+                        "# # {}\n# {} = {}",
+                        field.about, field.key, field.example
+                    );
                 }
             }
         }
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -14,10 +14,18 @@
 
 /// A number in plain digits, with or without a fraction, and what stands behind it.
 fn split(text: &str) -> Option<(f64, &str)> {
-    let end = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
+    let end = text
+        .find(|c: char| !c.is_ascii_digit() && c != '.')
+        .unwrap_or(text.len());
     let (number, unit) = text.split_at(end);
     let plain = number.starts_with(|c: char| c.is_ascii_digit()) && number.len() <= 20;
-    Some((number.parse::<f64>().ok().filter(|n| plain && n.is_finite())?, unit.trim_start()))
+    Some((
+        number
+            .parse::<f64>()
+            .ok()
+            .filter(|n| plain && n.is_finite())?,
+        unit.trim_start(),
+    ))
 }
 
 /// A span of time in microseconds.
@@ -56,7 +64,11 @@
         Some("s") => 1.0,
         Some("min" | "m") => 60.0,
         Some("h") => 3_600.0,
-        Some(other) => return Err(format!("\"{other}\" is no time that a rate may have: {form}")),
+        Some(other) => {
+            return Err(format!(
+                "\"{other}\" is no time that a rate may have: {form}"
+            ))
+        }
         None => return Err(format!("\"{text}\" does not say in what time: {form}")),
     };
     let rate = number / span;
@@ -109,7 +121,11 @@
     let address = text.parse::<SocketAddr>();
     let address = address.map_err(|_| {
         let name = text.contains(|c: char| c.is_ascii_alphabetic()) && !text.contains('[');
-        let why = if name { "; there are no name look-ups" } else { "" };
+        let why = if name {
+            "; there are no name look-ups"
+        } else {
+            ""
+        };
         format!("an address is written like \"127.0.0.1:7600\", not \"{text}\"{why}")
     })?;
     if address.port() == 0 {
@@ -143,10 +159,14 @@
 /// With what is wrong, in words.
 pub fn path(text: &str) -> Result<(), String> {
     if !text.starts_with('/') || text.ends_with('/') {
-        return Err(format!("\"{text}\" is no absolute path of a socket or folder"));
+        return Err(format!(
+            "\"{text}\" is no absolute path of a socket or folder"
+        ));
     }
     if text.len() > MOST_PATH || text.contains('\0') {
-        return Err(format!("a path of a socket or folder has {MOST_PATH} bytes at most"));
+        return Err(format!(
+            "a path of a socket or folder has {MOST_PATH} bytes at most"
+        ));
     }
     Ok(())
 }
@@ -163,7 +183,9 @@
     }
     let address = address(text)?;
     if !address.ip().is_loopback() {
-        return Err(format!("\"{text}\" is not on the loopback: others than the application could come in"));
+        return Err(format!(
+            "\"{text}\" is not on the loopback: others than the application could come in"
+        ));
     }
     Ok(Listener::Tcp(address))
 }
@@ -185,8 +207,12 @@
 ///
 /// With what is wrong, in words.
 pub fn digest(text: &str) -> Result<String, String> {
-    let hex = text.len() == 64 && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
-    hex.then(|| text.to_string()).ok_or_else(|| "this is no SHA-256: 64 hex digits in lower case".to_string())
+    let hex = text.len() == 64
+        && text
+            .bytes()
+            .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
+    hex.then(|| text.to_string())
+        .ok_or_else(|| "this is no SHA-256: 64 hex digits in lower case".to_string())
 }
 
 /// A moment, in seconds of Unix time.
@@ -205,10 +231,15 @@
 ///
 /// With what is wrong, in words.
 pub fn account(text: &str) -> Result<u64, String> {
-    let hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
+    let hex = text.len() == 16
+        && text
+            .bytes()
+            .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
     let number = u64::from_str_radix(text, 16).ok().filter(|_| hex);
     let number = number.ok_or_else(|| {
-        format!("an account is 16 hex digits in lower case, like \"00000000000004d2\", not \"{text}\"")
+        format!(
+            "an account is 16 hex digits in lower case, like \"00000000000004d2\", not \"{text}\""
+        )
     })?;
     if number >= MOST_ACCOUNT {
         return Err(format!("\"{text}\" is not below 2^33"));
@@ -223,7 +254,9 @@
 /// With what is wrong, in words.
 pub fn mode(text: &str) -> Result<u32, String> {
     let digits = text.len() == 4 && text.starts_with('0');
-    let mode = u32::from_str_radix(text, 8).ok().filter(|m| digits && m & 0o600 == 0o600 && m & 0o111 == 0);
+    let mode = u32::from_str_radix(text, 8)
+        .ok()
+        .filter(|m| digits && m & 0o600 == 0o600 && m & 0o111 == 0);
     mode.ok_or_else(|| {
         format!("a mode is written like \"0600\" or \"0660\", with the owner's reading and writing, not \"{text}\"")
     })
@@ -264,11 +297,22 @@
 
     #[test]
     fn what_is_no_name_address_or_account_is_told() {
-        assert!(is_name("hall-a.1") && !is_name("") && !is_name("-a") && !is_name("a b") && !is_name("ä"));
-        assert!(address("localhost:80").unwrap_err().contains("no name look-ups"));
+        assert!(
+            is_name("hall-a.1")
+                && !is_name("")
+                && !is_name("-a")
+                && !is_name("a b")
+                && !is_name("ä")
+        );
+        assert!(address("localhost:80")
+            .unwrap_err()
+            .contains("no name look-ups"));
         assert!(address("127.0.0.1:0").is_err());
         assert!(listener("10.0.0.1:80").unwrap_err().contains("loopback"));
-        assert_eq!(listener("unix:/run/a.sock"), Ok(Listener::Unix("/run/a.sock".into())));
+        assert_eq!(
+            listener("unix:/run/a.sock"),
+            Ok(Listener::Unix("/run/a.sock".into()))
+        );
         assert!(listener("unix:run/a").is_err());
         assert_eq!(account("00000000000004d2"), Ok(1234));
         assert!(account("4d2").is_err() && account("00000000000004D2").is_err());
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -10,12 +10,18 @@
 use wrenfork_config::source::{Source, MOST_BYTES};
 
 fn folder(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests")
+        .join(name)
 }
 
 fn files(name: &str, ending: &str) -> Vec<PathBuf> {
-    let all = fs::read_dir(folder(name)).unwrap().map(|e| e.unwrap().path());
-    let mut all: Vec<PathBuf> = all.filter(|p| p.extension().is_some_and(|e| e == ending)).collect();
+    let all = fs::read_dir(folder(name))
+        .unwrap()
+        .map(|e| e.unwrap().path());
+    let mut all: Vec<PathBuf> = all
+        .filter(|p| p.extension().is_some_and(|e| e == ending))
+        .collect();
     all.sort();
     all
 }
@@ -25,7 +31,11 @@
     let one = |d: &wrenfork_config::diagnostic::Diagnostic| {
         let source = &set.sources[d.place.file];
         let (line, column) = source.position(d.place.span.start);
-        let name = Path::new(&source.name).file_name().unwrap().to_string_lossy().into_owned();
+        let name = Path::new(&source.name)
+            .file_name()
+            .unwrap()
+            .to_string_lossy()
+            .into_owned();
         (d.code.id().to_string(), format!("{name} {line}:{column}"))
     };
     set.found.iter().map(one).collect()
@@ -38,10 +48,15 @@
     let (mut wrong, mut seen, mut count) = (Vec::new(), BTreeSet::new(), 0);
     for path in files("refused", "toml") {
         let name = path.file_name().unwrap().to_string_lossy().into_owned();
-        let Ok(text) = fs::read_to_string(&path) else { continue }; // no text: has a test of its own
+        let Ok(text) = fs::read_to_string(&path) else {
+            continue;
+        }; // no text: has a test of its own
         count += 1;
         let after = |mark: &str| -> Vec<String> {
-            text.lines().filter_map(|l| l.strip_prefix(mark)).map(|l| l.trim().to_string()).collect()
+            text.lines()
+                .filter_map(|l| l.strip_prefix(mark))
+                .map(|l| l.trim().to_string())
+                .collect()
         };
         let want: Vec<(String, String)> = after("# refused:")
             .iter()
@@ -51,38 +66,62 @@
                 (code.to_string(), format!("{name} {place}"))
             })
             .collect();
-        assert!(!want.is_empty(), "{name} does not say what it is refused with");
+        assert!(
+            !want.is_empty(),
+            "{name} does not say what it is refused with"
+        );
         let with = after("# with:");
-        let with = with.iter().flat_map(|w| w.split(' ')).map(|w| folder("good").join(w));
+        let with = with
+            .iter()
+            .flat_map(|w| w.split(' '))
+            .map(|w| folder("good").join(w));
         let set = Set::read(with.chain([path.clone()]));
         let have = told(&set);
         if have != want {
             let messages: Vec<&str> = set.found.iter().map(|d| d.message.as_str()).collect();
-            wrong.push(format!("{name}:\n  want {want:?}\n  have {have:?}\n  {messages:?}"));
+            wrong.push(format!(
+                "{name}:\n  want {want:?}\n  have {have:?}\n  {messages:?}"
+            ));
         }
     }
-    assert!(wrong.is_empty(), "{} of {count}:\n{}", wrong.len(), wrong.join("\n"));
+    assert!(
+        wrong.is_empty(),
+        "{} of {count}:\n{}",
+        wrong.len(),
+        wrong.join("\n")
+    );
     assert!(count >= 80, "only {count} broken files");
     // Those that no TOML text can have are in the tests below.
     let others = ["C001", "C002", "C003", "C005"];
-    let missing: Vec<&str> =
-        Code::ALL.iter().map(|c| c.id()).filter(|c| !seen.contains(*c) && !others.contains(c)).collect();
+    let missing: Vec<&str> = Code::ALL
+        .iter()
+        .map(|c| c.id())
+        .filter(|c| !seen.contains(*c) && !others.contains(c))
+        .collect();
     assert!(missing.is_empty(), "no broken file for {missing:?}");
 }
 
 #[test]
 fn each_good_file_is_taken() {
     let mut count = 0;
-    for path in files("good", "toml").into_iter().chain(files("good", "json")) {
+    for path in files("good", "toml")
+        .into_iter()
+        .chain(files("good", "json"))
+    {
         count += 1;
         let name = path.file_name().unwrap().to_string_lossy().into_owned();
         let beside = ["site.toml", "fleet.toml"].map(|n| folder("good").join(n));
         let alone = beside.contains(&path) || name.ends_with(".json");
-        let set = if alone { Set::read([&path]) } else { Set::read(beside.iter().chain([&path])) };
+        let set = if alone {
+            Set::read([&path])
+        } else {
+            Set::read(beside.iter().chain([&path]))
+        };
         assert!(set.found.is_empty(), "{name}: {:?}", set.found);
     }
     assert!(count >= 20, "only {count} good files");
-    let together = ["site.toml", "fleet.toml", "desk.toml", "shop.toml"].map(|n| folder("good").join(n));
+    let together =
+        ["site.toml", "fleet.toml", "desk.toml", "shop.toml"].map(|n| folder("good").join(n));
     assert!(Set::read(together).found.is_empty());
 }
 
@@ -112,9 +151,12 @@
 /// Guards against a stack that overflows, or a time that grows with the square.
 #[test]
 fn deep_and_long_nests_are_refused_as_broken_text() {
-    for text in
-        ["a = [".repeat(5_000), "a.".repeat(20_000), "[".repeat(MOST_BYTES / 16), "a = {b = ".repeat(5_000)]
-    {
+    for text in [
+        "a = [".repeat(5_000),
+        "a.".repeat(20_000),
+        "[".repeat(MOST_BYTES / 16),
+        "a = {b = ".repeat(5_000),
+    ] {
         let set = Set::from_sources([Source::new("deep", text)]);
         assert_eq!(code_of(&set), Some("C004"));
     }
@@ -125,9 +167,16 @@
     let good = |name: &str| fs::read_to_string(folder("good").join(name)).unwrap();
     let site = Source::new("site", good("site.toml"));
     let desk = Source::new("desk", good("desk.toml").replace("\"6/s\"", "\"6\""));
-    let shop = Source::new("shop", good("shop.toml").replace("[\"quote\"]", "[\"quota\"]"));
+    let shop = Source::new(
+        "shop",
+        good("shop.toml").replace("[\"quote\"]", "[\"quota\"]"),
+    );
     let set = Set::from_sources([shop, site, desk]);
-    let found: Vec<(&str, usize)> = set.found.iter().map(|d| (d.code.id(), d.place.file)).collect();
+    let found: Vec<(&str, usize)> = set
+        .found
+        .iter()
+        .map(|d| (d.code.id(), d.place.file))
+        .collect();
     assert_eq!(found, [("C202", 0), ("C106", 2)]);
 }
 
@@ -150,7 +199,10 @@
 fn every_code_is_explained() {
     for code in Code::ALL {
         assert!(code.explain().len() > 40, "{code}");
-        assert!(code.title().len() > 10 && code.severity() <= Severity::Warned, "{code}");
+        assert!(
+            code.title().len() > 10 && code.severity() <= Severity::Warned,
+            "{code}"
+        );
     }
 }
 
@@ -160,16 +212,20 @@
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/operators/configuration.md");
     let have = fs::read_to_string(page).unwrap();
     let want = wrenfork_config::schema::reference();
-    assert!(have == want, "run: wrenctl config reference > docs/operators/configuration.md");
+    assert!(
+        have == want,
+        "run: wrenctl config reference > docs/operators/configuration.md"
+    );
 }
 
 /// Guards against an example that is refused when an operator begins from it.
 #[test]
 fn the_examples_under_deploy_are_taken() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    for (example, beside) in
-        [("roster.toml", vec![folder("good").join("site.toml")]), ("wrenfork.toml", Vec::new())]
-    {
+    for (example, beside) in [
+        ("roster.toml", vec![folder("good").join("site.toml")]),
+        ("wrenfork.toml", Vec::new()),
+    ] {
         let set = Set::read(beside.into_iter().chain([deploy.join(example)]));
         assert!(!set.refused(), "{example}: {:?}", told(&set));
     }
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -11,19 +11,33 @@
 use wrenfork_config::template::{application, Wishes};
 
 fn good(name: &str) -> String {
-    fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/good").join(name)).unwrap()
+    fs::read_to_string(
+        Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join("tests/good")
+            .join(name),
+    )
+    .unwrap()
 }
 
 /// The same cases at each run.
 fn config(cases: u32) -> Config {
-    Config { cases, rng_seed: RngSeed::Fixed(8), failure_persistence: None, ..Config::default() }
+    Config {
+        cases,
+        rng_seed: RngSeed::Fixed(8),
+        failure_persistence: None,
+        ..Config::default()
+    }
 }
 
 /// A good file with some of its bytes cut, doubled, moved or replaced.
 fn damaged(names: &'static [&'static str]) -> impl Strategy<Value = String> {
     let one = (0..names.len()).prop_map(|n| good(names[n]));
     let cuts = prop::collection::vec(
-        (any::<prop::sample::Index>(), 0usize..40, "[\\[\\]{}\"'=#.,\\n a-z0-9/\\\\-]{0,6}"),
+        (
+            any::<prop::sample::Index>(),
+            0usize..40,
+            "[\\[\\]{}\"'=#.,\\n a-z0-9/\\\\-]{0,6}",
+        ),
         1..5,
     );
     (one, cuts).prop_map(|(text, cuts)| {
@@ -48,7 +62,9 @@
 
 fn comments(text: &str) -> Vec<&str> {
     // Good files have no '#' inside of text.
-    text.lines().filter_map(|l| l.find('#').map(|at| l[at..].trim_end())).collect()
+    text.lines()
+        .filter_map(|l| l.find('#').map(|at| l[at..].trim_end()))
+        .collect()
 }
 
 proptest! {
@@ -138,11 +154,18 @@
     let once = || {
         let names = ["site.toml", "fleet.toml", "with-site-two-sidecars.toml"];
         let set = Set::from_sources(names.map(|n| Source::new(n, good(n))));
-        let (site, apps, fleet) = (set.site().unwrap(), set.applications(), set.fleet().unwrap());
+        let (site, apps, fleet) = (
+            set.site().unwrap(),
+            set.applications(),
+            set.fleet().unwrap(),
+        );
         let told = render(apps[0].content, site.content, Some(fleet.content), "desk-2").unwrap();
         serde_json::to_string_pretty(&told).unwrap()
     };
     let first = once();
     assert!((0..5).all(|_| once() == first));
-    assert!(first.contains("\"slot_no\": 1") && first.contains("\"zone\": 1"), "{first}");
+    assert!(
+        first.contains("\"slot_no\": 1") && first.contains("\"zone\": 1"),
+        "{first}"
+    );
 }
--- a/crates/control/src/applier.rs
+++ b/crates/control/src/applier.rs
@@ -59,7 +59,10 @@
         let change = plan.id();
         let names: Vec<String> = plan.targets.iter().map(|t| t.ingress.clone()).collect();
         let members = plan.targets.iter().map(|t| {
-            let next = Generation { number: plan.generation, digest: t.wanted.clone() };
+            let next = Generation {
+                number: plan.generation,
+                digest: t.wanted.clone(),
+            };
             let promise = Promise {
                 change: change.clone(),
                 base: t.base.clone(),
@@ -67,18 +70,43 @@
                 author: plan.author.clone(),
                 members: names.clone(),
             };
-            let change = plan.states.get(&t.wanted).map(|wanted| (promise, wanted.clone()));
-            Member { ingress: t.ingress.clone(), change, answered: false, stand: None }
+            let change = plan
+                .states
+                .get(&t.wanted)
+                .map(|wanted| (promise, wanted.clone()));
+            Member {
+                ingress: t.ingress.clone(),
+                change,
+                answered: false,
+                stand: None,
+            }
         });
         let members = members.collect();
-        Applier { change, ballot, members, phase: Phase::Preparing, refused: Vec::new() }
+        Applier {
+            change,
+            ballot,
+            members,
+            phase: Phase::Preparing,
+            refused: Vec::new(),
+        }
     }
 
     /// Begins to recover a change, with a ballot that is higher than that of all before it.
     pub fn recover(change: Digest, members: Vec<String>, ballot: Ballot) -> Applier {
-        let member = |ingress| Member { ingress, change: None, answered: false, stand: None };
+        let member = |ingress| Member {
+            ingress,
+            change: None,
+            answered: false,
+            stand: None,
+        };
         let members = members.into_iter().map(member).collect();
-        Applier { change, ballot, members, phase: Phase::Fencing, refused: Vec::new() }
+        Applier {
+            change,
+            ballot,
+            members,
+            phase: Phase::Fencing,
+            refused: Vec::new(),
+        }
     }
 
     /// What is to be asked of a member now; none where it has answered.
@@ -88,10 +116,18 @@
         match self.phase {
             Phase::Preparing => {
                 let (promise, wanted) = m.change.clone()?;
-                Some(Ask::Prepare { promise, ballot, wanted })
+                Some(Ask::Prepare {
+                    promise,
+                    ballot,
+                    wanted,
+                })
             }
             Phase::Fencing => Some(Ask::Fence { change, ballot }),
-            Phase::Deciding(commit) => Some(Ask::Decide { change, ballot, commit }),
+            Phase::Deciding(commit) => Some(Ask::Decide {
+                change,
+                ballot,
+                commit,
+            }),
             Phase::Ended(_) | Phase::Overtaken => None,
         }
     }
@@ -99,7 +135,9 @@
     fn decide(&mut self, commit: bool) {
         self.phase = Phase::Deciding(commit);
         let end = if commit { Stand::Made } else { Stand::Dropped };
-        self.members.iter_mut().for_each(|m| m.answered = m.stand == Some(end));
+        self.members
+            .iter_mut()
+            .for_each(|m| m.answered = m.stand == Some(end));
         self.all_answered();
     }
 
@@ -121,7 +159,9 @@
     /// Takes what came of the ask that a member was sent in this phase: its answer, or none where the connection broke or
     /// nothing came in time, and it may have done what was asked.
     pub fn heard(&mut self, member: usize, answer: Option<Say>) {
-        let Some(m) = self.members.get_mut(member) else { return };
+        let Some(m) = self.members.get_mut(member) else {
+            return;
+        };
         let name = m.ingress.clone();
         match (self.phase.clone(), answer) {
             (Phase::Preparing, Some(Say::Yes)) => {
@@ -142,7 +182,9 @@
                 (m.answered, m.stand) = (true, Some(stand));
                 self.all_answered();
             }
-            (Phase::Deciding(commit), Some(Say::Stands { change, stand })) if change == self.change => {
+            (Phase::Deciding(commit), Some(Say::Stands { change, stand }))
+                if change == self.change =>
+            {
                 m.stand = Some(stand);
                 let as_decided = stand == if commit { Stand::Made } else { Stand::Dropped };
                 if as_decided {
--- a/crates/control/src/participant.rs
+++ b/crates/control/src/participant.rs
@@ -44,8 +44,15 @@
     /// Of an ingress that has made no change yet.
     pub fn first(number: u64, state: impl Into<Arc<State>>) -> Memory {
         let state = state.into();
-        let enforced = Generation { number, digest: state.digest() };
-        Memory { enforced, state, ..Memory::default() }
+        let enforced = Generation {
+            number,
+            digest: state.digest(),
+        };
+        Memory {
+            enforced,
+            state,
+            ..Memory::default()
+        }
     }
 
     fn stand(&self, change: &Digest) -> Stand {
@@ -108,7 +115,10 @@
 impl Participant {
     /// One that remembers this.
     pub fn new(name: &str, memory: Memory) -> Participant {
-        Participant { name: name.into(), memory }
+        Participant {
+            name: name.into(),
+            memory,
+        }
     }
 
     /// What it remembers.
@@ -132,11 +142,21 @@
                 figures: Figures::default(),
                 promise: m.promise.as_ref().map(|p| p.0.clone()),
             }),
-            Ask::Prepare { promise, ballot, wanted } => self.prepare(promise, ballot, wanted, check),
+            Ask::Prepare {
+                promise,
+                ballot,
+                wanted,
+            } => self.prepare(promise, ballot, wanted, check),
             Ask::Fence { change, ballot } => self.fence(&change, ballot),
-            Ask::Decide { change, ballot, commit } => self.decide(&change, ballot, commit),
+            Ask::Decide {
+                change,
+                ballot,
+                commit,
+            } => self.decide(&change, ballot, commit),
             // What went before is not a matter of the protocol: whoever keeps it answers.
-            Ask::Recall { .. } | Ask::History { .. } | Ask::Note { .. } => no("nothing is kept here"),
+            Ask::Recall { .. } | Ask::History { .. } | Ask::Note { .. } => {
+                no("nothing is kept here")
+            }
         }
     }
 
@@ -149,7 +169,9 @@
     ) -> Step {
         let m = &self.memory;
         match m.stand(&promise.change) {
-            Stand::Promised if m.fence(&promise.change) == Some(ballot) => return Step::Say(Say::Yes),
+            Stand::Promised if m.fence(&promise.change) == Some(ballot) => {
+                return Step::Say(Say::Yes)
+            }
             Stand::Promised => return no("somebody else applies this plan: ask how it ended"),
             Stand::Made => return no("this plan was applied here already"),
             Stand::Dropped => return no("this plan was given up: make it anew"),
@@ -186,13 +208,20 @@
         let mut memory = Box::new(m.clone());
         memory.guard(&promise.change, ballot);
         memory.promise = Some((promise, wanted));
-        Step::Write { memory, then: Say::Yes, switch: false }
+        Step::Write {
+            memory,
+            then: Say::Yes,
+            switch: false,
+        }
     }
 
     fn fence(&self, change: &Digest, ballot: Ballot) -> Step {
         let m = &self.memory;
         let stand = m.stand(change);
-        let then = Say::Stands { change: change.clone(), stand };
+        let then = Say::Stands {
+            change: change.clone(),
+            stand,
+        };
         if matches!(stand, Stand::Made | Stand::Dropped) {
             return Step::Say(then);
         }
@@ -201,12 +230,19 @@
         }
         let mut memory = Box::new(m.clone());
         memory.guard(change, ballot);
-        Step::Write { memory, then, switch: false }
+        Step::Write {
+            memory,
+            then,
+            switch: false,
+        }
     }
 
     fn decide(&self, change: &Digest, ballot: Ballot, commit: bool) -> Step {
         let m = &self.memory;
-        let stands = |stand| Say::Stands { change: change.clone(), stand };
+        let stands = |stand| Say::Stands {
+            change: change.clone(),
+            stand,
+        };
         match m.stand(change) {
             ended @ (Stand::Made | Stand::Dropped) => return Step::Say(stands(ended)),
             Stand::Unknown if commit => return no("nothing was promised here for this change"),
@@ -219,8 +255,16 @@
         memory.end(change, commit);
         if let Some((promise, state)) = m.promise.clone().filter(|_| commit) {
             (memory.enforced, memory.state) = (promise.next, state);
-            return Step::Write { memory, then: stands(Stand::Made), switch: true };
+            return Step::Write {
+                memory,
+                then: stands(Stand::Made),
+                switch: true,
+            };
+        }
+        Step::Write {
+            memory,
+            then: stands(Stand::Dropped),
+            switch: false,
         }
-        Step::Write { memory, then: stands(Stand::Dropped), switch: false }
     }
 }
