--- a/crates/control/src/plan.rs
+++ b/crates/control/src/plan.rs
@@ -78,9 +78,14 @@
         match self {
             PlanError::Form(why) => write!(f, "this is no plan: {why}"),
             PlanError::Version(v) => {
-                write!(f, "the plan's form is version {v}, and this program knows {VERSION}")
+                write!(
+                    f,
+                    "the plan's form is version {v}, and this program knows {VERSION}"
+                )
+            }
+            PlanError::Altered => {
+                write!(f, "the plan was altered since it was written: make it anew")
             }
-            PlanError::Altered => write!(f, "the plan was altered since it was written: make it anew"),
             PlanError::Old(age, good) => {
                 write!(
                     f,
@@ -122,7 +127,10 @@
 
 impl Plan {
     /// Makes a plan from what each ingress enforces and what each is to enforce; none where nothing would differ.
-    pub fn make((author, made_at, good_for): (&str, u64, u64), ingresses: Vec<Seen>) -> Option<Plan> {
+    pub fn make(
+        (author, made_at, good_for): (&str, u64, u64),
+        ingresses: Vec<Seen>,
+    ) -> Option<Plan> {
         let generation = ingresses.iter().map(|i| i.base.number).max().unwrap_or(0) + 1;
         let mut dangers: Vec<Danger> = Vec::new();
         let (mut states, mut lists) = (BTreeMap::new(), Vec::new());
@@ -130,25 +138,45 @@
         let mut hashed: Vec<(Arc<State>, Digest)> = Vec::new();
         let targets = ingresses.into_iter().map(|seen| {
             // The sidecars of an application share one: it is hashed once.
-            let same = hashed.iter().find(|(state, _)| Arc::ptr_eq(state, &seen.wanted)).map(|h| h.1.clone());
+            let same = hashed
+                .iter()
+                .find(|(state, _)| Arc::ptr_eq(state, &seen.wanted))
+                .map(|h| h.1.clone());
             let wanted = same.unwrap_or_else(|| {
                 let digest = seen.wanted.digest();
                 hashed.push((seen.wanted.clone(), digest.clone()));
                 digest
             });
-            let list = *known.entry((seen.base.digest.clone(), wanted.clone())).or_insert_with(|| {
-                lists.push(differences(&seen.has, &seen.wanted));
-                lists.len() - 1
-            });
+            let list = *known
+                .entry((seen.base.digest.clone(), wanted.clone()))
+                .or_insert_with(|| {
+                    lists.push(differences(&seen.has, &seen.wanted));
+                    lists.len() - 1
+                });
             let besides = seen.besides.iter().cloned();
-            for danger in lists[list].iter().filter_map(|d| danger(d, &seen)).chain(besides) {
+            for danger in lists[list]
+                .iter()
+                .filter_map(|d| danger(d, &seen))
+                .chain(besides)
+            {
                 if !dangers.contains(&danger) {
                     dangers.push(danger);
                 }
             }
-            let Seen { ingress, control, base, .. } = seen;
+            let Seen {
+                ingress,
+                control,
+                base,
+                ..
+            } = seen;
             states.entry(wanted.clone()).or_insert(seen.wanted);
-            Target { ingress, control, base, differences: list, wanted }
+            Target {
+                ingress,
+                control,
+                base,
+                differences: list,
+                wanted,
+            }
         });
         let targets: Vec<Target> = targets.collect();
         let (version, differences, author) = (VERSION, lists, author.to_string());
@@ -173,8 +201,13 @@
     pub fn only(&self, keep: impl Fn(&Target) -> bool) -> Plan {
         let mut plan = self.clone();
         plan.targets.retain(keep);
-        plan.states.retain(|digest, _| plan.targets.iter().any(|t| t.wanted == *digest));
-        plan.groups.retain(|members| plan.targets.iter().any(|t| members.contains_key(&t.ingress)));
+        plan.states
+            .retain(|digest, _| plan.targets.iter().any(|t| t.wanted == *digest));
+        plan.groups.retain(|members| {
+            plan.targets
+                .iter()
+                .any(|t| members.contains_key(&t.ingress))
+        });
         plan
     }
 
@@ -191,7 +224,11 @@
     /// The file's text.
     pub fn write(&self) -> String {
         let plan = self.text();
-        let file = File { version: VERSION, checksum: Digest::of(plan.as_bytes()), plan };
+        let file = File {
+            version: VERSION,
+            checksum: Digest::of(plan.as_bytes()),
+            plan,
+        };
         let mut text = serde_json::to_string(&file).unwrap_or_default();
         text.push('\n');
         text
@@ -272,7 +309,10 @@
         ("sends", _) => "the classes that may be sent change".into(),
         _ => return None,
     };
-    Some(Danger { key: d.key.clone(), what })
+    Some(Danger {
+        key: d.key.clone(),
+        what,
+    })
 }
 
 #[cfg(test)]
@@ -280,7 +320,12 @@
     use super::*;
 
     fn state(pairs: &[(&str, &str)]) -> State {
-        State(pairs.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect())
+        State(
+            pairs
+                .iter()
+                .map(|(k, v)| (k.to_string(), v.to_string()))
+                .collect(),
+        )
     }
 
     fn plan() -> Plan {
@@ -289,13 +334,38 @@
             ("contracts.0.quota_rate", "8"),
             ("accounts.7", "business"),
         ]);
-        let wanted = state(&[("contracts.0.name", "starter"), ("contracts.0.quota_rate", "4")]);
+        let wanted = state(&[
+            ("contracts.0.name", "starter"),
+            ("contracts.0.quota_rate", "4"),
+        ]);
         let of = |name: &str, number| {
-            let base = Generation { number, digest: has.digest() };
-            let used = [("starter".to_string(), PlanUse { customers: 1, rate: 6.5, open: 2 })].into();
-            let (has, wanted, control) =
-                (Arc::new(has.clone()), Arc::new(wanted.clone()), format!("/run/{name}"));
-            Seen { ingress: name.into(), control, base, has, wanted, used, besides: Vec::new() }
+            let base = Generation {
+                number,
+                digest: has.digest(),
+            };
+            let used = [(
+                "starter".to_string(),
+                PlanUse {
+                    customers: 1,
+                    rate: 6.5,
+                    open: 2,
+                },
+            )]
+            .into();
+            let (has, wanted, control) = (
+                Arc::new(has.clone()),
+                Arc::new(wanted.clone()),
+                format!("/run/{name}"),
+            );
+            Seen {
+                ingress: name.into(),
+                control,
+                base,
+                has,
+                wanted,
+                used,
+                besides: Vec::new(),
+            }
         };
         Plan::make(("ann", 1_000, 600), vec![of("n0", 4), of("n1", 6)]).unwrap()
     }
@@ -303,13 +373,36 @@
     #[test]
     fn a_plan_says_what_differs_and_what_is_dangerous() {
         let p = plan();
-        assert_eq!((p.generation, p.targets.len(), p.differences[p.targets[1].differences].len()), (7, 2, 2));
-        assert_eq!((p.states.len(), p.differences.len()), (1, 1), "two ingresses that are alike share both");
-        let words: Vec<&str> = p.dangers.iter().map(|d| d.what.split(':').next().unwrap()).collect();
-        let uses = "a customer on starter uses 6.5 units a second right now, more than the new quota";
-        assert_eq!(words, ["an account goes", uses], "each once, not once an ingress");
+        assert_eq!(
+            (
+                p.generation,
+                p.targets.len(),
+                p.differences[p.targets[1].differences].len()
+            ),
+            (7, 2, 2)
+        );
+        assert_eq!(
+            (p.states.len(), p.differences.len()),
+            (1, 1),
+            "two ingresses that are alike share both"
+        );
+        let words: Vec<&str> = p
+            .dangers
+            .iter()
+            .map(|d| d.what.split(':').next().unwrap())
+            .collect();
+        let uses =
+            "a customer on starter uses 6.5 units a second right now, more than the new quota";
+        assert_eq!(
+            words,
+            ["an account goes", uses],
+            "each once, not once an ingress"
+        );
         let same = state(&[("a", "1")]);
-        let base = Generation { number: 1, digest: same.digest() };
+        let base = Generation {
+            number: 1,
+            digest: same.digest(),
+        };
         let seen = Seen {
             ingress: "n0".into(),
             control: "/run/n0".into(),
@@ -325,18 +418,39 @@
     /// Guards against a limit that was not there before and passes for harmless, and a part that has the whole's name.
     #[test]
     fn a_first_limit_is_a_danger_and_a_part_is_another_plan() {
-        let base = state(&[("contracts.0.name", "starter"), ("contracts.0.max_out", "0")]);
+        let base = state(&[
+            ("contracts.0.name", "starter"),
+            ("contracts.0.max_out", "0"),
+        ]);
         let seen = Seen {
             ingress: "n0".into(),
             control: "/run/n0".into(),
-            base: Generation { number: 1, digest: base.digest() },
+            base: Generation {
+                number: 1,
+                digest: base.digest(),
+            },
             has: Arc::new(base.clone()),
-            wanted: Arc::new(state(&[("contracts.0.name", "starter"), ("contracts.0.max_out", "2")])),
-            used: [("starter".to_string(), PlanUse { customers: 1, rate: 1.0, open: 5 })].into(),
+            wanted: Arc::new(state(&[
+                ("contracts.0.name", "starter"),
+                ("contracts.0.max_out", "2"),
+            ])),
+            used: [(
+                "starter".to_string(),
+                PlanUse {
+                    customers: 1,
+                    rate: 1.0,
+                    open: 5,
+                },
+            )]
+            .into(),
             besides: Vec::new(),
         };
         let p = Plan::make(("ann", 0, 1), vec![seen]).unwrap();
-        assert!(p.dangers[0].what.contains("5 attempts out"), "{:?}", p.dangers);
+        assert!(
+            p.dangers[0].what.contains("5 attempts out"),
+            "{:?}",
+            p.dangers
+        );
         let part = plan().only(|t| t.ingress == "n1");
         assert!(part.id() != plan().id() && part.targets.len() == 1 && part.states.len() == 1);
     }
@@ -346,7 +460,11 @@
         let text = plan().write();
         assert_eq!(Plan::read(&text).unwrap(), plan());
         assert_eq!(Plan::read(&text).unwrap().id(), plan().id());
-        for (from, to) in [("\\\"new\\\":\\\"4\\\"", "\\\"new\\\":\\\"9\\\""), ("ann", "bob"), ("n1", "n2")] {
+        for (from, to) in [
+            ("\\\"new\\\":\\\"4\\\"", "\\\"new\\\":\\\"9\\\""),
+            ("ann", "bob"),
+            ("n1", "n2"),
+        ] {
             assert!(text.contains(from), "{from} in {text}");
             assert_eq!(Plan::read(&text.replace(from, to)), Err(PlanError::Altered));
         }
@@ -358,6 +476,9 @@
             }
         }
         assert_eq!(plan().still_good(600_001_000), Ok(()));
-        assert_eq!(plan().still_good(601_001_000), Err(PlanError::Old(601, 600)));
+        assert_eq!(
+            plan().still_good(601_001_000),
+            Err(PlanError::Old(601, 600))
+        );
     }
 }
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -194,20 +194,39 @@
     fn messages_survive_the_way_and_what_is_none_is_told() {
         let promise = Promise {
             change: Digest("ab".into()),
-            base: Generation { number: 3, digest: Digest("cd".into()) },
-            next: Generation { number: 4, digest: Digest("ef".into()) },
+            base: Generation {
+                number: 3,
+                digest: Digest("cd".into()),
+            },
+            next: Generation {
+                number: 4,
+                digest: Digest("ef".into()),
+            },
             author: "ann \"the\" first\n".into(),
             members: vec!["n0".into(), "n1".into()],
         };
         let wanted = Arc::new(State([("a.b".to_string(), "1".to_string())].into()));
         let asks = [
             Ask::Status,
-            Ask::Prepare { promise: promise.clone(), ballot: 5, wanted: wanted.clone() },
-            Ask::Fence { change: Digest("ab".into()), ballot: 7 },
-            Ask::Decide { change: Digest("ab".into()), ballot: 0, commit: true },
+            Ask::Prepare {
+                promise: promise.clone(),
+                ballot: 5,
+                wanted: wanted.clone(),
+            },
+            Ask::Fence {
+                change: Digest("ab".into()),
+                ballot: 7,
+            },
+            Ask::Decide {
+                change: Digest("ab".into()),
+                ballot: 0,
+                commit: true,
+            },
             Ask::Recall { generation: 3 },
             Ask::History { most: 7 },
-            Ask::Note { record: Record::default() },
+            Ask::Note {
+                record: Record::default(),
+            },
         ];
         for ask in asks {
             let text = line(&ask);
@@ -216,9 +235,16 @@
         }
         let says = [
             Say::Yes,
-            Say::No { why: "moved".into() },
-            Say::Unable { why: "the disk is full".into() },
-            Say::Stands { change: Digest("ab".into()), stand: Stand::Made },
+            Say::No {
+                why: "moved".into(),
+            },
+            Say::Unable {
+                why: "the disk is full".into(),
+            },
+            Say::Stands {
+                change: Digest("ab".into()),
+                stand: Stand::Made,
+            },
             Say::Status {
                 ingress: "n0".into(),
                 generation: promise.base.clone(),
@@ -226,17 +252,36 @@
                 promise: Some(promise.clone()),
                 figures: Figures::default(),
             },
-            Say::Was { generation: promise.base, state: wanted },
-            Say::Records { records: vec![Record { what: "made".into(), ..Record::default() }] },
+            Say::Was {
+                generation: promise.base,
+                state: wanted,
+            },
+            Say::Records {
+                records: vec![Record {
+                    what: "made".into(),
+                    ..Record::default()
+                }],
+            },
             Say::Noted,
         ];
         for say in says {
             assert_eq!(read::<Say>(&line(&say)), Ok(say));
         }
-        assert!(read::<Ask>("{\"v\":3,\"ask\":\"status\"}").unwrap_err().contains("version 3"));
-        assert_eq!(read::<Ask>("{\"v\":1,\"ask\":\"status\"}"), Ok(Ask::Status), "an older applier");
-        assert!(read::<Ask>("{\"v\":1,\"ask\":\"explode\"}").unwrap_err().contains("not understood"));
-        assert!(read::<Ask>("{\"v\":1,\"ask\":\"status\",\"later\":3}").is_ok(), "a key of the future");
+        assert!(read::<Ask>("{\"v\":3,\"ask\":\"status\"}")
+            .unwrap_err()
+            .contains("version 3"));
+        assert_eq!(
+            read::<Ask>("{\"v\":1,\"ask\":\"status\"}"),
+            Ok(Ask::Status),
+            "an older applier"
+        );
+        assert!(read::<Ask>("{\"v\":1,\"ask\":\"explode\"}")
+            .unwrap_err()
+            .contains("not understood"));
+        assert!(
+            read::<Ask>("{\"v\":1,\"ask\":\"status\",\"later\":3}").is_ok(),
+            "a key of the future"
+        );
         assert!(read::<Ask>("garbage").is_err() && read::<Ask>("").is_err());
     }
 }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -73,8 +73,10 @@
 /// The accounts of a state by the name of their plan.
 fn by_plan(state: &State) -> BTreeMap<&str, u64> {
     let mut counts = BTreeMap::new();
-    let accounts =
-        state.0.range("accounts.".to_string()..).take_while(|(key, _)| key.starts_with("accounts."));
+    let accounts = state
+        .0
+        .range("accounts.".to_string()..)
+        .take_while(|(key, _)| key.starts_with("accounts."));
     for (_, plan) in accounts {
         *counts.entry(plan.as_str()).or_default() += 1;
     }
@@ -90,7 +92,10 @@
         new: None,
         accounts: 0,
     });
-    let other = new.0.iter().filter(|(key, value)| old.0.get(*key) != Some(value));
+    let other = new
+        .0
+        .iter()
+        .filter(|(key, value)| old.0.get(*key) != Some(value));
     let other = other.map(|(key, value)| Difference {
         key: key.clone(),
         old: old.0.get(key).cloned(),
@@ -104,10 +109,14 @@
         d.accounts = match (parts.next(), parts.next()) {
             (Some("accounts"), _) => 1,
             (Some("contracts"), Some(place)) => {
-                let name =
-                    |s: &State| s.0.get(&format!("contracts.{place}.name")).cloned().unwrap_or_default();
-                let on =
-                    |counts: &BTreeMap<&str, u64>, name: String| counts.get(&*name).copied().unwrap_or(0);
+                let name = |s: &State| {
+                    s.0.get(&format!("contracts.{place}.name"))
+                        .cloned()
+                        .unwrap_or_default()
+                };
+                let on = |counts: &BTreeMap<&str, u64>, name: String| {
+                    counts.get(&*name).copied().unwrap_or(0)
+                };
                 on(&after, name(new)).max(on(&before, name(old)))
             }
             _ => 0,
@@ -122,7 +131,12 @@
     use super::*;
 
     fn state(pairs: &[(&str, &str)]) -> State {
-        State(pairs.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect())
+        State(
+            pairs
+                .iter()
+                .map(|(k, v)| (k.to_string(), v.to_string()))
+                .collect(),
+        )
     }
 
     /// Guards against two states with one digest: values that look like the start of another line.
@@ -146,11 +160,23 @@
 
     #[test]
     fn what_differs_is_told_key_by_key() {
-        let (old, new) =
-            (state(&[("a", "1"), ("b", "2"), ("c", "3")]), state(&[("b", "2"), ("c", "4"), ("d", "5")]));
+        let (old, new) = (
+            state(&[("a", "1"), ("b", "2"), ("c", "3")]),
+            state(&[("b", "2"), ("c", "4"), ("d", "5")]),
+        );
         let found = differences(&old, &new);
-        let text: Vec<String> = found.iter().map(|d| format!("{} {:?} {:?}", d.key, d.old, d.new)).collect();
-        assert_eq!(text, [r#"a Some("1") None"#, r#"c Some("3") Some("4")"#, r#"d None Some("5")"#]);
+        let text: Vec<String> = found
+            .iter()
+            .map(|d| format!("{} {:?} {:?}", d.key, d.old, d.new))
+            .collect();
+        assert_eq!(
+            text,
+            [
+                r#"a Some("1") None"#,
+                r#"c Some("3") Some("4")"#,
+                r#"d None Some("5")"#
+            ]
+        );
         assert_eq!(differences(&new, &new), []);
     }
 
@@ -162,7 +188,13 @@
                 ("contracts.0.quota_rate", rate),
                 ("accounts.1", "starter"),
             ];
-            state(&[&pairs[..], &[("accounts.2", "starter"), ("accounts.3", "business")]].concat())
+            state(
+                &[
+                    &pairs[..],
+                    &[("accounts.2", "starter"), ("accounts.3", "business")],
+                ]
+                .concat(),
+            )
         };
         let found = differences(&plan("8"), &plan("4"));
         assert_eq!((found.len(), found[0].accounts), (1, 2));
--- a/crates/control/tests/model.rs
+++ b/crates/control/tests/model.rs
@@ -16,7 +16,12 @@
 /// `WRENFORK_SEARCH=3 cargo test --release -p wrenfork-control --test model -- --nocapture every`
 fn ingresses() -> usize {
     static COUNT: OnceLock<usize> = OnceLock::new();
-    *COUNT.get_or_init(|| std::env::var("WRENFORK_SEARCH").ok().and_then(|n| n.parse().ok()).unwrap_or(2))
+    *COUNT.get_or_init(|| {
+        std::env::var("WRENFORK_SEARCH")
+            .ok()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(2)
+    })
 }
 
 /// What is left out of the protocol on purpose.
@@ -88,20 +93,30 @@
             let mut hash = DefaultHasher::new();
             self.ingresses[*i].memory().hash(&mut hash);
             self.ways.iter().for_each(|w| w[*i].hash(&mut hash));
-            for member in self.appliers.iter().flatten().filter_map(|a| a.members.get(*i)) {
+            for member in self
+                .appliers
+                .iter()
+                .flatten()
+                .filter_map(|a| a.members.get(*i))
+            {
                 (member.answered, member.stand).hash(&mut hash);
             }
-            self.said_yes.iter().for_each(|(change, yes)| (change, yes >> i & 1).hash(&mut hash));
+            self.said_yes
+                .iter()
+                .for_each(|(change, yes)| (change, yes >> i & 1).hash(&mut hash));
             hash.finish()
         });
         let mut like = self.clone();
         for (to, from) in order.iter().enumerate() {
-            like.ingresses[to] = Participant::new(&format!("n{to}"), self.ingresses[*from].memory().clone());
+            like.ingresses[to] =
+                Participant::new(&format!("n{to}"), self.ingresses[*from].memory().clone());
             for (ways, its) in like.ways.iter_mut().zip(&self.ways) {
                 ways[to] = its[*from].clone();
             }
             for (applier, its) in like.appliers.iter_mut().zip(&self.appliers) {
-                let (Some(applier), Some(its)) = (applier, its) else { continue };
+                let (Some(applier), Some(its)) = (applier, its) else {
+                    continue;
+                };
                 applier.members[to] = its.members[*from].clone();
                 applier.members[to].ingress = format!("n{to}");
             }
@@ -120,15 +135,21 @@
 /// The digest of a state, hashed once: all states of the search are these.
 fn known(state: &State) -> &'static Digest {
     static ALL: OnceLock<BTreeMap<State, Digest>> = OnceLock::new();
-    let all =
-        ALL.get_or_init(|| ["old", "new", "other"].map(|v| (self::state(v), self::state(v).digest())).into());
+    let all = ALL.get_or_init(|| {
+        ["old", "new", "other"]
+            .map(|v| (self::state(v), self::state(v).digest()))
+            .into()
+    });
     &all[state]
 }
 
 fn plan(author: &str, value: &str) -> Plan {
     let base = state("old");
     let of = |n: usize| {
-        let generation = Generation { number: 1, digest: base.digest() };
+        let generation = Generation {
+            number: 1,
+            digest: base.digest(),
+        };
         let (ingress, control, used) = (format!("n{n}"), String::new(), BTreeMap::new());
         Seen {
             ingress,
@@ -151,21 +172,36 @@
         };
         let Some(ask) = ask else { return };
         let ask = match ask {
-            Ask::Prepare { mut promise, ballot, wanted } if self.variant == Variant::NoGenerationCheck => {
+            Ask::Prepare {
+                mut promise,
+                ballot,
+                wanted,
+            } if self.variant == Variant::NoGenerationCheck => {
                 promise.base = now.ingresses[i].memory().enforced.clone();
                 promise.next.number = promise.base.number + 1;
-                Ask::Prepare { promise, ballot, wanted }
+                Ask::Prepare {
+                    promise,
+                    ballot,
+                    wanted,
+                }
             }
             Ask::Decide { change, commit, .. } if self.variant == Variant::NoFence => {
                 // With whatever number would be right.
                 let fences = &now.ingresses[i].memory().fences;
                 let ballot = fences.iter().find(|f| f.0 == change).map_or(0, |f| f.1);
-                Ask::Decide { change, ballot, commit }
+                Ask::Decide {
+                    change,
+                    ballot,
+                    commit,
+                }
             }
             ask => ask,
         };
-        let change =
-            if let Ask::Prepare { promise, .. } = &ask { promise.change.0.clone() } else { String::new() };
+        let change = if let Ask::Prepare { promise, .. } = &ask {
+            promise.change.0.clone()
+        } else {
+            String::new()
+        };
         let say = match now.ingresses[i].take(ask, |_| Ok(())) {
             Step::Say(say) => Some(say),
             Step::Write { memory, then, .. } if written => {
@@ -175,7 +211,13 @@
             Step::Write { .. } => None,
         };
         // Why not is for people: nothing follows from it.
-        let say = say.map(|s| if matches!(s, Say::No { .. }) { Say::No { why: String::new() } } else { s });
+        let say = say.map(|s| {
+            if matches!(s, Say::No { .. }) {
+                Say::No { why: String::new() }
+            } else {
+                s
+            }
+        });
         if let Some(say) = say.filter(|_| answered) {
             if say == Say::Yes {
                 *now.said_yes.entry(change).or_default() |= 1 << i;
@@ -186,7 +228,12 @@
         }
         if !(written && answered) && self.variant == Variant::NoPromiseOnDisk {
             let m = now.ingresses[i].memory().clone();
-            now.ingresses[i].written(Memory { promise: None, fences: vec![], ended: vec![], ..m });
+            now.ingresses[i].written(Memory {
+                promise: None,
+                fences: vec![],
+                ended: vec![],
+                ..m
+            });
         }
     }
 
@@ -228,8 +275,18 @@
 }
 
 fn stand(p: &Participant, change: &Digest) -> Stand {
-    match p.take(Ask::Fence { change: change.clone(), ballot: u64::MAX }, |_| Ok(())) {
-        Step::Say(Say::Stands { stand, .. }) | Step::Write { then: Say::Stands { stand, .. }, .. } => stand,
+    match p.take(
+        Ask::Fence {
+            change: change.clone(),
+            ballot: u64::MAX,
+        },
+        |_| Ok(()),
+    ) {
+        Step::Say(Say::Stands { stand, .. })
+        | Step::Write {
+            then: Say::Stands { stand, .. },
+            ..
+        } => stand,
         other => panic!("{other:?}"),
     }
 }
@@ -250,7 +307,9 @@
         };
         let memory = || Memory::first(1, state("old"));
         vec![Now {
-            ingresses: (0..ingresses()).map(|n| Participant::new(&format!("n{n}"), memory())).collect(),
+            ingresses: (0..ingresses())
+                .map(|n| Participant::new(&format!("n{n}"), memory()))
+                .collect(),
             appliers: vec![Some(first), Some(second)],
             ways: vec![vec![Way::Idle; ingresses()]; 2],
             crashes: self.crashes,
@@ -283,7 +342,10 @@
         let mut now = last.clone();
         self.act(&mut now, action)?;
         // Why an applier gave up is for people: nothing follows from it.
-        now.appliers.iter_mut().flatten().for_each(|a| a.refused.clear());
+        now.appliers
+            .iter_mut()
+            .flatten()
+            .for_each(|a| a.refused.clear());
         Some(now)
     }
 
@@ -293,7 +355,8 @@
                 "no change is made at one ingress and given up at another",
                 |world: &World, now: &Now| {
                     world.plans.iter().all(|p| {
-                        let stands: Vec<Stand> = now.ingresses.iter().map(|i| stand(i, p)).collect();
+                        let stands: Vec<Stand> =
+                            now.ingresses.iter().map(|i| stand(i, p)).collect();
                         !(stands.contains(&Stand::Made) && stands.contains(&Stand::Dropped))
                     })
                 },
@@ -306,16 +369,26 @@
                         let m = i.memory();
                         let whole = known(&m.state) == &m.enforced.digest;
                         whole
-                            && *by_number.entry(m.enforced.number).or_insert(&m.enforced.digest)
+                            && *by_number
+                                .entry(m.enforced.number)
+                                .or_insert(&m.enforced.digest)
                                 == &m.enforced.digest
                     })
                 },
             ),
-            Property::always("a plan is made only on what it was made from", |world: &World, now: &Now| {
-                now.ingresses
-                    .iter()
-                    .all(|i| world.plans.iter().filter(|p| stand(i, p) == Stand::Made).count() < 2)
-            }),
+            Property::always(
+                "a plan is made only on what it was made from",
+                |world: &World, now: &Now| {
+                    now.ingresses.iter().all(|i| {
+                        world
+                            .plans
+                            .iter()
+                            .filter(|p| stand(i, p) == Stand::Made)
+                            .count()
+                            < 2
+                    })
+                },
+            ),
             Property::always("a promise is never lost", |world: &World, now: &Now| {
                 world.plans.iter().all(|p| {
                     let yes = now.said_yes.get(&p.0).copied().unwrap_or(0);
@@ -323,24 +396,30 @@
                     (0..ingresses()).all(|i| yes & (1 << i) == 0 || known(i))
                 })
             }),
-            Property::always("an apply that says made is made everywhere", |_, now: &Now| {
-                now.appliers.iter().flatten().all(|a| match a.phase {
-                    Phase::Ended(made) => now.ingresses.iter().all(|i| {
-                        let stand = stand(i, &a.change);
-                        if made {
-                            stand == Stand::Made
-                        } else {
-                            stand != Stand::Made && stand != Stand::Promised
-                        }
-                    }),
-                    _ => true,
-                })
-            }),
+            Property::always(
+                "an apply that says made is made everywhere",
+                |_, now: &Now| {
+                    now.appliers.iter().flatten().all(|a| match a.phase {
+                        Phase::Ended(made) => now.ingresses.iter().all(|i| {
+                            let stand = stand(i, &a.change);
+                            if made {
+                                stand == Stand::Made
+                            } else {
+                                stand != Stand::Made && stand != Stand::Promised
+                            }
+                        }),
+                        _ => true,
+                    })
+                },
+            ),
             Property::sometimes("a change is made", |_, now: &Now| {
                 now.ingresses.iter().all(|i| i.memory().enforced.number > 1)
             }),
             Property::sometimes("a change is given up", |_, now: &Now| {
-                now.appliers.iter().flatten().any(|a| a.phase == Phase::Ended(false))
+                now.appliers
+                    .iter()
+                    .flatten()
+                    .any(|a| a.phase == Phase::Ended(false))
             }),
         ]
     }
@@ -350,13 +429,28 @@
 fn search(variant: Variant, second: Second, crashes: u8) -> (usize, Vec<&'static str>) {
     let plans = [plan("ann", "new").id(), plan("bob", "other").id()];
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let checker =
-        World { variant, second, crashes, plans }.checker().symmetry().threads(threads).spawn_dfs().join();
-    let against = checker.discoveries().into_keys().filter(|name| !name.starts_with("a change is"));
+    let checker = World {
+        variant,
+        second,
+        crashes,
+        plans,
+    }
+    .checker()
+    .symmetry()
+    .threads(threads)
+    .spawn_dfs()
+    .join();
+    let against = checker
+        .discoveries()
+        .into_keys()
+        .filter(|name| !name.starts_with("a change is"));
     let against = against.collect();
     if variant == Variant::Whole {
         let found = checker.discoveries();
-        assert!(found.contains_key("a change is made"), "{second:?}: nothing is ever made");
+        assert!(
+            found.contains_key("a change is made"),
+            "{second:?}: nothing is ever made"
+        );
     }
     (checker.unique_state_count(), against)
 }
@@ -364,8 +458,15 @@
 #[test]
 fn every_interleaving_leaves_every_ingress_with_one_whole_generation() {
     // `WRENFORK_CRASHES=2` takes minutes.
-    let crashes = std::env::var("WRENFORK_CRASHES").ok().and_then(|n| n.parse().ok()).unwrap_or(1);
-    for second in [Second::AppliesAnother, Second::AppliesTheSame, Second::Recovers] {
+    let crashes = std::env::var("WRENFORK_CRASHES")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(1);
+    for second in [
+        Second::AppliesAnother,
+        Second::AppliesTheSame,
+        Second::Recovers,
+    ] {
         let (states, against) = search(Variant::Whole, second, crashes);
         println!("{second:?}, {crashes} crashes or losses: {states} states");
         assert_eq!(against, [""; 0], "{second:?}");
--- a/crates/ctl/examples/changes.rs
+++ b/crates/ctl/examples/changes.rs
@@ -13,18 +13,31 @@
 
 fn program(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("this program's path");
-    own.parent().and_then(Path::parent).expect("the folder of programs").join(name)
+    own.parent()
+        .and_then(Path::parent)
+        .expect("the folder of programs")
+        .join(name)
 }
 
 /// The most memory of a process so far, in MB.
 fn peak(id: u32) -> Option<f64> {
     let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     let line = status.lines().find(|l| l.starts_with("VmHWM"))?;
-    line.split_whitespace().nth(1)?.parse::<f64>().ok().map(|kb| kb / 1024.0)
+    line.split_whitespace()
+        .nth(1)?
+        .parse::<f64>()
+        .ok()
+        .map(|kb| kb / 1024.0)
 }
 
 /// An application of so many sidecars and accounts.
-fn application(folder: &Path, at: &[SocketAddr], peers: &[SocketAddr], accounts: usize, quota: &str) {
+fn application(
+    folder: &Path,
+    at: &[SocketAddr],
+    peers: &[SocketAddr],
+    accounts: usize,
+    quota: &str,
+) {
     let mut text =
         "version = 1\nkind = \"application\"\nname = \"desk\"\nsite = \"bangna\"\nsends = [\"quote\"]\n"
             .to_string();
@@ -59,11 +72,21 @@
         fs::create_dir(folder.path().join("files")).expect("a folder");
         let site = include_str!("../../config/tests/good/site.toml");
         fs::write(folder.path().join("files/site.toml"), site).expect("the site's file");
-        let entries: Vec<String> =
-            backends.iter().enumerate().map(|(n, b)| b.entry(&format!("s-{n}"), "up")).collect();
-        fs::write(folder.path().join("fleet.json"), list(1, true, &entries)).expect("the list of nodes");
+        let entries: Vec<String> = backends
+            .iter()
+            .enumerate()
+            .map(|(n, b)| b.entry(&format!("s-{n}"), "up"))
+            .collect();
+        fs::write(folder.path().join("fleet.json"), list(1, true, &entries))
+            .expect("the list of nodes");
         let (at, peers): (Vec<_>, Vec<_>) = (0..sidecars).map(|_| (place(), place())).unzip();
-        let mut site = Site { folder, at, peers, ingresses: Vec::new(), accounts };
+        let mut site = Site {
+            folder,
+            at,
+            peers,
+            ingresses: Vec::new(),
+            accounts,
+        };
         site.want("900/s");
         for n in 0..sidecars {
             let base = site.folder.path().display().to_string();
@@ -74,7 +97,8 @@
             let ingress = Ingress::run("", site.at[n], &line);
             let at = site.at[n];
             until("the sidecar is ready", || {
-                std::net::TcpStream::connect(at).is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG")
+                std::net::TcpStream::connect(at)
+                    .is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG")
             });
             site.ingresses.push(ingress);
         }
@@ -82,21 +106,35 @@
     }
 
     fn want(&self, quota: &str) {
-        application(self.folder.path(), &self.at, &self.peers, self.accounts, quota);
+        application(
+            self.folder.path(),
+            &self.at,
+            &self.peers,
+            self.accounts,
+            quota,
+        );
     }
 
     /// Runs `wrenctl`: its time, the most memory, and what it said last.
     fn wrenctl(&self, args: &[&str]) -> (Duration, f64, String) {
         let (start, mut most) = (Instant::now(), 0.0f64);
         let mut command = Command::new(program("wrenctl"));
-        command.args(args).current_dir(self.folder.path()).stdin(Stdio::null()).stdout(Stdio::piped());
+        command
+            .args(args)
+            .current_dir(self.folder.path())
+            .stdin(Stdio::null())
+            .stdout(Stdio::piped());
         let mut child = command.spawn().expect("wrenctl");
         while child.try_wait().expect("wrenctl").is_none() {
             most = most.max(peak(child.id()).unwrap_or(0.0));
             thread::sleep(Duration::from_millis(2));
         }
         let out = child.wait_with_output().expect("wrenctl");
-        let said = String::from_utf8_lossy(&out.stdout).lines().last().unwrap_or("").to_string();
+        let said = String::from_utf8_lossy(&out.stdout)
+            .lines()
+            .last()
+            .unwrap_or("")
+            .to_string();
         (start.elapsed(), most, said)
     }
 }
@@ -106,7 +144,12 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for (accounts, sidecars) in [(1_000, 3), (100_000, 20)] {
         let site = Site::start(sidecars, accounts, &[]);
-        let most = |site: &Site| site.ingresses.iter().filter_map(|i| peak(i.child.id())).fold(0.0, f64::max);
+        let most = |site: &Site| {
+            site.ingresses
+                .iter()
+                .filter_map(|i| peak(i.child.id()))
+                .fold(0.0, f64::max)
+        };
         let begun = most(&site);
         site.want("800/s");
         let (plan, memory, _) = site.wrenctl(&["plan", "files", "--out", "change.plan"]);
@@ -125,7 +168,10 @@
 /// Latencies of one second, in microseconds.
 fn quantile(times: &mut [u64], q: f64) -> u64 {
     times.sort_unstable();
-    times.get(((times.len() as f64 * q) as usize).min(times.len().saturating_sub(1))).copied().unwrap_or(0)
+    times
+        .get(((times.len() as f64 * q) as usize).min(times.len().saturating_sub(1)))
+        .copied()
+        .unwrap_or(0)
 }
 
 fn under_load() {
@@ -150,7 +196,10 @@
                             let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
                             let (id, began) = (format!("m{c}x{n}"), Instant::now());
                             client.ask(&command(&["CALL.GET", "0000000000000007", &id, options]));
-                            times.push((start.elapsed().as_secs_f64(), began.elapsed().as_micros() as u64));
+                            times.push((
+                                start.elapsed().as_secs_f64(),
+                                began.elapsed().as_micros() as u64,
+                            ));
                             thread::sleep(Duration::from_millis(10));
                         }
                         times
@@ -167,14 +216,30 @@
             let after = (start.elapsed().as_secs_f64(), site.ingresses[0].cpu());
             thread::sleep(Duration::from_secs(1));
             stop.store(true, Ordering::Relaxed);
-            let times: Vec<(f64, u64)> =
-                clients.into_iter().flat_map(|c| c.join().expect("a client")).collect();
-            (times, (at.1 - before.1, after.1 - at.1), (before.0, at.0, after.0))
+            let times: Vec<(f64, u64)> = clients
+                .into_iter()
+                .flat_map(|c| c.join().expect("a client"))
+                .collect();
+            (
+                times,
+                (at.1 - before.1, after.1 - at.1),
+                (before.0, at.0, after.0),
+            )
         });
-        for (name, from, to, cpu) in [("before", at.0, at.1, cpu.0), ("of the switch", at.1, at.2, cpu.1)] {
-            let mut some: Vec<u64> = times.iter().filter(|t| t.0 >= from && t.0 < to).map(|t| t.1).collect();
-            let (p50, p99, most) =
-                (quantile(&mut some, 0.5), quantile(&mut some, 0.99), quantile(&mut some, 1.0));
+        for (name, from, to, cpu) in [
+            ("before", at.0, at.1, cpu.0),
+            ("of the switch", at.1, at.2, cpu.1),
+        ] {
+            let mut some: Vec<u64> = times
+                .iter()
+                .filter(|t| t.0 >= from && t.0 < to)
+                .map(|t| t.1)
+                .collect();
+            let (p50, p99, most) = (
+                quantile(&mut some, 0.5),
+                quantile(&mut some, 0.99),
+                quantile(&mut some, 1.0),
+            );
             println!(
                 "| {accounts} | {name} | {} | {p50} us | {p99} us | {most} us | {} ms |",
                 some.len(),
--- a/crates/ctl/examples/pools.rs
+++ b/crates/ctl/examples/pools.rs
@@ -20,7 +20,10 @@
 
 fn program(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("this program's path");
-    own.parent().and_then(Path::parent).expect("the folder of programs").join(name)
+    own.parent()
+        .and_then(Path::parent)
+        .expect("the folder of programs")
+        .join(name)
 }
 
 fn script(folder: &Path, name: &str, line: &str) -> PathBuf {
@@ -41,8 +44,15 @@
 fn one(scenario: &Scenario, program: &Path) -> Report {
     loop {
         let stop = AtomicBool::new(false);
-        let report =
-            play(scenario, Run { program, stop: &stop, watch: None }).unwrap_or_else(|e| panic!("{e}"));
+        let report = play(
+            scenario,
+            Run {
+                program,
+                stop: &stop,
+                watch: None,
+            },
+        )
+        .unwrap_or_else(|e| panic!("{e}"));
         if report.verdict != Verdict::Late {
             return report;
         }
@@ -67,17 +77,32 @@
         .x_label_area_size(32)
         .y_label_area_size(44)
         .build_cartesian_2d(0..last, 0.0..1.05)?;
-    chart.configure_mesh().x_desc("second").y_desc("share of the worth").draw()?;
-    chart.draw_series([Rectangle::new([(LOST.0, 0.0), (LOST.1, 1.05)], BLACK.mix(0.06).filled())])?;
+    chart
+        .configure_mesh()
+        .x_desc("second")
+        .y_desc("share of the worth")
+        .draw()?;
+    chart.draw_series([Rectangle::new(
+        [(LOST.0, 0.0), (LOST.1, 1.05)],
+        BLACK.mix(0.06).filled(),
+    )])?;
     for (n, (name, report)) in runs.iter().enumerate() {
         let colour = Palette99::pick(n).stroke_width(2);
-        let points = report.seconds.iter().enumerate().map(|(s, share)| (s, share.min(1.05)));
+        let points = report
+            .seconds
+            .iter()
+            .enumerate()
+            .map(|(s, share)| (s, share.min(1.05)));
         chart
             .draw_series(LineSeries::new(points, colour))?
             .label(*name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
     }
-    chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
+    chart
+        .configure_series_labels()
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK)
+        .draw()?;
     area.present()?;
     Ok(())
 }
@@ -89,20 +114,35 @@
     let ingress = |name: &str, fallback: &str| {
         let file = folder.path().join(format!("{name}.toml"));
         fs::write(&file, pools(fallback)).expect("a file");
-        let line = format!("exec '{}' --operator '{}'", program("wrenfork").display(), file.display());
+        let line = format!(
+            "exec '{}' --operator '{}'",
+            program("wrenfork").display(),
+            file.display()
+        );
         script(folder.path(), name, &line)
     };
-    let relay = format!("WRENFORK_RELAY=fallback exec '{}'", program("wrenfork-relay").display());
+    let relay = format!(
+        "WRENFORK_RELAY=fallback exec '{}'",
+        program("wrenfork-relay").display()
+    );
     let kinds = [
         ("with a fallback", ingress("with", "fallback = \"b\"\n")),
         ("without one", ingress("without", "")),
         ("naive: all at once", script(folder.path(), "naive", &relay)),
     ];
-    let runs: Vec<(&str, Report)> = kinds.iter().map(|(name, at)| (*name, one(&scenario, at))).collect();
+    let runs: Vec<(&str, Report)> = kinds
+        .iter()
+        .map(|(name, at)| (*name, one(&scenario, at)))
+        .collect();
     println!("| | whole run | quotes | referrals | while lost | worst 10 s | refused | failed |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for (name, r) in &runs {
-        let of = |class: &str| r.classes.iter().find(|c| c.name == class).map_or(0.0, |c| c.share);
+        let of = |class: &str| {
+            r.classes
+                .iter()
+                .find(|c| c.name == class)
+                .map_or(0.0, |c| c.share)
+        };
         let lost = mean(&r.seconds[LOST.0.min(r.seconds.len())..LOST.1.min(r.seconds.len())]);
         println!(
             "| {name} | {:.3} | {:.3} | {:.3} | {lost:.3} | {:.3} | {} | {} |",
--- a/crates/ctl/src/change/apply.rs
+++ b/crates/ctl/src/change/apply.rs
@@ -60,12 +60,20 @@
     }
     eprint!("Make this change? Only \"yes\" makes it: ");
     let mut line = String::new();
-    std::io::stdin().lock().read_line(&mut line).map_err(|e| e.to_string())?;
-    (line.trim() == "yes").then_some(()).ok_or("not made".into())
+    std::io::stdin()
+        .lock()
+        .read_line(&mut line)
+        .map_err(|e| e.to_string())?;
+    (line.trim() == "yes")
+        .then_some(())
+        .ok_or("not made".into())
 }
 
 fn sockets(plan: &Plan) -> BTreeMap<String, PathBuf> {
-    plan.targets.iter().map(|t| (t.ingress.clone(), PathBuf::from(&t.control))).collect()
+    plan.targets
+        .iter()
+        .map(|t| (t.ingress.clone(), PathBuf::from(&t.control)))
+        .collect()
 }
 
 /// Whether a target still enforces what the plan was made from.
@@ -93,7 +101,10 @@
         let stands = look(&members(at)).and_then(|seen| Ok((seen.known()?, seen.away)));
         match stands {
             Ok((decree, gone)) => {
-                away.extend(gone.into_iter().filter(|(name, _)| decree.roster.seat(name).is_some()));
+                away.extend(
+                    gone.into_iter()
+                        .filter(|(name, _)| decree.roster.seat(name).is_some()),
+                );
                 if let Err(why) = follows(part, &decree, false) {
                     failed(why);
                     wrong = true;
@@ -119,7 +130,10 @@
 pub fn parts(plan: &Plan) -> (Vec<Part<'_>>, Plan) {
     let of = |group: &BTreeMap<String, String>| plan.only(|t| group.contains_key(&t.ingress));
     let groups = plan.groups.iter().map(|group| (group, of(group))).collect();
-    (groups, plan.only(|t| plan.groups.iter().all(|g| !g.contains_key(&t.ingress))))
+    (
+        groups,
+        plan.only(|t| plan.groups.iter().all(|g| !g.contains_key(&t.ingress))),
+    )
 }
 
 /// What a target enforces as the plan was made for, and what the plan wants of it.
@@ -133,7 +147,10 @@
         .at(name)
         .ok_or_else(|| format!("{name}: it is not in the roster any more: make the plan anew"))?;
     still(part, target, &enforces).map_err(|why| format!("{name}: {why}"))?;
-    let wanted = part.states.get(&target.wanted).ok_or("the plan has no such state")?;
+    let wanted = part
+        .states
+        .get(&target.wanted)
+        .ok_or("the plan has no such state")?;
     Ok((state, wanted))
 }
 
@@ -158,12 +175,16 @@
         let (has, wants) = (state.0.get(PROGRAM), wanted.0.get(PROGRAM));
         // What runs may be named; from then on it changes in stages.
         if has.is_some() && wants.is_some() && has != wants {
-            return Err(format!("{}: its program changes in stages: wrenctl rollout start", target.ingress));
+            return Err(format!(
+                "{}: its program changes in stages: wrenctl rollout start",
+                target.ingress
+            ));
         }
         states.insert(target.ingress.clone(), wanted.clone());
     }
     for seat in &stands.roster.seats {
-        if let (false, Some((_, state))) = (states.contains_key(&seat.name), stands.at(&seat.name)) {
+        if let (false, Some((_, state))) = (states.contains_key(&seat.name), stands.at(&seat.name))
+        {
             if !some {
                 return Err(format!(
                     "{} has come into the roster since the plan was made: make it anew",
@@ -174,7 +195,14 @@
         }
     }
     let (number, policy) = (stands.number + 1, Policy::of(&states));
-    Ok(Decree::new(number, part.generation, part.id(), &part.author, stands.roster.clone(), policy))
+    Ok(Decree::new(
+        number,
+        part.generation,
+        part.id(),
+        &part.author,
+        stands.roster.clone(),
+        policy,
+    ))
 }
 
 fn alone_unmoved(plan: &Plan) -> Result<(), ExitCode> {
@@ -192,7 +220,10 @@
                 Ok(()) => continue,
                 Err(why) => why,
             },
-            Some(Err(why)) => format!("{why}; --leave-out {} applies it to the others", target.ingress),
+            Some(Err(why)) => format!(
+                "{why}; --leave-out {} applies it to the others",
+                target.ingress
+            ),
             None => "nothing says where its socket is".to_string(),
         };
         failed(format!("{}: {why}", target.ingress));
@@ -215,7 +246,11 @@
     let (groups, rest) = parts(plan);
     let mut made = Vec::new();
     for (at, part) in groups {
-        let outcome = decide(&members(at), &Wanted::Decree(&|stands| follows(&part, stands, some)), patience);
+        let outcome = decide(
+            &members(at),
+            &Wanted::Decree(&|stands| follows(&part, stands, some)),
+            patience,
+        );
         decide::tell(&format!("change {}", part.id().short()), &outcome);
         let code = match outcome {
             Outcome::Made(..) => {
@@ -226,8 +261,15 @@
             Outcome::Unfinished => ExitCode::from(UNFINISHED),
         };
         if !made.is_empty() {
-            let done: Vec<&str> = made.iter().flat_map(|p| &p.targets).map(|t| t.ingress.as_str()).collect();
-            failed(format!("it was made at {} before: plan again for the rest", done.join(", ")));
+            let done: Vec<&str> = made
+                .iter()
+                .flat_map(|p| &p.targets)
+                .map(|t| t.ingress.as_str())
+                .collect();
+            failed(format!(
+                "it was made at {} before: plan again for the rest",
+                done.join(", ")
+            ));
         }
         return code;
     }
@@ -262,12 +304,16 @@
         return resume(&options.plan, options.patience);
     }
     let path = options.plan.display();
-    let text = std::fs::read_to_string(&options.plan).map_err(|e| failed(format!("{path}: {e}")))?;
+    let text =
+        std::fs::read_to_string(&options.plan).map_err(|e| failed(format!("{path}: {e}")))?;
     let plan = Plan::read(&text).map_err(|e| failed(format!("{path}: {e}")))?;
-    plan.still_good(micros()).map_err(|e| failed(format!("{path}: {e}")))?;
+    plan.still_good(micros())
+        .map_err(|e| failed(format!("{path}: {e}")))?;
     for name in &options.leave_out {
         if plan.targets.iter().all(|t| t.ingress != *name) {
-            return Err(failed(format!("the plan has no ingress {name} to leave out")));
+            return Err(failed(format!(
+                "the plan has no ingress {name} to leave out"
+            )));
         }
         if plan.groups.iter().any(|g| g.contains_key(name)) {
             return Err(failed(format!("{name} {}", plan::IN_A_GROUP)));
@@ -283,7 +329,9 @@
     show::away(&away);
     meant(options.yes).map_err(failed)?;
     match options.canary {
-        Some(first) if first < plan.targets.len() && first > 0 => canary(&plan, first, &away, options),
+        Some(first) if first < plan.targets.len() && first > 0 => {
+            canary(&plan, first, &away, options)
+        }
         _ => Ok(make(&plan, options.patience)),
     }
 }
@@ -291,9 +339,9 @@
 /// The sum of the figures of some ingresses.
 fn figures(plan: &Plan) -> Result<Figures, ExitCode> {
     let mut sum = Figures::default();
-    for (target, status) in
-        plan.targets.iter().zip(folder::status(plan.targets.iter().map(|t| Path::new(&t.control))))
-    {
+    for (target, status) in plan.targets.iter().zip(folder::status(
+        plan.targets.iter().map(|t| Path::new(&t.control)),
+    )) {
         let status = status.map_err(|why| failed(format!("{}: {why}", target.ingress)))?;
         sum.add(&status.figures);
     }
@@ -322,13 +370,21 @@
         .collect();
     let part = plan.only(|t| names.contains(&t.ingress.as_str()));
     let rest = plan.only(|t| !names.contains(&t.ingress.as_str()));
-    eprintln!("watching {} for {:?} before the change", names.join(", "), options.watch);
+    eprintln!(
+        "watching {} for {:?} before the change",
+        names.join(", "),
+        options.watch
+    );
     let before = watched(&part, options.watch)?;
     let made = make_at(&part, true, options.patience);
     if made != ExitCode::SUCCESS {
         return Ok(made);
     }
-    eprintln!("watching {} for {:?} after the change", names.join(", "), options.watch);
+    eprintln!(
+        "watching {} for {:?} after the change",
+        names.join(", "),
+        options.watch
+    );
     let after = watched(&part, options.watch)?;
     let (was, is) = (before.lost(), after.lost());
     let mut table = style::table(&["", "served", "refused", "failed", "lost"]);
@@ -348,7 +404,11 @@
         anstream::eprintln!("{} {why}: taking it back", style::bad("canary:"));
         let back = back(&part)?;
         let taken = make_at(&back, true, options.patience);
-        return Ok(if taken == ExitCode::SUCCESS { ExitCode::FAILURE } else { taken });
+        return Ok(if taken == ExitCode::SUCCESS {
+            ExitCode::FAILURE
+        } else {
+            taken
+        });
     }
     Ok(make_at(&behind(&part, rest), true, options.patience))
 }
@@ -368,7 +428,10 @@
 /// The plan that undoes one that was just made.
 fn back(plan: &Plan) -> Result<Plan, ExitCode> {
     let has = folder::status(plan.targets.iter().map(|t| Path::new(&t.control)));
-    let has = has.into_iter().collect::<Result<Vec<_>, _>>().map_err(failed)?;
+    let has = has
+        .into_iter()
+        .collect::<Result<Vec<_>, _>>()
+        .map_err(failed)?;
     let ingresses = plan.targets.iter().map(|t| Ingress {
         name: t.ingress.clone(),
         control: PathBuf::from(&t.control),
@@ -376,8 +439,19 @@
     });
     let grouped = |name: &str| plan.groups.iter().any(|g| g.contains_key(name));
     let numbers = |n: usize| plan.targets.get(n).map_or(0, |t| t.base.number);
-    let was = folder::recall(ingresses.collect(), &has, &BTreeMap::new(), grouped, numbers)?;
-    let made = plan::make((&plan.author, micros(), plan.good_for), was, has, plan.groups.clone())?;
+    let was = folder::recall(
+        ingresses.collect(),
+        &has,
+        &BTreeMap::new(),
+        grouped,
+        numbers,
+    )?;
+    let made = plan::make(
+        (&plan.author, micros(), plan.good_for),
+        was,
+        has,
+        plan.groups.clone(),
+    )?;
     made.ok_or_else(|| failed("there is nothing to take back"))
 }
 
@@ -387,9 +461,17 @@
     let (mut at, groups): (BTreeMap<String, PathBuf>, Vec<Sockets>) = if from.is_dir() {
         let files = folder::read(from)?;
         let groups = files.groups.values().map(|g| g.links("")).collect();
-        (files.ingresses.into_iter().map(|i| (i.name, i.control)).collect(), groups)
+        (
+            files
+                .ingresses
+                .into_iter()
+                .map(|i| (i.name, i.control))
+                .collect(),
+            groups,
+        )
     } else {
-        let text = std::fs::read_to_string(from).map_err(|e| failed(format!("{}: {e}", from.display())))?;
+        let text = std::fs::read_to_string(from)
+            .map_err(|e| failed(format!("{}: {e}", from.display())))?;
         let plan = Plan::read(&text).map_err(|e| failed(format!("{}: {e}", from.display())))?;
         (sockets(&plan), plan.groups.iter().map(members).collect())
     };
@@ -405,7 +487,10 @@
     if at.is_empty() {
         return Ok(worst);
     }
-    for ((name, _), status) in at.iter().zip(folder::status(at.values().map(PathBuf::as_path))) {
+    for ((name, _), status) in at
+        .iter()
+        .zip(folder::status(at.values().map(PathBuf::as_path)))
+    {
         match status {
             Ok(status) => {
                 if let Some(p) = status.promise {
--- a/crates/ctl/src/change/drive.rs
+++ b/crates/ctl/src/change/drive.rs
@@ -22,8 +22,10 @@
     let mut answers = Vec::with_capacity(asks.len());
     for some in asks.chunks(MOST_AT_ONCE) {
         std::thread::scope(|scope| {
-            let asked: Vec<_> =
-                some.iter().map(|(at, ask)| scope.spawn(move || client::ask(at, ask, patience))).collect();
+            let asked: Vec<_> = some
+                .iter()
+                .map(|(at, ask)| scope.spawn(move || client::ask(at, ask, patience)))
+                .collect();
             for one in asked {
                 answers.push(one.join().unwrap_or_else(|_| Err("the ask ended".into())));
             }
@@ -52,7 +54,9 @@
 
 impl Progress {
     fn new() -> Progress {
-        let bar = std::io::stderr().is_terminal().then(|| indicatif::ProgressBar::new(0));
+        let bar = std::io::stderr()
+            .is_terminal()
+            .then(|| indicatif::ProgressBar::new(0));
         Progress { bar, phase: "" }
     }
 
@@ -106,7 +110,9 @@
         let mut asked = Vec::new();
         let mut asks = Vec::new();
         for member in 0..applier.members.len() {
-            let Some(ask) = applier.ask(member) else { continue };
+            let Some(ask) = applier.ask(member) else {
+                continue;
+            };
             let Some(path) = at.get(&applier.members[member].ingress) else {
                 why.insert(
                     applier.members[member].ingress.clone(),
@@ -118,12 +124,14 @@
             asks.push((path.clone(), ask));
         }
         // One after the other where a test ends this process in between.
-        let answers = asks.chunks(if faults.any() { 1 } else { usize::MAX }).flat_map(|some| {
-            faults.pass("apply", "asking");
-            let answers = ask_all(some.to_vec(), PATIENCE);
-            faults.pass("apply", "answered");
-            answers
-        });
+        let answers = asks
+            .chunks(if faults.any() { 1 } else { usize::MAX })
+            .flat_map(|some| {
+                faults.pass("apply", "asking");
+                let answers = ask_all(some.to_vec(), PATIENCE);
+                faults.pass("apply", "answered");
+                answers
+            });
         let answers: Vec<_> = answers.collect();
         let mut silent = asked.is_empty();
         for (member, answer) in asked.into_iter().zip(answers) {
@@ -139,10 +147,17 @@
             faults.pass("apply", "decided");
             continue;
         }
-        let left: Vec<&str> =
-            applier.members.iter().filter(|m| !m.answered).map(|m| m.ingress.as_str()).collect();
+        let left: Vec<&str> = applier
+            .members
+            .iter()
+            .filter(|m| !m.answered)
+            .map(|m| m.ingress.as_str())
+            .collect();
         if !left.is_empty() && start.elapsed() > patience {
-            let told = |name: &str| why.get(name).map_or(name.to_string(), |why| format!("{name} ({why})"));
+            let told = |name: &str| {
+                why.get(name)
+                    .map_or(name.to_string(), |why| format!("{name} ({why})"))
+            };
             return End::Unfinished(left.into_iter().map(told).collect());
         }
         if silent {
--- a/crates/ctl/src/change/folder.rs
+++ b/crates/ctl/src/change/folder.rs
@@ -48,7 +48,9 @@
 impl Files {
     /// The group that an ingress belongs to, if any.
     pub fn group_of(&self, ingress: &str) -> Option<&Group> {
-        self.groups.values().find(|g| g.members.iter().any(|m| m.name == ingress))
+        self.groups
+            .values()
+            .find(|g| g.members.iter().any(|m| m.name == ingress))
     }
 }
 
@@ -74,7 +76,10 @@
     }
     files.sort();
     if files.is_empty() {
-        return Err(format!("{}: there are no files of a site here (*.toml)", folder.display()));
+        return Err(format!(
+            "{}: there are no files of a site here (*.toml)",
+            folder.display()
+        ));
     }
     Ok(files)
 }
@@ -91,7 +96,10 @@
         return Err(ExitCode::FAILURE);
     }
     let Some(site) = set.site() else {
-        return Err(super::failed(format!("{}: there is no site's file", folder.display())));
+        return Err(super::failed(format!(
+            "{}: there is no site's file",
+            folder.display()
+        )));
     };
     let fleet = set.fleet().map(|f| f.content);
     let (mut found, mut all) = (Vec::<Ingress>::new(), Vec::new());
@@ -101,7 +109,9 @@
             groups.insert(app.content.called().to_string(), group);
         }
         for sidecar in &app.content.sidecars {
-            let Some(control) = &sidecar.control else { continue };
+            let Some(control) = &sidecar.control else {
+                continue;
+            };
             let name = &sidecar.name.value;
             let (_, told) =
                 enforced::sidecar(app.content, site.content, fleet, name).map_err(super::failed)?;
@@ -119,7 +129,10 @@
         )));
     }
     found.sort_by(|a, b| a.name.cmp(&b.name));
-    Ok(Files { ingresses: found, groups })
+    Ok(Files {
+        ingresses: found,
+        groups,
+    })
 }
 
 /// Of what one enforces, the same for another: with the differences that there are between the two of them elsewhere.
@@ -145,14 +158,30 @@
     grouped: impl Fn(&str) -> bool,
     numbers: impl Fn(usize) -> u64,
 ) -> Result<Vec<Ingress>, ExitCode> {
-    let there = ingresses.iter().enumerate().filter(|(_, i)| !away.contains_key(&i.name));
-    let (places, asks): (Vec<usize>, Vec<_>) =
-        there.map(|(n, i)| (n, (i.control.clone(), Ask::Recall { generation: numbers(n) }))).unzip();
+    let there = ingresses
+        .iter()
+        .enumerate()
+        .filter(|(_, i)| !away.contains_key(&i.name));
+    let (places, asks): (Vec<usize>, Vec<_>) = there
+        .map(|(n, i)| {
+            (
+                n,
+                (
+                    i.control.clone(),
+                    Ask::Recall {
+                        generation: numbers(n),
+                    },
+                ),
+            )
+        })
+        .unzip();
     let answers = drive::ask_all(asks, PATIENCE);
     let mut known: BTreeMap<usize, Arc<Pairs>> = BTreeMap::new();
     let mut missing: BTreeMap<usize, String> = away
         .iter()
-        .filter_map(|(name, why)| Some((ingresses.iter().position(|i| i.name == *name)?, why.clone())))
+        .filter_map(|(name, why)| {
+            Some((ingresses.iter().position(|i| i.name == *name)?, why.clone()))
+        })
         .collect();
     for (n, answer) in places.into_iter().zip(answers) {
         match answer {
@@ -161,41 +190,71 @@
             Ok(_) => drop(missing.insert(n, "it answers something else".into())),
         }
     }
-    let application = |n: usize| ingresses[n].name.split('/').next().unwrap_or("").to_string();
+    let application = |n: usize| {
+        ingresses[n]
+            .name
+            .split('/')
+            .next()
+            .unwrap_or("")
+            .to_string()
+    };
     for (n, why) in missing {
         let name = &ingresses[n].name;
-        let other = known.iter().find(|(other, _)| application(**other) == application(n));
+        let other = known
+            .iter()
+            .find(|(other, _)| application(**other) == application(n));
         let Some((other, state)) = other.filter(|_| grouped(name)) else {
             return Err(super::failed(format!("{name}: {why}")));
         };
         let state = like(state, &has[*other].state.0, &has[n].state.0);
         known.insert(n, Arc::new(state));
     }
-    let was = ingresses.into_iter().enumerate().filter_map(|(n, ingress)| {
-        let wanted = known.remove(&n)?;
-        Some(Ingress { wanted, ..ingress })
-    });
+    let was = ingresses
+        .into_iter()
+        .enumerate()
+        .filter_map(|(n, ingress)| {
+            let wanted = known.remove(&n)?;
+            Some(Ingress { wanted, ..ingress })
+        });
     Ok(was.collect())
 }
 
 /// Asks ingresses, all at once, what they enforce.
 pub fn status<'a>(at: impl IntoIterator<Item = &'a Path>) -> Vec<Result<Status, String>> {
-    let asks: Vec<_> = at.into_iter().map(|path| (path.to_path_buf(), Ask::Status)).collect();
+    let asks: Vec<_> = at
+        .into_iter()
+        .map(|path| (path.to_path_buf(), Ask::Status))
+        .collect();
     let mut known: HashMap<Digest, Arc<State>> = HashMap::new();
     // Some at once: each may be of some megabytes, and most are the same.
     let answers = asks.chunks(STATES_AT_ONCE).flat_map(|some| {
         let mut answers = drive::ask_all(some.to_vec(), PATIENCE);
         for answer in answers.iter_mut().flatten() {
-            if let Say::Status { generation, state, .. } = answer {
-                *state = known.entry(generation.digest.clone()).or_insert_with(|| state.clone()).clone();
+            if let Say::Status {
+                generation, state, ..
+            } = answer
+            {
+                *state = known
+                    .entry(generation.digest.clone())
+                    .or_insert_with(|| state.clone())
+                    .clone();
             }
         }
         answers
     });
     let read = answers.map(|answer| match answer? {
-        Say::Status { generation, state, promise, figures, .. } => {
-            Ok(Status { generation, state, promise, figures })
-        }
+        Say::Status {
+            generation,
+            state,
+            promise,
+            figures,
+            ..
+        } => Ok(Status {
+            generation,
+            state,
+            promise,
+            figures,
+        }),
         Say::No { why } => Err(why),
         _ => Err("it answers something else".into()),
     });
--- a/crates/ctl/src/change/history.rs
+++ b/crates/ctl/src/change/history.rs
@@ -37,7 +37,9 @@
 fn run(options: &Options, rollouts: bool) -> Result<ExitCode, ExitCode> {
     let files = folder::read(&options.folder)?;
     let ingresses = &files.ingresses;
-    let asks = ingresses.iter().map(|i| (i.control.clone(), Ask::History { most: options.most }));
+    let asks = ingresses
+        .iter()
+        .map(|i| (i.control.clone(), Ask::History { most: options.most }));
     let answers = drive::ask_all(asks.collect(), Duration::from_secs(5));
     let (mut rows, mut code): (Vec<(String, Record)>, _) = (Vec::new(), ExitCode::SUCCESS);
     for (ingress, answer) in ingresses.iter().zip(answers) {
@@ -61,20 +63,39 @@
     }
     match options.format {
         Format::Json => {
-            let rows: Vec<_> = rows.iter().map(|(name, r)| json!({"ingress": name, "record": r})).collect();
-            println!("{}", serde_json::to_string_pretty(&rows).unwrap_or_default());
+            let rows: Vec<_> = rows
+                .iter()
+                .map(|(name, r)| json!({"ingress": name, "record": r}))
+                .collect();
+            println!(
+                "{}",
+                serde_json::to_string_pretty(&rows).unwrap_or_default()
+            );
         }
         Format::Text => {
-            let mut table = style::table(&["when", "ingress", "what", "generation", "change", "who", "why"]);
+            let mut table = style::table(&[
+                "when",
+                "ingress",
+                "what",
+                "generation",
+                "change",
+                "who",
+                "why",
+            ]);
             for (name, r) in &rows {
                 let when =
-                    humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_secs(r.at)).to_string();
+                    humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_secs(r.at))
+                        .to_string();
                 let what = match r.what.as_str() {
                     "made" => style::good(&r.what),
                     "refused" | "given up" => style::bad(&r.what),
                     other => other.to_string(),
                 };
-                let generation = if r.generation == 0 { String::new() } else { r.generation.to_string() };
+                let generation = if r.generation == 0 {
+                    String::new()
+                } else {
+                    r.generation.to_string()
+                };
                 let cells = [
                     when,
                     name.clone(),
--- a/crates/ctl/src/change/mod.rs
+++ b/crates/ctl/src/change/mod.rs
@@ -26,7 +26,9 @@
 
 /// The time, in microseconds of Unix time. It is also what tells one applier, and one plan, from another.
 pub fn micros() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64)
 }
 
 /// A span of time, in the words of the files.
@@ -37,5 +39,8 @@
 /// Who does this, unless it is said.
 pub fn author(said: Option<&str>) -> String {
     let told = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
-    said.map(String::from).or_else(|| told("USER")).or_else(|| told("LOGNAME")).unwrap_or("unknown".into())
+    said.map(String::from)
+        .or_else(|| told("USER"))
+        .or_else(|| told("LOGNAME"))
+        .unwrap_or("unknown".into())
 }
--- a/crates/ctl/src/change/plan.rs
+++ b/crates/ctl/src/change/plan.rs
@@ -70,7 +70,10 @@
         }
         std::thread::sleep(LOOK_AGAIN);
     }
-    Err("something is being decided there: try again, or wrenctl apply --resume settles it at once".into())
+    Err(
+        "something is being decided there: try again, or wrenctl apply --resume settles it at once"
+            .into(),
+    )
 }
 
 /// Why a member of a group can't be left out.
@@ -99,18 +102,26 @@
         for seat in &decree.roster.seats {
             if !at.contains_key(&seat.name) {
                 let name = &seat.name;
-                refuse(format!("{name} is in the roster and not in the files: wrenctl roster remove {name}"));
+                refuse(format!(
+                    "{name} is in the roster and not in the files: wrenctl roster remove {name}"
+                ));
             }
             if let Some((generation, state)) = decree.at(&seat.name) {
                 // Most members enforce the same, which is kept once.
-                let state =
-                    states.entry(generation.digest.clone()).or_insert_with(|| Arc::new(state)).clone();
+                let state = states
+                    .entry(generation.digest.clone())
+                    .or_insert_with(|| Arc::new(state))
+                    .clone();
                 stands.insert(seat.name.clone(), (generation, state));
             }
         }
         let seated = |name: &String| decree.roster.seat(name).is_some();
         away.extend(seen.away.into_iter().filter(|(name, _)| seated(name)));
-        groups.push(at.iter().map(|(name, path)| (name.clone(), path.display().to_string())).collect());
+        groups.push(
+            at.iter()
+                .map(|(name, path)| (name.clone(), path.display().to_string()))
+                .collect(),
+        );
     }
     let grouped: BTreeSet<String> = files
         .ingresses
@@ -118,8 +129,10 @@
         .filter(|i| files.group_of(&i.name).is_some())
         .map(|i| i.name.clone())
         .collect();
-    let (seated, unseated): (Vec<_>, Vec<_>) =
-        files.ingresses.into_iter().partition(|i| !grouped.contains(&i.name) || stands.contains_key(&i.name));
+    let (seated, unseated): (Vec<_>, Vec<_>) = files
+        .ingresses
+        .into_iter()
+        .partition(|i| !grouped.contains(&i.name) || stands.contains_key(&i.name));
     if wrong {
         return Err(ExitCode::FAILURE);
     }
@@ -136,7 +149,12 @@
             (status.generation, status.state) = (generation.clone(), state.clone());
         }
     }
-    Ok(Found { ingresses: seated, has, away, groups })
+    Ok(Found {
+        ingresses: seated,
+        has,
+        away,
+        groups,
+    })
 }
 
 /// What ingresses say of themselves. Of a member of a group that is away it is known what stands there, and nothing else.
@@ -151,7 +169,9 @@
     for ingress in ingresses {
         let status = match away.get(&ingress.name) {
             Some(why) => Err(why.clone()),
-            None => found.next().unwrap_or_else(|| Err("it was not asked".into())),
+            None => found
+                .next()
+                .unwrap_or_else(|| Err("it was not asked".into())),
         };
         let known = stands.get(&ingress.name);
         match (status, known) {
@@ -174,7 +194,10 @@
                 seen.push(status);
             }
             (Err(why), None) => {
-                failed(format!("{}: {why}; --leave-out {} plans without it", ingress.name, ingress.name));
+                failed(format!(
+                    "{}: {why}; --leave-out {} plans without it",
+                    ingress.name, ingress.name
+                ));
                 wrong = true;
             }
         }
@@ -186,8 +209,24 @@
 }
 
 fn node(seen: &NodeSeen) -> Node<'_> {
-    let NodeSeen { name, hall, model, group, takes, rests } = seen;
-    Node { traits: Traits { name, hall, model, group: *group }, takes: *takes, rests }
+    let NodeSeen {
+        name,
+        hall,
+        model,
+        group,
+        takes,
+        rests,
+    } = seen;
+    Node {
+        traits: Traits {
+            name,
+            hall,
+            model,
+            group: *group,
+        },
+        takes: *takes,
+        rests,
+    }
 }
 
 /// Makes a plan for ingresses, each to enforce what is wanted of it.
@@ -203,18 +242,23 @@
     let mut known: Vec<((Vec<*const State>, *const _), Arc<State>)> = Vec::new();
     let aligned = ingresses.iter().map(|ingress| {
         let own = application(&ingress.name);
-        let all = ingresses.iter().zip(&has).filter(|(i, _)| application(&i.name) == own);
+        let all = ingresses
+            .iter()
+            .zip(&has)
+            .filter(|(i, _)| application(&i.name) == own);
         let mut running: Vec<&Arc<State>> = all.map(|(_, has)| &has.state).collect();
         running.dedup_by(|a, b| Arc::ptr_eq(a, b));
         // Those that are alike before and after are aligned once.
-        let key: (Vec<_>, _) =
-            (running.iter().map(|r| Arc::as_ptr(r)).collect(), Arc::as_ptr(&ingress.wanted));
+        let key: (Vec<_>, _) = (
+            running.iter().map(|r| Arc::as_ptr(r)).collect(),
+            Arc::as_ptr(&ingress.wanted),
+        );
         if let Some((_, done)) = known.iter().find(|(k, _)| *k == key) {
             return Ok::<_, ExitCode>(Arc::clone(done));
         }
         let places: Vec<_> = running.iter().map(|r| &r.0).collect();
-        let aligned =
-            align(&places, &ingress.wanted).map_err(|why| failed(format!("{}: {why}", ingress.name)))?;
+        let aligned = align(&places, &ingress.wanted)
+            .map_err(|why| failed(format!("{}: {why}", ingress.name)))?;
         known.push((key, Arc::new(State(aligned))));
         Ok(known[known.len() - 1].1.clone())
     });
@@ -223,7 +267,10 @@
         let nodes: Vec<Node> = has.figures.nodes.iter().map(node).collect();
         let lost = stranded(&has.state.0, &wanted.0, &nodes);
         seen.push(Seen {
-            besides: lost.into_iter().map(|(key, what)| Danger { key, what }).collect(),
+            besides: lost
+                .into_iter()
+                .map(|(key, what)| Danger { key, what })
+                .collect(),
             ingress: ingress.name,
             control: ingress.control.display().to_string(),
             base: has.generation,
@@ -238,9 +285,14 @@
 /// Writes a plan's file: whole or not at all.
 pub fn write(plan: &Plan, to: &Path) -> Result<(), String> {
     let told = |e: std::io::Error| format!("{}: {e}", to.display());
-    let folder = to.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = to
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let mut file = tempfile::NamedTempFile::new_in(folder).map_err(told)?;
-    file.write_all(plan.write().as_bytes()).and_then(|()| file.as_file().sync_all()).map_err(told)?;
+    file.write_all(plan.write().as_bytes())
+        .and_then(|()| file.as_file().sync_all())
+        .map_err(told)?;
     file.persist(to).map_err(|e| told(e.error))?;
     Ok(())
 }
@@ -255,8 +307,18 @@
         generation: plan.generation,
         why: why.into(),
     };
-    let there = plan.targets.iter().filter(|t| !away.contains_key(&t.ingress));
-    let asks = there.map(|t| (PathBuf::from(&t.control), Ask::Note { record: record.clone() }));
+    let there = plan
+        .targets
+        .iter()
+        .filter(|t| !away.contains_key(&t.ingress));
+    let asks = there.map(|t| {
+        (
+            PathBuf::from(&t.control),
+            Ask::Note {
+                record: record.clone(),
+            },
+        )
+    });
     super::drive::ask_all(asks.collect(), Duration::from_secs(5));
 }
 
@@ -274,11 +336,17 @@
             return Err(failed(format!("{name} {IN_A_GROUP}")));
         }
     }
-    files.ingresses.retain(|i| !options.leave_out.contains(&i.name));
+    files
+        .ingresses
+        .retain(|i| !options.leave_out.contains(&i.name));
     let found = look(files)?;
     let author = author(options.author.as_deref());
-    let plan =
-        make((&author, micros(), options.good_for.as_secs()), found.ingresses, found.has, found.groups)?;
+    let plan = make(
+        (&author, micros(), options.good_for.as_secs()),
+        found.ingresses,
+        found.has,
+        found.groups,
+    )?;
     let Some(plan) = plan else {
         match options.format {
             Format::Text => anstream::println!(
@@ -300,7 +368,11 @@
         write(&plan, out).map_err(failed)?;
         note(&plan, &found.away, "planned", &author, "");
         if options.format == Format::Text {
-            anstream::println!("written to {}; wrenctl apply {} makes it", out.display(), out.display());
+            anstream::println!(
+                "written to {}; wrenctl apply {} makes it",
+                out.display(),
+                out.display()
+            );
         }
     }
     Ok(ExitCode::from(CHANGES))
--- a/crates/ctl/src/change/rollback.rs
+++ b/crates/ctl/src/change/rollback.rs
@@ -35,10 +35,16 @@
 fn run(options: &Options) -> Result<ExitCode, ExitCode> {
     let found = plan::look(folder::read(&options.folder)?)?;
     let grouped = |name: &str| found.groups.iter().any(|g| g.contains_key(name));
-    let wanted = folder::recall(found.ingresses, &found.has, &found.away, grouped, |_| options.generation)?;
+    let wanted = folder::recall(found.ingresses, &found.has, &found.away, grouped, |_| {
+        options.generation
+    })?;
     let author = author(options.author.as_deref());
-    let Some(made) = plan::make((&author, micros(), 3_600), wanted, found.has, found.groups)? else {
-        println!("nothing to do: generation {} is what is enforced", options.generation);
+    let Some(made) = plan::make((&author, micros(), 3_600), wanted, found.has, found.groups)?
+    else {
+        println!(
+            "nothing to do: generation {} is what is enforced",
+            options.generation
+        );
         return Ok(ExitCode::SUCCESS);
     };
     show::text(&made);
--- a/crates/ctl/src/change/show.rs
+++ b/crates/ctl/src/change/show.rs
@@ -16,7 +16,10 @@
     let target = plan.targets.iter().find(|t| t.differences == list);
     let wanted = target.and_then(|t| plan.states.get(&t.wanted));
     let empty = BTreeMap::new();
-    let before = all.iter().filter_map(|d| Some((d.key.clone(), d.old.clone()?))).collect();
+    let before = all
+        .iter()
+        .filter_map(|d| Some((d.key.clone(), d.old.clone()?)))
+        .collect();
     spoken(&d.key, &before, wanted.map_or(&empty, |s| &s.0))
 }
 
@@ -26,8 +29,12 @@
         if list.is_empty() {
             continue;
         }
-        let at: Vec<&str> =
-            plan.targets.iter().filter(|t| t.differences == number).map(|t| t.ingress.as_str()).collect();
+        let at: Vec<&str> = plan
+            .targets
+            .iter()
+            .filter(|t| t.differences == number)
+            .map(|t| t.ingress.as_str())
+            .collect();
         println!("{}", style::head(format!("at {}:", at.join(", "))));
         for d in list.iter().take(MOST_SHOWN) {
             let key = name(d, list, plan, number);
@@ -46,16 +53,29 @@
             }
         }
         if list.len() > MOST_SHOWN {
-            println!("  and {} more; --format json tells all", list.len() - MOST_SHOWN);
+            println!(
+                "  and {} more; --format json tells all",
+                list.len() - MOST_SHOWN
+            );
         }
     }
-    let same = plan.targets.iter().filter(|t| plan.differences[t.differences].is_empty()).count();
+    let same = plan
+        .targets
+        .iter()
+        .filter(|t| plan.differences[t.differences].is_empty())
+        .count();
     if same > 0 {
         println!("{same} ingresses change nothing but their number");
     }
     for danger in &plan.dangers {
-        let number = plan.differences.iter().position(|l| l.iter().any(|d| d.key == danger.key)).unwrap_or(0);
-        let d = plan.differences[number].iter().find(|d| d.key == danger.key);
+        let number = plan
+            .differences
+            .iter()
+            .position(|l| l.iter().any(|d| d.key == danger.key))
+            .unwrap_or(0);
+        let d = plan.differences[number]
+            .iter()
+            .find(|d| d.key == danger.key);
         let none = BTreeMap::new();
         let spoken = || spoken(&danger.key, &none, &none);
         let key = d.map_or_else(spoken, |d| name(d, &plan.differences[number], plan, number));
@@ -90,5 +110,8 @@
     let whole = json!({"change": plan.id(), "author": plan.author, "made_at": plan.made_at, "good_for": plan.good_for,
                        "generation": plan.generation, "targets": targets.collect::<Vec<_>>(),
                        "dangers": plan.dangers, "away": away});
-    println!("{}", serde_json::to_string_pretty(&whole).unwrap_or_default());
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&whole).unwrap_or_default()
+    );
 }
--- a/crates/ctl/src/config/check.rs
+++ b/crates/ctl/src/config/check.rs
@@ -28,7 +28,11 @@
         Some(Err(why)) => return failed(why),
         None => None,
     };
-    files.extend(listed.as_ref().map(|f: &discovery::Listed| Path::to_path_buf(f.path())));
+    files.extend(
+        listed
+            .as_ref()
+            .map(|f: &discovery::Listed| Path::to_path_buf(f.path())),
+    );
     let set = Set::read(&files);
     match options.format {
         Format::Text => print::text(&set),
--- a/crates/ctl/src/config/discovery.rs
+++ b/crates/ctl/src/config/discovery.rs
@@ -44,7 +44,11 @@
             n => came.extend_from_slice(&chunk[..n]),
         }
     };
-    let path = std::env::temp_dir().join(format!("discovery-{}-{}.json", at.port(), std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "discovery-{}-{}.json",
+        at.port(),
+        std::process::id()
+    ));
     fs::write(&path, body).map_err(|e| format!("cannot keep discovery's list: {e}"))?;
     Ok(Listed(path))
 }
@@ -53,15 +57,29 @@
 fn body(came: &[u8]) -> Result<Option<Vec<u8>>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Response::new(&mut headers);
-    let size = match head.parse(came).map_err(|e| format!("the answer is no HTTP: {e}"))? {
+    let size = match head
+        .parse(came)
+        .map_err(|e| format!("the answer is no HTTP: {e}"))?
+    {
         httparse::Status::Partial => return Ok(None),
         httparse::Status::Complete(size) => size,
     };
     if head.code != Some(200) {
         return Err(format!("it answers {}", head.code.unwrap_or(0)));
     }
-    let length = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"));
-    let length = length.and_then(|h| std::str::from_utf8(h.value).ok()?.trim().parse::<usize>().ok());
+    let length = head
+        .headers
+        .iter()
+        .find(|h| h.name.eq_ignore_ascii_case("content-length"));
+    let length = length.and_then(|h| {
+        std::str::from_utf8(h.value)
+            .ok()?
+            .trim()
+            .parse::<usize>()
+            .ok()
+    });
     let length = length.ok_or("the answer does not say how long it is")?;
-    Ok(came.get(size..size.saturating_add(length)).map(<[u8]>::to_vec))
+    Ok(came
+        .get(size..size.saturating_add(length))
+        .map(<[u8]>::to_vec))
 }
--- a/crates/ctl/src/config/fmt.rs
+++ b/crates/ctl/src/config/fmt.rs
@@ -22,10 +22,14 @@
 
 /// Replaces a file at one go: whoever reads it meanwhile has the old text or the new.
 fn replace(path: &Path, text: &str) -> std::io::Result<()> {
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let mut file = tempfile::NamedTempFile::new_in(folder)?;
     file.write_all(text.as_bytes())?;
-    file.as_file().set_permissions(fs::metadata(path)?.permissions())?;
+    file.as_file()
+        .set_permissions(fs::metadata(path)?.permissions())?;
     file.as_file().sync_all()?;
     file.persist(path).map_err(|e| e.error)?;
     Ok(())
--- a/crates/ctl/src/config/mod.rs
+++ b/crates/ctl/src/config/mod.rs
@@ -93,7 +93,10 @@
         Verb::Explain { code } => explain(code.as_deref()),
         Verb::Schema { kind } => {
             let schema = schema::schema(kind.map(KindWord::kind));
-            println!("{}", serde_json::to_string_pretty(&schema).unwrap_or_default());
+            println!(
+                "{}",
+                serde_json::to_string_pretty(&schema).unwrap_or_default()
+            );
             ExitCode::SUCCESS
         }
         Verb::Reference => {
@@ -113,9 +116,17 @@
     let (Some(site), [app]) = (set.site(), &apps[..]) else {
         return failed("one application and its site are wanted");
     };
-    match render(app.content, site.content, set.fleet().map(|f| f.content), ingress) {
+    match render(
+        app.content,
+        site.content,
+        set.fleet().map(|f| f.content),
+        ingress,
+    ) {
         Ok(told) => {
-            println!("{}", serde_json::to_string_pretty(&told).unwrap_or_default());
+            println!(
+                "{}",
+                serde_json::to_string_pretty(&told).unwrap_or_default()
+            );
             ExitCode::SUCCESS
         }
         Err(why) => failed(why),
@@ -132,13 +143,20 @@
         return ExitCode::SUCCESS;
     };
     let Some(code) = Code::by_id(id) else {
-        return failed(format!("there is no code {id}; `wrenctl config explain` lists all"));
+        return failed(format!(
+            "there is no code {id}; `wrenctl config explain` lists all"
+        ));
     };
     let taken = match code.severity() {
         Severity::Warned => "told, not refused",
         Severity::Refused => "refused",
         Severity::Unreadable => "can't be read",
     };
-    println!("{} {} ({taken})\n\n{}", style::head(code.id()), style::head(code.title()), code.explain());
+    println!(
+        "{} {} ({taken})\n\n{}",
+        style::head(code.id()),
+        style::head(code.title()),
+        code.explain()
+    );
     ExitCode::SUCCESS
 }
--- a/crates/ctl/src/config/new.rs
+++ b/crates/ctl/src/config/new.rs
@@ -49,7 +49,9 @@
     eprint!("{}{hint}: ", style::head(question));
     let _ = std::io::stderr().flush();
     let mut line = String::new();
-    std::io::stdin().read_line(&mut line).map_err(|e| e.to_string())?;
+    std::io::stdin()
+        .read_line(&mut line)
+        .map_err(|e| e.to_string())?;
     match (line.trim(), default) {
         ("", Some(d)) => Ok(d.into()),
         ("", None) => Err(format!("{flag} is wanted")),
@@ -58,7 +60,9 @@
 }
 
 fn account(text: &str) -> Result<(u64, String), String> {
-    let (id, plan) = text.split_once(':').ok_or_else(|| format!("{text}: an account is given as ID:PLAN"))?;
+    let (id, plan) = text
+        .split_once(':')
+        .ok_or_else(|| format!("{text}: an account is given as ID:PLAN"))?;
     Ok((values::account(id)?, plan.to_string()))
 }
 
@@ -72,7 +76,9 @@
     let site = match set.site() {
         Some(site) if !set.refused() => site.content,
         Some(_) => return Ok(print::text(&set)),
-        None if set.found.is_empty() => return Err(format!("{} is no site's file", site_path.display())),
+        None if set.found.is_empty() => {
+            return Err(format!("{} is no site's file", site_path.display()))
+        }
         None => return Ok(print::text(&set)),
     };
     let classes: Vec<String> = site.classes.iter().map(|c| c.name.value.clone()).collect();
@@ -86,7 +92,11 @@
             true => id,
             false => format!(
                 "{id}:{}",
-                ask("--account", &format!("Its plan ({})", plans.join(", ")), Some(first))?
+                ask(
+                    "--account",
+                    &format!("Its plan ({})", plans.join(", ")),
+                    Some(first)
+                )?
             ),
         });
     }
@@ -96,16 +106,42 @@
     };
     let wishes = Wishes {
         name: options.app.clone(),
-        site: site.name.as_ref().map_or(String::new(), |n| n.value.clone()),
-        sends: if options.sends.is_empty() { classes } else { options.sends.clone() },
-        accounts: accounts.iter().map(|a| account(a)).collect::<Result<_, _>>()?,
-        listen: given(&options.listen, "--listen", "Where the sidecar listens", "127.0.0.1:7600")?,
-        discovery: given(&options.discovery, "--discovery", "Where it asks for nodes", "127.0.0.1:8500")?,
+        site: site
+            .name
+            .as_ref()
+            .map_or(String::new(), |n| n.value.clone()),
+        sends: if options.sends.is_empty() {
+            classes
+        } else {
+            options.sends.clone()
+        },
+        accounts: accounts
+            .iter()
+            .map(|a| account(a))
+            .collect::<Result<_, _>>()?,
+        listen: given(
+            &options.listen,
+            "--listen",
+            "Where the sidecar listens",
+            "127.0.0.1:7600",
+        )?,
+        discovery: given(
+            &options.discovery,
+            "--discovery",
+            "Where it asks for nodes",
+            "127.0.0.1:8500",
+        )?,
     };
     let text = application(&wishes)?;
-    let out = options.out.clone().unwrap_or_else(|| format!("{}.toml", options.app).into());
+    let out = options
+        .out
+        .clone()
+        .unwrap_or_else(|| format!("{}.toml", options.app).into());
     // Nothing is written that would be refused.
-    let set = Set::from_sources([site_source, Source::new(out.display().to_string(), text.clone())]);
+    let set = Set::from_sources([
+        site_source,
+        Source::new(out.display().to_string(), text.clone()),
+    ]);
     if set.refused() {
         return Ok(print::text(&set));
     }
--- a/crates/ctl/src/config/print.rs
+++ b/crates/ctl/src/config/print.rs
@@ -41,7 +41,11 @@
     let end = text[start..].find('\n').map_or(text.len(), |n| start + n);
     let number = text[..begin].matches('\n').count() + 1;
     // A very long line is cut round the place.
-    let from = if start - begin > LONGEST_LINE / 2 { floor(start - LONGEST_LINE / 2) } else { begin };
+    let from = if start - begin > LONGEST_LINE / 2 {
+        floor(start - LONGEST_LINE / 2)
+    } else {
+        begin
+    };
     let to = floor(end.min(from + LONGEST_LINE));
     let stop = floor(span.end).clamp(start, to.max(start));
     let shown = text[from..to].trim_end_matches('\r').to_string();
@@ -51,22 +55,42 @@
 }
 
 fn report(found: &Diagnostic, sources: &[Source], renderer: &Renderer) -> String {
-    let level = if found.refused() { Level::ERROR } else { Level::WARNING };
-    let place = |p: &Place| sources.get(p.file).map(|s| (s.name.clone(), line_of(s, &p.span)));
+    let level = if found.refused() {
+        Level::ERROR
+    } else {
+        Level::WARNING
+    };
+    let place = |p: &Place| {
+        sources
+            .get(p.file)
+            .map(|s| (s.name.clone(), line_of(s, &p.span)))
+    };
     let mut places = Vec::new();
     if found.code.severity() != Severity::Unreadable {
         places.extend(place(&found.place).map(|p| (p, None)));
     }
-    places.extend(found.related.iter().filter_map(|(p, part)| Some((place(p)?, Some(part)))));
+    places.extend(
+        found
+            .related
+            .iter()
+            .filter_map(|(p, part)| Some((place(p)?, Some(part)))),
+    );
     let mut group = Group::with_title(level.primary_title(&*found.message).id(found.code.id()));
     for ((name, (number, text, span)), part) in &places {
-        let kind = if part.is_none() { AnnotationKind::Primary } else { AnnotationKind::Context };
+        let kind = if part.is_none() {
+            AnnotationKind::Primary
+        } else {
+            AnnotationKind::Context
+        };
         let mut annotation = kind.span(span.clone());
         if let Some(part) = part {
             annotation = annotation.label(part.as_str());
         }
         group = group.element(
-            Snippet::source(text.as_str()).line_start(*number).path(name.as_str()).annotation(annotation),
+            Snippet::source(text.as_str())
+                .line_start(*number)
+                .path(name.as_str())
+                .annotation(annotation),
         );
     }
     if let Some(help) = &found.help {
@@ -83,7 +107,10 @@
         eprintln!("{}\n", report(found, &set.sources, &renderer));
     }
     if set.found.len() > MOST_SHOWN {
-        eprintln!("and {} more; --format json tells all\n", set.found.len() - MOST_SHOWN);
+        eprintln!(
+            "and {} more; --format json tells all\n",
+            set.found.len() - MOST_SHOWN
+        );
     }
     let refused = set.found.iter().filter(|d| d.refused()).count();
     let files = match set.sources.len() {
@@ -93,7 +120,10 @@
     match refused {
         0 => println!("{} {files}", style::good("good:")),
         1 => {
-            eprintln!("{} {files}, 1 mistake; wrenctl config explain CODE says more", style::bad("refused:"))
+            eprintln!(
+                "{} {files}, 1 mistake; wrenctl config explain CODE says more",
+                style::bad("refused:")
+            )
         }
         n => eprintln!(
             "{} {files}, {n} mistakes; wrenctl config explain CODE says more",
@@ -104,7 +134,9 @@
 }
 
 fn place(place: &Place, sources: &[Source]) -> Value {
-    let Some(source) = sources.get(place.file) else { return Value::Null };
+    let Some(source) = sources.get(place.file) else {
+        return Value::Null;
+    };
     let (line, column) = source.position(place.span.start);
     let (end_line, end_column) = source.position(place.span.end);
     json!({"file": source.name, "line": line, "column": column, "end_line": end_line, "end_column": end_column})
@@ -124,6 +156,9 @@
     });
     let files: Vec<&str> = set.sources.iter().map(|s| s.name.as_str()).collect();
     let whole = json!({"good": !set.refused(), "files": files, "found": found.collect::<Vec<_>>()});
-    println!("{}", serde_json::to_string_pretty(&whole).unwrap_or_default());
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&whole).unwrap_or_default()
+    );
     verdict(set)
 }
--- a/crates/ctl/src/fleet/cost.rs
+++ b/crates/ctl/src/fleet/cost.rs
@@ -67,8 +67,16 @@
 
 /// Sizes to be measured; one dimension grows at a time.
 fn sizes(short: bool) -> Vec<Size> {
-    let size = |backends, accounts, ingresses| Size { backends, accounts, ingresses };
-    let mut list = vec![size(10, 1_000, 1), size(100, 1_000, 1), size(1_000, 1_000, 1)];
+    let size = |backends, accounts, ingresses| Size {
+        backends,
+        accounts,
+        ingresses,
+    };
+    let mut list = vec![
+        size(10, 1_000, 1),
+        size(100, 1_000, 1),
+        size(1_000, 1_000, 1),
+    ];
     list.extend([size(100, 1_000, 2), size(100, 1_000, 8)]);
     if !short {
         list.extend([size(10, 100_000, 1), size(10, 1_000_000, 1)]);
@@ -80,8 +88,16 @@
 fn world(size: Size, rate: u32, seconds: u32, round: u32) -> Result<Scenario, String> {
     let many = size.accounts > FEW;
     // Half as long again as it takes to ask once for each account.
-    let seconds = if many { (size.accounts * 3 / 2 / rate).clamp(seconds, LONGEST) } else { seconds };
-    let Size { backends, accounts, ingresses } = size;
+    let seconds = if many {
+        (size.accounts * 3 / 2 / rate).clamp(seconds, LONGEST)
+    } else {
+        seconds
+    };
+    let Size {
+        backends,
+        accounts,
+        ingresses,
+    } = size;
     let text = format!(
         r#"version = 1
 about = "what a request costs"
@@ -140,7 +156,14 @@
     fn play(&self, program: &Path, size: Size, round: u32) -> Result<Report, String> {
         let scenario = world(size, self.rate, self.seconds, round)?;
         for _ in 0..5 {
-            let played = rig::play(&scenario, Run { program, stop: self.stop, watch: None });
+            let played = rig::play(
+                &scenario,
+                Run {
+                    program,
+                    stop: self.stop,
+                    watch: None,
+                },
+            );
             let report = played.map_err(|e| e.to_string())?;
             if self.stop.load(Ordering::Relaxed) {
                 return Err("stopped early".into());
@@ -157,7 +180,10 @@
         let ingress = self.play(self.ingress, size, round)?;
         self.bar.inc(1);
         // A relay knows no accounts: what it costs is measured as with few.
-        let few = Size { accounts: size.accounts.min(FEW), ..size };
+        let few = Size {
+            accounts: size.accounts.min(FEW),
+            ..size
+        };
         let relay = self.play(self.relay, few, round)?;
         self.bar.inc(1);
         Ok(Pair { ingress, relay })
@@ -179,17 +205,25 @@
 fn row(size: Size, pairs: &[Pair], first: &[Pair]) -> Row {
     let mut ratios: Vec<f64> = pairs.iter().map(Pair::ratio).collect();
     let growth = pairs.iter().zip(first);
-    let mut growth: Vec<f64> =
-        growth.map(|(p, f)| p.ingress.cpu_per_request_us / f.ingress.cpu_per_request_us).collect();
+    let mut growth: Vec<f64> = growth
+        .map(|(p, f)| p.ingress.cpu_per_request_us / f.ingress.cpu_per_request_us)
+        .collect();
     let mut own: Vec<f64> = pairs.iter().map(|p| p.ingress.cpu_per_request_us).collect();
     let mut bare: Vec<f64> = pairs.iter().map(|p| p.relay.cpu_per_request_us).collect();
-    let memory = pairs.iter().flat_map(|p| p.ingress.ingresses.iter().map(|i| i.memory_kb)).max();
+    let memory = pairs
+        .iter()
+        .flat_map(|p| p.ingress.ingresses.iter().map(|i| i.memory_kb))
+        .max();
     ratios.sort_by(f64::total_cmp);
     Row {
         size,
         ingress_us: median(&mut own),
         relay_us: median(&mut bare),
-        ratio: [ratios[ratios.len() / 2], ratios[0], ratios[ratios.len() - 1]],
+        ratio: [
+            ratios[ratios.len() / 2],
+            ratios[0],
+            ratios[ratios.len() - 1],
+        ],
         growth: median(&mut growth),
         memory_kb: memory.unwrap_or(0),
         spread: pairs[0].ingress.spread,
@@ -204,14 +238,32 @@
 
 pub fn main(options: &Options) -> ExitCode {
     let (stop, ingress) = (stop_flag(), options.programs.ingress());
-    let relay = options.relay.clone().unwrap_or_else(|| beside("wrenfork-relay"));
+    let relay = options
+        .relay
+        .clone()
+        .unwrap_or_else(|| beside("wrenfork-relay"));
     let sizes = sizes(options.short);
-    let runs = sizes.iter().map(|s| if s.accounts > 10_000 { 2 } else { 2 * u64::from(options.rounds) });
+    let runs = sizes.iter().map(|s| {
+        if s.accounts > 10_000 {
+            2
+        } else {
+            2 * u64::from(options.rounds)
+        }
+    });
     let bar = ProgressBar::new(runs.sum());
     let form = "measuring [{bar:30}] {pos}/{len} runs, {elapsed} gone";
-    bar.set_style(ProgressStyle::with_template(form).unwrap_or_else(|_| ProgressStyle::default_bar()));
+    bar.set_style(
+        ProgressStyle::with_template(form).unwrap_or_else(|_| ProgressStyle::default_bar()),
+    );
     let (rate, seconds) = (options.rate, options.seconds);
-    let bench = Bench { ingress: &ingress, relay: &relay, stop: &stop, rate, seconds, bar };
+    let bench = Bench {
+        ingress: &ingress,
+        relay: &relay,
+        stop: &stop,
+        rate,
+        seconds,
+        bar,
+    };
     let mut pairs: Vec<Vec<Pair>> = sizes.iter().map(|_| Vec::new()).collect();
     for round in 0..options.rounds {
         // All sizes in turn, so that a machine that changes meanwhile changes all of them.
@@ -229,7 +281,11 @@
             }
         }
     }
-    let rows: Vec<Row> = sizes.iter().zip(&pairs).map(|(s, p)| row(*s, p, &pairs[0])).collect();
+    let rows: Vec<Row> = sizes
+        .iter()
+        .zip(&pairs)
+        .map(|(s, p)| row(*s, p, &pairs[0]))
+        .collect();
     bench.bar.finish_and_clear();
     let mut table = style::table(&[
         "backends",
@@ -264,7 +320,11 @@
     if let Some(file) = &options.json {
         let text = serde_json::to_string_pretty(&rows).unwrap_or_default() + "\n";
         if let Err(e) = std::fs::write(file, text) {
-            eprintln!("{} cannot write {}: {e}", style::bad("error:"), file.display());
+            eprintln!(
+                "{} cannot write {}: {e}",
+                style::bad("error:"),
+                file.display()
+            );
             return ExitCode::from(2);
         }
     }
--- a/crates/ctl/src/fleet/demo.rs
+++ b/crates/ctl/src/fleet/demo.rs
@@ -54,7 +54,14 @@
     let mut screen = Screen::new();
     let mut watch = |s: &Snapshot| screen.show(s);
     let program: &Path = &program;
-    match rig::play(&scenario, Run { program, stop: &stop, watch: Some(&mut watch) }) {
+    match rig::play(
+        &scenario,
+        Run {
+            program,
+            stop: &stop,
+            watch: Some(&mut watch),
+        },
+    ) {
         Err(e) => {
             eprintln!("{} {e}", style::bad("error:"));
             ExitCode::from(2)
@@ -81,7 +88,11 @@
 
 impl Screen {
     fn new() -> Self {
-        Screen { live: std::io::stdout().is_terminal(), lines: 0, last: None }
+        Screen {
+            live: std::io::stdout().is_terminal(),
+            lines: 0,
+            last: None,
+        }
     }
 
     fn show(&mut self, s: &Snapshot) {
@@ -98,7 +109,8 @@
         if self.live {
             self.draw(s, served, refused, failed);
         } else {
-            let up = |list: &[bool]| format!("{}/{}", list.iter().filter(|u| **u).count(), list.len());
+            let up =
+                |list: &[bool]| format!("{}/{}", list.iter().filter(|u| **u).count(), list.len());
             let ingresses: Vec<bool> = s.ingresses.iter().map(|i| i.1).collect();
             let broken: u64 = s.broken.iter().sum();
             println!(
@@ -116,23 +128,50 @@
 
     fn draw(&mut self, s: &Snapshot, served: f64, refused: f64, failed: f64) {
         let mut table = style::table(&["", "now", "in all"]);
-        table.add_row(vec!["served".into(), format!("{served:.0} /s"), s.served.to_string()]);
-        table.add_row(vec!["refused".into(), format!("{refused:.0} /s"), s.refused.to_string()]);
-        table.add_row(vec!["failed".into(), format!("{failed:.0} /s"), s.failed.to_string()]);
+        table.add_row(vec![
+            "served".into(),
+            format!("{served:.0} /s"),
+            s.served.to_string(),
+        ]);
+        table.add_row(vec![
+            "refused".into(),
+            format!("{refused:.0} /s"),
+            s.refused.to_string(),
+        ]);
+        table.add_row(vec![
+            "failed".into(),
+            format!("{failed:.0} /s"),
+            s.failed.to_string(),
+        ]);
         table.add_row(vec!["waiting".into(), s.waiting.to_string(), String::new()]);
-        let mark = |up: bool| if up { style::good("up") } else { style::bad("down") };
-        let mut text =
-            format!("{}\n{table}\n\n", style::head(format!("{:.0} s", s.at as f64 / SECOND as f64)));
+        let mark = |up: bool| {
+            if up {
+                style::good("up")
+            } else {
+                style::bad("down")
+            }
+        };
+        let mut text = format!(
+            "{}\n{table}\n\n",
+            style::head(format!("{:.0} s", s.at as f64 / SECOND as f64))
+        );
         for (n, ((_, ready), rung)) in s.ingresses.iter().zip(&s.rungs).enumerate() {
             text += &format!("  ingress {n}  {}  rung {rung}\n", mark(*ready));
         }
-        let backends: Vec<String> =
-            s.backends.iter().enumerate().map(|(n, up)| format!("{n} {}", mark(*up))).collect();
+        let backends: Vec<String> = s
+            .backends
+            .iter()
+            .enumerate()
+            .map(|(n, up)| format!("{n} {}", mark(*up)))
+            .collect();
         text += &format!("  backends   {}\n", backends.join("  "));
-        let rules = Rule::ALL.iter().zip(s.broken).map(|(rule, broken)| match broken {
-            0 => style::good(format!("{} holds", rule.name())),
-            n => style::bad(format!("{} broken {n} times", rule.name())),
-        });
+        let rules = Rule::ALL
+            .iter()
+            .zip(s.broken)
+            .map(|(rule, broken)| match broken {
+                0 => style::good(format!("{} holds", rule.name())),
+                n => style::bad(format!("{} broken {n} times", rule.name())),
+            });
         text += &format!("  rules      {}\n", rules.collect::<Vec<_>>().join("  "));
         text += &format!("  last       {}\n", s.log);
         // Back to the first line, and each line is written over to its end.
--- a/crates/ctl/src/fleet/run.rs
+++ b/crates/ctl/src/fleet/run.rs
@@ -54,7 +54,9 @@
 fn progress(s: &Scenario) -> ProgressBar {
     let bar = ProgressBar::new(s.lasts / SECOND);
     let form = "{prefix:28} [{bar:30}] {pos}/{len} s  {msg}";
-    bar.set_style(ProgressStyle::with_template(form).unwrap_or_else(|_| ProgressStyle::default_bar()));
+    bar.set_style(
+        ProgressStyle::with_template(form).unwrap_or_else(|_| ProgressStyle::default_bar()),
+    );
     bar.set_prefix(s.name.clone());
     bar
 }
@@ -84,14 +86,24 @@
     if text {
         println!("{}", style::head(HEAD));
     }
-    'all: for scenario in scenarios.iter().flat_map(|s| std::iter::repeat_n(s, options.times as usize)) {
+    'all: for scenario in scenarios
+        .iter()
+        .flat_map(|s| std::iter::repeat_n(s, options.times as usize))
+    {
         for again in 1..=TRIES {
             let bar = progress(scenario);
             let mut watch = |s: &rig::Snapshot| {
                 bar.set_position(s.at / SECOND);
                 bar.set_message(s.log.clone());
             };
-            let played = rig::play(scenario, Run { program: &program, stop: &stop, watch: Some(&mut watch) });
+            let played = rig::play(
+                scenario,
+                Run {
+                    program: &program,
+                    stop: &stop,
+                    watch: Some(&mut watch),
+                },
+            );
             bar.finish_and_clear();
             match played {
                 Ok(report) => {
@@ -136,9 +148,8 @@
         println!("{json}");
     }
     match &options.json {
-        Some(file) => {
-            std::fs::write(file, json + "\n").map_err(|e| format!("cannot write {}: {e}", file.display()))
-        }
+        Some(file) => std::fs::write(file, json + "\n")
+            .map_err(|e| format!("cannot write {}: {e}", file.display())),
         None => Ok(()),
     }
 }
@@ -150,8 +161,12 @@
         Verdict::Broken => style::bad("BROKEN  "),
         Verdict::Late => style::doubtful("rig late"),
     };
-    let broken: Vec<String> =
-        r.rules.iter().filter(|c| c.broken > 0).map(|c| format!("{} {}", c.rule.name(), c.broken)).collect();
+    let broken: Vec<String> = r
+        .rules
+        .iter()
+        .filter(|c| c.broken > 0)
+        .map(|c| format!("{} {}", c.rule.name(), c.broken))
+        .collect();
     println!(
         "{verdict}  {:30}  {:7.3}  {:10.3}  {:6}  {:7}  {:6}  {:5.1} ms  {}",
         r.scenario,
@@ -161,10 +176,24 @@
         r.refused,
         r.failed,
         f64::from(r.rig.lateness.p99_us) / 1000.0,
-        if broken.is_empty() { "-".to_string() } else { broken.join(", ") }
+        if broken.is_empty() {
+            "-".to_string()
+        } else {
+            broken.join(", ")
+        }
     );
-    for v in r.violations.iter().take(if verbose { usize::MAX } else { 5 }) {
-        println!("    {} {:016x} at {:.3} s: {}", v.rule.name(), v.request, v.at as f64 / 1e6, v.what);
+    for v in r
+        .violations
+        .iter()
+        .take(if verbose { usize::MAX } else { 5 })
+    {
+        println!(
+            "    {} {:016x} at {:.3} s: {}",
+            v.rule.name(),
+            v.request,
+            v.at as f64 / 1e6,
+            v.what
+        );
     }
     r.crashes.iter().for_each(|c| println!("    {c}"));
     if !verbose {
@@ -172,9 +201,16 @@
     }
     println!("    by second {}", style::bars(&r.seconds));
     let parts = |list: &[wrenfork_fleet::report::Part]| {
-        list.iter().map(|p| format!("{} {:.3}", p.name, p.share)).collect::<Vec<_>>().join(", ")
+        list.iter()
+            .map(|p| format!("{} {:.3}", p.name, p.share))
+            .collect::<Vec<_>>()
+            .join(", ")
     };
-    println!("    classes: {}; plans: {}", parts(&r.classes), parts(&r.plans));
+    println!(
+        "    classes: {}; plans: {}",
+        parts(&r.classes),
+        parts(&r.plans)
+    );
     println!(
         "    {} asked in {:.1} s, {} attempts ({} for clients that had left), {} beyond quota, {} unreachable, {} crossed",
         r.asked,
--- a/crates/ctl/src/group/decide.rs
+++ b/crates/ctl/src/group/decide.rs
@@ -34,7 +34,9 @@
 fn progress(step: &mut &'static str, proposer: &Proposer) {
     let now = match proposer.phase {
         Phase::Promising => "promises",
-        Phase::Accepting if proposer.waits() => "waiting for the leases of those that are away to run out",
+        Phase::Accepting if proposer.waits() => {
+            "waiting for the leases of those that are away to run out"
+        }
         Phase::Accepting => "taking it up",
         Phase::Telling => "switches",
         Phase::Ended(_) => return,
@@ -72,7 +74,11 @@
         let (base, seen) = seen;
         if ours.as_ref() == Some(&base) {
             // Somebody settled it for us. From when a majority stands there on, the one before is granted to nobody.
-            let there = |s: &&Seat| seen.stands.get(&s.name).is_some_and(|m| m.number >= base.number);
+            let there = |s: &&Seat| {
+                seen.stands
+                    .get(&s.name)
+                    .is_some_and(|m| m.number >= base.number)
+            };
             if base.roster.voters().filter(there).count() < base.roster.majority() {
                 if start.elapsed() >= patience {
                     return Outcome::Unfinished;
@@ -105,16 +111,24 @@
         let left = patience.saturating_sub(start.elapsed());
         match drive(&mut proposer, at, left, |p| progress(&mut step, p)) {
             End::Made => {
-                let Some(decree) = proposer.value().cloned() else { return Outcome::Unfinished };
+                let Some(decree) = proposer.value().cloned() else {
+                    return Outcome::Unfinished;
+                };
                 return Outcome::Made(decree, proposer.away(), start.elapsed());
             }
             End::Refused(all) => {
-                let all: Vec<String> = all.into_iter().map(|(name, why)| format!("{name}: {why}")).collect();
+                let all: Vec<String> = all
+                    .into_iter()
+                    .map(|(name, why)| format!("{name}: {why}"))
+                    .collect();
                 return Outcome::Refused(all.join("; "));
             }
             End::Few(votes, needed) => {
-                let away: Vec<String> =
-                    proposer.away().into_iter().map(|(name, why)| format!("{name} ({why})")).collect();
+                let away: Vec<String> = proposer
+                    .away()
+                    .into_iter()
+                    .map(|(name, why)| format!("{name} ({why})"))
+                    .collect();
                 return Outcome::Refused(format!(
                     "too few members vote: {votes}, and {needed} are enough; without an answer: {}",
                     away.join(", ")
--- a/crates/ctl/src/group/look.rs
+++ b/crates/ctl/src/group/look.rs
@@ -27,7 +27,11 @@
 
 /// Whether as many voters of a roster as are enough are among those that answered.
 fn enough(roster: &Roster, stands: &BTreeMap<String, Stand>) -> bool {
-    roster.voters().filter(|s| stands.contains_key(&s.name)).count() >= roster.majority()
+    roster
+        .voters()
+        .filter(|s| stands.contains_key(&s.name))
+        .count()
+        >= roster.majority()
 }
 
 /// Asks all members how they stand; whoever is slow is waited for a moment only, once enough have answered.
@@ -43,7 +47,9 @@
             let answer: Result<Say, String> = client::ask(&path, &Ask::Stand, PATIENCE);
             let _ = sender.send((name, answer)); // nobody waits any more
         };
-        std::thread::Builder::new().spawn(ask).map_err(|e| format!("no thread: {e}"))?;
+        std::thread::Builder::new()
+            .spawn(ask)
+            .map_err(|e| format!("no thread: {e}"))?;
     }
     drop(sender);
     let (mut stands, mut away) = (BTreeMap::<String, Stand>::new(), BTreeMap::new());
@@ -51,21 +57,30 @@
     while let Ok((name, answer)) = answers.recv_timeout(until.saturating_sub(start.elapsed())) {
         match answer {
             Ok(Say::Stands(stand)) if stand.name == name => drop(stands.insert(name, *stand)),
-            Ok(Say::Stands(stand)) => drop(away.insert(name, format!("{} answers there", stand.name))),
+            Ok(Say::Stands(stand)) => {
+                drop(away.insert(name, format!("{} answers there", stand.name)))
+            }
             Ok(Say::No { why }) | Err(why) => drop(away.insert(name, why)),
             Ok(_) => drop(away.insert(name, "it answers something else".into())),
         }
-        let newest = stands.values().max_by_key(|s| s.number).filter(|s| s.number > 0);
+        let newest = stands
+            .values()
+            .max_by_key(|s| s.number)
+            .filter(|s| s.number > 0);
         if until == PATIENCE && newest.is_some_and(|s| enough(&s.roster, &stands)) {
             until = (start.elapsed() + GRACE).min(PATIENCE);
         }
     }
     for name in at.keys().filter(|n| !stands.contains_key(*n)) {
-        away.entry(name.clone()).or_insert_with(|| "it does not answer".into());
+        away.entry(name.clone())
+            .or_insert_with(|| "it does not answer".into());
     }
     let newest = stands.values().max_by_key(|s| s.number);
     let Some(newest) = newest else {
-        let why: Vec<String> = away.iter().map(|(name, why)| format!("{name}: {why}")).collect();
+        let why: Vec<String> = away
+            .iter()
+            .map(|(name, why)| format!("{name}: {why}"))
+            .collect();
         return Err(format!("no member answers: {}", why.join("; ")));
     };
     let decree = match newest.number {
@@ -76,7 +91,11 @@
             Err(why) => return Err(format!("{}: {why}", newest.name)),
         },
     };
-    Ok(Look { stands, away, decree })
+    Ok(Look {
+        stands,
+        away,
+        decree,
+    })
 }
 
 impl Look {
@@ -86,17 +105,27 @@
     ///
     /// Where the group has not been formed, or too few answer to know.
     pub fn known(&self) -> Result<Arc<Decree>, String> {
-        let away: Vec<String> = self.away.iter().map(|(name, why)| format!("{name} ({why})")).collect();
+        let away: Vec<String> = self
+            .away
+            .iter()
+            .map(|(name, why)| format!("{name} ({why})"))
+            .collect();
         let Some(decree) = &self.decree else {
             let rest = if away.is_empty() {
                 String::new()
             } else {
                 format!("; these are away: {}", away.join(", "))
             };
-            return Err(format!("the group has not been formed yet, which takes all of its members{rest}"));
+            return Err(format!(
+                "the group has not been formed yet, which takes all of its members{rest}"
+            ));
         };
         if !enough(&decree.roster, &self.stands) {
-            let answer = decree.roster.voters().filter(|s| self.stands.contains_key(&s.name)).count();
+            let answer = decree
+                .roster
+                .voters()
+                .filter(|s| self.stands.contains_key(&s.name))
+                .count();
             return Err(format!(
                 "too few members answer to decide: {answer} of {}, and {} are enough; these are away: {}",
                 decree.roster.voters().count(),
@@ -109,12 +138,18 @@
 
     /// The highest round that was heard of.
     pub fn round(&self) -> u64 {
-        self.stands.values().map(|s| s.promised.round).max().unwrap_or(0)
+        self.stands
+            .values()
+            .map(|s| s.promised.round)
+            .max()
+            .unwrap_or(0)
     }
 
     /// Whether a decree is taken up somewhere and not decided, as far as is known.
     pub fn pending(&self) -> bool {
         let number = self.decree.as_ref().map_or(0, |d| d.number);
-        self.stands.values().any(|s| s.number == number && s.pending.is_some())
+        self.stands
+            .values()
+            .any(|s| s.number == number && s.pending.is_some())
     }
 }
--- a/crates/ctl/src/group/mod.rs
+++ b/crates/ctl/src/group/mod.rs
@@ -15,5 +15,8 @@
 
 /// Those that a plan carries.
 pub fn sockets(members: &BTreeMap<String, String>) -> Sockets {
-    members.iter().map(|(name, at)| (name.clone(), PathBuf::from(at))).collect()
+    members
+        .iter()
+        .map(|(name, at)| (name.clone(), PathBuf::from(at)))
+        .collect()
 }
--- a/crates/ctl/src/group/roster.rs
+++ b/crates/ctl/src/group/roster.rs
@@ -79,7 +79,13 @@
             )));
         };
         let (at, author) = (group.links(""), author(change.author.as_deref()));
-        Ok(Work { change, author, at, files, start: Instant::now() })
+        Ok(Work {
+            change,
+            author,
+            at,
+            files,
+            start: Instant::now(),
+        })
     }
 
     fn member(&self) -> Result<&Member, ExitCode> {
@@ -92,25 +98,38 @@
     fn folder(&self, member: &Member) -> Result<Folder, ExitCode> {
         match client::ask(&member.control, &Ask::Stand, PATIENCE) {
             Ok(Say::Stands(stand)) if stand.name == member.name => Ok(stand.folder),
-            Ok(Say::Stands(stand)) => {
-                Err(failed(format!("{}: {} answers at its socket", member.name, stand.name)))
-            }
+            Ok(Say::Stands(stand)) => Err(failed(format!(
+                "{}: {} answers at its socket",
+                member.name, stand.name
+            ))),
             Ok(Say::No { why }) | Err(why) => Err(failed(format!(
                 "{}: {why}: it has to run, so that it can be asked for its folder",
                 member.name
             ))),
-            Ok(_) => Err(failed(format!("{}: it answers something else", member.name))),
+            Ok(_) => Err(failed(format!(
+                "{}: it answers something else",
+                member.name
+            ))),
         }
     }
 
     /// What a member that is new is to enforce.
     fn own(&self, stands: &Decree, name: &str) -> Result<BTreeMap<String, Arc<State>>, String> {
         let of = |name: &str| self.files.ingresses.iter().find(|i| i.name == name);
-        let Some(new) = of(name) else { return Ok(BTreeMap::new()) }; // a witness
-        let known = stands.policy.own.keys().find_map(|n| Some((stands.policy.at(n)?, of(n)?)));
+        let Some(new) = of(name) else {
+            return Ok(BTreeMap::new());
+        }; // a witness
+        let known = stands
+            .policy
+            .own
+            .keys()
+            .find_map(|n| Some((stands.policy.at(n)?, of(n)?)));
         let (has, files_like) = known.ok_or("no member of the roster is in the files")?;
-        Ok([(name.to_string(), Arc::new(State(folder::like(&has.0, &files_like.wanted, &new.wanted))))]
-            .into())
+        Ok([(
+            name.to_string(),
+            Arc::new(State(folder::like(&has.0, &files_like.wanted, &new.wanted))),
+        )]
+        .into())
     }
 
     fn make(
@@ -121,7 +140,9 @@
         let wanted = |stands: &Decree| {
             let roster = roster(&stands.roster)?;
             let new = match roster.seat(&self.change.member) {
-                Some(seat) if seat.kind == Kind::Ingress && stands.roster.seat(&seat.name).is_none() => {
+                Some(seat)
+                    if seat.kind == Kind::Ingress && stands.roster.seat(&seat.name).is_none() =>
+                {
                     self.own(stands, &seat.name)?
                 }
                 _ => BTreeMap::new(),
@@ -141,16 +162,27 @@
     fn add(&self) -> Result<ExitCode, ExitCode> {
         let member = self.member()?;
         let folder = self.folder(member)?;
-        let kind = if member.serves { Kind::Ingress } else { Kind::Witness };
+        let kind = if member.serves {
+            Kind::Ingress
+        } else {
+            Kind::Witness
+        };
         let folder = if member.votes { folder } else { 0 };
-        let seat = Seat { name: member.name.clone(), folder, kind, votes: member.votes };
+        let seat = Seat {
+            name: member.name.clone(),
+            folder,
+            kind,
+            votes: member.votes,
+        };
         let what = format!("{} belongs to the roster", member.name);
         self.make(&what, &|r| r.with(seat.clone()).map_err(|e| e.to_string()))
     }
 
     fn remove(&self) -> Result<ExitCode, ExitCode> {
         let name = &self.change.member;
-        self.make(&format!("{name} is out of the roster"), &|r| r.without(name).map_err(|e| e.to_string()))
+        self.make(&format!("{name} is out of the roster"), &|r| {
+            r.without(name).map_err(|e| e.to_string())
+        })
     }
 
     /// First without a vote, then with one by its new folder: at each step the old and the new majority share a member.
@@ -160,7 +192,9 @@
         let seen = look(&self.at).map_err(failed)?;
         let stands = seen.known().map_err(failed)?;
         let Some(seat) = stands.roster.seat(name) else {
-            return Err(failed(format!("{name} is not in the roster: wrenctl roster add")));
+            return Err(failed(format!(
+                "{name} is not in the roster: wrenctl roster add"
+            )));
         };
         if seat.votes && seat.folder == folder {
             anstream::println!("{name} votes by the folder that it has: there is nothing to do");
@@ -174,6 +208,8 @@
             }
         }
         let what = format!("{name} votes by its new folder");
-        self.make(&what, &|r| r.voting(name, Some(folder)).map_err(|e| e.to_string()))
+        self.make(&what, &|r| {
+            r.voting(name, Some(folder)).map_err(|e| e.to_string())
+        })
     }
 }
--- a/crates/ctl/src/group/status.rs
+++ b/crates/ctl/src/group/status.rs
@@ -44,9 +44,22 @@
         }
     };
     anstream::println!("{} {head}", style::head(format!("{name}:")));
-    let mut table = style::table(&["member", "is", "vote", "generation", "decree", "lease", "notes"]);
-    let seats = seen.decree.iter().flat_map(|d| d.roster.seats.iter().map(|s| s.name.as_str()));
-    let mut names: Vec<&str> = seats.chain(seen.stands.keys().map(String::as_str)).collect();
+    let mut table = style::table(&[
+        "member",
+        "is",
+        "vote",
+        "generation",
+        "decree",
+        "lease",
+        "notes",
+    ]);
+    let seats = seen
+        .decree
+        .iter()
+        .flat_map(|d| d.roster.seats.iter().map(|s| s.name.as_str()));
+    let mut names: Vec<&str> = seats
+        .chain(seen.stands.keys().map(String::as_str))
+        .collect();
     names.extend(seen.away.keys().map(String::as_str));
     names.sort_unstable();
     names.dedup();
@@ -68,18 +81,38 @@
         };
         let (generation, number, lease) = match seen.stands.get(name) {
             Some(stand) => {
-                notes.extend(stand.unsure.clone().filter(|_| seat.is_some_and(|s| s.votes)));
+                notes.extend(
+                    stand
+                        .unsure
+                        .clone()
+                        .filter(|_| seat.is_some_and(|s| s.votes)),
+                );
                 if let Some(pending) = &stand.pending {
-                    notes.push(format!("a decree is taken up and not decided: {}", pending.short()));
+                    notes.push(format!(
+                        "a decree is taken up and not decided: {}",
+                        pending.short()
+                    ));
                 }
-                (stand.generation.to_string(), stand.number.to_string(), lease(stand, as_known))
+                (
+                    stand.generation.to_string(),
+                    stand.number.to_string(),
+                    lease(stand, as_known),
+                )
             }
             None => {
                 notes.extend(seen.away.get(name).cloned());
                 (String::new(), String::new(), style::bad("away"))
             }
         };
-        table.add_row(vec![name.to_string(), is.into(), votes, generation, number, lease, notes.join("; ")]);
+        table.add_row(vec![
+            name.to_string(),
+            is.into(),
+            votes,
+            generation,
+            number,
+            lease,
+            notes.join("; "),
+        ]);
     }
     anstream::println!("{table}");
 }
--- a/crates/ctl/src/group/witness.rs
+++ b/crates/ctl/src/group/witness.rs
@@ -57,8 +57,19 @@
     }
 
     fn log(&self, record: &Record) {
-        let Record { what, author, change, generation, why, .. } = record;
-        let why = if why.is_empty() { String::new() } else { format!(": {why}") };
+        let Record {
+            what,
+            author,
+            change,
+            generation,
+            why,
+            ..
+        } = record;
+        let why = if why.is_empty() {
+            String::new()
+        } else {
+            format!(": {why}")
+        };
         eprintln!(
             "{what}{why} (generation {generation}, change {change}, by {author:?})",
             change = change.short()
@@ -74,31 +85,65 @@
 }
 
 fn run(options: &Options) -> Result<(), String> {
-    let beside = || options.app.parent().unwrap_or(std::path::Path::new("")).join("site.toml");
-    let set = Set::read([options.site.clone().unwrap_or_else(beside), options.app.clone()]);
+    let beside = || {
+        options
+            .app
+            .parent()
+            .unwrap_or(std::path::Path::new(""))
+            .join("site.toml")
+    };
+    let set = Set::read([
+        options.site.clone().unwrap_or_else(beside),
+        options.app.clone(),
+    ]);
     if set.refused() {
         crate::config::print::text(&set);
         return Err(format!("{} is refused", options.app.display()));
     }
     let apps = set.applications();
-    let [app] = &apps[..] else { return Err(format!("{} is no application's file", options.app.display())) };
+    let [app] = &apps[..] else {
+        return Err(format!(
+            "{} is no application's file",
+            options.app.display()
+        ));
+    };
     let told = group(app.content).ok_or("the application has no roster")?;
     let witnesses: Vec<_> = told.members.iter().filter(|m| !m.serves).collect();
     let named = |name: &String| witnesses.iter().find(|m| m.short == *name).copied();
     let own = match (&options.name, &witnesses[..]) {
-        (Some(name), _) => named(name).ok_or_else(|| format!("there is no witness {name} in the file"))?,
+        (Some(name), _) => {
+            named(name).ok_or_else(|| format!("there is no witness {name} in the file"))?
+        }
         (None, [only]) => *only,
         (None, []) => return Err("the application has no witness: add a [[witness]]".into()),
-        (None, _) => return Err("the application has several witnesses: name one with --name".into()),
+        (None, _) => {
+            return Err("the application has several witnesses: name one with --name".into())
+        }
     };
-    let folder =
-        options.state.clone().or_else(|| own.state.clone()).ok_or("it has no folder: --state DIR")?;
-    let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(|e| format!("cannot take signals: {e}"))?;
+    let folder = options
+        .state
+        .clone()
+        .or_else(|| own.state.clone())
+        .ok_or("it has no folder: --state DIR")?;
+    let mut signals =
+        Signals::new([SIGTERM, SIGINT]).map_err(|e| format!("cannot take signals: {e}"))?;
     let ledger = Ledger::open(Some(&folder), || Memory::first(1, State::default()))?;
     let listening = socket::listen(&own.control, 0o600).map_err(|why| format!("control: {why}"))?;
     let links = told.links(&own.name);
-    let membership = Membership { charter: told.charter(), links, alone: Alone::Refuse, inherited: None };
-    let keeper = Keeper::start(&own.name, listening, ledger, Witness, MOST, Some(membership))?;
+    let membership = Membership {
+        charter: told.charter(),
+        links,
+        alone: Alone::Refuse,
+        inherited: None,
+    };
+    let keeper = Keeper::start(
+        &own.name,
+        listening,
+        ledger,
+        Witness,
+        MOST,
+        Some(membership),
+    )?;
     eprintln!("{} keeps promises at {}", own.name, own.control.display());
     let _ = signals.forever().next();
     keeper.close();
--- a/crates/ctl/src/keys.rs
+++ b/crates/ctl/src/keys.rs
@@ -87,7 +87,9 @@
 }
 
 fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_secs())
 }
 
 fn new(out: &Path) -> Result<ExitCode, String> {
@@ -95,12 +97,20 @@
     let mut seed = Zeroizing::new([0u8; SEED]);
     getrandom::fill(&mut *seed).map_err(|e| format!("no random numbers: {e}"))?;
     let text: Zeroizing<String> = Zeroizing::new(seed.iter().map(|b| format!("{b:02x}")).collect());
-    let mut file = OpenOptions::new().write(true).create_new(true).mode(0o600).open(out).map_err(told)?;
+    let mut file = OpenOptions::new()
+        .write(true)
+        .create_new(true)
+        .mode(0o600)
+        .open(out)
+        .map_err(told)?;
     file.write_all(text.as_bytes())
         .and_then(|()| file.write_all(b"\n"))
         .and_then(|()| file.sync_all())
         .map_err(told)?;
-    println!("{}", written(&SigningKey::from_bytes(&seed).verifying_key()));
+    println!(
+        "{}",
+        written(&SigningKey::from_bytes(&seed).verifying_key())
+    );
     Ok(ExitCode::SUCCESS)
 }
 
@@ -119,24 +129,43 @@
         return Err(told(&"it belongs to another user"));
     }
     let mut text = Zeroizing::new(Vec::with_capacity(2 * SEED + 2));
-    (&mut file).take(2 * SEED as u64 + 2).read_to_end(&mut text).map_err(|e| told(&e))?;
+    (&mut file)
+        .take(2 * SEED as u64 + 2)
+        .read_to_end(&mut text)
+        .map_err(|e| told(&e))?;
     let hex = text.strip_suffix(b"\n").unwrap_or(&text);
     let digit = |b: u8| char::from(b).to_digit(16).map(|d| d as u8);
     let byte = |pair: &[u8]| Some(digit(pair[0])? << 4 | digit(pair[1])?);
-    let bytes: Option<Vec<u8>> = (hex.len() == 2 * SEED).then(|| hex.chunks(2).map(byte).collect()).flatten();
+    let bytes: Option<Vec<u8>> = (hex.len() == 2 * SEED)
+        .then(|| hex.chunks(2).map(byte).collect())
+        .flatten();
     let seed = Zeroizing::new(bytes.ok_or_else(|| told(&"this is no private key: 64 hex digits"))?);
-    let seed: &[u8; SEED] = seed.as_slice().try_into().map_err(|_| told(&"this is no private key"))?;
+    let seed: &[u8; SEED] = seed
+        .as_slice()
+        .try_into()
+        .map_err(|_| told(&"this is no private key"))?;
     Ok(SigningKey::from_bytes(seed))
 }
 
 fn token(verb: Verb) -> Result<ExitCode, String> {
-    let Verb::Token { key, kid, audience, tenant, lasts, account, class } = verb else {
+    let Verb::Token {
+        key,
+        kid,
+        audience,
+        tenant,
+        lasts,
+        account,
+        class,
+    } = verb
+    else {
         return Ok(ExitCode::SUCCESS);
     };
     let with = private(&key)?;
     let (issuer, name) = kid.split_once('/').ok_or("--kid is ISSUER/KEY")?;
-    let accounts =
-        account.iter().map(|a| wrenfork_config::values::account(a)).collect::<Result<Vec<_>, _>>()?;
+    let accounts = account
+        .iter()
+        .map(|a| wrenfork_config::values::account(a))
+        .collect::<Result<Vec<_>, _>>()?;
     let from = now();
     let claims = Claims {
         issuer: issuer.into(),
@@ -154,22 +183,41 @@
 }
 
 fn rotate(verb: Verb) -> Result<ExitCode, String> {
-    let Verb::Rotate { file, issuer, name, public, lead, overlap } = verb else {
+    let Verb::Rotate {
+        file,
+        issuer,
+        name,
+        public,
+        lead,
+        overlap,
+    } = verb
+    else {
         return Ok(ExitCode::SUCCESS);
     };
     let told_of = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     wrenfork_config::values::public_key(&public)?;
     let text = std::fs::read_to_string(&file).map_err(|e| told_of(&e))?;
     let mut document: DocumentMut = text.parse().map_err(|e| told_of(&e))?;
-    let issuers =
-        document.get_mut("identity").and_then(|i| i.get_mut("issuer")).and_then(Item::as_array_of_tables_mut);
+    let issuers = document
+        .get_mut("identity")
+        .and_then(|i| i.get_mut("issuer"))
+        .and_then(Item::as_array_of_tables_mut);
     let named = |t: &&mut Table| t.get("name").and_then(Item::as_str) == Some(&issuer);
     let found = issuers.and_then(|list| list.iter_mut().find(named));
     let found = found.ok_or_else(|| told_of(&format!("there is no issuer \"{issuer}\"")))?;
     let keys = found.get_mut("key").and_then(Item::as_array_of_tables_mut);
-    let keys = keys.ok_or_else(|| told_of(&format!("issuer \"{issuer}\" has no [[identity.issuer.key]]")))?;
-    if keys.iter().any(|k| k.get("name").and_then(Item::as_str) == Some(&name)) {
-        return Err(told_of(&format!("issuer \"{issuer}\" has a key \"{name}\"")));
+    let keys = keys.ok_or_else(|| {
+        told_of(&format!(
+            "issuer \"{issuer}\" has no [[identity.issuer.key]]"
+        ))
+    })?;
+    if keys
+        .iter()
+        .any(|k| k.get("name").and_then(Item::as_str) == Some(&name))
+    {
+        return Err(told_of(&format!(
+            "issuer \"{issuer}\" has a key \"{name}\""
+        )));
     }
     let from = now() + lead.as_secs();
     let until = told(from + overlap.as_secs());
@@ -177,16 +225,28 @@
         key.insert("until", value(&until));
     }
     let mut new = Table::new();
-    for (key, text) in [("name", name.as_str()), ("public", &public), ("from", &told(from))] {
+    for (key, text) in [
+        ("name", name.as_str()),
+        ("public", &public),
+        ("from", &told(from)),
+    ] {
         new.insert(key, value(text));
     }
     keys.push(new);
     // Whole or not at all, with the mode that it had: an ingress may read it at any moment.
-    let folder = file.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = file
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let mut written = tempfile::NamedTempFile::new_in(folder).map_err(|e| told_of(&e))?;
-    let mode = std::fs::metadata(&file).map_err(|e| told_of(&e))?.permissions();
-    let done = written.write_all(document.to_string().as_bytes()).and_then(|()| written.as_file().sync_all());
-    done.and_then(|()| written.as_file().set_permissions(mode)).map_err(|e| told_of(&e))?;
+    let mode = std::fs::metadata(&file)
+        .map_err(|e| told_of(&e))?
+        .permissions();
+    let done = written
+        .write_all(document.to_string().as_bytes())
+        .and_then(|()| written.as_file().sync_all());
+    done.and_then(|()| written.as_file().set_permissions(mode))
+        .map_err(|e| told_of(&e))?;
     written.persist(&file).map_err(|e| told_of(&e.error))?;
     println!(
         "{} {issuer}/{name} is taken from {}, the others until {until}",
@@ -202,14 +262,24 @@
     if set.refused() {
         return Ok(crate::config::print::text(&set));
     }
-    let apps = set.applications().into_iter().map(|a| a.content.identity.clone());
-    let ingresses = set.ingresses().into_iter().map(|i| i.content.ways.identity.clone());
+    let apps = set
+        .applications()
+        .into_iter()
+        .map(|a| a.content.identity.clone());
+    let ingresses = set
+        .ingresses()
+        .into_iter()
+        .map(|i| i.content.ways.identity.clone());
     let (at, mut wrong) = (now(), false);
     let mut table = style::table(&["issuer", "key", "stands", "from", "until"]);
     let mut said = Vec::new();
     for identity in apps.chain(ingresses).flatten() {
         let trust = callers::trust(&identity);
-        for (issuer, key) in trust.issuers.iter().flat_map(|i| i.keys.iter().map(move |k| (&i.name, k))) {
+        for (issuer, key) in trust
+            .issuers
+            .iter()
+            .flat_map(|i| i.keys.iter().map(move |k| (&i.name, k)))
+        {
             let stands = match key.stage(at) {
                 Stage::Coming => "coming",
                 Stage::Used => "used",
@@ -224,17 +294,28 @@
                 moment(Some(key.from)),
                 moment(key.until),
             ]);
-            let soon = key.until.is_some_and(|u| u > at && u <= at + u64::from(early) * 86_400);
-            let next = trust.issuers.iter().filter(|i| i.name == *issuer).flat_map(|i| &i.keys);
+            let soon = key
+                .until
+                .is_some_and(|u| u > at && u <= at + u64::from(early) * 86_400);
+            let next = trust
+                .issuers
+                .iter()
+                .filter(|i| i.name == *issuer)
+                .flat_map(|i| &i.keys);
             if soon && !next.into_iter().any(|k| k.until.is_none() && k.taken(at)) {
-                said.push(format!("key {issuer}/{} ends soon, and no other one is used yet", key.name));
+                said.push(format!(
+                    "key {issuer}/{} ends soon, and no other one is used yet",
+                    key.name
+                ));
             }
         }
         said.extend(trust.rotation(at).iter().map(|doubt| match doubt {
             Doubt::NoKey(issuer) => {
                 format!("no key of issuer {issuer} is taken now: all of its tokens are refused")
             }
-            Doubt::Gap(issuer, from) => format!("issuer {issuer} has no key from {} on", told(*from)),
+            Doubt::Gap(issuer, from) => {
+                format!("issuer {issuer} has no key from {} on", told(*from))
+            }
             Doubt::Twice(issuer, key) => format!("key {issuer}/{key} is there twice"),
             Doubt::Never(issuer, key) => format!("key {issuer}/{key} ends before it begins"),
         }));
@@ -244,7 +325,11 @@
         wrong = true;
         println!("{} {line}", style::bad("doubt:"));
     }
-    Ok(if wrong { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+    Ok(if wrong {
+        ExitCode::FAILURE
+    } else {
+        ExitCode::SUCCESS
+    })
 }
 
 pub fn main(verb: Verb) -> ExitCode {
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -16,7 +16,12 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "wrenctl", version, about = "The operators' tool of wrenfork", propagate_version = true)]
+#[command(
+    name = "wrenctl",
+    version,
+    about = "The operators' tool of wrenfork",
+    propagate_version = true
+)]
 struct Cli {
     #[command(subcommand)]
     verb: Verb,
--- a/crates/ctl/src/reload.rs
+++ b/crates/ctl/src/reload.rs
@@ -44,8 +44,9 @@
 
 fn run(options: &Options) -> Result<ExitCode, String> {
     let before = read(&options.status)?;
-    let process =
-        Pid::from_raw(before.process).filter(|_| before.process > 1).ok_or("it names no process")?;
+    let process = Pid::from_raw(before.process)
+        .filter(|_| before.process > 1)
+        .ok_or("it names no process")?;
     kill_process(process, Signal::HUP).map_err(|e| format!("process {}: {e}", before.process))?;
     if !options.wait {
         return Ok(ExitCode::SUCCESS);
@@ -63,7 +64,11 @@
                 return Ok(ExitCode::SUCCESS);
             }
             "refused" if read => {
-                anstream::eprintln!("{} {}; it goes on as before", style::bad("refused:"), now.why);
+                anstream::eprintln!(
+                    "{} {}; it goes on as before",
+                    style::bad("refused:"),
+                    now.why
+                );
                 return Ok(ExitCode::FAILURE);
             }
             _ => {}
@@ -72,7 +77,10 @@
         if start.elapsed() > options.patience {
             let why = match (read, now.outcome.as_str()) {
                 (true, "waiting") => {
-                    format!("it can't be read, and is read again until it can be: {}", now.why)
+                    format!(
+                        "it can't be read, and is read again until it can be: {}",
+                        now.why
+                    )
                 }
                 _ => "it has not read its files yet".into(),
             };
--- a/crates/ctl/src/rollout/make.rs
+++ b/crates/ctl/src/rollout/make.rs
@@ -33,11 +33,17 @@
         },
     };
     std::thread::scope(|scope| {
-        let asked: Vec<_> = names.iter().map(|name| (name, scope.spawn(move || ask(name)))).collect();
+        let asked: Vec<_> = names
+            .iter()
+            .map(|name| (name, scope.spawn(move || ask(name))))
+            .collect();
         let told = |one: std::thread::ScopedJoinHandle<'_, _>| {
             one.join().unwrap_or_else(|_| Err("the ask ended".into()))
         };
-        asked.into_iter().map(|(name, one)| (name.clone(), told(one))).collect()
+        asked
+            .into_iter()
+            .map(|(name, one)| (name.clone(), told(one)))
+            .collect()
     })
 }
 
@@ -55,19 +61,37 @@
         let name = &target.ingress;
         let (state, wanted) = planned(part, target, stands)?;
         let change = change(&state, wanted);
-        let place = changes.iter().position(|c| *c == change).unwrap_or_else(|| {
-            changes.push(change);
-            changes.len() - 1
-        });
+        let place = changes
+            .iter()
+            .position(|c| *c == change)
+            .unwrap_or_else(|| {
+                changes.push(change);
+                changes.len() - 1
+            });
         of.insert(name.clone(), place);
     }
-    if let Some(name) = stands.policy.own.keys().find(|name| !of.contains_key(*name)) {
-        return Err(format!("{name} has come into the roster since the plan was made: make it anew"));
+    if let Some(name) = stands
+        .policy
+        .own
+        .keys()
+        .find(|name| !of.contains_key(*name))
+    {
+        return Err(format!(
+            "{name} has come into the roster since the plan was made: make it anew"
+        ));
     }
     let (id, author) = (part.id(), part.author.clone());
     let stages = stages(&id, &reach, halls)?;
-    let record =
-        Record { id, author, terms, stages, changes, of, phase: Phase::On { stage: 0 }, why: String::new() };
+    let record = Record {
+        id,
+        author,
+        terms,
+        stages,
+        changes,
+        of,
+        phase: Phase::On { stage: 0 },
+        why: String::new(),
+    };
     record.check()?;
     Ok(record)
 }
@@ -80,10 +104,16 @@
     plan.still_good(micros()).map_err(|e| told(&e))?;
     let (groups, rest) = parts(&plan);
     let [(members, part)] = &groups[..] else {
-        return Err(format!("a rollout goes through one group, and the plan has {}", groups.len()));
+        return Err(format!(
+            "a rollout goes through one group, and the plan has {}",
+            groups.len()
+        ));
     };
     if let Some(target) = rest.targets.first() {
-        return Err(format!("{} belongs to no group: its change is made by wrenctl apply", target.ingress));
+        return Err(format!(
+            "{} belongs to no group: its change is made by wrenctl apply",
+            target.ingress
+        ));
     }
     let at = sockets(members);
     let stands = look(&at)?.known()?;
@@ -100,9 +130,14 @@
         return Ok(ExitCode::SUCCESS);
     }
     meant(begin.yes)?;
-    let wanted = |stands: &Decree| stands.rolled(&part.author, record(part, stands, begin, &halls)?);
-    let wanted = |stands: &Decree| wanted(stands).and_then(|next| stands.rolls_on(&next).map(|()| next));
-    Ok(end("stage 1", decide(&at, &Wanted::Decree(&wanted), begin.patience)))
+    let wanted =
+        |stands: &Decree| stands.rolled(&part.author, record(part, stands, begin, &halls)?);
+    let wanted =
+        |stands: &Decree| wanted(stands).and_then(|next| stands.rolls_on(&next).map(|()| next));
+    Ok(end(
+        "stage 1",
+        decide(&at, &Wanted::Decree(&wanted), begin.patience),
+    ))
 }
 
 fn end(what: &str, outcome: Outcome) -> ExitCode {
@@ -118,11 +153,19 @@
 fn stages_of(record: &Record, halls: &BTreeMap<String, String>) {
     let mut table = style::table(&["stage", "members", "halls", "they are"]);
     for (n, stage) in record.stages.iter().enumerate() {
-        let mut in_halls: Vec<&str> = stage.iter().filter_map(|s| halls.get(s)).map(String::as_str).collect();
+        let mut in_halls: Vec<&str> = stage
+            .iter()
+            .filter_map(|s| halls.get(s))
+            .map(String::as_str)
+            .collect();
         in_halls.sort_unstable();
         in_halls.dedup();
         let shown = stage.iter().take(6).cloned().collect::<Vec<_>>().join(", ");
-        let more = if stage.len() > 6 { format!(" and {} more", stage.len() - 6) } else { String::new() };
+        let more = if stage.len() > 6 {
+            format!(" and {} more", stage.len() - 6)
+        } else {
+            String::new()
+        };
         let (n, many) = ((n + 1).to_string(), stage.len().to_string());
         table.add_row(vec![n, many, in_halls.join(", "), format!("{shown}{more}")]);
     }
@@ -159,7 +202,10 @@
     match record.phase {
         Phase::On { .. } | Phase::Held { .. } => Ok(record.stopped(at_once, why)),
         Phase::Back { .. } if at_once => Ok(record.at(Phase::Stopped, why)),
-        _ => Err(format!("it is not to be stopped any more: {}", record.phase)),
+        _ => Err(format!(
+            "it is not to be stopped any more: {}",
+            record.phase
+        )),
     }
 }
 
@@ -181,15 +227,24 @@
     let [at] = &under_way[..] else {
         return Err(match under_way.len() {
             0 => "no rollout is under way".into(),
-            _ => "several groups have a rollout under way: name the folder of one application".into(),
+            _ => {
+                "several groups have a rollout under way: name the folder of one application".into()
+            }
         });
     };
     let author = crate::change::author(None);
     let wanted = |stands: &Decree| {
         let record = stands.rollout.as_deref().ok_or("no rollout is under way")?;
         let next = step(record)?;
-        let why = if next.why.is_empty() { change.why.clone() } else { next.why.clone() };
+        let why = if next.why.is_empty() {
+            change.why.clone()
+        } else {
+            next.why.clone()
+        };
         stands.rolled(&author, Record { why, ..next })
     };
-    Ok(end(what, decide(at, &Wanted::Decree(&wanted), change.patience)))
+    Ok(end(
+        what,
+        decide(at, &Wanted::Decree(&wanted), change.patience),
+    ))
 }
--- a/crates/ctl/src/rollout/mod.rs
+++ b/crates/ctl/src/rollout/mod.rs
@@ -83,9 +83,15 @@
         Verb::Watch(options) => show::watch(options),
         Verb::Pause(change) => make::step(change, "held", &make::held),
         Verb::Resume(change) => make::step(change, "going on", &make::resumed),
-        Verb::Stop(stop) => {
-            make::step(&stop.change, "stopped", &|r| make::stopped(r, stop.at_once, &stop.change.why))
-        }
+        Verb::Stop(stop) => make::step(&stop.change, "stopped", &|r| {
+            make::stopped(r, stop.at_once, &stop.change.why)
+        }),
     };
-    done.unwrap_or_else(|why| if why.is_empty() { ExitCode::FAILURE } else { failed(why) })
+    done.unwrap_or_else(|why| {
+        if why.is_empty() {
+            ExitCode::FAILURE
+        } else {
+            failed(why)
+        }
+    })
 }
--- a/crates/ctl/src/rollout/page.rs
+++ b/crates/ctl/src/rollout/page.rs
@@ -28,7 +28,10 @@
 }
 
 fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 impl Page {
@@ -37,7 +40,12 @@
         if self.moments.len() >= MOST {
             self.moments.remove(0);
         }
-        self.moments.push(Moment { at, phase, why, standing });
+        self.moments.push(Moment {
+            at,
+            phase,
+            why,
+            standing,
+        });
     }
 
     /// The phases in their order: from when to when, and the last look at each.
@@ -56,9 +64,14 @@
     fn chart(&self) -> Result<String, String> {
         let told = |e: &dyn std::fmt::Display| format!("the chart can't be drawn: {e}");
         let stake = |s: f64| s.max(LEAST).log10();
-        let looks: Vec<(f64, &Standing)> =
-            self.moments.iter().filter_map(|m| Some((m.at, m.standing.as_ref()?))).collect();
-        let most = looks.iter().flat_map(|(_, s)| s.measures.iter().map(|m| m.2).chain([s.good, s.needed]));
+        let looks: Vec<(f64, &Standing)> = self
+            .moments
+            .iter()
+            .filter_map(|m| Some((m.at, m.standing.as_ref()?)))
+            .collect();
+        let most = looks
+            .iter()
+            .flat_map(|(_, s)| s.measures.iter().map(|m| m.2).chain([s.good, s.needed]));
         let top = most.fold(10.0, f64::max).min(1e9).log10() + 0.2;
         let end = self.moments.last().map_or(1.0, |m| m.at.max(1.0));
         let mut svg = String::new();
@@ -83,11 +96,24 @@
             };
             for (n, measure) in Measure::ALL.into_iter().enumerate() {
                 let of = |s: &Standing| s.measures.iter().find(|m| m.0 == measure).map(|m| m.2);
-                let points = looks.iter().filter_map(|(at, s)| Some((*at, stake(of(s)?).min(top))));
+                let points = looks
+                    .iter()
+                    .filter_map(|(at, s)| Some((*at, stake(of(s)?).min(top))));
                 line(points.collect(), COLOURS[n], 1)?;
             }
-            line(looks.iter().map(|(at, s)| (*at, stake(s.good).min(top))).collect(), GOOD, 2)?;
-            line(looks.iter().map(|(at, s)| (*at, stake(s.needed))).collect(), BLACK, 1)?;
+            line(
+                looks
+                    .iter()
+                    .map(|(at, s)| (*at, stake(s.good).min(top)))
+                    .collect(),
+                GOOD,
+                2,
+            )?;
+            line(
+                looks.iter().map(|(at, s)| (*at, stake(s.needed))).collect(),
+                BLACK,
+                1,
+            )?;
             area.present().map_err(|e| told(&e))?;
         }
         Ok(svg)
@@ -112,7 +138,11 @@
         );
         for (first, until) in self.phases() {
             let (phase, why) = (escaped(&first.phase), escaped(&until.why));
-            let _ = writeln!(text, "<tr><td>{phase}<td>{:.0}<td>{:.0}<td>{why}</tr>", first.at, until.at);
+            let _ = writeln!(
+                text,
+                "<tr><td>{phase}<td>{:.0}<td>{:.0}<td>{why}</tr>",
+                first.at, until.at
+            );
         }
         text.push_str("</table>\n<h2>What was compared</h2>\n");
         for (first, until) in self.phases() {
@@ -127,14 +157,21 @@
                 s.needed
             );
             for (measure, mean, stake) in &s.measures {
-                let _ = writeln!(text, "<tr><td>{measure}<td>{:+.2}%<td>{stake:.2}</tr>", mean * 100.0);
+                let _ = writeln!(
+                    text,
+                    "<tr><td>{measure}<td>{:+.2}%<td>{stake:.2}</tr>",
+                    mean * 100.0
+                );
             }
             text.push_str("</table>\n");
         }
         text.push_str("<h2>Stakes</h2>\n<p>What a stake of 1 came to. Black: from here on it counts. Wide green: that it is good.");
         for (measure, colour) in Measure::ALL.into_iter().zip(COLOURS) {
             let RGBColor(r, g, b) = colour;
-            let _ = write!(text, " <span style=\"color:rgb({r},{g},{b})\">{measure}</span>;");
+            let _ = write!(
+                text,
+                " <span style=\"color:rgb({r},{g},{b})\">{measure}</span>;"
+            );
         }
         let _ = writeln!(text, "</p>\n{}", self.chart()?);
         Ok(text)
@@ -176,8 +213,18 @@
             blocks: 7,
             away: Vec::new(),
         };
-        page.note(0.0, "stage 1 of 2".into(), String::new(), Some(standing(1.5)));
-        page.note(9.0, "stage 1 of 2".into(), String::new(), Some(standing(f64::INFINITY)));
+        page.note(
+            0.0,
+            "stage 1 of 2".into(),
+            String::new(),
+            Some(standing(1.5)),
+        );
+        page.note(
+            9.0,
+            "stage 1 of 2".into(),
+            String::new(),
+            Some(standing(f64::INFINITY)),
+        );
         page.note(10.0, "stopped".into(), "answers later <b>".into(), None);
         let html = page.html("desk & co").unwrap();
         for part in [
--- a/crates/ctl/src/rollout/programs.rs
+++ b/crates/ctl/src/rollout/programs.rs
@@ -17,7 +17,10 @@
         )
     })?;
     let speaks = speaks(path)?;
-    Ok(Speaks { version: program.name.clone(), ..speaks })
+    Ok(Speaks {
+        version: program.name.clone(),
+        ..speaks
+    })
 }
 
 /// Tells what is lost, and refuses what could not be taken back.
@@ -26,8 +29,11 @@
 ///
 /// Where a file is missing, says nothing of itself, or the two must not be in service together.
 pub fn check(record: &Record, given: &[PathBuf]) -> Result<(), String> {
-    let changes: BTreeSet<&(Option<String>, Option<String>)> =
-        record.changes.iter().filter_map(|change| change.get(PROGRAM)).collect();
+    let changes: BTreeSet<&(Option<String>, Option<String>)> = record
+        .changes
+        .iter()
+        .filter_map(|change| change.get(PROGRAM))
+        .collect();
     if changes.is_empty() {
         return Ok(());
     }
@@ -46,13 +52,22 @@
         let (old, new) = (Program::read(old)?, Program::read(new)?);
         let report = compare(&said(&old, &files)?, &said(&new, &files)?);
         if !report.refused.is_empty() {
-            return Err(format!("from {} to {}: {}", old.name, new.name, report.refused.join("; ")));
+            return Err(format!(
+                "from {} to {}: {}",
+                old.name,
+                new.name,
+                report.refused.join("; ")
+            ));
         }
         for lost in &report.lost {
             anstream::println!("{} {lost}", style::doubtful("lost:"));
         }
         if report.lost.is_empty() {
-            anstream::println!("from {} to {}: each process hands over to the next", old.name, new.name);
+            anstream::println!(
+                "from {} to {}: each process hands over to the next",
+                old.name,
+                new.name
+            );
         }
     }
     Ok(())
--- a/crates/ctl/src/rollout/show.rs
+++ b/crates/ctl/src/rollout/show.rs
@@ -54,7 +54,11 @@
     if files.groups.is_empty() {
         return Err("no application here has a roster: a rollout goes through a group".into());
     }
-    Ok(files.groups.iter().map(|(name, group)| (name.clone(), group.links(""))).collect())
+    Ok(files
+        .groups
+        .iter()
+        .map(|(name, group)| (name.clone(), group.links("")))
+        .collect())
 }
 
 fn words(record: &Record) -> String {
@@ -80,7 +84,11 @@
 
 /// A program for people: its name, or that nobody says.
 fn runs(program: &str) -> &str {
-    program.split('@').next().filter(|name| !name.is_empty()).unwrap_or("what nobody names")
+    program
+        .split('@')
+        .next()
+        .filter(|name| !name.is_empty())
+        .unwrap_or("what nobody names")
 }
 
 /// What is known of a group's rollout.
@@ -96,17 +104,27 @@
             continue;
         };
         let (id, author) = (record.id.short(), &record.author);
-        anstream::println!("{} change {id} by {author}: {}", style::head(format!("{name}:")), phase(record));
+        anstream::println!(
+            "{} change {id} by {author}: {}",
+            style::head(format!("{name}:")),
+            phase(record)
+        );
         let names: Vec<String> = decree.policy.own.keys().cloned().collect();
         let (seen, new) = (tallies(&at, &names), record.new_at());
         let mut table = style::table(&["stage", "member", "has", "notes"]);
         for (n, stage) in record.stages.iter().enumerate() {
             for member in stage.iter().filter(|m| seen.contains_key(*m)) {
-                let has = if new.contains(member.as_str()) { "new" } else { "old" };
+                let has = if new.contains(member.as_str()) {
+                    "new"
+                } else {
+                    "old"
+                };
                 let note = match &seen[member] {
                     Ok(t) if t.number < decree.number => "it has not learnt this yet".to_string(),
                     Ok(t) if !t.unfit.is_empty() => t.unfit.clone(),
-                    Ok(t) if !record.fits(member, &t.program) => format!("still runs {}", runs(&t.program)),
+                    Ok(t) if !record.fits(member, &t.program) => {
+                        format!("still runs {}", runs(&t.program))
+                    }
                     Ok(t) if record.changes_programs() => format!("runs {}", runs(&t.program)),
                     Ok(_) => String::new(),
                     Err(why) => format!("away: {why}"),
@@ -122,7 +140,9 @@
 /// One group's line.
 fn line(name: &str, at: &Sockets, seen: &mut Seen, since: Instant) -> Result<(), String> {
     let decree = stands(at)?;
-    let Some(record) = &decree.rollout else { return Err(format!("{name}: no rollout")) };
+    let Some(record) = &decree.rollout else {
+        return Err(format!("{name}: no rollout"));
+    };
     let (mut text, watch, mut standing) = (phase(record), &mut seen.watch, None);
     if let Phase::On { .. } = record.phase {
         if watch.as_ref().is_none_or(|w| w.0 != decree.number) {
@@ -136,10 +156,16 @@
             let s = watch.standing();
             let most = s.measures.iter().max_by(|a, b| a.2.total_cmp(&b.2));
             let worst = most.map_or(String::new(), |(m, mean, stake)| {
-                format!(", most doubtful: {m} {:+.2}% (stake {stake:.1})", mean * 100.0)
+                format!(
+                    ", most doubtful: {m} {:+.2}% (stake {stake:.1})",
+                    mean * 100.0
+                )
             });
-            let away =
-                if s.away.is_empty() { String::new() } else { format!(", away: {}", s.away.join(", ")) };
+            let away = if s.away.is_empty() {
+                String::new()
+            } else {
+                format!(", away: {}", s.away.join(", "))
+            };
             let changing = match s.changing.len() {
                 0 => String::new(),
                 _ => format!(", changing: {}", s.changing.join(", ")),
@@ -152,7 +178,12 @@
         }
     }
     anstream::println!("{} {text}", style::head(format!("{name}:")));
-    seen.page.note(since.elapsed().as_secs_f64(), words(record), record.why.clone(), standing);
+    seen.page.note(
+        since.elapsed().as_secs_f64(),
+        words(record),
+        record.why.clone(),
+        standing,
+    );
     seen.end = match record.phase {
         Phase::Done => Some(true),
         Phase::Stopped | Phase::Held { .. } => Some(false),
@@ -170,7 +201,11 @@
     let since = Instant::now();
     loop {
         let begun = Instant::now();
-        for ((name, at), seen) in groups.iter().zip(&mut all).filter(|(_, seen)| seen.end.is_none()) {
+        for ((name, at), seen) in groups
+            .iter()
+            .zip(&mut all)
+            .filter(|(_, seen)| seen.end.is_none())
+        {
             match line(name, at, seen, since) {
                 Ok(()) => {}
                 Err(why) if groups.len() == 1 && why.ends_with("no rollout") => return Err(why),
@@ -180,10 +215,17 @@
         }
         if all.iter().all(|seen| seen.end.is_some()) {
             for ((name, _), seen) in groups.iter().zip(&all) {
-                options.page.as_ref().map_or(Ok(()), |to| seen.page.write(name, to))?;
+                options
+                    .page
+                    .as_ref()
+                    .map_or(Ok(()), |to| seen.page.write(name, to))?;
             }
             let through = all.iter().all(|seen| seen.end == Some(true));
-            return Ok(if through { ExitCode::SUCCESS } else { ExitCode::from(NOT_THROUGH) });
+            return Ok(if through {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::from(NOT_THROUGH)
+            });
         }
         std::thread::sleep(EVERY.saturating_sub(begun.elapsed()));
     }
--- a/crates/ctl/src/rollout/terms.rs
+++ b/crates/ctl/src/rollout/terms.rs
@@ -25,30 +25,48 @@
 
 fn millionths(share: f64, key: &str) -> Result<u32, String> {
     let share = Some(share).filter(|s| (0.0..=1.0).contains(s));
-    share.map(|s| (s * 1e6).round() as u32).ok_or_else(|| format!("{key} is a share from 0 to 1"))
+    share
+        .map(|s| (s * 1e6).round() as u32)
+        .ok_or_else(|| format!("{key} is a share from 0 to 1"))
 }
 
 fn parse(text: &str) -> Result<(Vec<Reach>, Terms), String> {
     let file: File = toml::from_str(text).map_err(|e| e.to_string())?;
     if file.version != VERSION || file.kind != "rollout" {
-        return Err(format!("it must say version = {VERSION} and kind = \"rollout\""));
+        return Err(format!(
+            "it must say version = {VERSION} and kind = \"rollout\""
+        ));
     }
     let ms = |text: &Option<String>, key: &str, absent: u64| match text {
         None => Ok(absent),
-        Some(text) => time(text).map(|us| us / 1_000).map_err(|why| format!("{key}: {why}")),
+        Some(text) => time(text)
+            .map(|us| us / 1_000)
+            .map_err(|why| format!("{key}: {why}")),
     };
     let usual = Terms::default();
     let watch_ms = ms(&file.watch, "watch", usual.watch_ms)?;
     let terms = Terms {
         watch_ms,
-        patience_ms: ms(&file.patience, "patience", usual.patience_ms.max(10 * watch_ms))?,
+        patience_ms: ms(
+            &file.patience,
+            "patience",
+            usual.patience_ms.max(10 * watch_ms),
+        )?,
         pause_ms: ms(&file.pause, "pause", usual.pause_ms)?,
         away: file.away.unwrap_or(usual.away),
-        worse_ppm: file.worse.map_or(Ok(usual.worse_ppm), |s| millionths(s, "worse"))?,
-        error_ppm: file.error.map_or(Ok(usual.error_ppm), |s| millionths(s, "error"))?,
+        worse_ppm: file
+            .worse
+            .map_or(Ok(usual.worse_ppm), |s| millionths(s, "worse"))?,
+        error_ppm: file
+            .error
+            .map_or(Ok(usual.error_ppm), |s| millionths(s, "error"))?,
     };
     terms.check()?;
-    let reach = file.stages.iter().map(|s| Reach::read(s)).collect::<Result<Vec<_>, _>>()?;
+    let reach = file
+        .stages
+        .iter()
+        .map(|s| Reach::read(s))
+        .collect::<Result<Vec<_>, _>>()?;
     Ok((reach, terms))
 }
 
@@ -75,7 +93,11 @@
         assert_eq!((reach.len(), terms), (4, Terms::default()));
         for (good, bad, why) in [
             ("version = 1", "version = 2", "version = 1"),
-            ("kind = \"rollout\"", "kind = \"site\"", "kind = \"rollout\""),
+            (
+                "kind = \"rollout\"",
+                "kind = \"site\"",
+                "kind = \"rollout\"",
+            ),
             ("\"10%\"", "\"some\"", "a stage is written"),
             ("watch = \"60s\"", "watch = \"60\"", "watch: "),
             ("watch = \"60s\"", "watch = \"0s\"", "1 s to a day"),
--- a/crates/ctl/src/route/cases.rs
+++ b/crates/ctl/src/route/cases.rs
@@ -41,22 +41,35 @@
 
 /// What a case found to be otherwise.
 fn wrong(set: &Set, case: &Case) -> Result<(), String> {
-    let found = match (way(set, &case.account, &case.class, case.sidecar.as_deref()), case.refused) {
+    let found = match (
+        way(set, &case.account, &case.class, case.sidecar.as_deref()),
+        case.refused,
+    ) {
         (Err(_), true) => return Ok(()),
         (Err(why), false) => return Err(why),
         (Ok(_), true) => return Err("it is not turned away".into()),
         (Ok(found), false) => found,
     };
-    let pools: Vec<&str> = found.tiers.iter().flatten().map(|t| t.name.as_str()).collect();
+    let pools: Vec<&str> = found
+        .tiers
+        .iter()
+        .flatten()
+        .map(|t| t.name.as_str())
+        .collect();
     if case.pools.as_ref().is_some_and(|want| *want != pools) {
-        let shown = if pools.is_empty() { "any node".to_string() } else { pools.join(", then ") };
+        let shown = if pools.is_empty() {
+            "any node".to_string()
+        } else {
+            pools.join(", then ")
+        };
         return Err(format!("it goes to {shown}"));
     }
     for node in &case.never {
         let reached = match &found.tiers {
-            Some(tiers) => {
-                tiers.iter().find(|t| t.nodes.iter().any(|n| n.name.value == *node)).map(|t| t.name.as_str())
-            }
+            Some(tiers) => tiers
+                .iter()
+                .find(|t| t.nodes.iter().any(|n| n.name.value == *node))
+                .map(|t| t.name.as_str()),
             None => Some("no pool: any node takes it"),
         };
         if let Some(pool) = reached {
--- a/crates/ctl/src/route/mod.rs
+++ b/crates/ctl/src/route/mod.rs
@@ -69,28 +69,50 @@
     let all = fleet.map_or(&[][..], |f| &f.nodes).iter();
     let takes = |n: &&Node| {
         let (name, hall, model) = (&*n.name.value, &*n.hall.value, &*n.model);
-        pool.selector.takes(&Traits { name, hall, model, group: n.group })
+        pool.selector.takes(&Traits {
+            name,
+            hall,
+            model,
+            group: n.group,
+        })
     };
     all.filter(takes).collect()
 }
 
 /// Finds where a request goes.
-fn way<'a>(set: &'a Set, account: &str, class: &str, sidecar: Option<&str>) -> Result<Way<'a>, String> {
-    let site = set.site().ok_or("there is no site's file among these")?.content;
+fn way<'a>(
+    set: &'a Set,
+    account: &str,
+    class: &str,
+    sidecar: Option<&str>,
+) -> Result<Way<'a>, String> {
+    let site = set
+        .site()
+        .ok_or("there is no site's file among these")?
+        .content;
     let id = wrenfork_config::values::account(account)?;
     let apps = set.applications();
-    let app = apps.iter().map(|a| a.content).find(|a| a.accounts.iter().any(|x| x.id.value == id));
-    let app = app
-        .ok_or_else(|| format!("account {account} is no application's here: its requests are turned away"))?;
+    let app = apps
+        .iter()
+        .map(|a| a.content)
+        .find(|a| a.accounts.iter().any(|x| x.id.value == id));
+    let app = app.ok_or_else(|| {
+        format!("account {account} is no application's here: its requests are turned away")
+    })?;
     let place = site.classes.iter().position(|c| c.name.value == class);
     let place = place.ok_or_else(|| format!("the site has no class \"{class}\""))?;
     if app.sends.iter().all(|c| c.value != class) {
-        return Err(format!("application \"{}\" may not send \"{class}\": it is turned away", app.called()));
+        return Err(format!(
+            "application \"{}\" may not send \"{class}\": it is turned away",
+            app.called()
+        ));
     }
     let from = match sidecar {
         Some(name) => {
             let found = app.sidecars.iter().find(|s| s.name.value == name);
-            Some(found.ok_or_else(|| format!("application \"{}\" has no sidecar \"{name}\"", app.called()))?)
+            Some(found.ok_or_else(|| {
+                format!("application \"{}\" has no sidecar \"{name}\"", app.called())
+            })?)
         }
         None => app.sidecars.first(),
     };
@@ -105,11 +127,18 @@
                 (true, 1) | (false, 0) => "its own",
                 _ => "fallback",
             };
-            Tier { name: pools[pool].name.value.clone(), why, nodes: nodes(&pools[pool], fleet) }
+            Tier {
+                name: pools[pool].name.value.clone(),
+                why,
+                nodes: nodes(&pools[pool], fleet),
+            }
         };
         sets.iter().enumerate().map(of).collect()
     });
-    Ok(Way { application: app.called(), tiers })
+    Ok(Way {
+        application: app.called(),
+        tiers,
+    })
 }
 
 fn status(node: &Node) -> &'static str {
@@ -132,40 +161,58 @@
         return print::text(&set);
     }
     match verb {
-        Verb::Explain { account, class, sidecar, format, .. } => {
-            match way(&set, &account, &class, sidecar.as_deref()) {
-                Ok(found) => {
-                    match format {
-                        Format::Text => text(&set, &found, &class),
-                        Format::Json => println!("{}", json(&found)),
-                    }
-                    ExitCode::SUCCESS
+        Verb::Explain {
+            account,
+            class,
+            sidecar,
+            format,
+            ..
+        } => match way(&set, &account, &class, sidecar.as_deref()) {
+            Ok(found) => {
+                match format {
+                    Format::Text => text(&set, &found, &class),
+                    Format::Json => println!("{}", json(&found)),
                 }
-                Err(why) => failed(why),
+                ExitCode::SUCCESS
             }
-        }
+            Err(why) => failed(why),
+        },
         Verb::Test { cases, .. } => cases::main(&set, &cases),
     }
 }
 
 fn json(way: &Way) -> String {
     let tier = |t: &Tier| {
-        let nodes = t.nodes.iter().map(|n| json!({"name": n.name.value, "status": status(n)}));
+        let nodes = t
+            .nodes
+            .iter()
+            .map(|n| json!({"name": n.name.value, "status": status(n)}));
         json!({"pool": t.name, "why": t.why, "nodes": nodes.collect::<Vec<_>>()})
     };
-    let tiers = way.tiers.as_ref().map(|list| list.iter().map(tier).collect::<Vec<_>>());
+    let tiers = way
+        .tiers
+        .as_ref()
+        .map(|list| list.iter().map(tier).collect::<Vec<_>>());
     let whole = json!({"application": way.application, "tiers": tiers});
     serde_json::to_string_pretty(&whole).unwrap_or_default()
 }
 
 fn text(set: &Set, way: &Way, class: &str) {
     let Some(tiers) = &way.tiers else {
-        println!("{} {class} has no route: any node takes it", style::head(way.application));
+        println!(
+            "{} {class} has no route: any node takes it",
+            style::head(way.application)
+        );
         return;
     };
     println!("{} {class}", style::head(way.application));
     for (n, tier) in tiers.iter().enumerate() {
-        println!("  {}. pool {} ({})", n + 1, style::head(&tier.name), tier.why);
+        println!(
+            "  {}. pool {} ({})",
+            n + 1,
+            style::head(&tier.name),
+            tier.why
+        );
         for node in &tier.nodes {
             let state = match node.status {
                 Status::Up => style::good("up"),
@@ -177,7 +224,10 @@
             println!("       {}", style::bad("no node is of it"));
         }
         if tier.nodes.iter().all(|n| n.status != Status::Up) && set.fleet().is_some() {
-            println!("       {}", style::doubtful("passed over: nobody of it takes work"));
+            println!(
+                "       {}",
+                style::doubtful("passed over: nobody of it takes work")
+            );
         }
     }
     println!("A later pool is gone to where those before have nobody, fail as a whole or are at their bound, as far as it has");
@@ -186,7 +236,11 @@
         .fleet()
         .map_or(Vec::new(), |f| f.content.nodes.iter().collect())
         .into_iter()
-        .filter(|n: &&Node| tiers.iter().all(|t| t.nodes.iter().all(|own| own.name.value != n.name.value)))
+        .filter(|n: &&Node| {
+            tiers
+                .iter()
+                .all(|t| t.nodes.iter().all(|own| own.name.value != n.name.value))
+        })
         .map(|n| n.name.value.as_str())
         .collect();
     if !others.is_empty() {
--- a/crates/ctl/src/style.rs
+++ b/crates/ctl/src/style.rs
@@ -30,12 +30,17 @@
 /// A table with plain borders: it reads the same on a terminal and in a file.
 pub fn table(header: &[&str]) -> comfy_table::Table {
     let mut table = comfy_table::Table::new();
-    table.load_preset(comfy_table::presets::NOTHING).set_header(header.to_vec());
+    table
+        .load_preset(comfy_table::presets::NOTHING)
+        .set_header(header.to_vec());
     table
 }
 
 /// Values from 0 to 1 as a line of bars.
 pub fn bars(values: &[f64]) -> String {
     const BARS: [char; 8] = ['▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
-    values.iter().map(|v| BARS[((v.clamp(0.0, 1.0) * 7.0).round()) as usize]).collect()
+    values
+        .iter()
+        .map(|v| BARS[((v.clamp(0.0, 1.0) * 7.0).round()) as usize])
+        .collect()
 }
--- a/crates/ctl/src/tend/file.rs
+++ b/crates/ctl/src/tend/file.rs
@@ -73,11 +73,15 @@
 fn parse(text: &str) -> Result<Told, String> {
     let form: Form = toml::from_str(text).map_err(|e| e.to_string())?;
     if form.version != VERSION || form.kind != "tend" {
-        return Err(format!("it must say version = {VERSION} and kind = \"tend\""));
+        return Err(format!(
+            "it must say version = {VERSION} and kind = \"tend\""
+        ));
     }
     let span = |text: &Option<String>, key: &str, absent: Duration| match text {
         None => Ok(absent),
-        Some(text) => time(text).map(Duration::from_micros).map_err(|why| format!("{key}: {why}")),
+        Some(text) => time(text)
+            .map(Duration::from_micros)
+            .map_err(|why| format!("{key}: {why}")),
     };
     let usual = Terms::default();
     let terms = Terms {
@@ -98,17 +102,42 @@
     for Listed { name, path, sha256 } in form.program {
         let program = Program::read(&format!("{name}@{sha256}"))
             .map_err(|_| format!("program \"{name}\": sha256 is 64 hex digits in lower case"))?;
-        if let Some((other, _)) = list.iter().find(|(p, _): &&(Program, PathBuf)| *p == program) {
-            return Err(format!("programs \"{}\" and \"{name}\" have one digest", other.name));
+        if let Some((other, _)) = list
+            .iter()
+            .find(|(p, _): &&(Program, PathBuf)| *p == program)
+        {
+            return Err(format!(
+                "programs \"{}\" and \"{name}\" have one digest",
+                other.name
+            ));
         }
         list.push((program, path));
     }
     if list.is_empty() {
         return Err("it names no [[program]]".into());
     }
-    let programs = Programs { list, said: RefCell::default(), looked: RefCell::default() };
-    let Form { listen, control, state, arguments, log, .. } = form;
-    Ok(Told { listen, control, state, arguments, log, terms, programs })
+    let programs = Programs {
+        list,
+        said: RefCell::default(),
+        looked: RefCell::default(),
+    };
+    let Form {
+        listen,
+        control,
+        state,
+        arguments,
+        log,
+        ..
+    } = form;
+    Ok(Told {
+        listen,
+        control,
+        state,
+        arguments,
+        log,
+        terms,
+        programs,
+    })
 }
 
 /// Reads the file.
@@ -129,7 +158,11 @@
 /// Where it can't be read.
 pub fn digest(path: &Path) -> Result<String, String> {
     let told = |e: std::io::Error| format!("{}: {e}", path.display());
-    let (mut file, mut hash, mut part) = (File::open(path).map_err(told)?, Sha256::new(), vec![0; 64 << 10]);
+    let (mut file, mut hash, mut part) = (
+        File::open(path).map_err(told)?,
+        Sha256::new(),
+        vec![0; 64 << 10],
+    );
     loop {
         match file.read(&mut part).map_err(told)? {
             0 => break,
@@ -151,7 +184,11 @@
 pub fn speaks(path: &Path) -> Result<Speaks, String> {
     let told = |why: &dyn std::fmt::Display| format!("{} --speaks: {why}", path.display());
     let mut command = Command::new(path);
-    command.arg("--speaks").stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null());
+    command
+        .arg("--speaks")
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::null());
     let mut child = command.spawn().map_err(|e| told(&e))?;
     let begun = Instant::now();
     let ended = loop {
@@ -167,7 +204,9 @@
     };
     let mut text = String::new();
     if let Some(out) = child.stdout.take() {
-        out.take(MOST_SAID).read_to_string(&mut text).map_err(|e| told(&e))?;
+        out.take(MOST_SAID)
+            .read_to_string(&mut text)
+            .map_err(|e| told(&e))?;
     }
     if !ended.success() {
         return Err(told(&ended));
@@ -199,7 +238,11 @@
     ///
     /// Where there is none, or it has another digest by now.
     pub fn path(&self, program: &Program) -> Result<&Path, String> {
-        let (_, path) = self.list.iter().find(|(p, _)| p == program).ok_or("no file has its digest")?;
+        let (_, path) = self
+            .list
+            .iter()
+            .find(|(p, _)| p == program)
+            .ok_or("no file has its digest")?;
         let m = std::fs::metadata(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let stamp = (m.dev(), m.ino(), m.len(), m.mtime(), m.mtime_nsec());
         if self.looked.borrow().get(path) == Some(&stamp) {
@@ -208,7 +251,10 @@
         let has = digest(path)?;
         if has != program.sha256 {
             let (has, wanted) = (&has[..8], &program.sha256[..8]);
-            return Err(format!("{} has the digest {has}, not {wanted}", path.display()));
+            return Err(format!(
+                "{} has the digest {has}, not {wanted}",
+                path.display()
+            ));
         }
         self.looked.borrow_mut().insert(path.clone(), stamp);
         Ok(path)
@@ -216,7 +262,10 @@
 
     /// Those whose files are not what the file says, and why.
     pub fn wrong(&self) -> Vec<String> {
-        self.list.iter().filter_map(|(program, _)| self.path(program).err()).collect()
+        self.list
+            .iter()
+            .filter_map(|(program, _)| self.path(program).err())
+            .collect()
     }
 
     fn speaks(&self, program: &Program) -> Option<Speaks> {
@@ -224,7 +273,9 @@
             return said.clone();
         }
         let said = self.path(program).and_then(speaks).ok();
-        self.said.borrow_mut().insert(program.sha256.clone(), said.clone());
+        self.said
+            .borrow_mut()
+            .insert(program.sha256.clone(), said.clone());
         said
     }
 }
@@ -260,7 +311,11 @@
             ("kind = \"tend\"", "kind = \"site\"", "kind = \"tend\""),
             ("listen = \"127.0.0.1:7600\"", "listen = \"here\"", "listen"),
             ("pause = \"200ms\"", "pause = \"0s\"", "above 0"),
-            ("longest_pause = \"30s\"", "longest_pause = \"1ms\"", "longest_pause"),
+            (
+                "longest_pause = \"30s\"",
+                "longest_pause = \"1ms\"",
+                "longest_pause",
+            ),
             ("prove = \"60s\"", "prove = \"60\"", "prove: "),
             ("tries = 3", "tries = 0", "above 0"),
             ("tries = 3", "colour = 1", "unknown field"),
@@ -282,7 +337,10 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("program");
         std::fs::write(&path, "one").unwrap();
-        let program = Program { name: "r".into(), sha256: digest(&path).unwrap() };
+        let program = Program {
+            name: "r".into(),
+            sha256: digest(&path).unwrap(),
+        };
         let programs = Programs {
             list: vec![(program.clone(), path.clone())],
             said: RefCell::default(),
@@ -292,6 +350,9 @@
         // It is no program: it says nothing, and so can't take over from anything.
         assert!(!programs.hands_over(&program, &program));
         std::fs::write(&path, "another").unwrap();
-        assert!(programs.path(&program).unwrap_err().contains("has the digest"));
+        assert!(programs
+            .path(&program)
+            .unwrap_err()
+            .contains("has the digest"));
     }
 }
--- a/crates/ctl/src/tend/mod.rs
+++ b/crates/ctl/src/tend/mod.rs
@@ -54,12 +54,16 @@
         wrong.iter().for_each(|why| {
             failed(why);
         });
-        return Ok(if wrong.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE });
+        return Ok(if wrong.is_empty() {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        });
     }
     wrong.iter().for_each(|why| log(why));
     // What ends it is taken before anything is started. A file that may not grow is an error of the write, and no end.
-    let mut signals =
-        Signals::new([SIGTERM, SIGINT, SIGHUP, SIGXFSZ]).map_err(|e| format!("cannot take signals: {e}"))?;
+    let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP, SIGXFSZ])
+        .map_err(|e| format!("cannot take signals: {e}"))?;
     let mut keeper = Keeper::begin(told)?;
     loop {
         match signals.pending().find(|signal| *signal != SIGXFSZ) {
@@ -87,7 +91,10 @@
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(Memory::default()),
         Err(e) => Err(format!("{}: {e}", path.display())),
         Ok(text) => serde_json::from_str(&text).map_err(|e| {
-            format!("{}: {e}; take it away and the first program of the file is begun with", path.display())
+            format!(
+                "{}: {e}; take it away and the first program of the file is begun with",
+                path.display()
+            )
         }),
     }
 }
@@ -97,8 +104,11 @@
     let told = |e: std::io::Error| format!("{}: {e}", folder.display());
     let text = serde_json::to_vec_pretty(memory).map_err(|e| e.to_string())?;
     let mut new = tempfile::NamedTempFile::new_in(folder).map_err(told)?;
-    new.write_all(&text).and_then(|()| new.as_file().sync_all()).map_err(told)?;
-    new.persist(folder.join(MEMORY)).map_err(|e| told(e.error))?;
+    new.write_all(&text)
+        .and_then(|()| new.as_file().sync_all())
+        .map_err(told)?;
+    new.persist(folder.join(MEMORY))
+        .map_err(|e| told(e.error))?;
     File::open(folder).and_then(|f| f.sync_all()).map_err(told)
 }
 
@@ -118,17 +128,29 @@
         let failed = |e: std::io::Error| format!("{}: {e}", told.state.display());
         fs::create_dir_all(&told.state).map_err(failed)?;
         let mut options = OpenOptions::new();
-        let lock =
-            options.write(true).create(true).truncate(false).open(told.state.join("lock")).map_err(failed)?;
+        let lock = options
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(told.state.join("lock"))
+            .map_err(failed)?;
         flock(&lock, FlockOperation::NonBlockingLockExclusive)
             .map_err(|_| format!("{}: another keeper has the folder", told.state.display()))?;
         let memory = remembered(&told.state)?;
-        let mut tend = Tend::new(told.terms.clone(), memory, told.programs.first().clone(), &told.programs);
+        let mut tend = Tend::new(
+            told.terms.clone(),
+            memory,
+            told.programs.first().clone(),
+            &told.programs,
+        );
         let begun = Instant::now();
         let (listener, serving) = loop {
             if let Some((listener, process)) = running(&told) {
                 let program = serves(&told).unwrap_or_else(|| told.programs.first().clone());
-                log(&format!("{} serves already, as process {}", program.name, process.id));
+                log(&format!(
+                    "{} serves already, as process {}",
+                    program.name, process.id
+                ));
                 tend.step(clock::now(), Event::Found(program), &told.programs);
                 break (listener, Some(process));
             }
@@ -143,7 +165,14 @@
         };
         // It is to pass to those that are started.
         fcntl_setfd(&listener, FdFlags::empty()).map_err(|e| format!("listen: {e}"))?;
-        Ok(Keeper { told, tend, listener, serving, next: None, _lock: lock })
+        Ok(Keeper {
+            told,
+            tend,
+            listener,
+            serving,
+            next: None,
+            _lock: lock,
+        })
     }
 
     /// One turn: who has ended, what the ingress says, and what is to be done.
@@ -167,7 +196,13 @@
         }
         let seen = match asked(&self.told) {
             None => Seen::Silent,
-            Some(Stand { runs, wants, turn, rollout, .. }) => Seen::Says {
+            Some(Stand {
+                runs,
+                wants,
+                turn,
+                rollout,
+                ..
+            }) => Seen::Says {
                 runs: runs.and_then(|text| Program::read(&text).ok()),
                 wanted: wants.and_then(|text| Some((Program::read(&text).ok()?, turn))),
                 settled: rollout.is_none_or(|phase| phase.ended()),
@@ -199,11 +234,18 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Log(line) => log(&line),
-            Action::Start { program, beside, changed } => {
+            Action::Start {
+                program,
+                beside,
+                changed,
+            } => {
                 let which = if beside { Which::Next } else { Which::Serving };
                 match self.start(&program, changed) {
                     Ok(process) => {
-                        log(&format!("{} started as process {}", program.name, process.id));
+                        log(&format!(
+                            "{} started as process {}",
+                            program.name, process.id
+                        ));
                         *self.place(which) = Some(process);
                     }
                     Err(why) => self.step(Event::Ended(which, why)),
@@ -215,7 +257,10 @@
                 }
             }
             Action::Tell(program, why) => {
-                let unfit = Ask::Unfit { program: program.to_string(), why };
+                let unfit = Ask::Unfit {
+                    program: program.to_string(),
+                    why,
+                };
                 if let Err(why) = client::ask::<_, Say>(&self.told.control, &unfit, PATIENCE) {
                     log(&format!("the ingress could not be told: {why}"));
                 }
@@ -244,14 +289,21 @@
             let open = OpenOptions::new().create(true).append(true).open(to);
             command.stderr(open.map_err(|e| format!("{}: {e}", to.display()))?);
         }
-        Process::own(command.spawn().map_err(|e| format!("{}: {e}", path.display()))?)
+        Process::own(
+            command
+                .spawn()
+                .map_err(|e| format!("{}: {e}", path.display()))?,
+        )
     }
 
     /// Ends the ingress, and waits for that.
     fn end(mut self) -> Result<ExitCode, String> {
         log("ending the ingress");
         let begun = Instant::now();
-        for process in [self.serving.as_mut(), self.next.as_mut()].into_iter().flatten() {
+        for process in [self.serving.as_mut(), self.next.as_mut()]
+            .into_iter()
+            .flatten()
+        {
             process.end(false);
             while process.ended().is_none() {
                 if begun.elapsed() > self.told.terms.patience {
@@ -266,7 +318,9 @@
 
 /// The process that serves, with the clients' socket, if there is one.
 fn running(told: &Told) -> Option<(TcpListener, Process)> {
-    let (listener, id) = channel::borrow(&channel::path(told.listen)).ok().flatten()?;
+    let (listener, id) = channel::borrow(&channel::path(told.listen))
+        .ok()
+        .flatten()?;
     Some((TcpListener::from(listener), Process::found(id).ok()?))
 }
 
@@ -280,7 +334,10 @@
     match client::ask(&told.control, &Ask::Stand, PATIENCE) {
         Ok(Say::Stands(stand)) => Some(*stand),
         // It belongs to no group, which wants nothing then.
-        Ok(Say::No { .. }) => Some(Stand { turn: true, ..Stand::default() }),
+        Ok(Say::No { .. }) => Some(Stand {
+            turn: true,
+            ..Stand::default()
+        }),
         _ => None,
     }
 }
