--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -42,13 +42,26 @@
         for name in ["files", "run", "elsewhere"] {
             fs::create_dir(folder.path().join(name)).unwrap();
         }
-        let (at, peers) = ((0..count).map(|_| place()).collect(), (0..count).map(|_| place()).collect());
+        let (at, peers) = (
+            (0..count).map(|_| place()).collect(),
+            (0..count).map(|_| place()).collect(),
+        );
         let ingresses = (0..count).map(|_| None).collect();
-        let site = Site { folder, at, peers, ingresses, disk, backend };
+        let site = Site {
+            folder,
+            at,
+            peers,
+            ingresses,
+            disk,
+            backend,
+        };
         let text = include_str!("../../config/tests/good/site.toml");
         fs::write(site.path("files/site.toml"), text).unwrap();
-        fs::write(site.path("elsewhere/fleet.json"), list(1, true, &[site.backend.entry("s-0001", "up")]))
-            .unwrap();
+        fs::write(
+            site.path("elsewhere/fleet.json"),
+            list(1, true, &[site.backend.entry("s-0001", "up")]),
+        )
+        .unwrap();
         site.want(&[OLD]);
         site
     }
@@ -79,11 +92,15 @@
         text += "sends = [\"quote\", \"save-scenario\"]\n\n";
         for (n, at) in self.at.iter().enumerate() {
             let (peers, control) = (self.peers[n], self.control(n).display().to_string());
-            text +=
-                &format!("[[sidecar]]\nname = \"d{n}\"\nlisten = \"{at}\"\ndiscovery = \"127.0.0.1:1\"\n");
+            text += &format!(
+                "[[sidecar]]\nname = \"d{n}\"\nlisten = \"{at}\"\ndiscovery = \"127.0.0.1:1\"\n"
+            );
             text += &format!("peers = \"{peers}\"\ncontrol = \"{control}\"\n");
             if self.disk {
-                text += &format!("state = \"{}\"\n", self.path(&format!("state-{n}")).display());
+                text += &format!(
+                    "state = \"{}\"\n",
+                    self.path(&format!("state-{n}")).display()
+                );
             }
         }
         for id in accounts {
@@ -96,13 +113,21 @@
         self.spawn(n, fault);
         let at = self.at[n];
         until("the sidecar is ready", || {
-            std::net::TcpStream::connect(at).is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG")
+            std::net::TcpStream::connect(at)
+                .is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG")
         });
     }
 
     fn spawn(&mut self, n: usize, fault: &str) {
-        let (program, folder) = (program("wrenfork"), self.folder.path().display().to_string());
-        let fault = if fault.is_empty() { String::new() } else { format!("{}={fault} ", fault::VARIABLE) };
+        let (program, folder) = (
+            program("wrenfork"),
+            self.folder.path().display().to_string(),
+        );
+        let fault = if fault.is_empty() {
+            String::new()
+        } else {
+            format!("{}={fault} ", fault::VARIABLE)
+        };
         let line = format!(
             "{fault}exec '{}' --app {folder}/files/desk.toml --fleet {folder}/elsewhere/fleet.json --sidecar d{n}",
             program.display()
@@ -118,7 +143,11 @@
 
     fn wrenctl(&self, args: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_wrenctl"));
-        command.args(args).current_dir(self.folder.path()).env("NO_COLOR", "1").stdin(Stdio::null());
+        command
+            .args(args)
+            .current_dir(self.folder.path())
+            .env("NO_COLOR", "1")
+            .stdin(Stdio::null());
         command
     }
 
@@ -134,7 +163,12 @@
 
     fn status(&self, n: usize) -> (Generation, bool) {
         match client::ask(&self.control(n), &Ask::Status, LONG) {
-            Ok(Say::Status { generation, state, promise, .. }) => {
+            Ok(Say::Status {
+                generation,
+                state,
+                promise,
+                ..
+            }) => {
                 assert_eq!(state.digest(), generation.digest, "half a state");
                 (generation, promise.is_some())
             }
@@ -152,7 +186,10 @@
             let answer = client.ask(&command(&["CALL.GET", account, &id, options]));
             // A quota that is used up is that of an account that is known.
             let known = answer.starts_with("value") || answer.starts_with("-BUSY");
-            assert!(known || answer.contains("not this application's"), "{answer}");
+            assert!(
+                known || answer.contains("not this application's"),
+                "{answer}"
+            );
             known
         };
         match (knows(OLD), knows(NEW)) {
@@ -206,16 +243,31 @@
     ] {
         assert!(text.contains(part), "{part} is not in:\n{text}");
     }
-    assert!((0..THREE).all(|n| site.enforces(n) == OLD), "a plan changes nothing");
+    assert!(
+        (0..THREE).all(|n| site.enforces(n) == OLD),
+        "a plan changes nothing"
+    );
     let unasked = site.run(&["apply", "change.plan"]);
-    assert!(unasked.status.code() == Some(1) && told(&unasked).contains("--yes"), "{}", told(&unasked));
+    assert!(
+        unasked.status.code() == Some(1) && told(&unasked).contains("--yes"),
+        "{}",
+        told(&unasked)
+    );
     let made = site.run(&["apply", "change.plan", "--yes"]);
     assert_eq!(made.status.code(), Some(0), "{}", told(&made));
     assert_eq!(site.agree(), NEW);
     let again = site.run(&["apply", "change.plan", "--yes"]);
     assert_eq!(again.status.code(), Some(1));
-    assert!(told(&again).contains("applied here already"), "{}", told(&again));
-    assert_eq!(site.run(&["plan", "files"]).status.code(), Some(0), "nothing is left to do");
+    assert!(
+        told(&again).contains("applied here already"),
+        "{}",
+        told(&again)
+    );
+    assert_eq!(
+        site.run(&["plan", "files"]).status.code(),
+        Some(0),
+        "nothing is left to do"
+    );
     // What was done is known at each, and what was before can be had back.
     let history = told(&site.run(&["history", "files"]));
     for part in ["planned", "promised", "made", "ann", "desk/d2"] {
@@ -223,7 +275,11 @@
     }
     let back = site.run(&["rollback", "1", "files", "--yes", "--author", "bob"]);
     assert_eq!(back.status.code(), Some(0), "{}", told(&back));
-    assert_eq!((site.agree(), site.status(0).0.number), (OLD, 3), "a rollback is a change like any other");
+    assert_eq!(
+        (site.agree(), site.status(0).0.number),
+        (OLD, 3),
+        "a rollback is a change like any other"
+    );
 }
 
 /// Guards against plans that were not made from what is, and against those that nobody may trust any more.
@@ -233,14 +289,25 @@
     site.want(&[NEW]);
     site.plan("one.plan");
     site.plan("two.plan");
-    assert_eq!(site.run(&["apply", "one.plan", "--yes"]).status.code(), Some(0));
+    assert_eq!(
+        site.run(&["apply", "one.plan", "--yes"]).status.code(),
+        Some(0)
+    );
     let refused = |site: &Site, args: &[&str], why: &str| {
         let output = site.run(args);
         assert_eq!(output.status.code(), Some(1), "{}", told(&output));
-        assert!(told(&output).contains(why), "{why} is not in:\n{}", told(&output));
+        assert!(
+            told(&output).contains(why),
+            "{why} is not in:\n{}",
+            told(&output)
+        );
     };
     // The same change made from the same state, by another plan: all have moved.
-    refused(&site, &["apply", "two.plan", "--yes"], "applied here already");
+    refused(
+        &site,
+        &["apply", "two.plan", "--yes"],
+        "applied here already",
+    );
     site.want(&[OLD]);
     site.plan("three.plan");
     let text = fs::read_to_string(site.path("three.plan")).unwrap();
@@ -255,9 +322,17 @@
     // One that is gone is missed, unless it is left out by its name.
     site.ingresses[1].as_ref().unwrap().signal("KILL");
     site.dead(1);
-    refused(&site, &["apply", "three.plan", "--yes"], "--leave-out desk/d1");
+    refused(
+        &site,
+        &["apply", "three.plan", "--yes"],
+        "--leave-out desk/d1",
+    );
     refused(&site, &["plan", "files"], "--leave-out desk/d1");
-    refused(&site, &["plan", "files", "--leave-out", "desk/d7"], "no ingress desk/d7");
+    refused(
+        &site,
+        &["plan", "files", "--leave-out", "desk/d7"],
+        "no ingress desk/d7",
+    );
     assert_eq!(site.enforces(0), NEW, "nothing has changed");
     let made = site.run(&["apply", "three.plan", "--yes", "--leave-out", "desk/d1"]);
     assert_eq!(made.status.code(), Some(0), "{}", told(&made));
@@ -266,7 +341,10 @@
     site.start(1, "");
     assert_eq!((site.enforces(1), site.enforces(0)), (NEW, OLD));
     site.plan("rest.plan");
-    assert_eq!(site.run(&["apply", "rest.plan", "--yes"]).status.code(), Some(0));
+    assert_eq!(
+        site.run(&["apply", "rest.plan", "--yes"]).status.code(),
+        Some(0)
+    );
     assert_eq!(site.agree(), OLD);
     // Files that are refused are no plan.
     site.want_more(&[OLD], "quota = \"50\"\n");
@@ -294,11 +372,18 @@
         let ended = site.run(&["apply", "--resume", "files", "--patience", "10s"]);
         assert_eq!(ended.status.code(), Some(0), "{point}: {}", told(&ended));
         let now = site.agree();
-        assert_eq!(others.first(), Some(&now), "{point}: the others had decided");
+        assert_eq!(
+            others.first(),
+            Some(&now),
+            "{point}: the others had decided"
+        );
         // What dies before its promise is out has made the change nowhere; from the decision on it is made everywhere.
         let decided = point.starts_with("decide") || *point == "prepare.answered";
         assert_eq!(now != was, decided, "{point}: {}", told(&output));
-        assert!(code == Some(3) || (code == Some(0) && point.ends_with("answered")), "{point}: {code:?}");
+        assert!(
+            code == Some(3) || (code == Some(0) && point.ends_with("answered")),
+            "{point}: {code:?}"
+        );
         made += usize::from(decided);
     }
     assert!(made >= 6);
@@ -308,8 +393,13 @@
 #[test]
 fn an_applier_that_dies_at_any_step_leaves_whole_generations() {
     let site = Site::started(THREE);
-    let mut points = vec!["apply.begun".to_string(), "apply.decided:1".into(), "apply.decided:2".into()];
-    points.extend((1..=6).flat_map(|n| [format!("apply.asking:{n}"), format!("apply.answered:{n}")]));
+    let mut points = vec![
+        "apply.begun".to_string(),
+        "apply.decided:1".into(),
+        "apply.decided:2".into(),
+    ];
+    points
+        .extend((1..=6).flat_map(|n| [format!("apply.asking:{n}"), format!("apply.answered:{n}")]));
     let (mut made, mut given_up) = (0, 0);
     for point in points {
         let was = site.agree();
@@ -320,7 +410,12 @@
             .env(fault::VARIABLE, &point)
             .output()
             .unwrap();
-        assert_eq!(output.status.code(), None, "{point}: it was to die: {}", told(&output));
+        assert_eq!(
+            output.status.code(),
+            None,
+            "{point}: it was to die: {}",
+            told(&output)
+        );
         let now: BTreeSet<&str> = (0..THREE).map(|n| site.enforces(n)).collect();
         // While it is open, nobody else changes anything there.
         let promised = (0..THREE).filter(|n| site.status(*n).1).count();
@@ -338,9 +433,16 @@
         // Made at one, made at all.
         assert!(now.len() == 1 || then != was, "{point}");
         assert!(!now.contains(other(was)) || then != was, "{point}");
-        *(if then == was { &mut given_up } else { &mut made }) += 1;
+        *(if then == was {
+            &mut given_up
+        } else {
+            &mut made
+        }) += 1;
     }
-    assert!(made >= 3 && given_up >= 3, "{made} made, {given_up} given up");
+    assert!(
+        made >= 3 && given_up >= 3,
+        "{made} made, {given_up} given up"
+    );
 }
 
 /// Both at once, and the recovery's own crash.
@@ -374,7 +476,12 @@
         site.dead(1);
         site.start(1, "");
         let ended = site.run(&["apply", "--resume", "files", "--patience", "10s"]);
-        assert_eq!(ended.status.code(), Some(0), "{ingress} {applier}: {}", told(&ended));
+        assert_eq!(
+            ended.status.code(),
+            Some(0),
+            "{ingress} {applier}: {}",
+            told(&ended)
+        );
         site.agree();
     }
 }
@@ -403,8 +510,10 @@
                     .unwrap()
             })
             .collect();
-        let codes: Vec<Option<i32>> =
-            both.into_iter().map(|c| c.wait_with_output().unwrap().status.code()).collect();
+        let codes: Vec<Option<i32>> = both
+            .into_iter()
+            .map(|c| c.wait_with_output().unwrap().status.code())
+            .collect();
         let ended = site.run(&["apply", "--resume", "files", "--patience", "10s"]);
         assert_eq!(ended.status.code(), Some(0), "{}", told(&ended));
         site.agree();
@@ -447,8 +556,15 @@
     until("it is at the backend", || site.backend.count() == 1);
     site.want(&[NEW]);
     site.plan("change.plan");
-    assert_eq!(site.run(&["apply", "change.plan", "--yes"]).status.code(), Some(0));
-    assert_eq!(client.answer(), "value of open", "its account went while it was under way");
+    assert_eq!(
+        site.run(&["apply", "change.plan", "--yes"]).status.code(),
+        Some(0)
+    );
+    assert_eq!(
+        client.answer(),
+        "value of open",
+        "its account went while it was under way"
+    );
     let answer = client.ask(&command(&["CALL.GET", OLD, "after", options]));
     assert!(answer.contains("not this application's"), "{answer}");
 }
@@ -471,7 +587,10 @@
                         let id = format!("l{}", asked.fetch_add(1, Ordering::Relaxed));
                         let options = "c=quote,t=starter,d=900,units=1,spread=2,first=0";
                         let answer = client.ask(&command(&["CALL.GET", OLD, &id, options]));
-                        assert!(answer.starts_with("value") || answer.starts_with("-BUSY"), "{answer}");
+                        assert!(
+                            answer.starts_with("value") || answer.starts_with("-BUSY"),
+                            "{answer}"
+                        );
                         served += usize::from(answer.starts_with("value"));
                         thread::sleep(Duration::from_millis(5));
                     }
@@ -488,12 +607,19 @@
         thread::sleep(Duration::from_secs(2));
         stop.store(true, Ordering::Relaxed);
         let served: usize = clients.into_iter().map(|c| c.join().unwrap()).sum();
-        (served, switched.as_secs_f64(), start.elapsed().as_secs_f64())
+        (
+            served,
+            switched.as_secs_f64(),
+            start.elapsed().as_secs_f64(),
+        )
     });
     // A raised quota does not refill: the burst counts once. A tenth and two requests are what two ingresses may be off.
     let most = 20.0 + 20.0 * switched + 60.0 * (took - switched);
     assert!(served as f64 <= most * 1.1 + 2.0, "{served} of {most:.0}");
-    assert!(served as f64 >= most * 0.6, "{served} of {most:.0}: the new quota is not given");
+    assert!(
+        served as f64 >= most * 0.6,
+        "{served} of {most:.0}: the new quota is not given"
+    );
     assert_eq!(site.backend.count(), served, "each once");
 }
 
@@ -504,7 +630,10 @@
     (0..2).for_each(|n| site.start(n, ""));
     site.want(&[NEW]);
     site.plan("change.plan");
-    assert_eq!(site.run(&["apply", "change.plan", "--yes"]).status.code(), Some(0));
+    assert_eq!(
+        site.run(&["apply", "change.plan", "--yes"]).status.code(),
+        Some(0)
+    );
     site.want(&[OLD]); // wanted, and not applied
     drop(site.ingresses[1].take());
     site.start(1, "");
@@ -516,10 +645,18 @@
 fn what_an_ingress_does_not_know_it_refuses_and_serves_on() {
     let site = Site::started(1);
     let at = site.control(0);
-    let Ok(Say::Status { generation, state, .. }) = client::ask(&at, &Ask::Status, LONG) else { panic!() };
+    let Ok(Say::Status {
+        generation, state, ..
+    }) = client::ask(&at, &Ask::Status, LONG)
+    else {
+        panic!()
+    };
     let mut state = wrenfork_control::state::State::clone(&state);
     state.0.insert("contracts.0.colour".into(), "red".into());
-    let next = Generation { number: generation.number + 1, digest: state.digest() };
+    let next = Generation {
+        number: generation.number + 1,
+        digest: state.digest(),
+    };
     let promise = wrenfork_control::participant::Promise {
         change: wrenfork_control::state::Digest("c".into()),
         base: generation,
@@ -527,8 +664,20 @@
         author: "ann".into(),
         members: vec!["desk/d0".into()],
     };
-    let said = client::ask(&at, &Ask::Prepare { promise, ballot: 1, wanted: state.into() }, LONG).unwrap();
-    assert!(matches!(&said, Say::No { why } if why.contains("contracts.0.colour")), "{said:?}");
+    let said = client::ask(
+        &at,
+        &Ask::Prepare {
+            promise,
+            ballot: 1,
+            wanted: state.into(),
+        },
+        LONG,
+    )
+    .unwrap();
+    assert!(
+        matches!(&said, Say::No { why } if why.contains("contracts.0.colour")),
+        "{said:?}"
+    );
     for line in ["{\"v\":9,\"ask\":\"status\"}\n", "garbage\n", "\n"] {
         use std::io::{Read, Write};
         let mut stream = std::os::unix::net::UnixStream::connect(&at).unwrap();
@@ -561,7 +710,11 @@
     assert_eq!(second.exit().code(), Some(1));
     let log = second.log();
     assert!(log.contains("another process has the folder"), "{log}");
-    let line = format!("{} --control {}", line.replace("state-0", "state-9"), site.control(0).display());
+    let line = format!(
+        "{} --control {}",
+        line.replace("state-0", "state-9"),
+        site.control(0).display()
+    );
     let mut second = Ingress::run("", site.at[1], &line);
     assert_eq!(second.exit().code(), Some(1));
     let log = second.log();
@@ -578,7 +731,17 @@
     let mut site = Site::started(2);
     let id = Pid::from_raw(site.ingresses[1].as_ref().unwrap().child.id() as i32);
     // A file that may not grow fails in its writes just as one on a full disk does.
-    let room = |most| prlimit(id, Resource::Fsize, Rlimit { current: most, maximum: None }).unwrap();
+    let room = |most| {
+        prlimit(
+            id,
+            Resource::Fsize,
+            Rlimit {
+                current: most,
+                maximum: None,
+            },
+        )
+        .unwrap()
+    };
     room(Some(0));
     site.want(&[NEW]);
     site.plan("change.plan");
@@ -625,12 +788,24 @@
         }
         site.want_more(&[OLD], "quota = \"1/s\"\nburst = 3\n");
         site.plan("change.plan");
-        let output = site.run(&["apply", "change.plan", "--yes", "--canary", "1", "--watch", "2s"]);
+        let output = site.run(&[
+            "apply",
+            "change.plan",
+            "--yes",
+            "--canary",
+            "1",
+            "--watch",
+            "2s",
+        ]);
         stop.store(true, Ordering::Relaxed);
         output
     });
     assert_eq!(output.status.code(), Some(1), "{}", told(&output));
-    assert!(told(&output).contains("taking it back"), "{}", told(&output));
+    assert!(
+        told(&output).contains("taking it back"),
+        "{}",
+        told(&output)
+    );
     // A change and its undoing at the first, nothing at the second; both enforce the same.
     assert_eq!((site.status(0).0.number, site.status(1).0.number), (3, 1));
     assert_eq!(site.status(0).0.digest, site.status(1).0.digest);
@@ -639,8 +814,14 @@
 /// A route is changed like all else: from one answer to the next requests go to the other pool.
 #[test]
 fn a_route_that_changes_sends_requests_to_other_nodes() {
-    let (other, mut site) = (Backend::start(serve), Site::new(1, true, Backend::start(serve)));
-    let nodes = [site.backend.entry("s-0001", "up"), other.entry("s-0002", "up")];
+    let (other, mut site) = (
+        Backend::start(serve),
+        Site::new(1, true, Backend::start(serve)),
+    );
+    let nodes = [
+        site.backend.entry("s-0001", "up"),
+        other.entry("s-0002", "up"),
+    ];
     fs::write(site.path("elsewhere/fleet.json"), list(1, true, &nodes)).unwrap();
     let pools = |pool: &str| {
         format!(
@@ -655,19 +836,39 @@
     let mut client = Client::connect(site.at[0]);
     let mut ask = |n: usize| {
         let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
-        assert!(client.ask(&command(&["CALL.GET", OLD, &format!("r{n}"), options])).starts_with("value"));
+        assert!(client
+            .ask(&command(&["CALL.GET", OLD, &format!("r{n}"), options]))
+            .starts_with("value"));
     };
     (0..5).for_each(&mut ask);
     assert_eq!((site.backend.count(), other.count()), (5, 0));
     // What the other pool has left is drained: its only node takes no work, and whoever plans is told.
-    site.want_more(&[OLD], &pools("two").replace("[\"s-0002\"]", "[\"s-0009\"]"));
+    site.want_more(
+        &[OLD],
+        &pools("two").replace("[\"s-0002\"]", "[\"s-0009\"]"),
+    );
     let output = site.run(&["plan", "files"]);
-    assert!(told(&output).contains("route quote pool: it loses its last healthy node"), "{}", told(&output));
-    assert!(told(&output).contains("danger: route quote pool"), "{}", told(&output));
+    assert!(
+        told(&output).contains("route quote pool: it loses its last healthy node"),
+        "{}",
+        told(&output)
+    );
+    assert!(
+        told(&output).contains("danger: route quote pool"),
+        "{}",
+        told(&output)
+    );
     site.want_more(&[OLD], &pools("two"));
     let output = site.run(&["plan", "files", "--out", "change.plan"]);
-    assert!(told(&output).contains("~ route quote pool: one to two"), "{}", told(&output));
-    assert_eq!(site.run(&["apply", "change.plan", "--yes"]).status.code(), Some(0));
+    assert!(
+        told(&output).contains("~ route quote pool: one to two"),
+        "{}",
+        told(&output)
+    );
+    assert_eq!(
+        site.run(&["apply", "change.plan", "--yes"]).status.code(),
+        Some(0)
+    );
     (5..10).for_each(&mut ask);
     assert_eq!((site.backend.count(), other.count()), (5, 5));
 }
--- a/crates/ctl/tests/group/main.rs
+++ b/crates/ctl/tests/group/main.rs
@@ -37,7 +37,11 @@
 fn says(output: &Output, code: i32, parts: &[&str]) {
     assert_eq!(output.status.code(), Some(code), "{}", told(output));
     for part in parts {
-        assert!(told(output).contains(part), "{part} is not in:\n{}", told(output));
+        assert!(
+            told(output).contains(part),
+            "{part} is not in:\n{}",
+            told(output)
+        );
     }
 }
 
@@ -51,9 +55,17 @@
     assert_eq!(group.agreed(), "p1");
     group.kill(2);
     let planned = group.plan("ann", 2);
-    says(&planned, 2, &["away: desk/d2", "serves nobody until it has learnt this"]);
+    says(
+        &planned,
+        2,
+        &["away: desk/d2", "serves nobody until it has learnt this"],
+    );
     let output = group.made(2);
-    says(&output, 0, &["made: change", "2 of 3 members", "desk/d2 is away"]);
+    says(
+        &output,
+        0,
+        &["made: change", "2 of 3 members", "desk/d2 is away"],
+    );
     group.spawn(2, "");
     group.ready(2);
     assert_eq!(group.ask(2), Got::Policy("p2".into()));
@@ -61,8 +73,16 @@
     group.judged(&load.stop());
     // Who did what is known, also of one that is away.
     group.kill(2);
-    says(&group.run(&["history", "ann"]), 0, &["planned", "promised", "made", "ann"]);
-    says(&group.run(&["status", "ann"]), 0, &["desk/d2", "away", "serves for", "2 of 3 voters decide"]);
+    says(
+        &group.run(&["history", "ann"]),
+        0,
+        &["planned", "promised", "made", "ann"],
+    );
+    says(
+        &group.run(&["status", "ann"]),
+        0,
+        &["desk/d2", "away", "serves for", "2 of 3 voters decide"],
+    );
     let back = group.run(&["rollback", "2", "ann", "--yes", "--author", "bob"]);
     group.note(1, &back);
     says(&back, 0, &["desk/d2 is away"]);
@@ -103,10 +123,12 @@
             Wrong::CutOff => group.links.between(&["d2"], &all, Fault::Dropped),
             Wrong::Refusing => group.links.between(&["d2"], &all, Fault::Refused),
             Wrong::CutOffFromApplier => group.links.set("ann", "d2", Some(Fault::Dropped)),
-            Wrong::AnswersNobody => all.iter().for_each(|a| group.links.set(a, "d2", Some(Fault::OneWay))),
-            Wrong::HearsNoAnswer => {
-                ["d0", "d1"].iter().for_each(|a| group.links.set("d2", a, Some(Fault::OneWay)))
-            }
+            Wrong::AnswersNobody => all
+                .iter()
+                .for_each(|a| group.links.set(a, "d2", Some(Fault::OneWay))),
+            Wrong::HearsNoAnswer => ["d0", "d1"]
+                .iter()
+                .for_each(|a| group.links.set("d2", a, Some(Fault::OneWay))),
         }
         if self == Wrong::FrozenShort {
             thread::sleep(LEASE * 2 / 3);
@@ -138,7 +160,10 @@
                 apply.output().unwrap()
             }
             Some(step) => {
-                let child = apply.env(fault::VARIABLE, format!("{step}:stop")).spawn().unwrap();
+                let child = apply
+                    .env(fault::VARIABLE, format!("{step}:stop"))
+                    .spawn()
+                    .unwrap();
                 group.wait("the applier is frozen", || stopped(child.id()));
                 wrong.begins(&mut group);
                 signal(child.id(), "CONT");
@@ -146,7 +171,13 @@
             }
         };
         group.note(policy, &output);
-        assert_eq!(output.status.code(), Some(0), "{wrong:?}: {}\n{}", told(&output), group.logs());
+        assert_eq!(
+            output.status.code(),
+            Some(0),
+            "{wrong:?}: {}\n{}",
+            told(&output),
+            group.logs()
+        );
         // What the others do has been decided; one that is still shut out turns away or has learnt it.
         thread::sleep(LEASE);
         wrong.ends(&mut group);
@@ -181,7 +212,13 @@
         group.ready(1);
         let policy = other(group.wants);
         let output = group.apply("ann", policy, &[]);
-        assert_eq!(output.status.code(), Some(0), "{point}: {}\n{}", told(&output), group.logs());
+        assert_eq!(
+            output.status.code(),
+            Some(0),
+            "{point}: {}\n{}",
+            told(&output),
+            group.logs()
+        );
         group.gone(1);
         group.spawn(1, "");
         assert_eq!(group.agreed(), format!("p{policy}"), "{point}");
@@ -195,7 +232,11 @@
 fn an_applier_that_dies_at_any_step_leaves_it_to_the_members() {
     let mut group = Group::started(three());
     let load = group.load();
-    let mut points = vec!["apply.begun".to_string(), "apply.decided:1".into(), "apply.decided:2".into()];
+    let mut points = vec![
+        "apply.begun".to_string(),
+        "apply.decided:1".into(),
+        "apply.decided:2".into(),
+    ];
     for n in [1, 2, 4, 7, 10, 13, 16, 20] {
         points.extend([format!("apply.asking:{n}"), format!("apply.answered:{n}")]);
     }
@@ -204,13 +245,23 @@
         group.kill(2);
         let (was, policy) = (group.wants, other(group.wants));
         says(&group.plan("ann", policy), 2, &["away: desk/d2"]);
-        let output =
-            group.wrenctl(&["apply", "ann.plan", "--yes"]).env(fault::VARIABLE, &point).output().unwrap();
+        let output = group
+            .wrenctl(&["apply", "ann.plan", "--yes"])
+            .env(fault::VARIABLE, &point)
+            .output()
+            .unwrap();
         let ended = output.status.code();
-        assert!(ended.is_none() || ended == Some(0), "{point}: {}", told(&output));
+        assert!(
+            ended.is_none() || ended == Some(0),
+            "{point}: {}",
+            told(&output)
+        );
         group.spawn(2, "");
         let now = group.agreed();
-        assert!(now == format!("p{policy}") || ended.is_none() && now == format!("p{was}"), "{point}: {now}");
+        assert!(
+            now == format!("p{policy}") || ended.is_none() && now == format!("p{was}"),
+            "{point}: {now}"
+        );
         if now == format!("p{policy}") {
             group.note(policy, &output);
             made += 1;
@@ -238,11 +289,26 @@
     }
     assert!(start.elapsed() < Duration::from_secs(5), "at once");
     let mut client = Client::connect(group.at[0]);
-    assert!(client.ask(&command(&["PING"])).starts_with("-BUSY "), "unready is said to a PING as well");
+    assert!(
+        client.ask(&command(&["PING"])).starts_with("-BUSY "),
+        "unready is said to a PING as well"
+    );
     let planned = group.plan("ann", 2);
-    says(&planned, 1, &["too few members answer to decide: 1 of 3, and 2 are enough", "desk/d1", "desk/d2"]);
+    says(
+        &planned,
+        1,
+        &[
+            "too few members answer to decide: 1 of 3, and 2 are enough",
+            "desk/d1",
+            "desk/d2",
+        ],
+    );
     group.want(1);
-    says(&group.run(&["status", "ann"]), 1, &["none: turns requests away", "away"]);
+    says(
+        &group.run(&["status", "ann"]),
+        1,
+        &["none: turns requests away", "away"],
+    );
     // One is enough to serve again.
     group.spawn(1, "");
     group.ready(0);
@@ -269,14 +335,25 @@
     assert_eq!(group.ask(4), Got::Policy("p2".into()));
     group.links.heal();
     assert_eq!(group.agreed(), "p2");
-    says(&group.run(&["apply", "ann.plan", "--yes"]), 1, &["it has moved"]);
+    says(
+        &group.run(&["apply", "ann.plan", "--yes"]),
+        1,
+        &["it has moved"],
+    );
     // Both at once, with no split: each is made whole or not at all, and one is.
     says(&group.plan("ann", 3), 2, &[]);
     says(&group.plan("bob", 0), 2, &[]);
-    let both = ["ann.plan", "bob.plan"].map(|plan| group.wrenctl(&["apply", plan, "--yes"]).spawn().unwrap());
+    let both = ["ann.plan", "bob.plan"]
+        .map(|plan| group.wrenctl(&["apply", plan, "--yes"]).spawn().unwrap());
     let both = both.map(|child| child.wait_with_output().unwrap());
     let made: Vec<bool> = both.iter().map(|o| o.status.code() == Some(0)).collect();
-    assert_eq!(made.iter().filter(|m| **m).count(), 1, "{}\n{}", told(&both[0]), told(&both[1]));
+    assert_eq!(
+        made.iter().filter(|m| **m).count(),
+        1,
+        "{}\n{}",
+        told(&both[0]),
+        told(&both[1])
+    );
     let now = if made[0] { 3 } else { 0 };
     group.note(now, &both[usize::from(!made[0])]);
     assert_eq!(group.agreed(), format!("p{now}"));
@@ -297,7 +374,11 @@
     }
     group.spawn(2, "");
     group.ready(2);
-    assert_eq!((group.ask(2), group.agreed().as_str()), (Got::Policy("p2".into()), "p2"), "missed five");
+    assert_eq!(
+        (group.ask(2), group.agreed().as_str()),
+        (Got::Policy("p2".into()), "p2"),
+        "missed five"
+    );
     for from in ["old", "empty", "another's"] {
         group.made(other(group.wants));
         group.kill(2);
@@ -315,9 +396,16 @@
         group.spawn(2, "");
         group.ready(2);
         let policy = format!("p{}", group.wants);
-        assert_eq!((group.ask(2), group.agreed()), (Got::Policy(policy.clone()), policy), "{from}");
+        assert_eq!(
+            (group.ask(2), group.agreed()),
+            (Got::Policy(policy.clone()), policy),
+            "{from}"
+        );
         let status = told(&group.run(&["status", "ann"]));
-        assert!(status.contains("another folder: wrenctl roster replace"), "{from}: {status}");
+        assert!(
+            status.contains("another folder: wrenctl roster replace"),
+            "{from}: {status}"
+        );
         // Its vote would not count: with another one down nothing can be decided.
         group.kill(1);
         says(&group.plan("ann", other(group.wants)), 2, &[]);
@@ -326,7 +414,11 @@
         group.want((group.wants + POLICIES - 1) % POLICIES);
         group.spawn(1, "");
         group.agreed();
-        says(&group.run(&["roster", "replace", "desk/d2", "ann"]), 0, &["votes by its new folder"]);
+        says(
+            &group.run(&["roster", "replace", "desk/d2", "ann"]),
+            0,
+            &["votes by its new folder"],
+        );
         group.agreed();
         group.kill(1);
         group.ready(2);
@@ -344,7 +436,17 @@
     let mut group = Group::started(three());
     let load = group.load();
     let id = Pid::from_raw(group.ingresses[2].as_ref().unwrap().child.id() as i32);
-    let room = |most| prlimit(id, Resource::Fsize, Rlimit { current: most, maximum: None }).unwrap();
+    let room = |most| {
+        prlimit(
+            id,
+            Resource::Fsize,
+            Rlimit {
+                current: most,
+                maximum: None,
+            },
+        )
+        .unwrap()
+    };
     room(Some(0));
     let output = group.made(1);
     // Why is told where its answer comes in time.
@@ -367,12 +469,20 @@
         let policy = other(group.wants);
         group.made(policy);
         for n in (0..2).filter(|n| *n != lost) {
-            assert_eq!(group.ask(n), Got::Policy(format!("p{policy}")), "without {lost}");
+            assert_eq!(
+                group.ask(n),
+                Got::Policy(format!("p{policy}")),
+                "without {lost}"
+            );
         }
         group.spawn(lost, "");
         assert_eq!(group.agreed(), format!("p{policy}"));
     }
-    says(&group.run(&["status", "ann"]), 0, &["witness", "serves nobody"]);
+    says(
+        &group.run(&["status", "ann"]),
+        0,
+        &["witness", "serves nobody"],
+    );
     group.judged(&load.stop());
 }
 
@@ -384,29 +494,63 @@
     layout.roster = "voters = [\"d0\", \"d1\", \"d2\"]\n".into();
     let mut group = Group::started(layout);
     let load = group.load();
-    says(&group.run(&["roster", "show", "ann"]), 0, &["roster 1", "2 of 3 voters decide", "desk/d3"]);
-    says(&group.run(&["roster", "add", "desk/d3", "ann"]), 1, &["in the roster already"]);
-    says(&group.run(&["roster", "remove", "desk/d9", "ann"]), 1, &["not in the roster"]);
-    says(&group.run(&["roster", "remove", "desk/d3", "ann"]), 0, &["out of the roster"]);
+    says(
+        &group.run(&["roster", "show", "ann"]),
+        0,
+        &["roster 1", "2 of 3 voters decide", "desk/d3"],
+    );
+    says(
+        &group.run(&["roster", "add", "desk/d3", "ann"]),
+        1,
+        &["in the roster already"],
+    );
+    says(
+        &group.run(&["roster", "remove", "desk/d9", "ann"]),
+        1,
+        &["not in the roster"],
+    );
+    says(
+        &group.run(&["roster", "remove", "desk/d3", "ann"]),
+        0,
+        &["out of the roster"],
+    );
     group.shut(3);
     // It is left out of plans until it is back.
     says(&group.plan("ann", 1), 2, &["desk/d3 is not in the roster"]);
     let both = [
-        group.wrenctl(&["apply", "ann.plan", "--yes"]).spawn().unwrap(),
-        group.wrenctl(&["roster", "add", "desk/d3", "bob"]).spawn().unwrap(),
+        group
+            .wrenctl(&["apply", "ann.plan", "--yes"])
+            .spawn()
+            .unwrap(),
+        group
+            .wrenctl(&["roster", "add", "desk/d3", "bob"])
+            .spawn()
+            .unwrap(),
     ];
     let [policy, roster] = both.map(|child| child.wait_with_output().unwrap());
     assert_eq!(roster.status.code(), Some(0), "{}", told(&roster));
     group.note(1, &policy);
     if policy.status.code() != Some(0) {
         // The member came in first: a plan that knows nothing of it would hold everywhere but there.
-        says(&policy, 1, &["desk/d3 has come into the roster since the plan was made"]);
+        says(
+            &policy,
+            1,
+            &["desk/d3 has come into the roster since the plan was made"],
+        );
         group.made(1);
     }
     assert_eq!(group.agreed(), "p1");
     // A vote more: four of four can't be, one of them is asked to vote first; then the loss of one is survived.
-    says(&group.run(&["roster", "replace", "desk/d3", "ann"]), 0, &["votes by its new folder"]);
-    says(&group.run(&["roster", "show", "ann"]), 0, &["3 of 4 voters decide"]);
+    says(
+        &group.run(&["roster", "replace", "desk/d3", "ann"]),
+        0,
+        &["votes by its new folder"],
+    );
+    says(
+        &group.run(&["roster", "show", "ann"]),
+        0,
+        &["3 of 4 voters decide"],
+    );
     group.kill(0);
     group.made(2);
     group.spawn(0, "");
@@ -425,19 +569,31 @@
     // Where the applier can't reach it the leases are waited for; else it hears of the change as soon as it is thawed.
     for reached in [true, false] {
         // Milliseconds behind a whole lease; none for once the change has been made.
-        for offset in [-40, -15, -5, 0, 5, 15, 40, 400].map(Some).into_iter().chain([None]) {
+        for offset in [-40, -15, -5, 0, 5, 15, 40, 400]
+            .map(Some)
+            .into_iter()
+            .chain([None])
+        {
             group.agreed();
             let (was, policy) = (format!("p{}", group.wants), other(group.wants));
             says(&group.plan("ann", policy), 2, &[]);
-            group.links.set("ann", "d2", (!reached).then_some(Fault::Dropped));
+            group
+                .links
+                .set("ann", "d2", (!reached).then_some(Fault::Dropped));
             let mut apply = group.wrenctl(&["apply", "ann.plan", "--yes"]);
-            let mut apply = apply.env(fault::VARIABLE, "apply.decided:1:stop").spawn().unwrap();
+            let mut apply = apply
+                .env(fault::VARIABLE, "apply.decided:1:stop")
+                .spawn()
+                .unwrap();
             group.wait("the applier is frozen", || stopped(apply.id()));
             let mut client = Client::connect(group.at[2]);
             group.wait("it serves", || client.ask(&command(&["PING"])) == "+PONG");
             let renewed = LEASE.as_millis() as u64 - 10;
             group.wait("its lease is renewed", || {
-                group.stand(2).and_then(|s| s.lease_ms).is_some_and(|left| left >= renewed)
+                group
+                    .stand(2)
+                    .and_then(|s| s.lease_ms)
+                    .is_some_and(|left| left >= renewed)
             });
             group.signal(2, "STOP");
             let frozen = Instant::now();
@@ -448,13 +604,17 @@
             signal(apply.id(), "CONT");
             group.wait("both others have taken the change up", || {
                 let stands = [0, 1].map(|n| group.stand(n).unwrap());
-                stands.iter().all(|s| s.pending.is_some() || s.generation > group.changes.len() as u64)
+                stands
+                    .iter()
+                    .all(|s| s.pending.is_some() || s.generation > group.changes.len() as u64)
             });
             let mut made = || apply.try_wait().unwrap().is_some();
             match offset {
                 Some(offset) => {
                     let end = LEASE.as_millis() as i64 + offset;
-                    thread::sleep(Duration::from_millis(end as u64).saturating_sub(frozen.elapsed()));
+                    thread::sleep(
+                        Duration::from_millis(end as u64).saturating_sub(frozen.elapsed()),
+                    );
                 }
                 None => group.wait("the change is made", &mut made),
             }
@@ -465,22 +625,33 @@
             group.signal(2, "CONT");
             let answers: Vec<String> = (0..40).map(|_| client.answer()).collect();
             let under_old = answers.iter().filter(|a| is_old(a)).count();
-            assert!(!ended || under_old == 0, "{reached} {offset:?}: {answers:?}");
+            assert!(
+                !ended || under_old == 0,
+                "{reached} {offset:?}: {answers:?}"
+            );
             // Nor does what comes behind it.
             while !made() {
                 ended = frozen.elapsed() >= LEASE;
                 let answer = group.ask(2);
-                assert!(!ended || answer != Got::Policy(was.clone()), "{reached} {offset:?}");
+                assert!(
+                    !ended || answer != Got::Policy(was.clone()),
+                    "{reached} {offset:?}"
+                );
             }
             let output = apply.wait_with_output().unwrap();
             assert_eq!(output.status.code(), Some(0), "{}", told(&output));
             group.note(policy, &output);
             group.links.heal();
             assert!(
-                answers.iter().all(|a| a.starts_with("policy p") || a.starts_with("-BUSY ")),
+                answers
+                    .iter()
+                    .all(|a| a.starts_with("policy p") || a.starts_with("-BUSY ")),
                 "{answers:?}"
             );
-            assert!(!made_before || under_old == 0, "{reached} {offset:?}: {answers:?}");
+            assert!(
+                !made_before || under_old == 0,
+                "{reached} {offset:?}: {answers:?}"
+            );
             old += under_old;
         }
     }
@@ -496,7 +667,9 @@
     layout.as_known = vec![2];
     let mut group = Group::started(layout);
     let load = group.load();
-    group.links.between(&["d2"], &["d0", "d1", "ann"], Fault::Dropped);
+    group
+        .links
+        .between(&["d2"], &["d0", "d1", "ann"], Fault::Dropped);
     says(&group.made(1), 0, &["2 of 3 members"]);
     thread::sleep(Duration::from_millis(200));
     assert_eq!(group.ask(2), Got::Policy("p0".into()), "as it was told to");
@@ -505,7 +678,10 @@
         let answers: Vec<_> = answers.iter().map(|a| a.0.clone()).collect();
         judge(&group.changes, 1_000, &answers, &[]).len()
     };
-    assert!(found(&load.stop(), &group) > 0, "one that serves past its lease");
+    assert!(
+        found(&load.stop(), &group) > 0,
+        "one that serves past its lease"
+    );
     group.links.heal();
     assert_eq!(group.agreed(), "p1");
     // Out of the group, its folder rules.
@@ -528,14 +704,21 @@
 #[test]
 fn many_members_with_links_that_lose_and_delay_at_random() {
     let long = std::env::var("WRENFORK_RIG").is_ok_and(|v| v == "long");
-    let (count, span) = if long { (20, Duration::from_secs(120)) } else { (7, Duration::from_secs(16)) };
+    let (count, span) = if long {
+        (20, Duration::from_secs(120))
+    } else {
+        (7, Duration::from_secs(16))
+    };
     let mut layout = Layout::of(count, 0);
     layout.lease = Duration::from_millis(1_500);
     layout.roster = "voters = [\"d0\", \"d1\", \"d2\", \"d3\", \"d4\"]\n".into();
     let mut group = Group::started(layout);
     let load = group.load();
     let mut random = Seeded(0x5EED_0035);
-    let names: Vec<String> = (0..count).map(|n| group.short(n)).chain(["ann".into()]).collect();
+    let names: Vec<String> = (0..count)
+        .map(|n| group.short(n))
+        .chain(["ann".into()])
+        .collect();
     let (start, mut ends) = (Instant::now(), [0; 4]);
     while start.elapsed() < span {
         group.links.heal();
@@ -580,7 +763,13 @@
     group.links.heal();
     group.agreed();
     let answers = load.stop();
-    println!("made {}, refused {}, unfinished {}; answers {}", ends[0], ends[1], ends[3], answers.len());
+    println!(
+        "made {}, refused {}, unfinished {}; answers {}",
+        ends[0],
+        ends[1],
+        ends[3],
+        answers.len()
+    );
     assert!(ends[0] >= 3, "{ends:?}");
     group.judged(&answers);
 }
@@ -590,7 +779,10 @@
 
 impl Seeded {
     fn below(&mut self, most: usize) -> usize {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         ((self.0 >> 33) as usize) % most.max(1)
     }
 }
--- a/crates/ctl/tests/group/measure.rs
+++ b/crates/ctl/tests/group/measure.rs
@@ -39,7 +39,13 @@
     for count in [3, 5, 20] {
         let voters = if count > 9 { 5 } else { count };
         let minority = (voters - 1) / 2;
-        for (away, how) in [(0, "-"), (1, "KILL"), (1, "STOP"), (minority, "KILL"), (minority, "STOP")] {
+        for (away, how) in [
+            (0, "-"),
+            (1, "KILL"),
+            (1, "STOP"),
+            (minority, "KILL"),
+            (minority, "STOP"),
+        ] {
             if away == minority && minority == 1 && how != "-" && count == 3 && away != 1 {
                 continue;
             }
@@ -93,8 +99,13 @@
     let start = Instant::now();
     thread::sleep(span);
     let span = start.elapsed().as_secs_f64();
-    let used: Vec<f64> = (0..count).map(|n| (spent(group, n) - before[n]) / span * 100.0).collect();
-    (used.iter().sum::<f64>() / count as f64, used.iter().copied().fold(0.0, f64::max))
+    let used: Vec<f64> = (0..count)
+        .map(|n| (spent(group, n) - before[n]) / span * 100.0)
+        .collect();
+    (
+        used.iter().sum::<f64>() / count as f64,
+        used.iter().copied().fold(0.0, f64::max),
+    )
 }
 
 #[test]
@@ -170,7 +181,11 @@
     let mut next = 1 << 52;
     for round in 0..4 {
         let both = [("with", "files"), ("without", "alone")];
-        let both = if round % 2 == 0 { both } else { [both[1], both[0]] };
+        let both = if round % 2 == 0 {
+            both
+        } else {
+            [both[1], both[0]]
+        };
         for (name, files) in both {
             let mut group = Group::new(layout(3));
             (0..3).for_each(|n| group.spawn_by(n, "", files));
--- a/crates/ctl/tests/group/programs.rs
+++ b/crates/ctl/tests/group/programs.rs
@@ -11,7 +11,10 @@
 use wrenfork_rollout::record::Phase;
 
 fn kept(versions: &[&'static str]) -> Layout {
-    Layout { versions: versions.to_vec(), ..Layout::of(4, 1) }
+    Layout {
+        versions: versions.to_vec(),
+        ..Layout::of(4, 1)
+    }
 }
 
 /// One of these plays at a time, of ten processes each: judged are times as well, which a crowded machine stretches.
@@ -23,13 +26,20 @@
 
 impl Group {
     /// Begins a rollout of a version of the program.
-    fn roll_program(&mut self, who: &str, to: usize, stages: &str, more: &str) -> std::process::Output {
+    fn roll_program(
+        &mut self,
+        who: &str,
+        to: usize,
+        stages: &str,
+        more: &str,
+    ) -> std::process::Output {
         let from = self.wants_version;
         self.wants_version = to;
         let planned = self.plan(who, self.wants);
         assert_eq!(planned.status.code(), Some(2), "{}", told(&planned));
         says_of_rollout(self, stages, more);
-        let [old, new] = [from, to].map(|n| version(self.layout.versions[n]).0.display().to_string());
+        let [old, new] =
+            [from, to].map(|n| version(self.layout.versions[n]).0.display().to_string());
         let plan = format!("{who}.plan");
         let line = [
             "rollout",
@@ -54,7 +64,9 @@
     }
 
     fn running(&self, version: &str) -> usize {
-        (0..self.at.len()).filter(|n| self.runs(*n).as_deref() == Some(version)).count()
+        (0..self.at.len())
+            .filter(|n| self.runs(*n).as_deref() == Some(version))
+            .count()
     }
 }
 
@@ -69,20 +81,37 @@
     let mut served = |round: u64| {
         for (n, client) in clients.iter_mut().enumerate() {
             let answer = client.ask(&probe(1 << 50 | round << 10 | n as u64));
-            assert!(answer.starts_with("policy p0"), "kept through the change: {answer}");
+            assert!(
+                answer.starts_with("policy p0"),
+                "kept through the change: {answer}"
+            );
         }
     };
     served(0);
-    says(&group.roll_program("ann", 1, "[\"1\", \"50%\", \"all\"]", ""), 0, &["made: stage 1", "hands over"]);
+    says(
+        &group.roll_program("ann", 1, "[\"1\", \"50%\", \"all\"]", ""),
+        0,
+        &["made: stage 1", "hands over"],
+    );
     group.until("the end", |p| *p == Phase::Done);
     group.all_run("newer");
     assert_eq!(group.agreed(), "p0");
     served(1);
     let answers = load.stop();
-    let wrong: Vec<_> = answers.iter().filter(|(_, got)| !matches!(got, Got::Policy(_))).take(5).collect();
-    assert!(wrong.is_empty() && answers.len() > 1_000, "{wrong:?} of {}\n{}", answers.len(), group.logs());
-    let remembered =
-        |n: usize| fs::read_to_string(group.path(&format!("tend-{n}/tend.json"))).unwrap_or_default();
+    let wrong: Vec<_> = answers
+        .iter()
+        .filter(|(_, got)| !matches!(got, Got::Policy(_)))
+        .take(5)
+        .collect();
+    assert!(
+        wrong.is_empty() && answers.len() > 1_000,
+        "{wrong:?} of {}\n{}",
+        answers.len(),
+        group.logs()
+    );
+    let remembered = |n: usize| {
+        fs::read_to_string(group.path(&format!("tend-{n}/tend.json"))).unwrap_or_default()
+    };
     group.wait("it has proven itself everywhere", || {
         (0..4).all(|n| remembered(n).contains("\"proven\": \"newer@"))
     });
@@ -100,20 +129,30 @@
 #[test]
 fn bad_programs_are_stopped_in_their_first_stage() {
     let _alone = alone();
-    for (word, why) in
-        [("fails:30", "beside the old one"), ("dies:1500", "started again"), ("never", "come into service")]
-    {
+    for (word, why) in [
+        ("fails:30", "beside the old one"),
+        ("dies:1500", "started again"),
+        ("never", "come into service"),
+    ] {
         let mut group = Group::started(kept(&["equal", word]));
         group.all_run("equal");
         let load = group.load();
-        says(&group.roll_program("ann", 1, "[\"1\", \"all\"]", ""), 0, &["made: stage 1"]);
+        says(
+            &group.roll_program("ann", 1, "[\"1\", \"all\"]", ""),
+            0,
+            &["made: stage 1"],
+        );
         let mut most = 0;
         let name = word.replace(':', "-");
         group.until("its stop", |p| {
             most = most.max(group.running(&name));
             *p == Phase::Stopped
         });
-        says(&group.run(&["rollout", "status", "ann"]), 0, &["stopped: all have the old one", why]);
+        says(
+            &group.run(&["rollout", "status", "ann"]),
+            0,
+            &["stopped: all have the old one", why],
+        );
         group.all_run("equal");
         assert_eq!(group.agreed(), "p0");
         assert!(most <= 1, "{word}: {most} had it");
@@ -127,10 +166,29 @@
     let _alone = alone();
     let mut group = Group::started(kept(&["equal", "stranger"]));
     let refused = group.roll_program("ann", 1, "[\"all\"]", "");
-    says(&refused, 1, &["could not be taken back", "peers' messages", "control lines"]);
-    let line = ["rollout", "start", "ann.plan", "--terms", "terms.toml", "--yes"];
+    says(
+        &refused,
+        1,
+        &[
+            "could not be taken back",
+            "peers' messages",
+            "control lines",
+        ],
+    );
+    let line = [
+        "rollout",
+        "start",
+        "ann.plan",
+        "--terms",
+        "terms.toml",
+        "--yes",
+    ];
     says(&group.run(&line), 1, &["no --program FILE has the digest"]);
-    says(&group.run(&["apply", "ann.plan", "--yes"]), 1, &["its program changes in stages"]);
+    says(
+        &group.run(&["apply", "ann.plan", "--yes"]),
+        1,
+        &["its program changes in stages"],
+    );
     group.all_run("equal");
 }
 
@@ -148,11 +206,17 @@
     (0..4).for_each(|n| group.spawn(n, ""));
     thread::sleep(Duration::from_millis(500));
     assert_eq!(before, (0..4).map(|n| group.process(n)).collect::<Vec<_>>());
-    says(&group.roll_program("ann", 1, "[\"1\", \"all\"]", ""), 0, &["made: stage 1"]);
+    says(
+        &group.roll_program("ann", 1, "[\"1\", \"all\"]", ""),
+        0,
+        &["made: stage 1"],
+    );
     // Killed at every step of the change: whichever process is left is found, and the change goes on.
     let mut kills = 0;
     group.wait("the first one runs it", || group.running("newer") > 0);
-    group.until("the last stage", |p| matches!(p, Phase::On { stage: 1 } | Phase::Done));
+    group.until("the last stage", |p| {
+        matches!(p, Phase::On { stage: 1 } | Phase::Done)
+    });
     while group.running("newer") < 4 {
         for n in 0..4 {
             group.kill(n);
@@ -166,8 +230,17 @@
     group.all_run("newer");
     assert_eq!(group.agreed(), "p0");
     let answers = load.stop();
-    let wrong: Vec<_> = answers.iter().filter(|(_, got)| matches!(got, Got::Other(_))).take(5).collect();
-    assert!(wrong.is_empty() && answers.len() > 1_000, "{wrong:?} of {}\n{}", answers.len(), group.logs());
+    let wrong: Vec<_> = answers
+        .iter()
+        .filter(|(_, got)| matches!(got, Got::Other(_)))
+        .take(5)
+        .collect();
+    assert!(
+        wrong.is_empty() && answers.len() > 1_000,
+        "{wrong:?} of {}\n{}",
+        answers.len(),
+        group.logs()
+    );
 }
 
 /// What can't be remembered is not begun: a keeper whose disk is full keeps what serves, and changes it once there is room. A member
@@ -179,13 +252,32 @@
     let mut group = Group::started(kept(&["equal", "newer"]));
     let load = group.load();
     group.kill(3);
-    end(group.process(3).expect("it goes on without its keeper"), "KILL");
+    end(
+        group.process(3).expect("it goes on without its keeper"),
+        "KILL",
+    );
     group.wait("it is gone", || group.process(3).is_none());
-    says(&group.roll_program("ann", 1, "[\"1\", \"all\"]", ""), 0, &["made: stage 1"]);
+    says(
+        &group.roll_program("ann", 1, "[\"1\", \"all\"]", ""),
+        0,
+        &["made: stage 1"],
+    );
     group.wait("one changes", || group.running("newer") > 0);
-    let old = (0..3).find(|n| group.runs(*n).as_deref() == Some("equal")).unwrap();
+    let old = (0..3)
+        .find(|n| group.runs(*n).as_deref() == Some("equal"))
+        .unwrap();
     let keeper = Pid::from_raw(group.ingresses[old].as_ref().unwrap().child.id() as i32);
-    let room = |most| prlimit(keeper, Resource::Fsize, Rlimit { current: most, maximum: None }).unwrap();
+    let room = |most| {
+        prlimit(
+            keeper,
+            Resource::Fsize,
+            Rlimit {
+                current: most,
+                maximum: None,
+            },
+        )
+        .unwrap()
+    };
     room(Some(0));
     let log = |n: usize| fs::read_to_string(group.path(&format!("log-{n}"))).unwrap_or_default();
     group.until("the last stage", |p| *p == Phase::On { stage: 1 });
@@ -199,7 +291,11 @@
     group.all_run("newer");
     assert_eq!(group.agreed(), "p0");
     let answers = load.stop();
-    let wrong: Vec<_> = answers.iter().filter(|(_, got)| matches!(got, Got::Other(_))).take(5).collect();
+    let wrong: Vec<_> = answers
+        .iter()
+        .filter(|(_, got)| matches!(got, Got::Other(_)))
+        .take(5)
+        .collect();
     assert!(wrong.is_empty(), "{wrong:?}\n{}", group.logs());
 }
 
@@ -223,16 +319,29 @@
     ];
     println!("version: how it ended, after seconds, most that ran it, answers, neither served nor turned away, turned away");
     let only = std::env::var("ODD_WORDS").unwrap_or_default();
-    for word in words.into_iter().filter(|w| only.is_empty() || only.split(',').any(|o| o == *w)) {
-        for _ in 0..std::env::var("ODD_RUNS").ok().and_then(|n| n.parse().ok()).unwrap_or(2) {
+    for word in words
+        .into_iter()
+        .filter(|w| only.is_empty() || only.split(',').any(|o| o == *w))
+    {
+        for _ in 0..std::env::var("ODD_RUNS")
+            .ok()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(2)
+        {
             let mut group = Group::started(kept(&["equal", word]));
             group.all_run("equal");
             let load = group.load();
             let begun = Instant::now();
-            says(&group.roll_program("ann", 1, "[\"1\", \"50%\", \"all\"]", ""), 0, &["made: stage 1"]);
+            says(
+                &group.roll_program("ann", 1, "[\"1\", \"50%\", \"all\"]", ""),
+                0,
+                &["made: stage 1"],
+            );
             let (name, mut most, mut told) = (word.replace(':', "-"), 0, false);
             let end = loop {
-                let stands = (0..group.count()).filter_map(|n| group.stand(n)).max_by_key(|s| s.number);
+                let stands = (0..group.count())
+                    .filter_map(|n| group.stand(n))
+                    .max_by_key(|s| s.number);
                 let phase = stands.and_then(|s| s.rollout);
                 most = most.max(group.running(&name));
                 let new = (0..4).find(|n| group.runs(*n).as_deref() == Some(name.as_str()));
@@ -252,14 +361,29 @@
                 group.all_run(if end == Phase::Done { &name } else { "equal" });
             }
             let answers = load.stop();
-            let of = |wanted: &dyn Fn(&Got) -> bool| answers.iter().filter(|(_, got)| wanted(got)).count();
-            let (other, busy) = (of(&|g| matches!(g, Got::Other(_))), of(&|g| *g == Got::Busy));
-            println!("{word}: {status}, {took:.1} s, {most}, {}, {other}, {busy}", answers.len());
+            let of = |wanted: &dyn Fn(&Got) -> bool| {
+                answers.iter().filter(|(_, got)| wanted(got)).count()
+            };
+            let (other, busy) = (
+                of(&|g| matches!(g, Got::Other(_))),
+                of(&|g| *g == Got::Busy),
+            );
+            println!(
+                "{word}: {status}, {took:.1} s, {most}, {}, {other}, {busy}",
+                answers.len()
+            );
         }
     }
 }
 
 /// What a status says of a rollout, without who has what.
 fn told_of(status: &std::process::Output) -> String {
-    told(status).lines().next().unwrap_or_default().split(" by ann: ").last().unwrap_or_default().to_string()
+    told(status)
+        .lines()
+        .next()
+        .unwrap_or_default()
+        .split(" by ann: ")
+        .last()
+        .unwrap_or_default()
+        .to_string()
 }
--- a/crates/ctl/tests/group/rollout.rs
+++ b/crates/ctl/tests/group/rollout.rs
@@ -18,7 +18,11 @@
 
 /// Writes the terms of a rollout: its stages, and more.
 pub fn says_of_rollout(group: &Group, stages: &str, more: &str) {
-    fs::write(group.path("terms.toml"), format!("{TERMS}stages = {stages}\n{more}")).unwrap();
+    fs::write(
+        group.path("terms.toml"),
+        format!("{TERMS}stages = {stages}\n{more}"),
+    )
+    .unwrap();
 }
 
 impl Group {
@@ -44,7 +48,11 @@
             if phase.as_ref().is_some_and(&mut wanted) {
                 return;
             }
-            assert!(start.elapsed() < 3 * LONG, "in vain: {what}: {phase:?}\n{}", self.logs());
+            assert!(
+                start.elapsed() < 3 * LONG,
+                "in vain: {what}: {phase:?}\n{}",
+                self.logs()
+            );
             thread::sleep(Duration::from_millis(50));
         }
     }
@@ -57,7 +65,9 @@
 
     /// The ingresses that serve under a policy right now.
     fn on(&self, policy: &str) -> BTreeSet<usize> {
-        (0..self.at.len()).filter(|n| self.ask(*n) == Got::Policy(policy.into())).collect()
+        (0..self.at.len())
+            .filter(|n| self.ask(*n) == Got::Policy(policy.into()))
+            .collect()
     }
 }
 
@@ -81,7 +91,11 @@
     let applied = group.run(&["apply", "bob.plan", "--yes"]);
     says(&applied, 1, &["a rollout by ann is under way"]);
     group.want(1);
-    says(&group.run(&["rollout", "status", "ann"]), 0, &["stage 1 of 3", "new", "old"]);
+    says(
+        &group.run(&["rollout", "status", "ann"]),
+        0,
+        &["stage 1 of 3", "new", "old"],
+    );
     // Whoever drives dies; another goes on, and nobody types anything.
     group.wait("somebody drives", || group.driver().is_some());
     let driver = group.driver().unwrap();
@@ -97,10 +111,26 @@
     group.until("the end", |p| *p == Phase::Done);
     assert_eq!(group.agreed(), "p1");
     let answers = load.stop();
-    let wrong: Vec<_> = answers.iter().filter(|(_, got)| matches!(got, Got::Other(_))).take(3).collect();
-    assert!(wrong.is_empty() && answers.len() > 1_000, "{wrong:?} of {}", answers.len());
-    says(&group.run(&["rollout", "watch", "ann"]), 0, &["done: all have the new one"]);
-    says(&group.run(&["rollout", "stop", "ann"]), 1, &["no rollout is under way"]);
+    let wrong: Vec<_> = answers
+        .iter()
+        .filter(|(_, got)| matches!(got, Got::Other(_)))
+        .take(3)
+        .collect();
+    assert!(
+        wrong.is_empty() && answers.len() > 1_000,
+        "{wrong:?} of {}",
+        answers.len()
+    );
+    says(
+        &group.run(&["rollout", "watch", "ann"]),
+        0,
+        &["done: all have the new one"],
+    );
+    says(
+        &group.run(&["rollout", "stop", "ann"]),
+        1,
+        &["no rollout is under way"],
+    );
     // What has ended stands in nobody's way.
     group.made(2);
     assert_eq!(group.agreed(), "p2");
@@ -115,20 +145,39 @@
     let mut group = Group::started(layout);
     group.kill(3);
     let load = group.load();
-    says(&group.roll("ann", 2, "[\"1\", \"all\"]"), 0, &["made: stage 1"]);
+    says(
+        &group.roll("ann", 2, "[\"1\", \"all\"]"),
+        0,
+        &["made: stage 1"],
+    );
     let watched = group.run(&["rollout", "watch", "ann", "--page", "end.html"]);
-    says(&watched, 1, &["stopped: all have the old one", "beside the old one"]);
+    says(
+        &watched,
+        1,
+        &["stopped: all have the old one", "beside the old one"],
+    );
     let page = fs::read_to_string(group.path("end.html")).unwrap();
-    assert!(page.contains("<b>stopped: all have the old one</b>") && page.contains("<svg"), "{page}");
+    assert!(
+        page.contains("<b>stopped: all have the old one</b>") && page.contains("<svg"),
+        "{page}"
+    );
     group.spawn(3, "");
     group.ready(3);
     assert_eq!(group.agreed(), "p0");
     let answers = load.stop();
-    let failed =
-        |name: &str| answers.iter().filter(|(a, g)| a.ingress == name && matches!(g, Got::Other(_))).count();
+    let failed = |name: &str| {
+        answers
+            .iter()
+            .filter(|(a, g)| a.ingress == name && matches!(g, Got::Other(_)))
+            .count()
+    };
     let hit: Vec<usize> = (0..4).filter(|n| failed(&group.short(*n)) > 0).collect();
     assert!(hit.len() <= 1, "{hit:?} had it");
-    says(&group.run(&["rollout", "status", "ann"]), 0, &["stopped: all have the old one"]);
+    says(
+        &group.run(&["rollout", "status", "ann"]),
+        0,
+        &["stopped: all have the old one"],
+    );
 }
 
 /// Nothing fails, and the answers come later.
@@ -138,9 +187,17 @@
     layout.bad = Some((2, Bad::Slow));
     let mut group = Group::started(layout);
     let load = group.load();
-    says(&group.roll("ann", 2, "[\"50%\", \"all\"]"), 0, &["made: stage 1"]);
+    says(
+        &group.roll("ann", 2, "[\"50%\", \"all\"]"),
+        0,
+        &["made: stage 1"],
+    );
     let watched = group.run(&["rollout", "watch", "ann"]);
-    says(&watched, 1, &["stopped: all have the old one", "answers later"]);
+    says(
+        &watched,
+        1,
+        &["stopped: all have the old one", "answers later"],
+    );
     assert_eq!(group.agreed(), "p0");
     drop(load.stop());
 }
@@ -149,7 +206,11 @@
 #[test]
 fn a_crash_in_the_stage_stops_at_once() {
     let mut group = Group::started(three());
-    says(&group.roll("ann", 1, "[\"1\", \"all\"]"), 0, &["made: stage 1"]);
+    says(
+        &group.roll("ann", 1, "[\"1\", \"all\"]"),
+        0,
+        &["made: stage 1"],
+    );
     let new = *group.on("p1").first().expect("one has the new one");
     group.wait("somebody drives", || group.driver().is_some());
     thread::sleep(Duration::from_millis(1_500));
@@ -157,7 +218,11 @@
     group.spawn(new, "");
     group.until("its stop", |p| *p == Phase::Stopped);
     assert_eq!(group.agreed(), "p0");
-    says(&group.run(&["rollout", "status", "ann"]), 0, &["started again"]);
+    says(
+        &group.run(&["rollout", "status", "ann"]),
+        0,
+        &["started again"],
+    );
 }
 
 /// Held, let go on, stopped by hand; with links that drop meanwhile, so that another drives.
@@ -165,33 +230,85 @@
 fn it_is_held_and_stopped_by_hand_whatever_links_drop() {
     let mut group = Group::started(four());
     // Two of each side, so that there is something to compare whoever is cut off.
-    says(&group.roll("ann", 1, "[\"50%\", \"75%\", \"all\"]"), 0, &["made: stage 1"]);
-    says(&group.run(&["rollout", "pause", "ann", "--why", "lunch"]), 0, &["made: held"]);
-    says(&group.run(&["rollout", "status", "ann"]), 0, &["held in stage 1", "lunch"]);
-    says(&group.run(&["rollout", "pause", "ann"]), 1, &["it can't be held"]);
+    says(
+        &group.roll("ann", 1, "[\"50%\", \"75%\", \"all\"]"),
+        0,
+        &["made: stage 1"],
+    );
+    says(
+        &group.run(&["rollout", "pause", "ann", "--why", "lunch"]),
+        0,
+        &["made: held"],
+    );
+    says(
+        &group.run(&["rollout", "status", "ann"]),
+        0,
+        &["held in stage 1", "lunch"],
+    );
+    says(
+        &group.run(&["rollout", "pause", "ann"]),
+        1,
+        &["it can't be held"],
+    );
     group.wait("somebody drove", || group.driver().is_some());
     let driver = group.driver().unwrap();
     // It reaches nobody, and nobody reaches it.
     let names: Vec<String> = (0..group.count()).map(|n| group.short(n)).collect();
-    let others: Vec<&str> = names.iter().map(String::as_str).filter(|n| *n != names[driver]).collect();
-    group.links.between(&[&names[driver]], &others, Fault::Dropped);
-    says(&group.run(&["rollout", "resume", "ann"]), 0, &["made: going on"]);
-    says(&group.run(&["rollout", "resume", "ann"]), 1, &["it is not held"]);
+    let others: Vec<&str> = names
+        .iter()
+        .map(String::as_str)
+        .filter(|n| *n != names[driver])
+        .collect();
+    group
+        .links
+        .between(&[&names[driver]], &others, Fault::Dropped);
+    says(
+        &group.run(&["rollout", "resume", "ann"]),
+        0,
+        &["made: going on"],
+    );
+    says(
+        &group.run(&["rollout", "resume", "ann"]),
+        1,
+        &["it is not held"],
+    );
     let load = group.load();
-    group.until("the second stage, by another", |p| *p == Phase::On { stage: 1 });
-    says(&group.run(&["rollout", "stop", "ann", "--why", "enough"]), 0, &["made: stopped"]);
+    group.until("the second stage, by another", |p| {
+        *p == Phase::On { stage: 1 }
+    });
+    says(
+        &group.run(&["rollout", "stop", "ann", "--why", "enough"]),
+        0,
+        &["made: stopped"],
+    );
     group.until("its end", |p| *p == Phase::Stopped);
     group.links.heal();
     assert_eq!(group.agreed(), "p0");
     drop(load.stop());
-    says(&group.run(&["rollout", "status", "ann"]), 0, &["stopped", "enough"]);
+    says(
+        &group.run(&["rollout", "status", "ann"]),
+        0,
+        &["stopped", "enough"],
+    );
     let history = group.run(&["rollout", "history", "ann"]);
     says(
         &history,
         0,
-        &["rollout: stage 1", "lunch", "rollout: stage 2", "rollout: stopped", "enough", "ann"],
+        &[
+            "rollout: stage 1",
+            "lunch",
+            "rollout: stage 2",
+            "rollout: stopped",
+            "enough",
+            "ann",
+        ],
+    );
+    assert_eq!(
+        told(&history).matches("lunch").count(),
+        1,
+        "each step once: {}",
+        told(&history)
     );
-    assert_eq!(told(&history).matches("lunch").count(), 1, "each step once: {}", told(&history));
 }
 
 /// A disk that takes nothing while a stage begins: the member counts as away, and has its side once it has room.
@@ -200,17 +317,34 @@
     use rustix::process::{prlimit, Pid, Resource, Rlimit};
     let mut group = Group::started(three());
     let load = group.load();
-    says(&group.roll("ann", 1, "[\"1\", \"all\"]"), 0, &["made: stage 1"]);
+    says(
+        &group.roll("ann", 1, "[\"1\", \"all\"]"),
+        0,
+        &["made: stage 1"],
+    );
     let old = *group.on("p0").last().expect("two have the old one");
     let id = Pid::from_raw(group.ingresses[old].as_ref().unwrap().child.id() as i32);
-    let room = |most| prlimit(id, Resource::Fsize, Rlimit { current: most, maximum: None }).unwrap();
+    let room = |most| {
+        prlimit(
+            id,
+            Resource::Fsize,
+            Rlimit {
+                current: most,
+                maximum: None,
+            },
+        )
+        .unwrap()
+    };
     room(Some(0));
     group.until("the end", |p| *p == Phase::Done);
     group.shut(old);
     room(None);
     group.ready(old);
     assert_eq!(group.agreed(), "p1");
-    assert!(load.stop().iter().all(|(_, got)| !matches!(got, Got::Other(_))));
+    assert!(load
+        .stop()
+        .iter()
+        .all(|(_, got)| !matches!(got, Got::Other(_))));
 }
 
 /// Two begin at the same moment, and one of them has; the member that has the new one is frozen for longer than a lease and is no
@@ -219,20 +353,37 @@
 fn of_two_that_begin_at_once_one_does_and_a_freeze_is_no_crash() {
     let mut group = Group::started(three());
     let load = group.load();
-    fs::write(group.path("terms.toml"), format!("{TERMS}stages = [\"1\", \"all\"]\n")).unwrap();
+    fs::write(
+        group.path("terms.toml"),
+        format!("{TERMS}stages = [\"1\", \"all\"]\n"),
+    )
+    .unwrap();
     for (who, policy) in [("bob", 2), ("ann", 1)] {
         let planned = group.plan(who, policy);
         assert_eq!(planned.status.code(), Some(2), "{}", told(&planned));
     }
     let both = ["ann", "bob"].map(|who| {
         let plan = format!("{who}.plan");
-        group.wrenctl(&["rollout", "start", &plan, "--terms", "terms.toml", "--yes"]).spawn().unwrap()
+        group
+            .wrenctl(&["rollout", "start", &plan, "--terms", "terms.toml", "--yes"])
+            .spawn()
+            .unwrap()
     });
     let both = both.map(|child| child.wait_with_output().unwrap());
     let mut codes = both.each_ref().map(|o| o.status.code());
     codes.sort_unstable();
-    assert_eq!(codes, [Some(0), Some(1)], "{}\n{}", told(&both[0]), told(&both[1]));
-    let (policy, loser) = if both[0].status.code() == Some(0) { (1, &both[1]) } else { (2, &both[0]) };
+    assert_eq!(
+        codes,
+        [Some(0), Some(1)],
+        "{}\n{}",
+        told(&both[0]),
+        told(&both[1])
+    );
+    let (policy, loser) = if both[0].status.code() == Some(0) {
+        (1, &both[1])
+    } else {
+        (2, &both[0])
+    };
     says(loser, 1, &["is under way"]);
     let wanted = format!("p{policy}");
     let new = *group.on(&wanted).first().expect("one has the new one");
@@ -249,15 +400,31 @@
 #[test]
 #[ignore = "some minutes, 40 processes"]
 fn forty_members_in_four_halls() {
-    let mut group = Group::started(Layout { halls: 4, roster: VOTERS.into(), ..Layout::of(40, 0) });
+    let mut group = Group::started(Layout {
+        halls: 4,
+        roster: VOTERS.into(),
+        ..Layout::of(40, 0)
+    });
     let load = group.load();
     let begun = Instant::now();
-    says(&group.roll("ann", 1, "[\"1\", \"10%\", \"50%\", \"all\"]"), 0, &["made: stage 1", "hall-d"]);
+    says(
+        &group.roll("ann", 1, "[\"1\", \"10%\", \"50%\", \"all\"]"),
+        0,
+        &["made: stage 1", "hall-d"],
+    );
     for stage in 0..4 {
-        group.until("the stage", |p| *p == Phase::On { stage } || *p == Phase::Done);
-        println!("stage {} after {:.1} s", stage + 1, begun.elapsed().as_secs_f64());
+        group.until("the stage", |p| {
+            *p == Phase::On { stage } || *p == Phase::Done
+        });
+        println!(
+            "stage {} after {:.1} s",
+            stage + 1,
+            begun.elapsed().as_secs_f64()
+        );
         // One of the old; where all have the new one it would be a crash.
-        let Some(old) = group.on("p0").into_iter().rfind(|n| *n >= 5) else { break };
+        let Some(old) = group.on("p0").into_iter().rfind(|n| *n >= 5) else {
+            break;
+        };
         group.kill(old);
         thread::sleep(Duration::from_secs(2));
         group.spawn(old, "");
@@ -266,8 +433,14 @@
     println!("done after {:.1} s", begun.elapsed().as_secs_f64());
     assert_eq!(group.agreed(), "p1");
     let answers = load.stop();
-    let other = answers.iter().filter(|(_, got)| matches!(got, Got::Other(_))).count();
-    println!("{} answers, {other} of them neither served nor turned away", answers.len());
+    let other = answers
+        .iter()
+        .filter(|(_, got)| matches!(got, Got::Other(_)))
+        .count();
+    println!(
+        "{} answers, {other} of them neither served nor turned away",
+        answers.len()
+    );
     assert_eq!(other, 0);
 }
 
--- a/crates/ctl/tests/group/site.rs
+++ b/crates/ctl/tests/group/site.rs
@@ -36,10 +36,17 @@
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("versions");
         fs::create_dir_all(&folder).unwrap();
         let name = word.replace(':', "-");
-        let (path, new) = (folder.join(&name), folder.join(format!("{name}.{}", std::process::id())));
+        let (path, new) = (
+            folder.join(&name),
+            folder.join(format!("{name}.{}", std::process::id())),
+        );
         fs::write(path.with_extension("odd"), word).unwrap();
         // Without what only a debugger reads: it is read whole whenever its digest is looked at.
-        let strip = Command::new("strip").arg("-o").arg(&new).arg(program("examples/odd")).status();
+        let strip = Command::new("strip")
+            .arg("-o")
+            .arg(&new)
+            .arg(program("examples/odd"))
+            .status();
         if !strip.is_ok_and(|status| status.success()) {
             fs::copy(program("examples/odd"), &new).unwrap();
         }
@@ -58,7 +65,10 @@
 /// Sends a signal to a process that was started here.
 pub fn end(id: u32, name: &str) {
     let line = format!("kill -{name} {id}");
-    let _ = Command::new("/bin/sh").args(["-c", &line]).stderr(Stdio::null()).status();
+    let _ = Command::new("/bin/sh")
+        .args(["-c", &line])
+        .stderr(Stdio::null())
+        .status();
 }
 
 /// How a group is laid out.
@@ -163,7 +173,8 @@
         let count = layout.ingresses + layout.witnesses;
         let names: Vec<String> = (0..count).map(|n| short(&layout, n)).collect();
         let run = |n: usize| folder.path().join("run").join(n.to_string());
-        let members: Vec<(&str, PathBuf)> = (0..count).map(|n| (names[n].as_str(), run(n))).collect();
+        let members: Vec<(&str, PathBuf)> =
+            (0..count).map(|n| (names[n].as_str(), run(n))).collect();
         let members_ask = names.iter().map(String::as_str).filter(|_| layout.relays);
         let askers: Vec<&str> = members_ask.chain(["ann", "bob"]).collect();
         let links = Links::open(&folder.path().join("l"), &askers, &members).unwrap();
@@ -178,15 +189,25 @@
                     }
                     let value = format!("policy p{k} {}", args[2]);
                     Act::Say(
-                        format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$9\r\nutil=0.01\r\n", value.len())
-                            .into_bytes(),
+                        format!(
+                            "*3\r\n${}\r\n{value}\r\n$-1\r\n$9\r\nutil=0.01\r\n",
+                            value.len()
+                        )
+                        .into_bytes(),
                     )
                 })
             })
             .collect();
-        let entries: Vec<String> =
-            backends.iter().enumerate().map(|(k, b)| b.entry(&format!("s-000{k}"), "up")).collect();
-        fs::write(folder.path().join("elsewhere/fleet.json"), list(1, true, &entries)).unwrap();
+        let entries: Vec<String> = backends
+            .iter()
+            .enumerate()
+            .map(|(k, b)| b.entry(&format!("s-000{k}"), "up"))
+            .collect();
+        fs::write(
+            folder.path().join("elsewhere/fleet.json"),
+            list(1, true, &entries),
+        )
+        .unwrap();
         let mut group = Group {
             at: (0..layout.ingresses).map(|_| place()).collect(),
             peers: (0..layout.ingresses).map(|_| place()).collect(),
@@ -203,15 +224,26 @@
         };
         // Room for all that clients here ask: what is turned away is turned away for want of a lease.
         let site = include_str!("../../../config/tests/good/site.toml")
-            .replace("[\"hall-a\", \"hall-b\"]", "[\"hall-a\", \"hall-b\", \"hall-c\", \"hall-d\"]")
+            .replace(
+                "[\"hall-a\", \"hall-b\"]",
+                "[\"hall-a\", \"hall-b\", \"hall-c\", \"hall-d\"]",
+            )
             .replace("per-weight = \"20/s\"", "per-weight = \"100000/s\"")
-            .replace("quota = \"96/min\"\nburst = 7\n", "quota = \"10000/s\"\nburst = 10000\n");
+            .replace(
+                "quota = \"96/min\"\nburst = 7\n",
+                "quota = \"10000/s\"\nburst = 10000\n",
+            );
         for place in ["files", "ann", "bob", "alone"] {
             fs::create_dir_all(group.path(place)).unwrap();
             fs::write(group.path(place).join("site.toml"), &site).unwrap();
         }
         group.want(0);
-        group.changes.push(Change { generation: 1, policy: "p0".into(), made: Some(0), given_up: false });
+        group.changes.push(Change {
+            generation: 1,
+            policy: "p0".into(),
+            made: Some(0),
+            given_up: false,
+        });
         group
     }
 
@@ -255,9 +287,15 @@
             fs::write(self.path(place).join("desk.toml"), self.text(place, policy)).unwrap();
         }
         for n in self.layout.as_known.clone() {
-            let text = self.text("files", policy).replace("alone = \"refuse\"", "alone = \"as-known\"");
+            let text = self
+                .text("files", policy)
+                .replace("alone = \"refuse\"", "alone = \"as-known\"");
             fs::create_dir_all(self.path(&format!("files-{n}"))).unwrap();
-            fs::copy(self.path("files/site.toml"), self.path(&format!("files-{n}/site.toml"))).unwrap();
+            fs::copy(
+                self.path("files/site.toml"),
+                self.path(&format!("files-{n}/site.toml")),
+            )
+            .unwrap();
             fs::write(self.path(&format!("files-{n}/desk.toml")), text).unwrap();
         }
     }
@@ -273,7 +311,10 @@
         }
         if place != "alone" {
             let ms = self.layout.lease.as_millis();
-            text += &format!("\n[roster]\nlease = \"{ms}ms\"\nalone = \"refuse\"\n{}", self.layout.roster);
+            text += &format!(
+                "\n[roster]\nlease = \"{ms}ms\"\nalone = \"refuse\"\n{}",
+                self.layout.roster
+            );
         }
         for n in 0..self.count() {
             if place == "alone" && n >= self.at.len() {
@@ -284,8 +325,15 @@
                 "ann" | "bob" => self.links.folder(place).join(&name),
                 _ => self.control(n),
             };
-            let kind = if n < self.at.len() { "sidecar" } else { "witness" };
-            text += &format!("\n[[{kind}]]\nname = \"{name}\"\ncontrol = \"{}\"\n", control.display());
+            let kind = if n < self.at.len() {
+                "sidecar"
+            } else {
+                "witness"
+            };
+            text += &format!(
+                "\n[[{kind}]]\nname = \"{name}\"\ncontrol = \"{}\"\n",
+                control.display()
+            );
             text += &format!("state = \"{}\"\n", self.state(n).display());
             if place != "alone" && self.layout.relays {
                 text += &format!("links = \"{}\"\n", links.display());
@@ -310,8 +358,16 @@
 
     pub fn spawn_by(&mut self, n: usize, fault: &str, files: &str) {
         let folder = self.folder.path().display().to_string();
-        let files = if self.layout.as_known.contains(&n) { format!("files-{n}") } else { files.to_string() };
-        let fault = if fault.is_empty() { String::new() } else { format!("{}={fault} ", fault::VARIABLE) };
+        let files = if self.layout.as_known.contains(&n) {
+            format!("files-{n}")
+        } else {
+            files.to_string()
+        };
+        let fault = if fault.is_empty() {
+            String::new()
+        } else {
+            format!("{}={fault} ", fault::VARIABLE)
+        };
         if n < self.at.len() && !self.layout.versions.is_empty() {
             assert!(fault.is_empty());
             let line = format!(
@@ -333,8 +389,12 @@
                 .append(true)
                 .open(self.path(&format!("log-{n}")))
                 .unwrap();
-            let mut command =
-                self.wrenctl(&["witness", &format!("{files}/desk.toml"), "--name", &self.short(n)]);
+            let mut command = self.wrenctl(&[
+                "witness",
+                &format!("{files}/desk.toml"),
+                "--name",
+                &self.short(n),
+            ]);
             if let Some((name, value)) = fault.trim().split_once('=') {
                 command.env(name, value);
             }
@@ -345,20 +405,27 @@
     /// Waits until an ingress lets requests in.
     pub fn ready(&self, n: usize) {
         let at = self.at[n];
-        let serves = || TcpStream::connect(at).is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG");
+        let serves =
+            || TcpStream::connect(at).is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG");
         self.wait(&format!("{} serves", self.short(n)), serves);
     }
 
     /// Waits until an ingress turns requests away, with a time to come back.
     pub fn shut(&self, n: usize) {
-        self.wait(&format!("{} turns requests away", self.short(n)), || self.ask(n) == Got::Busy);
+        self.wait(&format!("{} turns requests away", self.short(n)), || {
+            self.ask(n) == Got::Busy
+        });
     }
 
     /// Waits for something; with the members' logs where it does not come.
     pub fn wait(&self, what: &str, mut ready: impl FnMut() -> bool) {
         let start = Instant::now();
         while !ready() {
-            assert!(start.elapsed() < LONG, "waited in vain: {what}\n{}", self.logs());
+            assert!(
+                start.elapsed() < LONG,
+                "waited in vain: {what}\n{}",
+                self.logs()
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -400,7 +467,11 @@
 
     pub fn wrenctl(&self, args: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_wrenctl"));
-        command.args(args).current_dir(self.folder.path()).env("NO_COLOR", "1").stdin(Stdio::null());
+        command
+            .args(args)
+            .current_dir(self.folder.path())
+            .env("NO_COLOR", "1")
+            .stdin(Stdio::null());
         command.stdout(Stdio::piped()).stderr(Stdio::piped());
         command
     }
@@ -416,7 +487,14 @@
     /// Plans a policy as one of the appliers.
     pub fn plan(&mut self, who: &str, policy: usize) -> Output {
         self.want(policy);
-        self.run(&["plan", who, "--out", &format!("{who}.plan"), "--author", who])
+        self.run(&[
+            "plan",
+            who,
+            "--out",
+            &format!("{who}.plan"),
+            "--author",
+            who,
+        ])
     }
 
     /// Plans and applies a policy, as one of the appliers; what `apply` said.
@@ -424,7 +502,11 @@
         let planned = self.plan(who, policy);
         assert_eq!(planned.status.code(), Some(2), "{}", told(&planned));
         let plan = format!("{who}.plan");
-        let line: Vec<&str> = ["apply", plan.as_str(), "--yes"].iter().chain(args).copied().collect();
+        let line: Vec<&str> = ["apply", plan.as_str(), "--yes"]
+            .iter()
+            .chain(args)
+            .copied()
+            .collect();
         let output = self.run(&line);
         self.note(policy, &output);
         output
@@ -432,17 +514,34 @@
 
     /// Writes down for the judge what became of an apply.
     pub fn note(&mut self, policy: usize, output: &Output) {
-        let generation =
-            self.changes.iter().filter(|c| !c.given_up).map(|c| c.generation).max().unwrap_or(0) + 1;
+        let generation = self
+            .changes
+            .iter()
+            .filter(|c| !c.given_up)
+            .map(|c| c.generation)
+            .max()
+            .unwrap_or(0)
+            + 1;
         let made = (output.status.code() == Some(0)).then(|| self.now());
         let given_up = output.status.code() == Some(1);
-        self.changes.push(Change { generation, policy: format!("p{policy}"), made, given_up });
+        self.changes.push(Change {
+            generation,
+            policy: format!("p{policy}"),
+            made,
+            given_up,
+        });
     }
 
     /// Has a change made, with nothing to be said against it.
     pub fn made(&mut self, policy: usize) -> Output {
         let output = self.apply("ann", policy, &[]);
-        assert_eq!(output.status.code(), Some(0), "{}\n{}", told(&output), self.logs());
+        assert_eq!(
+            output.status.code(),
+            Some(0),
+            "{}\n{}",
+            told(&output),
+            self.logs()
+        );
         output
     }
 
@@ -477,7 +576,14 @@
 
     /// What an ingress runs, as it says itself.
     pub fn runs(&self, n: usize) -> Option<String> {
-        Some(self.stand(n)?.runs?.split('@').next().unwrap_or_default().to_string())
+        Some(
+            self.stand(n)?
+                .runs?
+                .split('@')
+                .next()
+                .unwrap_or_default()
+                .to_string(),
+        )
     }
 
     pub fn logs(&self) -> String {
@@ -503,12 +609,22 @@
         };
         let start = Instant::now();
         loop {
-            let stands: Vec<Option<Stand>> =
-                (0..self.count()).filter(running).map(|n| self.stand(n)).collect();
-            let digests: Vec<_> = stands.iter().flatten().map(|s| (s.number, s.digest.clone())).collect();
+            let stands: Vec<Option<Stand>> = (0..self.count())
+                .filter(running)
+                .map(|n| self.stand(n))
+                .collect();
+            let digests: Vec<_> = stands
+                .iter()
+                .flatten()
+                .map(|s| (s.number, s.digest.clone()))
+                .collect();
             let pending = stands.iter().flatten().any(|s| s.pending.is_some());
-            if digests.len() == stands.len() && digests.windows(2).all(|w| w[0] == w[1]) && !pending {
-                let serving: Vec<Got> = (0..self.at.len()).filter(running).map(|n| self.ask(n)).collect();
+            if digests.len() == stands.len() && digests.windows(2).all(|w| w[0] == w[1]) && !pending
+            {
+                let serving: Vec<Got> = (0..self.at.len())
+                    .filter(running)
+                    .map(|n| self.ask(n))
+                    .collect();
                 if let [Got::Policy(policy), rest @ ..] = &serving[..] {
                     if rest.iter().all(|g| *g == serving[0]) {
                         return policy.clone();
@@ -518,7 +634,11 @@
             } else {
                 last = format!("{digests:?} pending: {pending}, {last}");
             }
-            assert!(start.elapsed() < LONG, "no agreement: {last}\n{}", self.logs());
+            assert!(
+                start.elapsed() < LONG,
+                "no agreement: {last}\n{}",
+                self.logs()
+            );
             thread::sleep(Duration::from_millis(20));
         }
     }
@@ -532,7 +652,11 @@
             let name = self.short(n);
             thread::spawn(move || ask_on(&name, at, start, &stop, &answers))
         });
-        Load { threads: threads.collect(), stop, answers }
+        Load {
+            threads: threads.collect(),
+            stop,
+            answers,
+        }
     }
 
     /// What the judge says of all answers, and of what members say that they enforce.
@@ -542,7 +666,11 @@
         let said: Vec<Said> = (0..self.count())
             .filter_map(|n| self.stand(n))
             .filter(|s| s.number > 0)
-            .map(|s| Said { member: s.name, generation: s.number, enforces: s.digest.0 })
+            .map(|s| Said {
+                member: s.name,
+                generation: s.number,
+                enforces: s.digest.0,
+            })
             .collect();
         let wrong = judge(&self.changes, BOUND, &answers, &said);
         assert!(
@@ -565,8 +693,11 @@
                 let log = fs::read_to_string(self.path(&format!("log-{n}"))).unwrap_or_default();
                 let own = self.path("files/desk.toml").display().to_string();
                 let started = log.split(" as process ").skip(1);
-                for id in started.filter_map(|rest| rest.split_whitespace().next()?.parse::<u32>().ok()) {
-                    let line = fs::read_to_string(format!("/proc/{id}/cmdline")).unwrap_or_default();
+                for id in
+                    started.filter_map(|rest| rest.split_whitespace().next()?.parse::<u32>().ok())
+                {
+                    let line =
+                        fs::read_to_string(format!("/proc/{id}/cmdline")).unwrap_or_default();
                     if line.contains(&own) {
                         end(id, "KILL");
                     }
@@ -617,8 +748,12 @@
     while !stop.load(Ordering::Acquire) {
         thread::sleep(Duration::from_millis(4));
         if client.is_none() {
-            let Ok(stream) = TcpStream::connect_timeout(&at, Duration::from_secs(1)) else { continue };
-            stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+            let Ok(stream) = TcpStream::connect_timeout(&at, Duration::from_secs(1)) else {
+                continue;
+            };
+            stream
+                .set_read_timeout(Some(Duration::from_secs(5)))
+                .unwrap();
             client = Some(Client(stream));
         }
         let Some(c) = &mut client else { continue };
@@ -633,7 +768,18 @@
             continue;
         }
         let got = got(&answer);
-        let policy = if let Got::Policy(p) = &got { Some(p.clone()) } else { None };
-        answers.lock().unwrap().push((Answer { ingress: name.into(), sent, policy }, got));
+        let policy = if let Got::Policy(p) = &got {
+            Some(p.clone())
+        } else {
+            None
+        };
+        answers.lock().unwrap().push((
+            Answer {
+                ingress: name.into(),
+                sent,
+                policy,
+            },
+            got,
+        ));
     }
 }
--- a/crates/ctl/tests/judged.rs
+++ b/crates/ctl/tests/judged.rs
@@ -62,7 +62,12 @@
 
 fn status(at: &Path) -> (String, Generation, Arc<State>) {
     match client::ask(at, &Ask::Status, WAIT) {
-        Ok(Say::Status { ingress, generation, state, .. }) => (ingress, generation, state),
+        Ok(Say::Status {
+            ingress,
+            generation,
+            state,
+            ..
+        }) => (ingress, generation, state),
         other => panic!("{other:?}"),
     }
 }
@@ -72,12 +77,24 @@
     let seen = sockets.iter().map(|at| {
         let (ingress, base, has) = status(at);
         let mut wanted = State::clone(&has);
-        for (key, value) in [("quota_rate", "4"), ("never_over_rate", "8"), ("ceiling_burst", "16")] {
+        for (key, value) in [
+            ("quota_rate", "4"),
+            ("never_over_rate", "8"),
+            ("ceiling_burst", "16"),
+        ] {
             let old = wanted.0.insert(format!("contracts.0.{key}"), value.into());
             assert!(old.is_some_and(|old| old != value), "{key} is as it was");
         }
         let (control, used) = (at.display().to_string(), BTreeMap::new());
-        Seen { ingress, control, base, has, wanted: wanted.into(), used, besides: Vec::new() }
+        Seen {
+            ingress,
+            control,
+            base,
+            has,
+            wanted: wanted.into(),
+            used,
+            besides: Vec::new(),
+        }
     });
     let plan = Plan::make(("ann", 0, 1), seen.collect()).unwrap();
     let mut applier = Applier::begin(&plan, 1);
@@ -99,7 +116,11 @@
     let program = folder.path().join("ingress");
     let built = Path::new(env!("CARGO_BIN_EXE_wrenctl")).with_file_name("wrenfork");
     let run = folder.path().join("run");
-    let script = format!("#!/bin/sh\nexec '{}' --control '{}'/$$.control\n", built.display(), run.display());
+    let script = format!(
+        "#!/bin/sh\nexec '{}' --control '{}'/$$.control\n",
+        built.display(),
+        run.display()
+    );
     fs::write(&program, script).unwrap();
     fs::set_permissions(&program, fs::Permissions::from_mode(0o755)).unwrap();
     let scenario = Scenario::parse("judged.toml", WORLD).unwrap_or_else(|e| panic!("{}", e[0]));
@@ -110,8 +131,16 @@
         let at = run.clone();
         let applier = thread::spawn(move || {
             let sockets = loop {
-                let found: Vec<PathBuf> = fs::read_dir(&at).unwrap().map(|e| e.unwrap().path()).collect();
-                if found.iter().filter(|p| p.extension().is_some_and(|e| e == "control")).count() == 3 {
+                let found: Vec<PathBuf> = fs::read_dir(&at)
+                    .unwrap()
+                    .map(|e| e.unwrap().path())
+                    .collect();
+                if found
+                    .iter()
+                    .filter(|p| p.extension().is_some_and(|e| e == "control"))
+                    .count()
+                    == 3
+                {
                     break found
                         .into_iter()
                         .filter(|p| p.extension().is_some_and(|e| e == "control"))
@@ -125,8 +154,15 @@
             (ended, now)
         });
         let stop = AtomicBool::new(false);
-        let report = play(&scenario, Run { program: &program, stop: &stop, watch: None })
-            .unwrap_or_else(|e| panic!("{e}"));
+        let report = play(
+            &scenario,
+            Run {
+                program: &program,
+                stop: &stop,
+                watch: None,
+            },
+        )
+        .unwrap_or_else(|e| panic!("{e}"));
         let (ended, now) = applier.join().unwrap();
         assert_eq!(ended, Phase::Ended(true));
         assert!(now.iter().all(|g| g.number == 2), "{now:?}");
@@ -134,10 +170,20 @@
             continue;
         }
         let found: Vec<_> = report.violations.iter().take(10).collect();
-        assert_eq!(report.verdict, Verdict::Held, "{found:?} {:?}", report.crashes);
+        assert_eq!(
+            report.verdict,
+            Verdict::Held,
+            "{found:?} {:?}",
+            report.crashes
+        );
         assert_eq!(report.failed, 0, "{:?}", report.classes);
         // The quotas are half of what is asked for, and a third less behind the switch: there was something to keep.
-        assert!(report.served > 500 && report.refused > 50, "{} {}", report.served, report.refused);
+        assert!(
+            report.served > 500 && report.refused > 50,
+            "{} {}",
+            report.served,
+            report.refused
+        );
         return;
     }
     panic!("the machine is too busy for the rig");
--- a/crates/decision/examples/choice.rs
+++ b/crates/decision/examples/choice.rs
@@ -24,8 +24,13 @@
 
 impl World {
     fn new(nodes: u64, pools: u8) -> World {
-        let class =
-            Class { repeat: Repeat::Safe, aim: SECOND, deadline: 4 * SECOND, worth: 1.0, ..Class::default() };
+        let class = Class {
+            repeat: Repeat::Safe,
+            aim: SECOND,
+            deadline: 4 * SECOND,
+            worth: 1.0,
+            ..Class::default()
+        };
         let plan = Plan {
             rate: 1e6,
             burst: 1e6,
@@ -37,10 +42,19 @@
             over_worth: 0.0,
             over_cost: 1.0,
         };
-        let mut settings =
-            Settings { classes: vec![class], plans: vec![plan], gateways: 1, pools, ..Settings::default() };
+        let mut settings = Settings {
+            classes: vec![class],
+            plans: vec![plan],
+            gateways: 1,
+            pools,
+            ..Settings::default()
+        };
         settings.limits.peers = false;
-        (settings.limits.max_open, settings.limits.max_attempts, settings.tick) = (100_000, 3, 4_000);
+        (
+            settings.limits.max_open,
+            settings.limits.max_attempts,
+            settings.tick,
+        ) = (100_000, 3, 4_000);
         let now = 1_000_000 * SECOND;
         let list = (0..nodes).map(|n| Listed {
             backend: BackendId(n.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
@@ -52,8 +66,13 @@
                 .fold(0, |set, p| set | 1 << p),
             ..Listed::default()
         });
-        let mut world =
-            World { gateway: Gateway::new(settings, 7, now), pools, now, next: 0, actions: Vec::new() };
+        let mut world = World {
+            gateway: Gateway::new(settings, 7, now),
+            pools,
+            now,
+            next: 0,
+            actions: Vec::new(),
+        };
         let roster = Event::Roster(RosterKind::Full, list.collect());
         world.gateway.handle(now, roster, &mut world.actions);
         world
@@ -84,7 +103,8 @@
                 own: 1,
                 ..Request::default()
             };
-            self.gateway.handle(self.now, Event::Request(request), &mut self.actions);
+            self.gateway
+                .handle(self.now, Event::Request(request), &mut self.actions);
             for action in self.actions.drain(..) {
                 if let Action::Send { id, backend, .. } = action {
                     sent += 1;
@@ -113,12 +133,17 @@
 }
 
 fn main() {
-    let mut worlds: Vec<_> =
-        NODES.iter().flat_map(|n| POOLS.map(|p| (*n, p, World::new(*n, p), Vec::new()))).collect();
+    let mut worlds: Vec<_> = NODES
+        .iter()
+        .flat_map(|n| POOLS.map(|p| (*n, p, World::new(*n, p), Vec::new())))
+        .collect();
     for round in 0..=ROUNDS {
         for (_, _, world, took) in &mut worlds {
             let (each, sent) = world.run(REQUESTS);
-            assert!(sent >= REQUESTS * 9 / 10, "only {sent} of {REQUESTS} were sent");
+            assert!(
+                sent >= REQUESTS * 9 / 10,
+                "only {sent} of {REQUESTS} were sent"
+            );
             if round > 0 {
                 took.push(each); // the first fills caches and stores
             }
@@ -126,11 +151,14 @@
     }
     println!("| nodes | no pools | 1 pool | 16 pools |\n| --- | --- | --- | --- |");
     for nodes in NODES {
-        let cells = worlds.iter_mut().filter(|w| w.0 == nodes).map(|(_, _, _, took)| {
-            took.sort_unstable();
-            let ns = |at: usize| took[at].as_nanos();
-            format!("{} ns ({} to {})", ns(ROUNDS / 2), ns(0), ns(ROUNDS - 1))
-        });
+        let cells = worlds
+            .iter_mut()
+            .filter(|w| w.0 == nodes)
+            .map(|(_, _, _, took)| {
+                took.sort_unstable();
+                let ns = |at: usize| took[at].as_nanos();
+                format!("{} ns ({} to {})", ns(ROUNDS / 2), ns(0), ns(ROUNDS - 1))
+            });
         println!("| {nodes} | {} |", cells.collect::<Vec<_>>().join(" | "));
     }
 }
--- a/crates/decision/src/control.rs
+++ b/crates/decision/src/control.rs
@@ -83,7 +83,11 @@
 impl Customer {
     /// The part of the use that is this gateway's own, with a floor for those that begin.
     fn share(&self, plan: &Plan) -> f64 {
-        let floor = if self.home || self.news_at > 0 { 0.1 } else { 1.0 };
+        let floor = if self.home || self.news_at > 0 {
+            0.1
+        } else {
+            1.0
+        };
         let own = self.rate.max(plan.rate / self.width.max(1.0) * floor);
         own / (own + self.others).max(1e-9)
     }
@@ -101,8 +105,8 @@
             filling = (plan.rate - self.others).max(plan.rate * self.share(plan));
         }
         self.level = (self.level + filling * span).min(plan.burst);
-        self.ceiling =
-            (self.ceiling + plan.ceiling_rate * self.part * span).min(plan.ceiling_burst * self.part);
+        self.ceiling = (self.ceiling + plan.ceiling_rate * self.part * span)
+            .min(plan.ceiling_burst * self.part);
         self.filled = now;
     }
 
@@ -110,7 +114,11 @@
     /// One that had no limit begins full, but for a ceiling, which counts from nothing as at a start.
     fn carry(&mut self, was: &Plan, is: &Plan) {
         let unlimited = was.rate == 0.0 && is.rate > 0.0;
-        self.level = if unlimited { is.burst } else { self.level.clamp(-is.burst, is.burst) };
+        self.level = if unlimited {
+            is.burst
+        } else {
+            self.level.clamp(-is.burst, is.burst)
+        };
         self.ceiling = self.ceiling.min(is.ceiling_burst * self.part);
     }
 }
@@ -119,14 +127,24 @@
     /// What is taken for usual before any answer.
     fn first(class: &Class, now: Micros) -> Usual {
         let recent = class.aim as f64 * 0.15;
-        Usual { recent, calm: recent, long: recent, at: now, count: 0.0 }
+        Usual {
+            recent,
+            calm: recent,
+            long: recent,
+            at: now,
+            count: 0.0,
+        }
     }
 }
 
 impl Gateway {
     /// A gateway that starts now and knows nothing yet.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        let usual: Vec<Usual> = settings.classes.iter().map(|c| Usual::first(c, now)).collect();
+        let usual: Vec<Usual> = settings
+            .classes
+            .iter()
+            .map(|c| Usual::first(c, now))
+            .collect();
         let pace = usual.iter().map(|u| u.recent).sum::<f64>() / usual.len().max(1) as f64;
         let shares = u64::from(settings.gateways.max(1));
         // Most of what a receiver takes in, over all senders; no faster than 20 a second: bytes cost.
@@ -138,9 +156,15 @@
             born: now,
             usual,
             retries: RETRY_BURST,
-            pools: (0..=settings.pools.min(MOST_POOLS as u8)).map(|_| Pool::new(PLACES)).collect(),
+            pools: (0..=settings.pools.min(MOST_POOLS as u8))
+                .map(|_| Pool::new(PLACES))
+                .collect(),
             pace,
-            period: if few { ((period * SECOND) as Micros).max(50_000) } else { 0 },
+            period: if few {
+                ((period * SECOND) as Micros).max(50_000)
+            } else {
+                0
+            },
             shares,
             s: settings,
             ..Gateway::default()
@@ -153,12 +177,18 @@
         // Stood still for several wake-ups: all that came meanwhile is read before anybody is judged by it.
         if self.wake_at > 0 && now > self.wake_at + 4 * wake {
             // What is past its time by now is answered in this very turn.
-            let late = self.requests.values().filter(|o| o.attempts.is_empty() && !self.may_wait(o, now));
+            let late = self
+                .requests
+                .values()
+                .filter(|o| o.attempts.is_empty() && !self.may_wait(o, now));
             let late: Vec<RequestId> = late.map(|o| o.req.id).collect();
             late.into_iter().for_each(|id| self.finish(id, act));
             self.woke = now;
             self.wake_at = now + wake;
-            act.push(Action::SetTimer { delay: wake, token: 0 });
+            act.push(Action::SetTimer {
+                delay: wake,
+                token: 0,
+            });
         }
         self.now = self.now.max(now);
         match event {
@@ -175,7 +205,10 @@
         if self.now >= self.wake_at {
             self.on_wake(act);
             self.wake_at = self.now + wake;
-            act.push(Action::SetTimer { delay: wake, token: 0 });
+            act.push(Action::SetTimer {
+                delay: wake,
+                token: 0,
+            });
         }
     }
 
@@ -194,7 +227,13 @@
         }
         let unseen = self.meet(&req);
         let (class, most) = (self.s.classes[class], self.s.limits.max_attempts);
-        let open = Open { req, class, most, arrived: self.now, ..Open::default() };
+        let open = Open {
+            req,
+            class,
+            most,
+            arrived: self.now,
+            ..Open::default()
+        };
         let rung = self.pools[self.goal(&open)].rung;
         if !self.ladder_passes(req.customer, plan, unseen, rung) {
             return self.refuse(req.id, Micros::MAX, act);
@@ -226,21 +265,36 @@
     }
 
     /// The room is not known here: held until the homes' word comes, or for as long as that may take.
-    fn hold_for_word(&mut self, req: &Request, asks_short: bool, must: bool, act: &mut Vec<Action>) {
+    fn hold_for_word(
+        &mut self,
+        req: &Request,
+        asks_short: bool,
+        must: bool,
+        act: &mut Vec<Action>,
+    ) {
         let now = self.now;
-        let Some(o) = self.requests.get_mut(&req.id) else { return };
+        let Some(o) = self.requests.get_mut(&req.id) else {
+            return;
+        };
         o.held = true;
         let left = (req.deadline - now).min(o.class.aim);
-        self.checks.push(Reverse((now + FRESH.min(left / 5), req.id)));
+        self.checks
+            .push(Reverse((now + FRESH.min(left / 5), req.id)));
         let (me, lead) = (self.s.me.0, self.lead(&self.customers[&req.customer]));
-        let Some(c) = self.customers.get_mut(&req.customer) else { return };
+        let Some(c) = self.customers.get_mut(&req.customer) else {
+            return;
+        };
         c.held.retain(|h| *h != req.id);
         c.held.push(req.id);
         if c.held.len() == 1 || now - c.asked_at > FRESH || must {
             // Asked again for the ceiling's sake, the other one may have some.
             let [one, other] = c.pools;
             let turn = asks_short && c.asked == lead && now - c.asked_at < 4 * FRESH;
-            c.asked = if turn || lead == me { one ^ other ^ lead } else { lead };
+            c.asked = if turn || lead == me {
+                one ^ other ^ lead
+            } else {
+                lead
+            };
             c.asked_at = now;
             c.answered.clear();
             (c.asks, c.short, c.promise) = (req.units, asks_short, 0.0);
@@ -250,7 +304,9 @@
 
     /// Lets a request in if the buckets have room; without it, one that is held stays till the `last` word.
     fn admit(&mut self, id: RequestId, last: bool, act: &mut Vec<Action>) {
-        let Some(o) = self.requests.get_mut(&id) else { return };
+        let Some(o) = self.requests.get_mut(&id) else {
+            return;
+        };
         let (req, aim, held) = (o.req, o.class.aim, std::mem::take(&mut o.held));
         let (quota_wait, ceiling_wait) = self.wait_for_room(&req);
         let wait = quota_wait.into_iter().chain(ceiling_wait).reduce(f64::max);
@@ -267,7 +323,9 @@
             && later < o.arrived + hold as Micros
             && self.may_wait(o, later);
         if wait.is_some() && (!last || waits) {
-            let Some(o) = self.requests.get_mut(&id) else { return };
+            let Some(o) = self.requests.get_mut(&id) else {
+                return;
+            };
             o.held = held || waits;
             if last && !std::mem::replace(&mut o.asks_again, true) {
                 self.checks.push(Reverse((later, id)));
@@ -303,8 +361,15 @@
     }
 
     fn refuse(&self, id: RequestId, pause: Micros, act: &mut Vec<Action>) {
-        let most = if self.s.limits.retry_after { self.s.limits.max_retry_after } else { 0 };
-        act.push(Action::Refuse { id, pause: pause.min(most) });
+        let most = if self.s.limits.retry_after {
+            self.s.limits.max_retry_after
+        } else {
+            0
+        };
+        act.push(Action::Refuse {
+            id,
+            pause: pause.min(most),
+        });
     }
 
     /// Notes the customer; true if it was unseen within the ageing time.
@@ -313,11 +378,20 @@
         let plan = &self.s.plans[usize::from(req.plan)];
         let most = self.s.gateways.max(1) as f64;
         let sane = req.width.is_finite() && (0.0..most).contains(&req.first);
-        let (first, width) = if sane { (req.first.floor(), req.width.clamp(1.0, most)) } else { (0.0, most) };
+        let (first, width) = if sane {
+            (req.first.floor(), req.width.clamp(1.0, most))
+        } else {
+            (0.0, most)
+        };
         // Of a customer unseen here a gateway that is no home lets its share through, or one request.
         let level = (plan.burst / width).max(req.units).min(plan.burst);
         let others = plan.rate * (1.0 - 1.0 / width);
-        let new = || Customer { level, others, filled: now, ..Customer::default() };
+        let new = || Customer {
+            level,
+            others,
+            filled: now,
+            ..Customer::default()
+        };
         let c = self.customers.entry(req.customer).or_insert_with(new);
         let unseen = c.seen == 0 || now - c.seen > AGING;
         (c.plan, c.seen) = (usize::from(req.plan), now);
@@ -330,21 +404,40 @@
     /// begins with a `level` (full, if nobody told another: most use little of their buckets, and where all
     /// homes are new nobody knows better) and asks the others: an older one's word comes in its place.
     fn settle_in(&mut self, id: CustomerId, first: u16, width: u16, level: f64) {
-        let (few, me, all, life) = (self.period > 0, self.s.me.0, self.s.gateways, self.now - self.born);
-        let Some(c) = self.customers.get_mut(&id).filter(|c| c.homes.is_empty()) else { return };
+        let (few, me, all, life) = (
+            self.period > 0,
+            self.s.me.0,
+            self.s.gateways,
+            self.now - self.born,
+        );
+        let Some(c) = self.customers.get_mut(&id).filter(|c| c.homes.is_empty()) else {
+            return;
+        };
         let (plan, set) = (&self.s.plans[c.plan], u64::from(width.clamp(1, all)));
         let at = |n: u64| ((u64::from(first) + n % set) % u64::from(all)) as u16;
         let one = (mix(id.0) * set as f64) as u64;
         let other = 1 + (mix(!id.0) * (set as f64 - 1.0)) as u64;
         (c.first, c.width, c.pools) = (first, set as f64, [at(one), at(one + other)]);
-        c.homes = if few { (0..set).map(at).collect() } else { c.pools.to_vec() };
+        c.homes = if few {
+            (0..set).map(at).collect()
+        } else {
+            c.pools.to_vec()
+        };
         c.homes.dedup();
         c.home = c.homes.contains(&me);
         // Half of the ceiling lies with two, who hand it out; each has some for when they are not heard.
         // Where a part is less than a unit it would serve nobody; and where one is asked first, it has most.
         let useless = plan.ceiling_burst * (1.0 - POOLED) < c.width;
-        let (pooled, lead) = (if useless { 1.0 } else { POOLED }, if few { 0.5 } else { LEADS });
-        let parts = c.pools.iter().zip([lead, 1.0 - lead]).filter(|(p, _)| **p == me).map(|(_, part)| part);
+        let (pooled, lead) = (
+            if useless { 1.0 } else { POOLED },
+            if few { 0.5 } else { LEADS },
+        );
+        let parts = c
+            .pools
+            .iter()
+            .zip([lead, 1.0 - lead])
+            .filter(|(p, _)| **p == me)
+            .map(|(_, part)| part);
         c.part = (1.0 - pooled) / c.width + pooled * parts.sum::<f64>();
         // It counts from nothing at this start: what went before is not known here.
         c.ceiling = (plan.ceiling_rate * life as f64 / SECOND).min(plan.ceiling_burst) * c.part;
@@ -353,8 +446,16 @@
         }
         c.level = level;
         // The second of two is told by the first in any case.
-        for home in c.homes.iter().filter(|h| **h != me && (few || c.pools[0] == me)) {
-            self.peers.entry(*home).or_default().outbox.insert(id, (1, true));
+        for home in c
+            .homes
+            .iter()
+            .filter(|h| **h != me && (few || c.pools[0] == me))
+        {
+            self.peers
+                .entry(*home)
+                .or_default()
+                .outbox
+                .insert(id, (1, true));
             self.due.insert(*home);
         }
     }
@@ -389,11 +490,16 @@
         }
         // Heavy users wait at every gateway for the same free place: what peers likely began unheard counts,
         // as far as it is still out.
-        let lasts = (IN_TIME * self.usual[usize::from(req.class)].recent).min((self.period + UNHEARD) as f64);
+        let lasts = (IN_TIME * self.usual[usize::from(req.class)].recent)
+            .min((self.period + UNHEARD) as f64);
         let begun = c.others * lasts / SECOND / req.units.max(0.1);
         let open = c.open + c.others_open + begun as u32;
         if plan.open_cap > 0 && open >= plan.open_cap {
-            quota = Some(quota.unwrap_or(0.0).max(self.usual[usize::from(req.class)].calm / SECOND));
+            quota = Some(
+                quota
+                    .unwrap_or(0.0)
+                    .max(self.usual[usize::from(req.class)].calm / SECOND),
+            );
         }
         let has = c.ceiling + c.granted;
         let short = plan.ceiling_rate > 0.0 && has + 1e-9 < req.units;
@@ -403,7 +509,9 @@
 
     /// Draws a request's units from the buckets, or gives them back (`sign` -1) when it was never sent.
     fn charge(&mut self, req: &Request, sign: f64) {
-        let Some(c) = self.customers.get_mut(&req.customer) else { return };
+        let Some(c) = self.customers.get_mut(&req.customer) else {
+            return;
+        };
         let plan = &self.s.plans[c.plan];
         let units = req.units * sign;
         c.level = (c.level - units).clamp(-plan.burst, plan.burst);
@@ -422,9 +530,18 @@
         if rung == 0 || (green && rung < 2) {
             return true;
         }
-        let top = self.s.plans.iter().map(|p| p.price).fold(f64::MIN, f64::max);
+        let top = self
+            .s
+            .plans
+            .iter()
+            .map(|p| p.price)
+            .fold(f64::MIN, f64::max);
         let differ = self.s.plans.iter().any(|p| p.price < top);
-        let share = if rung == LAST_RUNG && differ { 0.0 } else { AMBER[rung.min(3)] };
+        let share = if rung == LAST_RUNG && differ {
+            0.0
+        } else {
+            AMBER[rung.min(3)]
+        };
         (differ && self.s.plans[plan].price >= top) || self.draw(customer) < share
     }
 
@@ -445,7 +562,11 @@
         p.strain = p.strain * keep + strain.min(10.0) * (1.0 - keep);
         p.pressure_at = now;
         // Back to where it began at any pressure short of an alert: else a bound once cut stays cut.
-        let fits = if p.places < PLACES { p.pressure < ALERT_OFF } else { p.strain < GROW };
+        let fits = if p.places < PLACES {
+            p.pressure < ALERT_OFF
+        } else {
+            p.strain < GROW
+        };
         if fits && f64::from(p.out) > limit * 0.7 {
             p.places *= 1.0 + 2.0 / limit.max(2.0).powi(2);
         }
@@ -464,13 +585,19 @@
     /// Backends as many as the ready ones are worth; not at each wake-up, since it looks at all of them.
     fn count_able(&mut self) {
         self.able_at = self.now;
-        let cold = self.backends.ready().filter_map(|(_, b)| self.cold(b).map(|warmth| warmth * b.size));
+        let cold = self
+            .backends
+            .ready()
+            .filter_map(|(_, b)| self.cold(b).map(|warmth| warmth * b.size));
         self.cold_able = cold.sum();
         let warmth = |p: &usize| self.cold(self.backends.at(*p)).unwrap_or(1.0);
         let able = |p: &usize| warmth(p).min(1.0 / self.backends.at(*p).slow);
         let of = |p: &Pool| p.order.iter().map(|p| able(p).min(1.0)).sum();
         let sums: Vec<f64> = self.pools.iter().map(of).collect();
-        self.pools.iter_mut().zip(sums).for_each(|(p, sum)| p.able = sum);
+        self.pools
+            .iter_mut()
+            .zip(sums)
+            .for_each(|(p, sum)| p.able = sum);
     }
 
     /// How long a request may wait for a place: sent later, it would likely be answered too late.
@@ -491,7 +618,11 @@
         }
         if rung != p.rung {
             p.rung_since = now;
-            let of = if at == 0 { String::new() } else { format!(" of pool {at}") };
+            let of = if at == 0 {
+                String::new()
+            } else {
+                format!(" of pool {at}")
+            };
             let (up, pressure, out) = (p.rung, p.pressure, p.out);
             let text = format!(
                 "ladder{of}: rung {rung} to {up}, pressure {pressure:.2}, limit {limit:.0}, out {out}"
@@ -510,7 +641,10 @@
     fn dispatch(&mut self, act: &mut Vec<Action>) {
         for at in 0..self.pools.len() {
             while let Some(id) = self.pools[at].waiting.front().copied() {
-                let ready = self.requests.get(&id).is_some_and(|o| !o.done && o.out() == 0);
+                let ready = self
+                    .requests
+                    .get(&id)
+                    .is_some_and(|o| !o.done && o.out() == 0);
                 if ready && !self.place(id, act) {
                     break;
                 }
@@ -529,7 +663,9 @@
     fn cold(&self, b: &Backend) -> Option<f64> {
         let (rules, age) = (&self.s.rules, self.now.saturating_sub(b.listed.started));
         let cold = b.listed.started > 0 && age < rules.cold_time;
-        cold.then(|| rules.cold_from + (1.0 - rules.cold_from) * age as f64 / rules.cold_time as f64)
+        cold.then(|| {
+            rules.cold_from + (1.0 - rules.cold_from) * age as f64 / rules.cold_time as f64
+        })
     }
 
     /// How warm a backend is for sure, and whether this gateway alone may send it one more in the rule's
@@ -537,18 +673,28 @@
     /// the cold ones as often as their parts together allow, and below that it is drawn who may. What must go
     /// to this one for its key (`bound`) has its own part alone. A guest has but a `part` of that.
     fn warmth(&self, b: &Backend, part: f64, bound: bool) -> (f64, bool) {
-        let Some(warmth) = self.cold(b) else { return (1.0, true) };
+        let Some(warmth) = self.cold(b) else {
+            return (1.0, true);
+        };
         let (rules, span) = (&self.s.rules, self.s.rules.fall_time.max(1));
-        let within = |sends: &VecDeque<Micros>| sends.iter().filter(|t| **t + span > self.now).count() as f64;
+        let within = |sends: &VecDeque<Micros>| {
+            sends.iter().filter(|t| **t + span > self.now).count() as f64
+        };
         let rate = self.sent_rate * decay(self.sent_at, self.now, RATE_TAU);
         let fair = rate / self.pools[0].ready_size.max(b.size) * span as f64 / SECOND * part;
-        let (budget, all) = (rules.fall_factor * COLD_MARGIN * fair, self.cold_able.max(b.size * warmth));
-        let (own, all) = ((budget * b.size * warmth).max(part / self.shares as f64), budget * all);
+        let (budget, all) = (
+            rules.fall_factor * COLD_MARGIN * fair,
+            self.cold_able.max(b.size * warmth),
+        );
+        let (own, all) = (
+            (budget * b.size * warmth).max(part / self.shares as f64),
+            budget * all,
+        );
         let lot = |of: u64| mix(of ^ (self.now / span) << 48 ^ u64::from(self.s.me.0) << 32);
         let recent = within(&b.cold_sends);
         let pooled = own < 1.0 && !bound && recent == 0.0;
-        let may =
-            recent + lot(b.listed.backend.0) < own || (pooled && within(&self.cold_sends) + lot(0) < all);
+        let may = recent + lot(b.listed.backend.0) < own
+            || (pooled && within(&self.cold_sends) + lot(0) < all);
         (warmth, may)
     }
 
@@ -557,7 +703,11 @@
         let (noise, now, pool) = (mix(self.rng), self.now, &self.pools[at]);
         let o = &self.requests[&id];
         let k = usize::from(o.req.class);
-        let part = if self.is_guest(&o.req, at) { pool.guest_part(self.limit(at), now) } else { 1.0 };
+        let part = if self.is_guest(&o.req, at) {
+            pool.guest_part(self.limit(at), now)
+        } else {
+            1.0
+        };
         let bound = match (o.class.repeat, o.may_have_run()) {
             _ if now.saturating_add(self.s.tick) >= o.begin_by() => return None,
             (Repeat::Keyed { group, .. }, Some(a)) => Some((group, a.to)),
@@ -568,7 +718,11 @@
         let (all, shares) = (pool.order.len(), self.shares as usize);
         let want = (2 + 3 * all / shares).min(LOOK);
         // Always among the same few: connections seldom used are closed, and made anew at each request.
-        let n = if want < all && bound.is_none() { all.min(SUBSET.max(COVER * all / shares)) } else { all };
+        let n = if want < all && bound.is_none() {
+            all.min(SUBSET.max(COVER * all / shares))
+        } else {
+            all
+        };
         let (mut sound, mut sick, mut best) = (0, 0, (f64::MAX, None));
         let steps = if want >= all {
             n
@@ -578,11 +732,15 @@
             (4 * n).min(16 * want)
         };
         for step in 0..steps {
-            let b = self.backends.at(pool.order[((noise * n as f64) as usize + step) % n]);
+            let b = self
+                .backends
+                .at(pool.order[((noise * n as f64) as usize + step) % n]);
             let bid = b.listed.backend;
             let fits = bound.is_none_or(|(group, l): (Group, Listed)| {
                 let (zone, cell) = (b.listed.zone == l.zone, b.listed.cell == l.cell);
-                group == Group::All || (group == Group::Zone && zone) || (group == Group::Cell && cell)
+                group == Group::All
+                    || (group == Group::Zone && zone)
+                    || (group == Group::Cell && cell)
             });
             let tried = o.attempts.iter().any(|a| a.to.backend == bid);
             let (warmth, may) = self.warmth(b, part, bound.is_some());
@@ -597,15 +755,31 @@
             let doubt = h.map_or(0.0, |h| h.doubt(now)).max(zone);
             let resting = h.is_some_and(|h| h.strikes > 0 && (now < h.rest_until || b.out > 0));
             let jitter = 1.0 + 0.1 * ((noise + step as f64 * 0.618_034) % 1.0);
-            let far = if b.listed.zone == self.s.zone { 1.0 } else { 1.05 };
-            let queue = if b.queue > 0.0 { b.queue * decay(b.told_at, now, PRESSURE_TAU) } else { 0.0 };
+            let far = if b.listed.zone == self.s.zone {
+                1.0
+            } else {
+                1.05
+            };
+            let queue = if b.queue > 0.0 {
+                b.queue * decay(b.told_at, now, PRESSURE_TAU)
+            } else {
+                0.0
+            };
             let load = f64::from(b.out) + 1.0 + queue / self.shares.min(4) as f64;
             let doubts = (1.0 + 10.0 * doubt) * if tried { 8.0 } else { 1.0 };
             let cost = load * jitter * far * doubts / if want < all { 1.0 } else { weight };
             // The sick come last, but none is shut out: else where most are sick the rest are pushed over.
             let cost = cost * if resting { 10.0 } else { 1.0 };
-            best = if cost < best.0 { (cost, Some(bid)) } else { best };
-            *if resting || doubt > DOUBTED { &mut sick } else { &mut sound } += 1;
+            best = if cost < best.0 {
+                (cost, Some(bid))
+            } else {
+                best
+            };
+            *if resting || doubt > DOUBTED {
+                &mut sick
+            } else {
+                &mut sound
+            } += 1;
             if sound >= want || sick > 4 * want {
                 break;
             }
@@ -615,15 +789,25 @@
 
     /// Sends a request's next attempt through a pool; false if no backend of it may take it now.
     fn send(&mut self, id: RequestId, at: usize, act: &mut Vec<Action>) -> bool {
-        let (now, Some(bid)) = (self.now, self.choose(id, at)) else { return false };
-        let guest = self.requests.get(&id).is_some_and(|o| self.is_guest(&o.req, at));
-        let Some(o) = self.requests.get_mut(&id) else { return false };
+        let (now, Some(bid)) = (self.now, self.choose(id, at)) else {
+            return false;
+        };
+        let guest = self
+            .requests
+            .get(&id)
+            .is_some_and(|o| self.is_guest(&o.req, at));
+        let Some(o) = self.requests.get_mut(&id) else {
+            return false;
+        };
         if o.attempts.is_empty() {
             self.retries = (self.retries + RETRY_SHARE).min(RETRY_BURST);
         }
-        self.customers.entry(o.req.customer).and_modify(|c| c.open += 1);
+        self.customers
+            .entry(o.req.customer)
+            .and_modify(|c| c.open += 1);
         let (patience, begin_by) = (o.patience(), o.begin_by());
-        self.checks.push(Reverse((now + (patience * SILENCE) as Micros, id)));
+        self.checks
+            .push(Reverse((now + (patience * SILENCE) as Micros, id)));
         self.pools[at].sent(guest, now);
         self.sent_rate = self.sent_rate * decay(self.sent_at, now, RATE_TAU) + 1.0 / RATE_TAU;
         self.sent_at = now;
@@ -648,7 +832,12 @@
                 }
             }
         }
-        act.push(Action::Send { id, backend: bid, expires: 0, begin_by });
+        act.push(Action::Send {
+            id,
+            backend: bid,
+            expires: 0,
+            begin_by,
+        });
         true
     }
 
@@ -656,9 +845,19 @@
 
     /// An answer's lesson, of an attempt `through` a pool; one that a peer had counts, but rests nobody.
     fn learn(&mut self, bid: BackendId, class: usize, fared: Fared, through: Option<Through>) {
-        let took = if let Fared::Answered(took) = fared { Some(took) } else { None };
-        let (now, aim, own) = (self.now, self.s.classes[class].aim.max(1) as f64, through.is_some());
-        let Some(b) = self.backends.get_mut(&bid) else { return };
+        let took = if let Fared::Answered(took) = fared {
+            Some(took)
+        } else {
+            None
+        };
+        let (now, aim, own) = (
+            self.now,
+            self.s.classes[class].aim.max(1) as f64,
+            through.is_some(),
+        );
+        let Some(b) = self.backends.get_mut(&bid) else {
+            return;
+        };
         if let Some((at, _)) = through {
             self.pools[at].note(took.is_none(), now);
         }
@@ -666,11 +865,17 @@
         b.health[class].note(now, took.is_none(), if own { 0.15 } else { 0.1 });
         if own && self.period == 0 && class <= MOST_CLASS {
             let fared = took.map_or(fared, |t| Fared::Answered(t / aim));
-            let sample = Sample { tag: tag(bid.0), class: class as u8, fared };
+            let sample = Sample {
+                tag: tag(bid.0),
+                class: class as u8,
+                fared,
+            };
             self.samples.push_front((TELLINGS, sample));
             self.samples.truncate(MOST_SAMPLES);
         }
-        let Some(took) = took.filter(|_| now != self.woke) else { return };
+        let Some(took) = took.filter(|_| now != self.woke) else {
+            return;
+        };
         let u = &mut self.usual[class];
         b.slow = (b.slow + 0.1 * ((took / u.recent.max(1.0)).min(4.0) - b.slow)).max(0.3);
         u.count += 1.0;
@@ -678,7 +883,11 @@
         // Down at once, up by a percent a second: half a minute of overload must not pass for calm.
         let creep = 1.0 + (now - u.at) as f64 / SECOND * CALM_CREEP;
         u.long += (took - u.long) / u.count.min(LONG);
-        u.calm = if u.count <= 20.0 { u.recent.min(aim * 0.3) } else { u.long.min(u.calm * creep) };
+        u.calm = if u.count <= 20.0 {
+            u.recent.min(aim * 0.3)
+        } else {
+            u.long.min(u.calm * creep)
+        };
         u.at = now;
         let strain = took / u.calm.max(1.0);
         self.pace += 0.05 * (took - self.pace);
@@ -686,24 +895,44 @@
         let listed = b.listed;
         match through {
             Some(at) => self.feel(at, took / (aim * AIM_SHARE), strain),
-            None if self.pools.len() == 1 => self.feel((0, false), took / (aim * AIM_SHARE), strain),
+            None if self.pools.len() == 1 => {
+                self.feel((0, false), took / (aim * AIM_SHARE), strain)
+            }
             None => {
                 let of: Vec<usize> = self.pools_of(&listed).collect();
-                of.into_iter().for_each(|at| self.feel((at, false), took / (aim * AIM_SHARE), strain));
+                of.into_iter()
+                    .for_each(|at| self.feel((at, false), took / (aim * AIM_SHARE), strain));
             }
         }
     }
 
-    fn on_answer(&mut self, bid: BackendId, outcome: Outcome, took: Micros, of: Option<(usize, Through)>) {
-        let (Some(b), Some((class, at))) = (self.backends.get_mut(&bid), of) else { return };
-        if matches!(outcome, Outcome::Moot | Outcome::Cancelled | Outcome::TimedOut) {
+    fn on_answer(
+        &mut self,
+        bid: BackendId,
+        outcome: Outcome,
+        took: Micros,
+        of: Option<(usize, Through)>,
+    ) {
+        let (Some(b), Some((class, at))) = (self.backends.get_mut(&bid), of) else {
+            return;
+        };
+        if matches!(
+            outcome,
+            Outcome::Moot | Outcome::Cancelled | Outcome::TimedOut
+        ) {
             return;
         }
         let now = self.now;
-        let bad = matches!(outcome, Outcome::Error | Outcome::ConnectFailed | Outcome::Reset);
+        let bad = matches!(
+            outcome,
+            Outcome::Error | Outcome::ConnectFailed | Outcome::Reset
+        );
         let reached = outcome != Outcome::ConnectFailed;
         let (zone, weight) = (b.listed.zone, if reached { 1.0 } else { UNREACHED });
-        self.zones.entry(zone).or_default().note(now, !reached, weight);
+        self.zones
+            .entry(zone)
+            .or_default()
+            .note(now, !reached, weight);
         let h = &mut b.health[class];
         h.heard = now;
         if outcome == Outcome::Full {
@@ -725,20 +954,40 @@
     }
 
     fn on_settled(&mut self, event: Event, act: &mut Vec<Action>) {
-        let Event::Settled { id, attempt, backend, outcome, complete, took, charged, report, .. } = event
+        let Event::Settled {
+            id,
+            attempt,
+            backend,
+            outcome,
+            complete,
+            took,
+            charged,
+            report,
+            ..
+        } = event
         else {
             return;
         };
         let of = self.requests.get(&id).map(|o| {
-            let through = o.attempts.get(usize::from(attempt)).map_or((0, false), |a| (a.pool, a.guest));
+            let through = o
+                .attempts
+                .get(usize::from(attempt))
+                .map_or((0, false), |a| (a.pool, a.guest));
             (usize::from(o.req.class), through)
         });
         self.on_answer(backend, outcome, took, of);
-        if let (Some(b), Some(queue)) = (self.backends.get_mut(&backend), report.and_then(|r| r.queue)) {
+        if let (Some(b), Some(queue)) = (
+            self.backends.get_mut(&backend),
+            report.and_then(|r| r.queue),
+        ) {
             (b.queue, b.told_at) = (queue.clamp(0.0, 1000.0), self.now);
         }
-        let Some(o) = self.requests.get_mut(&id) else { return };
-        let Some(a) = o.attempts.get_mut(usize::from(attempt)).filter(|a| a.out) else { return };
+        let Some(o) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(a) = o.attempts.get_mut(usize::from(attempt)).filter(|a| a.out) else {
+            return;
+        };
         (a.out, a.void) = (false, outcome.never_ran());
         let at = a.pool;
         if !a.lost {
@@ -748,7 +997,9 @@
             b.out = b.out.saturating_sub(1);
         }
         let (customer, units) = (o.req.customer, o.req.units);
-        let more = charged.filter(|_| self.s.post_paid).map_or(0.0, |u| u - units);
+        let more = charged
+            .filter(|_| self.s.post_paid)
+            .map_or(0.0, |u| u - units);
         let mut news = more != 0.0;
         if let Some(c) = self.customers.get_mut(&customer) {
             (c.open, c.level, c.used) = (c.open.saturating_sub(1), c.level - more, c.used + more);
@@ -772,7 +1023,11 @@
         let o = &self.requests[&id];
         let (first, room) = (self.goal(o), self.room(o));
         self.send(id, first, act)
-            || room.into_iter().flatten().filter(|at| *at != first).any(|at| self.send(id, at, act))
+            || room
+                .into_iter()
+                .flatten()
+                .filter(|at| *at != first)
+                .any(|at| self.send(id, at, act))
     }
 
     /// Tries a further attempt, where the class, the time and the budget allow one.
@@ -784,16 +1039,25 @@
         let room = (o.attempts.len() as u32) < o.most;
         let single = o.out() == 0 || self.s.limits.second_copies;
         let cost = if o.out() == 0 { 1.0 } else { COPY_COST };
-        let sent = allowed && useful && room && single && self.retries >= cost && self.resend(id, act);
+        let sent =
+            allowed && useful && room && single && self.retries >= cost && self.resend(id, act);
         self.retries -= if sent { cost } else { 0.0 };
         sent
     }
 
     /// The final answer of a request that is not served: refused where that is true, else failed.
     fn finish(&mut self, id: RequestId, act: &mut Vec<Action>) {
-        let Some(o) = self.requests.get_mut(&id) else { return };
-        if matches!(o.class.repeat, Repeat::Safe | Repeat::Keyed { group: Group::All, .. })
-            || o.may_have_run().is_none()
+        let Some(o) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if matches!(
+            o.class.repeat,
+            Repeat::Safe
+                | Repeat::Keyed {
+                    group: Group::All,
+                    ..
+                }
+        ) || o.may_have_run().is_none()
         {
             self.refuse(id, RUNG_UP, act);
         } else {
@@ -804,7 +1068,9 @@
 
     /// A request has ended: calls off what is out, forgets it once all is settled.
     fn on_gone(&mut self, id: RequestId, act: &mut Vec<Action>) {
-        let Some(o) = self.requests.get_mut(&id) else { return };
+        let Some(o) = self.requests.get_mut(&id) else {
+            return;
+        };
         o.done = true;
         o.call_off(None, self.s.limits.cancel && !o.streaming, act);
         if o.out() == 0 {
@@ -856,7 +1122,9 @@
 
     /// Ends a request that has waited for a place for as long as it may; true if it need not wait.
     fn give_up(&mut self, id: RequestId, act: &mut Vec<Action>) -> bool {
-        let Some(o) = self.requests.get(&id).filter(|o| !o.done && o.out() == 0) else { return true };
+        let Some(o) = self.requests.get(&id).filter(|o| !o.done && o.out() == 0) else {
+            return true;
+        };
         let end = self.now > o.arrived + self.hold(o.req.class, o.class.aim) as Micros
             || !self.may_wait(o, self.now);
         if end {
@@ -867,7 +1135,11 @@
 
     /// The home that was asked has not answered: the other one is, if it is not silent as well.
     fn pass_over(&mut self, req: &Request, act: &mut Vec<Action>) -> bool {
-        let Some(c) = self.customers.get(&req.customer).filter(|c| !c.answered.contains(&c.asked)) else {
+        let Some(c) = self
+            .customers
+            .get(&req.customer)
+            .filter(|c| !c.answered.contains(&c.asked))
+        else {
             return false;
         };
         let (asked, me) = (c.asked, self.s.me.0);
@@ -896,22 +1168,43 @@
             }
             return self.admit(id, true, act); // the homes said nothing in time: by what is known here
         }
-        let Some(o) = self.requests.get_mut(&id).filter(|o| !o.done && !o.streaming) else { return };
+        let Some(o) = self
+            .requests
+            .get_mut(&id)
+            .filter(|o| !o.done && !o.streaming)
+        else {
+            return;
+        };
         let k = usize::from(o.req.class);
         let (once, patience) = (o.class.repeat == Repeat::Once, o.patience());
-        let Some(a) = o.attempts.iter_mut().rev().find(|a| a.out && !a.cancelled) else { return };
+        let Some(a) = o.attempts.iter_mut().rev().find(|a| a.out && !a.cancelled) else {
+            return;
+        };
         let (bid, at, guest, lost) = (a.to.backend, a.pool, a.guest, a.lost);
         let hedge_at = a.sent + (patience * HEDGE) as Micros;
-        let Some(b) = self.backends.get_mut(&bid) else { return };
+        let Some(b) = self.backends.get_mut(&bid) else {
+            return;
+        };
         // A call-off frees nothing where work runs on, and a copy runs beside the first: only a silence that
         // no backend at work would keep is taken for death, and for that alone a backend is rested.
         let usual = (self.usual[k].recent * b.slow / f64::from(b.out.max(1))).max(1.0);
         let silent = b.health[k].heard < a.sent;
         let dead = silent && (now - a.sent) as f64 >= DEAD * usual;
         a.lost |= dead;
-        let sure_at = if silent { a.sent + (DEAD * usual) as Micros + 1 } else { Micros::MAX };
+        let sure_at = if silent {
+            a.sent + (DEAD * usual) as Micros + 1
+        } else {
+            Micros::MAX
+        };
         if !dead && (now < hedge_at || silent) {
-            self.checks.push(Reverse((if now < hedge_at { hedge_at.min(sure_at) } else { sure_at }, id)));
+            self.checks.push(Reverse((
+                if now < hedge_at {
+                    hedge_at.min(sure_at)
+                } else {
+                    sure_at
+                },
+                id,
+            )));
         }
         if !dead && now < hedge_at {
             return;
@@ -944,10 +1237,16 @@
 
     /// Puts a customer on the way to its homes.
     fn report(&mut self, id: CustomerId, ask: bool, act: &mut Vec<Action>) {
-        let Some(c) = self.customers.get(&id).filter(|_| self.s.limits.peers) else { return };
+        let Some(c) = self.customers.get(&id).filter(|_| self.s.limits.peers) else {
+            return;
+        };
         let (me, pools, capped) = (self.s.me.0, c.pools, self.s.plans[c.plan].open_cap > 0);
         let one = if ask { c.asked } else { self.lead(c) };
-        let to = if self.period > 0 { c.homes.clone() } else { vec![one] };
+        let to = if self.period > 0 {
+            c.homes.clone()
+        } else {
+            vec![one]
+        };
         for home in to.into_iter().filter(|h| *h != me) {
             let p = self.peers.entry(home).or_default();
             // Told twice where a lost end would hold a place for long.
@@ -976,19 +1275,28 @@
         if !self.may_tell() {
             return;
         }
-        let Some(p) = self.peers.get_mut(&to) else { return };
+        let Some(p) = self.peers.get_mut(&to) else {
+            return;
+        };
         // Round from where the last message ended: else the last ids go untold when more change than fit.
-        let round = p.outbox.range(p.told..).chain(p.outbox.range(..p.told)).take(MOST_USES);
+        let round = p
+            .outbox
+            .range(p.told..)
+            .chain(p.outbox.range(..p.told))
+            .take(MOST_USES);
         let list: Vec<(CustomerId, (u8, bool))> = round.map(|(c, o)| (*c, *o)).collect();
         p.told = list.last().map_or(p.told, |(id, _)| CustomerId(id.0 + 1));
-        p.outbox.extend(list.iter().map(|(id, o)| (*id, (o.0 - 1, false))));
+        p.outbox
+            .extend(list.iter().map(|(id, o)| (*id, (o.0 - 1, false))));
         p.outbox.retain(|_, o| o.0 > 0);
         if p.outbox.is_empty() {
             self.due.remove(&to);
         }
         let (mut uses, now, me, few) = (Vec::new(), self.now, self.s.me.0, self.period > 0);
         for (customer, (_, ask)) in list {
-            let Some(c) = self.fill(customer) else { continue };
+            let Some(c) = self.fill(customer) else {
+                continue;
+            };
             let known = c.home || now - c.news_at.min(now) < AGING / 10;
             // One of the two is asked for ceiling units, by lot: two gifts would waste one.
             let at = c.pools[usize::from(mix(now ^ customer.0) < 0.5)];
@@ -997,7 +1305,18 @@
             let (total, open, plan, level) = (wrap(c.used), c.open.min(127) as u8, c.plan, c.level);
             let full = (level / self.s.plans[plan].burst.max(1e-9) * 254.0).clamp(0.0, 254.0) as u8;
             let (plan, level) = (plan.min(MOST_PLAN) as u8, if known { full } else { 255 });
-            uses.push(Use { customer, plan, total, open, level, first, width, ask, units, short });
+            uses.push(Use {
+                customer,
+                plan,
+                total,
+                open,
+                level,
+                first,
+                width,
+                ask,
+                units,
+                short,
+            });
         }
         self.post(to, Body::Uses(uses), act);
     }
@@ -1020,7 +1339,10 @@
             }
             if p.open_cap > 0 && c.home {
                 // Attempts of a peer that fell silent hold no place for ever.
-                c.heard.values_mut().filter(|h| now - h.at > 1_500_000).for_each(|h| h.open = 0);
+                c.heard
+                    .values_mut()
+                    .filter(|h| now - h.at > 1_500_000)
+                    .for_each(|h| h.open = 0);
                 c.others_open = c.heard.values().map(|h| u32::from(h.open)).sum();
             }
             if p.open_cap > 0 && c.open > 0 {
@@ -1029,14 +1351,20 @@
             // Their counts go on: once forgotten, all that one let through would pass for new.
             c.heard.retain(|_, h| few || now - h.at <= 2 * AGING);
             // Kept until both buckets are full for sure: a customer met anew starts with full ones.
-            let full = (p.burst / p.rate).max(p.ceiling_burst / p.ceiling_rate).clamp(0.0, 1e6); // NaN: 0 / 0
-            c.open > 0 || !c.held.is_empty() || now - c.seen <= 2 * AGING.max((full * SECOND) as Micros)
+            let full = (p.burst / p.rate)
+                .max(p.ceiling_burst / p.ceiling_rate)
+                .clamp(0.0, 1e6); // NaN: 0 / 0
+            c.open > 0
+                || !c.held.is_empty()
+                || now - c.seen <= 2 * AGING.max((full * SECOND) as Micros)
         });
         again.into_iter().for_each(|id| self.report(id, false, act));
     }
 
     fn on_peer(&mut self, from: GatewayNo, bytes: &[u8], act: &mut Vec<Action>) {
-        let Some(m) = Message::unpack(bytes) else { return };
+        let Some(m) = Message::unpack(bytes) else {
+            return;
+        };
         let (now, mine) = (self.now, incarnation(self.born));
         if from == self.s.me || from.0 >= self.s.gateways {
             return;
@@ -1069,17 +1397,31 @@
                 let (bid, aim) = (*bid, k.aim as f64);
                 // What peers can't reach tells of the zone, and what they reach; some of it is from before.
                 let zone = self.backends.get(&bid).map_or(u8::MAX, |b| b.listed.zone);
-                self.zones.entry(zone).or_default().note(now, s.fared == Fared::Silent, UNREACHED / 3.0);
-                let fared = if let Fared::Answered(t) = s.fared { Fared::Answered(t * aim) } else { s.fared };
+                self.zones.entry(zone).or_default().note(
+                    now,
+                    s.fared == Fared::Silent,
+                    UNREACHED / 3.0,
+                );
+                let fared = if let Fared::Answered(t) = s.fared {
+                    Fared::Answered(t * aim)
+                } else {
+                    s.fared
+                };
                 self.learn(bid, class, fared, None);
             }
         }
         match m.body {
             Body::Uses(uses) => {
                 // Of plans that have other places there, one that is known here keeps its own.
-                let own = |c: &Customers, u: &Use| c.get(&u.customer).map(|c| c.plan.min(MOST_PLAN) as u8);
+                let own = |c: &Customers, u: &Use| {
+                    c.get(&u.customer).map(|c| c.plan.min(MOST_PLAN) as u8)
+                };
                 let news = uses.into_iter().filter_map(|u| {
-                    let plan = if plans { Some(u.plan) } else { own(&self.customers, &u) };
+                    let plan = if plans {
+                        Some(u.plan)
+                    } else {
+                        own(&self.customers, &u)
+                    };
                     self.on_use(from.0, m.born >= mine, Use { plan: plan?, ..u })
                 });
                 let news: Vec<News> = news.collect();
@@ -1090,7 +1432,8 @@
             // Only to the incarnation it was meant for, and by its number only once: a repeat mints nothing.
             Body::News(to, _) if to != mine => {}
             Body::News(_, news) => {
-                news.into_iter().for_each(|n| self.on_news(from.0, m.born < mine, n, act));
+                news.into_iter()
+                    .for_each(|n| self.on_news(from.0, m.born < mine, n, act));
             }
         }
     }
@@ -1100,16 +1443,31 @@
         let (now, few) = (self.now, self.period > 0);
         let (clipped, most) = (usize::from(u.plan), self.s.plans.len().saturating_sub(1));
         // A message names the first plans only; the others pass under the last of these.
-        let known = self.customers.get(&u.customer).map(|c| (c.plan, c.seen < self.changed_at));
-        let place = known.map(|k| k.0).filter(|p| (*p).min(MOST_PLAN) == clipped).unwrap_or(clipped);
+        let known = self
+            .customers
+            .get(&u.customer)
+            .map(|c| (c.plan, c.seen < self.changed_at));
+        let place = known
+            .map(|k| k.0)
+            .filter(|p| (*p).min(MOST_PLAN) == clipped)
+            .unwrap_or(clipped);
         if known.is_none() && clipped == MOST_PLAN && most > MOST_PLAN {
             return None; // which one is told by its first request here; the count goes on till then
         }
         let plan = self.s.plans.get(place)?;
-        let (burst, cap, told) = (plan.burst, plan.open_cap, f64::from(u.level) / 254.0 * plan.burst);
+        let (burst, cap, told) = (
+            plan.burst,
+            plan.open_cap,
+            f64::from(u.level) / 254.0 * plan.burst,
+        );
         // Of a customer that never came here the sender's view counts, if it has one.
         let level = if u.level < 255 { told } else { burst };
-        let new = || Customer { plan: place, level, filled: now, ..Customer::default() };
+        let new = || Customer {
+            plan: place,
+            level,
+            filled: now,
+            ..Customer::default()
+        };
         let c = self.customers.entry(u.customer).or_insert_with(new);
         if known.is_some_and(|k| k.1) {
             c.plan = place; // the settings have changed since it was seen here, and a peer knows its plan
@@ -1144,8 +1502,9 @@
         let others = c.open + c.others_open.saturating_sub(u32::from(h.open));
         // Where there is room it is taken as used at once: others ask before the asker's next message comes.
         let asks = u.ask && u.units > 0.0 && !mirrors; // else for its word alone
-        let free =
-            asks && (burst == 0.0 || c.level >= u.units) && (cap == 0 || others + u32::from(u.open) < cap);
+        let free = asks
+            && (burst == 0.0 || c.level >= u.units)
+            && (cap == 0 || others + u32::from(u.open) < cap);
         let open = u.open + u8::from(free && u.open < 127);
         c.others_open = others - c.open + u32::from(open);
         (h.total, h.at, h.open) = (u.total, now, open);
@@ -1153,18 +1512,33 @@
         h.promised = if free { u.units } else { 0.0 };
         c.level -= h.promised;
         // Ceiling units are deducted here first: a lost message loses them.
-        let gift = if u.ask && u.short && c.ceiling >= u.units { whole_parts(u.units) } else { 0.0 };
+        let gift = if u.ask && u.short && c.ceiling >= u.units {
+            whole_parts(u.units)
+        } else {
+            0.0
+        };
         c.ceiling -= gift;
         let (rate, open) = ((c.rate + c.others - its).max(0.0), others.min(127) as u8);
         let (customer, yours) = (u.customer, u.total);
-        u.ask.then_some(News { customer, yours, level, rate, open, gift })
+        u.ask.then_some(News {
+            customer,
+            yours,
+            level,
+            rate,
+            open,
+            gift,
+        })
     }
 
     /// A home's word on a customer: the bucket is what it says, less what it cannot have heard.
     fn on_news(&mut self, from: u16, older: bool, n: News, act: &mut Vec<Action>) {
         let (now, me, few) = (self.now, self.s.me.0, self.period > 0);
-        let Some(lead) = self.customers.get(&n.customer).map(|c| self.lead(c)) else { return };
-        let Some(c) = self.fill(n.customer).filter(|c| c.homes.contains(&from)) else { return };
+        let Some(lead) = self.customers.get(&n.customer).map(|c| self.lead(c)) else {
+            return;
+        };
+        let Some(c) = self.fill(n.customer).filter(|c| c.homes.contains(&from)) else {
+            return;
+        };
         let leads = lead == me;
         if !leads {
             (c.others, c.others_open) = (n.rate, u32::from(n.open));
@@ -1174,14 +1548,19 @@
         if (!leads && best) || (older && c.news_at == 0) {
             c.level = n.level - gone_by(n.yours, wrap(c.used));
             c.news_at = now;
-            c.promise = if from == lead && n.level >= c.asks { c.asks } else { 0.0 };
+            c.promise = if from == lead && n.level >= c.asks {
+                c.asks
+            } else {
+                0.0
+            };
         }
         c.answered.push(from);
         // A gift is for the request that waits: late ones lapse, or a full bucket would hold more than full.
         if now - c.asked_at < GIFT_LIFE {
             c.granted += n.gift;
         }
-        let all = c.pools.iter().all(|h| *h == me || c.answered.contains(h)) || (!few && from == c.asked);
+        let all =
+            c.pools.iter().all(|h| *h == me || c.answered.contains(h)) || (!few && from == c.asked);
         for id in c.held.clone() {
             self.admit(id, all, act); // one home may know too little: only both say no
         }
@@ -1193,9 +1572,15 @@
     fn on_settings(&mut self, mut new: Settings) {
         // Places beyond the end may be in use still; what they were sold for must not count on the ladder.
         let price = new.plans.last().map_or(1.0, |p| p.price);
-        let rest = self.s.plans.iter().skip(new.plans.len()).map(|p| Plan { price, ..p.clone() });
+        let rest = self
+            .s
+            .plans
+            .iter()
+            .skip(new.plans.len())
+            .map(|p| Plan { price, ..p.clone() });
         new.plans.extend(rest);
-        new.classes.extend(self.s.classes.iter().skip(new.classes.len()));
+        new.classes
+            .extend(self.s.classes.iter().skip(new.classes.len()));
         for c in self.customers.values_mut() {
             c.fill(self.now, &self.s.plans[c.plan]);
             c.carry(&self.s.plans[c.plan], &new.plans[c.plan]);
@@ -1209,7 +1594,11 @@
                 .filter_map(|b| b.health.get_mut(k))
                 .for_each(|h| *h = Health::default());
         }
-        let more = new.classes.iter().skip(self.usual.len()).map(|c| Usual::first(c, self.now));
+        let more = new
+            .classes
+            .iter()
+            .skip(self.usual.len())
+            .map(|c| Usual::first(c, self.now));
         self.usual.extend(more);
         let (count, backends) = (new.classes.len(), self.backends.values_mut());
         let known = backends.filter(|b| !b.health.is_empty());
@@ -1218,14 +1607,17 @@
         (self.s.limits, self.s.words, self.changed_at) = (new.limits, new.words, self.now);
         // Pools that went are in no request that comes; what is out of them counts until it is back.
         let pools = usize::from(new.pools) + 1;
-        self.pools.resize_with(pools.max(self.pools.len()), || Pool::new(PLACES));
+        self.pools
+            .resize_with(pools.max(self.pools.len()), || Pool::new(PLACES));
     }
 
     // ---- 8. The list of backends ----
 
     fn on_roster(&mut self, kind: RosterKind, list: Vec<Listed>, act: &mut Vec<Action>) {
         if kind == RosterKind::Failed {
-            return self.watch_at = self.watch_at.min(self.now + (self.s.rules.must_ask / 8).max(1));
+            return self.watch_at = self
+                .watch_at
+                .min(self.now + (self.s.rules.must_ask / 8).max(1));
         }
         if kind != RosterKind::Delta {
             self.backends.values_mut().for_each(|b| b.ready = false); // absent from a whole list: gone
@@ -1244,7 +1636,11 @@
             b.ready = l.availability == Availability::Ready;
         }
         self.backends.forget_idle();
-        self.tags = self.backends.ready().map(|(_, b)| (tag(b.listed.backend.0), b.listed.backend)).collect();
+        self.tags = self
+            .backends
+            .ready()
+            .map(|(_, b)| (tag(b.listed.backend.0), b.listed.backend))
+            .collect();
         let (backends, me, now) = (&self.backends, self.s.me.0, self.now);
         let own = |place: &usize| mix(backends.at(*place).listed.backend.0 ^ u64::from(me) << 48);
         for (at, pool) in self.pools.iter_mut().enumerate() {
--- a/crates/decision/src/gossip.rs
+++ b/crates/decision/src/gossip.rs
@@ -146,14 +146,18 @@
 
 /// A customer's id and a number up to 127, in five bytes.
 fn named(customer: CustomerId, number: u8) -> [u8; 5] {
-    let word = (customer.0 & ((1 << CUSTOMER_BITS) - 1)) | u64::from(number.min(127)) << CUSTOMER_BITS;
+    let word =
+        (customer.0 & ((1 << CUSTOMER_BITS) - 1)) | u64::from(number.min(127)) << CUSTOMER_BITS;
     let b = word.to_le_bytes();
     [b[0], b[1], b[2], b[3], b[4]]
 }
 
 fn name(e: &[u8]) -> (CustomerId, u8) {
     let word = u64::from_le_bytes([e[0], e[1], e[2], e[3], e[4], 0, 0, 0]);
-    (CustomerId(word & ((1 << CUSTOMER_BITS) - 1)), (word >> CUSTOMER_BITS) as u8)
+    (
+        CustomerId(word & ((1 << CUSTOMER_BITS) - 1)),
+        (word >> CUSTOMER_BITS) as u8,
+    )
 }
 
 fn half(e: &[u8], at: usize) -> u16 {
@@ -169,7 +173,12 @@
             Fared::Silent => SILENT,
         };
         let b = self.tag.to_le_bytes();
-        [b[0], b[1], b[2], self.class.min(MOST_CLASS as u8) << 5 | step]
+        [
+            b[0],
+            b[1],
+            b[2],
+            self.class.min(MOST_CLASS as u8) << 5 | step,
+        ]
     }
 
     fn unpack(e: &[u8]) -> Sample {
@@ -179,7 +188,11 @@
             FAILED => Fared::Failed,
             _ => Fared::Answered((f64::from(step) / 5.0 - 5.0).exp2()),
         };
-        Sample { tag: u32::from_le_bytes([e[0], e[1], e[2], 0]), class: e[3] >> 5, fared }
+        Sample {
+            tag: u32::from_le_bytes([e[0], e[1], e[2], 0]),
+            class: e[3] >> 5,
+            fared,
+        }
     }
 }
 
@@ -200,7 +213,10 @@
         };
         bytes.push(rows as u8);
         bytes.extend_from_slice(&self.words);
-        self.samples.iter().take(samples).for_each(|s| bytes.extend_from_slice(&s.pack()));
+        self.samples
+            .iter()
+            .take(samples)
+            .for_each(|s| bytes.extend_from_slice(&s.pack()));
         match &self.body {
             Body::Uses(uses) => {
                 for u in uses.iter().take(rows) {
@@ -242,7 +258,11 @@
         let (born, seq, rows) = (word(2)?, half(bytes, 6), usize::from(bytes[8]));
         let words = [bytes[9], bytes[10]];
         let body_at = HEAD + samples * SAMPLE_BYTES;
-        let samples = bytes.get(HEAD..body_at)?.chunks_exact(SAMPLE_BYTES).map(Sample::unpack).collect();
+        let samples = bytes
+            .get(HEAD..body_at)?
+            .chunks_exact(SAMPLE_BYTES)
+            .map(Sample::unpack)
+            .collect();
         let (each, head) = match kind {
             USE => (USE_BYTES, 0),
             NEWS => (NEWS_BYTES, 4),
@@ -257,10 +277,22 @@
                 entries
                     .map(|e| {
                         let (customer, open) = name(e);
-                        let (total, level, plan, ask) = (half(e, 5), e[7], e[8] >> 2, e[8] & 2 == 2);
+                        let (total, level, plan, ask) =
+                            (half(e, 5), e[7], e[8] >> 2, e[8] & 2 == 2);
                         let (short, units) = (e[8] & 1 == 1, f64::from(e[9]) / PARTS);
                         let (first, width) = (half(e, 10), half(e, 12));
-                        Use { customer, plan, total, open, level, first, width, ask, units, short }
+                        Use {
+                            customer,
+                            plan,
+                            total,
+                            open,
+                            level,
+                            first,
+                            width,
+                            ask,
+                            units,
+                            short,
+                        }
                     })
                     .collect(),
             ),
@@ -270,13 +302,27 @@
                     .map(|e| {
                         let (customer, open) = name(e);
                         let level = f64::from(half(e, 7) as i16) / PARTS;
-                        let (rate, gift) = (f64::from(half(e, 9)) / PARTS, f64::from(e[11]) / PARTS);
-                        News { customer, yours: half(e, 5), level, rate, open, gift }
+                        let (rate, gift) =
+                            (f64::from(half(e, 9)) / PARTS, f64::from(e[11]) / PARTS);
+                        News {
+                            customer,
+                            yours: half(e, 5),
+                            level,
+                            rate,
+                            open,
+                            gift,
+                        }
                     })
                     .collect(),
             ),
         };
-        Some(Message { born, seq, words, samples, body })
+        Some(Message {
+            born,
+            seq,
+            words,
+            samples,
+            body,
+        })
     }
 }
 
@@ -301,15 +347,34 @@
             short: true,
         };
         let uses = vec![one; MOST_USES];
-        let news =
-            vec![News { customer, yours: 9, level: -7.25, rate: 12.5, open: 127, gift: 2.25 }; MOST_NEWS];
+        let news = vec![
+            News {
+                customer,
+                yours: 9,
+                level: -7.25,
+                rate: 12.5,
+                open: 127,
+                gift: 2.25
+            };
+            MOST_NEWS
+        ];
         for body in [Body::Uses(uses), Body::News(9, news), Body::Uses(vec![])] {
             for count in 0..=MOST_SAMPLES {
-                let one = Sample { tag: tag(77), class: 6, fared: Fared::Answered(0.5) };
+                let one = Sample {
+                    tag: tag(77),
+                    class: 6,
+                    fared: Fared::Answered(0.5),
+                };
                 let (bad, none) = (Fared::Failed, Fared::Silent);
                 let (bad, none) = (Sample { fared: bad, ..one }, Sample { fared: none, ..one });
                 let samples = [one, bad, none, one, bad, none][..count].to_vec();
-                let message = Message { born: 77, seq: 3, words: [5, 250], samples, body: body.clone() };
+                let message = Message {
+                    born: 77,
+                    seq: 3,
+                    words: [5, 250],
+                    samples,
+                    body: body.clone(),
+                };
                 let bytes = message.pack();
                 assert!(bytes.len() <= MOST);
                 assert_eq!(Message::unpack(&bytes), Some(message));
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -7,19 +7,27 @@
 pub type Micros = u64;
 
 /// A request, as named by the host. Never used twice.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
+)]
 pub struct RequestId(pub u64);
 
 /// A backend; means nothing but identity.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
+)]
 pub struct BackendId(pub u64);
 
 /// A customer, the holder of a plan.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
+)]
 pub struct CustomerId(pub u64);
 
 /// The number of a gateway among its peers, from 0.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
+)]
 pub struct GatewayNo(pub u16);
 
 /// Which backends drop repeats of a keyed request.
--- a/crates/decision/src/pools.rs
+++ b/crates/decision/src/pools.rs
@@ -76,14 +76,18 @@
 impl Pool {
     /// One that begins with so many places a backend.
     pub fn new(places: f64) -> Pool {
-        Pool { places, ..Pool::default() }
+        Pool {
+            places,
+            ..Pool::default()
+        }
     }
 
     /// Its ready backends are others now.
     pub fn listed(&mut self, order: Vec<usize>, ready_size: f64, now: Micros) {
         if self.order.is_empty() && !order.is_empty() && self.known {
             // What was felt before it was gone says nothing of those that came.
-            (self.pressure, self.strain, self.rung, self.bad, self.fails) = (0.0, 0.0, 0, 0.0, false);
+            (self.pressure, self.strain, self.rung, self.bad, self.fails) =
+                (0.0, 0.0, 0, 0.0, false);
             self.back_at = Some(now);
         }
         self.known |= !order.is_empty();
@@ -125,10 +129,10 @@
 
     /// Whether one more guest may come, within a bound on all that is out.
     fn spare(&self, limit: f64, now: Micros) -> bool {
-        let calm =
-            self.pressure < ALERT_OFF && self.guest_pressure * decay(self.guest_at, now, NEED_TAU) < ALERT_ON;
-        let room =
-            f64::from(self.guests) < limit * self.guest_part(limit, now) && f64::from(self.out) < limit;
+        let calm = self.pressure < ALERT_OFF
+            && self.guest_pressure * decay(self.guest_at, now, NEED_TAU) < ALERT_ON;
+        let room = f64::from(self.guests) < limit * self.guest_part(limit, now)
+            && f64::from(self.out) < limit;
         calm && room && self.waiting.is_empty() && !self.fails && !self.order.is_empty()
     }
 
@@ -149,7 +153,9 @@
         if self.fails {
             return !once && lot < TRICKLE;
         }
-        let share = self.back_at.map_or(1.0, |at| AT_ONCE + (now - at) as f64 / RETURN as f64);
+        let share = self
+            .back_at
+            .map_or(1.0, |at| AT_ONCE + (now - at) as f64 / RETURN as f64);
         customer < share
     }
 }
@@ -157,9 +163,17 @@
 impl Gateway {
     /// A request's pools in their order, and how many of them are its own: what it falls back on comes behind these.
     fn tiers(&self, req: &Request) -> ([u8; MOST_TIERS], usize, usize) {
-        let known = req.tiers.iter().take_while(|p| **p != 0 && usize::from(**p) < self.pools.len()).count();
+        let known = req
+            .tiers
+            .iter()
+            .take_while(|p| **p != 0 && usize::from(**p) < self.pools.len())
+            .count();
         // A request without a route has one pool, that of all backends.
-        (req.tiers, known.max(1), usize::from(req.own).clamp(1, known.max(1)))
+        (
+            req.tiers,
+            known.max(1),
+            usize::from(req.own).clamp(1, known.max(1)),
+        )
     }
 
     /// The first of a request's pools that takes it at all, with its place among them; where none does, the first.
@@ -175,7 +189,9 @@
             self.pools[usize::from(*p)].takes(customer, lot, once, self.now)
         };
         let at = tiers[..count].iter().position(takes);
-        at.map_or((0, usize::from(tiers[0])), |at| (at, usize::from(tiers[at])))
+        at.map_or((0, usize::from(tiers[0])), |at| {
+            (at, usize::from(tiers[at]))
+        })
     }
 
     /// The pool that a request goes to if it goes at once: by its rung it is let in or not.
@@ -203,7 +219,11 @@
             let pool = &self.pools[number];
             let (out, limit) = (f64::from(pool.out), self.limit(number));
             let own_takes = || out < limit && (at == first || !pool.fails);
-            let takes = if at < own { own_takes() } else { pool.spare(limit, self.now) };
+            let takes = if at < own {
+                own_takes()
+            } else {
+                pool.spare(limit, self.now)
+            };
             room[at] = takes.then_some(number);
         }
         room
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -49,7 +49,10 @@
         for (n, a) in (0u16..).zip(&mut self.attempts) {
             if allowed && a.out && !a.cancelled && keep != Some(n) {
                 a.cancelled = true;
-                act.push(Action::Cancel { id: self.req.id, attempt: n });
+                act.push(Action::Cancel {
+                    id: self.req.id,
+                    attempt: n,
+                });
             }
         }
     }
@@ -73,7 +76,9 @@
 
     /// How long an answer is worth something: the aim, or what the client waits if that is less.
     pub fn patience(&self) -> f64 {
-        self.class.aim.min(self.req.deadline.saturating_sub(self.arrived)) as f64
+        self.class
+            .aim
+            .min(self.req.deadline.saturating_sub(self.arrived)) as f64
     }
 }
 
@@ -213,7 +218,10 @@
 
     /// The ready ones with their places, by identity.
     pub fn ready(&self) -> impl Iterator<Item = (usize, &Backend)> {
-        self.places.values().map(|p| (*p, &self.records[*p])).filter(|(_, b)| b.ready)
+        self.places
+            .values()
+            .map(|p| (*p, &self.records[*p]))
+            .filter(|(_, b)| b.ready)
     }
 
     /// Forgets those that are neither ready nor at work.
@@ -321,7 +329,9 @@
     pub fn in_use(&self) -> Vec<InUse> {
         let mut plans = vec![InUse::default(); self.s.plans.len()];
         for c in self.customers.values() {
-            let Some(p) = plans.get_mut(c.plan) else { continue };
+            let Some(p) = plans.get_mut(c.plan) else {
+                continue;
+            };
             let faded = decay(c.filled, self.now, crate::control::RATE_TAU);
             p.customers += 1;
             p.rate = p.rate.max((c.rate + c.others) * faded);
@@ -341,8 +351,14 @@
 
     /// Whether a backend takes new work, and the places of the classes that it is rested for.
     pub fn takes_work(&self, id: BackendId) -> (bool, Vec<usize>) {
-        let Some(b) = self.backends.get(&id) else { return (false, Vec::new()) };
-        let rests = b.health.iter().enumerate().filter(|(_, h)| h.strikes > 0 && self.now < h.rest_until);
+        let Some(b) = self.backends.get(&id) else {
+            return (false, Vec::new());
+        };
+        let rests = b
+            .health
+            .iter()
+            .enumerate()
+            .filter(|(_, h)| h.strikes > 0 && self.now < h.rest_until);
         (b.ready, rests.map(|(class, _)| class).collect())
     }
 
@@ -351,8 +367,15 @@
     pub fn in_rotation(&self) -> usize {
         let (now, doubted) = (self.now, crate::control::DOUBTED);
         let rests = |h: &Health| (h.strikes > 0 && now < h.rest_until) || h.doubt(now) > doubted;
-        let zone = |b: &Backend| self.zones.get(&b.listed.zone).is_some_and(|z| z.doubt(now) > doubted);
-        self.backends.ready().filter(|(_, b)| !zone(b) && !b.health.iter().any(rests)).count()
+        let zone = |b: &Backend| {
+            self.zones
+                .get(&b.listed.zone)
+                .is_some_and(|z| z.doubt(now) > doubted)
+        };
+        self.backends
+            .ready()
+            .filter(|(_, b)| !zone(b) && !b.health.iter().any(rests))
+            .count()
     }
 
     /// A request is held no longer; what was granted for the last one lapses with it.
@@ -371,7 +394,11 @@
             o.call_off(Some(attempt), self.s.limits.cancel, act);
             o.streaming = true;
             // The backend's work is done: how fast the client reads must not keep others from a place.
-            if let Some(a) = o.attempts.get_mut(usize::from(attempt)).filter(|a| a.out && !a.lost) {
+            if let Some(a) = o
+                .attempts
+                .get_mut(usize::from(attempt))
+                .filter(|a| a.out && !a.lost)
+            {
                 a.lost = true;
                 self.pools[a.pool].settled(a.guest);
             }
@@ -388,7 +415,17 @@
         p.next = now + self.period;
         self.tells -= 1.0;
         let (born, seq, words) = (incarnation(self.born), p.sent, self.s.words);
-        let bytes = Message { born, seq, words, samples, body }.pack();
-        act.push(Action::Tell { to: Some(GatewayNo(to)), bytes });
+        let bytes = Message {
+            born,
+            seq,
+            words,
+            samples,
+            body,
+        }
+        .pack();
+        act.push(Action::Tell {
+            to: Some(GatewayNo(to)),
+            bytes,
+        });
     }
 }
