--- a/crates/decision/tests/decisions.rs
+++ b/crates/decision/tests/decisions.rs
@@ -18,9 +18,16 @@
             sent += 1;
         }
     }
-    assert!((5..=6).contains(&sent), "{sent} of a burst of 6, less what others may have used unheard");
+    assert!(
+        (5..=6).contains(&sent),
+        "{sent} of a burst of 6, less what others may have used unheard"
+    );
     rig.pass(2 * S);
-    assert_eq!(sends(&rig.ask(0, 1, 9, 1.0).1).len(), 1, "the store fills at the rate");
+    assert_eq!(
+        sends(&rig.ask(0, 1, 9, 1.0).1).len(),
+        1,
+        "the store fills at the rate"
+    );
 }
 
 #[test]
@@ -29,7 +36,10 @@
     let (id, actions) = rig.ask(2, 0, 1, 1.0);
     let backend = sends(&actions)[0];
     let later = rig.pass(2 * S);
-    assert!(sends(&later).is_empty(), "no second copy of an unsafe request");
+    assert!(
+        sends(&later).is_empty(),
+        "no second copy of an unsafe request"
+    );
     let end = rig.settle(id, 0, backend, Outcome::TimedOut);
     assert!(failed(&end) && !refused(&end) && sends(&end).is_empty());
 }
@@ -41,7 +51,10 @@
     let again = rig.settle(id, 0, sends(&actions)[0], Outcome::Full);
     assert_eq!(sends(&again).len(), 1);
     let end = rig.settle(id, 1, sends(&again)[0], Outcome::Reset);
-    assert!(failed(&end) && !refused(&end), "the second attempt may have run");
+    assert!(
+        failed(&end) && !refused(&end),
+        "the second attempt may have run"
+    );
 }
 
 #[test]
@@ -61,16 +74,27 @@
     let (id, actions) = rig.ask(1, 0, 1, 1.0);
     rig.pass(2 * S);
     let end = rig.settle(id, 0, sends(&actions)[0], Outcome::Reset);
-    assert!(sends(&end).is_empty() && failed(&end) && !refused(&end), "outside the window");
+    assert!(
+        sends(&end).is_empty() && failed(&end) && !refused(&end),
+        "outside the window"
+    );
 }
 
 /// A host whose connection comes up late has to know until when the repeat may begin; a first attempt may begin at any time.
 #[test]
 fn a_keyed_repeat_says_until_when_it_may_begin() {
     let mut rig = Rig::with(settings(), 6);
-    let Repeat::Keyed { window, .. } = settings().classes[1].repeat else { panic!("class 1 is keyed") };
+    let Repeat::Keyed { window, .. } = settings().classes[1].repeat else {
+        panic!("class 1 is keyed")
+    };
     let until = |actions: &[Action]| {
-        let one = |a: &Action| if let Action::Send { begin_by, .. } = a { Some(*begin_by) } else { None };
+        let one = |a: &Action| {
+            if let Action::Send { begin_by, .. } = a {
+                Some(*begin_by)
+            } else {
+                None
+            }
+        };
         actions.iter().find_map(one).expect("it is sent")
     };
     let (id, actions) = rig.ask(1, 0, 1, 1.0);
@@ -94,16 +118,25 @@
     let mut rig = Rig::with(settings(), 6);
     let (id, actions) = rig.ask(1, 0, 1, 1.0);
     let first = sends(&actions)[0];
-    let gone: Vec<Listed> = (0..6).map(listed).filter(|l| l.cell != (first.0 % 2) as u16).collect();
+    let gone: Vec<Listed> = (0..6)
+        .map(listed)
+        .filter(|l| l.cell != (first.0 % 2) as u16)
+        .collect();
     rig.feed(Event::Roster(RosterKind::Full, gone));
     let end = rig.settle(id, 0, first, Outcome::Reset);
-    assert!(sends(&end).is_empty() && failed(&end), "nobody left who knows the key");
+    assert!(
+        sends(&end).is_empty() && failed(&end),
+        "nobody left who knows the key"
+    );
 }
 
 #[test]
 fn a_drained_backend_gets_nothing_new() {
     let mut rig = Rig::with(settings(), 2);
-    let drained = Listed { availability: Availability::Draining, ..listed(0) };
+    let drained = Listed {
+        availability: Availability::Draining,
+        ..listed(0)
+    };
     rig.feed(Event::Roster(RosterKind::Delta, vec![drained]));
     for n in 0..20 {
         let (_, actions) = rig.ask(0, 0, n, 1.0);
@@ -111,12 +144,18 @@
     }
     rig.feed(Event::Roster(
         RosterKind::Delta,
-        vec![Listed { availability: Availability::Gone, ..listed(1) }],
+        vec![Listed {
+            availability: Availability::Gone,
+            ..listed(1)
+        }],
     ));
     let (_, held) = rig.ask(0, 0, 1, 1.0);
     assert!(sends(&held).is_empty());
     let later = rig.pass(S);
-    assert!(sends(&later).is_empty() && refused(&later), "held, then refused in time");
+    assert!(
+        sends(&later).is_empty() && refused(&later),
+        "held, then refused in time"
+    );
 }
 
 /// `max(1)` for each gateway would be 150 at once on a backend that has just started.
@@ -124,8 +163,21 @@
 fn a_cold_backend_is_not_flooded_by_a_hundred_and_fifty_gateways() {
     let (mut in_window, mut ever) = (0, 0);
     for me in 0..150 {
-        let mut rig = Rig::with(Settings { me: GatewayNo(me), gateways: 150, ..settings() }, 1);
-        rig.feed(Event::Roster(RosterKind::Full, vec![Listed { started: T0, ..listed(0) }]));
+        let mut rig = Rig::with(
+            Settings {
+                me: GatewayNo(me),
+                gateways: 150,
+                ..settings()
+            },
+            1,
+        );
+        rig.feed(Event::Roster(
+            RosterKind::Full,
+            vec![Listed {
+                started: T0,
+                ..listed(0)
+            }],
+        ));
         for n in 0..20 {
             in_window += sends(&rig.ask(0, 0, n, 1.0).1).len();
         }
@@ -133,7 +185,10 @@
             ever += sends(&rig.pass(100_000)).len() + sends(&rig.ask(0, 0, n, 1.0).1).len();
         }
     }
-    assert!(in_window <= 6, "{in_window} sent at once to a backend that has just started");
+    assert!(
+        in_window <= 6,
+        "{in_window} sent at once to a backend that has just started"
+    );
     assert!(ever > 100, "{ever}: it is warm in the end, and used");
 }
 
@@ -141,7 +196,11 @@
 #[test]
 fn silence_and_restarts_mint_no_ceiling() {
     for gateways in [3, 40, 200] {
-        let settings = |me| Settings { gateways, me: GatewayNo(me), ..settings() };
+        let settings = |me| Settings {
+            gateways,
+            me: GatewayNo(me),
+            ..settings()
+        };
         let total: usize = (0..gateways)
             .map(|me| {
                 let mut rig = Rig::with(settings(me), 4);
@@ -157,13 +216,19 @@
                     }
                     if second == 4 {
                         rig.gateway = Gateway::new(settings(me), 8, rig.now);
-                        rig.feed(Event::Roster(RosterKind::Cached, (0..4).map(listed).collect()));
+                        rig.feed(Event::Roster(
+                            RosterKind::Cached,
+                            (0..4).map(listed).collect(),
+                        ));
                     }
                 }
                 sent
             })
             .sum();
-        assert!(total <= 60, "{gateways} gateways: {total} sent in 10 s at 6 units a second");
+        assert!(
+            total <= 60,
+            "{gateways} gateways: {total} sent in 10 s at 6 units a second"
+        );
         assert!(gateways > 3 || total > 30, "{total}");
     }
 }
@@ -174,11 +239,26 @@
     // held for want of a place, and the next wake-up was past its deadline.
     let mut rig = Rig::with(settings(), 1);
     rig.feed(Event::Roster(RosterKind::Full, vec![]));
-    let base = Request { id: RequestId(1), units: 1.0, width: 3.0, ..Request::default() };
-    assert!(refused(&rig.feed(Event::Request(Request { deadline: rig.now + 10_000, ..base }))));
-    let held = Request { id: RequestId(2), deadline: rig.now + 100_000, ..base };
+    let base = Request {
+        id: RequestId(1),
+        units: 1.0,
+        width: 3.0,
+        ..Request::default()
+    };
+    assert!(refused(&rig.feed(Event::Request(Request {
+        deadline: rig.now + 10_000,
+        ..base
+    }))));
+    let held = Request {
+        id: RequestId(2),
+        deadline: rig.now + 100_000,
+        ..base
+    };
     assert!(!refused(&rig.feed(Event::Request(held))));
-    assert!(refused(&rig.pass(80_000)), "held, and answered before its deadline");
+    assert!(
+        refused(&rig.pass(80_000)),
+        "held, and answered before its deadline"
+    );
 }
 
 /// Found by a hunt on days whose gateways stand still: what was held when a stall began was past its deadline
@@ -188,8 +268,13 @@
     let mut rig = Rig::with(settings(), 1);
     rig.feed(Event::Roster(RosterKind::Full, vec![]));
     rig.pass(S);
-    let held =
-        Request { id: RequestId(1), units: 1.0, width: 3.0, deadline: rig.now + S, ..Request::default() };
+    let held = Request {
+        id: RequestId(1),
+        units: 1.0,
+        width: 3.0,
+        deadline: rig.now + S,
+        ..Request::default()
+    };
     assert!(!refused(&rig.feed(Event::Request(held))));
     rig.now += S + 12_000;
     assert!(refused(&rig.feed(Event::Withdrawn(RequestId(99)))));
@@ -203,12 +288,17 @@
     assert_eq!(sends(&actions).len(), 1);
     rig.now += 2 * S;
     let woken = rig.feed(Event::Withdrawn(RequestId(99)));
-    assert!(!woken
-        .iter()
-        .any(|a| matches!(a, Action::Cancel { .. } | Action::Refuse { .. } | Action::Send { .. })));
+    assert!(!woken.iter().any(|a| matches!(
+        a,
+        Action::Cancel { .. } | Action::Refuse { .. } | Action::Send { .. }
+    )));
     rig.settle(id, 0, BackendId(0), Outcome::Ok);
     rig.pass(100_000);
-    assert_eq!(sends(&rig.ask(0, 0, 2, 1.0).1).len(), 1, "its answer had come: it is not resting");
+    assert_eq!(
+        sends(&rig.ask(0, 0, 2, 1.0).1).len(),
+        1,
+        "its answer had come: it is not resting"
+    );
 }
 
 /// A backend that is silent to one class goes on serving the others.
@@ -240,7 +330,16 @@
                 if silent {
                     rig.pass(S);
                 }
-                rig.settle(id, 0, backend, if silent { Outcome::TimedOut } else { Outcome::Ok });
+                rig.settle(
+                    id,
+                    0,
+                    backend,
+                    if silent {
+                        Outcome::TimedOut
+                    } else {
+                        Outcome::Ok
+                    },
+                );
             }
         }
     }
@@ -258,8 +357,21 @@
 
 impl Fleet {
     fn new(gateways: u16) -> Fleet {
-        let rig = |me| Rig::with(Settings { gateways, me: GatewayNo(me), ..settings() }, 6);
-        Fleet { rigs: (0..gateways).map(rig).collect(), carried: 0, took: 100_000 }
+        let rig = |me| {
+            Rig::with(
+                Settings {
+                    gateways,
+                    me: GatewayNo(me),
+                    ..settings()
+                },
+                6,
+            )
+        };
+        Fleet {
+            rigs: (0..gateways).map(rig).collect(),
+            carried: 0,
+            took: 100_000,
+        }
     }
 
     /// Carries out what gateway `from` asked for; answers come at once. Returns how many were sent on. Every
@@ -287,12 +399,21 @@
                     };
                     (at, event)
                 }
-                Action::Tell { to: Some(to), bytes } => {
+                Action::Tell {
+                    to: Some(to),
+                    bytes,
+                } => {
                     self.carried += 1;
                     if lossy > 0 && self.carried.is_multiple_of(lossy) {
                         continue;
                     }
-                    (usize::from(to.0), Event::Peer { from: GatewayNo(at as u16), bytes })
+                    (
+                        usize::from(to.0),
+                        Event::Peer {
+                            from: GatewayNo(at as u16),
+                            bytes,
+                        },
+                    )
                 }
                 _ => continue,
             };
@@ -325,18 +446,32 @@
             used += 2.0 * fleet.ask(step * 7 % 60, 1, 2.0, 60.0, lossy) as f64;
             if restart && step == 150 {
                 for me in 0..60u16 {
-                    let s = Settings { gateways: 60, me: GatewayNo(me), ..settings() };
+                    let s = Settings {
+                        gateways: 60,
+                        me: GatewayNo(me),
+                        ..settings()
+                    };
                     let rig = &mut fleet.rigs[usize::from(me)];
                     if me % 3 == 0 {
                         rig.gateway = Gateway::new(s, 9, rig.now);
-                        rig.feed(Event::Roster(RosterKind::Cached, (0..6).map(listed).collect()));
+                        rig.feed(Event::Roster(
+                            RosterKind::Cached,
+                            (0..6).map(listed).collect(),
+                        ));
                     }
                 }
             }
         }
         // 6 s at 2 units a second, and a burst of 6, half of which the first seconds may leave unused.
-        assert!((10.0..=26.0).contains(&used), "{used} units with one message in {lossy} lost");
-        assert!(fleet.carried < 300 * 8, "{} messages for 300 requests", fleet.carried);
+        assert!(
+            (10.0..=26.0).contains(&used),
+            "{used} units with one message in {lossy} lost"
+        );
+        assert!(
+            fleet.carried < 300 * 8,
+            "{} messages for 300 requests",
+            fleet.carried
+        );
     }
 }
 
@@ -356,18 +491,33 @@
 fn stores_begin_full_and_an_older_gateway_knows_better() {
     let mut fleet = Fleet::new(3);
     let first = first_come(&mut fleet, 5);
-    assert!((4..=6).contains(&first), "{first} of a burst of 6 where all have just started");
+    assert!(
+        (4..=6).contains(&first),
+        "{first} of a burst of 6 where all have just started"
+    );
     for n in 0..3 {
         let actions = fleet.rigs[n].pass(S / 10);
         fleet.carry(n, actions, 0);
     }
-    let (mut reborn, s) = (0, Settings { me: GatewayNo(2), ..settings() });
+    let (mut reborn, s) = (
+        0,
+        Settings {
+            me: GatewayNo(2),
+            ..settings()
+        },
+    );
     fleet.rigs[2].gateway = Gateway::new(s, 9, fleet.rigs[2].now);
-    fleet.rigs[2].feed(Event::Roster(RosterKind::Cached, (0..6).map(listed).collect()));
+    fleet.rigs[2].feed(Event::Roster(
+        RosterKind::Cached,
+        (0..6).map(listed).collect(),
+    ));
     for _ in 0..8 {
         reborn += fleet.ask(2, 1, 1.0, 3.0, 0);
     }
-    assert!((0..=3).contains(&reborn), "{reborn}, though the others know that the store is nearly empty");
+    assert!(
+        (0..=3).contains(&reborn),
+        "{reborn}, though the others know that the store is nearly empty"
+    );
 }
 
 /// The same with a customer whose requests come in through sixty gateways, each of which sees hardly any.
@@ -379,7 +529,10 @@
         // A burst of 6, and two a second for a quarter of a second; with a third of all messages lost there is one more
         // at each gateway that hears nobody.
         let most = if lossy == 3 { 10 } else { 8 };
-        assert!((4..=most).contains(&sent), "{sent} with one message in {lossy} lost");
+        assert!(
+            (4..=most).contains(&sent),
+            "{sent} with one message in {lossy} lost"
+        );
     }
 }
 
@@ -397,13 +550,18 @@
         }
         sent
     };
-    let through =
-        |fleet: &mut Fleet, at, times, pause| (0..times).map(|_| ask(fleet, at, pause)).sum::<usize>();
+    let through = |fleet: &mut Fleet, at, times, pause| {
+        (0..times).map(|_| ask(fleet, at, pause)).sum::<usize>()
+    };
     // One unit a second, of two that the quota has: at one gateway, then at another, then at both.
     assert!(through(&mut fleet, 0, 30, S) >= 29);
     assert_eq!(through(&mut fleet, 2, 30, S), 30);
     assert_eq!(through(&mut fleet, 0, 1, S / 2), 1);
-    assert_eq!(through(&mut fleet, 2, 3, S / 2), 3, "its store is all but full");
+    assert_eq!(
+        through(&mut fleet, 2, 3, S / 2),
+        3,
+        "its store is all but full"
+    );
 }
 
 /// Most of a ceiling lies with two of its gateways: a busy one gets far more than an even share.
@@ -425,7 +583,10 @@
     assert_eq!(sends(&rig.ask(0, 3, 5, 1.0).1).len(), 1);
     assert!(refused(&rig.ask(0, 3, 5, 1.0).1));
     rig.feed(Event::Withdrawn(id));
-    assert!(refused(&rig.ask(0, 3, 5, 1.0).1), "called off, yet still out");
+    assert!(
+        refused(&rig.ask(0, 3, 5, 1.0).1),
+        "called off, yet still out"
+    );
     rig.settle(id, 0, sends(&actions)[0], Outcome::Cancelled);
     assert_eq!(sends(&rig.ask(0, 3, 5, 1.0).1).len(), 1);
 }
@@ -442,7 +603,13 @@
 
 #[test]
 fn gossip_converges_through_loss_and_repeats() {
-    let mut other = Rig::with(Settings { me: GatewayNo(1), ..settings() }, 4);
+    let mut other = Rig::with(
+        Settings {
+            me: GatewayNo(1),
+            ..settings()
+        },
+        4,
+    );
     let mut rig = Rig::with(settings(), 4);
     rig.pass(4 * S);
     other.pass(4 * S);
@@ -453,10 +620,19 @@
     let told: Vec<Vec<u8>> = other
         .pass(300_000)
         .into_iter()
-        .filter_map(|a| if let Action::Tell { bytes, .. } = a { Some(bytes) } else { None })
+        .filter_map(|a| {
+            if let Action::Tell { bytes, .. } = a {
+                Some(bytes)
+            } else {
+                None
+            }
+        })
         .collect();
     for bytes in told.iter().chain(told.iter().rev()) {
-        rig.feed(Event::Peer { from: GatewayNo(1), bytes: bytes.clone() });
+        rig.feed(Event::Peer {
+            from: GatewayNo(1),
+            bytes: bytes.clone(),
+        });
     }
     // 6 units less 0.5 here and 5 there: a request of 3 finds no room, though this gateway sent half a unit.
     assert!(refused(&rig.ask(0, 1, 9, 3.0).1));
@@ -465,32 +641,70 @@
 #[test]
 fn hostile_input_gets_one_harmless_answer_or_none() {
     let mut rig = Rig::with(settings(), 2);
-    for bytes in [vec![], vec![1; 5], vec![9; 40], vec![1; 256], vec![2; 300], vec![255; 19]] {
+    for bytes in [
+        vec![],
+        vec![1; 5],
+        vec![9; 40],
+        vec![1; 256],
+        vec![2; 300],
+        vec![255; 19],
+    ] {
         for from in [0, 1, 2, 900] {
-            let actions = rig.feed(Event::Peer { from: GatewayNo(from), bytes: bytes.clone() });
+            let actions = rig.feed(Event::Peer {
+                from: GatewayNo(from),
+                bytes: bytes.clone(),
+            });
             assert!(sends(&actions).is_empty());
         }
     }
-    let base = Request { id: RequestId(500), deadline: T0 + S, units: 1.0, width: 3.0, ..Request::default() };
+    let base = Request {
+        id: RequestId(500),
+        deadline: T0 + S,
+        units: 1.0,
+        width: 3.0,
+        ..Request::default()
+    };
     let odd = [
         Request { class: 99, ..base },
-        Request { plan: 99, id: RequestId(501), ..base },
-        Request { units: f64::NAN, id: RequestId(502), ..base },
-        Request { deadline: 0, id: RequestId(503), ..base },
+        Request {
+            plan: 99,
+            id: RequestId(501),
+            ..base
+        },
+        Request {
+            units: f64::NAN,
+            id: RequestId(502),
+            ..base
+        },
+        Request {
+            deadline: 0,
+            id: RequestId(503),
+            ..base
+        },
     ];
     for req in odd {
         let actions = rig.feed(Event::Request(req));
-        let answers = actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)));
+        let answers = actions
+            .iter()
+            .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)));
         assert_eq!(answers.count(), 1);
         assert!(sends(&actions).is_empty());
     }
     for width in [0.0, f64::NAN, -3.0, 1e30] {
         rig.next += 1000;
         let id = RequestId(rig.next);
-        rig.feed(Event::Request(Request { id, width, first: f64::NAN, ..base }));
+        rig.feed(Event::Request(Request {
+            id,
+            width,
+            first: f64::NAN,
+            ..base
+        }));
     }
     rig.settle(RequestId(77_777), 3, BackendId(99), Outcome::Ok);
-    rig.feed(Event::FirstByte { id: RequestId(77_777), attempt: 9 });
+    rig.feed(Event::FirstByte {
+        id: RequestId(77_777),
+        attempt: 9,
+    });
     rig.feed(Event::Timer(12345));
 }
 
@@ -524,9 +738,16 @@
             }
         }));
     }
-    let up = log.iter().find(|(_, l)| l.contains("rung 0 to 1")).expect("an alert");
+    let up = log
+        .iter()
+        .find(|(_, l)| l.contains("rung 0 to 1"))
+        .expect("an alert");
     assert!((100..300).contains(&up.0));
-    let down = log.iter().rev().find(|(_, l)| l.contains("rung 1 to 0")).expect("the end of the alert");
+    let down = log
+        .iter()
+        .rev()
+        .find(|(_, l)| l.contains("rung 1 to 0"))
+        .expect("the end of the alert");
     assert!(down.0 > 300);
 }
 
@@ -534,12 +755,22 @@
 fn backends_that_are_left_do_not_inherit_the_load_of_the_fallen() {
     let out = |left: u64| {
         let mut rig = Rig::with(settings(), 12);
-        rig.feed(Event::Roster(RosterKind::Full, (0..left).map(listed).collect()));
-        (0..200).map(|n| sends(&rig.ask(0, 0, n, 1.0).1).len()).sum::<usize>()
+        rig.feed(Event::Roster(
+            RosterKind::Full,
+            (0..left).map(listed).collect(),
+        ));
+        (0..200)
+            .map(|n| sends(&rig.ask(0, 0, n, 1.0).1).len())
+            .sum::<usize>()
     };
     assert!(out(12) >= 12);
     // Half the bound, and what chance alone may bring, which grows by the root.
-    assert!(out(6) * 3 <= out(12) * 2, "{} out at 6 backends, {} at 12", out(6), out(12));
+    assert!(
+        out(6) * 3 <= out(12) * 2,
+        "{} out at 6 backends, {} at 12",
+        out(6),
+        out(12)
+    );
 }
 
 #[test]
@@ -559,14 +790,21 @@
             }
         }
     }
-    assert_eq!(told.len(), 100, "with more changed customers than a message holds, none is left out");
+    assert_eq!(
+        told.len(),
+        100,
+        "with more changed customers than a message holds, none is left out"
+    );
 }
 
 /// A rung cuts the same customers for an epoch: a refused client's retry gets the same answer.
 #[test]
 fn the_ladder_cuts_whole_customers_alike_at_all_gateways() {
     let verdicts = |me: u16| {
-        let mut s = Settings { me: GatewayNo(me), ..settings() };
+        let mut s = Settings {
+            me: GatewayNo(me),
+            ..settings()
+        };
         s.plans = vec![plan(1e6, 1e6)];
         let mut rig = Rig::with(s, 4);
         for step in 0..400u64 {
@@ -577,11 +815,16 @@
             }
             rig.pass(20_000);
         }
-        (0..40).map(|n| refused(&rig.ask(0, 0, n, 1.0).1)).collect::<Vec<_>>()
+        (0..40)
+            .map(|n| refused(&rig.ask(0, 0, n, 1.0).1))
+            .collect::<Vec<_>>()
     };
     let (here, there) = (verdicts(0), verdicts(1));
     assert_eq!(here, there);
-    assert!(here.contains(&true) && here.contains(&false), "half of amber passes on the third rung");
+    assert!(
+        here.contains(&true) && here.contains(&false),
+        "half of amber passes on the third rung"
+    );
 }
 
 /// Whom a full bound turns away is drawn by customer and epoch, not by who comes last: a retry of the unlucky
@@ -592,8 +835,14 @@
     let verdicts: Vec<bool> = (0..80).map(|n| refused(&rig.ask(0, 0, n, 1.0).1)).collect();
     let first_refused = verdicts.iter().position(|r| *r).expect("the bound is full");
     let last_taken = verdicts.iter().rposition(|r| !*r).expect("some are taken");
-    assert!(first_refused < last_taken, "the line is closed to some before it is full");
-    assert!(refused(&rig.ask(0, 0, first_refused as u64, 1.0).1), "asking again changes nothing");
+    assert!(
+        first_refused < last_taken,
+        "the line is closed to some before it is full"
+    );
+    assert!(
+        refused(&rig.ask(0, 0, first_refused as u64, 1.0).1),
+        "asking again changes nothing"
+    );
 }
 
 /// Sends `n` requests of plan 0, each answered before the next comes; how many each backend got.
@@ -615,7 +864,12 @@
 /// A gateway with so many backends in its own zone: idle ones of another come second.
 fn near(settings: Settings, backends: u64) -> Rig {
     let mut rig = Rig::with(settings, 0);
-    let list = (0..backends).map(|n| Listed { zone: 0, ..listed(n) }).collect();
+    let list = (0..backends)
+        .map(|n| Listed {
+            zone: 0,
+            ..listed(n)
+        })
+        .collect();
     rig.feed(Event::Roster(RosterKind::Full, list));
     rig
 }
@@ -623,7 +877,13 @@
 /// A choice looks at a few of many backends: all must come up, and alike.
 #[test]
 fn a_gateway_alone_uses_all_of_a_thousand_backends_evenly() {
-    let mut rig = near(Settings { gateways: 1, ..settings() }, 1_000);
+    let mut rig = near(
+        Settings {
+            gateways: 1,
+            ..settings()
+        },
+        1_000,
+    );
     let used = used(&mut rig, 20_000);
     let most = used.values().max().copied().unwrap_or(0);
     assert_eq!(used.len(), 1_000, "some got nothing of 20 requests each");
@@ -635,7 +895,14 @@
 fn a_few_gateways_together_leave_no_backend_out() {
     let mut seen = BTreeSet::new();
     for me in 0..4 {
-        let mut rig = near(Settings { gateways: 4, me: GatewayNo(me), ..settings() }, 100);
+        let mut rig = near(
+            Settings {
+                gateways: 4,
+                me: GatewayNo(me),
+                ..settings()
+            },
+            100,
+        );
         seen.extend(used(&mut rig, 2_000).into_keys());
     }
     assert_eq!(seen.len(), 100);
@@ -644,16 +911,29 @@
 /// A backend that leaves gives its place up: the next to come must not inherit what was known of it.
 #[test]
 fn a_backend_that_comes_in_place_of_another_starts_with_a_clean_record() {
-    let mut rig = Rig::with(Settings { gateways: 1, ..settings() }, 2);
+    let mut rig = Rig::with(
+        Settings {
+            gateways: 1,
+            ..settings()
+        },
+        2,
+    );
     for n in 0..12 {
         let (id, actions) = rig.ask(0, 0, n, 1.0);
         if let [backend] = sends(&actions)[..] {
-            let outcome = if backend == BackendId(0) { Outcome::Error } else { Outcome::Ok };
+            let outcome = if backend == BackendId(0) {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            };
             rig.settle(id, 0, backend, outcome);
         }
         rig.pass(20_000);
     }
-    let gone = Listed { availability: Availability::Gone, ..listed(0) };
+    let gone = Listed {
+        availability: Availability::Gone,
+        ..listed(0)
+    };
     rig.feed(Event::Roster(RosterKind::Delta, vec![gone]));
     rig.feed(Event::Roster(RosterKind::Delta, vec![listed(2)]));
     let used = used(&mut rig, 200);
@@ -665,11 +945,24 @@
 fn answer(rig: &mut Rig, id: RequestId, backend: BackendId, took: Micros) -> Vec<Action> {
     let (attempt, outcome, complete) = (0, Outcome::Ok, true);
     let (metered, charged, report) = (None, None, None);
-    rig.feed(Event::Settled { id, attempt, backend, outcome, complete, took, metered, charged, report })
+    rig.feed(Event::Settled {
+        id,
+        attempt,
+        backend,
+        outcome,
+        complete,
+        took,
+        metered,
+        charged,
+        report,
+    })
 }
 
 fn called_off(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Cancel { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Cancel { .. }))
+        .count()
 }
 
 /// Guards against calling long requests off for a third of their aim's silence: where cancelled work runs on, the
@@ -688,7 +981,11 @@
     let (id, actions) = rig.ask(0, 0, 1, 1.0);
     let backend = sends(&actions)[0];
     let meanwhile = rig.pass(440_000);
-    assert_eq!((called_off(&meanwhile), sends(&meanwhile).len()), (0, 0), "it is at work");
+    assert_eq!(
+        (called_off(&meanwhile), sends(&meanwhile).len()),
+        (0, 0),
+        "it is at work"
+    );
     answer(&mut rig, id, backend, 440_000);
     // Four out at a backend that says nothing: each of the next tenths of a second should have brought four answers.
     let mut out = Vec::new();
@@ -700,7 +997,10 @@
     out.retain(|(id, b)| *b == dead || !answer(&mut rig, *id, *b, 100_000).is_empty());
     assert!(out.len() >= 3, "{out:?}");
     let meanwhile = rig.pass(460_000);
-    assert!(called_off(&meanwhile) >= 1, "nobody was moved from a dead backend");
+    assert!(
+        called_off(&meanwhile) >= 1,
+        "nobody was moved from a dead backend"
+    );
 }
 
 /// Guards against cutting what is out, and then whole customers, because a dependency makes all backends twice as
@@ -714,7 +1014,10 @@
         for backend in sends(&actions) {
             answer(&mut rig, id, backend, took);
         }
-        assert!(!refused(&actions), "request {n} was refused on an idle fleet");
+        assert!(
+            !refused(&actions),
+            "request {n} was refused on an idle fleet"
+        );
         rig.pass(20_000);
     }
 }
@@ -733,15 +1036,24 @@
         asked.iter().filter(|a| !refused(a)).count() - sent
     };
     let (quick, slow, late) = (waiting(50_000), waiting(200_000), waiting(400_000));
-    assert!(quick > slow && slow > late, "{quick}, {slow} and {late} wait");
-    assert!(late <= 1, "with answers of 400 ms none fits behind those that are out: {late} wait");
+    assert!(
+        quick > slow && slow > late,
+        "{quick}, {slow} and {late} wait"
+    );
+    assert!(
+        late <= 1,
+        "with answers of 400 ms none fits behind those that are out: {late} wait"
+    );
 }
 
 /// Guards against taking all that peers began in half a second for still out: with answers of a tenth of that a customer
 /// under half of its cap was refused wherever it came next.
 #[test]
 fn a_cap_counts_what_peers_likely_have_out_and_not_all_that_they_began() {
-    let capped = Plan { open_cap: 3, ..plan(40.0, 80.0) };
+    let capped = Plan {
+        open_cap: 3,
+        ..plan(40.0, 80.0)
+    };
     let rig = |me| {
         let s = Settings {
             gateways: 3,
@@ -751,7 +1063,11 @@
         };
         Rig::with(s, 6)
     };
-    let mut fleet = Fleet { rigs: (0..3).map(rig).collect(), carried: 0, took: 40_000 };
+    let mut fleet = Fleet {
+        rigs: (0..3).map(rig).collect(),
+        carried: 0,
+        took: 40_000,
+    };
     // The other gateway has had answers, of other customers.
     for n in 0..20 {
         let (_, actions) = fleet.rigs[1].ask_of(0, 1, 100 + n, 1.0, 3.0);
--- a/crates/decision/tests/deployments.rs
+++ b/crates/decision/tests/deployments.rs
@@ -60,57 +60,98 @@
     let repeat = prop_oneof![
         Just(Repeat::Safe),
         Just(Repeat::Once),
-        Just(Repeat::Keyed { group: Group::All, window: 3 * S }),
-        Just(Repeat::Keyed { group: Group::Cell, window: 2 * S }),
+        Just(Repeat::Keyed {
+            group: Group::All,
+            window: 3 * S
+        }),
+        Just(Repeat::Keyed {
+            group: Group::Cell,
+            window: 2 * S
+        }),
     ];
     (8_000u64..90_000, 8u64..20, 15u64..40, repeat).prop_map(|(work, aims, patience, repeat)| {
         let aim = work * aims;
         let deadline = aim * patience / 10;
-        let class =
-            Class { aim, aim_stretch: 0.0, deadline, worth: 1.0, late_worth: 0.0, repeat, stream: false };
+        let class = Class {
+            aim,
+            aim_stretch: 0.0,
+            deadline,
+            worth: 1.0,
+            late_worth: 0.0,
+            repeat,
+            stream: false,
+        };
         (class, work)
     })
 }
 
 fn limits() -> impl Strategy<Value = Limits> {
-    (1u32..5, any::<(bool, bool, bool, bool, bool)>(), 20.0..90.0f64).prop_map(
-        |(max_attempts, (second_copies, cancel, probes, peers, retry_after), peer_in_per_s)| Limits {
-            max_attempts,
-            second_copies,
-            cancel,
-            probes,
-            peers,
-            peer_in_per_s,
-            retry_after,
-            max_retry_after: 2 * S,
-            counter: probes,
-            max_open: 20_000,
-        },
+    (
+        1u32..5,
+        any::<(bool, bool, bool, bool, bool)>(),
+        20.0..90.0f64,
     )
+        .prop_map(
+            |(max_attempts, (second_copies, cancel, probes, peers, retry_after), peer_in_per_s)| {
+                Limits {
+                    max_attempts,
+                    second_copies,
+                    cancel,
+                    probes,
+                    peers,
+                    peer_in_per_s,
+                    retry_after,
+                    max_retry_after: 2 * S,
+                    counter: probes,
+                    max_open: 20_000,
+                }
+            },
+        )
 }
 
 fn rules() -> impl Strategy<Value = Rules> {
-    (0.1..0.6f64, 4u64..20, 2.0..4.0f64, 5u64..20).prop_map(|(cold_from, cold, fall_factor, fall)| Rules {
-        answer_slack: 16_000,
-        drain_grace: 250_000,
-        cold_from,
-        cold_time: cold * S,
-        fall_factor,
-        fall_time: fall * 100_000,
-        must_ask: 10 * S,
-    })
+    (0.1..0.6f64, 4u64..20, 2.0..4.0f64, 5u64..20).prop_map(
+        |(cold_from, cold, fall_factor, fall)| Rules {
+            answer_slack: 16_000,
+            drain_grace: 250_000,
+            cold_from,
+            cold_time: cold * S,
+            fall_factor,
+            fall_time: fall * 100_000,
+            must_ask: 10 * S,
+        },
+    )
 }
 
 fn world() -> impl Strategy<Value = World> {
     let classes = prop::collection::vec(class(), 1..4);
     let plans = prop::collection::vec(plan(), 1..4);
-    let site = (1u16..5, 1u64..9, classes, plans, limits(), rules(), any::<bool>());
-    let rest = (2usize..9, 1usize..5, any::<u64>(), any::<bool>(), any::<bool>(), 1_000u64..30_000);
+    let site = (
+        1u16..5,
+        1u64..9,
+        classes,
+        plans,
+        limits(),
+        rules(),
+        any::<bool>(),
+    );
+    let rest = (
+        2usize..9,
+        1usize..5,
+        any::<u64>(),
+        any::<bool>(),
+        any::<bool>(),
+        1_000u64..30_000,
+    );
     (site, rest, 0.0..0.06f64).prop_map(|(site, rest, peer_loss)| {
         let (gateways, tick, classes, plans, limits, rules, sized) = site;
         let (backends, cores, seed, runs_on, troubled, peer_delay) = rest;
         let (classes, work): (Vec<_>, Vec<_>) = classes.into_iter().unzip();
-        let sizes = if sized { SizeMeaning::Capacity } else { SizeMeaning::None };
+        let sizes = if sized {
+            SizeMeaning::Capacity
+        } else {
+            SizeMeaning::None
+        };
         let settings = Settings {
             gateways,
             tick: tick * 1_000,
@@ -235,7 +276,11 @@
 impl Play {
     fn new(w: World) -> Play {
         let gateways = (0..w.settings.gateways).map(|n| {
-            let settings = Settings { me: GatewayNo(n), zone: (n % 2) as u8, ..w.settings.clone() };
+            let settings = Settings {
+                me: GatewayNo(n),
+                zone: (n % 2) as u8,
+                ..w.settings.clone()
+            };
             Gateway::new(settings, w.seed ^ u64::from(n), T0)
         });
         let gateways = gateways.collect();
@@ -269,7 +314,11 @@
             backend: BackendId(n as u64),
             zone: (n % 2) as u8,
             cell: (n / 2) as u16,
-            availability: if self.machines[n].drained { Availability::Draining } else { Availability::Ready },
+            availability: if self.machines[n].drained {
+                Availability::Draining
+            } else {
+                Availability::Ready
+            },
             size: 1.0,
             started,
             ..Listed::default()
@@ -278,7 +327,8 @@
 
     fn at(&mut self, delay: Micros, ev: Ev) {
         self.serial += 1;
-        self.queue.push(Reverse((self.now + delay.max(1), self.serial, ev)));
+        self.queue
+            .push(Reverse((self.now + delay.max(1), self.serial, ev)));
     }
 
     fn feed(&mut self, g: usize, event: Event) {
@@ -294,13 +344,27 @@
         match action {
             Action::Send { id, backend, .. } => self.send(g, id, backend.0 as usize),
             Action::Refuse { id, pause } => {
-                assert!(pause <= if limits.retry_after { limits.max_retry_after } else { 0 });
+                assert!(
+                    pause
+                        <= if limits.retry_after {
+                            limits.max_retry_after
+                        } else {
+                            0
+                        }
+                );
                 let a = &self.asked[&(g, id)];
                 let harmless = matches!(
                     self.w.settings.classes[a.class].repeat,
-                    Repeat::Safe | Repeat::Keyed { group: Group::All, .. }
+                    Repeat::Safe
+                        | Repeat::Keyed {
+                            group: Group::All,
+                            ..
+                        }
+                );
+                assert!(
+                    harmless || a.attempts.iter().all(|t| !t.3),
+                    "refused what may have run"
                 );
-                assert!(harmless || a.attempts.iter().all(|t| !t.3), "refused what may have run");
                 self.end(g, id, false);
             }
             Action::Fail(id) => self.end(g, id, false),
@@ -316,7 +380,14 @@
                 for to in all.filter(|n| *n != g && to.is_none_or(|t| usize::from(t.0) == *n)) {
                     if lot(&mut self.rng) >= self.w.peer_loss {
                         let delay = (lot(&mut self.rng) * self.w.peer_delay as f64) as Micros;
-                        self.at(delay, Ev::Peer { to, from: g as u16, bytes: bytes.clone() });
+                        self.at(
+                            delay,
+                            Ev::Peer {
+                                to,
+                                from: g as u16,
+                                bytes: bytes.clone(),
+                            },
+                        );
                     }
                 }
             }
@@ -330,25 +401,51 @@
     fn send(&mut self, g: usize, id: RequestId, backend: usize) {
         let now = self.now;
         let s = &self.w.settings;
-        let a = self.asked.get_mut(&(g, id)).expect("a request that was told");
+        let a = self
+            .asked
+            .get_mut(&(g, id))
+            .expect("a request that was told");
         let out = a.attempts.iter().filter(|t| t.2).count();
         assert!(!a.answered, "sent on after its answer");
-        assert!(!self.machines[backend].drained, "sent to a draining backend");
+        assert!(
+            !self.machines[backend].drained,
+            "sent to a draining backend"
+        );
         assert!(s.limits.second_copies || out == 0, "two attempts at once");
-        assert!((a.attempts.len() as u32) < s.limits.max_attempts, "more attempts than allowed");
+        assert!(
+            (a.attempts.len() as u32) < s.limits.max_attempts,
+            "more attempts than allowed"
+        );
         let earlier = a.attempts.iter().find(|t| t.3);
         match (s.classes[a.class].repeat, earlier) {
             (Repeat::Once, Some(_)) => panic!("an unsafe request is sent again"),
             (Repeat::Keyed { group, window }, Some(t)) => {
-                assert!(now <= t.1 + window, "a keyed request is sent after its window");
-                assert!(group == Group::All || t.0 / 2 == backend / 2, "a keyed request leaves its cell");
+                assert!(
+                    now <= t.1 + window,
+                    "a keyed request is sent after its window"
+                );
+                assert!(
+                    group == Group::All || t.0 / 2 == backend / 2,
+                    "a keyed request leaves its cell"
+                );
             }
             _ => {}
         }
         let plan = &s.plans[a.plan];
         if a.attempts.is_empty() && plan.ceiling_rate > 0.0 {
-            let left = take(&mut self.ceilings, a.customer, now, plan.ceiling_rate, plan.ceiling_burst, true);
-            assert!(left >= -plan.ceiling_slack - 1e-6, "{} units over a ceiling", -left);
+            let left = take(
+                &mut self.ceilings,
+                a.customer,
+                now,
+                plan.ceiling_rate,
+                plan.ceiling_burst,
+                true,
+            );
+            assert!(
+                left >= -plan.ceiling_slack - 1e-6,
+                "{} units over a ceiling",
+                -left
+            );
         }
         self.attempts += 1;
         let number = a.attempts.len() as u16;
@@ -363,7 +460,9 @@
     }
 
     fn work(&mut self, backend: usize) {
-        while self.machines[backend].running < self.w.cores && !self.machines[backend].waiting.is_empty() {
+        while self.machines[backend].running < self.w.cores
+            && !self.machines[backend].waiting.is_empty()
+        {
             let m = &mut self.machines[backend];
             let of = m.waiting.remove(0);
             m.running += 1;
@@ -372,14 +471,19 @@
             let slow = (T0 + 2 * S..T0 + 4 * S).contains(&self.now);
             // Times that vary as much as their mean, as they do in service.
             let lot = -(1.0 - lot(&mut self.rng)).ln();
-            let took = self.w.work[class] as f64 * (0.1 + 0.9 * lot) * if slow { self.w.slower } else { 1.0 };
+            let took = self.w.work[class] as f64
+                * (0.1 + 0.9 * lot)
+                * if slow { self.w.slower } else { 1.0 };
             self.at(took as Micros, Ev::Done { backend, life, of });
         }
     }
 
     /// An attempt ends without an answer.
     fn give_up(&mut self, g: usize, id: RequestId, attempt: u16, outcome: Outcome) {
-        let Some(t) = self.asked.get_mut(&(g, id)).and_then(|a| a.attempts.get_mut(usize::from(attempt)))
+        let Some(t) = self
+            .asked
+            .get_mut(&(g, id))
+            .and_then(|a| a.attempts.get_mut(usize::from(attempt)))
         else {
             panic!("an attempt that was never made is called off")
         };
@@ -388,7 +492,9 @@
         }
         let (backend, took) = (t.0, self.now - t.1);
         if !self.w.runs_on {
-            self.machines[backend].waiting.retain(|w| *w != (g, id, attempt));
+            self.machines[backend]
+                .waiting
+                .retain(|w| *w != (g, id, attempt));
         }
         self.settle(g, id, attempt, backend, outcome, took);
     }
@@ -408,13 +514,26 @@
         // In a turn of its own, as a host would tell it.
         self.feed(
             g,
-            Event::Settled { id, attempt, backend, outcome, complete, took, metered, charged, report },
+            Event::Settled {
+                id,
+                attempt,
+                backend,
+                outcome,
+                complete,
+                took,
+                metered,
+                charged,
+                report,
+            },
         );
     }
 
     fn end(&mut self, g: usize, id: RequestId, served: bool) {
         let slack = self.w.settings.rules.answer_slack;
-        let a = self.asked.get_mut(&(g, id)).expect("an answer to what was asked");
+        let a = self
+            .asked
+            .get_mut(&(g, id))
+            .expect("an answer to what was asked");
         assert!(!a.answered, "a second answer");
         assert!(self.now <= a.deadline + slack, "an answer after its time");
         a.answered = true;
@@ -439,7 +558,14 @@
         // Beyond its share a customer of a calm world asks nothing: what is refused then is the gateways' doing.
         let calm = !w.troubled;
         let most = if calm { p.rate * w.usage } else { f64::MAX };
-        if take(&mut self.quotas, customer, self.now, most.min(1e9), (p.burst * 0.25).max(1.0), false) < 0.0
+        if take(
+            &mut self.quotas,
+            customer,
+            self.now,
+            most.min(1e9),
+            (p.burst * 0.25).max(1.0),
+            false,
+        ) < 0.0
             && calm
         {
             return;
@@ -457,8 +583,17 @@
             ..Request::default()
         };
         self.inside += 1;
-        self.asked
-            .insert((g, id), Asked { class, plan, customer, deadline, answered: false, attempts: vec![] });
+        self.asked.insert(
+            (g, id),
+            Asked {
+                class,
+                plan,
+                customer,
+                deadline,
+                answered: false,
+                attempts: vec![],
+            },
+        );
         self.at(c.deadline, Ev::Deadline { gateway: g, id });
         self.feed(g, Event::Request(req));
     }
@@ -477,7 +612,11 @@
                     .asked
                     .iter()
                     .flat_map(|((g, id), a)| {
-                        let hit = a.attempts.iter().enumerate().filter(|(_, t)| t.2 && t.0 == n);
+                        let hit = a
+                            .attempts
+                            .iter()
+                            .enumerate()
+                            .filter(|(_, t)| t.2 && t.0 == n);
                         hit.map(|(k, _)| (*g, *id, k as u16)).collect::<Vec<_>>()
                     })
                     .collect();
@@ -486,7 +625,11 @@
                 }
             }
         }
-        let started = if self.machines[n].life > 0 { self.now } else { 0 };
+        let started = if self.machines[n].life > 0 {
+            self.now
+        } else {
+            0
+        };
         let listed = self.listed(n, started);
         for g in 0..self.gateways.len() {
             self.feed(g, Event::Roster(RosterKind::Delta, vec![listed]));
@@ -494,10 +637,18 @@
     }
 
     fn run(mut self, lasts: Micros) -> Play {
-        let mean: f64 = self.w.work.iter().map(|w| *w as f64).sum::<f64>() / self.w.work.len() as f64;
+        let mean: f64 =
+            self.w.work.iter().map(|w| *w as f64).sum::<f64>() / self.w.work.len() as f64;
         let rate = (self.w.backends * self.w.cores) as f64 / mean * self.w.load;
         let gap = |rng: &mut u64| (-(1.0 - lot(rng)).ln() / rate) as Micros;
-        let longest = self.w.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest = self
+            .w
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or(0);
         self.at(0, Ev::Arrive);
         if self.w.troubled {
             self.at(S, Ev::Trouble);
@@ -517,14 +668,25 @@
                 }
                 Ev::Arrive => {}
                 Ev::Timer(g) => self.feed(g, Event::Timer(0)),
-                Ev::Peer { to, from, bytes } => self.feed(to, Event::Peer { from: GatewayNo(from), bytes }),
-                Ev::Done { backend, life, of: (g, id, attempt) } => {
+                Ev::Peer { to, from, bytes } => self.feed(
+                    to,
+                    Event::Peer {
+                        from: GatewayNo(from),
+                        bytes,
+                    },
+                ),
+                Ev::Done {
+                    backend,
+                    life,
+                    of: (g, id, attempt),
+                } => {
                     if self.machines[backend].life != life {
                         continue;
                     }
                     self.machines[backend].running -= 1;
                     self.work(backend);
-                    let t = &mut self.asked.get_mut(&(g, id)).expect("asked").attempts[usize::from(attempt)];
+                    let t = &mut self.asked.get_mut(&(g, id)).expect("asked").attempts
+                        [usize::from(attempt)];
                     let (was_out, took) = (std::mem::replace(&mut t.2, false), self.now - t.1);
                     if was_out {
                         if !self.asked[&(g, id)].answered {
@@ -560,8 +722,15 @@
 }
 
 fn runner(seed: u8, cases: u32) -> TestRunner {
-    let config = Config { cases, failure_persistence: None, ..Config::default() };
-    TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]))
+    let config = Config {
+        cases,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    TestRunner::new_with_rng(
+        config,
+        TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]),
+    )
 }
 
 /// Settings that the first deployment does not have, drawn at random: every rule holds on each.
@@ -596,22 +765,32 @@
         }
         let sum = &mut sums[usize::from(w.slower > 1.0)];
         let p = Play::new(w).run(6 * S);
-        for (total, n) in sum.iter_mut().zip([p.inside, p.lost, p.attempts, p.called_off]) {
+        for (total, n) in sum
+            .iter_mut()
+            .zip([p.inside, p.lost, p.attempts, p.called_off])
+        {
             *total += n;
         }
     }
     println!("inside, lost, attempts, called off: {sums:?}");
     let share = |n: u32, of: u32| f64::from(n) / f64::from(of);
-    for ([inside, lost, attempts, called_off], most) in
-        sums.into_iter().zip([[0.012, 1.0, 0.001], [0.02, 1.0, 0.002]])
+    for ([inside, lost, attempts, called_off], most) in sums
+        .into_iter()
+        .zip([[0.012, 1.0, 0.001], [0.02, 1.0, 0.002]])
     {
         assert!(inside > 5_000, "{inside}");
-        assert!(share(lost, inside) <= most[0], "{lost} of {inside} were not served");
+        assert!(
+            share(lost, inside) <= most[0],
+            "{lost} of {inside} were not served"
+        );
         // Beyond one for each that was served; a lost one may have had one as well.
         assert!(
             share(attempts + lost, inside) <= most[1] + most[0],
             "{attempts} attempts for {inside} requests"
         );
-        assert!(share(called_off, inside) <= most[2], "{called_off} of {inside} were called off");
+        assert!(
+            share(called_off, inside) <= most[2],
+            "{called_off} of {inside} were called off"
+        );
     }
 }
--- a/crates/decision/tests/hostile.rs
+++ b/crates/decision/tests/hostile.rs
@@ -28,7 +28,10 @@
         over_worth: 0.0,
         over_cost: 1.0,
     };
-    let keyed = Repeat::Keyed { group: Group::Cell, window: 1_000_000 };
+    let keyed = Repeat::Keyed {
+        group: Group::Cell,
+        window: 1_000_000,
+    };
     Settings {
         gateways: 3,
         tick: 4_000,
@@ -57,17 +60,42 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { class: u8, plan: u16, customer: u64, units: f64, width: f64, left: Micros },
-    Settle { pick: usize, outcome: usize, unknown: bool },
+    Ask {
+        class: u8,
+        plan: u16,
+        customer: u64,
+        units: f64,
+        width: f64,
+        left: Micros,
+    },
+    Settle {
+        pick: usize,
+        outcome: usize,
+        unknown: bool,
+    },
     Withdraw(usize),
-    Peer { from: u16, bytes: Vec<u8> },
-    Roster { kind: u8, states: Vec<u8>, cold: bool },
+    Peer {
+        from: u16,
+        bytes: Vec<u8>,
+    },
+    Roster {
+        kind: u8,
+        states: Vec<u8>,
+        cold: bool,
+    },
     Pass(u64),
     Stray(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let units = prop_oneof![Just(1.0), Just(4.0), Just(0.0), Just(f64::NAN), Just(-3.0), Just(1e300)];
+    let units = prop_oneof![
+        Just(1.0),
+        Just(4.0),
+        Just(0.0),
+        Just(f64::NAN),
+        Just(-3.0),
+        Just(1e300)
+    ];
     let width = prop_oneof![Just(3.0), Just(2.0), Just(0.0), Just(f64::INFINITY)];
     prop_oneof![
         8 => (0u8..4, 0u16..3, 0u64..6, units, width, 0u64..2_000_000).prop_map(
@@ -110,12 +138,18 @@
             match action {
                 Action::Send { id, backend, .. } => {
                     assert!(!self.ended.contains(id), "sent after its end");
-                    assert!(!self.shut.contains(backend), "sent to a draining or gone backend");
+                    assert!(
+                        !self.shut.contains(backend),
+                        "sent to a draining or gone backend"
+                    );
                     assert!(!self.out.iter().any(|o| o.0 == *id), "two attempts at once");
                     let n = self.attempts.entry(*id).or_insert(0);
                     assert!(*n < 3, "more attempts than allowed");
                     let unproved = self.unproved.entry(*id).or_insert(0);
-                    assert!(self.classes[id] != 2 || *unproved == 0, "an unsafe request sent again");
+                    assert!(
+                        self.classes[id] != 2 || *unproved == 0,
+                        "an unsafe request sent again"
+                    );
                     *unproved += 1;
                     self.out.push((*id, *n, *backend));
                     *n += 1;
@@ -127,7 +161,10 @@
                 Action::Refuse { id, .. } => {
                     assert!(self.ended.insert(*id), "a second answer");
                     let unproved = self.unproved.get(id).copied().unwrap_or(0);
-                    assert!(self.classes[id] == 0 || unproved == 0, "refused what may have run");
+                    assert!(
+                        self.classes[id] == 0 || unproved == 0,
+                        "refused what may have run"
+                    );
                 }
                 Action::Fail(id) => assert!(self.ended.insert(*id), "a second answer"),
                 Action::Probe(_) | Action::Count { .. } => panic!("forbidden here"),
@@ -137,7 +174,10 @@
         // A third of the ceiling is this gateway's, from nothing at its start; widths of 2 allow a half.
         let life = (now - T0) as f64 / 1e6;
         for used in self.ceiling.values() {
-            assert!(*used <= 30.0 * life + 60.0 + 1e-6, "the ceiling's share is overdrawn");
+            assert!(
+                *used <= 30.0 * life + 60.0 + 1e-6,
+                "the ceiling's share is overdrawn"
+            );
         }
     }
 }
@@ -163,15 +203,33 @@
         backend: BackendId(n),
         zone: (n % 2) as u8,
         cell: (n % 2) as u16,
-        availability: [Availability::Ready, Availability::Draining, Availability::Gone][usize::from(state)],
+        availability: [
+            Availability::Ready,
+            Availability::Draining,
+            Availability::Gone,
+        ][usize::from(state)],
         size: 1.0,
         started,
         ..Listed::default()
     };
-    feed(&mut host, now, Event::Roster(RosterKind::Cached, (0..5).map(|n| listed(n, 0, 0)).collect()));
+    feed(
+        &mut host,
+        now,
+        Event::Roster(
+            RosterKind::Cached,
+            (0..5).map(|n| listed(n, 0, 0)).collect(),
+        ),
+    );
     for step in steps.iter().cloned() {
         match step {
-            Step::Ask { class, plan, customer, units, width, left } => {
+            Step::Ask {
+                class,
+                plan,
+                customer,
+                units,
+                width,
+                left,
+            } => {
                 let id = RequestId(next);
                 next += 1;
                 let deadline = now + left;
@@ -179,12 +237,29 @@
                 host.classes.insert(id, if class < 3 { class } else { 0 });
                 host.customers.insert(id, (plan, customer, units));
                 let customer = CustomerId(customer);
-                let req = Request { id, class, plan, customer, deadline, units, width, ..Request::default() };
+                let req = Request {
+                    id,
+                    class,
+                    plan,
+                    customer,
+                    deadline,
+                    units,
+                    width,
+                    ..Request::default()
+                };
                 feed(&mut host, now, Event::Request(req));
             }
-            Step::Settle { pick, outcome, unknown } => {
+            Step::Settle {
+                pick,
+                outcome,
+                unknown,
+            } => {
                 let outcome = outcomes[outcome];
-                let at = if host.out.is_empty() { None } else { Some(pick % host.out.len()) };
+                let at = if host.out.is_empty() {
+                    None
+                } else {
+                    Some(pick % host.out.len())
+                };
                 let (id, attempt, backend) = match at.filter(|_| !unknown) {
                     Some(at) => host.out.swap_remove(at),
                     None => (RequestId(1 << 40), 7, BackendId(77)),
@@ -219,12 +294,25 @@
                 }
                 feed(&mut host, now, Event::Withdrawn(id));
             }
-            Step::Peer { from, bytes } => feed(&mut host, now, Event::Peer { from: GatewayNo(from), bytes }),
+            Step::Peer { from, bytes } => feed(
+                &mut host,
+                now,
+                Event::Peer {
+                    from: GatewayNo(from),
+                    bytes,
+                },
+            ),
             Step::Roster { kind, states, cold } => {
-                let kind = [RosterKind::Delta, RosterKind::Full, RosterKind::Cached, RosterKind::Failed]
-                    [usize::from(kind)];
-                let list: Vec<_> =
-                    (0..).zip(&states).map(|(n, s)| listed(n, *s, if cold { now } else { 0 })).collect();
+                let kind = [
+                    RosterKind::Delta,
+                    RosterKind::Full,
+                    RosterKind::Cached,
+                    RosterKind::Failed,
+                ][usize::from(kind)];
+                let list: Vec<_> = (0..)
+                    .zip(&states)
+                    .map(|(n, s)| listed(n, *s, if cold { now } else { 0 }))
+                    .collect();
                 if kind == RosterKind::Full || kind == RosterKind::Cached {
                     host.shut = (0..6).map(BackendId).collect();
                 }
@@ -246,11 +334,38 @@
             }
             Step::Stray(n) => {
                 feed(&mut host, now, Event::Timer(n as u32));
-                feed(&mut host, now, Event::FirstByte { id: RequestId(n), attempt: n as u16 });
-                let report = Some(Report { queue: Some(f64::NAN), ..Report::default() });
+                feed(
+                    &mut host,
+                    now,
+                    Event::FirstByte {
+                        id: RequestId(n),
+                        attempt: n as u16,
+                    },
+                );
+                let report = Some(Report {
+                    queue: Some(f64::NAN),
+                    ..Report::default()
+                });
                 let (backend, outcome) = (BackendId(n), Outcome::Ok);
-                feed(&mut host, now, Event::Probed { backend, outcome, took: n, report });
-                feed(&mut host, now, Event::Counted { name: n, outcome, total: f64::NAN });
+                feed(
+                    &mut host,
+                    now,
+                    Event::Probed {
+                        backend,
+                        outcome,
+                        took: n,
+                        report,
+                    },
+                );
+                feed(
+                    &mut host,
+                    now,
+                    Event::Counted {
+                        name: n,
+                        outcome,
+                        total: f64::NAN,
+                    },
+                );
             }
         }
     }
@@ -286,8 +401,13 @@
 
 #[test]
 fn rules_hold_under_arbitrary_events_and_equal_events_give_equal_actions() {
-    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
+    let config = Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
     runner
         .run(&prop::collection::vec(step(), 1..150), |steps| {
             prop_assert_eq!(play(&steps), play(&steps));
--- a/crates/decision/tests/pools.rs
+++ b/crates/decision/tests/pools.rs
@@ -17,7 +17,10 @@
 
 /// A backend of some pools.
 fn of(n: u64, pools: &[u8]) -> Listed {
-    Listed { pools: pools.iter().fold(0, |set, p| set | 1 << (p - 1)), ..listed(n) }
+    Listed {
+        pools: pools.iter().fold(0, |set, p| set | 1 << (p - 1)),
+        ..listed(n)
+    }
 }
 
 struct World {
@@ -31,10 +34,20 @@
 
 impl World {
     fn new(pools: u8, list: Vec<Listed>) -> World {
-        let mut rig = Rig { gateway: Gateway::new(with_pools(pools), 7, T0), now: T0, next: 0 };
+        let mut rig = Rig {
+            gateway: Gateway::new(with_pools(pools), 7, T0),
+            now: T0,
+            next: 0,
+        };
         rig.feed(Event::Roster(RosterKind::Cached, list.clone()));
         rig.pass(S / 10);
-        World { rig, list, out: Vec::new(), counts: BTreeMap::new(), refused: 0 }
+        World {
+            rig,
+            list,
+            out: Vec::new(),
+            counts: BTreeMap::new(),
+            refused: 0,
+        }
     }
 
     fn note(&mut self, actions: Vec<Action>) -> Vec<BackendId> {
@@ -94,12 +107,19 @@
 
     fn relist(&mut self, change: impl Fn(&mut Listed)) {
         self.list.iter_mut().for_each(change);
-        let actions = self.rig.feed(Event::Roster(RosterKind::Full, self.list.clone()));
+        let actions = self
+            .rig
+            .feed(Event::Roster(RosterKind::Full, self.list.clone()));
         self.note(actions);
     }
 
     /// Customers in turn, each asking once and answered at once: how many went to which pool's first backend group.
-    fn spread(&mut self, tiers: &[u8], customers: u64, first: impl Fn(BackendId) -> bool) -> (usize, usize) {
+    fn spread(
+        &mut self,
+        tiers: &[u8],
+        customers: u64,
+        first: impl Fn(BackendId) -> bool,
+    ) -> (usize, usize) {
         let (mut to_first, mut others) = (0, 0);
         for customer in 0..customers {
             let (_, to) = self.ask(0, tiers, 10_000 + customer);
@@ -115,7 +135,12 @@
 }
 
 fn two_pools() -> World {
-    World::new(2, (0..8).map(|n| of(n, if n < 4 { &[1] } else { &[2] })).collect())
+    World::new(
+        2,
+        (0..8)
+            .map(|n| of(n, if n < 4 { &[1] } else { &[2] }))
+            .collect(),
+    )
 }
 
 fn in_first(b: BackendId) -> bool {
@@ -128,8 +153,17 @@
     assert_eq!(w.spread(&[1, 2], 50, in_first), (50, 0));
     assert_eq!(w.spread(&[2], 50, in_first), (0, 50));
     let (one, two) = w.spread(&[], 200, in_first);
-    assert!(one > 50 && two > 50, "without a route any will do: {one} {two}");
-    w.relist(|l| l.availability = if in_first(l.backend) { Availability::Draining } else { l.availability });
+    assert!(
+        one > 50 && two > 50,
+        "without a route any will do: {one} {two}"
+    );
+    w.relist(|l| {
+        l.availability = if in_first(l.backend) {
+            Availability::Draining
+        } else {
+            l.availability
+        }
+    });
     let (_, to) = w.ask(0, &[1], 1);
     assert_eq!(to, None, "nobody of its pool takes work");
     w.pass(5 * S);
@@ -144,7 +178,13 @@
     for n in 0..8 {
         assert!(w.ask(0, &[2], n).1.is_some());
     }
-    w.relist(|l| l.availability = if in_first(l.backend) { Availability::Draining } else { l.availability });
+    w.relist(|l| {
+        l.availability = if in_first(l.backend) {
+            Availability::Draining
+        } else {
+            l.availability
+        }
+    });
     for n in 0..40 {
         w.ask(0, &[1, 2], 100 + n);
     }
@@ -155,7 +195,10 @@
     );
     // Its own are still served at once.
     for n in 0..4 {
-        assert!(w.ask(0, &[2], 200 + n).1.is_some(), "{n}: its own found no place");
+        assert!(
+            w.ask(0, &[2], 200 + n).1.is_some(),
+            "{n}: its own found no place"
+        );
     }
     assert!(w.out.len() <= 16);
     w.pass(2 * S);
@@ -168,7 +211,13 @@
     let taken = |started| {
         let mut w = two_pools();
         w.relist(|l| l.started = if in_first(l.backend) { 0 } else { started });
-        w.relist(|l| l.availability = if in_first(l.backend) { Availability::Gone } else { l.availability });
+        w.relist(|l| {
+            l.availability = if in_first(l.backend) {
+                Availability::Gone
+            } else {
+                l.availability
+            }
+        });
         for n in 0..60 {
             w.ask(0, &[1, 2], n);
         }
@@ -186,7 +235,11 @@
     let gone = |w: &mut World, gone: bool| {
         w.relist(|l| {
             if in_first(l.backend) {
-                l.availability = if gone { Availability::Gone } else { Availability::Ready };
+                l.availability = if gone {
+                    Availability::Gone
+                } else {
+                    Availability::Ready
+                };
             }
         });
     };
@@ -207,7 +260,13 @@
 #[test]
 fn a_pool_that_fails_is_passed_over_tried_and_taken_back() {
     let mut w = two_pools();
-    let fails = |b: BackendId| if in_first(b) { Outcome::Error } else { Outcome::Ok };
+    let fails = |b: BackendId| {
+        if in_first(b) {
+            Outcome::Error
+        } else {
+            Outcome::Ok
+        }
+    };
     for n in 0..60 {
         w.ask(0, &[1, 2], n);
         w.settle_all(fails);
@@ -317,15 +376,24 @@
     for n in 0..16 {
         sent += usize::from(w.ask(0, &[2], 100 + n).1.is_some_and(in_first));
     }
-    assert_eq!(sent, 16, "all places of the second pool are free, and are those backends'");
+    assert_eq!(
+        sent, 16,
+        "all places of the second pool are free, and are those backends'"
+    );
 }
 
 /// With one pool that all backends are of, a module with pools does what one without them does, to the last action.
 #[test]
 fn one_pool_of_all_is_no_pool() {
     let run = |pools: u8, tiers: [u8; MOST_TIERS]| {
-        let mut rig = Rig { gateway: Gateway::new(with_pools(pools), 7, T0), now: T0, next: 0 };
-        let list = (0..6).map(|n| if pools > 0 { of(n, &[1]) } else { listed(n) }).collect();
+        let mut rig = Rig {
+            gateway: Gateway::new(with_pools(pools), 7, T0),
+            now: T0,
+            next: 0,
+        };
+        let list = (0..6)
+            .map(|n| if pools > 0 { of(n, &[1]) } else { listed(n) })
+            .collect();
         let mut log = vec![rig.feed(Event::Roster(RosterKind::Cached, list))];
         let (mut out, mut counts) = (Vec::new(), BTreeMap::<RequestId, u16>::new());
         for n in 0..3_000u64 {
@@ -357,7 +425,11 @@
             log.push(actions);
             while out.len() > 20 + (n % 9) as usize {
                 let (id, attempt, backend) = out.remove((n * 31 % out.len() as u64) as usize);
-                let outcome = if n % 11 == 0 { Outcome::Reset } else { Outcome::Ok };
+                let outcome = if n % 11 == 0 {
+                    Outcome::Reset
+                } else {
+                    Outcome::Ok
+                };
                 let actions = rig.settle(id, attempt, backend, outcome);
                 for a in &actions {
                     if let Action::Send { id, backend, .. } = a {
@@ -371,13 +443,21 @@
         }
         let log: Vec<Vec<Action>> = log
             .into_iter()
-            .map(|l| l.into_iter().filter(|a| !matches!(a, Action::Log(_))).collect())
+            .map(|l| {
+                l.into_iter()
+                    .filter(|a| !matches!(a, Action::Log(_)))
+                    .collect()
+            })
             .collect();
         log
     };
     let (without, with) = (run(0, [0; MOST_TIERS]), run(1, [1, 0, 0, 0]));
-    let sends =
-        |log: &[Vec<Action>]| log.iter().flatten().filter(|a| matches!(a, Action::Send { .. })).count();
+    let sends = |log: &[Vec<Action>]| {
+        log.iter()
+            .flatten()
+            .filter(|a| matches!(a, Action::Send { .. }))
+            .count()
+    };
     assert!(sends(&without) > 2_000);
     assert_eq!(without, with);
 }
--- a/crates/decision/tests/rig/mod.rs
+++ b/crates/decision/tests/rig/mod.rs
@@ -7,7 +7,15 @@
 pub const S: Micros = 1_000_000;
 
 pub fn class(repeat: Repeat) -> Class {
-    Class { aim: S, aim_stretch: 0.0, deadline: 4 * S, worth: 1.0, late_worth: 0.0, repeat, stream: false }
+    Class {
+        aim: S,
+        aim_stretch: 0.0,
+        deadline: 4 * S,
+        worth: 1.0,
+        late_worth: 0.0,
+        repeat,
+        stream: false,
+    }
 }
 
 pub fn plan(rate: f64, burst: f64) -> Plan {
@@ -26,15 +34,30 @@
 
 /// Three gateways; classes: safe, keyed by cell for 2 s, once; plans: large, small, ceiling, capped.
 pub fn settings() -> Settings {
-    let keyed = Repeat::Keyed { group: Group::Cell, window: 2 * S };
-    let ceiling = Plan { ceiling_rate: 6.0, ceiling_burst: 12.0, ..plan(100.0, 100.0) };
+    let keyed = Repeat::Keyed {
+        group: Group::Cell,
+        window: 2 * S,
+    };
+    let ceiling = Plan {
+        ceiling_rate: 6.0,
+        ceiling_burst: 12.0,
+        ..plan(100.0, 100.0)
+    };
     Settings {
         gateways: 3,
         me: GatewayNo(0),
         zone: 0,
         tick: 4_000,
         classes: vec![class(Repeat::Safe), class(keyed), class(Repeat::Once)],
-        plans: vec![plan(1e6, 1e6), plan(2.0, 6.0), ceiling, Plan { open_cap: 2, ..plan(0.0, 0.0) }],
+        plans: vec![
+            plan(1e6, 1e6),
+            plan(2.0, 6.0),
+            ceiling,
+            Plan {
+                open_cap: 2,
+                ..plan(0.0, 0.0)
+            },
+        ],
         limits: Limits {
             max_attempts: 3,
             second_copies: true,
@@ -81,8 +104,15 @@
 
 impl Rig {
     pub fn with(settings: Settings, backends: u64) -> Rig {
-        let mut rig = Rig { gateway: Gateway::new(settings, 7, T0), now: T0, next: 0 };
-        rig.feed(Event::Roster(RosterKind::Cached, (0..backends).map(listed).collect()));
+        let mut rig = Rig {
+            gateway: Gateway::new(settings, 7, T0),
+            now: T0,
+            next: 0,
+        };
+        rig.feed(Event::Roster(
+            RosterKind::Cached,
+            (0..backends).map(listed).collect(),
+        ));
         rig
     }
 
@@ -102,7 +132,13 @@
         actions
     }
 
-    pub fn ask(&mut self, class: u8, plan: u16, customer: u64, units: f64) -> (RequestId, Vec<Action>) {
+    pub fn ask(
+        &mut self,
+        class: u8,
+        plan: u16,
+        customer: u64,
+        units: f64,
+    ) -> (RequestId, Vec<Action>) {
         self.ask_of(class, plan, customer, units, 3.0)
     }
 
@@ -119,13 +155,27 @@
         let deadline = self.now + 4 * S;
         let customer = CustomerId(customer);
         let first = if width == 6.0 { 15.0 } else { 0.0 };
-        let req = Request { id, class, plan, customer, deadline, units, width, first, ..Request::default() };
+        let req = Request {
+            id,
+            class,
+            plan,
+            customer,
+            deadline,
+            units,
+            width,
+            first,
+            ..Request::default()
+        };
         (id, self.feed(Event::Request(req)))
     }
 
     /// Whether a request is still known: told once more under the same id, one that is gone is refused as too late.
     pub fn gateway_owes(&mut self, id: RequestId) -> bool {
-        let req = Request { id, deadline: 0, ..Request::default() };
+        let req = Request {
+            id,
+            deadline: 0,
+            ..Request::default()
+        };
         !refused(&self.feed(Event::Request(req)))
     }
 
@@ -151,7 +201,13 @@
 }
 
 pub fn sends(actions: &[Action]) -> Vec<BackendId> {
-    let to = |a: &Action| if let Action::Send { backend, .. } = a { Some(*backend) } else { None };
+    let to = |a: &Action| {
+        if let Action::Send { backend, .. } = a {
+            Some(*backend)
+        } else {
+            None
+        }
+    };
     actions.iter().filter_map(to).collect()
 }
 
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -25,7 +25,8 @@
     let mut sent = 0;
     for _ in 0..tries {
         let (id, actions) = rig.ask_of(0, plan, customer, 1.0, 1.0);
-        if let Some(Action::Send { backend, .. }) = actions.iter().find(|a| matches!(a, Action::Send { .. }))
+        if let Some(Action::Send { backend, .. }) =
+            actions.iter().find(|a| matches!(a, Action::Send { .. }))
         {
             sent += 1;
             rig.settle(id, 0, *backend, Outcome::Ok);
@@ -42,9 +43,17 @@
     assert_eq!(passes(&mut rig, 1, 7, 10), 6, "the burst");
     rig.pass(S); // two units at the old rate
     rig.feed(changed(&s, |s| s.plans[1] = plan(20.0, 60.0)));
-    assert_eq!(passes(&mut rig, 1, 7, 10), 2, "what the old rate had filled, and nothing more");
+    assert_eq!(
+        passes(&mut rig, 1, 7, 10),
+        2,
+        "what the old rate had filled, and nothing more"
+    );
     rig.pass(S / 2);
-    assert_eq!(passes(&mut rig, 1, 7, 30), 10, "half a second at the new one");
+    assert_eq!(
+        passes(&mut rig, 1, 7, 30),
+        10,
+        "half a second at the new one"
+    );
 }
 
 #[test]
@@ -63,16 +72,28 @@
 #[test]
 fn a_first_quota_begins_full_and_a_first_ceiling_at_nothing() {
     let mut s = alone();
-    s.plans[1] = Plan { ceiling_rate: 0.0, ceiling_burst: 0.0, ..plan(0.0, 0.0) };
+    s.plans[1] = Plan {
+        ceiling_rate: 0.0,
+        ceiling_burst: 0.0,
+        ..plan(0.0, 0.0)
+    };
     let mut rig = Rig::with(s.clone(), 4);
     rig.pass(S);
     assert_eq!(passes(&mut rig, 1, 7, 20), 20);
     rig.feed(changed(&s, |s| s.plans[1] = plan(1.0, 5.0)));
     assert_eq!(passes(&mut rig, 1, 7, 10), 5);
     rig.feed(changed(&s, |s| {
-        s.plans[1] = Plan { ceiling_rate: 4.0, ceiling_burst: 8.0, ..plan(100.0, 100.0) };
+        s.plans[1] = Plan {
+            ceiling_rate: 4.0,
+            ceiling_burst: 8.0,
+            ..plan(100.0, 100.0)
+        };
     }));
-    assert_eq!(passes(&mut rig, 1, 7, 10), 0, "what was used before the ceiling is not known");
+    assert_eq!(
+        passes(&mut rig, 1, 7, 10),
+        0,
+        "what was used before the ceiling is not known"
+    );
     rig.pass(S);
     assert_eq!(passes(&mut rig, 1, 7, 10), 4);
 }
@@ -84,14 +105,18 @@
     let mut rig = Rig::with(s.clone(), 4);
     rig.pass(S);
     let (id, actions) = rig.ask_of(2, 0, 7, 1.0, 1.0);
-    let Some(Action::Send { backend, .. }) = actions.first() else { panic!("{actions:?}") };
+    let Some(Action::Send { backend, .. }) = actions.first() else {
+        panic!("{actions:?}")
+    };
     let backend = *backend;
     rig.feed(changed(&s, |s| s.classes[2].repeat = Repeat::Safe));
     let actions = rig.settle(id, 0, backend, Outcome::Reset);
     assert_eq!(actions, [Action::Fail(id)], "it may have run");
     // One that comes now may run again.
     let (id, actions) = rig.ask_of(2, 0, 7, 1.0, 1.0);
-    let Some(Action::Send { backend, .. }) = actions.first() else { panic!("{actions:?}") };
+    let Some(Action::Send { backend, .. }) = actions.first() else {
+        panic!("{actions:?}")
+    };
     let actions = rig.settle(id, 0, *backend, Outcome::Reset);
     assert!(matches!(actions[..], [Action::Send { .. }]), "{actions:?}");
 }
@@ -101,19 +126,29 @@
     let s = alone();
     let mut rig = Rig::with(s.clone(), 4);
     rig.pass(S);
-    let open: Vec<_> = (0..3).map(|class| rig.ask_of(class, 3 - u16::from(class), 7, 1.0, 1.0)).collect();
-    rig.feed(changed(&s, |s| (s.classes.truncate(1), s.plans.truncate(1)).1));
+    let open: Vec<_> = (0..3)
+        .map(|class| rig.ask_of(class, 3 - u16::from(class), 7, 1.0, 1.0))
+        .collect();
+    rig.feed(changed(&s, |s| {
+        (s.classes.truncate(1), s.plans.truncate(1)).1
+    }));
     rig.pass(S / 10);
     for (id, actions) in open {
         if let Some(Action::Send { backend, .. }) = actions.first() {
             let actions = rig.settle(id, 0, *backend, Outcome::Ok);
-            assert!(actions.iter().all(|a| !matches!(a, Action::Send { .. })), "{actions:?}");
+            assert!(
+                actions.iter().all(|a| !matches!(a, Action::Send { .. })),
+                "{actions:?}"
+            );
         }
     }
     rig.feed(changed(&s, |s| s.classes.push(class(Repeat::Safe))));
     rig.pass(30 * S);
     let (_, actions) = rig.ask_of(3, 0, 8, 1.0, 1.0);
-    assert!(matches!(actions[..], [Action::Send { .. }]), "a new class is served: {actions:?}");
+    assert!(
+        matches!(actions[..], [Action::Send { .. }]),
+        "a new class is served: {actions:?}"
+    );
 }
 
 /// A plan that went must not count among the prices by which the ladder tells customers apart.
@@ -136,8 +171,17 @@
     s.gateways = 2;
     s.plans = vec![plan(1e6, 1e6); 80];
     s.plans[70] = plan(2.0, 12.0);
-    let mut rigs: Vec<Rig> =
-        (0..2).map(|me| Rig::with(Settings { me: GatewayNo(me), ..s.clone() }, 4)).collect();
+    let mut rigs: Vec<Rig> = (0..2)
+        .map(|me| {
+            Rig::with(
+                Settings {
+                    me: GatewayNo(me),
+                    ..s.clone()
+                },
+                4,
+            )
+        })
+        .collect();
     let mut sent = 0;
     for step in 0..400 {
         for me in 0..2 {
@@ -164,7 +208,10 @@
         }
     }
     // Four seconds at 2 a second and a burst of 12, once; two gateways that count alone would let 24 more through.
-    assert!((10..=24).contains(&sent), "{sent} sent of 20 that the quota holds");
+    assert!(
+        (10..=24).contains(&sent),
+        "{sent} sent of 20 that the quota holds"
+    );
 }
 
 /// Keeps the books over what was asked for: what is out, and what still owes an answer.
@@ -258,7 +305,11 @@
         let first = sends(&actions)[0];
         rig.feed(Event::Settings(Box::new(with(after))));
         let actions = rig.settle(id, 0, first, Outcome::Error);
-        assert_eq!(!sends(&actions).is_empty(), again, "{before} attempts, then {after}");
+        assert_eq!(
+            !sends(&actions).is_empty(),
+            again,
+            "{before} attempts, then {after}"
+        );
     }
 }
 
@@ -277,7 +328,11 @@
             None => refused += 1,
         }
     }
-    assert_eq!((sent, refused), (100, 0), "the readers of those before hold the places");
+    assert_eq!(
+        (sent, refused),
+        (100, 0),
+        "the readers of those before hold the places"
+    );
 }
 
 /// Guards against a record that is lost, or read as another, on the way to the next process: both must decide alike.
@@ -290,12 +345,25 @@
         open.extend(sends(&actions).first().map(|b| (id, *b)));
         if n % 3 == 0 {
             if let Some((id, b)) = open.pop() {
-                rig.settle(id, 0, b, if n % 5 == 0 { Outcome::Error } else { Outcome::Ok });
+                rig.settle(
+                    id,
+                    0,
+                    b,
+                    if n % 5 == 0 {
+                        Outcome::Error
+                    } else {
+                        Outcome::Ok
+                    },
+                );
             }
         }
     }
     let bytes = postcard::to_stdvec(&rig.gateway).unwrap();
-    let mut twin = Rig { gateway: postcard::from_bytes(&bytes).unwrap(), now: rig.now, next: rig.next };
+    let mut twin = Rig {
+        gateway: postcard::from_bytes(&bytes).unwrap(),
+        now: rig.now,
+        next: rig.next,
+    };
     assert_eq!(postcard::to_stdvec(&twin.gateway).unwrap(), bytes);
     for n in 0..300u64 {
         let (one, two) = (
@@ -304,11 +372,17 @@
         );
         assert_eq!(one, two, "request {n}");
         if let Some((id, b)) = open.pop() {
-            assert_eq!(rig.settle(id, 0, b, Outcome::Ok), twin.settle(id, 0, b, Outcome::Ok));
+            assert_eq!(
+                rig.settle(id, 0, b, Outcome::Ok),
+                twin.settle(id, 0, b, Outcome::Ok)
+            );
         }
     }
     for cut in 0..bytes.len().min(400) {
-        assert!(postcard::from_bytes::<Gateway>(&bytes[..cut]).is_err(), "cut at {cut}");
+        assert!(
+            postcard::from_bytes::<Gateway>(&bytes[..cut]).is_err(),
+            "cut at {cut}"
+        );
     }
 }
 
@@ -336,7 +410,10 @@
             told.extend(actions);
         }
         let to_home = |a| match a {
-            Action::Tell { to: Some(GatewayNo(0)), bytes } => Some(bytes),
+            Action::Tell {
+                to: Some(GatewayNo(0)),
+                bytes,
+            } => Some(bytes),
             _ => None,
         };
         told.into_iter().filter_map(to_home)
@@ -346,13 +423,23 @@
         let messages: Vec<Vec<u8>> = told(words).collect();
         assert!(messages.len() > 10, "{} messages", messages.len());
         for bytes in messages {
-            rig.feed(Event::Peer { from: GatewayNo(3), bytes });
+            rig.feed(Event::Peer {
+                from: GatewayNo(3),
+                bytes,
+            });
         }
         (rig.gateway.in_rotation(), rig.gateway.in_use()[1].customers)
     };
     let (alike, customers) = heard([1, 1]);
-    assert!(alike < 4 && customers > 0, "{alike} in rotation, {customers} customers: the test shows nothing");
-    assert_eq!(heard([2, 1]), (alike.max(4), customers), "another class's failures count");
+    assert!(
+        alike < 4 && customers > 0,
+        "{alike} in rotation, {customers} customers: the test shows nothing"
+    );
+    assert_eq!(
+        heard([2, 1]),
+        (alike.max(4), customers),
+        "another class's failures count"
+    );
     assert_eq!(heard([1, 2]), (alike, 0), "another plan's use counts");
 }
 
@@ -363,14 +450,19 @@
         let mut rig = Rig::with(settings(), 2);
         for n in 0..12 {
             let (id, actions) = rig.ask(0, 0, n, 1.0);
-            let Some(first) = sends(&actions).first().copied() else { continue };
+            let Some(first) = sends(&actions).first().copied() else {
+                continue;
+            };
             let mut again = Some((0, first));
             while let Some((attempt, backend)) = again {
                 let actions = rig.settle(id, attempt, backend, Outcome::Error);
                 again = sends(&actions).first().map(|b| (attempt + 1, *b));
             }
         }
-        assert!(rig.gateway.in_rotation() < 2, "nothing rests: the test shows nothing");
+        assert!(
+            rig.gateway.in_rotation() < 2,
+            "nothing rests: the test shows nothing"
+        );
         rig.feed(changed(&settings(), |s| s.classes[0].repeat = effect));
         assert_eq!(rig.gateway.in_rotation() < 2, rested, "{effect:?}");
     }
--- a/crates/decision/tests/size.rs
+++ b/crates/decision/tests/size.rs
@@ -8,9 +8,21 @@
 
 /// Three plans: small with a quota, one with a ceiling beside it, and one without limits that matter.
 fn settings(gateways: u16) -> Settings {
-    let plan = |rate, burst| Plan { over_cost: 0.8, ..rig::plan(rate, burst) };
-    let ceiling = Plan { ceiling_rate: 8.0, ceiling_burst: 16.0, ceiling_slack: 1.6, ..plan(4.0, 8.0) };
-    let class = Class { aim: S / 2, deadline: 2 * S, ..rig::class(Repeat::Safe) };
+    let plan = |rate, burst| Plan {
+        over_cost: 0.8,
+        ..rig::plan(rate, burst)
+    };
+    let ceiling = Plan {
+        ceiling_rate: 8.0,
+        ceiling_burst: 16.0,
+        ceiling_slack: 1.6,
+        ..plan(4.0, 8.0)
+    };
+    let class = Class {
+        aim: S / 2,
+        deadline: 2 * S,
+        ..rig::class(Repeat::Safe)
+    };
     Settings {
         gateways,
         tick: 4_000,
@@ -42,7 +54,15 @@
 
 fn plot(gateways: u16, customers: Vec<(u16, f64)>) -> Plot {
     let width = (gateways * 7 / 10).max(1);
-    Plot { settings: settings(gateways), backends: 60, loss: 0.07, customers, width, work: S / 10, seed: 11 }
+    Plot {
+        settings: settings(gateways),
+        backends: 60,
+        loss: 0.07,
+        customers,
+        width,
+        work: S / 10,
+        seed: 11,
+    }
 }
 
 /// Guards against cold backends that nobody uses: a hundred gateways drew for each of them who might send it one, so
@@ -55,15 +75,30 @@
     world.replace(28..60);
     let start = world.now;
     world.run(4 * S);
-    let within = |n: &usize| world.servers[*n].came.iter().filter(|t| **t >= start).count();
-    let (warm, cold) =
-        ((0..28).map(|n| within(&n)).sum::<usize>(), (28..60).map(|n| within(&n)).sum::<usize>());
+    let within = |n: &usize| {
+        world.servers[*n]
+            .came
+            .iter()
+            .filter(|t| **t >= start)
+            .count()
+    };
+    let (warm, cold) = (
+        (0..28).map(|n| within(&n)).sum::<usize>(),
+        (28..60).map(|n| within(&n)).sum::<usize>(),
+    );
     // At a third to two thirds of a warm one's speed: 32 of them are worth about half as much as the 28.
-    assert!(cold * 4 > warm, "{cold} to 32 cold ones, {warm} to 28 warm ones");
+    assert!(
+        cold * 4 > warm,
+        "{cold} to 32 cold ones, {warm} to 28 warm ones"
+    );
     // Two cores at 0.3 of their speed do 6 a second of what takes 100 ms; four times that for a second is too much.
     let most = (28..60).map(|n| world.most_within(n, S)).max().unwrap_or(0);
     assert!(most < 24, "{most} within a second at one cold backend");
-    assert!(world.in_time - before > 1_500, "{} of some 2,400 in time", world.in_time - before);
+    assert!(
+        world.in_time - before > 1_500,
+        "{} of some 2,400 in time",
+        world.in_time - before
+    );
 }
 
 /// Guards against gateways that each keep to their part of a cold backend's budget and pass it together: by chance, since each has
@@ -73,13 +108,26 @@
 fn the_sum_of_what_cold_backends_get_keeps_to_their_budget_at_any_size() {
     let mut seen = Vec::new();
     // With more gateways than places each may still have one out: the bound on what is out does not keep a budget there.
-    for (gateways, backends) in [(3u16, 12u64), (10, 12), (30, 12), (300, 60), (300, 12), (300, 6)] {
+    for (gateways, backends) in [
+        (3u16, 12u64),
+        (10, 12),
+        (30, 12),
+        (300, 60),
+        (300, 12),
+        (300, 6),
+    ] {
         for (work, loss) in [(S / 10, 0.07), (S / 10, 0.5), (S * 4 / 10, 0.07)] {
             // Three times what all can do once they are warm, each customer through a few gateways.
             let rate = 3.0 * 20.0 * (S / 10) as f64 / work as f64;
             let customers = vec![(2, rate / 4.0); backends as usize * 4];
             let width = (gateways / 10).max(2);
-            let plot = Plot { backends, loss, work, width, ..plot(gateways, customers) };
+            let plot = Plot {
+                backends,
+                loss,
+                work,
+                width,
+                ..plot(gateways, customers)
+            };
             let mut world = World::new(plot);
             world.run(2 * S);
             // All but a sixth: those that are warm cannot take the place of the others, and the cold ones are pressed.
@@ -87,9 +135,13 @@
             world.replace(cold.clone());
             world.run(S);
             // A third of the gateways leaves, and comes back knowing nothing.
-            (0..usize::from(gateways)).step_by(3).for_each(|g| world.kill(g));
+            (0..usize::from(gateways))
+                .step_by(3)
+                .for_each(|g| world.kill(g));
             world.run(S);
-            (0..usize::from(gateways)).step_by(3).for_each(|g| world.start(g));
+            (0..usize::from(gateways))
+                .step_by(3)
+                .for_each(|g| world.start(g));
             world.run(4 * S);
             for n in cold {
                 let (came, budget) = world.fullest_cold_window(n);
@@ -104,8 +156,17 @@
     }
     let fullest = seen.iter().max_by(|a, b| a.0.total_cmp(&b.0)).unwrap();
     for g in [3, 10, 30, 300] {
-        let of = seen.iter().filter(|s| s.3 == g).max_by(|a, b| a.0.total_cmp(&b.0)).unwrap();
-        println!("{g} gateways: {} of {:.1} allowed at a budget of {:.1}", of.1, of.1 as f64 / of.0, of.2);
+        let of = seen
+            .iter()
+            .filter(|s| s.3 == g)
+            .max_by(|a, b| a.0.total_cmp(&b.0))
+            .unwrap();
+        println!(
+            "{g} gateways: {} of {:.1} allowed at a budget of {:.1}",
+            of.1,
+            of.1 as f64 / of.0,
+            of.2
+        );
     }
     // They are pressed, or the bound would hold for want of trying: without a budget 26 of 17.8 came.
     assert!(fullest.0 > 0.5, "{fullest:?}");
@@ -117,19 +178,35 @@
 #[test]
 fn ceilings_fill_while_requests_wait_and_hold_through_loss_and_restarts() {
     for (loss, least) in [(0.07, 0.55), (0.3, 0.4)] {
-        let mut world = World::new(Plot { loss, ..plot(100, vec![(1, 2.0); 150]) });
+        let mut world = World::new(Plot {
+            loss,
+            ..plot(100, vec![(1, 2.0); 150])
+        });
         world.run(2 * S);
         let share = world.in_time as f64 / world.asked as f64;
-        assert!(share > least, "{share} of the requests of the first two seconds with {loss} lost");
+        assert!(
+            share > least,
+            "{share} of the requests of the first two seconds with {loss} lost"
+        );
         // Some ask for far more than their ceiling.
-        world.plot.customers.iter_mut().step_by(5).for_each(|c| c.1 = 20.0);
+        world
+            .plot
+            .customers
+            .iter_mut()
+            .step_by(5)
+            .for_each(|c| c.1 = 20.0);
         world.run(3 * S);
         (0..100).step_by(2).for_each(|g| world.kill(g));
         world.run(S);
         (0..100).step_by(2).for_each(|g| world.start(g));
         world.run(3 * S);
-        let worst = (0..150).map(|c| world.beyond(c, 8.0, 16.0)).fold(0.0, f64::max);
-        assert!(worst <= 1.6, "{worst} units beyond a ceiling with {loss} lost");
+        let worst = (0..150)
+            .map(|c| world.beyond(c, 8.0, 16.0))
+            .fold(0.0, f64::max);
+        assert!(
+            worst <= 1.6,
+            "{worst} units beyond a ceiling with {loss} lost"
+        );
     }
 }
 
@@ -143,7 +220,10 @@
         let mut world = World::new(plot(gateways, customers));
         world.run(6 * S);
         let sent = world.messages as f64 / 6.0 / f64::from(gateways);
-        assert!(sent <= 34.0, "{sent} messages a second from each of {gateways}");
+        assert!(
+            sent <= 34.0,
+            "{sent} messages a second from each of {gateways}"
+        );
         let lost = 1.0 - world.delivered as f64 / world.messages as f64;
         assert!(lost <= 0.17, "{lost} of the messages lost among {gateways}");
     }
@@ -165,14 +245,21 @@
 fn a_silent_zone_is_found_out_together() {
     let mut world = World::new(plot(100, vec![(2, 6.0); 60]));
     world.run(2 * S);
-    (0..60).step_by(2).for_each(|n| world.servers[n].silent = true);
+    (0..60)
+        .step_by(2)
+        .for_each(|n| world.servers[n].silent = true);
     world.run(2 * S);
     let start = world.now;
     let (asked, in_time) = (world.asked, world.in_time);
     world.run(2 * S);
-    let lost: usize =
-        (0..60).step_by(2).map(|n| world.servers[n].came.iter().filter(|t| **t > start).count()).sum();
-    assert!(lost < 60, "{lost} attempts at a zone that has been silent for two seconds, in two more");
+    let lost: usize = (0..60)
+        .step_by(2)
+        .map(|n| world.servers[n].came.iter().filter(|t| **t > start).count())
+        .sum();
+    assert!(
+        lost < 60,
+        "{lost} attempts at a zone that has been silent for two seconds, in two more"
+    );
     let share = (world.in_time - in_time) as f64 / (world.asked - asked) as f64;
     assert!(share > 0.8, "{share} in time with half of the backends");
 }
@@ -185,15 +272,28 @@
     let mut world = World::new(plot(100, vec![(2, 10.0); 60]));
     world.run(6 * S);
     let spread: Vec<usize> = world.servers.iter().map(|s| s.from.len()).collect();
-    let (all, least, most) = (spread.iter().sum::<usize>(), spread.iter().min(), spread.iter().max());
+    let (all, least, most) = (
+        spread.iter().sum::<usize>(),
+        spread.iter().min(),
+        spread.iter().max(),
+    );
     assert!(all <= 100 * 14, "{all} pairs of a gateway and a backend");
-    assert!(least >= Some(&7) && most <= Some(&36), "between {least:?} and {most:?} gateways at a backend");
+    assert!(
+        least >= Some(&7) && most <= Some(&36),
+        "between {least:?} and {most:?} gateways at a backend"
+    );
     let before: Vec<_> = world.servers[..24].iter().map(|s| s.from.clone()).collect();
     world.replace(24..60);
     world.run(4 * S);
-    let stayed =
-        world.servers[..24].iter().zip(&before).map(|(s, b)| s.from.difference(b).count()).sum::<usize>();
-    assert!(stayed <= 100, "{stayed} new pairs with backends that were not replaced");
+    let stayed = world.servers[..24]
+        .iter()
+        .zip(&before)
+        .map(|(s, b)| s.from.difference(b).count())
+        .sum::<usize>();
+    assert!(
+        stayed <= 100,
+        "{stayed} new pairs with backends that were not replaced"
+    );
 }
 
 /// Guards against customers far inside their quotas that are refused where a message is lost: the word of the home that
@@ -203,7 +303,10 @@
     let mut world = World::new(plot(100, vec![(0, 0.5); 1600]));
     world.run(10 * S);
     let share = world.refused as f64 / world.asked as f64;
-    assert!(share < 0.05, "{share} refused of what is a third of the quotas");
+    assert!(
+        share < 0.05,
+        "{share} refused of what is a third of the quotas"
+    );
 }
 
 /// Guards against messages to peers that a site does not allow: a home that was not asked passed for a silent one.
--- a/crates/decision/tests/world/mod.rs
+++ b/crates/decision/tests/world/mod.rs
@@ -144,7 +144,10 @@
     /// Starts a gateway from nothing, with the list as it is now.
     pub fn start(&mut self, g: usize) {
         self.lives[g] += 1;
-        let settings = Settings { me: GatewayNo(g as u16), ..self.plot.settings.clone() };
+        let settings = Settings {
+            me: GatewayNo(g as u16),
+            ..self.plot.settings.clone()
+        };
         let seed = (self.draw() * 1e15) as u64;
         self.gateways[g] = Some(Gateway::new(settings, seed, self.now));
         let list = self.list.clone();
@@ -160,22 +163,32 @@
     /// Some backends start anew, cold, and every gateway hears so within half a second.
     pub fn replace(&mut self, which: std::ops::Range<usize>) {
         for n in which.clone() {
-            self.servers[n] = Server { started: self.now, ..Server::default() };
+            self.servers[n] = Server {
+                started: self.now,
+                ..Server::default()
+            };
             self.list[n].started = self.now;
         }
         let news: Vec<Listed> = self.list[which].to_vec();
         for g in 0..self.gateways.len() {
             let late = (self.draw() * S as f64 / 2.0) as Micros;
-            self.at(late, self.lives[g], Happens::Listed(g, RosterKind::Delta, news.clone()));
+            self.at(
+                late,
+                self.lives[g],
+                Happens::Listed(g, RosterKind::Delta, news.clone()),
+            );
         }
     }
 
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some(Reverse((at, number))) = self.queue.peek().copied().filter(|e| e.0 .0 <= end) {
+        while let Some(Reverse((at, number))) = self.queue.peek().copied().filter(|e| e.0 .0 <= end)
+        {
             self.queue.pop();
             self.now = at;
-            let Some((life, what)) = self.events.remove(&number) else { continue };
+            let Some((life, what)) = self.events.remove(&number) else {
+                continue;
+            };
             self.happen(life, what);
         }
         self.now = end;
@@ -198,7 +211,13 @@
                 inbox.1 += 1.0;
                 if inbox.1 <= most && self.gateways[to].is_some() {
                     self.delivered += 1;
-                    self.feed(to, Event::Peer { from: GatewayNo(from as u16), bytes });
+                    self.feed(
+                        to,
+                        Event::Peer {
+                            from: GatewayNo(from as u16),
+                            bytes,
+                        },
+                    );
                 }
             }
             Happens::Worked(n, number) => self.worked(n, number),
@@ -220,7 +239,16 @@
         let class = 0;
         let deadline = self.now + self.plot.settings.classes[class].deadline;
         let (customer, width, first) = (CustomerId(1000 + c as u64), width as f64, first as f64);
-        let req = Request { id, plan, customer, deadline, units: 1.0, width, first, ..Request::default() };
+        let req = Request {
+            id,
+            plan,
+            customer,
+            deadline,
+            units: 1.0,
+            width,
+            first,
+            ..Request::default()
+        };
         self.asked += 1;
         self.whose.insert(id, c);
         self.arrived.insert(id, self.now);
@@ -228,7 +256,9 @@
     }
 
     fn feed(&mut self, g: usize, event: Event) {
-        let Some(gateway) = &mut self.gateways[g] else { return };
+        let Some(gateway) = &mut self.gateways[g] else {
+            return;
+        };
         let mut actions = Vec::new();
         gateway.handle(self.now, event, &mut actions);
         for action in actions {
@@ -239,7 +269,10 @@
     fn carry_out(&mut self, g: usize, action: Action) {
         match action {
             Action::SetTimer { delay, .. } => self.at(delay, self.lives[g], Happens::Wake(g)),
-            Action::Tell { to: Some(to), bytes } => {
+            Action::Tell {
+                to: Some(to),
+                bytes,
+            } => {
                 self.messages += 1;
                 if self.draw() >= self.plot.loss {
                     let late = 1_600 + (self.draw() * 20_000.0) as Micros;
@@ -257,8 +290,14 @@
                 }
                 self.next += 1;
                 let (number, gateway, sent) = (self.next, (g, self.lives[g]), self.now);
-                let job =
-                    Job { number, gateway, id, attempt: self.attempts[&(g, id)] - 1, sent, gone: false };
+                let job = Job {
+                    number,
+                    gateway,
+                    id,
+                    attempt: self.attempts[&(g, id)] - 1,
+                    sent,
+                    gone: false,
+                };
                 let n = backend.0 as usize;
                 self.servers[n].came.push(self.now);
                 self.servers[n].from.insert(g);
@@ -267,9 +306,16 @@
             }
             Action::Cancel { id, attempt } => {
                 for server in &mut self.servers {
-                    let same = |j: &&mut Job| j.gateway.0 == g && j.id == id && j.attempt == attempt;
-                    server.at_work.iter_mut().filter(same).for_each(|j| j.gone = true);
-                    server.line.retain(|j| !(j.gateway.0 == g && j.id == id && j.attempt == attempt));
+                    let same =
+                        |j: &&mut Job| j.gateway.0 == g && j.id == id && j.attempt == attempt;
+                    server
+                        .at_work
+                        .iter_mut()
+                        .filter(same)
+                        .for_each(|j| j.gone = true);
+                    server
+                        .line
+                        .retain(|j| !(j.gateway.0 == g && j.id == id && j.attempt == attempt));
                 }
                 let event = settled(id, attempt, BackendId(0), Outcome::Cancelled, 0);
                 self.at(0, self.lives[g], Happens::Settled(g, event));
@@ -290,7 +336,9 @@
 
     fn work(&mut self, n: usize) {
         while !self.servers[n].silent && self.servers[n].at_work.len() < 2 {
-            let Some(job) = self.servers[n].line.pop_front() else { return };
+            let Some(job) = self.servers[n].line.pop_front() else {
+                return;
+            };
             let lasts = self.draw() + 0.5;
             let span = (self.plot.work as f64 * lasts / self.warmth(n)) as Micros;
             self.at(span, 0, Happens::Worked(n, job.number));
@@ -299,7 +347,13 @@
     }
 
     fn worked(&mut self, n: usize, number: u64) {
-        let Some(at) = self.servers[n].at_work.iter().position(|j| j.number == number) else { return };
+        let Some(at) = self.servers[n]
+            .at_work
+            .iter()
+            .position(|j| j.number == number)
+        else {
+            return;
+        };
         let job = self.servers[n].at_work.remove(at);
         let (g, life) = job.gateway;
         if !job.gone && !self.servers[n].silent && self.lives[g] == life {
@@ -330,14 +384,22 @@
         let (rules, server) = (&self.plot.settings.rules, &self.servers[n]);
         let (span, mut fullest) = (rules.fall_time, (0, 1.0));
         let mut most = f64::MIN;
-        for (at, began) in server.came.iter().enumerate().filter(|(_, t)| **t >= server.started) {
+        for (at, began) in server
+            .came
+            .iter()
+            .enumerate()
+            .filter(|(_, t)| **t >= server.started)
+        {
             let age = (began - server.started) as f64 / rules.cold_time as f64;
             if age >= 1.0 {
                 break;
             }
             let warmth = rules.cold_from + (1.0 - rules.cold_from) * age;
             let budget = rules.fall_factor * 2.0 * warmth * span as f64 / self.plot.work as f64;
-            let came = server.came[at..].iter().take_while(|t| **t < began + span).count();
+            let came = server.came[at..]
+                .iter()
+                .take_while(|t| **t < began + span)
+                .count();
             let beyond = came as f64 - budget - 2.0 * budget.sqrt() - 2.0;
             if beyond > most {
                 (most, fullest) = (beyond, (came, budget));
@@ -349,18 +411,45 @@
     /// The most requests that came to a backend in any span of this length.
     pub fn most_within(&self, n: usize, span: Micros) -> usize {
         let came = &self.servers[n].came;
-        let within = |at: usize| came[at..].iter().take_while(|t| **t < came[at] + span).count();
+        let within = |at: usize| {
+            came[at..]
+                .iter()
+                .take_while(|t| **t < came[at] + span)
+                .count()
+        };
         (0..came.len()).map(within).max().unwrap_or(0)
     }
 }
 
-fn settled(id: RequestId, attempt: u16, backend: BackendId, outcome: Outcome, took: Micros) -> Event {
+fn settled(
+    id: RequestId,
+    attempt: u16,
+    backend: BackendId,
+    outcome: Outcome,
+    took: Micros,
+) -> Event {
     let complete = outcome == Outcome::Ok;
     let (metered, charged, report) = (None, None, None);
-    Event::Settled { id, attempt, backend, outcome, complete, took, metered, charged, report }
+    Event::Settled {
+        id,
+        attempt,
+        backend,
+        outcome,
+        complete,
+        took,
+        metered,
+        charged,
+        report,
+    }
 }
 
 fn listed(n: u64) -> Listed {
     let (zone, cell) = ((n % 2) as u8, (n / 4) as u16);
-    Listed { backend: BackendId(n), zone, cell, size: 1.0, ..Listed::default() }
+    Listed {
+        backend: BackendId(n),
+        zone,
+        cell,
+        size: 1.0,
+        ..Listed::default()
+    }
 }
--- a/crates/dial/src/lib.rs
+++ b/crates/dial/src/lib.rs
@@ -47,8 +47,9 @@
             }
             Some(path) => Ok(Address::Unix(path.into())),
             None => {
-                let at: SocketAddr =
-                    text.parse().map_err(|_| format!("\"{text}\" is neither IP:PORT nor unix:PATH"))?;
+                let at: SocketAddr = text
+                    .parse()
+                    .map_err(|_| format!("\"{text}\" is neither IP:PORT nor unix:PATH"))?;
                 if at.port() == 0 {
                     return Err(format!("\"{text}\" has no port"));
                 }
@@ -107,7 +108,11 @@
         for place in places {
             if self.0.iter().all(|l| l.place != place) {
                 let known = old.iter().find(|l| l.place == place).cloned();
-                self.0.push(known.unwrap_or(Line { place, strikes: 0, rests_until: 0 }));
+                self.0.push(known.unwrap_or(Line {
+                    place,
+                    strikes: 0,
+                    rests_until: 0,
+                }));
             }
         }
         went
@@ -136,7 +141,8 @@
             families[usize::from(line.place.family())].push(line);
         }
         let longest = families.iter().map(Vec::len).max().unwrap_or(0);
-        let turns = (0..longest).flat_map(|n| families.iter().filter_map(move |f| f.get(n).copied()));
+        let turns =
+            (0..longest).flat_map(|n| families.iter().filter_map(move |f| f.get(n).copied()));
         let mut order: Vec<Address> = turns.map(|l| l.place.clone()).collect();
         let mut resting: Vec<&Line> = self.0.iter().filter(rests).collect();
         resting.sort_by_key(|l| l.rests_until);
@@ -146,7 +152,9 @@
 
     /// Notes how an address fared.
     pub fn note(&mut self, place: &Address, fared: Fared, now: Micros) {
-        let Some(line) = self.0.iter_mut().find(|l| l.place == *place) else { return };
+        let Some(line) = self.0.iter_mut().find(|l| l.place == *place) else {
+            return;
+        };
         match fared {
             Fared::Well => (line.strikes, line.rests_until) = (0, 0),
             Fared::Unreached | Fared::Silent => {
@@ -182,7 +190,11 @@
     /// Over addresses in their order, each of which may take so long to come up.
     pub fn new(mut order: Vec<Address>, within: Micros, now: Micros) -> Race {
         order.reverse();
-        Race { left: order, delay: (within / DELAY_PART).clamp(DELAY.0, DELAY.1), next_at: now }
+        Race {
+            left: order,
+            delay: (within / DELAY_PART).clamp(DELAY.0, DELAY.1),
+            next_at: now,
+        }
     }
 
     /// What is to be done now.
@@ -229,9 +241,16 @@
 
     #[test]
     fn what_is_no_address_is_told() {
-        for text in
-            ["", "localhost:80", "127.0.0.1", "127.0.0.1:0", "unix:", "unix:run/x", "unix:/run/", "[::1]:0"]
-        {
+        for text in [
+            "",
+            "localhost:80",
+            "127.0.0.1",
+            "127.0.0.1:0",
+            "unix:",
+            "unix:run/x",
+            "unix:/run/",
+            "[::1]:0",
+        ] {
             assert!(Address::read(text).is_err(), "{text}");
         }
         assert!(Address::read(&format!("unix:/{}", "x".repeat(100))).is_err());
@@ -242,12 +261,36 @@
 
     #[test]
     fn families_take_turns_and_what_failed_comes_last_for_a_while() {
-        let mut b = book(&["127.0.0.1:1", "127.0.0.2:1", "[::1]:1", "unix:/a", "[::2]:1"]);
-        assert_eq!(order(&b, 0), ["unix:/a", "[::1]:1", "127.0.0.1:1", "[::2]:1", "127.0.0.2:1"]);
+        let mut b = book(&[
+            "127.0.0.1:1",
+            "127.0.0.2:1",
+            "[::1]:1",
+            "unix:/a",
+            "[::2]:1",
+        ]);
+        assert_eq!(
+            order(&b, 0),
+            [
+                "unix:/a",
+                "[::1]:1",
+                "127.0.0.1:1",
+                "[::2]:1",
+                "127.0.0.2:1"
+            ]
+        );
         b.note(&place("unix:/a"), Fared::Unreached, 0);
         b.note(&place("[::1]:1"), Fared::Silent, 0);
         b.note(&place("[::1]:1"), Fared::Silent, 0);
-        assert_eq!(order(&b, 1), ["[::2]:1", "127.0.0.1:1", "127.0.0.2:1", "unix:/a", "[::1]:1"]);
+        assert_eq!(
+            order(&b, 1),
+            [
+                "[::2]:1",
+                "127.0.0.1:1",
+                "127.0.0.2:1",
+                "unix:/a",
+                "[::1]:1"
+            ]
+        );
         assert_eq!(order(&b, REST)[0], "unix:/a", "it rested for its time");
         b.note(&place("[::1]:1"), Fared::Well, REST);
         assert_eq!(order(&b, REST)[1], "[::1]:1", "it answered");
@@ -259,12 +302,18 @@
             place("127.0.0.2:1"),
             place("[::2]:1")
         ]));
-        assert!(b.update(vec![place("unix:/b")]) && b.only().is_some() && !b.has(&place("unix:/a")));
+        assert!(
+            b.update(vec![place("unix:/b")]) && b.only().is_some() && !b.has(&place("unix:/a"))
+        );
     }
 
     #[test]
     fn a_race_begins_one_after_the_other_and_at_once_behind_a_failure() {
-        let mut race = Race::new(book(&["127.0.0.1:1", "[::1]:1", "unix:/a"]).order(0), 200_000, 5);
+        let mut race = Race::new(
+            book(&["127.0.0.1:1", "[::1]:1", "unix:/a"]).order(0),
+            200_000,
+            5,
+        );
         assert_eq!(race.next(5), Next::Begin(place("unix:/a")));
         assert_eq!(race.next(6), Next::Wait(50_005));
         race.failed(7);
--- a/crates/fleet/src/arrivals.rs
+++ b/crates/fleet/src/arrivals.rs
@@ -72,7 +72,10 @@
 
     /// The index of an account's plan.
     pub fn plan(&self, account: u32) -> usize {
-        pick(self.shares.iter().copied(), lot(self.seed, &[1, u64::from(account)]))
+        pick(
+            self.shares.iter().copied(),
+            lot(self.seed, &[1, u64::from(account)]),
+        )
     }
 
     /// How many ingresses an account's requests come through, and the first of them.
@@ -80,13 +83,17 @@
         let (low, high) = (f64::from(self.spread.0), f64::from(self.spread.1));
         let width = low + lot(self.seed, &[2, u64::from(account)]) * (high - low + 1.0);
         let first = lot(self.seed, &[3, u64::from(account)]) * self.ingresses as f64;
-        ((width as u16).clamp(self.spread.0, self.spread.1), first as u16)
+        (
+            (width as u16).clamp(self.spread.0, self.spread.1),
+            first as u16,
+        )
     }
 
     /// How much an account asks for, beside others.
     fn weight(&self, account: u32) -> f64 {
         let heavy = lot(self.seed, &[4, u64::from(account)]) < self.heavy;
-        (0.25 + lot(self.seed, &[5, u64::from(account)])) * if heavy { self.heavy_factor } else { 1.0 }
+        (0.25 + lot(self.seed, &[5, u64::from(account)]))
+            * if heavy { self.heavy_factor } else { 1.0 }
     }
 
     /// The ingresses of an account's set, the one that a request takes first, then the others in the order in which
@@ -137,7 +144,13 @@
     }
 
     /// Those of a few accounts that a fault makes hot, or of accounts seen once, from a time on.
-    pub fn extra(s: &Scenario, from: Micros, lasts: Micros, rate: f64, hot: Option<u32>) -> Vec<Arrival> {
+    pub fn extra(
+        s: &Scenario,
+        from: Micros,
+        lasts: Micros,
+        rate: f64,
+        hot: Option<u32>,
+    ) -> Vec<Arrival> {
         let mut rng = Rng::with_seed(s.seed ^ from ^ 0xE47A);
         let mut at = from as f64;
         let mut list = Vec::new();
@@ -152,7 +165,11 @@
                 None => ONCE + (from / 100_000 % 10_000) as u32 * 100_000 + list.len() as u32,
             };
             let class = pick(s.classes.iter().map(|c| c.share), rng.f64());
-            list.push(Arrival { at: at as Micros, account, class });
+            list.push(Arrival {
+                at: at as Micros,
+                account,
+                class,
+            });
         }
     }
 }
@@ -166,8 +183,15 @@
             return None;
         }
         let draw = self.rng.f64() * self.sums.last().copied().unwrap_or(1.0);
-        let account = self.sums.partition_point(|s| *s <= draw).min(self.sums.len() - 1) as u32;
+        let account = self
+            .sums
+            .partition_point(|s| *s <= draw)
+            .min(self.sums.len() - 1) as u32;
         let class = pick(self.shares.iter().copied(), self.rng.f64());
-        Some(Arrival { at: self.at as Micros, account, class })
+        Some(Arrival {
+            at: self.at as Micros,
+            account,
+            class,
+        })
     }
 }
--- a/crates/fleet/src/bin/wrenfork-relay.rs
+++ b/crates/fleet/src/bin/wrenfork-relay.rs
@@ -44,18 +44,33 @@
 }
 
 impl Relay {
-    fn add(&mut self, mut stream: TcpStream, backend: Option<usize>, other: Option<usize>) -> Option<usize> {
+    fn add(
+        &mut self,
+        mut stream: TcpStream,
+        backend: Option<usize>,
+        other: Option<usize>,
+    ) -> Option<usize> {
         let _ = stream.set_nodelay(true);
         let place = self.conns.vacant_entry();
         let key = place.key();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        self.registry.register(&mut stream, Token(FIRST + key), interest).ok()?;
-        place.insert(Conn { stream, inbox: Vec::new(), outbox: Vec::new(), backend, other });
+        self.registry
+            .register(&mut stream, Token(FIRST + key), interest)
+            .ok()?;
+        place.insert(Conn {
+            stream,
+            inbox: Vec::new(),
+            outbox: Vec::new(),
+            backend,
+            other,
+        });
         Some(key)
     }
 
     fn drop_conn(&mut self, key: usize) {
-        let Some(conn) = self.conns.try_remove(key) else { return };
+        let Some(conn) = self.conns.try_remove(key) else {
+            return;
+        };
         if let Some(backend) = conn.backend {
             self.idle[backend].retain(|k| *k != key);
             self.gone[backend] = Instant::now() + GONE;
@@ -73,11 +88,18 @@
     }
 
     fn flush(&mut self, key: usize) {
-        let Some(conn) = self.conns.get_mut(key) else { return };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return;
+        };
         while !conn.outbox.is_empty() {
             match conn.stream.write(&conn.outbox) {
                 Ok(n) => drop(conn.outbox.drain(..n)),
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     return
                 }
                 Err(_) => return self.drop_conn(key),
@@ -88,7 +110,9 @@
     fn ready(&mut self, key: usize) {
         self.flush(key);
         loop {
-            let Some(conn) = self.conns.get_mut(key) else { return };
+            let Some(conn) = self.conns.get_mut(key) else {
+                return;
+            };
             match conn.stream.read(&mut self.chunk) {
                 Ok(n) if n > 0 => {
                     conn.inbox.extend_from_slice(&self.chunk[..n]);
@@ -96,7 +120,12 @@
                         break;
                     }
                 }
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     break
                 }
                 _ => return self.drop_conn(key),
@@ -117,7 +146,11 @@
         let turn = match &self.home {
             None => None,
             Some(home) => {
-                let of = |first: bool| turns.clone().find(|n| home[*n] == first && self.gone[*n] <= now);
+                let of = |first: bool| {
+                    turns
+                        .clone()
+                        .find(|n| home[*n] == first && self.gone[*n] <= now)
+                };
                 if referral {
                     of(false)
                 } else {
@@ -137,7 +170,11 @@
                 Err(_) => return self.drop_conn(key),
             };
             let command: Vec<u8> = conn.inbox.drain(..n).collect();
-            if self.args.first().is_some_and(|a| &command[a.clone()] == b"PING") {
+            if self
+                .args
+                .first()
+                .is_some_and(|a| &command[a.clone()] == b"PING")
+            {
                 self.say(key, b"+PONG\r\n");
                 continue;
             }
@@ -185,14 +222,18 @@
     let config: Value = serde_json::from_str(&text).map_err(|e| format!("{path}: {e}"))?;
     let address = |v: &Value| v.as_str().and_then(|t| t.parse::<SocketAddr>().ok());
     let listen = address(&config["listen"]).ok_or("listen is no address")?;
-    let list = config["known"]["endpoints"].as_array().ok_or("known.endpoints is no list")?;
+    let list = config["known"]["endpoints"]
+        .as_array()
+        .ok_or("known.endpoints is no list")?;
     let backends: Vec<SocketAddr> = list.iter().filter_map(|e| address(&e["address"])).collect();
     if backends.is_empty() {
         return Err("there is no backend".into());
     }
     let mut poll = Poll::new().map_err(|e| e.to_string())?;
     let mut listener = TcpListener::bind(listen).map_err(|e| e.to_string())?;
-    poll.registry().register(&mut listener, LISTENER, Interest::READABLE).map_err(|e| e.to_string())?;
+    poll.registry()
+        .register(&mut listener, LISTENER, Interest::READABLE)
+        .map_err(|e| e.to_string())?;
     let registry = poll.registry().try_clone().map_err(|e| e.to_string())?;
     let fallback = std::env::var("WRENFORK_RELAY").is_ok_and(|v| v == "fallback");
     let home = fallback.then(|| list.iter().map(|e| e["zone"] == list[0]["zone"]).collect());
@@ -200,7 +241,17 @@
     let idle = vec![Vec::new(); backends.len()];
     let chunk = vec![0; 16 * 1024];
     let conns = Slab::new();
-    let mut relay = Relay { registry, conns, backends, idle, home, gone, next: 0, chunk, args: Vec::new() };
+    let mut relay = Relay {
+        registry,
+        conns,
+        backends,
+        idle,
+        home,
+        gone,
+        next: 0,
+        chunk,
+        args: Vec::new(),
+    };
     let mut events = Events::with_capacity(512);
     loop {
         match poll.poll(&mut events, None) {
--- a/crates/fleet/src/judge/ceilings.rs
+++ b/crates/fleet/src/judge/ceilings.rs
@@ -16,7 +16,15 @@
 
     /// Takes units and tells what is left, perhaps less than nothing. Without `debt` nothing is taken where there is
     /// not enough, and what is told is less than nothing.
-    pub fn take(&mut self, account: u32, at: Micros, units: f64, rate: f64, burst: f64, debt: bool) -> f64 {
+    pub fn take(
+        &mut self,
+        account: u32,
+        at: Micros,
+        units: f64,
+        rate: f64,
+        burst: f64,
+        debt: bool,
+    ) -> f64 {
         let left = self.level(account, at, rate, burst) - units;
         if left >= 0.0 || debt {
             self.0.insert(account, (at, left));
--- a/crates/fleet/src/judge/mod.rs
+++ b/crates/fleet/src/judge/mod.rs
@@ -46,7 +46,13 @@
 
 impl Rule {
     /// All of them.
-    pub const ALL: [Rule; 5] = [Rule::Answer, Rule::Effects, Rule::Drains, Rule::Cold, Rule::Ceilings];
+    pub const ALL: [Rule; 5] = [
+        Rule::Answer,
+        Rule::Effects,
+        Rule::Drains,
+        Rule::Cold,
+        Rule::Ceilings,
+    ];
 
     /// A word for it.
     pub fn name(self) -> &'static str {
@@ -305,7 +311,12 @@
             self.counts[rule as usize] += 1;
             if self.violations.len() < MOST_KEPT || self.counts[rule as usize] == 1 {
                 let at = at.saturating_sub(self.start);
-                self.violations.push(Violation { rule, request, at, what: what.into() });
+                self.violations.push(Violation {
+                    rule,
+                    request,
+                    at,
+                    what: what.into(),
+                });
             }
         }
     }
@@ -318,19 +329,28 @@
             Seen::Unreached(_) => {}
             Seen::Answered(id, answer) => self.answered(at, id, answer),
             Seen::Surplus(id) => self.broken(Rule::Answer, id, at, "more than one answer came"),
-            Seen::Broken(id) => self.unanswered(at, id, "its connection ended without a whole answer"),
+            Seen::Broken(id) => {
+                self.unanswered(at, id, "its connection ended without a whole answer")
+            }
             Seen::Overdue(id) => self.unanswered(at, id, "no answer came in time"),
             Seen::Left(id) => self.end(at, id, End::Gone),
             Seen::Crossed(id) => {
                 // Not taken, as long as no backend has seen it.
-                let taken = self.requests.get(&id).is_some_and(|r| !r.attempts.is_empty());
+                let taken = self
+                    .requests
+                    .get(&id)
+                    .is_some_and(|r| !r.attempts.is_empty());
                 if taken {
                     self.unanswered(at, id, "its connection ended while a backend had it");
                 }
                 self.end(at, id, End::Gone);
             }
             Seen::Killed(ingress) => {
-                for r in self.requests.values_mut().filter(|r| r.ingress == ingress && r.end == End::Open) {
+                for r in self
+                    .requests
+                    .values_mut()
+                    .filter(|r| r.ingress == ingress && r.end == End::Open)
+                {
                     (r.end, r.ended) = (End::Gone, at);
                 }
                 self.frozen.remove(&ingress);
@@ -351,8 +371,17 @@
                 let slow = self.slow.entry(ingress).or_default();
                 *slow = delay.max(*slow);
             }
-            Seen::Told { ingress, backend, up, started } => {
-                let told = self.told.entry((ingress, backend)).or_insert(Told { up, since: at, started });
+            Seen::Told {
+                ingress,
+                backend,
+                up,
+                started,
+            } => {
+                let told = self.told.entry((ingress, backend)).or_insert(Told {
+                    up,
+                    since: at,
+                    started,
+                });
                 if told.up != up {
                     (told.up, told.since) = (up, at);
                 }
@@ -362,8 +391,8 @@
             Seen::Over { id, backend } => self.attempt_over(at, id, backend),
             Seen::TurnedAway { id, backend } => {
                 let attempts = self.requests.get_mut(&id).map(|r| &mut r.attempts);
-                let last =
-                    attempts.and_then(|a| a.iter_mut().rev().find(|a| a.backend == backend && !a.void));
+                let last = attempts
+                    .and_then(|a| a.iter_mut().rev().find(|a| a.backend == backend && !a.void));
                 last.into_iter().for_each(|a| a.void = true);
             }
             Seen::Ran { id } => self.ran(at, id),
@@ -379,7 +408,14 @@
         if try_.id == try_.first {
             self.worth.offered(at, &try_);
         }
-        let request = Request { try_, ingress, end: End::Open, ended: 0, attempts: Vec::new(), ran: 0 };
+        let request = Request {
+            try_,
+            ingress,
+            end: End::Open,
+            ended: 0,
+            attempts: Vec::new(),
+            ran: 0,
+        };
         self.requests.insert(try_.id, request);
     }
 
@@ -391,7 +427,8 @@
 
     /// Whether what an ingress owes since a time is excused: it stood still, or its clients' leg failed.
     fn excused(&self, ingress: usize, deadline: Micros) -> bool {
-        let lately = |m: &HashMap<usize, Micros>| m.get(&ingress).is_some_and(|t| deadline <= t + SECOND);
+        let lately =
+            |m: &HashMap<usize, Micros>| m.get(&ingress).is_some_and(|t| deadline <= t + SECOND);
         self.killed.contains(&ingress)
             || self.frozen.contains_key(&ingress)
             || lately(&self.thawed)
@@ -400,7 +437,9 @@
     }
 
     fn unanswered(&mut self, at: Micros, id: u64, why: &str) {
-        let Some(r) = self.requests.get(&id).filter(|r| r.end == End::Open) else { return };
+        let Some(r) = self.requests.get(&id).filter(|r| r.end == End::Open) else {
+            return;
+        };
         let excused = self.excused(r.ingress, r.try_.deadline);
         let why = format!("{why} (ingress {})", r.ingress);
         self.end(at, id, End::Gone);
@@ -419,12 +458,24 @@
         let late = at > r.try_.deadline + ANSWER_SLACK + ON_SOCKETS;
         if r.end == End::Open && late && !self.excused(r.ingress, r.try_.deadline) {
             let by = (at - r.try_.deadline) / 1000;
-            self.broken(Rule::Answer, id, at, format!("its answer came {by} ms after its time was up"));
+            self.broken(
+                Rule::Answer,
+                id,
+                at,
+                format!("its answer came {by} ms after its time was up"),
+            );
         }
         if answer == Answer::Foreign {
-            self.broken(Rule::Answer, id, at, "served with what no backend made for it");
+            self.broken(
+                Rule::Answer,
+                id,
+                at,
+                "served with what no backend made for it",
+            );
         }
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         let (effect, _) = self.classes[r.try_.class];
         let harmless = matches!(effect, Effect::Safe | Effect::Keyed { all: true, .. });
         let may_have_run = r.attempts.iter().any(|a| !a.void);
@@ -436,18 +487,36 @@
                 "refused, as if trying again were harmless, though it may have run",
             );
         }
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         self.worth.answered(at, &r.try_, answer);
         self.end(at, id, End::Answered);
     }
 
     fn reached(&mut self, at: Micros, seen: Seen) {
-        let Seen::Reached { id, ingress, backend, pod, first_byte, work, capacity, started } = seen else {
+        let Seen::Reached {
+            id,
+            ingress,
+            backend,
+            pod,
+            first_byte,
+            work,
+            capacity,
+            started,
+        } = seen
+        else {
             return;
         };
         self.attempts += 1;
         let under_way = self.slow.get(&ingress).copied().unwrap_or(0);
-        self.drain(at, id, ingress, backend, first_byte.saturating_sub(under_way));
+        self.drain(
+            at,
+            id,
+            ingress,
+            backend,
+            first_byte.saturating_sub(under_way),
+        );
         self.cold(at, id, ingress, backend, work, capacity, started);
         let Some(r) = self.requests.get(&id) else {
             return self.broken(Rule::Answer, id, at, "a backend got what nobody asked for");
@@ -457,26 +526,38 @@
             let what = format!("sent on to backend {backend} {by} ms after its final answer");
             self.broken(Rule::Answer, id, at, what);
         }
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         self.for_nobody += u64::from(r.end == End::Gone);
         let (effect, units) = self.classes[r.try_.class];
         let earlier = r.attempts.iter().find(|a| !a.void);
         let wrong = match (effect, earlier) {
             (_, None) | (Effect::Safe, _) => None,
-            (Effect::Unsafe, Some(a)) => {
-                Some(format!("sent on to backend {backend} though backend {} may have run it", a.backend))
-            }
+            (Effect::Unsafe, Some(a)) => Some(format!(
+                "sent on to backend {backend} though backend {} may have run it",
+                a.backend
+            )),
             (Effect::Keyed { all, .. }, Some(a)) if !all && a.pod != pod => Some(format!(
                 "sent on to backend {backend} of another pod though backend {} may have run it",
                 a.backend
             )),
             (Effect::Keyed { window, .. }, Some(a)) if at > a.at + window + ON_SOCKETS => {
-                Some(format!("sent on {} ms after an attempt that may have run", (at - a.at) / 1000))
+                Some(format!(
+                    "sent on {} ms after an attempt that may have run",
+                    (at - a.at) / 1000
+                ))
             }
             _ => None,
         };
         let (first, try_) = (r.attempts.is_empty(), r.try_);
-        r.attempts.push(Attempt { at, backend, pod, void: false, over: false });
+        r.attempts.push(Attempt {
+            at,
+            backend,
+            pod,
+            void: false,
+            over: false,
+        });
         let out = self.out.entry(try_.account).or_default();
         *out += 1;
         let others = *out - 1;
@@ -487,13 +568,23 @@
             let plan = &self.plans[try_.plan];
             self.worth.sent_on(at, &try_, others);
             let most = self.classes.iter().map(|c| c.1).fold(0.0, f64::max);
-            let slack = (plan.ceiling_burst * CEILING_SLACK).max(most) + plan.ceiling * CEILING_SECONDS;
+            let slack =
+                (plan.ceiling_burst * CEILING_SLACK).max(most) + plan.ceiling * CEILING_SECONDS;
             if plan.ceiling > 0.0 {
-                let left =
-                    self.ceilings.take(try_.account, at, units, plan.ceiling, plan.ceiling_burst, true);
+                let left = self.ceilings.take(
+                    try_.account,
+                    at,
+                    units,
+                    plan.ceiling,
+                    plan.ceiling_burst,
+                    true,
+                );
                 if left < -slack {
                     let over = -left;
-                    let what = format!("account {} is {over:.1} units over its ceiling", try_.account);
+                    let what = format!(
+                        "account {} is {over:.1} units over its ceiling",
+                        try_.account
+                    );
                     self.broken(Rule::Ceilings, id, at, what);
                 }
             }
@@ -503,22 +594,35 @@
     /// An attempt is out no longer. Where no request may have two out, another must not have been sent long before: how
     /// long, is what the end of one connection may be seen after the use of another.
     fn attempt_over(&mut self, at: Micros, id: u64, backend: usize) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(n) = r.attempts.iter().position(|a| !a.over && a.backend == backend) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(n) = r
+            .attempts
+            .iter()
+            .position(|a| !a.over && a.backend == backend)
+        else {
+            return;
+        };
         r.attempts[n].over = true;
         let under_way = self.slow.get(&r.ingress).copied().unwrap_or(0);
-        let second = r.attempts[n + 1..].iter().find(|a| at > a.at + ON_SOCKETS + under_way);
+        let second = r.attempts[n + 1..]
+            .iter()
+            .find(|a| at > a.at + ON_SOCKETS + under_way);
         let second = second.map(|a| (a.backend, (at - a.at) / 1000));
         let out = self.out.entry(r.try_.account).or_default();
         *out = out.saturating_sub(1);
         if let Some((other, ms)) = second.filter(|_| !self.second_copies) {
-            let what = format!("out at backend {other} for {ms} ms while backend {backend} still had it");
+            let what =
+                format!("out at backend {other} for {ms} ms while backend {backend} still had it");
             self.broken(Rule::Effects, id, at, what);
         }
     }
 
     fn drain(&mut self, at: Micros, id: u64, ingress: usize, backend: usize, first_byte: Micros) {
-        let Some(told) = self.told.get(&(ingress, backend)).filter(|t| !t.up) else { return };
+        let Some(told) = self.told.get(&(ingress, backend)).filter(|t| !t.up) else {
+            return;
+        };
         // An ingress that stood still had no chance to stop.
         if first_byte > told.since + self.drain_grace + ON_SOCKETS
             && !self.excused(ingress, first_byte - SECOND)
@@ -546,7 +650,10 @@
         if warm >= 1.0 {
             return;
         }
-        let knew = self.told.get(&(ingress, backend)).is_some_and(|t| t.started == started);
+        let knew = self
+            .told
+            .get(&(ingress, backend))
+            .is_some_and(|t| t.started == started);
         let recent = self.cold.entry(backend).or_default();
         recent.push_back((at, work, knew));
         while recent.front().is_some_and(|r| r.0 + COLD.over <= at) {
@@ -557,14 +664,18 @@
         let can = capacity * warm * COLD.over as f64 / SECOND as f64;
         if sent > COLD.factor * can + work as f64 && known >= KNEW * sent {
             let times = sent / can;
-            let what = format!("backend {backend}, just started, was sent {times:.1} times what it can do");
+            let what = format!(
+                "backend {backend}, just started, was sent {times:.1} times what it can do"
+            );
             recent.clear();
             self.broken(Rule::Cold, id, at, what);
         }
     }
 
     fn ran(&mut self, at: Micros, id: u64) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         r.ran += 1;
         if r.ran > 1 && self.classes[r.try_.class].0 == Effect::Unsafe {
             self.broken(Rule::Effects, id, at, "it ran twice");
@@ -576,12 +687,26 @@
         let still: Vec<(u64, usize)> = self
             .requests
             .values()
-            .flat_map(|r| r.attempts.iter().filter(|a| !a.over).map(|a| (r.try_.id, a.backend)))
+            .flat_map(|r| {
+                r.attempts
+                    .iter()
+                    .filter(|a| !a.over)
+                    .map(|a| (r.try_.id, a.backend))
+            })
+            .collect();
+        still
+            .into_iter()
+            .for_each(|(id, backend)| self.attempt_over(at, id, backend));
+        let late =
+            |r: &Request| r.end == End::Open && at > r.try_.deadline + ANSWER_SLACK + ON_SOCKETS;
+        let mut open: Vec<u64> = self
+            .requests
+            .values()
+            .filter(|r| late(r))
+            .map(|r| r.try_.id)
             .collect();
-        still.into_iter().for_each(|(id, backend)| self.attempt_over(at, id, backend));
-        let late = |r: &Request| r.end == End::Open && at > r.try_.deadline + ANSWER_SLACK + ON_SOCKETS;
-        let mut open: Vec<u64> = self.requests.values().filter(|r| late(r)).map(|r| r.try_.id).collect();
         open.sort_unstable();
-        open.into_iter().for_each(|id| self.unanswered(at, id, "it was never answered"));
+        open.into_iter()
+            .for_each(|id| self.unanswered(at, id, "it was never answered"));
     }
 }
--- a/crates/fleet/src/judge/policy.rs
+++ b/crates/fleet/src/judge/policy.rs
@@ -80,10 +80,18 @@
 pub fn judge(changes: &[Change], bound: Micros, answers: &[Answer], said: &[Said]) -> Vec<Wrong> {
     let mut wrong = Vec::new();
     for answer in answers {
-        let Some(policy) = &answer.policy else { continue };
-        let made = changes.iter().rposition(|c| c.made.is_some_and(|at| at + bound < answer.sent));
+        let Some(policy) = &answer.policy else {
+            continue;
+        };
+        let made = changes
+            .iter()
+            .rposition(|c| c.made.is_some_and(|at| at + bound < answer.sent));
         let from = made.unwrap_or(0);
-        let mut of = changes.iter().enumerate().filter(|(_, c)| c.policy == *policy).peekable();
+        let mut of = changes
+            .iter()
+            .enumerate()
+            .filter(|(_, c)| c.policy == *policy)
+            .peekable();
         let (ingress, policy) = (answer.ingress.clone(), policy.clone());
         if of.peek().is_none() {
             wrong.push(Wrong::Unknown { ingress, policy });
@@ -91,15 +99,26 @@
             wrong.push(Wrong::GivenUp { ingress, policy });
         } else if of.all(|(n, c)| n < from || c.given_up) {
             let made = changes.get(from).map_or(0, |c| c.generation);
-            wrong.push(Wrong::Older { ingress, sent: answer.sent, policy, made });
+            wrong.push(Wrong::Older {
+                ingress,
+                sent: answer.sent,
+                policy,
+                made,
+            });
         }
     }
     let mut numbers: BTreeMap<u64, BTreeMap<&str, &str>> = BTreeMap::new();
     for one in said {
-        numbers.entry(one.generation).or_default().insert(&one.enforces, &one.member);
+        numbers
+            .entry(one.generation)
+            .or_default()
+            .insert(&one.enforces, &one.member);
     }
     for (generation, said) in numbers.into_iter().filter(|(_, said)| said.len() > 1) {
-        let said = said.into_iter().map(|(what, who)| (who.to_string(), what.to_string())).collect();
+        let said = said
+            .into_iter()
+            .map(|(what, who)| (who.to_string(), what.to_string()))
+            .collect();
         wrong.push(Wrong::TwoUnderOne { generation, said });
     }
     wrong
@@ -125,12 +144,19 @@
     }
 
     fn answer(ingress: &str, sent: Micros, policy: &str) -> Answer {
-        Answer { ingress: ingress.into(), sent, policy: Some(policy.into()) }
+        Answer {
+            ingress: ingress.into(),
+            sent,
+            policy: Some(policy.into()),
+        }
     }
 
     #[test]
     fn what_held_everywhere_is_right_and_what_was_turned_away_is_nobodys() {
-        let turned = Answer { policy: None, ..answer("d0", 9_000, "") };
+        let turned = Answer {
+            policy: None,
+            ..answer("d0", 9_000, "")
+        };
         let answers = [
             answer("d0", 10, "p0"),
             answer("d1", 1_040, "p0"), // within the bound
@@ -146,20 +172,39 @@
     /// by a number that stands for two things.
     #[test]
     fn a_wrong_member_is_found() {
-        let past = [answer("d2", 1_051, "p0"), answer("d2", 7_000, "p1"), answer("d2", 7_000, "p0")];
+        let past = [
+            answer("d2", 1_051, "p0"),
+            answer("d2", 7_000, "p1"),
+            answer("d2", 7_000, "p0"),
+        ];
         let older = |sent, policy: &str, made| Wrong::Older {
             ingress: "d2".into(),
             sent,
             policy: policy.into(),
             made,
         };
-        let wanted = [older(1_051, "p0", 2), older(7_000, "p1", 3), older(7_000, "p0", 3)];
+        let wanted = [
+            older(1_051, "p0", 2),
+            older(7_000, "p1", 3),
+            older(7_000, "p0", 3),
+        ];
         assert_eq!(judge(&changes(), 50, &past, &[]), wanted);
-        let dropped = judge(&changes(), 50, &[answer("d1", 3_000, "p2"), answer("d1", 3_000, "p9")], &[]);
+        let dropped = judge(
+            &changes(),
+            50,
+            &[answer("d1", 3_000, "p2"), answer("d1", 3_000, "p9")],
+            &[],
+        );
         let (ingress, [given_up, unknown]) = ("d1".to_string(), ["p2", "p9"].map(String::from));
         let wanted = [
-            Wrong::GivenUp { ingress: ingress.clone(), policy: given_up },
-            Wrong::Unknown { ingress, policy: unknown },
+            Wrong::GivenUp {
+                ingress: ingress.clone(),
+                policy: given_up,
+            },
+            Wrong::Unknown {
+                ingress,
+                policy: unknown,
+            },
         ];
         assert_eq!(dropped, wanted);
         let said = |member: &str, generation, enforces: &str| Said {
@@ -167,7 +212,12 @@
             generation,
             enforces: enforces.into(),
         };
-        let all = [said("d0", 2, "x"), said("d1", 2, "x"), said("d2", 3, "y"), said("d0", 3, "z")];
+        let all = [
+            said("d0", 2, "x"),
+            said("d1", 2, "x"),
+            said("d2", 3, "y"),
+            said("d0", 3, "z"),
+        ];
         let found = judge(&changes(), 50, &[], &all);
         assert!(
             matches!(&found[..], [Wrong::TwoUnderOne { generation: 3, said }] if said.len() == 2),
--- a/crates/fleet/src/judge/tests.rs
+++ b/crates/fleet/src/judge/tests.rs
@@ -4,18 +4,40 @@
 
 fn judge() -> Judge {
     let text = include_str!("../../scenarios/calm.toml");
-    Judge::new(&Scenario::parse("calm.toml", text).unwrap_or_else(|e| panic!("{}", e[0])), 0)
+    Judge::new(
+        &Scenario::parse("calm.toml", text).unwrap_or_else(|e| panic!("{}", e[0])),
+        0,
+    )
 }
 
 /// Classes of the calm scenario: quote is safe, save-scenario keyed for 3 s within a pod, lender-referral unsafe.
 fn asked(j: &mut Judge, at: Micros, id: u64, class: usize) {
-    let try_ = Try { id, first: id, account: id as u32, class, plan: 0, deadline: at + SECOND };
+    let try_ = Try {
+        id,
+        first: id,
+        account: id as u32,
+        class,
+        plan: 0,
+        deadline: at + SECOND,
+    };
     j.note(at, Seen::Asked(try_, 0));
 }
 
 fn reached(j: &mut Judge, at: Micros, id: u64, backend: usize, pod: usize) {
     let (ingress, first_byte, work, capacity, started) = (0, at, 10_000, 3e6, 0);
-    j.note(at, Seen::Reached { id, ingress, backend, pod, first_byte, work, capacity, started });
+    j.note(
+        at,
+        Seen::Reached {
+            id,
+            ingress,
+            backend,
+            pod,
+            first_byte,
+            work,
+            capacity,
+            started,
+        },
+    );
 }
 
 fn rules(j: &Judge) -> Vec<Rule> {
@@ -90,7 +112,11 @@
 
 #[test]
 fn a_keyed_request_may_be_repeated_in_its_pod_and_time_alone() {
-    for (at, pod, broken) in [(SECOND, 1, false), (SECOND, 2, true), (3 * SECOND + ON_SOCKETS + 1, 1, true)] {
+    for (at, pod, broken) in [
+        (SECOND, 1, false),
+        (SECOND, 2, true),
+        (3 * SECOND + ON_SOCKETS + 1, 1, true),
+    ] {
         let mut j = judge();
         asked(&mut j, 0, 1, 1);
         reached(&mut j, 0, 1, 0, 1);
@@ -115,7 +141,17 @@
 
 #[test]
 fn a_drain_counts_from_when_this_ingress_was_told() {
-    let told = |j: &mut Judge, at, up| j.note(at, Seen::Told { ingress: 0, backend: 5, up, started: 0 });
+    let told = |j: &mut Judge, at, up| {
+        j.note(
+            at,
+            Seen::Told {
+                ingress: 0,
+                backend: 5,
+                up,
+                started: 0,
+            },
+        )
+    };
     let mut j = judge();
     told(&mut j, 0, true);
     told(&mut j, SECOND, false);
@@ -135,20 +171,35 @@
 /// A judge of a site where no request may have two attempts out, and where an account may have two out.
 fn strict() -> Judge {
     let text = include_str!("../../scenarios/calm.toml");
-    let text = text.replacen("[ingresses]", "[network]\nsecond_copies = false\n[ingresses]", 1);
+    let text = text.replacen(
+        "[ingresses]",
+        "[network]\nsecond_copies = false\n[ingresses]",
+        1,
+    );
     let text = text.replacen("rate = 1.6", "open = 2\nrate = 1.6", 1);
-    Judge::new(&Scenario::parse("strict.toml", &text).unwrap_or_else(|e| panic!("{}", e[0])), 0)
+    Judge::new(
+        &Scenario::parse("strict.toml", &text).unwrap_or_else(|e| panic!("{}", e[0])),
+        0,
+    )
 }
 
 #[test]
 fn two_attempts_at_once_are_found_where_they_are_not_allowed() {
-    for (ends, broken) in [(100 + ON_SOCKETS, false), (101 + ON_SOCKETS, true), (SECOND, true)] {
+    for (ends, broken) in [
+        (100 + ON_SOCKETS, false),
+        (101 + ON_SOCKETS, true),
+        (SECOND, true),
+    ] {
         let mut j = strict();
         asked(&mut j, 0, 1, 0);
         reached(&mut j, 10, 1, 0, 0);
         reached(&mut j, 100, 1, 1, 0);
         j.note(ends, Seen::Over { id: 1, backend: 0 });
-        assert_eq!(rules(&j).contains(&Rule::Effects), broken, "the first ends at {ends}");
+        assert_eq!(
+            rules(&j).contains(&Rule::Effects),
+            broken,
+            "the first ends at {ends}"
+        );
     }
     // One after the other is well, and so are copies where the site allows them.
     let mut j = strict();
@@ -182,7 +233,14 @@
 fn what_is_sent_on_over_a_cap_is_beyond_the_quota() {
     let mut j = strict();
     for id in 1..=4 {
-        let try_ = Try { id, first: id, account: 9, class: 0, plan: 0, deadline: SECOND };
+        let try_ = Try {
+            id,
+            first: id,
+            account: 9,
+            class: 0,
+            plan: 0,
+            deadline: SECOND,
+        };
         j.note(0, Seen::Asked(try_, 0));
         if id == 4 {
             j.note(35, Seen::Over { id: 1, backend: 0 });
@@ -190,5 +248,9 @@
         }
         reached(&mut j, 10 * id, id, 0, 0);
     }
-    assert_eq!(j.worth().sent_beyond, 1, "the third; the fourth came after two were over");
+    assert_eq!(
+        j.worth().sent_beyond,
+        1,
+        "the third; the fourth came after two were over"
+    );
 }
--- a/crates/fleet/src/judge/worth.rs
+++ b/crates/fleet/src/judge/worth.rs
@@ -93,8 +93,11 @@
     pub(super) fn offered(&mut self, at: Micros, t: &Try) {
         let (worth, plan) = (self.worth(t), &self.plans[t.plan]);
         let units = self.classes[t.class].units;
-        let inside =
-            plan.rate == 0.0 || self.ideal.take(t.account, at, units, plan.rate, plan.burst, false) >= 0.0;
+        let inside = plan.rate == 0.0
+            || self
+                .ideal
+                .take(t.account, at, units, plan.rate, plan.burst, false)
+                >= 0.0;
         self.asked += 1;
         self.firsts.insert(t.id, First { at, worth, inside });
         if inside {
@@ -114,8 +117,13 @@
         let units = self.classes[t.class].units;
         // Beyond the quota it takes nothing, whichever of the two it is beyond.
         let crowded = plan.open > 0 && out >= plan.open;
-        let mut short =
-            || plan.rate > 0.0 && self.sent.take(t.account, at, units, plan.rate, plan.burst, false) < 0.0;
+        let mut short = || {
+            plan.rate > 0.0
+                && self
+                    .sent
+                    .take(t.account, at, units, plan.rate, plan.burst, false)
+                    < 0.0
+        };
         if crowded || short() {
             self.beyond.insert(t.id);
             self.sent_beyond += 1;
@@ -134,7 +142,9 @@
             return;
         }
         // Counted once, for the request and not for its tries.
-        let Some(first) = self.firsts.get_mut(&t.first).filter(|f| f.inside) else { return };
+        let Some(first) = self.firsts.get_mut(&t.first).filter(|f| f.inside) else {
+            return;
+        };
         let second = (first.at.saturating_sub(self.start) / SECOND) as usize;
         if at.saturating_sub(first.at) <= self.classes[t.class].aim {
             first.inside = false;
@@ -176,6 +186,8 @@
         let length = STRETCH.min(self.by_second.len());
         let windows = self.by_second.windows(length.max(1)).enumerate();
         let shares = windows.map(|(n, w)| (n, self.sum(w).share()));
-        shares.min_by(|a, b| a.1.total_cmp(&b.1)).unwrap_or((0, 1.0))
+        shares
+            .min_by(|a, b| a.1.total_cmp(&b.1))
+            .unwrap_or((0, 1.0))
     }
 }
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -74,19 +74,36 @@
         let poll = Poll::new()?;
         let waker = Waker::new(poll.registry(), WAKE)?;
         let faults = Arc::default();
-        let mut relay =
-            Relay { poll, listeners: Vec::new(), halves: Slab::new(), faults: Arc::clone(&faults) };
+        let mut relay = Relay {
+            poll,
+            listeners: Vec::new(),
+            halves: Slab::new(),
+            faults: Arc::clone(&faults),
+        };
         for asker in askers {
             std::fs::create_dir_all(folder.join(asker))?;
             for (member, at) in members.iter().filter(|m| m.0 != *asker) {
                 let mut listener = UnixListener::bind(folder.join(asker).join(member))?;
                 let token = Token(1 + relay.listeners.len());
-                relay.poll.registry().register(&mut listener, token, Interest::READABLE)?;
-                relay.listeners.push((listener, (asker.to_string(), member.to_string()), at.clone()));
+                relay
+                    .poll
+                    .registry()
+                    .register(&mut listener, token, Interest::READABLE)?;
+                relay.listeners.push((
+                    listener,
+                    (asker.to_string(), member.to_string()),
+                    at.clone(),
+                ));
             }
         }
-        thread::Builder::new().name("links".into()).spawn(move || relay.run())?;
-        Ok(Links { folder: folder.into(), faults, waker })
+        thread::Builder::new()
+            .name("links".into())
+            .spawn(move || relay.run())?;
+        Ok(Links {
+            folder: folder.into(),
+            faults,
+            waker,
+        })
     }
 
     /// Where an asker finds the members.
@@ -151,7 +168,9 @@
                 continue;
             }
             // Where nobody listens, whoever asks finds the connection ended.
-            let Ok(far) = UnixStream::connect(at) else { continue };
+            let Ok(far) = UnixStream::connect(at) else {
+                continue;
+            };
             let half = |stream, pair, other, asks| Half {
                 stream,
                 pair,
@@ -161,14 +180,19 @@
                 passed: 0,
                 ended: false,
             };
-            let one = self.halves.insert(half(near, pair.clone(), usize::MAX, true));
+            let one = self
+                .halves
+                .insert(half(near, pair.clone(), usize::MAX, true));
             let two = self.halves.insert(half(far, pair, one, false));
             self.halves[one].other = two;
             let first = 1 + self.listeners.len();
             for key in [one, two] {
                 let stream = &mut self.halves[key].stream;
                 let interest = Interest::READABLE | Interest::WRITABLE;
-                let _ = self.poll.registry().register(stream, Token(first + key), interest);
+                let _ = self
+                    .poll
+                    .registry()
+                    .register(stream, Token(first + key), interest);
             }
         }
     }
@@ -181,7 +205,9 @@
 
     fn read(&mut self, key: usize, chunk: &mut [u8]) {
         let now = Instant::now();
-        let Some(half) = self.halves.get_mut(key) else { return };
+        let Some(half) = self.halves.get_mut(key) else {
+            return;
+        };
         loop {
             match half.stream.read(chunk) {
                 Ok(0) => half.ended = true,
@@ -206,7 +232,9 @@
         let mut wait: Option<Duration> = None;
         let keys: Vec<usize> = self.halves.iter().map(|(key, _)| key).collect();
         for key in keys {
-            let Some(half) = self.halves.get(key) else { continue };
+            let Some(half) = self.halves.get(key) else {
+                continue;
+            };
             let fault = faults.get(&half.pair).copied();
             let (other, asks) = (half.other, half.asks);
             match fault {
@@ -218,7 +246,11 @@
                 Some(Fault::OneWay) if !asks => continue,
                 _ => {}
             }
-            let late = if let Some(Fault::Late(by)) = fault { by } else { Duration::ZERO };
+            let late = if let Some(Fault::Late(by)) = fault {
+                by
+            } else {
+                Duration::ZERO
+            };
             let mut gone = false;
             while let Some((came, mut bytes)) = self.halves[key].held.pop_front() {
                 if came + late > now {
@@ -234,7 +266,11 @@
                 }
                 let written = match self.halves[other].stream.write(&bytes) {
                     Ok(n) => n,
-                    Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => 0,
+                    Err(e)
+                        if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
+                    {
+                        0
+                    }
                     Err(_) => {
                         gone = true;
                         0
@@ -245,7 +281,9 @@
                     break;
                 }
                 if written < bytes.len() {
-                    self.halves[key].held.push_front((came, bytes.split_off(written)));
+                    self.halves[key]
+                        .held
+                        .push_front((came, bytes.split_off(written)));
                     break; // the other side's writability wakes this again
                 }
             }
@@ -304,7 +342,10 @@
             held.set_read_timeout(Some(short)).unwrap();
             held.write_all(b"hello\n").unwrap();
             assert!(held.read(&mut [0; 8]).is_err(), "{fault:?}: silence");
-            assert!(ask(&c, long).is_some_and(|(_, n)| n == 6), "{fault:?}: another pair is well");
+            assert!(
+                ask(&c, long).is_some_and(|(_, n)| n == 6),
+                "{fault:?}: another pair is well"
+            );
             links.heal();
             held.set_read_timeout(Some(long)).unwrap();
             assert_eq!(held.read(&mut [0; 8]).unwrap(), 6, "{fault:?}: it arrives");
--- a/crates/fleet/src/machine.rs
+++ b/crates/fleet/src/machine.rs
@@ -18,7 +18,12 @@
 }
 
 /// The figures of the platform's rule.
-pub const COLD: ColdRule = ColdRule { from: 0.28, warm_in: 16 * SECOND, factor: 4.0, over: SECOND };
+pub const COLD: ColdRule = ColdRule {
+    from: 0.28,
+    warm_in: 16 * SECOND,
+    factor: 4.0,
+    over: SECOND,
+};
 
 /// What a backend can do now, as a share of what it can do when warm.
 pub fn warmth(started: Micros, now: Micros) -> f64 {
@@ -201,12 +206,25 @@
     fn cores_then_the_queue_then_turned_away() {
         let mut m = Machine::new(&set(), 0, 0);
         let job = |key| Job { key, work: 50_000 };
-        assert_eq!(m.offer(0, job(1)), Taken::Begun(100_000), "half the speed takes twice the time");
+        assert_eq!(
+            m.offer(0, job(1)),
+            Taken::Begun(100_000),
+            "half the speed takes twice the time"
+        );
         assert_eq!(m.offer(0, job(2)), Taken::Begun(100_000));
-        assert_eq!((m.offer(0, job(3)), m.offer(0, job(4))), (Taken::Waits, Taken::TurnedAway));
+        assert_eq!(
+            (m.offer(0, job(3)), m.offer(0, job(4))),
+            (Taken::Waits, Taken::TurnedAway)
+        );
         assert_eq!(m.done(100_000), Some((job(3), 200_000)));
-        assert_eq!((m.done(100_000), m.done(200_000), m.held()), (None, None, 0));
-        assert!((m.util(200_000, 1) - 0.75).abs() < 0.01, "two cores, then one");
+        assert_eq!(
+            (m.done(100_000), m.done(200_000), m.held()),
+            (None, None, 0)
+        );
+        assert!(
+            (m.util(200_000, 1) - 0.75).abs() < 0.01,
+            "two cores, then one"
+        );
     }
 
     #[test]
@@ -226,9 +244,15 @@
             let mut m = Machine::new(&set(), started, started);
             (0..60).all(|n| m.bears(started + n * 10_000, 50_000))
         };
-        assert!(!flood(SECOND), "3 s of work within 0.6 s, where 0.28 s can be done in a second");
+        assert!(
+            !flood(SECOND),
+            "3 s of work within 0.6 s, where 0.28 s can be done in a second"
+        );
         assert!(flood(0), "started long ago");
         let mut m = Machine::new(&set(), SECOND, SECOND);
-        assert!((0..60).all(|n| m.bears(SECOND + n * 50_000, 50_000)), "the same over 3 s");
+        assert!(
+            (0..60).all(|n| m.bears(SECOND + n * 50_000, 50_000)),
+            "the same over 3 s"
+        );
     }
 }
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -51,10 +51,15 @@
     /// Of timers that were so late.
     pub fn of(late: &mut [u32]) -> Self {
         late.sort_unstable();
-        let at =
-            |share: f64| late.get(((late.len() as f64 * share) as usize).min(late.len().saturating_sub(1)));
+        let at = |share: f64| {
+            late.get(((late.len() as f64 * share) as usize).min(late.len().saturating_sub(1)))
+        };
         let at = |share: f64| at(share).copied().unwrap_or(0);
-        Lateness { median_us: at(0.5), p99_us: at(0.99), most_us: at(1.0) }
+        Lateness {
+            median_us: at(0.5),
+            p99_us: at(0.99),
+            most_us: at(1.0),
+        }
     }
 }
 
@@ -211,7 +216,13 @@
             scenario: s.name.clone(),
             seed: s.seed,
             verdict,
-            rules: Rule::ALL.iter().map(|r| RuleCount { rule: *r, broken: counts[*r as usize] }).collect(),
+            rules: Rule::ALL
+                .iter()
+                .map(|r| RuleCount {
+                    rule: *r,
+                    broken: counts[*r as usize],
+                })
+                .collect(),
             violations: judge.violations().to_vec(),
             crashes,
             lasted_us: lasted,
@@ -227,10 +238,27 @@
             worst_10s: worth.worst().1,
             worst_from_s: worth.worst().0,
             seconds: worth.seconds(),
-            classes: s.classes.iter().zip(by_class).map(|(c, w)| part(&c.name, w)).collect(),
-            plans: s.plans.iter().zip(by_plan).map(|(p, w)| part(&p.name, w)).collect(),
+            classes: s
+                .classes
+                .iter()
+                .zip(by_class)
+                .map(|(c, w)| part(&c.name, w))
+                .collect(),
+            plans: s
+                .plans
+                .iter()
+                .zip(by_plan)
+                .map(|(p, w)| part(&p.name, w))
+                .collect(),
             cpu_per_request_us: cpu as f64 / worth.asked.max(1) as f64,
-            ingresses: usage.iter().map(|u| Used { cpu_us: u.0, memory_kb: u.1, descriptors: u.2 }).collect(),
+            ingresses: usage
+                .iter()
+                .map(|u| Used {
+                    cpu_us: u.0,
+                    memory_kb: u.1,
+                    descriptors: u.2,
+                })
+                .collect(),
             spread: unevenness(&spread),
             rig,
             log,
@@ -245,9 +273,13 @@
 }
 
 fn unevenness(spread: &[(u64, f64)]) -> f64 {
-    let shares: Vec<f64> = spread.iter().map(|(n, capacity)| *n as f64 / capacity.max(1.0)).collect();
+    let shares: Vec<f64> = spread
+        .iter()
+        .map(|(n, capacity)| *n as f64 / capacity.max(1.0))
+        .collect();
     let mean = shares.iter().sum::<f64>() / shares.len().max(1) as f64;
-    let variance = shares.iter().map(|s| (s - mean).powi(2)).sum::<f64>() / shares.len().max(1) as f64;
+    let variance =
+        shares.iter().map(|s| (s - mean).powi(2)).sum::<f64>() / shares.len().max(1) as f64;
     if mean > 0.0 {
         variance.sqrt() / mean
     } else {
--- a/crates/fleet/src/rig/address.rs
+++ b/crates/fleet/src/rig/address.rs
@@ -10,7 +10,13 @@
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (pid, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let (high, low) = ((n / 250 % 250) as u8, (n % 250) as u8);
-    Ipv4Addr::new(127, 1 + (pid % 250) as u8, high.wrapping_add((pid / 250) as u8), low + 1).into()
+    Ipv4Addr::new(
+        127,
+        1 + (pid % 250) as u8,
+        high.wrapping_add((pid / 250) as u8),
+        low + 1,
+    )
+    .into()
 }
 
 /// A port that nobody listens at, below those that the system hands out by itself. It is not tried by binding it: a process
--- a/crates/fleet/src/rig/backends.rs
+++ b/crates/fleet/src/rig/backends.rs
@@ -30,9 +30,18 @@
 /// What falls due for backends.
 pub enum BackendDue {
     /// A core is done with a job.
-    Done { slot: usize, life: u64, key: usize, serial: u64 },
+    Done {
+        slot: usize,
+        life: u64,
+        key: usize,
+        serial: u64,
+    },
     /// The next byte of an answer goes out.
-    Byte { conn: usize, serial: u64, rest: Vec<u8> },
+    Byte {
+        conn: usize,
+        serial: u64,
+        rest: Vec<u8>,
+    },
     /// A misbehaviour of a backend is over.
     Well { slot: usize, since: Micros },
     /// The share that another program takes changes.
@@ -128,7 +137,11 @@
     pub fn open(s: &Scenario, context: &mut Context) -> io::Result<Self> {
         let mut backends = Backends {
             seed: s.seed,
-            classes: s.classes.iter().map(|c| (c.name.clone(), c.effect, c.work)).collect(),
+            classes: s
+                .classes
+                .iter()
+                .map(|c| (c.name.clone(), c.effect, c.work))
+                .collect(),
             slots: Vec::new(),
             capacities: Vec::new(),
             listeners: Slab::new(),
@@ -175,7 +188,9 @@
             self.slots[slot].addresses[ingress] = listener.local_addr()?;
             let place = self.listeners.vacant_entry();
             let (key, token) = (place.key(), token(Part::BackendListener, place.key()));
-            context.registry.register(&mut listener, token, Interest::READABLE)?;
+            context
+                .registry
+                .register(&mut listener, token, Interest::READABLE)?;
             place.insert((listener, ingress, slot));
             self.slots[slot].listeners.push(key);
         }
@@ -200,7 +215,11 @@
 
     /// How many commands each backend got, and its capacity.
     pub fn spread(&self) -> Vec<(u64, f64)> {
-        self.slots.iter().map(|s| s.reached).zip(self.capacities.iter().copied()).collect()
+        self.slots
+            .iter()
+            .map(|s| s.reached)
+            .zip(self.capacities.iter().copied())
+            .collect()
     }
 
     /// Connections that are open.
@@ -211,7 +230,13 @@
     /// Has a backend behave in a way for a time.
     pub fn behave(&mut self, slot: usize, mode: Mode, lasts: Micros, context: &mut Context) {
         self.slots[slot].mode = (mode, context.now);
-        context.after(lasts, Due::Backend(BackendDue::Well { slot, since: context.now }));
+        context.after(
+            lasts,
+            Due::Backend(BackendDue::Well {
+                slot,
+                since: context.now,
+            }),
+        );
     }
 
     /// Has another program take a part of a backend's machine.
@@ -226,8 +251,12 @@
         for key in std::mem::take(&mut s.listeners) {
             self.listeners.remove(key);
         }
-        let gone: Vec<usize> =
-            self.conns.iter().filter(|(_, c)| c.slot == slot).map(|(key, _)| key).collect();
+        let gone: Vec<usize> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| c.slot == slot)
+            .map(|(key, _)| key)
+            .collect();
         gone.into_iter().for_each(|key| self.reset(key, context));
     }
 
@@ -251,13 +280,17 @@
     }
 
     fn close(&mut self, key: usize, context: &mut Context) {
-        let Some(conn) = self.conns.try_remove(key) else { return };
+        let Some(conn) = self.conns.try_remove(key) else {
+            return;
+        };
         let runs_on = self.scenario.set_of(conn.slot).runs_on;
         let backend = self.slots[conn.slot].ident;
         for Owed { number, id, .. } in conn.waiting {
             context.see(Seen::Over { id, backend });
             // What waits is dropped, where work does not run on; what runs goes on, and its answer reaches nobody.
-            let Some(work) = number.filter(|_| !runs_on) else { continue };
+            let Some(work) = number.filter(|_| !runs_on) else {
+                continue;
+            };
             if self.slots[conn.slot].machine.drop_waiting(work as u64) {
                 self.work.try_remove(work);
             }
@@ -267,13 +300,21 @@
     /// Takes in connections.
     pub fn accept(&mut self, key: usize, context: &mut Context) {
         loop {
-            let Some((listener, ingress, slot)) = self.listeners.get(key) else { return };
+            let Some((listener, ingress, slot)) = self.listeners.get(key) else {
+                return;
+            };
             let (ingress, slot) = (*ingress, *slot);
-            let Ok((mut stream, _)) = listener.accept() else { return };
+            let Ok((mut stream, _)) = listener.accept() else {
+                return;
+            };
             let place = self.conns.vacant_entry();
             let token: Token = token(Part::Backend, place.key());
             let interest = Interest::READABLE | Interest::WRITABLE;
-            if context.registry.register(&mut stream, token, interest).is_err() {
+            if context
+                .registry
+                .register(&mut stream, token, interest)
+                .is_err()
+            {
                 continue;
             }
             self.serial += 1;
@@ -293,7 +334,9 @@
     /// Does what a connection is ready for.
     pub fn ready(&mut self, key: usize, context: &mut Context) {
         context.read_clock();
-        let Some(conn) = self.conns.get_mut(key) else { return };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return;
+        };
         let before = conn.pipe.inbox.len();
         let flow = conn.pipe.fill(&mut self.chunk);
         let came = conn.pipe.inbox.len() - before;
@@ -319,7 +362,9 @@
 
     fn take_commands(&mut self, key: usize, context: &mut Context) {
         loop {
-            let Some(conn) = self.conns.get_mut(key).filter(|c| !c.shut) else { return };
+            let Some(conn) = self.conns.get_mut(key).filter(|c| !c.shut) else {
+                return;
+            };
             let found = match resp::command(&conn.pipe.inbox, &mut self.args) {
                 Ok(None) => return,
                 Ok(Some(n)) => n,
@@ -351,8 +396,12 @@
                     let machine = &mut self.slots[slot].machine;
                     machine.bears(context.now, PROBE_WORK);
                     let load = match self.scenario.network.reports {
-                        Reports::Answers => format!("util={:.3}", machine.util(context.now, REPORT_PERIOD)),
-                        Reports::Probes => format!("queue={},inflight={}", machine.queue(), machine.held()),
+                        Reports::Answers => {
+                            format!("util={:.3}", machine.util(context.now, REPORT_PERIOD))
+                        }
+                        Reports::Probes => {
+                            format!("queue={},inflight={}", machine.queue(), machine.held())
+                        }
                         Reports::None => {
                             self.say(key, b"-NOPERM\r\n", context);
                             continue;
@@ -368,7 +417,12 @@
     }
 
     /// The id, the class and the key of a call.
-    fn read_call(&self, customer: &str, id: &str, options: &str) -> Option<(u64, usize, Option<u64>)> {
+    fn read_call(
+        &self,
+        customer: &str,
+        id: &str,
+        options: &str,
+    ) -> Option<(u64, usize, Option<u64>)> {
         u64::from_str_radix(customer, 16).ok()?;
         let id = u64::from_str_radix(id, 16).ok()?;
         let option = |name: &str| options.split(',').find_map(|o| o.strip_prefix(name));
@@ -387,7 +441,9 @@
         context: &mut Context,
     ) {
         let (id, class, keyed) = call;
-        let Some(conn) = self.conns.get_mut(key) else { return };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return;
+        };
         let (index, now) = (conn.slot, context.now);
         let (_, effect, mean) = &self.classes[class];
         // Drawn by the request, so that each of its attempts has the same work wherever it goes.
@@ -409,30 +465,67 @@
         }
         let mode = slot.mode.0;
         if mode == Mode::Hang {
-            conn.waiting.push_back(Owed { number: None, id, text: None });
+            conn.waiting.push_back(Owed {
+                number: None,
+                id,
+                text: None,
+            });
             return;
         }
         self.serial += 1;
         let (serial, conn_serial) = (self.serial, conn.serial);
-        let number = self.work.insert(Work { serial, conn: key, conn_serial, id });
-        conn.waiting.push_back(Owed { number: Some(number), id, text: None });
-        let window = if let Effect::Keyed { window, .. } = effect { *window } else { 0 };
+        let number = self.work.insert(Work {
+            serial,
+            conn: key,
+            conn_serial,
+            id,
+        });
+        conn.waiting.push_back(Owed {
+            number: Some(number),
+            id,
+            text: None,
+        });
+        let window = if let Effect::Keyed { window, .. } = effect {
+            *window
+        } else {
+            0
+        };
         if let Some(k) = keyed.filter(|_| window > 0) {
-            let known = self.keys.get(&(slot.pod, k)).is_some_and(|at| now < at + window);
+            let known = self
+                .keys
+                .get(&(slot.pod, k))
+                .is_some_and(|at| now < at + window);
             if known {
                 return self.finish(number, context); // a repeat: answered, and not carried out again
             }
             self.keys.insert((slot.pod, k), now);
         }
-        match slot.machine.offer(now, Job { key: number as u64, work }) {
+        match slot.machine.offer(
+            now,
+            Job {
+                key: number as u64,
+                work,
+            },
+        ) {
             Taken::Begun(at) => {
                 let life = slot.life;
                 context.see(Seen::Ran { id });
-                context.at(at, Due::Backend(BackendDue::Done { slot: index, life, key: number, serial }));
+                context.at(
+                    at,
+                    Due::Backend(BackendDue::Done {
+                        slot: index,
+                        life,
+                        key: number,
+                        serial,
+                    }),
+                );
             }
             Taken::Waits => {}
             Taken::TurnedAway => {
-                context.see(Seen::TurnedAway { id, backend: slot.ident });
+                context.see(Seen::TurnedAway {
+                    id,
+                    backend: slot.ident,
+                });
                 if let Some(k) = keyed {
                     self.keys.remove(&(self.slots[index].pod, k));
                 }
@@ -447,7 +540,12 @@
     /// Carries out what is due.
     pub fn due(&mut self, due: BackendDue, context: &mut Context) {
         match due {
-            BackendDue::Done { slot, life, key, serial } => {
+            BackendDue::Done {
+                slot,
+                life,
+                key,
+                serial,
+            } => {
                 if self.slots[slot].life != life {
                     return;
                 }
@@ -460,16 +558,31 @@
                     if let Some(work) = self.work.get(key) {
                         let (id, serial) = (work.id, work.serial);
                         context.see(Seen::Ran { id });
-                        context.at(at, Due::Backend(BackendDue::Done { slot, life, key, serial }));
+                        context.at(
+                            at,
+                            Due::Backend(BackendDue::Done {
+                                slot,
+                                life,
+                                key,
+                                serial,
+                            }),
+                        );
                     }
                 }
             }
-            BackendDue::Byte { conn, serial, mut rest } => {
+            BackendDue::Byte {
+                conn,
+                serial,
+                mut rest,
+            } => {
                 if self.conns.get(conn).is_some_and(|c| c.serial == serial) {
                     let next: Vec<u8> = rest.drain(..1).collect();
                     self.say(conn, &next, context);
                     if !rest.is_empty() {
-                        context.after(BYTE_PAUSE, Due::Backend(BackendDue::Byte { conn, serial, rest }));
+                        context.after(
+                            BYTE_PAUSE,
+                            Due::Backend(BackendDue::Byte { conn, serial, rest }),
+                        );
                     }
                 }
             }
@@ -483,13 +596,21 @@
     }
 
     fn finish(&mut self, number: usize, context: &mut Context) {
-        let Some(work) = self.work.get(number) else { return };
-        let Some(conn) = self.conns.get(work.conn).filter(|c| c.serial == work.conn_serial) else {
+        let Some(work) = self.work.get(number) else {
+            return;
+        };
+        let Some(conn) = self
+            .conns
+            .get(work.conn)
+            .filter(|c| c.serial == work.conn_serial)
+        else {
             self.work.remove(number);
             return;
         };
         let value = value_of(work.id);
-        let load = self.slots[conn.slot].machine.util(context.now, REPORT_PERIOD);
+        let load = self.slots[conn.slot]
+            .machine
+            .util(context.now, REPORT_PERIOD);
         let load = match self.scenario.network.reports {
             Reports::Answers => format!("${}\r\nutil={load:.3}", format!("util={load:.3}").len()),
             Reports::Probes | Reports::None => "$-1".into(),
@@ -501,7 +622,11 @@
     /// Puts an answer in its place, and writes what is due in order.
     fn answer(&mut self, number: usize, text: Vec<u8>, context: &mut Context) {
         let work = self.work.remove(number);
-        let Some(conn) = self.conns.get_mut(work.conn).filter(|c| c.serial == work.conn_serial) else {
+        let Some(conn) = self
+            .conns
+            .get_mut(work.conn)
+            .filter(|c| c.serial == work.conn_serial)
+        else {
             return;
         };
         if let Some(owed) = conn.waiting.iter_mut().find(|w| w.number == Some(number)) {
@@ -509,7 +634,14 @@
         }
         let (mode, backend) = (self.slots[conn.slot].mode.0, self.slots[conn.slot].ident);
         while conn.waiting.front().is_some_and(|w| w.text.is_some()) {
-            let Some(Owed { id, text: Some(mut text), .. }) = conn.waiting.pop_front() else { return };
+            let Some(Owed {
+                id,
+                text: Some(mut text),
+                ..
+            }) = conn.waiting.pop_front()
+            else {
+                return;
+            };
             context.see(Seen::Over { id, backend });
             match mode {
                 Mode::Spoil => {
@@ -521,7 +653,11 @@
                 Mode::Bytewise => {
                     let rest = text.split_off(text.len().saturating_sub(MOST_BYTES).max(1));
                     let serial = conn.serial;
-                    let due = BackendDue::Byte { conn: work.conn, serial, rest };
+                    let due = BackendDue::Byte {
+                        conn: work.conn,
+                        serial,
+                        rest,
+                    };
                     context.after(BYTE_PAUSE, Due::Backend(due));
                 }
                 _ => {}
--- a/crates/fleet/src/rig/clients.rs
+++ b/crates/fleet/src/rig/clients.rs
@@ -142,8 +142,13 @@
 impl Clients {
     /// For ingresses at such addresses; none is known to be up.
     pub fn new(s: &Scenario, at: &[SocketAddr]) -> Self {
-        let place =
-            |at: &SocketAddr| Place { at: *at, door: Door::Shut, since: 0, idle: VecDeque::new(), held: 0 };
+        let place = |at: &SocketAddr| Place {
+            at: *at,
+            door: Door::Shut,
+            since: 0,
+            idle: VecDeque::new(),
+            held: 0,
+        };
         Clients {
             scenario: s.clone(),
             accounts: Accounts::new(s),
@@ -201,7 +206,17 @@
 
     /// Clients open more connections to an ingress, and use them.
     pub fn crowd(&mut self, ingress: usize, count: u32, lasts: Micros, context: &mut Context) {
-        self.group(Group { ingress, manner: None, over: false, wanted: count }, count, lasts, context);
+        self.group(
+            Group {
+                ingress,
+                manner: None,
+                over: false,
+                wanted: count,
+            },
+            count,
+            lasts,
+            context,
+        );
     }
 
     /// Hostile clients come.
@@ -213,7 +228,12 @@
         lasts: Micros,
         context: &mut Context,
     ) {
-        let group = Group { ingress, manner: Some(manner), over: false, wanted: count };
+        let group = Group {
+            ingress,
+            manner: Some(manner),
+            over: false,
+            wanted: count,
+        };
         self.group(group, count, lasts, context);
     }
 
@@ -255,16 +275,29 @@
         if wait < 1000 {
             return;
         }
-        let way = self.accounts.way(op.account, context.now.saturating_sub(self.start), op.draw);
+        let way = self
+            .accounts
+            .way(op.account, context.now.saturating_sub(self.start), op.draw);
         let open = |i: &&usize| self.places[**i].door == Door::Open;
-        let kept = |i: &&usize| self.places[**i].door == Door::NoNew && !self.places[**i].idle.is_empty();
+        let kept =
+            |i: &&usize| self.places[**i].door == Door::NoNew && !self.places[**i].idle.is_empty();
         let found = way.iter().find(|i| open(i) || kept(i)).copied();
         let Some(ingress) = found else {
             return self.unreached(op, context);
         };
         let stays = lot(self.scenario.seed, &[28, id]) < self.scenario.clients.stay;
         let (conn, until) = (usize::MAX, Micros::MAX);
-        let tried = Tried { op, id, conn, ingress, wait, asked: false, crossed: false, stays, until };
+        let tried = Tried {
+            op,
+            id,
+            conn,
+            ingress,
+            wait,
+            asked: false,
+            crossed: false,
+            stays,
+            until,
+        };
         let key = self.tries.insert(tried);
         self.send(key, context);
     }
@@ -282,9 +315,12 @@
         };
         let room = place.held < self.scenario.clients.most_connections;
         let usage = if stays { Use::Stay } else { Use::Front };
-        let connect = |clients: &mut Self, context: &mut Context| clients.connect(ingress, usage, context);
+        let connect =
+            |clients: &mut Self, context: &mut Context| clients.connect(ingress, usage, context);
         let conn = found.or_else(|| if room { connect(self, context) } else { None });
-        let Some(conn) = conn else { return self.not_taken(key, context) };
+        let Some(conn) = conn else {
+            return self.not_taken(key, context);
+        };
         let t = &mut self.tries[key];
         t.conn = conn;
         let command = command(&self.scenario, &t.op, t.id, t.wait, &self.accounts);
@@ -298,7 +334,9 @@
     /// Notes that a try is written whole, once.
     fn note_asked(&mut self, conn: usize, context: &mut Context) {
         let c = &self.conns[conn];
-        let Some(key) = c.busy.filter(|_| c.pipe.all_written()) else { return };
+        let Some(key) = c.busy.filter(|_| c.pipe.all_written()) else {
+            return;
+        };
         let t = &mut self.tries[key];
         if std::mem::replace(&mut t.asked, true) {
             return;
@@ -308,7 +346,14 @@
         t.until = deadline;
         let (op, id, ingress) = (t.op, t.id, t.ingress);
         let (first, account) = (op.first, op.account);
-        let asked = Try { id, first, account, class: op.class, plan: op.plan, deadline };
+        let asked = Try {
+            id,
+            first,
+            account,
+            class: op.class,
+            plan: op.plan,
+            deadline,
+        };
         context.see(Seen::Asked(asked, ingress));
         // It is waited for as long as an answer counts.
         let most = deadline + ANSWER_SLACK + ON_SOCKETS + 1_000;
@@ -324,16 +369,27 @@
         let mut stream = TcpStream::connect(self.places[ingress].at).ok()?;
         let place = self.conns.vacant_entry();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        context.registry.register(&mut stream, token(Part::Client, place.key()), interest).ok()?;
+        context
+            .registry
+            .register(&mut stream, token(Part::Client, place.key()), interest)
+            .ok()?;
         let pipe = Pipe::new(stream);
         let key = place.key();
-        place.insert(Conn { pipe, ingress, usage, busy: None, last: 0 });
+        place.insert(Conn {
+            pipe,
+            ingress,
+            usage,
+            busy: None,
+            last: 0,
+        });
         self.places[ingress].held += usize::from(matches!(usage, Use::Front | Use::Stay));
         Some(key)
     }
 
     fn close(&mut self, conn: usize) {
-        let Some(c) = self.conns.try_remove(conn) else { return };
+        let Some(c) = self.conns.try_remove(conn) else {
+            return;
+        };
         if let Use::Front | Use::Stay = c.usage {
             self.places[c.ingress].held -= 1;
             if c.busy.is_none() && c.usage == Use::Front {
@@ -345,9 +401,12 @@
     /// Does what a connection is ready for.
     pub fn ready(&mut self, conn: usize, context: &mut Context) {
         context.read_clock();
-        let Some(c) = self.conns.get_mut(conn) else { return };
+        let Some(c) = self.conns.get_mut(conn) else {
+            return;
+        };
         let writes = c.pipe.flush();
-        let deaf = matches!(c.usage, Use::Hostile(g) if self.groups[g].manner == Some(Manner::Deaf));
+        let deaf =
+            matches!(c.usage, Use::Hostile(g) if self.groups[g].manner == Some(Manner::Deaf));
         if deaf && writes {
             return;
         }
@@ -361,7 +420,9 @@
 
     fn take_answers(&mut self, conn: usize, context: &mut Context) {
         loop {
-            let Some(c) = self.conns.get_mut(conn) else { return };
+            let Some(c) = self.conns.get_mut(conn) else {
+                return;
+            };
             if c.pipe.inbox.is_empty() {
                 return;
             }
@@ -378,7 +439,11 @@
             let answer = match (answer, c.busy) {
                 (Reading::Value(at), Some(key)) => {
                     let good = value_of(self.tries[key].id).as_bytes() == &c.pipe.inbox[at];
-                    Some(if good { (Answer::Served, None) } else { (Answer::Foreign, None) })
+                    Some(if good {
+                        (Answer::Served, None)
+                    } else {
+                        (Answer::Foreign, None)
+                    })
                 }
                 (Reading::Value(_), None) => None,
                 (Reading::Busy(pause), _) => Some((Answer::Refused, pause)),
@@ -409,9 +474,14 @@
             if c.usage == Use::Front {
                 self.places[t.ingress].idle.push_back(conn);
             }
-            let Some((answer, pause)) = answer else { continue };
+            let Some((answer, pause)) = answer else {
+                continue;
+            };
             context.see(Seen::Answered(t.id, answer));
-            let all = matches!(self.scenario.classes[t.op.class].effect, Effect::Keyed { all: true, .. });
+            let all = matches!(
+                self.scenario.classes[t.op.class].effect,
+                Effect::Keyed { all: true, .. }
+            );
             let safe = self.scenario.classes[t.op.class].effect == Effect::Safe || all;
             if answer == Answer::Refused || (answer == Answer::Failed && safe) {
                 self.again(t.op, pause, context);
@@ -428,7 +498,10 @@
         let seed = self.scenario.seed;
         op.draw = lot(seed, &[25, op.first, u64::from(op.tries)]);
         let honours = lot(seed, &[26, op.first]) < self.scenario.clients.honour;
-        let pause = pause.filter(|_| honours).unwrap_or(0).max(self.scenario.clients.backoff);
+        let pause = pause
+            .filter(|_| honours)
+            .unwrap_or(0)
+            .max(self.scenario.clients.backoff);
         if context.now + pause < op.until {
             context.after(pause, Due::Client(ClientDue::Again(op)));
         }
@@ -443,15 +516,31 @@
     fn unreached(&mut self, op: Op, context: &mut Context) {
         self.unreachable += 1;
         if op.tries == 0 {
-            let Op { first, account, class, plan, until, .. } = op;
-            context.see(Seen::Unreached(Try { id: first, first, account, class, plan, deadline: until }));
+            let Op {
+                first,
+                account,
+                class,
+                plan,
+                until,
+                ..
+            } = op;
+            context.see(Seen::Unreached(Try {
+                id: first,
+                first,
+                account,
+                class,
+                plan,
+                deadline: until,
+            }));
         }
         self.again(op, None, context);
     }
 
     /// A connection has ended, by the ingress or by itself.
     fn ended(&mut self, conn: usize, context: &mut Context) {
-        let Some(c) = self.conns.get(conn) else { return };
+        let Some(c) = self.conns.get(conn) else {
+            return;
+        };
         let (busy, usage, ingress) = (c.busy, c.usage, c.ingress);
         let between = c.pipe.inbox.is_empty();
         self.close(conn);
@@ -507,7 +596,9 @@
             ClientDue::Overdue { key, id } => {
                 // One that was asked again has its time anew.
                 let overdue = |t: &&Tried| t.id == id && t.until <= context.now;
-                let Some(t) = self.tries.get(key).filter(overdue) else { return };
+                let Some(t) = self.tries.get(key).filter(overdue) else {
+                    return;
+                };
                 let conn = t.conn;
                 context.see(Seen::Overdue(id));
                 self.close(conn);
@@ -517,7 +608,9 @@
                 }
             }
             ClientDue::Leave { key, id } => {
-                let Some(t) = self.tries.get(key).filter(|t| t.id == id) else { return };
+                let Some(t) = self.tries.get(key).filter(|t| t.id == id) else {
+                    return;
+                };
                 let conn = t.conn;
                 context.see(Seen::Left(id));
                 self.close(conn);
@@ -541,14 +634,24 @@
             ClientDue::GroupOver { group } => {
                 self.groups[group].over = true;
                 let of = |c: &Conn| c.usage == Use::Hostile(group);
-                let gone: Vec<usize> = self.conns.iter().filter(|(_, c)| of(c)).map(|(key, _)| key).collect();
+                let gone: Vec<usize> = self
+                    .conns
+                    .iter()
+                    .filter(|(_, c)| of(c))
+                    .map(|(key, _)| key)
+                    .collect();
                 gone.into_iter().for_each(|key| self.close(key));
             }
         }
     }
 
     fn open_group(&mut self, group: usize, count: u32, context: &mut Context) {
-        let Group { ingress, manner, over, wanted } = self.groups[group];
+        let Group {
+            ingress,
+            manner,
+            over,
+            wanted,
+        } = self.groups[group];
         if over {
             return;
         }
@@ -588,7 +691,11 @@
             Manner::Deaf => b"*1\r\n$4\r\nPING\r\n".repeat(DEAF),
             Manner::SameId => {
                 // The id of a request that waits for its answer there at this moment, if there is one.
-                let Some((_, t)) = self.tries.iter().find(|(_, t)| t.ingress == ingress && t.asked) else {
+                let Some((_, t)) = self
+                    .tries
+                    .iter()
+                    .find(|(_, t)| t.ingress == ingress && t.asked)
+                else {
                     return Vec::new();
                 };
                 command(&self.scenario, &t.op, t.id, t.wait, &self.accounts)
@@ -624,7 +731,9 @@
         Kind::Simple if text == b"PONG" => Reading::Pong,
         Kind::Error if text == b"BUSY" => Reading::Busy(None),
         Kind::Error if text.starts_with(b"BUSY ") => {
-            let ms = std::str::from_utf8(&text[5..]).ok().and_then(|t| t.parse::<u64>().ok());
+            let ms = std::str::from_utf8(&text[5..])
+                .ok()
+                .and_then(|t| t.parse::<u64>().ok());
             Reading::Busy(ms.map(|ms| (ms * 1000).min(60 * SECOND)))
         }
         _ => Reading::Failed,
@@ -646,14 +755,23 @@
         wait / 1000,
         class.units
     );
-    let verb = if class.effect == Effect::Safe { "CALL.GET" } else { "CALL.POST" };
-    let (customer, id) = (format!("{:016x}", u64::from(op.account) + 1), format!("{id:016x}"));
+    let verb = if class.effect == Effect::Safe {
+        "CALL.GET"
+    } else {
+        "CALL.POST"
+    };
+    let (customer, id) = (
+        format!("{:016x}", u64::from(op.account) + 1),
+        format!("{id:016x}"),
+    );
     let mut parts = vec![verb, &customer, &id, &options];
     if class.effect != Effect::Safe {
         parts.push(BODY);
     }
     let mut out = Vec::with_capacity(192);
     resp::put_array(&mut out, parts.len());
-    parts.iter().for_each(|p| resp::put_bulk(&mut out, &[p.as_bytes()]));
+    parts
+        .iter()
+        .for_each(|p| resp::put_bulk(&mut out, &[p.as_bytes()]));
     out
 }
--- a/crates/fleet/src/rig/context.rs
+++ b/crates/fleet/src/rig/context.rs
@@ -33,12 +33,30 @@
 
 /// The later parts of what a step has begun.
 pub enum Later {
-    Die { slot: usize, down: Micros, new_name: bool },
-    Noticed { slot: usize },
-    Revive { slot: usize, new_name: bool },
-    Replace { slot: usize, down: Micros },
-    Stop { ingress: usize, down: Micros },
-    LinksWell { from: Vec<usize>, to: Vec<usize> },
+    Die {
+        slot: usize,
+        down: Micros,
+        new_name: bool,
+    },
+    Noticed {
+        slot: usize,
+    },
+    Revive {
+        slot: usize,
+        new_name: bool,
+    },
+    Replace {
+        slot: usize,
+        down: Micros,
+    },
+    Stop {
+        ingress: usize,
+        down: Micros,
+    },
+    LinksWell {
+        from: Vec<usize>,
+        to: Vec<usize>,
+    },
 }
 
 struct Entry {
@@ -120,7 +138,9 @@
 
 impl Context {
     pub fn new(registry: Registry) -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let mut context = Context {
             registry,
             started: Instant::now(),
@@ -148,7 +168,11 @@
     /// Has something fall due at a time.
     pub fn at(&mut self, at: Micros, due: Due) {
         self.serial += 1;
-        self.timers.push(Reverse(Entry { at, serial: self.serial, due }));
+        self.timers.push(Reverse(Entry {
+            at,
+            serial: self.serial,
+            due,
+        }));
     }
 
     /// When the next timer is due.
@@ -164,7 +188,8 @@
         }
         let entry = self.timers.pop()?.0;
         if counts {
-            self.lateness.push(u32::try_from(self.now - entry.at).unwrap_or(u32::MAX));
+            self.lateness
+                .push(u32::try_from(self.now - entry.at).unwrap_or(u32::MAX));
         }
         Some(entry.due)
     }
--- a/crates/fleet/src/rig/counter.rs
+++ b/crates/fleet/src/rig/counter.rs
@@ -23,7 +23,11 @@
 /// What falls due for the count service.
 pub enum CounterDue {
     /// Answers go out.
-    Say { key: usize, serial: u64, text: Vec<u8> },
+    Say {
+        key: usize,
+        serial: u64,
+        text: Vec<u8>,
+    },
     /// A fault is over, if no later one came.
     Well { since: Micros },
 }
@@ -59,7 +63,9 @@
 impl Counter {
     /// Opens an address for each ingress, where the scenario has a count service.
     pub fn open(s: &Scenario, context: &mut Context) -> io::Result<Option<Self>> {
-        let Some(delay) = s.network.counter else { return Ok(None) };
+        let Some(delay) = s.network.counter else {
+            return Ok(None);
+        };
         let addresses = (0..s.ingresses.count).map(|_| address::free(address::own()));
         let mut counter = Counter {
             addresses: addresses.collect::<io::Result<_>>()?,
@@ -114,11 +120,20 @@
     pub fn accept(&mut self, ingress: usize, context: &mut Context) {
         while let Some(Ok((stream, _))) = self.listeners.get(ingress).map(TcpListener::accept) {
             self.serial += 1;
-            let conn = Conn { pipe: Pipe::new(stream), serial: self.serial, held: 0, owed: Vec::new() };
+            let conn = Conn {
+                pipe: Pipe::new(stream),
+                serial: self.serial,
+                held: 0,
+                owed: Vec::new(),
+            };
             let key = self.conns.insert(conn);
             let token: Token = token(Part::Counter, key);
             let interest = Interest::READABLE | Interest::WRITABLE;
-            if context.registry.register(&mut self.conns[key].pipe.stream, token, interest).is_err() {
+            if context
+                .registry
+                .register(&mut self.conns[key].pipe.stream, token, interest)
+                .is_err()
+            {
                 self.conns.remove(key);
             }
         }
@@ -126,7 +141,9 @@
 
     /// Does what a connection is ready for.
     pub fn ready(&mut self, key: usize, context: &mut Context) {
-        let Some(conn) = self.conns.get_mut(key) else { return };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return;
+        };
         let flow = conn.pipe.fill(&mut self.chunk);
         if !conn.pipe.flush() || flow != Flow::Open {
             self.conns.remove(key);
@@ -148,9 +165,13 @@
             answers.extend(match args[..] {
                 [b"PING"] => b"+PONG\r\n".to_vec(),
                 [b"CLIENT" | b"SELECT", ..] => b"+OK\r\n".to_vec(),
-                [b"TALLY", name, amount, life] => {
-                    tally(&mut self.numbers, self.fault, (name, amount, life), context.now, &mut self.added)
-                }
+                [b"TALLY", name, amount, life] => tally(
+                    &mut self.numbers,
+                    self.fault,
+                    (name, amount, life),
+                    context.now,
+                    &mut self.added,
+                ),
                 _ => b"-ERR no such call\r\n".to_vec(),
             });
         }
@@ -172,8 +193,14 @@
             conn.owed.extend(text);
             return;
         }
-        conn.held = conn.held.max(context.now + low + self.rng.u64(0..=high - low) + more);
-        let say = CounterDue::Say { key, serial: conn.serial, text };
+        conn.held = conn
+            .held
+            .max(context.now + low + self.rng.u64(0..=high - low) + more);
+        let say = CounterDue::Say {
+            key,
+            serial: conn.serial,
+            text,
+        };
         context.at(conn.held, Due::Counter(say));
     }
 
@@ -196,9 +223,13 @@
                     self.listen(context)?;
                 }
                 // What it owes comes late, in its order.
-                let owed: Vec<(usize, Vec<u8>)> =
-                    self.conns.iter_mut().map(|(key, c)| (key, std::mem::take(&mut c.owed))).collect();
-                owed.into_iter().for_each(|(key, text)| self.answer(key, text, context));
+                let owed: Vec<(usize, Vec<u8>)> = self
+                    .conns
+                    .iter_mut()
+                    .map(|(key, c)| (key, std::mem::take(&mut c.owed)))
+                    .collect();
+                owed.into_iter()
+                    .for_each(|(key, text)| self.answer(key, text, context));
             }
             CounterDue::Well { .. } => {}
         }
@@ -256,9 +287,13 @@
         );
         assert_eq!(call("a", "1", "1000", SECOND), "$1\r\n1\r\n", "forgotten");
         let long = "x".repeat(65);
-        for (name, amount, life) in
-            [("", "1", "1"), (&long, "1", "1"), ("b", "x", "1"), ("b", "2e9", "1"), ("b", "1", "0")]
-        {
+        for (name, amount, life) in [
+            ("", "1", "1"),
+            (&long, "1", "1"),
+            ("b", "x", "1"),
+            ("b", "2e9", "1"),
+            ("b", "1", "0"),
+        ] {
             assert_eq!(call(name, amount, life, 0), "-ERR no such call\r\n");
         }
         assert_eq!(call("b", "0", "5", 0), "$1\r\n0\r\n", "nothing was added");
