--- a/crates/fleet/src/rig/discovery.rs
+++ b/crates/fleet/src/rig/discovery.rs
@@ -103,7 +103,12 @@
         let known = discovery.changes.len() as u64;
         for ingress in 0..usize::from(s.ingresses.count) {
             let at = SocketAddr::new(address::own(), 0);
-            discovery.agents.push(Agent { at, listener: None, known, mode: (AgentMode::Well, 0) });
+            discovery.agents.push(Agent {
+                at,
+                listener: None,
+                known,
+                mode: (AgentMode::Well, 0),
+            });
             discovery.listen(ingress, context)?;
         }
         Ok(discovery)
@@ -114,7 +119,12 @@
         for ingress in 0..self.agents.len() {
             for line in &self.changes {
                 let (backend, up, started) = (line.ident, line.status == "up", line.started);
-                context.see(Seen::Told { ingress, backend, up, started });
+                context.see(Seen::Told {
+                    ingress,
+                    backend,
+                    up,
+                    started,
+                });
             }
         }
     }
@@ -146,7 +156,10 @@
             if let AgentMode::Late(more) = self.agents[ingress].mode.0 {
                 delay += more;
             }
-            context.after(delay, Due::Discovery(DiscoveryDue::Known { ingress, index }));
+            context.after(
+                delay,
+                Due::Discovery(DiscoveryDue::Known { ingress, index }),
+            );
         }
     }
 
@@ -157,7 +170,13 @@
             self.agents[ingress].listener = None;
             self.close_all(ingress);
         }
-        context.after(lasts, Due::Discovery(DiscoveryDue::Back { ingress, since: context.now }));
+        context.after(
+            lasts,
+            Due::Discovery(DiscoveryDue::Back {
+                ingress,
+                since: context.now,
+            }),
+        );
     }
 
     /// Moves an agent to another address; the old one is gone.
@@ -174,13 +193,24 @@
     /// Takes in connections.
     pub fn accept(&mut self, ingress: usize, context: &mut Context) {
         loop {
-            let Some(listener) = &self.agents[ingress].listener else { return };
-            let Ok((mut stream, _)) = listener.accept() else { return };
+            let Some(listener) = &self.agents[ingress].listener else {
+                return;
+            };
+            let Ok((mut stream, _)) = listener.accept() else {
+                return;
+            };
             let place = self.conns.vacant_entry();
             let token = token(Part::Discovery, place.key());
-            if context.registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).is_ok()
+            if context
+                .registry
+                .register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)
+                .is_ok()
             {
-                place.insert(Conn { pipe: Pipe::new(stream), ingress, watch: None });
+                place.insert(Conn {
+                    pipe: Pipe::new(stream),
+                    ingress,
+                    watch: None,
+                });
             }
         }
     }
@@ -188,7 +218,9 @@
     /// Does what a connection is ready for.
     pub fn ready(&mut self, key: usize, context: &mut Context) {
         context.read_clock();
-        let Some(conn) = self.conns.get_mut(key) else { return };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return;
+        };
         let flow = conn.pipe.fill(&mut self.chunk);
         if flow != Flow::Open || !conn.pipe.flush() || conn.pipe.inbox.len() > MOST_CALL {
             self.conns.remove(key);
@@ -201,7 +233,9 @@
     }
 
     fn take_call(&mut self, key: usize, context: &mut Context) {
-        let Some(conn) = self.conns.get_mut(key) else { return };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return;
+        };
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut head = httparse::Request::new(&mut headers);
         let (size, path) = match head.parse(&conn.pipe.inbox) {
@@ -215,7 +249,8 @@
         conn.pipe.inbox.drain(..size);
         let (path, query) = path.split_once('?').unwrap_or((&path, ""));
         if path != "/v1/endpoints" {
-            conn.pipe.say(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+            conn.pipe
+                .say(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
             return;
         }
         let number = |name: &str| {
@@ -229,17 +264,24 @@
                 let watch = self.watches;
                 conn.watch = Some((since, watch));
                 let wait = number("timeout_ms=").unwrap_or(0).min(LONGEST_WATCH_MS) * 1000;
-                context.after(wait, Due::Discovery(DiscoveryDue::WatchOver { conn: key, watch }));
+                context.after(
+                    wait,
+                    Due::Discovery(DiscoveryDue::WatchOver { conn: key, watch }),
+                );
             }
             // One that knows what this agent does not is told the whole list.
-            Some(since) if since < self.agents[ingress].known => self.tell(key, Some(since), context),
+            Some(since) if since < self.agents[ingress].known => {
+                self.tell(key, Some(since), context)
+            }
             _ => self.tell(key, None, context),
         }
     }
 
     /// Tells what is newer than an index, or the whole list.
     fn tell(&mut self, key: usize, since: Option<u64>, context: &mut Context) {
-        let Some(conn) = self.conns.get_mut(key) else { return };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return;
+        };
         let (ingress, known) = (conn.ingress, self.agents[conn.ingress].known);
         let mut lines: BTreeMap<usize, &Line> = BTreeMap::new();
         for line in &self.changes[since.unwrap_or(0) as usize..known as usize] {
@@ -260,7 +302,12 @@
         }
         for line in lines.values() {
             let (backend, up, started) = (line.ident, line.status == "up", line.started);
-            context.see(Seen::Told { ingress, backend, up, started });
+            context.see(Seen::Told {
+                ingress,
+                backend,
+                up,
+                started,
+            });
         }
     }
 
@@ -275,8 +322,12 @@
                 }
             }
             DiscoveryDue::WatchOver { conn, watch } => {
-                let Some(c) = self.conns.get(conn) else { return };
-                let Some((since, _)) = c.watch.filter(|w| w.1 == watch) else { return };
+                let Some(c) = self.conns.get(conn) else {
+                    return;
+                };
+                let Some((since, _)) = c.watch.filter(|w| w.1 == watch) else {
+                    return;
+                };
                 if self.agents[c.ingress].mode.0 != AgentMode::Silent {
                     self.tell(conn, Some(since), context);
                 }
@@ -290,15 +341,24 @@
                 if was == AgentMode::Gone {
                     // The address is this rig's own: only a connection of its own could still be in the way.
                     if self.listen(ingress, context).is_err() {
-                        let again = DiscoveryDue::Back { ingress, since: context.now };
+                        let again = DiscoveryDue::Back {
+                            ingress,
+                            since: context.now,
+                        };
                         context.after(100_000, Due::Discovery(again));
                         self.agents[ingress].mode = (AgentMode::Gone, context.now);
                     }
                 } else if was == AgentMode::Silent {
                     self.answer_watches(ingress, context);
-                    let waiting: Vec<usize> =
-                        self.conns.iter().filter(|(_, c)| c.ingress == ingress).map(|(k, _)| k).collect();
-                    waiting.into_iter().for_each(|key| self.take_call(key, context));
+                    let waiting: Vec<usize> = self
+                        .conns
+                        .iter()
+                        .filter(|(_, c)| c.ingress == ingress)
+                        .map(|(k, _)| k)
+                        .collect();
+                    waiting
+                        .into_iter()
+                        .for_each(|key| self.take_call(key, context));
                 }
             }
         }
@@ -307,9 +367,14 @@
     fn answer_watches(&mut self, ingress: usize, context: &mut Context) {
         let known = self.agents[ingress].known;
         let due = |c: &Conn| c.ingress == ingress && c.watch.is_some_and(|w| w.0 < known);
-        let due: Vec<(usize, Option<u64>)> =
-            self.conns.iter().filter(|(_, c)| due(c)).map(|(key, c)| (key, c.watch.map(|w| w.0))).collect();
-        due.into_iter().for_each(|(key, since)| self.tell(key, since, context));
+        let due: Vec<(usize, Option<u64>)> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| due(c))
+            .map(|(key, c)| (key, c.watch.map(|w| w.0)))
+            .collect();
+        due.into_iter()
+            .for_each(|(key, since)| self.tell(key, since, context));
     }
 
     /// The list as an ingress has it at its start, in discovery's form.
@@ -319,9 +384,15 @@
         self.changes[..index as usize].iter().for_each(|l| {
             lines.insert(l.ident, l);
         });
-        let list: Vec<Value> =
-            lines.values().filter(|l| l.status != "removed").map(|l| l.json(ingress)).collect();
-        (index, json!({"index": index, "snapshot": true, "endpoints": list}))
+        let list: Vec<Value> = lines
+            .values()
+            .filter(|l| l.status != "removed")
+            .map(|l| l.json(ingress))
+            .collect();
+        (
+            index,
+            json!({"index": index, "snapshot": true, "endpoints": list}),
+        )
     }
 
     /// The newest line of a backend.
--- a/crates/fleet/src/rig/group.rs
+++ b/crates/fleet/src/rig/group.rs
@@ -65,7 +65,11 @@
             LinkFault::Late(by) => links::Fault::Late(Duration::from_micros(by)),
             LinkFault::OneWay => links::Fault::OneWay,
         });
-        for (a, b) in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))).filter(|(a, b)| a != b) {
+        for (a, b) in from
+            .iter()
+            .flat_map(|a| to.iter().map(move |b| (*a, *b)))
+            .filter(|(a, b)| a != b)
+        {
             self.links.set(&member(a), &member(b), fault);
         }
     }
@@ -96,7 +100,10 @@
             Effect::Safe => "effect = \"safe\"".to_string(),
             Effect::Keyed { all, window } => {
                 let group = if all { "all" } else { "group" };
-                format!("effect = \"keyed\"\ngroup = \"{group}\"\nwindow = {}", us(window))
+                format!(
+                    "effect = \"keyed\"\ngroup = \"{group}\"\nwindow = {}",
+                    us(window)
+                )
             }
             Effect::Unsafe => "effect = \"unsafe\"".to_string(),
         };
@@ -114,8 +121,11 @@
             p.name, p.rate, p.burst, p.price, p.beyond_costs
         );
         if p.ceiling > 0.0 {
-            let _ =
-                write!(text, "never-over = \"{}/s\"\nnever-over-burst = {}\n", p.ceiling, p.ceiling_burst);
+            let _ = write!(
+                text,
+                "never-over = \"{}/s\"\nnever-over-burst = {}\n",
+                p.ceiling, p.ceiling_burst
+            );
         }
     }
     text
@@ -137,8 +147,10 @@
     for (n, place) in places.iter().enumerate() {
         let (name, hall) = (member(n), &s.network.halls[n % s.network.halls.len()]);
         let (control, state) = (control(dir, &name), dir.join(format!("{name}.state")));
-        let (folder, [listen, discovery, peers]) =
-            (links.folder(&name), [place.listen, place.discovery, place.peers]);
+        let (folder, [listen, discovery, peers]) = (
+            links.folder(&name),
+            [place.listen, place.discovery, place.peers],
+        );
         let _ = write!(
             text,
             "\n[[sidecar]]\nname = \"{name}\"\nhall = {hall:?}\nlisten = \"{listen}\"\ndiscovery = \"{discovery}\"\n\
@@ -147,7 +159,10 @@
     }
     let accounts = Accounts::new(s);
     for account in 0..s.clients.accounts {
-        let (id, plan) = (u64::from(account) + 1, &s.plans[accounts.plan(account)].name);
+        let (id, plan) = (
+            u64::from(account) + 1,
+            &s.plans[accounts.plan(account)].name,
+        );
         let _ = write!(text, "\n[[account]]\nid = \"{id:016x}\"\nplan = {plan:?}\n");
     }
     text
--- a/crates/fleet/src/rig/mod.rs
+++ b/crates/fleet/src/rig/mod.rs
@@ -106,7 +106,10 @@
 /// left behind.
 pub fn play(scenario: &Scenario, run: Run) -> Result<Report, RigError> {
     let mut watch = run.watch;
-    let dir = rig("cannot make a folder for the ingresses' files", tempfile::tempdir())?;
+    let dir = rig(
+        "cannot make a folder for the ingresses' files",
+        tempfile::tempdir(),
+    )?;
     raise_limit();
     let mut poll = rig("cannot poll", Poll::new())?;
     let registry = rig("cannot poll", poll.registry().try_clone())?;
@@ -136,7 +139,11 @@
         if run.stop.load(Ordering::Relaxed) || rig.over(now) {
             break now;
         }
-        let wait = rig.context.next().map_or(LOOK, |at| at.saturating_sub(now)).min(LOOK / 10);
+        let wait = rig
+            .context
+            .next()
+            .map_or(LOOK, |at| at.saturating_sub(now))
+            .min(LOOK / 10);
         match poll.poll(&mut events, Some(Duration::from_micros(wait))) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => {
                 return Err(RigError(format!("cannot poll: {e}")))
@@ -166,7 +173,13 @@
 fn raise_limit() {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let limit = getrlimit(Resource::Nofile);
-    let _ = setrlimit(Resource::Nofile, Rlimit { current: limit.maximum, maximum: limit.maximum });
+    let _ = setrlimit(
+        Resource::Nofile,
+        Rlimit {
+            current: limit.maximum,
+            maximum: limit.maximum,
+        },
+    );
 }
 
 impl<'a> Rig<'a> {
@@ -178,9 +191,14 @@
     ) -> Result<Rig<'a>, RigError> {
         let count = usize::from(s.ingresses.count);
         if !program.exists() {
-            return Err(RigError(format!("there is no program at {}; build it first", program.display())));
+            return Err(RigError(format!(
+                "there is no program at {}; build it first",
+                program.display()
+            )));
         }
-        let listens = (0..count).map(|n| listen_at(s, n)).collect::<Result<Vec<_>, _>>()?;
+        let listens = (0..count)
+            .map(|n| listen_at(s, n))
+            .collect::<Result<Vec<_>, _>>()?;
         let backends = rig("cannot open the backends", Backends::open(s, &mut context))?;
         let mut relays = Relays::new();
         let legs: HashSet<(u8, usize)> = s
@@ -203,7 +221,10 @@
                     Ok(at)
                 }
             });
-            let addresses = rig("cannot open a relay", addresses.collect::<io::Result<Vec<_>>>())?;
+            let addresses = rig(
+                "cannot open a relay",
+                addresses.collect::<io::Result<Vec<_>>>(),
+            )?;
             let (ident, pod, started) = backends.facts(slot);
             let set = s.set_of(slot);
             lines.push(Line {
@@ -214,13 +235,23 @@
                 pod,
                 status: if set.listed { "up" } else { "removed" },
                 started,
-                weight: if s.network.weights { f64::from(set.cores) * set.speed } else { 1.0 },
+                weight: if s.network.weights {
+                    f64::from(set.cores) * set.speed
+                } else {
+                    1.0
+                },
                 addresses,
             });
         }
-        let discovery = rig("cannot open discovery", Discovery::open(s, lines, &mut context))?;
+        let discovery = rig(
+            "cannot open discovery",
+            Discovery::open(s, lines, &mut context),
+        )?;
         let peers = rig("cannot open the peers' relay", Peers::open(s, &mut context))?;
-        let counter = rig("cannot open the count service", Counter::open(s, &mut context))?;
+        let counter = rig(
+            "cannot open the count service",
+            Counter::open(s, &mut context),
+        )?;
         let (mut fronts, mut configs, mut places) = (Vec::new(), Vec::new(), Vec::new());
         for (ingress, listen) in listens.iter().copied().enumerate() {
             let mut front = listen;
@@ -235,14 +266,32 @@
                 agent = rig("cannot open a relay", relay)?;
             }
             let peers = rig("cannot open the peers' relay", peers.addresses(ingress))?;
-            places.push(Place { listen, discovery: agent, peers: peers.0 });
+            places.push(Place {
+                listen,
+                discovery: agent,
+                peers: peers.0,
+            });
             let (_, known) = discovery.known(ingress, None);
             let counter = counter.as_ref().map(|c| c.address(ingress));
-            let at = Addresses { listen, discovery: agent, peers, counter };
+            let at = Addresses {
+                listen,
+                discovery: agent,
+                peers,
+                counter,
+            };
             configs.push(told::config(s, ingress, &at, &known));
         }
-        let group = s.group.as_ref().map(|g| Group::open(s, g, &places, dir)).transpose();
-        let processes = Processes::new(program, &s.ingresses, rig("cannot set up the group", group)?, dir);
+        let group = s
+            .group
+            .as_ref()
+            .map(|g| Group::open(s, g, &places, dir))
+            .transpose();
+        let processes = Processes::new(
+            program,
+            &s.ingresses,
+            rig("cannot set up the group", group)?,
+            dir,
+        );
         discovery.told_at_start(&mut context);
         let now = context.now;
         let mut rig = Rig {
@@ -273,7 +322,10 @@
 
     fn configure(&mut self, ingress: usize) -> Result<(), RigError> {
         let text = self.configs[ingress].to_string();
-        rig("cannot write a configuration", self.processes.configure(ingress, &text))
+        rig(
+            "cannot write a configuration",
+            self.processes.configure(ingress, &text),
+        )
     }
 
     fn start(&mut self, ingress: usize) -> Result<(), RigError> {
@@ -285,10 +337,15 @@
     }
 
     fn never_ready(&mut self) -> RigError {
-        let missing = (0..self.listens.len()).find(|i| !self.clients.up(*i)).unwrap_or(0);
+        let missing = (0..self.listens.len())
+            .find(|i| !self.clients.up(*i))
+            .unwrap_or(0);
         let log = self.processes.log(missing);
         let last = log.lines().last().unwrap_or("it said nothing").to_string();
-        RigError(format!("ingress {missing} was not ready within {} s: {last}", READY_WITHIN / SECOND))
+        RigError(format!(
+            "ingress {missing} was not ready within {} s: {last}",
+            READY_WITHIN / SECOND
+        ))
     }
 
     /// All ingresses are ready: the first arrivals and the timetable count from now on.
@@ -311,7 +368,13 @@
     }
 
     fn over(&self, now: Micros) -> bool {
-        let longest = self.scenario.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest = self
+            .scenario
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or(0);
         let idle = self.clients.waiting() == 0;
         let last = self.begin + self.scenario.lasts;
         self.began && (now > last + longest + AFTER || (idle && now > last + AFTER.max(SECOND)))
@@ -382,7 +445,10 @@
                 self.say(format!("ingress {ingress} starts"));
             }
             Due::Process(ProcessDue::Resume { ingress, life }) => {
-                if self.processes.due(ProcessDue::Resume { ingress, life }, &mut self.context) {
+                if self
+                    .processes
+                    .due(ProcessDue::Resume { ingress, life }, &mut self.context)
+                {
                     self.context.see(Seen::Resumed(ingress));
                     self.say(format!("ingress {ingress} goes on"));
                 }
@@ -409,7 +475,8 @@
                     // What a killed ingress held is the client's; one that was told to stop owes all its answers.
                     self.clients.died(ingress, &mut self.context);
                     if let Some(down) = down {
-                        self.context.after(down, Due::Process(ProcessDue::Start { ingress }));
+                        self.context
+                            .after(down, Due::Process(ProcessDue::Start { ingress }));
                     }
                 }
                 Ended::Crashed(ingress, status) => {
@@ -431,45 +498,76 @@
 
     fn leg_seen(&mut self, leg: Leg, ingress: usize, down: bool) {
         if leg == Leg::Clients {
-            let seen = if down { Seen::LegDown(ingress) } else { Seen::LegUp(ingress) };
+            let seen = if down {
+                Seen::LegDown(ingress)
+            } else {
+                Seen::LegUp(ingress)
+            };
             self.context.see(seen);
         }
     }
 
     fn status(&mut self, slot: usize, status: &'static str) {
         let (ident, _, started) = self.backends.facts(slot);
-        let Some(line) = self.discovery.line(ident) else { return };
-        let line = Line { status, started, ..line.clone() };
+        let Some(line) = self.discovery.line(ident) else {
+            return;
+        };
+        let line = Line {
+            status,
+            started,
+            ..line.clone()
+        };
         self.discovery.change(line, &mut self.context);
     }
 
     /// A backend's process starts again, under its old name or a new one.
     fn revive(&mut self, slot: usize, new_name: bool) {
         let (old, pod, _) = self.backends.facts(slot);
-        let Some(line) = self.discovery.line(old).cloned() else { return };
+        let Some(line) = self.discovery.line(old).cloned() else {
+            return;
+        };
         if let Err(e) = self.backends.start(slot, new_name, &mut self.context) {
             self.failed = Some(RigError(format!("cannot start backend {slot} again: {e}")));
             return;
         }
         let (ident, _, started) = self.backends.facts(slot);
         if new_name {
-            let gone = Line { status: "removed", ..line.clone() };
+            let gone = Line {
+                status: "removed",
+                ..line.clone()
+            };
             self.discovery.change(gone, &mut self.context);
         }
         let name = format!("s-{ident:04}");
-        let line = Line { ident, name, pod, status: "up", started, ..line };
+        let line = Line {
+            ident,
+            name,
+            pod,
+            status: "up",
+            started,
+            ..line
+        };
         self.discovery.change(line, &mut self.context);
-        self.say(format!("backend {slot} is back, cold{}", if new_name { ", under a new name" } else { "" }));
+        self.say(format!(
+            "backend {slot} is back, cold{}",
+            if new_name { ", under a new name" } else { "" }
+        ));
     }
 
     /// The later parts of what happens to backends.
     fn carry_on(&mut self, later: context::Later) {
         use context::Later;
         match later {
-            Later::Die { slot, down, new_name } => {
+            Later::Die {
+                slot,
+                down,
+                new_name,
+            } => {
                 self.backends.die(slot, &mut self.context);
-                self.context.after(down, Due::Later(Later::Revive { slot, new_name }));
-                self.context.after(NOTICED, Due::Later(Later::Noticed { slot }));
+                self.context
+                    .after(down, Due::Later(Later::Revive { slot, new_name }));
+                self.context
+                    .after(NOTICED, Due::Later(Later::Noticed { slot }));
             }
             Later::Noticed { slot } => {
                 if !self.backends.alive(slot) {
@@ -480,7 +578,11 @@
             Later::Replace { slot, down } => {
                 self.status(slot, "draining");
                 self.say(format!("backend {slot} is replaced"));
-                let die = Later::Die { slot, down, new_name: true };
+                let die = Later::Die {
+                    slot,
+                    down,
+                    new_name: true,
+                };
                 self.context.after(DRAINED, Due::Later(die));
             }
             Later::LinksWell { from, to } => self.processes.link(&from, &to, None),
@@ -504,7 +606,11 @@
                     self.context.see(Seen::Killed(ingress));
                 }
             }
-            Fault::Restart { ingresses, every, down } => {
+            Fault::Restart {
+                ingresses,
+                every,
+                down,
+            } => {
                 for (n, ingress) in (0..).zip(ingresses) {
                     context.after(n * every, Due::Later(Later::Stop { ingress, down }));
                 }
@@ -516,8 +622,14 @@
                     }
                 }
             }
-            Fault::Throttle { ingresses, cores, lasts } => {
-                ingresses.into_iter().for_each(|i| self.processes.throttle(i, cores, lasts, context));
+            Fault::Throttle {
+                ingresses,
+                cores,
+                lasts,
+            } => {
+                ingresses
+                    .into_iter()
+                    .for_each(|i| self.processes.throttle(i, cores, lasts, context));
             }
             Fault::Move { ingresses } => {
                 for ingress in ingresses {
@@ -525,7 +637,8 @@
                         self.failed = Some(RigError(format!("cannot move discovery: {e}")));
                         return;
                     }
-                    self.configs[ingress]["discovery"] = self.discovery.address(ingress).to_string().into();
+                    self.configs[ingress]["discovery"] =
+                        self.discovery.address(ingress).to_string().into();
                     let text = self.configs[ingress].to_string();
                     if let Err(e) = self.processes.configure(ingress, &text) {
                         self.failed = Some(RigError(format!("cannot write a configuration: {e}")));
@@ -533,50 +646,106 @@
                     self.processes.hang_up(ingress);
                 }
             }
-            Fault::Drain { backends } => backends.into_iter().for_each(|b| self.status(b, "draining")),
+            Fault::Drain { backends } => backends
+                .into_iter()
+                .for_each(|b| self.status(b, "draining")),
             Fault::Up { backends } => backends.into_iter().for_each(|b| self.status(b, "up")),
-            Fault::Remove { backends } => backends.into_iter().for_each(|b| self.status(b, "removed")),
+            Fault::Remove { backends } => {
+                backends.into_iter().for_each(|b| self.status(b, "removed"))
+            }
             Fault::Die { backends, down } => {
                 for slot in backends {
-                    let die = Later::Die { slot, down, new_name: false };
+                    let die = Later::Die {
+                        slot,
+                        down,
+                        new_name: false,
+                    };
                     self.context.after(0, Due::Later(die));
                 }
             }
-            Fault::Replace { backends, every, down } => {
+            Fault::Replace {
+                backends,
+                every,
+                down,
+            } => {
                 for (n, slot) in (0..).zip(backends) {
-                    self.context.after(n * every, Due::Later(Later::Replace { slot, down }));
+                    self.context
+                        .after(n * every, Due::Later(Later::Replace { slot, down }));
                 }
             }
             Fault::Hang { backends, lasts } => self.behave(backends, Mode::Hang, lasts),
-            Fault::Reset { backends, byte, lasts } => self.behave(backends, Mode::Reset { byte }, lasts),
+            Fault::Reset {
+                backends,
+                byte,
+                lasts,
+            } => self.behave(backends, Mode::Reset { byte }, lasts),
             Fault::Spoil { backends, lasts } => self.behave(backends, Mode::Spoil, lasts),
             Fault::Bytewise { backends, lasts } => self.behave(backends, Mode::Bytewise, lasts),
             Fault::Echo { backends, lasts } => self.behave(backends, Mode::Echo, lasts),
-            Fault::Neighbour { backends, factor, lasts } => {
+            Fault::Neighbour {
+                backends,
+                factor,
+                lasts,
+            } => {
                 for slot in backends {
                     self.backends.neighbour(slot, factor);
                     let over = BackendDue::Taken { slot, factor: 0.0 };
                     self.context.after(lasts, Due::Backend(over));
                 }
             }
-            Fault::DiscoverySilent { ingresses, lasts } => self.agents(ingresses, AgentMode::Silent, lasts),
-            Fault::DiscoveryGone { ingresses, lasts } => self.agents(ingresses, AgentMode::Gone, lasts),
-            Fault::DiscoveryLate { ingresses, delay, lasts } => {
+            Fault::DiscoverySilent { ingresses, lasts } => {
+                self.agents(ingresses, AgentMode::Silent, lasts)
+            }
+            Fault::DiscoveryGone { ingresses, lasts } => {
+                self.agents(ingresses, AgentMode::Gone, lasts)
+            }
+            Fault::DiscoveryLate {
+                ingresses,
+                delay,
+                lasts,
+            } => {
                 self.agents(ingresses, AgentMode::Late(delay), lasts);
             }
             Fault::Split { lasts } => self.peers.split(lasts, context),
-            Fault::Lossy { loss, repeat, delay, lasts } => {
+            Fault::Lossy {
+                loss,
+                repeat,
+                delay,
+                lasts,
+            } => {
                 self.peers.lossy((loss, repeat, delay), lasts, context);
             }
-            Fault::Hot { accounts, rate, lasts } => self.more(n, lasts, rate, Some(accounts)),
+            Fault::Hot {
+                accounts,
+                rate,
+                lasts,
+            } => self.more(n, lasts, rate, Some(accounts)),
             Fault::Scan { rate, lasts } => self.more(n, lasts, rate, None),
-            Fault::Crowd { ingresses, count, lasts } => {
-                ingresses.into_iter().for_each(|i| self.clients.crowd(i, count, lasts, context));
+            Fault::Crowd {
+                ingresses,
+                count,
+                lasts,
+            } => {
+                ingresses
+                    .into_iter()
+                    .for_each(|i| self.clients.crowd(i, count, lasts, context));
             }
-            Fault::Hostile { ingresses, count, manner, lasts } => {
-                ingresses.into_iter().for_each(|i| self.clients.hostile(i, count, manner, lasts, context));
+            Fault::Hostile {
+                ingresses,
+                count,
+                manner,
+                lasts,
+            } => {
+                ingresses
+                    .into_iter()
+                    .for_each(|i| self.clients.hostile(i, count, manner, lasts, context));
             }
-            Fault::Link { from, to, fault, lasts } => {
+            Fault::Link {
+                from,
+                to,
+                fault,
+                lasts,
+            } => {
                 self.processes.link(&from, &to, Some(fault));
                 context.after(lasts, Due::Later(Later::LinksWell { from, to }));
             }
@@ -585,9 +754,15 @@
                     counter.fail(fault, lasts, context);
                 }
             }
-            Fault::Leg { leg, fault, ingresses, lasts } => {
+            Fault::Leg {
+                leg,
+                fault,
+                ingresses,
+                lasts,
+            } => {
                 for ingress in ingresses {
-                    self.relays.fail((leg, ingress), fault, lasts, &mut self.context);
+                    self.relays
+                        .fail((leg, ingress), fault, lasts, &mut self.context);
                     if let (Leg::Backends, LegFault::Slow(delay)) = (leg, fault) {
                         self.context.see(Seen::Slow(ingress, delay));
                     }
@@ -598,11 +773,15 @@
     }
 
     fn behave(&mut self, backends: Vec<usize>, mode: Mode, lasts: Micros) {
-        backends.into_iter().for_each(|b| self.backends.behave(b, mode, lasts, &mut self.context));
+        backends
+            .into_iter()
+            .for_each(|b| self.backends.behave(b, mode, lasts, &mut self.context));
     }
 
     fn agents(&mut self, ingresses: Vec<usize>, mode: AgentMode, lasts: Micros) {
-        ingresses.into_iter().for_each(|i| self.discovery.fail(i, mode, lasts, &mut self.context));
+        ingresses
+            .into_iter()
+            .for_each(|i| self.discovery.fail(i, mode, lasts, &mut self.context));
     }
 
     /// Arrivals that a fault adds.
@@ -616,7 +795,8 @@
     fn snapshot(&mut self) -> Snapshot {
         let worth = self.judge.worth();
         let count = self.listens.len();
-        let (asked, served, refused, failed) = (worth.asked, worth.served, worth.refused, worth.failed);
+        let (asked, served, refused, failed) =
+            (worth.asked, worth.served, worth.refused, worth.failed);
         let rungs = (0..count).map(|i| rung(&self.processes.log(i)));
         Snapshot {
             at: self.context.now - self.begin,
@@ -626,17 +806,25 @@
             refused,
             failed,
             waiting: self.clients.waiting(),
-            ingresses: (0..count).map(|i| (self.processes.runs(i), self.clients.up(i))).collect(),
+            ingresses: (0..count)
+                .map(|i| (self.processes.runs(i), self.clients.up(i)))
+                .collect(),
             rungs: rungs.collect(),
-            backends: (0..self.scenario.backend_count()).map(|b| self.backends.alive(b)).collect(),
+            backends: (0..self.scenario.backend_count())
+                .map(|b| self.backends.alive(b))
+                .collect(),
             broken: self.judge.counts(),
             log: self.log.last().cloned().unwrap_or_default(),
         }
     }
 
     fn report(mut self, end: Micros) -> Report {
-        let usage = (0..self.listens.len()).map(|i| self.processes.usage(i)).collect::<Vec<_>>();
-        let logs: Vec<String> = (0..self.listens.len()).map(|i| self.processes.log(i)).collect();
+        let usage = (0..self.listens.len())
+            .map(|i| self.processes.usage(i))
+            .collect::<Vec<_>>();
+        let logs: Vec<String> = (0..self.listens.len())
+            .map(|i| self.processes.log(i))
+            .collect();
         let rig = crate::report::RigFigures {
             lateness: Lateness::of(&mut self.context.lateness),
             unreachable: self.clients.unreachable,
@@ -645,18 +833,38 @@
             peer_too_long: self.peers.too_long,
             connections: (self.clients.connections(), self.backends.connections()),
         };
-        let usage = usage.into_iter().map(|u| (u.cpu, u.memory_kb, u.descriptors)).collect();
+        let usage = usage
+            .into_iter()
+            .map(|u| (u.cpu, u.memory_kb, u.descriptors))
+            .collect();
         let spread = self.backends.spread();
         let lasted = end - self.begin;
-        Report::new(self.scenario, &self.judge, lasted, usage, spread, rig, self.crashes, self.log, logs)
+        Report::new(
+            self.scenario,
+            &self.judge,
+            lasted,
+            usage,
+            spread,
+            rig,
+            self.crashes,
+            self.log,
+            logs,
+        )
     }
 }
 
 /// The rung of the ladder that an ingress's log tells last: shown to people, and nothing that the judge goes by.
 fn rung(log: &str) -> u8 {
-    let last = log.lines().rev().find_map(|l| l.split_once("ladder: rung ")).map(|(_, rest)| rest);
-    let to = last.and_then(|l| l.split_once(" to ")).map(|(_, rest)| rest);
-    to.and_then(|t| t.bytes().next()).map_or(0, |b| b.saturating_sub(b'0'))
+    let last = log
+        .lines()
+        .rev()
+        .find_map(|l| l.split_once("ladder: rung "))
+        .map(|(_, rest)| rest);
+    let to = last
+        .and_then(|l| l.split_once(" to "))
+        .map(|(_, rest)| rest);
+    to.and_then(|t| t.bytes().next())
+        .map_or(0, |b| b.saturating_sub(b'0'))
 }
 
 fn listen_at(s: &Scenario, ingress: usize) -> Result<SocketAddr, RigError> {
@@ -665,7 +873,8 @@
         Some(first) => {
             let at = SocketAddr::from(([127, 0, 0, 1], first + ingress as u16));
             let free = std::net::TcpListener::bind(at);
-            free.map(|_| at).map_err(|e| RigError(format!("ingress {ingress} can't listen at {at}: {e}")))
+            free.map(|_| at)
+                .map_err(|e| RigError(format!("ingress {ingress} can't listen at {at}: {e}")))
         }
     }
 }
--- a/crates/fleet/src/rig/peers.rs
+++ b/crates/fleet/src/rig/peers.rs
@@ -16,7 +16,11 @@
 /// What falls due for peers.
 pub enum PeerDue {
     /// A message arrives.
-    Arrive { from: usize, to: usize, bytes: Vec<u8> },
+    Arrive {
+        from: usize,
+        to: usize,
+        bytes: Vec<u8>,
+    },
     /// The peers are one again, if no later split came.
     Whole { since: Micros },
     /// The network is as it was, if no later fault came.
@@ -61,13 +65,19 @@
             for to in 0..count {
                 let mut socket = UdpSocket::bind((ip, 0).into())?;
                 let token = token(Part::Peer, from * count + to);
-                context.registry.register(&mut socket, token, Interest::READABLE)?;
+                context
+                    .registry
+                    .register(&mut socket, token, Interest::READABLE)?;
                 row.push(socket);
             }
             sockets.push(row);
         }
         let (delay, loss) = (s.network.peer_delay, s.network.peer_loss);
-        let calm = Weather { delay, loss, repeat: 0.0 };
+        let calm = Weather {
+            delay,
+            loss,
+            repeat: 0.0,
+        };
         Ok(Peers {
             sockets,
             listens,
@@ -83,16 +93,26 @@
     }
 
     /// Where an ingress takes messages, how it sees the others, and how all of them.
-    pub fn addresses(&self, ingress: usize) -> io::Result<(SocketAddr, Vec<SocketAddr>, SocketAddr)> {
-        let list = self.sockets[ingress].iter().enumerate().map(|(to, socket)| {
-            if to == ingress {
-                Ok(self.listens[ingress])
-            } else {
-                socket.local_addr()
-            }
-        });
+    pub fn addresses(
+        &self,
+        ingress: usize,
+    ) -> io::Result<(SocketAddr, Vec<SocketAddr>, SocketAddr)> {
+        let list = self.sockets[ingress]
+            .iter()
+            .enumerate()
+            .map(|(to, socket)| {
+                if to == ingress {
+                    Ok(self.listens[ingress])
+                } else {
+                    socket.local_addr()
+                }
+            });
         let all = self.sockets[ingress][ingress].local_addr()?;
-        Ok((self.listens[ingress], list.collect::<io::Result<Vec<_>>>()?, all))
+        Ok((
+            self.listens[ingress],
+            list.collect::<io::Result<Vec<_>>>()?,
+            all,
+        ))
     }
 
     /// Cuts the peers into two halves.
@@ -105,7 +125,14 @@
     pub fn lossy(&mut self, fault: (f64, f64, Micros), lasts: Micros, context: &mut Context) {
         let (loss, repeat, delay) = fault;
         let (low, high) = self.calm.delay;
-        self.weather = (Weather { delay: (low, high + delay), loss, repeat }, context.now);
+        self.weather = (
+            Weather {
+                delay: (low, high + delay),
+                loss,
+                repeat,
+            },
+            context.now,
+        );
         context.after(lasts, Due::Peer(PeerDue::Calm { since: context.now }));
     }
 
@@ -119,9 +146,13 @@
                 Ok((n, sender)) if sender == self.listens[from] => {
                     self.sent += 1;
                     self.too_long += u64::from(n > MOST);
-                    let to: Vec<usize> =
-                        if to == from { (0..count).filter(|t| *t != from).collect() } else { vec![to] };
-                    to.into_iter().for_each(|to| self.carry(from, to, &buf[..n.min(MOST)], context));
+                    let to: Vec<usize> = if to == from {
+                        (0..count).filter(|t| *t != from).collect()
+                    } else {
+                        vec![to]
+                    };
+                    to.into_iter()
+                        .for_each(|to| self.carry(from, to, &buf[..n.min(MOST)], context));
                 }
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
@@ -135,9 +166,16 @@
         let half = |i: usize| i < self.sockets.len().div_ceil(2);
         let cut = self.split.is_some() && half(from) != half(to);
         let weather = self.weather.0;
-        let weather = if self.weather.1 == 0 { self.calm } else { weather };
+        let weather = if self.weather.1 == 0 {
+            self.calm
+        } else {
+            weather
+        };
         // Drawn for each message in any case, so that a cut doesn't shift the fate of the others.
-        let (lost, again) = (self.rng.f64() < weather.loss, self.rng.f64() < weather.repeat);
+        let (lost, again) = (
+            self.rng.f64() < weather.loss,
+            self.rng.f64() < weather.repeat,
+        );
         if cut || lost {
             return;
         }
--- a/crates/fleet/src/rig/pipe.rs
+++ b/crates/fleet/src/rig/pipe.rs
@@ -30,7 +30,12 @@
 impl Pipe {
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Pipe { stream, inbox: Vec::new(), outbox: Vec::new(), written: 0 }
+        Pipe {
+            stream,
+            inbox: Vec::new(),
+            outbox: Vec::new(),
+            written: 0,
+        }
     }
 
     /// Takes in what has come.
@@ -40,7 +45,12 @@
                 Ok(0) => return Flow::Ended,
                 Ok(n) => self.inbox.extend_from_slice(&chunk[..n]),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     return Flow::Open
                 }
                 Err(_) => return Flow::Reset,
@@ -60,7 +70,12 @@
             match self.stream.write(&self.outbox[self.written..]) {
                 Ok(n) => self.written += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     return true
                 }
                 Err(_) => return false,
--- a/crates/fleet/src/rig/processes.rs
+++ b/crates/fleet/src/rig/processes.rs
@@ -140,13 +140,25 @@
         let script = r#"ulimit -n "$1" && ulimit -v "$2" && shift 2 && exec "$@""#;
         let kilobytes = u64::from(self.limits.memory_mb) * 1024 + 64 * 1024;
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", script, "ingress", &self.limits.descriptors.to_string(), &kilobytes.to_string()]);
-        command.arg(&self.program).args(self.group.iter().flat_map(|g| g.arguments(ingress)));
+        command.args([
+            "-c",
+            script,
+            "ingress",
+            &self.limits.descriptors.to_string(),
+            &kilobytes.to_string(),
+        ]);
+        command
+            .arg(&self.program)
+            .args(self.group.iter().flat_map(|g| g.arguments(ingress)));
         command.env("LB_CONFIG", &p.config);
         for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
             command.env_remove(name);
         }
-        let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn()?;
+        let child = command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log)
+            .spawn()?;
         if let (Some(pid), true) = (pid(&child), cores > 1) {
             let mut set = rustix::thread::CpuSet::new();
             set.set(first + ingress % (cores - first));
@@ -158,7 +170,10 @@
         let (cores, life) = (p.cores, p.life);
         if cores < 1.0 {
             p.throttled = Some((context.now, 0));
-            context.after(THROTTLE, Due::Process(ProcessDue::Throttle { ingress, life }));
+            context.after(
+                THROTTLE,
+                Due::Process(ProcessDue::Throttle { ingress, life }),
+            );
         }
         Ok(())
     }
@@ -198,7 +213,10 @@
         (p.ending, p.down) = (true, down);
         let life = p.life;
         self.send(ingress, Signal::TERM);
-        context.after(STOP_WITHIN, Due::Process(ProcessDue::Overdue { ingress, life }));
+        context.after(
+            STOP_WITHIN,
+            Due::Process(ProcessDue::Overdue { ingress, life }),
+        );
     }
 
     /// Has an ingress read its configuration again.
@@ -226,25 +244,46 @@
         (p.cores, p.throttled) = (cores, Some((context.now, used)));
         let life = p.life;
         if fresh {
-            context.after(THROTTLE, Due::Process(ProcessDue::Throttle { ingress, life }));
+            context.after(
+                THROTTLE,
+                Due::Process(ProcessDue::Throttle { ingress, life }),
+            );
         }
-        context.after(lasts, Due::Process(ProcessDue::Unthrottle { ingress, since: context.now }));
+        context.after(
+            lasts,
+            Due::Process(ProcessDue::Unthrottle {
+                ingress,
+                since: context.now,
+            }),
+        );
     }
 
     /// Processor time of an ingress's present process.
     fn cpu(&self, ingress: usize) -> Micros {
-        let Some(child) = &self.list[ingress].child else { return 0 };
-        let text = fs::read_to_string(format!("/proc/{}/schedstat", child.id())).unwrap_or_default();
-        text.split_whitespace().next().and_then(|n| n.parse::<u64>().ok()).unwrap_or(0) / 1000
+        let Some(child) = &self.list[ingress].child else {
+            return 0;
+        };
+        let text =
+            fs::read_to_string(format!("/proc/{}/schedstat", child.id())).unwrap_or_default();
+        text.split_whitespace()
+            .next()
+            .and_then(|n| n.parse::<u64>().ok())
+            .unwrap_or(0)
+            / 1000
     }
 
     fn measure(&mut self, ingress: usize) {
         let cpu = self.cpu(ingress);
-        let Some(child) = &self.list[ingress].child else { return };
+        let Some(child) = &self.list[ingress].child else {
+            return;
+        };
         let status = fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
-        let peak = peak.and_then(|l| l.split_whitespace().next()).and_then(|n| n.parse::<u64>().ok());
-        let descriptors = fs::read_dir(format!("/proc/{}/fd", child.id())).map_or(0, Iterator::count);
+        let peak = peak
+            .and_then(|l| l.split_whitespace().next())
+            .and_then(|n| n.parse::<u64>().ok());
+        let descriptors =
+            fs::read_dir(format!("/proc/{}/fd", child.id())).map_or(0, Iterator::count);
         let p = &mut self.list[ingress];
         p.usage.cpu = p.usage.cpu.max(p.ended_cpu + cpu);
         p.usage.memory_kb = p.usage.memory_kb.max(peak.unwrap_or(0));
@@ -266,7 +305,11 @@
             p.child = None;
             p.ended_cpu = p.usage.cpu;
             let well = p.ending;
-            ended.push(if well { Ended::AsTold(ingress, p.down) } else { Ended::Crashed(ingress, status) });
+            ended.push(if well {
+                Ended::AsTold(ingress, p.down)
+            } else {
+                Ended::Crashed(ingress, status)
+            });
         }
         ended
     }
@@ -310,14 +353,19 @@
     fn look_at_share(&mut self, ingress: usize, life: u64, context: &mut Context) {
         let used = self.cpu(ingress);
         let p = &mut self.list[ingress];
-        let Some((since, had)) = p.throttled.filter(|_| p.life == life) else { return };
+        let Some((since, had)) = p.throttled.filter(|_| p.life == life) else {
+            return;
+        };
         let may = ((context.now - since) as f64 * p.cores) as Micros + AHEAD;
         let over = used.saturating_sub(had) > may;
         if over != p.held && !p.frozen {
             p.held = over;
             self.send(ingress, if over { Signal::STOP } else { Signal::CONT });
         }
-        context.after(THROTTLE, Due::Process(ProcessDue::Throttle { ingress, life }));
+        context.after(
+            THROTTLE,
+            Due::Process(ProcessDue::Throttle { ingress, life }),
+        );
     }
 
     /// Ends all: told to, and killed if they do not.
@@ -328,7 +376,9 @@
             self.send(ingress, Signal::TERM);
         }
         let start = Instant::now();
-        while self.list.iter().any(|p| p.child.is_some()) && start.elapsed() < Duration::from_millis(1500) {
+        while self.list.iter().any(|p| p.child.is_some())
+            && start.elapsed() < Duration::from_millis(1500)
+        {
             self.reap();
             std::thread::sleep(Duration::from_millis(10));
         }
--- a/crates/fleet/src/rig/tests.rs
+++ b/crates/fleet/src/rig/tests.rs
@@ -28,7 +28,9 @@
 impl<P> Alone<P> {
     fn turn(&mut self) {
         let mut events = Events::with_capacity(64);
-        self.poll.poll(&mut events, Some(Duration::from_millis(1))).unwrap();
+        self.poll
+            .poll(&mut events, Some(Duration::from_millis(1)))
+            .unwrap();
         self.context.read_clock();
         for event in events.iter() {
             let (part, key) = owner(event.token());
@@ -47,7 +49,10 @@
             if let Some(shown) = shows(&mut self.part) {
                 return shown;
             }
-            assert!(start.elapsed() < PATIENCE, "{what}: not within {PATIENCE:?}");
+            assert!(
+                start.elapsed() < PATIENCE,
+                "{what}: not within {PATIENCE:?}"
+            );
         }
     }
 
@@ -82,7 +87,13 @@
     let poll = Poll::new().unwrap();
     let mut context = Context::new(poll.registry().try_clone().unwrap());
     let part = open(&mut context);
-    Alone { poll, context, part, ready, due }
+    Alone {
+        poll,
+        context,
+        part,
+        ready,
+        due,
+    }
 }
 
 // ---- TCP relays ----
@@ -103,13 +114,17 @@
             _ => relays.ready(key, context),
         },
         |relays, due, context| {
-            let Due::Relay(due) = due else { panic!("not a relay's") };
+            let Due::Relay(due) = due else {
+                panic!("not a relay's")
+            };
             relays.due(due, context);
         },
     );
     let near = TcpStream::connect(front.unwrap()).unwrap();
     server.set_nonblocking(true).unwrap();
-    let far = relay.until("the relay connects", |_| server.accept().ok()).0;
+    let far = relay
+        .until("the relay connects", |_| server.accept().ok())
+        .0;
     for end in [&near, &far] {
         end.set_nonblocking(true).unwrap();
     }
@@ -140,7 +155,9 @@
     let (mut relay, mut near, mut far) = relayed();
     fail(&mut relay, LegFault::Slow(SECOND / 2), SECOND / 20);
     near.write_all(b"first ").unwrap();
-    relay.until("the leg gets well", |r| r.fault(LEG).is_none().then_some(()));
+    relay.until("the leg gets well", |r| {
+        r.fault(LEG).is_none().then_some(())
+    });
     near.write_all(b"second").unwrap();
     let mut came = Vec::new();
     relay.until("all arrives", |_| {
@@ -157,7 +174,9 @@
     fail(&mut relay, LegFault::Silent, SECOND / 5);
     near.write_all(b"lost").unwrap();
     let mut came = Vec::new();
-    relay.until("the connection ends", |_| take(&mut far, &mut came).is_none().then_some(()));
+    relay.until("the connection ends", |_| {
+        take(&mut far, &mut came).is_none().then_some(())
+    });
     assert!(came.is_empty(), "{came:?} passed");
     assert!(relay.part.fault(LEG).is_none());
 }
@@ -172,7 +191,10 @@
         over.then_some(())
     });
     let front = near.peer_addr();
-    assert!(front.is_err() || near.write_all(b"x").is_err(), "the connection lives");
+    assert!(
+        front.is_err() || near.write_all(b"x").is_err(),
+        "the connection lives"
+    );
 }
 
 #[test]
@@ -186,7 +208,9 @@
     });
     far.write_all(b"back").unwrap();
     drop(far);
-    relay.until("the end arrives", |_| take(&mut near, &mut back).is_none().then_some(()));
+    relay.until("the end arrives", |_| {
+        take(&mut near, &mut back).is_none().then_some(())
+    });
     assert_eq!(back, b"back");
 }
 
@@ -206,7 +230,9 @@
             |context| Peers::open(&s, context).unwrap(),
             |peers, _, key, context| peers.ready(key, context),
             |peers, due, context| {
-                let Due::Peer(due) = due else { panic!("not the peers'") };
+                let Due::Peer(due) = due else {
+                    panic!("not the peers'")
+                };
                 peers.due(due, context);
             },
         );
@@ -227,7 +253,8 @@
         for n in 0..count {
             self.ends[from].send_to(&[n], self.to[from].0).unwrap();
             let sent = self.net.part.sent + 1;
-            self.net.until("the relay takes it", |p| (p.sent >= sent).then_some(()));
+            self.net
+                .until("the relay takes it", |p| (p.sent >= sent).then_some(()));
             self.hear(1 - from, &mut came);
         }
         self.net.for_a_while();
@@ -238,7 +265,10 @@
     fn hear(&self, at: usize, came: &mut Vec<u8>) {
         let mut buf = [0; 512];
         while let Ok((n, from)) = self.ends[at].recv_from(&mut buf) {
-            assert_eq!(from, self.to[at].0, "it comes from where the receiver sees the sender");
+            assert_eq!(
+                from, self.to[at].0,
+                "it comes from where the receiver sees the sender"
+            );
             came.extend_from_slice(&buf[..n.min(1)]);
         }
     }
@@ -269,9 +299,13 @@
 #[test]
 fn a_lossy_network_loses_all_and_repeats_all_when_told_so() {
     let mut two = Two::open("peer_loss = 0.0\npeer_delay = [\"1ms\", \"1ms\"]");
-    two.net.part.lossy((1.0, 0.0, 0), 60 * SECOND, &mut two.net.context);
+    two.net
+        .part
+        .lossy((1.0, 0.0, 0), 60 * SECOND, &mut two.net.context);
     assert!(two.pass(0, 10).is_empty());
-    two.net.part.lossy((0.0, 1.0, 0), 60 * SECOND, &mut two.net.context);
+    two.net
+        .part
+        .lossy((0.0, 1.0, 0), 60 * SECOND, &mut two.net.context);
     let mut twice = two.pass(0, 10);
     twice.sort_unstable();
     assert_eq!(twice, (0..10).flat_map(|n| [n, n]).collect::<Vec<u8>>());
@@ -282,10 +316,16 @@
 fn a_message_over_the_bound_is_counted_and_cut() {
     let mut two = Two::open("peer_loss = 0.0\npeer_delay = [\"1ms\", \"1ms\"]");
     two.ends[0].send_to(&[7; 300], two.to[0].1).unwrap();
-    two.net.until("the relay takes it", |p| (p.too_long == 1).then_some(()));
+    two.net
+        .until("the relay takes it", |p| (p.too_long == 1).then_some(()));
     let mut buf = [0; 512];
     let end = two.ends[1].try_clone().unwrap();
-    assert_eq!(two.net.until("it arrives", |_| end.recv_from(&mut buf).ok()).0, 256);
+    assert_eq!(
+        two.net
+            .until("it arrives", |_| end.recv_from(&mut buf).ok())
+            .0,
+        256
+    );
 }
 
 // ---- Discovery ----
@@ -298,7 +338,17 @@
 fn line(ident: usize, status: &'static str) -> Line {
     let addresses = vec![SocketAddr::new(address::own(), 4000)];
     let (name, hall, model) = (format!("s-{ident}"), "hall-a".into(), "m".into());
-    Line { ident, name, hall, model, pod: 0, status, started: 0, weight: 1.0, addresses }
+    Line {
+        ident,
+        name,
+        hall,
+        model,
+        pod: 0,
+        status,
+        started: 0,
+        weight: 1.0,
+        addresses,
+    }
 }
 
 impl Told {
@@ -311,7 +361,9 @@
                 _ => agents.ready(key, context),
             },
             |agents, due, context| {
-                let Due::Discovery(due) = due else { panic!("not discovery's") };
+                let Due::Discovery(due) = due else {
+                    panic!("not discovery's")
+                };
                 agents.due(due, context);
             },
         );
@@ -332,12 +384,22 @@
             take(stream, &mut came);
             let text = String::from_utf8(came.clone()).unwrap();
             let (head, body) = text.split_once("\r\n\r\n")?;
-            let length = head.split("Content-Length: ").nth(1)?.parse::<usize>().ok()?;
+            let length = head
+                .split("Content-Length: ")
+                .nth(1)?
+                .parse::<usize>()
+                .ok()?;
             (body.len() == length).then(|| body.to_string())
         });
         let body: serde_json::Value = serde_json::from_str(&body).unwrap();
         let list = body["endpoints"].as_array().unwrap().iter();
-        let list = list.map(|e| format!("{} {}", e["name"].as_str().unwrap(), e["status"].as_str().unwrap()));
+        let list = list.map(|e| {
+            format!(
+                "{} {}",
+                e["name"].as_str().unwrap(),
+                e["status"].as_str().unwrap()
+            )
+        });
         (body["index"].as_u64().unwrap(), list.collect())
     }
 
@@ -356,7 +418,9 @@
     assert_eq!(told.answer(), (2, vec!["s-0 up".into(), "s-1 up".into()]));
     told.ask("?since=2&timeout_ms=60000");
     told.quiet();
-    told.agent.part.change(line(1, "draining"), &mut told.agent.context);
+    told.agent
+        .part
+        .change(line(1, "draining"), &mut told.agent.context);
     assert_eq!(told.answer(), (3, vec!["s-1 draining".into()]));
 }
 
@@ -366,7 +430,9 @@
     let mut told = Told::open();
     told.ask("?since=2&timeout_ms=700");
     told.quiet();
-    told.agent.part.change(line(0, "draining"), &mut told.agent.context);
+    told.agent
+        .part
+        .change(line(0, "draining"), &mut told.agent.context);
     assert_eq!(told.answer().0, 3);
     let first_over = told.agent.context.now + SECOND;
     told.ask("?since=3&timeout_ms=60000");
@@ -379,7 +445,9 @@
 #[test]
 fn a_silent_agent_answers_what_it_was_asked_once_it_is_back() {
     let mut told = Told::open();
-    told.agent.part.fail(0, AgentMode::Silent, SECOND / 4, &mut told.agent.context);
+    told.agent
+        .part
+        .fail(0, AgentMode::Silent, SECOND / 4, &mut told.agent.context);
     told.ask("");
     told.quiet();
     assert_eq!(told.answer().0, 2);
@@ -391,10 +459,16 @@
     told.ask("");
     told.answer();
     let at = told.agent.part.address(0);
-    told.agent.part.fail(0, AgentMode::Gone, SECOND / 4, &mut told.agent.context);
+    told.agent
+        .part
+        .fail(0, AgentMode::Gone, SECOND / 4, &mut told.agent.context);
     let (mut none, stream) = (Vec::new(), &mut told.stream);
-    told.agent.until("the connection ends", |_| take(stream, &mut none).is_none().then_some(()));
-    told.stream = told.agent.until("the agent is back", |_| TcpStream::connect(at).ok());
+    told.agent.until("the connection ends", |_| {
+        take(stream, &mut none).is_none().then_some(())
+    });
+    told.stream = told
+        .agent
+        .until("the agent is back", |_| TcpStream::connect(at).ok());
     told.stream.set_nonblocking(true).unwrap();
     told.ask("");
     assert_eq!(told.answer().0, 2);
@@ -404,15 +478,23 @@
 
 /// The count service alone, and a client of it.
 fn counting(delay: &str) -> (Alone<Counter>, TcpStream) {
-    let s = scenario(&format!("[network]\ncounter = [{delay}]\n[ingresses]\ncount = 2"));
+    let s = scenario(&format!(
+        "[network]\ncounter = [{delay}]\n[ingresses]\ncount = 2"
+    ));
     let counter = alone(
-        |context| Counter::open(&s, context).unwrap().expect("the scenario has one"),
+        |context| {
+            Counter::open(&s, context)
+                .unwrap()
+                .expect("the scenario has one")
+        },
         |counter, part, key, context| match part {
             Part::CounterListener => counter.accept(key, context),
             _ => counter.ready(key, context),
         },
         |counter, due, context| {
-            let Due::Counter(due) = due else { panic!("not the count service's") };
+            let Due::Counter(due) = due else {
+                panic!("not the count service's")
+            };
             counter.due(due, context).unwrap();
         },
     );
@@ -427,7 +509,10 @@
 }
 
 fn add(client: &mut TcpStream, amount: &str) {
-    let call = format!("*4\r\n$5\r\nTALLY\r\n$1\r\na\r\n${}\r\n{amount}\r\n$4\r\n9000\r\n", amount.len());
+    let call = format!(
+        "*4\r\n$5\r\nTALLY\r\n$1\r\na\r\n${}\r\n{amount}\r\n$4\r\n9000\r\n",
+        amount.len()
+    );
     client.write_all(call.as_bytes()).unwrap();
 }
 
@@ -467,8 +552,13 @@
     add(&mut client, "2");
     says(&mut counter, &mut client, "-BUSY\r\n");
     fault(&mut counter, CounterFault::Gone, SECOND / 10);
-    counter.until("the connection ends", |_| take(&mut client, &mut Vec::new()).is_none().then_some(()));
-    assert!(TcpStream::connect(counter.part.address(1)).is_err(), "it is gone");
+    counter.until("the connection ends", |_| {
+        take(&mut client, &mut Vec::new()).is_none().then_some(())
+    });
+    assert!(
+        TcpStream::connect(counter.part.address(1)).is_err(),
+        "it is gone"
+    );
     let at = counter.part.address(1);
     let mut client = counter.until("it is back", |_| TcpStream::connect(at).ok());
     client.set_nonblocking(true).unwrap();
--- a/crates/fleet/src/scenario/diagnostic.rs
+++ b/crates/fleet/src/scenario/diagnostic.rs
@@ -22,7 +22,13 @@
     /// About a file as a whole.
     pub fn whole(file: &str, reason: impl Into<String>) -> Self {
         let reason = reason.into();
-        Diagnostic { file: file.into(), place: None, key: None, text: String::new(), reason }
+        Diagnostic {
+            file: file.into(),
+            place: None,
+            key: None,
+            text: String::new(),
+            reason,
+        }
     }
 
     /// About a part of a file's text.
@@ -39,7 +45,13 @@
             None => Some(text.trim().to_string()).filter(|t| t.starts_with('[')),
         };
         let column = source[begin..start].chars().count() + 1;
-        Diagnostic { file: file.into(), place: Some((line + 1, column)), key, text, reason: reason.into() }
+        Diagnostic {
+            file: file.into(),
+            place: Some((line + 1, column)),
+            key,
+            text,
+            reason: reason.into(),
+        }
     }
 }
 
@@ -48,7 +60,10 @@
         let Some((line, column)) = self.place else {
             return write!(f, "error: {}: {}", self.file, self.reason);
         };
-        let key = self.key.as_ref().map_or(String::new(), |k| format!("`{k}`: "));
+        let key = self
+            .key
+            .as_ref()
+            .map_or(String::new(), |k| format!("`{k}`: "));
         let (pad, number) = (" ".repeat(line.to_string().len()), line);
         writeln!(f, "error: {key}{}", self.reason)?;
         writeln!(f, "{pad}--> {}:{line}:{column}", self.file)?;
--- a/crates/fleet/src/scenario/file.rs
+++ b/crates/fleet/src/scenario/file.rs
@@ -24,17 +24,24 @@
 
 impl Span {
     fn parse(text: &str) -> Result<Span, String> {
-        let split = text.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(text.len());
+        let split = text
+            .find(|c: char| c.is_ascii_alphabetic())
+            .unwrap_or(text.len());
         let (number, unit) = text.split_at(split);
         let factor = match unit {
             "us" => 1.0,
             "ms" => 1e3,
             "s" => 1e6,
             "m" => 60e6,
-            _ => return Err(format!("a time is a number with ms, s or m, such as \"1.5s\", not \"{text}\"")),
+            _ => {
+                return Err(format!(
+                    "a time is a number with ms, s or m, such as \"1.5s\", not \"{text}\""
+                ))
+            }
         };
         let number = number.trim().parse::<f64>().ok().filter(|n| n.is_finite());
-        let number = number.ok_or_else(|| format!("a time begins with a number, unlike \"{text}\""))?;
+        let number =
+            number.ok_or_else(|| format!("a time begins with a number, unlike \"{text}\""))?;
         let micros = number * factor;
         if micros < 0.0 {
             return Err(format!("a time is not negative: \"{text}\""));
@@ -522,7 +529,11 @@
             }
             vec![found]
         })?;
-        let mut checks = Checks { file, source, found: Vec::new() };
+        let mut checks = Checks {
+            file,
+            source,
+            found: Vec::new(),
+        };
         let scenario = read.check(&mut checks);
         if checks.found.is_empty() {
             Ok(scenario)
@@ -588,49 +599,124 @@
             self.version.span(),
             "the only version of this form is 1; a newer file needs a newer wrenctl",
         );
-        c.want(self.lasts.get_ref().0 >= SECOND / 10, self.lasts.span(), "a run lasts 100ms at the least");
-        let name = Path::new(c.file).file_stem().map_or("scenario".into(), |s| s.to_string_lossy());
+        c.want(
+            self.lasts.get_ref().0 >= SECOND / 10,
+            self.lasts.span(),
+            "a run lasts 100ms at the least",
+        );
+        let name = Path::new(c.file)
+            .file_stem()
+            .map_or("scenario".into(), |s| s.to_string_lossy());
         let name = name.into_owned();
         let network = self.network;
         let at = self.ingresses.span();
-        c.want(!network.halls.is_empty(), at.clone(), "network.halls names no hall");
-        c.want((500..=100_000).contains(&network.tick.0), at.clone(), "network.tick is from 0.5ms to 100ms");
-        c.want(share(network.peer_loss), at.clone(), "network.peer_loss is a share from 0 to 1");
-        c.want(from_zero(network.peer_in_per_s), at.clone(), "network.peer_in_per_s is a number from 0 up");
+        c.want(
+            !network.halls.is_empty(),
+            at.clone(),
+            "network.halls names no hall",
+        );
+        c.want(
+            (500..=100_000).contains(&network.tick.0),
+            at.clone(),
+            "network.tick is from 0.5ms to 100ms",
+        );
+        c.want(
+            share(network.peer_loss),
+            at.clone(),
+            "network.peer_loss is a share from 0 to 1",
+        );
+        c.want(
+            from_zero(network.peer_in_per_s),
+            at.clone(),
+            "network.peer_in_per_s is a number from 0 up",
+        );
         let [least, most] = network.peer_delay;
-        c.want(least.0 <= most.0, at.clone(), "network.peer_delay is the least and the most, in this order");
+        c.want(
+            least.0 <= most.0,
+            at.clone(),
+            "network.peer_delay is the least and the most, in this order",
+        );
         let reports = match network.reports.as_str() {
             "answers" => Reports::Answers,
             "probes" => Reports::Probes,
             "none" => Reports::None,
             other => {
-                c.wrong(at.clone(), format!("network.reports is answers, probes or none, not {other}"));
+                c.wrong(
+                    at.clone(),
+                    format!("network.reports is answers, probes or none, not {other}"),
+                );
                 Reports::None
             }
         };
         let counter = network.counter.map(|[least, most]| (least.0, most.0));
         let in_order = counter.is_none_or(|(least, most)| least <= most);
-        c.want(in_order, at.clone(), "network.counter is the least and the most, in this order");
+        c.want(
+            in_order,
+            at.clone(),
+            "network.counter is the least and the most, in this order",
+        );
         let i = self.ingresses.into_inner();
-        c.want((1..=MOST_INGRESSES).contains(&i.count), at.clone(), "count is from 1 to 64");
-        c.want(i.cores > 0.0 && i.cores <= 64.0, at.clone(), "cores is above 0");
-        c.want(i.memory_mb >= 16, at.clone(), "memory_mb is 16 at the least");
-        c.want((64..=65_536).contains(&i.descriptors), at.clone(), "descriptors is from 64 to 65536");
-        let ports = i.port.is_none_or(|p| p >= 1024 && u32::from(p) + u32::from(i.count) < 65_536);
-        c.want(ports, at, "port leaves no room for one port each up to 65535, from 1024 on");
+        c.want(
+            (1..=MOST_INGRESSES).contains(&i.count),
+            at.clone(),
+            "count is from 1 to 64",
+        );
+        c.want(
+            i.cores > 0.0 && i.cores <= 64.0,
+            at.clone(),
+            "cores is above 0",
+        );
+        c.want(
+            i.memory_mb >= 16,
+            at.clone(),
+            "memory_mb is 16 at the least",
+        );
+        c.want(
+            (64..=65_536).contains(&i.descriptors),
+            at.clone(),
+            "descriptors is from 64 to 65536",
+        );
+        let ports = i
+            .port
+            .is_none_or(|p| p >= 1024 && u32::from(p) + u32::from(i.count) < 65_536);
+        c.want(
+            ports,
+            at,
+            "port leaves no room for one port each up to 65535, from 1024 on",
+        );
         let clients = check_clients(self.clients, i.count, c);
-        let classes = self.class.into_iter().map(|t| check_class(t, c)).collect::<Vec<_>>();
-        let plans = self.plan.into_iter().map(|t| check_plan(t, c)).collect::<Vec<_>>();
+        let classes = self
+            .class
+            .into_iter()
+            .map(|t| check_class(t, c))
+            .collect::<Vec<_>>();
+        let plans = self
+            .plan
+            .into_iter()
+            .map(|t| check_plan(t, c))
+            .collect::<Vec<_>>();
         let mut sets = Vec::new();
         for table in self.backends {
             let span = table.span();
             let b = table.into_inner();
             let hall = network.halls.iter().position(|h| *h == b.hall);
-            let unknown = format!("hall \"{}\" is none of {}", b.hall, network.halls.join(", "));
+            let unknown = format!(
+                "hall \"{}\" is none of {}",
+                b.hall,
+                network.halls.join(", ")
+            );
             c.want(hall.is_some(), span.clone(), &unknown);
             c.want(b.count > 0, span.clone(), "count is above 0");
-            c.want((1..=1024).contains(&b.cores), span.clone(), "cores is from 1 to 1024");
-            c.want(b.speed.is_finite() && b.speed > 0.0, span.clone(), "speed is above 0");
+            c.want(
+                (1..=1024).contains(&b.cores),
+                span.clone(),
+                "cores is from 1 to 1024",
+            );
+            c.want(
+                b.speed.is_finite() && b.speed > 0.0,
+                span.clone(),
+                "speed is above 0",
+            );
             c.want(b.pod > 0, span.clone(), "pod is above 0");
             sets.push(BackendSet {
                 count: b.count,
@@ -647,17 +733,33 @@
         }
         let count = sets.iter().fold(0usize, |n, s| n.saturating_add(s.count));
         let top = 0..0;
-        c.want((1..=MOST_BACKENDS).contains(&count), top.clone(), "there are 1 to 2000 [[backends]] in all");
-        c.want((1..=8).contains(&classes.len()), top.clone(), "there are 1 to 8 [[class]]es");
-        c.want((1..=8).contains(&plans.len()), top, "there are 1 to 8 [[plan]]s");
+        c.want(
+            (1..=MOST_BACKENDS).contains(&count),
+            top.clone(),
+            "there are 1 to 2000 [[backends]] in all",
+        );
+        c.want(
+            (1..=8).contains(&classes.len()),
+            top.clone(),
+            "there are 1 to 8 [[class]]es",
+        );
+        c.want(
+            (1..=8).contains(&plans.len()),
+            top,
+            "there are 1 to 8 [[plan]]s",
+        );
         let grouped = self.group.is_some();
-        let group = self.group.map(|t| check_group(t, &network, reports, &i, &clients, &plans, c));
+        let group = self
+            .group
+            .map(|t| check_group(t, &network, reports, &i, &clients, &plans, c));
         let lasts = self.lasts.get_ref().0;
         let mut steps: Vec<Step> = Vec::new();
         for row in self.at {
             let (span, row) = (row.span(), row.into_inner());
             let step = row.check(i.count, count, self.seed, c);
-            let counts = step.as_ref().is_some_and(|s| matches!(s.fault, Fault::Counter { .. }));
+            let counts = step
+                .as_ref()
+                .is_some_and(|s| matches!(s.fault, Fault::Counter { .. }));
             c.want(
                 !counts || counter.is_some(),
                 span.clone(),
@@ -665,7 +767,11 @@
             );
             let fault = step.as_ref().map(|s| &s.fault);
             let linked = matches!(fault, Some(Fault::Link { .. }));
-            c.want(!linked || grouped, span.clone(), "there are no links: [group] is not given");
+            c.want(
+                !linked || grouped,
+                span.clone(),
+                "there are no links: [group] is not given",
+            );
             let other = matches!(
                 fault,
                 Some(
@@ -722,8 +828,14 @@
     let span = table.span();
     let t = table.into_inner();
     let mut want = |good: bool, reason: &str| c.want(good, span.clone(), reason);
-    want(t.rate > 0.0 && t.rate <= MOST_RATE, "rate is above 0 and 20000 requests a second at the most");
-    want((1..=MOST_ACCOUNTS).contains(&t.accounts), "accounts is from 1 to 2000000");
+    want(
+        t.rate > 0.0 && t.rate <= MOST_RATE,
+        "rate is above 0 and 20000 requests a second at the most",
+    );
+    want(
+        (1..=MOST_ACCOUNTS).contains(&t.accounts),
+        "accounts is from 1 to 2000000",
+    );
     want(t.connections <= 20_000, "connections is 20000 at the most");
     want(t.retries <= 10, "retries is 10 at the most");
     want(share(t.honour), "honour is a share from 0 to 1");
@@ -731,10 +843,19 @@
     want(share(t.stay), "stay is a share from 0 to 1");
     want(t.most_connections != Some(0), "most_connections is above 0");
     want(share(t.heavy), "heavy is a share from 0 to 1");
-    want(from_zero(t.heavy_factor), "heavy_factor is a number from 0 up");
+    want(
+        from_zero(t.heavy_factor),
+        "heavy_factor is a number from 0 up",
+    );
     let [low, high] = t.try_share;
-    want(low > 0.0 && low <= high && high <= 1.0, "try_share is two shares above 0, the lesser first");
-    want(t.spread[0] > 0 && t.spread[0] <= t.spread[1], "spread is two numbers from 1 up, the lesser first");
+    want(
+        low > 0.0 && low <= high && high <= 1.0,
+        "try_share is two shares above 0, the lesser first",
+    );
+    want(
+        t.spread[0] > 0 && t.spread[0] <= t.spread[1],
+        "spread is two numbers from 1 up, the lesser first",
+    );
     want(t.shift.0 > 0, "shift is above 0");
     Clients {
         rate: t.rate,
@@ -769,16 +890,37 @@
     let t = table.into_inner();
     let mut want = |good: bool, reason: &str| c.want(good, span.clone(), reason);
     let lease = t.lease.0;
-    want((SECOND * 3 / 10..=60 * SECOND).contains(&lease), "lease is from 300ms to 60s");
-    want(["refuse", "as-known"].contains(&t.alone.as_str()), "alone is \"refuse\" or \"as-known\"");
-    want(i.count >= 3, "the ingresses decide by majority: count is 3 at the least");
-    want(clients.accounts <= MOST_LISTED, "a group's accounts are listed one by one: 10000 at the most");
     want(
-        network.peers && network.weights && reports == Reports::Answers && network.counter.is_none(),
+        (SECOND * 3 / 10..=60 * SECOND).contains(&lease),
+        "lease is from 300ms to 60s",
+    );
+    want(
+        ["refuse", "as-known"].contains(&t.alone.as_str()),
+        "alone is \"refuse\" or \"as-known\"",
+    );
+    want(
+        i.count >= 3,
+        "the ingresses decide by majority: count is 3 at the least",
+    );
+    want(
+        clients.accounts <= MOST_LISTED,
+        "a group's accounts are listed one by one: 10000 at the most",
+    );
+    want(
+        network.peers
+            && network.weights
+            && reports == Reports::Answers
+            && network.counter.is_none(),
         "a group has peers, weights and reports in answers, and no count service",
     );
-    want(plans.iter().all(|p| p.rate > 0.0 && p.open == 0), "a group's plans have a rate, and no `open`");
-    Group { lease, as_known: t.alone == "as-known" }
+    want(
+        plans.iter().all(|p| p.rate > 0.0 && p.open == 0),
+        "a group's plans have a rate, and no `open`",
+    );
+    Group {
+        lease,
+        as_known: t.alone == "as-known",
+    }
 }
 
 fn check_class(table: Spanned<ClassTable>, c: &mut Checks) -> Class {
@@ -787,22 +929,42 @@
     let all = t.group == "all";
     let effect = match t.effect.get_ref().as_str() {
         "safe" => Effect::Safe,
-        "keyed" => Effect::Keyed { all, window: t.window.0 },
+        "keyed" => Effect::Keyed {
+            all,
+            window: t.window.0,
+        },
         "unsafe" => Effect::Unsafe,
         other => {
-            c.wrong(t.effect.span(), format!("an effect is safe, keyed or unsafe, not {other}"));
+            c.wrong(
+                t.effect.span(),
+                format!("an effect is safe, keyed or unsafe, not {other}"),
+            );
             Effect::Unsafe
         }
     };
     let mut want = |good: bool, reason: &str| c.want(good, span.clone(), reason);
-    want(t.name.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'='), "name is a plain word");
+    want(
+        t.name
+            .bytes()
+            .all(|b| b.is_ascii_graphic() && b != b',' && b != b'='),
+        "name is a plain word",
+    );
     want(t.share > 0.0 && t.share.is_finite(), "share is above 0");
     want(t.work.0 > 0, "work is above 0");
-    want(t.aim.0 > 0 && t.aim.0 <= t.deadline.0, "aim is above 0 and no longer than deadline");
+    want(
+        t.aim.0 > 0 && t.aim.0 <= t.deadline.0,
+        "aim is above 0 and no longer than deadline",
+    );
     want(t.worth > 0.0 && t.worth.is_finite(), "worth is above 0");
-    want(t.units > 0.0 && t.units <= 100.0, "units is above 0 and 100 at the most");
+    want(
+        t.units > 0.0 && t.units <= 100.0,
+        "units is above 0 and 100 at the most",
+    );
     want(all || t.group == "cell", "group is \"cell\" or \"all\"");
-    want(effect != (Effect::Keyed { all, window: 0 }), "window is above 0 in a keyed class");
+    want(
+        effect != (Effect::Keyed { all, window: 0 }),
+        "window is above 0 in a keyed class",
+    );
     Class {
         name: t.name,
         share: t.share,
@@ -819,14 +981,37 @@
     let span = table.span();
     let t = table.into_inner();
     let mut want = |good: bool, reason: &str| c.want(good, span.clone(), reason);
-    want(t.name.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'='), "name is a plain word");
+    want(
+        t.name
+            .bytes()
+            .all(|b| b.is_ascii_graphic() && b != b',' && b != b'='),
+        "name is a plain word",
+    );
     want(t.share > 0.0 && t.share.is_finite(), "share is above 0");
-    want(from_zero(t.rate) && from_zero(t.burst), "rate and burst are numbers from 0 up");
-    want(t.rate == 0.0 || t.burst > 0.0, "burst is above 0 where there is a rate");
-    want(from_zero(t.ceiling) && from_zero(t.ceiling_burst), "ceiling and ceiling_burst are from 0 up");
-    want((t.ceiling > 0.0) == (t.ceiling_burst > 0.0), "ceiling and ceiling_burst come together");
-    want(t.ceiling == 0.0 || t.ceiling >= t.rate, "ceiling is not below rate");
-    want(from_zero(t.price) && from_zero(t.beyond_costs), "price and beyond_costs are numbers from 0 up");
+    want(
+        from_zero(t.rate) && from_zero(t.burst),
+        "rate and burst are numbers from 0 up",
+    );
+    want(
+        t.rate == 0.0 || t.burst > 0.0,
+        "burst is above 0 where there is a rate",
+    );
+    want(
+        from_zero(t.ceiling) && from_zero(t.ceiling_burst),
+        "ceiling and ceiling_burst are from 0 up",
+    );
+    want(
+        (t.ceiling > 0.0) == (t.ceiling_burst > 0.0),
+        "ceiling and ceiling_burst come together",
+    );
+    want(
+        t.ceiling == 0.0 || t.ceiling >= t.rate,
+        "ceiling is not below rate",
+    );
+    want(
+        from_zero(t.price) && from_zero(t.beyond_costs),
+        "price and beyond_costs are numbers from 0 up",
+    );
     Plan {
         name: t.name,
         share: t.share,
--- a/crates/fleet/src/scenario/mod.rs
+++ b/crates/fleet/src/scenario/mod.rs
@@ -6,7 +6,9 @@
 mod timetable;
 
 pub use diagnostic::Diagnostic;
-pub use file::{BackendSet, Class, Clients, Effect, Group, Ingresses, Network, Plan, Reports, Scenario};
+pub use file::{
+    BackendSet, Class, Clients, Effect, Group, Ingresses, Network, Plan, Reports, Scenario,
+};
 pub use timetable::{CounterFault, Fault, Leg, LegFault, LinkFault, Manner, Step};
 
 /// A time on the rig's clock, or a span of it, in microseconds.
--- a/crates/fleet/src/small.rs
+++ b/crates/fleet/src/small.rs
@@ -33,7 +33,9 @@
 
 pub fn command(parts: &[&str]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", parts.len());
-    parts.iter().for_each(|p| out += &format!("${}\r\n{p}\r\n", p.len()));
+    parts
+        .iter()
+        .for_each(|p| out += &format!("${}\r\n{p}\r\n", p.len()));
     out.into_bytes()
 }
 
@@ -47,11 +49,16 @@
     }
     let text = String::from_utf8_lossy(&line[..line.len() - 2]).into_owned();
     match (&text[..1], text[1..].parse::<i64>()) {
-        ("*", Ok(n)) => (0..n).map(|_| read_value(stream)).collect::<Option<Vec<_>>>().map(|v| v.concat()),
+        ("*", Ok(n)) => (0..n)
+            .map(|_| read_value(stream))
+            .collect::<Option<Vec<_>>>()
+            .map(|v| v.concat()),
         ("$", Ok(n)) if n >= 0 => {
             let mut body = vec![0; n as usize + 2];
             stream.read_exact(&mut body).ok()?;
-            Some(vec![String::from_utf8_lossy(&body[..n as usize]).into_owned()])
+            Some(vec![
+                String::from_utf8_lossy(&body[..n as usize]).into_owned()
+            ])
         }
         _ => Some(vec![text]),
     }
@@ -99,7 +106,8 @@
 
 pub fn call_of(customer: usize, class: &str, id: &str, wait_ms: u32) -> Vec<u8> {
     let customer = format!("{customer:016x}");
-    let options = |key: &str| format!("c={class},t=starter,d={wait_ms}{key},units=1,spread=1,first=0");
+    let options =
+        |key: &str| format!("c={class},t=starter,d={wait_ms}{key},units=1,spread=1,first=0");
     match class {
         "quote" => command(&["CALL.GET", &customer, id, &options("")]),
         "save" => command(&["CALL.POST", &customer, id, &options(",k=00ff"), "BODY"]),
@@ -129,7 +137,11 @@
 
 pub fn served(args: &[String]) -> Vec<u8> {
     let value = format!("value of {}", args[2]);
-    format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$9\r\nutil=0.25\r\n", value.len()).into_bytes()
+    format!(
+        "*3\r\n${}\r\n{value}\r\n$-1\r\n$9\r\nutil=0.25\r\n",
+        value.len()
+    )
+    .into_bytes()
 }
 
 #[derive(Default)]
@@ -154,8 +166,15 @@
     }
 
     /// Serves whoever connects to a listener.
-    pub fn on(listener: TcpListener, act: impl Fn(&[String]) -> Act + Send + Sync + 'static) -> Backend {
-        let (at, seen, act) = (listener.local_addr().unwrap(), Arc::new(Seen::default()), Arc::new(act));
+    pub fn on(
+        listener: TcpListener,
+        act: impl Fn(&[String]) -> Act + Send + Sync + 'static,
+    ) -> Backend {
+        let (at, seen, act) = (
+            listener.local_addr().unwrap(),
+            Arc::new(Seen::default()),
+            Arc::new(act),
+        );
         let shared = seen.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -174,7 +193,9 @@
         let _ = stream.set_nodelay(true);
         let mut answered: Option<Instant> = None;
         loop {
-            stream.set_read_timeout(Some(Duration::from_millis(10))).unwrap();
+            stream
+                .set_read_timeout(Some(Duration::from_millis(10)))
+                .unwrap();
             match stream.peek(&mut [0]) {
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                     if seen.hang_up.load(Ordering::SeqCst) {
@@ -190,7 +211,9 @@
             if !stale.is_zero() && answered.is_some_and(|at| at.elapsed() > stale) {
                 return;
             }
-            let Some(args) = read_value(&mut stream) else { return };
+            let Some(args) = read_value(&mut stream) else {
+                return;
+            };
             seen.commands.lock().unwrap().push(args.clone());
             let said = match act(&args) {
                 Act::Say(bytes) => stream.write_all(&bytes),
@@ -232,7 +255,10 @@
 }
 
 pub fn list(index: u64, whole: bool, entries: &[String]) -> String {
-    format!(r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#,
+        entries.join(",")
+    )
 }
 
 /// States of a TCP connection, by the kernel's numbers.
@@ -242,15 +268,26 @@
 /// Whether a TCP connection stands in a state, as seen from its end at `from`, or from any.
 pub fn stands_in(state: &str, from: Option<SocketAddr>, to: SocketAddr) -> bool {
     let hex = |at: SocketAddr| {
-        let SocketAddr::V4(at) = at else { panic!("{at}") };
-        format!("{:08X}:{:04X}", u32::from_le_bytes(at.ip().octets()), at.port())
+        let SocketAddr::V4(at) = at else {
+            panic!("{at}")
+        };
+        format!(
+            "{:08X}:{:04X}",
+            u32::from_le_bytes(at.ip().octets()),
+            at.port()
+        )
     };
     let (from, to) = (from.map(hex), hex(to));
-    std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(|line| {
-        let fields: Vec<&str> = line.split_whitespace().collect();
-        let [_, local, remote, is, ..] = fields[..] else { return false };
-        from.as_ref().is_none_or(|from| from == local) && remote == to && is == state
-    })
+    std::fs::read_to_string("/proc/net/tcp")
+        .unwrap()
+        .lines()
+        .any(|line| {
+            let fields: Vec<&str> = line.split_whitespace().collect();
+            let [_, local, remote, is, ..] = fields[..] else {
+                return false;
+            };
+            from.as_ref().is_none_or(|from| from == local) && remote == to && is == state
+        })
 }
 
 /// A listener to which nothing comes up until it is cleared: the kernel drops what its full line has no room for, and whoever
@@ -282,7 +319,11 @@
             }
             line.push(one);
         }
-        Jammed { at: at.as_socket().unwrap(), listener: listener.into(), line }
+        Jammed {
+            at: at.as_socket().unwrap(),
+            listener: listener.into(),
+            line,
+        }
     }
 
     pub fn entry(&self, name: &str, status: &str) -> String {
@@ -346,11 +387,17 @@
             opened: Arc::default(),
             calls: Arc::default(),
         };
-        let (told, silent, down, calls) = (d.told.clone(), d.silent.clone(), d.down.clone(), d.calls.clone());
+        let (told, silent, down, calls) = (
+            d.told.clone(),
+            d.silent.clone(),
+            d.down.clone(),
+            d.calls.clone(),
+        );
         let (overbooked, muted, opened) = (d.overbooked.clone(), d.muted.clone(), d.opened.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (told, silent, down, calls) = (told.clone(), silent.clone(), down.clone(), calls.clone());
+                let (told, silent, down, calls) =
+                    (told.clone(), silent.clone(), down.clone(), calls.clone());
                 let (overbooked, muted) = (overbooked.clone(), muted.clone());
                 let number = opened.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
@@ -374,19 +421,30 @@
             let mut chunk = [0; 1024];
             while !head.ends_with(b"\r\n\r\n") {
                 match stream.read(&mut chunk) {
-                    Ok(n) if n > 0 && !down.load(Ordering::SeqCst) => head.extend_from_slice(&chunk[..n]),
+                    Ok(n) if n > 0 && !down.load(Ordering::SeqCst) => {
+                        head.extend_from_slice(&chunk[..n])
+                    }
                     _ => return,
                 }
             }
             let text = String::from_utf8(std::mem::take(&mut head)).unwrap();
             let number = |name: &str| {
                 let rest = text.split(name).nth(1).unwrap_or("0");
-                rest.chars().take_while(char::is_ascii_digit).collect::<String>().parse::<u64>().unwrap()
+                rest.chars()
+                    .take_while(char::is_ascii_digit)
+                    .collect::<String>()
+                    .parse::<u64>()
+                    .unwrap()
             };
             let whole = text.starts_with("GET /v1/endpoints ");
-            assert!(whole || text.starts_with("GET /v1/endpoints?since="), "{text}");
-            let (since, end) =
-                (number("since="), Instant::now() + Duration::from_millis(number("timeout_ms=")));
+            assert!(
+                whole || text.starts_with("GET /v1/endpoints?since="),
+                "{text}"
+            );
+            let (since, end) = (
+                number("since="),
+                Instant::now() + Duration::from_millis(number("timeout_ms=")),
+            );
             calls.fetch_add(1, Ordering::SeqCst);
             told.lock().unwrap().since = since;
             if overbooked.load(Ordering::SeqCst) {
@@ -414,7 +472,10 @@
                 drop(told);
                 thread::sleep(Duration::from_millis(5));
             };
-            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let answer = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            );
             if stream.write_all(answer.as_bytes()).is_err() {
                 return;
             }
@@ -436,7 +497,8 @@
 
     /// Has the connections that are open now stay open and say nothing any more; those that come are served.
     pub fn mute(&self) {
-        self.muted.store(self.opened.load(Ordering::SeqCst), Ordering::SeqCst);
+        self.muted
+            .store(self.opened.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
     /// Whether the ingress has this version, and asks for what is newer.
@@ -497,7 +559,11 @@
 impl Setup {
     /// Round an ingress that runs the program in a file.
     pub fn of(program: &str, backends: &[&Backend]) -> Setup {
-        let known = backends.iter().enumerate().map(|(n, b)| b.entry(&format!("s-{n}"), "up")).collect();
+        let known = backends
+            .iter()
+            .enumerate()
+            .map(|(n, b)| b.entry(&format!("s-{n}"), "up"))
+            .collect();
         let settings = SETTINGS.replace("PEERS", "false");
         Setup {
             program: program.to_string(),
@@ -512,7 +578,9 @@
     }
 
     pub fn config(&self, at: SocketAddr) -> String {
-        let discovery = self.discovery.unwrap_or_else(|| "127.0.0.1:1".parse().unwrap());
+        let discovery = self
+            .discovery
+            .unwrap_or_else(|| "127.0.0.1:1".parse().unwrap());
         format!(
             r#"{{"name":"n0","listen":"{at}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
  "limits":{{"cores":1.0,"memory_mb":{},"sockets":{}}},{}
@@ -526,7 +594,9 @@
     }
 
     pub fn start(&self) -> Ingress {
-        let limit = self.ulimit.map_or(String::new(), |n| format!("ulimit -n {n}; "));
+        let limit = self
+            .ulimit
+            .map_or(String::new(), |n| format!("ulimit -n {n}; "));
         self.start_with(&format!("{limit}exec '{}'", self.program))
     }
 
@@ -535,7 +605,8 @@
         let at = place();
         let ingress = Ingress::run(&self.config(at), at, program);
         until("the ingress is ready", || {
-            TcpStream::connect(at).is_ok_and(|stream| Client(stream).ask(&command(&["PING"])) == "+PONG")
+            TcpStream::connect(at)
+                .is_ok_and(|stream| Client(stream).ask(&command(&["PING"])) == "+PONG")
         });
         ingress
     }
@@ -556,7 +627,11 @@
         for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
             command.env_remove(name);
         }
-        let child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
+        let child = command
+            .stdin(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
         Ingress { at, child, file }
     }
 
@@ -587,14 +662,24 @@
     /// Its log, once it has ended.
     pub fn log(&mut self) -> String {
         let mut text = String::new();
-        self.child.stderr.take().unwrap().read_to_string(&mut text).unwrap();
+        self.child
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut text)
+            .unwrap();
         text
     }
 
     /// Processor time used so far, in hundredths of a second.
     pub fn cpu(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap()
+            .split_whitespace()
+            .collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 }
@@ -624,9 +709,16 @@
     /// A figure; the answer must be whole.
     pub fn figure(at: SocketAddr, name: &str) -> u64 {
         let text = ask(at, "telemetry\n");
-        assert!(text.starts_with("+OK\n") && text.ends_with("\n.\n"), "{text}");
-        let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
-        line.unwrap_or_else(|| panic!("no {name} in {text}")).parse().unwrap()
+        assert!(
+            text.starts_with("+OK\n") && text.ends_with("\n.\n"),
+            "{text}"
+        );
+        let line = text
+            .lines()
+            .find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
+        line.unwrap_or_else(|| panic!("no {name} in {text}"))
+            .parse()
+            .unwrap()
     }
 }
 
@@ -635,14 +727,21 @@
     std::fs::read_dir(format!("/proc/{id}/task"))
         .unwrap()
         .flatten()
-        .all(|task| std::fs::read_to_string(task.path().join("stat")).is_ok_and(|stat| stat.contains(") T ")))
+        .all(|task| {
+            std::fs::read_to_string(task.path().join("stat"))
+                .is_ok_and(|stat| stat.contains(") T "))
+        })
 }
 
 /// Sends a process a signal. One that is told to stop has stopped, with all of its threads, once this returns: one that runs on
 /// another core goes on for a moment behind the signal, and would read what is sent to it then.
 pub fn signal(id: u32, name: &str) {
     let line = format!("kill -{name} {id}");
-    assert!(Command::new("/bin/sh").args(["-c", &line]).status().unwrap().success());
+    assert!(Command::new("/bin/sh")
+        .args(["-c", &line])
+        .status()
+        .unwrap()
+        .success());
     if name == "STOP" {
         until("the process has stopped", || stopped(id));
     }
--- a/crates/fleet/tests/judge.rs
+++ b/crates/fleet/tests/judge.rs
@@ -64,12 +64,23 @@
     let scenario = Scenario::parse("world.toml", world).unwrap_or_else(|e| panic!("{}", e[0]));
     let dir = tempfile::tempdir().unwrap();
     let program = dir.path().join("ingress");
-    let script = format!("#!/bin/sh\nWRONG={wrong} exec '{}'\n", env!("CARGO_BIN_EXE_wrong-ingress"));
+    let script = format!(
+        "#!/bin/sh\nWRONG={wrong} exec '{}'\n",
+        env!("CARGO_BIN_EXE_wrong-ingress")
+    );
     std::fs::write(&program, script).unwrap();
     std::fs::set_permissions(&program, std::fs::Permissions::from_mode(0o755)).unwrap();
     let play_once = |program: &Path| {
         let stop = AtomicBool::new(false);
-        play(&scenario, Run { program, stop: &stop, watch: None }).unwrap_or_else(|e| panic!("{e}"))
+        play(
+            &scenario,
+            Run {
+                program,
+                stop: &stop,
+                watch: None,
+            },
+        )
+        .unwrap_or_else(|e| panic!("{e}"))
     };
     // A rig that the machine held up has no say: it is asked again.
     for _ in 0..10 {
@@ -97,10 +108,18 @@
     assert!(!wronged.is_empty(), "the ingress did no wrong");
     assert_eq!(report.verdict, Verdict::Broken, "{wrong} was not found out");
     for count in &report.rules {
-        assert_eq!(count.broken > 0, count.rule == rule, "{wrong}: {:?}", report.violations);
+        assert_eq!(
+            count.broken > 0,
+            count.rule == rule,
+            "{wrong}: {:?}",
+            report.violations
+        );
     }
     for v in &report.violations {
-        assert!(wronged.contains(&v.request), "{wrong}: the judge names another request: {v:?}");
+        assert!(
+            wronged.contains(&v.request),
+            "{wrong}: the judge names another request: {v:?}"
+        );
     }
 }
 
@@ -108,7 +127,13 @@
 #[test]
 fn an_ingress_that_keeps_all_rules_is_not_accused() {
     let report = run("nothing", &format!("{WORLD}{RESETS}"));
-    assert_eq!(report.verdict, Verdict::Held, "{:?} {:?}", report.violations, report.crashes);
+    assert_eq!(
+        report.verdict,
+        Verdict::Held,
+        "{:?} {:?}",
+        report.violations,
+        report.crashes
+    );
     assert!(report.served > 50, "it served {}", report.served);
     assert!(report.failed > 0, "the resets hit nobody");
 }
@@ -173,8 +198,16 @@
     let report = run("drain", &world.replace("1500ms", "2500ms"));
     let count = |rule: Rule| report.rules.iter().find(|c| c.rule == rule).unwrap().broken;
     assert!(count(Rule::Drains) > 5, "{:?}", report.rules);
-    assert_eq!(Rule::ALL.iter().filter(|r| count(**r) > 0).count(), 1, "{:?}", report.violations);
-    assert!(report.violations.iter().all(|v| v.at > 1_000_000 && v.what.contains("backend 2 ")));
+    assert_eq!(
+        Rule::ALL.iter().filter(|r| count(**r) > 0).count(),
+        1,
+        "{:?}",
+        report.violations
+    );
+    assert!(report
+        .violations
+        .iter()
+        .all(|v| v.at > 1_000_000 && v.what.contains("backend 2 ")));
 }
 
 #[test]
--- a/crates/fleet/tests/wrong_ingress/main.rs
+++ b/crates/fleet/tests/wrong_ingress/main.rs
@@ -24,7 +24,10 @@
 }
 
 fn option<'a>(options: &'a str, name: &str) -> &'a str {
-    options.split(',').find_map(|o| o.strip_prefix(name)).unwrap_or("")
+    options
+        .split(',')
+        .find_map(|o| o.strip_prefix(name))
+        .unwrap_or("")
 }
 
 impl Ingress {
@@ -43,7 +46,12 @@
             eprintln!("wrong: {id}");
             return cold.0.clone();
         }
-        let warm: Vec<&String> = self.backends.iter().filter(|b| !b.1).map(|b| &b.0).collect();
+        let warm: Vec<&String> = self
+            .backends
+            .iter()
+            .filter(|b| !b.1)
+            .map(|b| &b.0)
+            .collect();
         warm[self.next.fetch_add(1, Ordering::SeqCst) % warm.len()].clone()
     }
 
@@ -77,7 +85,9 @@
     /// Sends a second attempt while the first, which is not answered, is still out.
     fn copy(&self, to: &str, id: &str, call: &[u8], wait: Duration) -> Option<Vec<String>> {
         let mut first = TcpStream::connect(to).ok()?;
-        first.set_read_timeout(Some(Duration::from_millis(100))).ok()?;
+        first
+            .set_read_timeout(Some(Duration::from_millis(100)))
+            .ok()?;
         first.write_all(call).ok()?;
         let answer = read_value(&mut BufReader::new(first.try_clone().ok()?));
         if answer.is_some() {
@@ -125,7 +135,11 @@
         match answer {
             Some(value) if value[0].starts_with("-BUSY") => b"-BUSY\r\n".to_vec(),
             Some(value) if !value[0].starts_with('-') => {
-                let value = if self.slips("foreign", id) { "value of another" } else { &value[0] };
+                let value = if self.slips("foreign", id) {
+                    "value of another"
+                } else {
+                    &value[0]
+                };
                 let text = format!("${}\r\n{value}\r\n", value.len()).into_bytes();
                 if self.slips("twice", id) {
                     return [text.clone(), text].concat();
@@ -147,7 +161,9 @@
     }
 
     fn talk(&self, stream: TcpStream) {
-        let Ok(mut out) = stream.try_clone() else { return };
+        let Ok(mut out) = stream.try_clone() else {
+            return;
+        };
         let mut input = BufReader::new(stream);
         while let Some(args) = read_value(&mut input) {
             let answer = match args.first().map(String::as_str) {
@@ -169,33 +185,58 @@
 
 /// Hears what discovery tells, and makes nothing of it.
 fn hear(discovery: &str) {
-    let Ok(mut stream) = TcpStream::connect(discovery) else { return };
+    let Ok(mut stream) = TcpStream::connect(discovery) else {
+        return;
+    };
     let mut index = 0;
     loop {
-        let call = format!("GET /v1/endpoints?since={index}&timeout_ms=200 HTTP/1.1\r\nHost: d\r\n\r\n");
+        let call =
+            format!("GET /v1/endpoints?since={index}&timeout_ms=200 HTTP/1.1\r\nHost: d\r\n\r\n");
         if stream.write_all(call.as_bytes()).is_err() {
             return;
         }
         let mut buf = [0; 16 * 1024];
         let Ok(n) = stream.read(&mut buf) else { return };
         let text = String::from_utf8_lossy(&buf[..n]).into_owned();
-        let found = text.split("\"index\":").nth(1).map(|t| t.chars().take_while(char::is_ascii_digit));
-        index = found.and_then(|d| d.collect::<String>().parse().ok()).unwrap_or(index);
+        let found = text
+            .split("\"index\":")
+            .nth(1)
+            .map(|t| t.chars().take_while(char::is_ascii_digit));
+        index = found
+            .and_then(|d| d.collect::<String>().parse().ok())
+            .unwrap_or(index);
     }
 }
 
 fn main() {
     let mut text = String::new();
     let path = std::env::var("LB_CONFIG").expect("LB_CONFIG is set");
-    std::fs::File::open(path).and_then(|mut f| f.read_to_string(&mut text)).expect("a configuration");
+    std::fs::File::open(path)
+        .and_then(|mut f| f.read_to_string(&mut text))
+        .expect("a configuration");
     let config: Value = serde_json::from_str(&text).expect("JSON");
-    let list = config["known"]["endpoints"].as_array().expect("a list").iter();
-    let backends = list.map(|e| (e["address"].as_str().unwrap().to_string(), e["since_ms"] != 0));
-    let plan =
-        config["settings"]["contracts"].as_array().unwrap().iter().find(|p| p["never_over_rate"] != 0.0);
+    let list = config["known"]["endpoints"]
+        .as_array()
+        .expect("a list")
+        .iter();
+    let backends = list.map(|e| {
+        (
+            e["address"].as_str().unwrap().to_string(),
+            e["since_ms"] != 0,
+        )
+    });
+    let plan = config["settings"]["contracts"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .find(|p| p["never_over_rate"] != 0.0);
     let ceiling = plan.map_or((String::new(), 0.0, 0.0), |p| {
         let number = |key: &str| p[key].as_f64().unwrap();
-        (p["name"].as_str().unwrap().to_string(), number("never_over_rate"), number("ceiling_burst"))
+        (
+            p["name"].as_str().unwrap().to_string(),
+            number("never_over_rate"),
+            number("ceiling_burst"),
+        )
     });
     let ingress = Ingress {
         wrong: std::env::var("WRONG").unwrap_or_default(),
--- a/crates/handover/src/channel.rs
+++ b/crates/handover/src/channel.rs
@@ -4,8 +4,8 @@
 use rustix::io::Errno;
 use rustix::net::sockopt::socket_peercred;
 use rustix::net::{
-    recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, ReturnFlags, SendAncillaryBuffer,
-    SendAncillaryMessage, SendFlags,
+    recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, ReturnFlags,
+    SendAncillaryBuffer, SendAncillaryMessage, SendFlags,
 };
 use sha2::{Digest, Sha256};
 use std::io::{ErrorKind, IoSlice, IoSliceMut, Read, Write};
@@ -65,7 +65,9 @@
 /// Reads why the other one does not go on; whatever it says.
 fn reason(stream: &mut UnixStream) -> String {
     let mut text = Vec::new();
-    let _ = Read::by_ref(stream).take(MOST_REASON as u64).read_to_end(&mut text);
+    let _ = Read::by_ref(stream)
+        .take(MOST_REASON as u64)
+        .read_to_end(&mut text);
     String::from_utf8_lossy(&text).into_owned()
 }
 
@@ -111,8 +113,13 @@
         let has = u32::from_be_bytes([hello[8], hello[9], hello[10], hello[11]]);
         if !layouts.contains(&has) {
             let highest = layouts.end().to_be_bytes();
-            let _ = stream.write_all(&[LAYOUT]).and_then(|()| stream.write_all(&highest));
-            return Err(format!("it reads states of layout {has}, this one writes up to {}", layouts.end()));
+            let _ = stream
+                .write_all(&[LAYOUT])
+                .and_then(|()| stream.write_all(&highest));
+            return Err(format!(
+                "it reads states of layout {has}, this one writes up to {}",
+                layouts.end()
+            ));
         }
         Ok(Caller::Next(Heir(stream), has))
     }
@@ -140,20 +147,27 @@
 ///
 /// Where it does not answer, or is another user's.
 pub fn borrow(path: &Path) -> Result<Option<(OwnedFd, u32)>, String> {
-    let Some(mut stream) = connect(path)? else { return Ok(None) };
+    let Some(mut stream) = connect(path)? else {
+        return Ok(None);
+    };
     let peer = socket_peercred(&stream).map_err(|e| format!("cannot tell who is there: {e}"))?;
     let hello: Vec<u8> = KEEPS.iter().chain(&[0; 4]).copied().collect();
     stream.write_all(&hello).map_err(told("hello"))?;
     let mut listener = receive(&stream, 1);
     let listener = listener.pop().ok_or("it lends no listener")?;
-    Ok(Some((listener, peer.pid.as_raw_nonzero().get().unsigned_abs())))
+    Ok(Some((
+        listener,
+        peer.pid.as_raw_nonzero().get().unsigned_abs(),
+    )))
 }
 
 /// Connects to the process that listens at a path, if there is one and it is this user's.
 fn connect(path: &Path) -> Result<Option<UnixStream>, String> {
     let stream = match UnixStream::connect(path) {
         Ok(stream) => stream,
-        Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => return Ok(None),
+        Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {
+            return Ok(None)
+        }
         Err(e) => return Err(format!("{}: {e}", path.display())),
     };
     waits(&stream, NEW_WAITS).map_err(|e| format!("cannot wait: {e}"))?;
@@ -167,7 +181,13 @@
     let mut with = SendAncillaryBuffer::new(&mut space);
     with.push(SendAncillaryMessage::ScmRights(batch));
     let count = [batch.len() as u8];
-    sendmsg(stream, &[IoSlice::new(&count)], &mut with, SendFlags::NOSIGNAL).map(drop)
+    sendmsg(
+        stream,
+        &[IoSlice::new(&count)],
+        &mut with,
+        SendFlags::NOSIGNAL,
+    )
+    .map(drop)
 }
 
 /// The process that comes after, as the old one sees it.
@@ -185,11 +205,17 @@
         let mut head = vec![STATE];
         head.extend_from_slice(&(state.len() as u64).to_be_bytes());
         head.extend_from_slice(&Sha256::digest(state));
-        self.0.write_all(&head).and_then(|()| self.0.write_all(state)).map_err(told("state"))?;
+        self.0
+            .write_all(&head)
+            .and_then(|()| self.0.write_all(state))
+            .map_err(told("state"))?;
         let mut word = [0];
         self.0.read_exact(&mut word).map_err(told("ready"))?;
         if word[0] != READY {
-            return Err(format!("it does not take the state: {}", reason(&mut self.0)));
+            return Err(format!(
+                "it does not take the state: {}",
+                reason(&mut self.0)
+            ));
         }
         self.0.write_all(&[YOURS]).map_err(told("yours"))
     }
@@ -208,7 +234,9 @@
                 match send(&self.0, &borrowed) {
                     Ok(()) => break,
                     // Too many are on their way: the other one takes them in.
-                    Err(Errno::TOOMANYREFS | Errno::AGAIN | Errno::INTR) if start.elapsed() < PASSING => {
+                    Err(Errno::TOOMANYREFS | Errno::AGAIN | Errno::INTR)
+                        if start.elapsed() < PASSING =>
+                    {
                         std::thread::sleep(AGAIN);
                     }
                     Err(e) => return Err(format!("descriptors: {e}")),
@@ -237,7 +265,9 @@
     ) -> Result<Option<(Ancestor, u32, Vec<u8>)>, String> {
         let mut layout = *layouts.end();
         let mut stream = loop {
-            let Some(mut stream) = connect(path)? else { return Ok(None) };
+            let Some(mut stream) = connect(path)? else {
+                return Ok(None);
+            };
             let mut hello = HELLO.to_vec();
             hello.extend_from_slice(&layout.to_be_bytes());
             stream.write_all(&hello).map_err(told("hello"))?;
@@ -274,7 +304,10 @@
             return Err(format!("a state of {length} bytes, {most} at most"));
         };
         let mut state = Vec::new();
-        Read::by_ref(&mut stream).take(length as u64).read_to_end(&mut state).map_err(told("state"))?;
+        Read::by_ref(&mut stream)
+            .take(length as u64)
+            .read_to_end(&mut state)
+            .map_err(told("state"))?;
         if state.len() != length || Sha256::digest(&state)[..] != *digest {
             refuse(&mut stream, "the state is not whole");
             return Err("the state is not whole".into());
@@ -305,7 +338,13 @@
                 return Ok(());
             }
         }
-        heard.and_then(|()| if word[0] == YOURS { Ok(()) } else { Err("yours: another word came".into()) })
+        heard.and_then(|()| {
+            if word[0] == YOURS {
+                Ok(())
+            } else {
+                Err("yours: another word came".into())
+            }
+        })
     }
 
     /// Takes descriptors in, so many or as many as came before the old process was gone.
--- a/crates/handover/tests/channel.rs
+++ b/crates/handover/tests/channel.rs
@@ -18,7 +18,11 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("next");
     let listener = UnixListener::bind(&path).unwrap();
-    Place { _folder: folder, path, listener }
+    Place {
+        _folder: folder,
+        path,
+        listener,
+    }
 }
 
 const MOST: usize = 1 << 20;
@@ -40,10 +44,14 @@
         let mut heir = next(place.listener.accept().unwrap().0).unwrap();
         heir.give(&state).unwrap();
         // Far more than go in a message; each holds its number.
-        let pairs: Vec<(UnixStream, UnixStream)> = (0..150).map(|_| UnixStream::pair().unwrap()).collect();
+        let pairs: Vec<(UnixStream, UnixStream)> =
+            (0..150).map(|_| UnixStream::pair().unwrap()).collect();
         let (here, there): (Vec<_>, Vec<_>) = pairs.into_iter().unzip();
-        heir.pass(there.into_iter().map(OwnedFd::from).collect()).unwrap();
-        here.into_iter().zip(0u8..).for_each(|(mut s, n)| s.write_all(&[n]).unwrap());
+        heir.pass(there.into_iter().map(OwnedFd::from).collect())
+            .unwrap();
+        here.into_iter()
+            .zip(0u8..)
+            .for_each(|(mut s, n)| s.write_all(&[n]).unwrap());
     });
     let (mut ancestor, layout, had) = Ancestor::ask(&place.path, 7..=7, MOST).unwrap().unwrap();
     assert_eq!((layout, had), (7, want));
@@ -75,7 +83,9 @@
         let old = thread::spawn(move || {
             next(place.listener.accept().unwrap().0).and_then(|mut heir| heir.give(&[1; 100]))
         });
-        assert!(Ancestor::ask(&place.path, layout..=layout, most).unwrap_err().contains(why));
+        assert!(Ancestor::ask(&place.path, layout..=layout, most)
+            .unwrap_err()
+            .contains(why));
         assert!(old.join().unwrap().is_err());
     }
     let (one, mut other) = UnixStream::pair().unwrap();
@@ -86,7 +96,12 @@
 /// Guards against neighbours that could understand each other and begin anew all the same, and against asking for ever.
 #[test]
 fn the_highest_layout_that_both_know_is_spoken() {
-    for (old, new, spoken) in [(4..=5, 5..=6, 5), (5..=6, 4..=5, 5), (4..=4, 4..=6, 4), (4..=6, 6..=7, 6)] {
+    for (old, new, spoken) in [
+        (4..=5, 5..=6, 5),
+        (5..=6, 4..=5, 5),
+        (4..=4, 4..=6, 4),
+        (4..=6, 6..=7, 6),
+    ] {
         let place = place();
         let serving = thread::spawn(move || loop {
             if let Ok(Caller::Next(mut heir, layout)) =
@@ -98,12 +113,18 @@
         });
         let (mut ancestor, layout, state) = Ancestor::ask(&place.path, new, MOST).unwrap().unwrap();
         ancestor.take().unwrap();
-        assert_eq!((layout, &state[..]), (spoken, &u32::to_be_bytes(spoken)[..]));
+        assert_eq!(
+            (layout, &state[..]),
+            (spoken, &u32::to_be_bytes(spoken)[..])
+        );
         assert_eq!(serving.join().unwrap(), spoken);
     }
     let place = place();
-    let old = thread::spawn(move || Caller::hear(place.listener.accept().unwrap().0, 2..=3).map(drop));
-    assert!(Ancestor::ask(&place.path, 4..=5, MOST).unwrap_err().contains("state of layout 3, not 5"));
+    let old =
+        thread::spawn(move || Caller::hear(place.listener.accept().unwrap().0, 2..=3).map(drop));
+    assert!(Ancestor::ask(&place.path, 4..=5, MOST)
+        .unwrap_err()
+        .contains("state of layout 3, not 5"));
     assert!(old.join().unwrap().is_err());
 }
 
@@ -132,12 +153,16 @@
 #[test]
 fn the_listener_is_lent_to_whoever_keeps_the_process() {
     let place = place();
-    assert!(borrow(&place.path.with_extension("none")).unwrap().is_none());
+    assert!(borrow(&place.path.with_extension("none"))
+        .unwrap()
+        .is_none());
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
-    let old = thread::spawn(move || match Caller::hear(place.listener.accept().unwrap().0, 7..=7).unwrap() {
-        Caller::Keeper(lender) => lender.lend(listener.as_fd()).unwrap(),
-        other => panic!("{other:?}"),
+    let old = thread::spawn(move || {
+        match Caller::hear(place.listener.accept().unwrap().0, 7..=7).unwrap() {
+            Caller::Keeper(lender) => lender.lend(listener.as_fd()).unwrap(),
+            other => panic!("{other:?}"),
+        }
     });
     let (lent, process) = borrow(&place.path).unwrap().unwrap();
     assert_eq!(process, std::process::id());
@@ -159,7 +184,9 @@
             said.extend_from_slice(if cut { b"ab" } else { b"abcd" });
             stream.write_all(&said).unwrap();
         });
-        assert!(Ancestor::ask(&place.path, 7..=7, MOST).unwrap_err().contains("not whole"));
+        assert!(Ancestor::ask(&place.path, 7..=7, MOST)
+            .unwrap_err()
+            .contains("not whole"));
         old.join().unwrap();
     }
 }
@@ -171,7 +198,11 @@
     let (one, mut other) = UnixStream::pair().unwrap();
     other.write_all(b"wrenhnd1\0\0\0\x07").unwrap();
     let start = Instant::now();
-    assert!(next(one).unwrap().give(b"state").unwrap_err().contains("no word in time"));
+    assert!(next(one)
+        .unwrap()
+        .give(b"state")
+        .unwrap_err()
+        .contains("no word in time"));
     assert!(start.elapsed() < Duration::from_secs(10));
     // The old one says nothing behind the state: it is not the new one's, and can't become so.
     let place = place();
@@ -182,8 +213,9 @@
         said.extend_from_slice(&0u64.to_be_bytes());
         // The digest of nothing.
         let empty = [
-            0xe3, 0xb0, 0xc4, 0x42, 0x98, 0xfc, 0x1c, 0x14, 0x9a, 0xfb, 0xf4, 0xc8, 0x99, 0x6f, 0xb9, 0x24,
-            0x27, 0xae, 0x41, 0xe4, 0x64, 0x9b, 0x93, 0x4c, 0xa4, 0x95, 0x99, 0x1b, 0x78, 0x52, 0xb8, 0x55,
+            0xe3, 0xb0, 0xc4, 0x42, 0x98, 0xfc, 0x1c, 0x14, 0x9a, 0xfb, 0xf4, 0xc8, 0x99, 0x6f,
+            0xb9, 0x24, 0x27, 0xae, 0x41, 0xe4, 0x64, 0x9b, 0x93, 0x4c, 0xa4, 0x95, 0x99, 0x1b,
+            0x78, 0x52, 0xb8, 0x55,
         ];
         said.extend_from_slice(&empty);
         stream.write_all(&said).unwrap();
@@ -196,5 +228,8 @@
     assert!(state.is_empty());
     assert!(ancestor.take().unwrap_err().contains("no word in time"));
     let mut late = old.join().unwrap();
-    assert!(late.write_all(b"Y").is_err(), "said too late, it must not seem said");
+    assert!(
+        late.write_all(b"Y").is_err(),
+        "said too late, it must not seem said"
+    );
 }
--- a/crates/identity/examples/verify.rs
+++ b/crates/identity/examples/verify.rs
@@ -16,9 +16,21 @@
 
 fn main() {
     let key = SigningKey::from_bytes(&[1; 32]);
-    let listed = Key { name: "1".into(), public: key.verifying_key(), from: 0, until: None };
-    let issuers = vec![Issuer { name: "desk".into(), keys: vec![listed] }];
-    let trust = Trust { audience: "bangna".into(), issuers, ..Trust::default() };
+    let listed = Key {
+        name: "1".into(),
+        public: key.verifying_key(),
+        from: 0,
+        until: None,
+    };
+    let issuers = vec![Issuer {
+        name: "desk".into(),
+        keys: vec![listed],
+    }];
+    let trust = Trust {
+        audience: "bangna".into(),
+        issuers,
+        ..Trust::default()
+    };
     let token = |n: usize, with: &SigningKey| {
         let claims = Claims {
             issuer: "desk".into(),
@@ -34,13 +46,18 @@
         sign(&claims, with).into_bytes()
     };
     let good: Vec<Vec<u8>> = (0..TOKENS).map(|n| token(n, &key)).collect();
-    let bad: Vec<Vec<u8>> = (0..TOKENS).map(|n| token(n, &SigningKey::from_bytes(&[2; 32]))).collect();
+    let bad: Vec<Vec<u8>> = (0..TOKENS)
+        .map(|n| token(n, &SigningKey::from_bytes(&[2; 32])))
+        .collect();
     let mut rows: [Vec<f64>; 3] = Default::default();
     for _ in 0..ROUNDS {
         let mut cache = Cache::new(TOKENS);
         for (row, tokens) in [(0, &good), (1, &good), (2, &bad)] {
             let start = Instant::now();
-            let taken = tokens.iter().filter(|t| cache.verify(t, &trust, NOW, true).is_ok()).count();
+            let taken = tokens
+                .iter()
+                .filter(|t| cache.verify(t, &trust, NOW, true).is_ok())
+                .count();
             rows[row].push(start.elapsed().as_secs_f64() * 1e6 / TOKENS as f64);
             assert_eq!(taken, if row < 2 { TOKENS } else { 0 });
         }
@@ -48,6 +65,11 @@
     println!("| token | microseconds, median of {ROUNDS} rounds of {TOKENS} | least to most |\n| --- | --- | --- |");
     for (name, mut row) in ["first", "cached", "forged"].into_iter().zip(rows) {
         row.sort_by(f64::total_cmp);
-        println!("| {name} | {:.2} | {:.2} to {:.2} |", row[ROUNDS / 2], row[0], row[ROUNDS - 1]);
+        println!(
+            "| {name} | {:.2} | {:.2} to {:.2} |",
+            row[ROUNDS / 2],
+            row[0],
+            row[ROUNDS - 1]
+        );
     }
 }
--- a/crates/identity/src/cache.rs
+++ b/crates/identity/src/cache.rs
@@ -22,7 +22,12 @@
 impl Cache {
     /// For so many tokens.
     pub fn new(most: usize) -> Cache {
-        Cache { known: HashMap::new(), order: VecDeque::new(), most: most.max(1), checked: 0 }
+        Cache {
+            known: HashMap::new(),
+            order: VecDeque::new(),
+            most: most.max(1),
+            checked: 0,
+        }
     }
 
     /// What a token says, checked now or before; one that was not is looked at only where that is allowed.
--- a/crates/identity/src/rights.rs
+++ b/crates/identity/src/rights.rs
@@ -19,14 +19,16 @@
     pub fn uri(text: &str) -> Option<Name> {
         let (domain, path) = text.strip_prefix("spiffe://")?.split_once('/')?;
         let domain_good = !domain.is_empty()
-            && domain
-                .bytes()
-                .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || matches!(b, b'.' | b'-' | b'_'));
+            && domain.bytes().all(|b| {
+                b.is_ascii_lowercase() || b.is_ascii_digit() || matches!(b, b'.' | b'-' | b'_')
+            });
         let step = |s: &str| {
             !matches!(s, "" | "." | "..")
-                && s.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'-' | b'_'))
+                && s.bytes()
+                    .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'-' | b'_'))
         };
-        (domain_good && text.len() <= 2_048 && path.split('/').all(step)).then(|| Name::Uri(text.into()))
+        (domain_good && text.len() <= 2_048 && path.split('/').all(step))
+            .then(|| Name::Uri(text.into()))
     }
 
     /// A host's name.
@@ -38,7 +40,8 @@
                 && !l.ends_with('-')
                 && l.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
         };
-        (text.len() <= 253 && text.split('.').all(label)).then(|| Name::Dns(text.to_ascii_lowercase()))
+        (text.len() <= 253 && text.split('.').all(label))
+            .then(|| Name::Dns(text.to_ascii_lowercase()))
     }
 }
 
@@ -94,12 +97,20 @@
                 return Err(Fault::Name(tenant.name.clone()));
             }
             for name in &tenant.names {
-                if by_certificate.insert(name.clone(), n).is_some_and(|other| other != n) {
+                if by_certificate
+                    .insert(name.clone(), n)
+                    .is_some_and(|other| other != n)
+                {
                     return Err(Fault::Certificate(name.clone()));
                 }
             }
         }
-        Ok(Tenants { list, by_name, by_certificate, classes })
+        Ok(Tenants {
+            list,
+            by_name,
+            by_certificate,
+            classes,
+        })
     }
 
     /// The tenant that a certificate's names lead to: one, and not two. Names that lead nowhere count for nothing.
@@ -107,16 +118,26 @@
     /// # Errors
     ///
     /// Where they lead to none, or to two.
-    pub fn by_names<'a>(&self, names: impl IntoIterator<Item = &'a Name>) -> Result<Caller, Refusal> {
+    pub fn by_names<'a>(
+        &self,
+        names: impl IntoIterator<Item = &'a Name>,
+    ) -> Result<Caller, Refusal> {
         let mut found = None;
-        for tenant in names.into_iter().filter_map(|n| self.by_certificate.get(n).copied()) {
+        for tenant in names
+            .into_iter()
+            .filter_map(|n| self.by_certificate.get(n).copied())
+        {
             if found.is_some_and(|f| f != tenant) {
                 return Err(Refusal::Names);
             }
             found = Some(tenant);
         }
         let tenant = found.ok_or(Refusal::Names)?;
-        Ok(Caller { tenant, accounts: None, classes: None })
+        Ok(Caller {
+            tenant,
+            accounts: None,
+            classes: None,
+        })
     }
 
     /// The tenant that a token names. With a certificate on the same connection both must mean the same one.
@@ -124,8 +145,16 @@
     /// # Errors
     ///
     /// Where there is none, or it is not the certificate's.
-    pub fn by_token(&self, claims: &Claims, certificate: Option<&Caller>) -> Result<Caller, Refusal> {
-        let tenant = self.by_name.get(&claims.tenant).copied().ok_or(Refusal::Tenant)?;
+    pub fn by_token(
+        &self,
+        claims: &Claims,
+        certificate: Option<&Caller>,
+    ) -> Result<Caller, Refusal> {
+        let tenant = self
+            .by_name
+            .get(&claims.tenant)
+            .copied()
+            .ok_or(Refusal::Tenant)?;
         if certificate.is_some_and(|c| c.tenant != tenant) {
             return Err(Refusal::Tenant);
         }
@@ -134,9 +163,19 @@
             at.and_then(|n| u8::try_from(n).ok())
         };
         // A class that there is not gives no right; it takes none of the others away.
-        let classes = claims.classes.as_ref().map(|list| list.iter().filter_map(place).collect());
-        let accounts = claims.accounts.as_ref().map(|list| list.iter().copied().collect());
-        Ok(Caller { tenant, accounts, classes })
+        let classes = claims
+            .classes
+            .as_ref()
+            .map(|list| list.iter().filter_map(place).collect());
+        let accounts = claims
+            .accounts
+            .as_ref()
+            .map(|list| list.iter().copied().collect());
+        Ok(Caller {
+            tenant,
+            accounts,
+            classes,
+        })
     }
 
     /// A caller's tenant.
@@ -151,8 +190,9 @@
     /// The reason why not.
     pub fn may(&self, caller: &Caller, account: u64, class: u8) -> Result<(), Refusal> {
         let tenant = self.list.get(caller.tenant).ok_or(Refusal::Tenant)?;
-        let within =
-            |narrowed: &Option<BTreeSet<u64>>| narrowed.as_ref().is_none_or(|l| l.contains(&account));
+        let within = |narrowed: &Option<BTreeSet<u64>>| {
+            narrowed.as_ref().is_none_or(|l| l.contains(&account))
+        };
         if !tenant.accounts.contains(&account) || !within(&caller.accounts) {
             return Err(Refusal::Account);
         }
--- a/crates/identity/src/sources.rs
+++ b/crates/identity/src/sources.rs
@@ -46,7 +46,9 @@
 impl Sources {
     /// Whether one more token from there is checked.
     pub fn may(&self, source: Source, now: Micros) -> bool {
-        self.left.get(&source).is_none_or(|l| filled(*l, now) >= 1.0)
+        self.left
+            .get(&source)
+            .is_none_or(|l| filled(*l, now) >= 1.0)
     }
 
     /// One from there turned out bad.
@@ -77,7 +79,10 @@
     #[test]
     fn a_source_has_few_bad_tokens_checked_and_no_other_suffers_for_it() {
         let (mut sources, mut checked) = (Sources::default(), 0);
-        let (bad, good) = (Source::of("10.0.0.1".parse().unwrap()), Source::of("10.0.0.2".parse().unwrap()));
+        let (bad, good) = (
+            Source::of("10.0.0.1".parse().unwrap()),
+            Source::of("10.0.0.2".parse().unwrap()),
+        );
         for n in 0..10_000u64 {
             let now = n * 1_000; // ten seconds, a thousand a second
             if sources.may(bad, now) {
--- a/crates/identity/src/token.rs
+++ b/crates/identity/src/token.rs
@@ -75,7 +75,11 @@
 
 /// Reads a moment in UTC, such as `2026-12-01T00:00:00Z`.
 pub fn moment(text: &str) -> Option<Seconds> {
-    humantime::parse_rfc3339(text).ok()?.duration_since(UNIX_EPOCH).ok().map(|d| d.as_secs())
+    humantime::parse_rfc3339(text)
+        .ok()?
+        .duration_since(UNIX_EPOCH)
+        .ok()
+        .map(|d| d.as_secs())
 }
 
 fn time(text: &str) -> Result<Seconds, Refusal> {
@@ -90,8 +94,14 @@
 }
 
 fn account(text: &str) -> Result<u64, Refusal> {
-    let hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
-    u64::from_str_radix(text, 16).ok().filter(|_| hex).ok_or(Refusal::Form)
+    let hex = text.len() == 16
+        && text
+            .bytes()
+            .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
+    u64::from_str_radix(text, 16)
+        .ok()
+        .filter(|_| hex)
+        .ok_or(Refusal::Form)
 }
 
 /// Checks a token: its form, its signature, its key and its times.
@@ -112,7 +122,10 @@
     let (body, footer) = rest.split_once('.').ok_or(Refusal::Issuer)?;
     let bytes = |part: &str| URL_SAFE_NO_PAD.decode(part).map_err(|_| Refusal::Form);
     let (body, footer) = (bytes(body)?, bytes(footer)?);
-    let at = body.len().checked_sub(SIGNATURE_LENGTH).ok_or(Refusal::Form)?;
+    let at = body
+        .len()
+        .checked_sub(SIGNATURE_LENGTH)
+        .ok_or(Refusal::Form)?;
     let (message, signature) = body.split_at(at);
     let signature = Signature::from_slice(signature).map_err(|_| Refusal::Form)?;
     // What the footer says is believed only as far as to which key it is.
@@ -120,7 +133,9 @@
     let (issuer, name) = named.kid.split_once('/').ok_or(Refusal::Issuer)?;
     let key = trust.key(issuer, name).ok_or(Refusal::Issuer)?;
     let signed = parts(&[HEADER.as_bytes(), message, &footer, b""]);
-    key.public.verify_strict(&signed, &signature).map_err(|_| Refusal::Signature)?;
+    key.public
+        .verify_strict(&signed, &signature)
+        .map_err(|_| Refusal::Signature)?;
     let claims = read(message, issuer, key)?;
     holds(&claims, trust, now)?;
     Ok(claims)
@@ -132,13 +147,21 @@
     if body.iss != issuer {
         return Err(Refusal::Issuer);
     }
-    let named = body.accounts.iter().map(Vec::len).chain(body.classes.iter().map(Vec::len));
+    let named = body
+        .accounts
+        .iter()
+        .map(Vec::len)
+        .chain(body.classes.iter().map(Vec::len));
     if named.max().unwrap_or(0) > MOST_NAMED {
         return Err(Refusal::TooLong);
     }
     let accounts = body
         .accounts
-        .map(|list| list.iter().map(|a| account(a)).collect::<Result<Vec<_>, _>>())
+        .map(|list| {
+            list.iter()
+                .map(|a| account(a))
+                .collect::<Result<Vec<_>, _>>()
+        })
         .transpose()?;
     Ok(Claims {
         issuer: body.iss,
@@ -159,7 +182,9 @@
 ///
 /// The reason why not.
 pub fn holds(claims: &Claims, trust: &Trust, now: Seconds) -> Result<(), Refusal> {
-    let key = trust.key(&claims.issuer, &claims.key).filter(|k| k.public == claims.public);
+    let key = trust
+        .key(&claims.issuer, &claims.key)
+        .filter(|k| k.public == claims.public);
     if !key.ok_or(Refusal::Issuer)?.taken(now) {
         return Err(Refusal::Key);
     }
@@ -180,7 +205,10 @@
 
 /// Signs a token; `public` of the claims is not looked at.
 pub fn sign(claims: &Claims, with: &SigningKey) -> String {
-    let accounts = claims.accounts.as_ref().map(|l| l.iter().map(|a| format!("{a:016x}")).collect());
+    let accounts = claims
+        .accounts
+        .as_ref()
+        .map(|l| l.iter().map(|a| format!("{a:016x}")).collect());
     let body = Body {
         iss: claims.issuer.clone(),
         aud: claims.audience.clone(),
--- a/crates/identity/src/trust.rs
+++ b/crates/identity/src/trust.rs
@@ -7,7 +7,10 @@
 /// Reads a public key from 64 hex digits in lower case; none where it is none, or one of the weak ones that more than one
 /// signature fits.
 pub fn public(text: &str) -> Option<VerifyingKey> {
-    let hex = text.len() == 64 && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
+    let hex = text.len() == 64
+        && text
+            .bytes()
+            .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
     let byte = |n: usize| u8::from_str_radix(&text[2 * n..2 * n + 2], 16).ok();
     let bytes: Vec<u8> = hex.then(|| (0..32).map_while(byte).collect())?;
     let key = VerifyingKey::from_bytes(&bytes.try_into().ok()?).ok()?;
@@ -86,7 +89,12 @@
 
 impl Default for Trust {
     fn default() -> Trust {
-        Trust { audience: String::new(), issuers: Vec::new(), skew: 30, longest: 24 * 3600 }
+        Trust {
+            audience: String::new(),
+            issuers: Vec::new(),
+            skew: 30,
+            longest: 24 * 3600,
+        }
     }
 }
 
@@ -106,7 +114,12 @@
 impl Trust {
     /// An issuer's key by their names.
     pub fn key(&self, issuer: &str, name: &str) -> Option<&Key> {
-        self.issuers.iter().find(|i| i.name == issuer)?.keys.iter().find(|k| k.name == name)
+        self.issuers
+            .iter()
+            .find(|i| i.name == issuer)?
+            .keys
+            .iter()
+            .find(|k| k.name == name)
     }
 
     /// What is wrong with the keys at a time: a rotation that stopped half way, or was made in the wrong order.
@@ -152,11 +165,22 @@
     use ed25519_dalek::SigningKey;
 
     fn key(name: &str, from: Seconds, until: Option<Seconds>) -> Key {
-        Key { name: name.into(), public: SigningKey::from_bytes(&[7; 32]).verifying_key(), from, until }
+        Key {
+            name: name.into(),
+            public: SigningKey::from_bytes(&[7; 32]).verifying_key(),
+            from,
+            until,
+        }
     }
 
     fn trust(keys: Vec<Key>) -> Trust {
-        Trust { issuers: vec![Issuer { name: "desk".into(), keys }], ..Trust::default() }
+        Trust {
+            issuers: vec![Issuer {
+                name: "desk".into(),
+                keys,
+            }],
+            ..Trust::default()
+        }
     }
 
     #[test]
@@ -173,10 +197,19 @@
             trust(vec![key("1", 0, Some(500)), key("2", 501, None)]).rotation(1),
             [Doubt::Gap(a(), 500)]
         );
-        assert_eq!(trust(vec![key("1", 0, Some(500))]).rotation(1), [Doubt::Gap(a(), 500)]);
-        assert_eq!(trust(vec![key("1", 9, None)]).rotation(1), [Doubt::NoKey(a())]);
+        assert_eq!(
+            trust(vec![key("1", 0, Some(500))]).rotation(1),
+            [Doubt::Gap(a(), 500)]
+        );
+        assert_eq!(
+            trust(vec![key("1", 9, None)]).rotation(1),
+            [Doubt::NoKey(a())]
+        );
         assert_eq!(trust(vec![]).rotation(1), [Doubt::NoKey(a())]);
         let twice = trust(vec![key("1", 0, None), key("1", 5, Some(5))]);
-        assert_eq!(twice.rotation(1), [Doubt::Twice(a(), "1".into()), Doubt::Never(a(), "1".into())]);
+        assert_eq!(
+            twice.rotation(1),
+            [Doubt::Twice(a(), "1".into()), Doubt::Never(a(), "1".into())]
+        );
     }
 }
--- a/crates/ingress/examples/odd.rs
+++ b/crates/ingress/examples/odd.rs
@@ -38,7 +38,9 @@
 
 fn read(layout: u32, rest: &[u8]) -> Result<(), String> {
     let wanted: &[u8] = if layout >= 6 { MARK } else { &[] };
-    (rest == wanted).then_some(()).ok_or_else(|| "the mark is missing".to_string())
+    (rest == wanted)
+        .then_some(())
+        .ok_or_else(|| "the mark is missing".to_string())
 }
 
 impl Odd {
@@ -65,7 +67,9 @@
                 });
             }
             "hup" => {
-                if let Ok(mut signals) = signal_hook::iterator::Signals::new([signal_hook::consts::SIGHUP]) {
+                if let Ok(mut signals) =
+                    signal_hook::iterator::Signals::new([signal_hook::consts::SIGHUP])
+                {
                     thread::spawn(move || {
                         if signals.forever().next().is_some() {
                             std::process::exit(101);
@@ -158,10 +162,15 @@
 
 fn main() -> ExitCode {
     let own = std::env::current_exe().ok();
-    let word =
-        own.and_then(|own| std::fs::read_to_string(own.with_extension("odd")).ok()).unwrap_or_default();
+    let word = own
+        .and_then(|own| std::fs::read_to_string(own.with_extension("odd")).ok())
+        .unwrap_or_default();
     let (word, number) = word.trim().split_once(':').unwrap_or((word.trim(), "0"));
-    let odd = Odd { word: word.into(), number: number.parse().unwrap_or(0), ..Odd::default() };
+    let odd = Odd {
+        word: word.into(),
+        number: number.parse().unwrap_or(0),
+        ..Odd::default()
+    };
     match word {
         "newer" => wrenfork::main(Newer(odd)),
         "chatty" => wrenfork::main(Chatty(odd)),
--- a/crates/ingress/src/backends.rs
+++ b/crates/ingress/src/backends.rs
@@ -63,11 +63,16 @@
     /// How long a connection may be idle and still be used.
     fn limit(&self) -> Micros {
         let stale = |u: &(f64, f64)| u.0 >= STALE_LEAST && u.1 > u.0 * STALE_SHARE;
-        self.uses.iter().position(stale).map_or(Micros::MAX, |place| 1000 << place)
+        self.uses
+            .iter()
+            .position(stale)
+            .map_or(Micros::MAX, |place| 1000 << place)
     }
 
     fn fade(&mut self) {
-        self.uses.iter_mut().for_each(|u| (u.0, u.1) = (u.0 * KEEP, u.1 * KEEP));
+        self.uses
+            .iter_mut()
+            .for_each(|u| (u.0, u.1) = (u.0 * KEEP, u.1 * KEEP));
     }
 }
 
@@ -185,8 +190,30 @@
 impl Conn<()> {
     /// With its stream again.
     fn with(self, stream: Stream) -> Conn {
-        let Conn { stream: (), serial, backend, place, connected, race, work, since, idled, .. } = self;
-        let Conn { begin_by, until, heard, out, body, written, buf, long, paused, .. } = self;
+        let Conn {
+            stream: (),
+            serial,
+            backend,
+            place,
+            connected,
+            race,
+            work,
+            since,
+            idled,
+            ..
+        } = self;
+        let Conn {
+            begin_by,
+            until,
+            heard,
+            out,
+            body,
+            written,
+            buf,
+            long,
+            paused,
+            ..
+        } = self;
         Conn {
             stream,
             serial,
@@ -263,15 +290,24 @@
 /// The value's bytes if this is the answer to a request, else none.
 fn served(buf: &[u8], list: &[Element]) -> Option<(Vec<u8>, Option<Report>)> {
     let [value, _, load] = list else { return None };
-    let report = (load.kind == Kind::Bulk).then(|| report(&buf[load.text.clone()])).flatten();
+    let report = (load.kind == Kind::Bulk)
+        .then(|| report(&buf[load.text.clone()]))
+        .flatten();
     (value.kind == Kind::Bulk).then(|| (buf[value.whole.clone()].to_vec(), report))
 }
 
 /// A load report such as `inflight=7,util=0.61`; none if nothing in it is one.
 fn report(text: &[u8]) -> Option<Report> {
     let mut report = Report::default();
-    for (name, value) in std::str::from_utf8(text).ok()?.split(',').filter_map(|f| f.split_once('=')) {
-        let value = value.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
+    for (name, value) in std::str::from_utf8(text)
+        .ok()?
+        .split(',')
+        .filter_map(|f| f.split_once('='))
+    {
+        let value = value
+            .parse::<f64>()
+            .ok()
+            .filter(|v| v.is_finite() && *v >= 0.0);
         note_field(&mut report, name, value);
     }
     (report != Report::default()).then_some(report)
@@ -286,7 +322,11 @@
         (Reply::One(e), _) if e.kind == Kind::Error => {
             let text = &buf[e.text.clone()];
             let first = text.split(|b| *b == b' ').next();
-            let outcome = if first == Some(b"BUSY") { Outcome::Full } else { Outcome::Error };
+            let outcome = if first == Some(b"BUSY") {
+                Outcome::Full
+            } else {
+                Outcome::Error
+            };
             let last = text.rsplit(|b| *b == b' ').next();
             Some((outcome, Vec::new(), last.and_then(report)))
         }
@@ -332,7 +372,11 @@
     pub fn save(&self) -> Saved<&Conn> {
         Saved {
             conns: self.conns.iter().collect(),
-            pools: self.pools.iter().map(|(id, pool)| (*id, pool.clone())).collect(),
+            pools: self
+                .pools
+                .iter()
+                .map(|(id, pool)| (*id, pool.clone()))
+                .collect(),
             serial: self.serial,
             staleness: self.staleness.clone(),
         }
@@ -340,7 +384,10 @@
 
     /// The sockets of all connections in the order in which they were saved; none is left here.
     pub fn take_descriptors(&mut self) -> Vec<OwnedFd> {
-        self.conns.drain().map(|c| c.stream.into_descriptor()).collect()
+        self.conns
+            .drain()
+            .map(|c| c.stream.into_descriptor())
+            .collect()
     }
 
     /// Goes on with another process's connections. The work on one whose socket did not come has ended as if it had broken.
@@ -354,10 +401,16 @@
         self.pools = saved.pools.into_iter().collect();
         let mut conns = Vec::with_capacity(saved.conns.len());
         for (key, conn) in saved.conns {
-            let stream = sockets.next().map(|s| Stream::passed_to(&conn.place, s)).and_then(|mut stream| {
-                let interests = Interest::READABLE | Interest::WRITABLE;
-                registry.register(&mut stream, (self.tokens)(key), interests).ok().map(|()| stream)
-            });
+            let stream = sockets
+                .next()
+                .map(|s| Stream::passed_to(&conn.place, s))
+                .and_then(|mut stream| {
+                    let interests = Interest::READABLE | Interest::WRITABLE;
+                    registry
+                        .register(&mut stream, (self.tokens)(key), interests)
+                        .ok()
+                        .map(|()| stream)
+                });
             match (stream, conn.work) {
                 // Those that come up beside another are that one's, which goes on alone.
                 (Some(stream), work) if !matches!(work, Some(Work::Race(_))) => {
@@ -365,20 +418,42 @@
                 }
                 (_, work) => {
                     if let Some(work) = work.filter(|w| !matches!(w, Work::Race(_))) {
-                        let outcome = if conn.sent() { Outcome::Reset } else { Outcome::ConnectFailed };
-                        let (backend, began, report, value) = (conn.backend, conn.since, None, Vec::new());
-                        self.done.push(Done { work, backend, outcome, began, report, value });
+                        let outcome = if conn.sent() {
+                            Outcome::Reset
+                        } else {
+                            Outcome::ConnectFailed
+                        };
+                        let (backend, began, report, value) =
+                            (conn.backend, conn.since, None, Vec::new());
+                        self.done.push(Done {
+                            work,
+                            backend,
+                            outcome,
+                            began,
+                            report,
+                            value,
+                        });
                     }
                 }
             }
         }
         for (key, conn) in conns.iter().filter(|(_, conn)| conn.long.is_some()) {
-            let link = Link { key: *key, serial: conn.serial };
-            if conn.paused { &mut self.flows } else { &mut self.again }.push(link);
+            let link = Link {
+                key: *key,
+                serial: conn.serial,
+            };
+            if conn.paused {
+                &mut self.flows
+            } else {
+                &mut self.again
+            }
+            .push(link);
         }
         self.conns = conns.into_iter().collect();
         let conns = &self.conns;
-        self.pools.values_mut().for_each(|p| p.idle.retain(|key| conns.contains(*key)));
+        self.pools
+            .values_mut()
+            .for_each(|p| p.idle.retain(|key| conns.contains(*key)));
     }
 
     /// How many connections there are.
@@ -404,7 +479,12 @@
                 absent.push(id);
                 continue;
             }
-            let moved = self.pools.entry(id).or_default().book.update(e.places.clone());
+            let moved = self
+                .pools
+                .entry(id)
+                .or_default()
+                .book
+                .update(e.places.clone());
             // What is idle at a place that it left, or that drains, is of no more use.
             if moved || e.listed.availability == Availability::Draining {
                 self.close_idle(id);
@@ -423,9 +503,15 @@
     /// Ends the attempts at a backend that are not written whole: what has not begun when a drain is told does not begin, and
     /// may go elsewhere.
     fn call_off_unsent(&mut self, backend: BackendId) {
-        let unsent =
-            |c: &Conn| c.backend == backend && matches!(c.work, Some(Work::Attempt(..))) && !c.sent();
-        let unsent: Vec<usize> = self.conns.iter().filter(|(_, c)| unsent(c)).map(|(key, _)| key).collect();
+        let unsent = |c: &Conn| {
+            c.backend == backend && matches!(c.work, Some(Work::Attempt(..))) && !c.sent()
+        };
+        let unsent: Vec<usize> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| unsent(c))
+            .map(|(key, _)| key)
+            .collect();
         unsent.into_iter().for_each(|key| self.never_sent(key));
     }
 
@@ -442,7 +528,9 @@
 
     /// Whether work for a backend would need a new connection. `now` is the true time.
     pub fn must_connect(&self, backend: BackendId, now: Micros) -> bool {
-        self.pools.get(&backend).is_some_and(|p| self.newest_rested(p, now).is_none())
+        self.pools
+            .get(&backend)
+            .is_some_and(|p| self.newest_rested(p, now).is_none())
     }
 
     fn newest_rested(&self, pool: &Pool, now: Micros) -> Option<usize> {
@@ -451,7 +539,9 @@
         }
         let most = self.staleness.limit();
         let idle = |key: usize| now.saturating_sub(self.conns[key].since);
-        pool.idle.iter().rposition(|key| (REST..most).contains(&idle(*key)))
+        pool.idle
+            .iter()
+            .rposition(|key| (REST..most).contains(&idle(*key)))
     }
 
     /// Takes the newest idle connection to a backend that has rested and has nothing unread.
@@ -488,7 +578,14 @@
     ) -> Option<(Link, bool)> {
         let Some(key) = self.connection(registry, backend, now) else {
             let (outcome, report, value) = (Outcome::ConnectFailed, None, Vec::new());
-            self.done.push(Done { work, backend, outcome, began: now, report, value });
+            self.done.push(Done {
+                work,
+                backend,
+                outcome,
+                began: now,
+                report,
+                value,
+            });
             return None;
         };
         let conn = &mut self.conns[key];
@@ -496,7 +593,10 @@
         (conn.begin_by, conn.until) = (begin_by, until);
         conn.out.clear();
         conn.body = fill(&mut conn.out);
-        let link = Link { key, serial: conn.serial };
+        let link = Link {
+            key,
+            serial: conn.serial,
+        };
         let conn = &self.conns[key];
         if conn.race.is_none() {
             self.write(key, now);
@@ -508,7 +608,12 @@
     }
 
     /// An idle connection to a backend, or a new one.
-    fn connection(&mut self, registry: &Registry, backend: BackendId, now: Micros) -> Option<usize> {
+    fn connection(
+        &mut self,
+        registry: &Registry,
+        backend: BackendId,
+        now: Micros,
+    ) -> Option<usize> {
         if let Some(key) = self.rested(backend, now) {
             return Some(key);
         }
@@ -520,7 +625,11 @@
         // One that can't even be begun, such as an address of a family that this machine has no way to, costs no time.
         while let Next::Begin(place) = race.next(now) {
             if let Some(key) = self.dial(registry, backend, place.clone(), now) {
-                self.conns[key].race = Some(Box::new(Racing { race, beside: Vec::new(), failed: false }));
+                self.conns[key].race = Some(Box::new(Racing {
+                    race,
+                    beside: Vec::new(),
+                    failed: false,
+                }));
                 return Some(key);
             }
             self.note(backend, &place, Fared::Unreached, now);
@@ -540,7 +649,11 @@
         let mut stream = Stream::connect(&place).ok()?;
         let entry = self.conns.vacant_entry();
         registry
-            .register(&mut stream, (self.tokens)(entry.key()), Interest::READABLE | Interest::WRITABLE)
+            .register(
+                &mut stream,
+                (self.tokens)(entry.key()),
+                Interest::READABLE | Interest::WRITABLE,
+            )
             .ok()?;
         self.serial += 1;
         let key = entry.key();
@@ -592,11 +705,21 @@
     /// Goes on with a connection's race: one that is up gives it its stream, and the next address is tried when it is due.
     /// Without room for one more descriptor nothing is begun beside a connection that may still come up. Tells when to come
     /// again.
-    pub fn race(&mut self, registry: &Registry, link: Link, now: Micros, room: bool) -> Option<Micros> {
+    pub fn race(
+        &mut self,
+        registry: &Registry,
+        link: Link,
+        now: Micros,
+        room: bool,
+    ) -> Option<Micros> {
         let conn = self.alive(link).filter(|c| !c.connected)?;
         let backend = conn.backend;
         let beside = conn.race.as_ref()?.beside.clone();
-        if let Some(winner) = beside.iter().copied().find(|l| self.alive(*l).is_some_and(|c| c.connected)) {
+        if let Some(winner) = beside
+            .iter()
+            .copied()
+            .find(|l| self.alive(*l).is_some_and(|c| c.connected))
+        {
             self.take_stream(registry, link, winner, now);
             return None;
         }
@@ -610,7 +733,10 @@
                     Some(key) => {
                         let conn = &mut self.conns[key];
                         conn.work = Some(Work::Race(link));
-                        let one = Link { key, serial: conn.serial };
+                        let one = Link {
+                            key,
+                            serial: conn.serial,
+                        };
                         self.conns[link.key].race.as_mut()?.beside.push(one);
                     }
                     None => {
@@ -636,7 +762,9 @@
     fn take_stream(&mut self, registry: &Registry, link: Link, winner: Link, now: Micros) {
         let won = self.conns.remove(winner.key);
         let token = (self.tokens)(link.key);
-        let Some(conn) = self.conns.get_mut(link.key) else { return };
+        let Some(conn) = self.conns.get_mut(link.key) else {
+            return;
+        };
         let (mut stream, interests) = (won.stream, Interest::READABLE | Interest::WRITABLE);
         if registry.reregister(&mut stream, token, interests).is_err() {
             self.end(link.key, Outcome::ConnectFailed, Vec::new(), None, now);
@@ -709,7 +837,13 @@
             }
             let (backend, place) = (conn.backend, conn.place.clone());
             self.note(backend, &place, Fared::Unreached, now);
-            self.end(link.key, Outcome::ConnectFailed, Vec::new(), None, Micros::MAX);
+            self.end(
+                link.key,
+                Outcome::ConnectFailed,
+                Vec::new(),
+                None,
+                Micros::MAX,
+            );
             self.remove(link.key);
         }
     }
@@ -719,13 +853,24 @@
             self.settled(key);
         }
         let conn = self.conns.remove(key); // dropped, it is closed, and so out of the poll
-        if let Some(pool) = self.pools.get_mut(&conn.backend).filter(|_| conn.work.is_none()) {
+        if let Some(pool) = self
+            .pools
+            .get_mut(&conn.backend)
+            .filter(|_| conn.work.is_none())
+        {
             pool.idle.retain(|k| *k != key);
         }
     }
 
     /// Notes how a connection's work ended.
-    fn end(&mut self, key: usize, outcome: Outcome, value: Vec<u8>, report: Option<Report>, now: Micros) {
+    fn end(
+        &mut self,
+        key: usize,
+        outcome: Outcome,
+        value: Vec<u8>,
+        report: Option<Report>,
+        now: Micros,
+    ) {
         let conn = &mut self.conns[key];
         if let Some(work) = conn.work.filter(|w| !matches!(w, Work::Race(_))) {
             let broken = matches!(outcome, Outcome::Reset | Outcome::ConnectFailed);
@@ -734,7 +879,14 @@
                 self.staleness.note(idle, dead);
             }
             let (backend, began) = (conn.backend, conn.since);
-            self.done.push(Done { work, backend, outcome, began, report, value });
+            self.done.push(Done {
+                work,
+                backend,
+                outcome,
+                began,
+                report,
+                value,
+            });
         }
     }
 
@@ -749,7 +901,10 @@
     fn write_up(&mut self, key: usize, now: Micros) {
         let conn = &self.conns[key];
         match conn.work {
-            Some(Work::Attempt(..)) => self.opened.push(Link { key, serial: conn.serial }),
+            Some(Work::Attempt(..)) => self.opened.push(Link {
+                key,
+                serial: conn.serial,
+            }),
             _ => self.write(key, now),
         }
     }
@@ -758,7 +913,12 @@
     /// is given up.
     pub fn opened(&mut self) -> Option<(Link, RequestId, Micros)> {
         while let Some(link) = self.opened.pop() {
-            if let Some(Conn { work: Some(Work::Attempt(id, _)), until, .. }) = self.alive(link) {
+            if let Some(Conn {
+                work: Some(Work::Attempt(id, _)),
+                until,
+                ..
+            }) = self.alive(link)
+            {
                 return Some((link, *id, *until));
             }
         }
@@ -799,7 +959,12 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 // Not up yet, or no room: the socket will show as writable.
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     return
                 }
                 Err(_) => {
@@ -821,7 +986,9 @@
 
     /// Does what a connection is ready for; `closed` says that its end is near, `now` when it falls idle.
     pub fn ready(&mut self, key: usize, now: Micros, writable: bool, closed: bool) {
-        let Some(conn) = self.conns.get_mut(key) else { return };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return;
+        };
         if writable && !conn.connected && conn.stream.up() {
             if let Some(Work::Race(of)) = conn.work {
                 conn.connected = true;
@@ -833,7 +1000,11 @@
             self.write(key, now);
         }
         // It may have come up between the look at it and the write.
-        if self.conns.get(key).is_some_and(|c| c.connected && c.race.is_some()) {
+        if self
+            .conns
+            .get(key)
+            .is_some_and(|c| c.connected && c.race.is_some())
+        {
             self.settled(key);
         }
         if self.conns.contains(key) {
@@ -862,9 +1033,16 @@
     /// Has an answer read whole before any of it passes on, where that takes no more than `room` bytes beside others that are; false
     /// if it is to pass on now: it is whole, or it takes more.
     pub fn hold(&mut self, link: Link, room: usize, now: Micros) -> bool {
-        let others = self.conns.iter().filter(|(key, c)| *key != link.key && c.long.is_some());
+        let others = self
+            .conns
+            .iter()
+            .filter(|(key, c)| *key != link.key && c.long.is_some());
         let held: usize = others.map(|(_, c)| c.buf.capacity()).sum();
-        let Some(conn) = self.conns.get_mut(link.key).filter(|c| c.serial == link.serial) else {
+        let Some(conn) = self
+            .conns
+            .get_mut(link.key)
+            .filter(|c| c.serial == link.serial)
+        else {
             return true;
         };
         let Some(long) = &conn.long else { return true };
@@ -872,7 +1050,8 @@
             Ok(true) => return false,
             Ok(false) if held + long.left() > room => return false,
             Ok(false) => {
-                conn.buf.reserve_exact((long.left() + CHUNK).saturating_sub(conn.buf.len()));
+                conn.buf
+                    .reserve_exact((long.left() + CHUNK).saturating_sub(conn.buf.len()));
                 (conn.paused, conn.heard) = (false, now);
                 self.again.push(link);
             }
@@ -895,7 +1074,10 @@
                 (conn.paused, conn.heard) = (false, now);
                 self.again.push(link);
             }
-            Ok(Some(Whole { report: text, alone })) => {
+            Ok(Some(Whole {
+                report: text,
+                alone,
+            })) => {
                 (conn.long, conn.paused) = (None, false);
                 let report = text.as_deref().and_then(report);
                 self.end(link.key, Outcome::Ok, Vec::new(), report, now);
@@ -935,7 +1117,10 @@
                     conn.buf.extend_from_slice(&self.chunk[..n]);
                     if conn.long.is_some() {
                         (conn.paused, conn.heard) = (true, now);
-                        return self.flows.push(Link { key, serial: conn.serial });
+                        return self.flows.push(Link {
+                            key,
+                            serial: conn.serial,
+                        });
                     }
                     if !self.take_answer(key, now) {
                         return self.remove(key);
@@ -946,7 +1131,12 @@
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     return
                 }
                 Ok(_) | Err(_) => {
@@ -975,7 +1165,10 @@
             Ok(None) => return true,
             Ok(Some(found)) => found,
             Err(_) if Self::begin_long(conn, work) => {
-                self.flows.push(Link { key, serial: conn.serial });
+                self.flows.push(Link {
+                    key,
+                    serial: conn.serial,
+                });
                 return true;
             }
             Err(_) => {
@@ -998,7 +1191,9 @@
     /// Whether an answer passes on as it comes from here on: its value is too long to be kept whole.
     fn begin_long(conn: &mut Conn, work: Work) -> bool {
         let attempt = matches!(work, Work::Attempt(..)) && conn.sent();
-        let Some((long, at)) = attempt.then(|| Long::begin(&conn.buf)).flatten() else { return false };
+        let Some((long, at)) = attempt.then(|| Long::begin(&conn.buf)).flatten() else {
+            return false;
+        };
         conn.buf.drain(..at);
         (conn.long, conn.paused) = (Some(long), true);
         true
@@ -1007,7 +1202,10 @@
     /// A connection whose answer has come goes back to its pool, if it is of use: a sound answer, with nothing behind it.
     fn rest(&mut self, key: usize, now: Micros, alone: bool, clean: bool) -> bool {
         let conn = &mut self.conns[key];
-        let pool = self.pools.get_mut(&conn.backend).filter(|p| p.book.has(&conn.place));
+        let pool = self
+            .pools
+            .get_mut(&conn.backend)
+            .filter(|p| p.book.has(&conn.place));
         let Some(pool) = pool else { return false };
         if pool.book.only().is_none() {
             pool.book.note(&conn.place, Fared::Well, now);
@@ -1028,8 +1226,13 @@
 
     /// Closes the idle connections to a backend.
     pub fn close_idle(&mut self, backend: BackendId) {
-        let idle = self.pools.get_mut(&backend).map(|p| std::mem::take(&mut p.idle));
-        idle.into_iter().flatten().for_each(|key| drop(self.conns.remove(key)));
+        let idle = self
+            .pools
+            .get_mut(&backend)
+            .map(|p| std::mem::take(&mut p.idle));
+        idle.into_iter()
+            .flatten()
+            .for_each(|key| drop(self.conns.remove(key)));
     }
 
     /// Closes what has been idle for too long.
@@ -1038,14 +1241,24 @@
         self.pools.values_mut().for_each(|p| p.surplus.fade());
         let most = self.idle_for.min(self.staleness.limit());
         let old = |c: &Conn| c.work.is_none() && now.saturating_sub(c.since) > most;
-        let old: Vec<usize> = self.conns.iter().filter(|(_, c)| old(c)).map(|(key, _)| key).collect();
+        let old: Vec<usize> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| old(c))
+            .map(|(key, _)| key)
+            .collect();
         old.into_iter().for_each(|key| self.remove(key));
         // An answer that began and goes no further will not be whole: a line or a length without an end.
         let stuck = |c: &Conn| match c.long {
             Some(_) => !c.paused && now > c.heard + STANDSTILL,
             None => !c.buf.is_empty() && now > c.heard + PATIENCE,
         };
-        let stuck: Vec<usize> = self.conns.iter().filter(|(_, c)| stuck(c)).map(|(key, _)| key).collect();
+        let stuck: Vec<usize> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| stuck(c))
+            .map(|(key, _)| key)
+            .collect();
         stuck.into_iter().for_each(|key| self.breaks(key, now));
     }
 
@@ -1057,7 +1270,9 @@
     /// Evicts the connection that has been idle for longest, to make room; false if none is idle.
     pub fn evict_oldest(&mut self) -> bool {
         let idle = self.conns.iter().filter(|(_, c)| c.work.is_none());
-        let oldest = idle.min_by_key(|(_, c)| (c.since, c.serial)).map(|(key, _)| key);
+        let oldest = idle
+            .min_by_key(|(_, c)| (c.since, c.serial))
+            .map(|(key, _)| key);
         oldest.into_iter().for_each(|key| self.remove(key));
         oldest.is_some()
     }
--- a/crates/ingress/src/backoff.rs
+++ b/crates/ingress/src/backoff.rs
@@ -38,12 +38,19 @@
 impl Backoff {
     /// No failure yet.
     pub fn new(seed: u64) -> Backoff {
-        Backoff { in_row: [0; 2], rng: fastrand::Rng::with_seed(seed) }
+        Backoff {
+            in_row: [0; 2],
+            rng: fastrand::Rng::with_seed(seed),
+        }
     }
 
     /// The pause after one more failure: half to one and a half times what it is on average, and never over [`LONGEST`].
     pub fn pause(&mut self, failure: Failure) -> Micros {
-        let (first, most) = if failure == Failure::Broken { BROKEN } else { TURNED_AWAY };
+        let (first, most) = if failure == Failure::Broken {
+            BROKEN
+        } else {
+            TURNED_AWAY
+        };
         let row = &mut self.in_row[failure as usize];
         let mean = (first << (*row).min(16)).min(most);
         *row += 1;
--- a/crates/ingress/src/backoff/tests.rs
+++ b/crates/ingress/src/backoff/tests.rs
@@ -12,12 +12,19 @@
     for step in 0..3_000u64 {
         let now = step * 10_000;
         backlog = (backlog - a_second / 100.0).max(0.0);
-        for (n, due) in due.iter_mut().enumerate().filter(|(_, due)| due.is_some_and(|at| at <= now)) {
+        for (n, due) in due
+            .iter_mut()
+            .enumerate()
+            .filter(|(_, due)| due.is_some_and(|at| at <= now))
+        {
             calls += 1;
             if backlog < 2.0 * a_second {
                 (backlog, *due) = (backlog + 1.0, None);
             } else {
-                (backlog, *due) = (backlog + 0.5, Some(now + backoffs[n].pause(Failure::TurnedAway)));
+                (backlog, *due) = (
+                    backlog + 0.5,
+                    Some(now + backoffs[n].pause(Failure::TurnedAway)),
+                );
             }
         }
     }
@@ -47,7 +54,11 @@
     for seed in 0..200 {
         let mut backoff = Backoff::new(seed);
         for n in 0..60 {
-            let failure = if (seed + n) % 3 == 0 { Failure::Broken } else { Failure::TurnedAway };
+            let failure = if (seed + n) % 3 == 0 {
+                Failure::Broken
+            } else {
+                Failure::TurnedAway
+            };
             let pause = backoff.pause(failure);
             assert!(pause <= LONGEST, "{pause} us after call {n}");
         }
@@ -58,7 +69,10 @@
 fn a_service_that_is_gone_is_called_again_within_a_second_and_a_half() {
     let mut backoff = Backoff::new(7);
     let pauses: Vec<Micros> = (0..40).map(|_| backoff.pause(Failure::Broken)).collect();
-    assert!(pauses[0] <= 75_000 && pauses.iter().all(|p| (25_000..=1_500_000).contains(p)), "{pauses:?}");
+    assert!(
+        pauses[0] <= 75_000 && pauses.iter().all(|p| (25_000..=1_500_000).contains(p)),
+        "{pauses:?}"
+    );
     backoff.reset();
     assert!(backoff.pause(Failure::Broken) <= 75_000);
 }
--- a/crates/ingress/src/clients.rs
+++ b/crates/ingress/src/clients.rs
@@ -149,9 +149,39 @@
 impl Client<()> {
     /// With its stream again.
     fn with(self, stream: Stream) -> Client {
-        let Client { stream: (), serial, buf, slots, first, ready, out, written, counted, since, .. } = self;
-        let Client { begun, proof, errors, closing, linger_until, surplus, half_closed, .. } = self;
-        let Client { unread, stalled, dirty, listed, granted, granted_at, waits, .. } = self;
+        let Client {
+            stream: (),
+            serial,
+            buf,
+            slots,
+            first,
+            ready,
+            out,
+            written,
+            counted,
+            since,
+            ..
+        } = self;
+        let Client {
+            begun,
+            proof,
+            errors,
+            closing,
+            linger_until,
+            surplus,
+            half_closed,
+            ..
+        } = self;
+        let Client {
+            unread,
+            stalled,
+            dirty,
+            listed,
+            granted,
+            granted_at,
+            waits,
+            ..
+        } = self;
         Client {
             stream,
             serial,
@@ -185,7 +215,11 @@
 impl Client {
     /// Between two requests, with nothing under way in either direction.
     fn idle(&self) -> bool {
-        self.slots.is_empty() && self.out.is_empty() && self.buf.is_empty() && !self.closing && !self.surplus
+        self.slots.is_empty()
+            && self.out.is_empty()
+            && self.buf.is_empty()
+            && !self.closing
+            && !self.surplus
     }
 
     /// Where it stands, and since when; none where something is under way, or its end is.
@@ -193,7 +227,8 @@
         if self.unread {
             return Some((Kind::HalfClosed, self.since));
         }
-        let nothing_owed = self.slots.is_empty() && self.out.is_empty() && !self.closing && !self.surplus;
+        let nothing_owed =
+            self.slots.is_empty() && self.out.is_empty() && !self.closing && !self.surplus;
         let standing = match (self.buf.is_empty(), self.spoke()) {
             (false, _) => (Kind::Half, self.begun),
             (true, false) => (Kind::Silent, self.begun),
@@ -311,7 +346,12 @@
 
 impl Clients {
     /// Starts from a listener that is registered already; `memory` is what connections may hold in all.
-    pub fn new(listener: Listener, words: Vocabulary, memory: usize, tokens: fn(usize) -> Token) -> Self {
+    pub fn new(
+        listener: Listener,
+        words: Vocabulary,
+        memory: usize,
+        tokens: fn(usize) -> Token,
+    ) -> Self {
         Clients {
             listener: Some(listener),
             conns: Slab::new(),
@@ -357,7 +397,10 @@
 
     /// The sockets of all connections in the order in which they were saved; none is left here.
     pub fn take_descriptors(&mut self) -> Vec<OwnedFd> {
-        self.conns.drain().map(|c| c.stream.into_descriptor()).collect()
+        self.conns
+            .drain()
+            .map(|c| c.stream.into_descriptor())
+            .collect()
     }
 
     /// Goes on with another process's connections. Of one whose socket did not come the requests have lost their client.
@@ -371,7 +414,10 @@
         let conns = saved.conns.into_iter().filter_map(|(key, c)| {
             let stream = sockets.next().map(Stream::passed).and_then(|mut stream| {
                 let interests = Interest::READABLE | Interest::WRITABLE;
-                registry.register(&mut stream, (self.tokens)(key), interests).ok().map(|()| stream)
+                registry
+                    .register(&mut stream, (self.tokens)(key), interests)
+                    .ok()
+                    .map(|()| stream)
             });
             match stream {
                 Some(stream) => Some((key, c.with(stream))),
@@ -384,10 +430,15 @@
         self.conns = conns.collect();
         let keys: Vec<usize> = self.conns.iter().map(|(key, _)| key).collect();
         keys.into_iter().for_each(|key| self.stand(key));
-        (self.serial, self.next_id, self.accepted_at) = (saved.serial, saved.next_id, saved.accepted_at);
+        (self.serial, self.next_id, self.accepted_at) =
+            (saved.serial, saved.next_id, saved.accepted_at);
         (self.dirty, self.again) = (saved.dirty, saved.again);
         (self.lingering, self.surplus, self.held) = (saved.lingering, saved.surplus, saved.held);
-        let granted = self.conns.iter().map(|(_, c)| c.granted).chain(lost.iter().map(|c| c.granted));
+        let granted = self
+            .conns
+            .iter()
+            .map(|(_, c)| c.granted)
+            .chain(lost.iter().map(|c| c.granted));
         self.granted = granted.sum();
         let waits = self.conns.iter().filter(|(_, c)| c.waits);
         self.queue = waits.map(|(key, c)| (key, c.serial)).collect();
@@ -417,7 +468,10 @@
 
     /// How many of them still owe or await something.
     pub fn busy(&self) -> usize {
-        self.conns.iter().filter(|(_, c)| !c.slots.is_empty() || !c.out.is_empty()).count()
+        self.conns
+            .iter()
+            .filter(|(_, c)| !c.slots.is_empty() || !c.out.is_empty())
+            .count()
     }
 
     /// The listening socket, where it is one of TCP that is still open.
@@ -441,7 +495,9 @@
             if !may(self) {
                 return Accepted::NoRoom;
             }
-            let Some(listener) = &self.listener else { return Accepted::All };
+            let Some(listener) = &self.listener else {
+                return Accepted::All;
+            };
             match listener.accept() {
                 Ok(stream) => {
                     let room = room(self);
@@ -449,7 +505,11 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Accepted::All,
                 // One that was gone before it was accepted, or may not connect.
-                Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::ConnectionAborted | ErrorKind::Interrupted
+                    ) => {}
                 Err(e) if e.kind() == ErrorKind::PermissionDenied => {}
                 // Out of descriptors or memory in spite of the budget: an idle one may make room.
                 Err(_) if self.evict_oldest(now) => {}
@@ -463,7 +523,10 @@
         let place = self.conns.vacant_entry();
         let key = place.key();
         let token = (self.tokens)(key);
-        if registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).is_err() {
+        if registry
+            .register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)
+            .is_err()
+        {
             return;
         }
         self.serial += 1;
@@ -510,7 +573,9 @@
 
     /// Does what a connection is ready for.
     pub fn ready(&mut self, key: usize, now: Micros, writable: bool) {
-        let Some(c) = self.conns.get_mut(key) else { return };
+        let Some(c) = self.conns.get_mut(key) else {
+            return;
+        };
         if writable && !c.out.is_empty() && !c.dirty {
             c.dirty = true;
             self.dirty.push(key);
@@ -543,12 +608,16 @@
 
     /// Notes where a connection stands by now.
     fn stand(&mut self, key: usize) {
-        let Some(c) = self.conns.get_mut(key) else { return };
+        let Some(c) = self.conns.get_mut(key) else {
+            return;
+        };
         let to = c.stands();
         let from = std::mem::replace(&mut c.standing, to);
         if from != to {
             let (serial, conns) = (c.serial, &self.conns);
-            self.lines.moved((key, serial), from, to, |key, serial| standing(conns, key, serial));
+            self.lines.moved((key, serial), from, to, |key, serial| {
+                standing(conns, key, serial)
+            });
         }
     }
 
@@ -602,11 +671,16 @@
     /// Notes what a connection holds. Bounds for each are none for all together: beyond that, the one that has
     /// half said most is told so and closed, or else the one that has most to read.
     fn account(&mut self, key: usize) {
-        let Some(c) = self.conns.get_mut(key) else { return };
+        let Some(c) = self.conns.get_mut(key) else {
+            return;
+        };
         c.recount(&mut self.held);
         while self.held > self.memory {
             let half_said = |c: &Client| c.buf.capacity().saturating_sub(c.granted);
-            let most = self.conns.iter_mut().max_by_key(|(_, c)| (half_said(c), c.counted));
+            let most = self
+                .conns
+                .iter_mut()
+                .max_by_key(|(_, c)| (half_said(c), c.counted));
             let Some((key, c)) = most else { return };
             if c.buf.is_empty() {
                 self.remove(key);
@@ -640,7 +714,9 @@
         if c.granted > 0 || c.buf.is_empty() || c.closing {
             return true;
         }
-        let Some(whole) = resp::long_command(&c.buf, &mut self.args) else { return true };
+        let Some(whole) = resp::long_command(&c.buf, &mut self.args) else {
+            return true;
+        };
         if whole > self.memory {
             Self::break_off(c, "the body is longer than there is memory for");
             if !std::mem::replace(&mut c.dirty, true) {
@@ -657,8 +733,13 @@
     /// Grants memory to long bodies in the order in which they came, as far as it goes beside the open requests' `held`.
     pub fn grant(&mut self, held: usize, now: Micros) {
         while let Some((key, serial)) = self.queue.front().copied() {
-            let c = self.conns.get_mut(key).filter(|c| c.serial == serial && c.waits);
-            let whole = c.as_ref().and_then(|c| resp::long_command(&c.buf, &mut self.args));
+            let c = self
+                .conns
+                .get_mut(key)
+                .filter(|c| c.serial == serial && c.waits);
+            let whole = c
+                .as_ref()
+                .and_then(|c| resp::long_command(&c.buf, &mut self.args));
             if let (Some(c), Some(whole)) = (c, whole) {
                 if held + self.granted + whole > self.memory {
                     return;
@@ -689,7 +770,10 @@
                 Ok(None) => break,
                 Ok(Some(n)) => {
                     // One with a long body is kept as it came; what stands behind it is moved instead.
-                    let long = self.args.get(resp::BODY).is_some_and(|body| body.len() > resp::MOST_VALUE);
+                    let long = self
+                        .args
+                        .get(resp::BODY)
+                        .is_some_and(|body| body.len() > resp::MOST_VALUE);
                     let long = long.then(|| {
                         let mut whole = c.buf.split_off(at);
                         c.buf.extend_from_slice(&whole[n..]);
@@ -698,7 +782,10 @@
                         whole
                     });
                     let (part, read) = match long {
-                        Some(whole) => (&b"CALL.POST"[..], Call::read_long(whole, &self.args, &self.words)),
+                        Some(whole) => (
+                            &b"CALL.POST"[..],
+                            Call::read_long(whole, &self.args, &self.words),
+                        ),
                         None => {
                             let part = &c.buf[at..at + n];
                             at += n;
@@ -708,16 +795,19 @@
                     (c.since, c.begun) = (now.max(c.since), now.max(c.begun));
                     match read {
                         Some(Ok(call)) if c.surplus => {
-                            self.incoming.push_back(Incoming::Ended(call.request.class, End::Refused));
+                            self.incoming
+                                .push_back(Incoming::Ended(call.request.class, End::Refused));
                             c.answer_now(b"-BUSY\r\n");
                             refused = true;
                         }
                         Some(Ok(call)) if self.ending => {
-                            self.incoming.push_back(Incoming::Ended(call.request.class, End::Refused));
+                            self.incoming
+                                .push_back(Incoming::Ended(call.request.class, End::Refused));
                             c.answer_now(b"-BUSY\r\n");
                         }
                         Some(Ok(call)) if !self.gate.open() => {
-                            self.incoming.push_back(Incoming::Ended(call.request.class, End::Refused));
+                            self.incoming
+                                .push_back(Incoming::Ended(call.request.class, End::Refused));
                             c.answer_now(&self.gate.shut());
                         }
                         Some(Ok(mut call)) => {
@@ -728,11 +818,16 @@
                             if let Some(Err(why)) = self.door.as_mut().map(may) {
                                 c.answer_now(format!("-DENIED {why}\r\n").as_bytes());
                                 c.strike();
-                                self.incoming.push_back(Incoming::Ended(call.request.class, End::Failed));
+                                self.incoming
+                                    .push_back(Incoming::Ended(call.request.class, End::Failed));
                             } else {
                                 self.next_id += 1;
                                 let id = RequestId(self.next_id);
-                                let origin = Origin { key, serial: c.serial, slot: c.first + slots };
+                                let origin = Origin {
+                                    key,
+                                    serial: c.serial,
+                                    slot: c.first + slots,
+                                };
                                 c.errors = 0;
                                 c.slots.push_back(Slot::Waiting(id));
                                 self.incoming.push_back(Incoming::Call(id, origin, call));
@@ -750,7 +845,11 @@
                             .is_some_and(|verb| verb.eq_ignore_ascii_case(b"PING")) =>
                         {
                             let open = self.gate.open();
-                            c.answer_now(&if open { b"+PONG\r\n".to_vec() } else { self.gate.shut() });
+                            c.answer_now(&if open {
+                                b"+PONG\r\n".to_vec()
+                            } else {
+                                self.gate.shut()
+                            });
                             c.errors = 0;
                         }
                         None if self.door.is_some()
@@ -760,7 +859,11 @@
                             && self.args.len() == 2 =>
                         {
                             let token = &part[self.args[1].clone()];
-                            match self.door.as_mut().map(|d| d.auth(token, c.stream.source(), now)) {
+                            match self
+                                .door
+                                .as_mut()
+                                .map(|d| d.auth(token, c.stream.source(), now))
+                            {
                                 Some(Ok(proof)) => {
                                     c.proof = Some(proof);
                                     c.answer_now(b"+OK\r\n");
@@ -809,7 +912,11 @@
     pub fn reject(&mut self, origin: Origin, why: &str) {
         let mut text = Vec::new();
         resp::put_error(&mut text, why);
-        if let Some(c) = self.conns.get_mut(origin.key).filter(|c| c.serial == origin.serial) {
+        if let Some(c) = self
+            .conns
+            .get_mut(origin.key)
+            .filter(|c| c.serial == origin.serial)
+        {
             c.strike();
         }
         self.answer(origin, &text);
@@ -817,8 +924,13 @@
 
     /// Gives a request its final answer, a whole RESP2 value.
     pub fn answer(&mut self, origin: Origin, text: &[u8]) {
-        let found = self.conns.get_mut(origin.key).filter(|c| c.serial == origin.serial);
-        let Some(c) = found.filter(|c| origin.slot >= c.first) else { return };
+        let found = self
+            .conns
+            .get_mut(origin.key)
+            .filter(|c| c.serial == origin.serial);
+        let Some(c) = found.filter(|c| origin.slot >= c.first) else {
+            return;
+        };
         let at = (origin.slot - c.first) as usize;
         if at == 0 && matches!(c.slots.front(), Some(Slot::Waiting(_) | Slot::Passing(_))) {
             c.slots.pop_front();
@@ -846,7 +958,9 @@
 
     /// Whether others are owed an answer on the connection that this one belongs to.
     pub fn shares(&self, origin: Origin) -> bool {
-        self.conns.get(origin.key).is_some_and(|c| c.serial == origin.serial && c.slots.len() > 1)
+        self.conns
+            .get(origin.key)
+            .is_some_and(|c| c.serial == origin.serial && c.slots.len() > 1)
     }
 
     /// Bytes of answers for which there is room: what is left of half of what connections may hold.
@@ -857,7 +971,10 @@
     /// Where an answer that passes on as it comes is written to, if there is room for more of it now; else the client is
     /// `hungry` once there is. None as well where the client has gone.
     pub fn passing(&mut self, origin: Origin) -> Option<&mut Vec<u8>> {
-        let found = self.conns.get_mut(origin.key).filter(|c| c.serial == origin.serial);
+        let found = self
+            .conns
+            .get_mut(origin.key)
+            .filter(|c| c.serial == origin.serial);
         let c = found.filter(|c| origin.slot >= c.first)?;
         let at = (origin.slot - c.first) as usize;
         if let Some(slot) = c.slots.get_mut(at) {
@@ -866,7 +983,11 @@
             }
         }
         // Where memory is short all go on, each with no more than it reads at once.
-        let most = if self.held > self.memory / 2 { 1 } else { MOST_PASSING };
+        let most = if self.held > self.memory / 2 {
+            1
+        } else {
+            MOST_PASSING
+        };
         (at == 0 && c.out.len() - c.written < most).then_some(&mut c.out)
     }
 
@@ -884,7 +1005,11 @@
     /// before it has been written, as far as the client read it. Where others stand before it none of it has been written, and its
     /// answer is `text`.
     pub fn cut(&mut self, origin: Origin, text: &[u8]) {
-        if let Some(c) = self.conns.get_mut(origin.key).filter(|c| c.serial == origin.serial) {
+        if let Some(c) = self
+            .conns
+            .get_mut(origin.key)
+            .filter(|c| c.serial == origin.serial)
+        {
             if origin.slot > c.first {
                 return self.answer(origin, text);
             }
@@ -896,7 +1021,9 @@
     /// Writes what there is to write: one write for all answers that a connection gets in a turn.
     pub fn flush(&mut self, now: Micros) {
         for key in std::mem::take(&mut self.dirty) {
-            let Some(c) = self.conns.get_mut(key) else { continue };
+            let Some(c) = self.conns.get_mut(key) else {
+                continue;
+            };
             c.dirty = false;
             let broken = loop {
                 if c.written == c.out.len() {
@@ -968,7 +1095,9 @@
     /// so the client is left to close it.
     fn half_close_if_silent(&mut self, key: usize, now: Micros) {
         self.read(key, now, true);
-        let Some(c) = self.conns.get_mut(key).filter(|c| c.idle()) else { return };
+        let Some(c) = self.conns.get_mut(key).filter(|c| c.idle()) else {
+            return;
+        };
         if !c.spoke() {
             return self.remove(key);
         }
@@ -989,7 +1118,8 @@
 
     fn oldest(&mut self, kind: Kind) -> Option<(usize, Micros)> {
         let conns = &self.conns;
-        self.lines.oldest(kind, |key, serial| standing(conns, key, serial))
+        self.lines
+            .oldest(kind, |key, serial| standing(conns, key, serial))
     }
 
     /// Whether some connection has nothing owed to it.
@@ -1009,14 +1139,20 @@
             // What the latest say may be a moment behind their connecting: these go last.
             let latest = self.accepted_at;
             let fresh = |since: Micros| since + FRESH > latest;
-            let silent = self.oldest(Kind::Silent).filter(|(_, since)| !fresh(*since));
+            let silent = self
+                .oldest(Kind::Silent)
+                .filter(|(_, since)| !fresh(*since));
             let others = [Kind::Half, Kind::Idle, Kind::Silent];
             let next = silent.or_else(|| others.into_iter().find_map(|kind| self.oldest(kind)));
             let Some((key, _)) = next else { return false };
             if !self.conns[key].buf.is_empty() {
                 // What it has said since may be all of its command.
                 self.read(key, now, true);
-                if self.conns.get(key).is_some_and(|c| matches!(c.standing, Some((Kind::Half, _)))) {
+                if self
+                    .conns
+                    .get(key)
+                    .is_some_and(|c| matches!(c.standing, Some((Kind::Half, _))))
+                {
                     self.remove(key);
                 }
             } else {
@@ -1053,16 +1189,28 @@
     /// Ends what says nothing, or half a command, for too long: it holds a descriptor and memory.
     fn end_silent(&mut self, now: Micros) {
         let slow = |c: &Client| c.granted > 0 && now > c.granted_at + BODY_TIME;
-        let late =
-            |c: &Client| (now > c.begun + PATIENCE || slow(c)) && !c.closing && !c.surplus && !c.stalled;
-        let silent = |c: &Client| if c.buf.is_empty() { !c.spoke() } else { !c.full() };
+        let late = |c: &Client| {
+            (now > c.begun + PATIENCE || slow(c)) && !c.closing && !c.surplus && !c.stalled
+        };
+        let silent = |c: &Client| {
+            if c.buf.is_empty() {
+                !c.spoke()
+            } else {
+                !c.full()
+            }
+        };
         let over = self.conns.iter().filter(|(_, c)| late(c) && silent(c));
         let over: Vec<usize> = over.map(|(key, _)| key).collect();
-        let unread = self.conns.iter().filter(|(_, c)| !c.out.is_empty() && now > c.since + UNREAD);
+        let unread = self
+            .conns
+            .iter()
+            .filter(|(_, c)| !c.out.is_empty() && now > c.since + UNREAD);
         let unread: Vec<usize> = unread.map(|(key, _)| key).collect();
         unread.into_iter().for_each(|key| self.remove(key));
         for key in over {
-            let Some(c) = self.conns.get_mut(key) else { continue };
+            let Some(c) = self.conns.get_mut(key) else {
+                continue;
+            };
             if c.buf.is_empty() {
                 self.close_if_silent(key, now);
                 continue;
@@ -1079,7 +1227,12 @@
         self.end_silent(now);
         if self.lingering > 0 {
             let over = |c: &Client| c.linger_until.is_some_and(|t| t <= now);
-            let over: Vec<usize> = self.conns.iter().filter(|(_, c)| over(c)).map(|(key, _)| key).collect();
+            let over: Vec<usize> = self
+                .conns
+                .iter()
+                .filter(|(_, c)| over(c))
+                .map(|(key, _)| key)
+                .collect();
             over.into_iter().for_each(|key| self.remove(key));
         }
     }
@@ -1096,8 +1249,12 @@
         if !coming {
             self.listener = None;
         }
-        let idle = self.conns.iter().filter(|(_, c)| c.idle() && (c.spoke() || !coming));
+        let idle = self
+            .conns
+            .iter()
+            .filter(|(_, c)| c.idle() && (c.spoke() || !coming));
         let idle: Vec<usize> = idle.map(|(key, _)| key).collect();
-        idle.into_iter().for_each(|key| self.half_close_if_silent(key, now));
+        idle.into_iter()
+            .for_each(|key| self.half_close_if_silent(key, now));
     }
 }
--- a/crates/ingress/src/clock.rs
+++ b/crates/ingress/src/clock.rs
@@ -13,8 +13,13 @@
 impl Clock {
     /// Sets it by the system's clock.
     pub fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), offset: unix.as_micros() as Micros }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            offset: unix.as_micros() as Micros,
+        }
     }
 
     /// Goes on from another process's: what that and the system's clock said at one moment. Never back, and by no more than
@@ -22,7 +27,10 @@
     pub fn resume((clock, unix): (Micros, Micros)) -> Self {
         let own = Clock::new();
         let passed = own.offset.saturating_sub(unix).min(1_000_000);
-        Clock { offset: clock + passed, ..own }
+        Clock {
+            offset: clock + passed,
+            ..own
+        }
     }
 
     /// What it says and what the system's says.
