--- a/crates/ingress/src/config.rs
+++ b/crates/ingress/src/config.rs
@@ -92,45 +92,77 @@
     let names = conf.names("grades")?;
     for (list, names) in [("grades", &names), ("contracts", &conf.names("contracts")?)] {
         let mut seen = HashSet::new();
-        let twice = names.iter().enumerate().find(|(_, name)| !name.is_empty() && !seen.insert(*name));
+        let twice = names
+            .iter()
+            .enumerate()
+            .find(|(_, name)| !name.is_empty() && !seen.insert(*name));
         if let Some((n, name)) = twice {
             return Err(format!("setting {list}.{n}.name is there twice: {name}"));
         }
     }
-    let classes: Vec<_> = names.into_iter().zip(settings.classes.iter().map(|c| c.repeat)).collect();
+    let classes: Vec<_> = names
+        .into_iter()
+        .zip(settings.classes.iter().map(|c| c.repeat))
+        .collect();
     let most_units = conf.number_or("family_info.most_units", f64::MAX)?;
     let (plans, gateways) = (conf.names("contracts")?, u64::from(settings.gateways));
     let identity = match state.0.get("sends") {
         Some(sends) => {
             let sends: Vec<&str> = sends.split(',').collect();
             let places: HashMap<&str, u16> = plans.iter().map(String::as_str).zip(0..).collect();
-            let accounts =
-                state.0.iter().filter_map(|(key, plan)| Some((key.strip_prefix("accounts.")?, plan)));
+            let accounts = state
+                .0
+                .iter()
+                .filter_map(|(key, plan)| Some((key.strip_prefix("accounts.")?, plan)));
             let accounts = accounts.map(|(id, plan)| {
                 let id = wrenfork_config::values::account(id)?;
                 let place = places.get(plan.as_str()).filter(|_| !plan.is_empty());
-                let place = place
-                    .ok_or_else(|| format!("account {id:016x} is on plan {plan}, which there is not"))?;
+                let place = place.ok_or_else(|| {
+                    format!("account {id:016x} is on plan {plan}, which there is not")
+                })?;
                 Ok((id, *place))
             });
             Some(Identity {
                 accounts: accounts.collect::<Result<_, String>>()?,
                 // A quota of its own is this program's matter: backends know the plan.
-                known: plans.iter().map(|p| p.split('~').next().unwrap_or(p).to_string()).collect(),
-                sends: classes.iter().map(|c| !c.0.is_empty() && sends.contains(&c.0.as_str())).collect(),
+                known: plans
+                    .iter()
+                    .map(|p| p.split('~').next().unwrap_or(p).to_string())
+                    .collect(),
+                sends: classes
+                    .iter()
+                    .map(|c| !c.0.is_empty() && sends.contains(&c.0.as_str()))
+                    .collect(),
             })
         }
         None => None,
     };
     let discovery = state.0.get("discovery").ok_or("discovery is missing")?;
-    let (connect_timeout, keepalive) =
-        (conf.micros("limits.connect_timeout_us")?, conf.micros("limits.keepalive_us")?);
+    let (connect_timeout, keepalive) = (
+        conf.micros("limits.connect_timeout_us")?,
+        conf.micros("limits.keepalive_us")?,
+    );
     let names: Vec<String> = classes.iter().map(|c| c.0.clone()).collect();
     let callers = wrenfork_config::callers::read(&state.0, &names)?;
     let asks = callers.is_some();
-    let vocabulary = Vocabulary { classes, plans, most_units, gateways, identity, asks };
+    let vocabulary = Vocabulary {
+        classes,
+        plans,
+        most_units,
+        gateways,
+        identity,
+        asks,
+    };
     let discovery = address(discovery, "discovery")?;
-    Ok(Enforced { settings, vocabulary, routes, callers, discovery, connect_timeout, keepalive })
+    Ok(Enforced {
+        settings,
+        vocabulary,
+        routes,
+        callers,
+        discovery,
+        connect_timeout,
+        keepalive,
+    })
 }
 
 /// Where clients find an ingress.
@@ -161,12 +193,23 @@
             return address(place, "listen").map(Listen::Tcp);
         };
         wrenfork_config::values::path(path).map_err(|why| format!("listen: {why}"))?;
-        let mode = json.get("listen_mode").and_then(Value::as_str).unwrap_or("0600");
-        let mode = wrenfork_config::values::mode(mode).map_err(|why| format!("listen_mode: {why}"))?;
+        let mode = json
+            .get("listen_mode")
+            .and_then(Value::as_str)
+            .unwrap_or("0600");
+        let mode =
+            wrenfork_config::values::mode(mode).map_err(|why| format!("listen_mode: {why}"))?;
         let user = |v: &Value| v.as_u64().and_then(|n| u32::try_from(n).ok());
-        let users = json.get("listen_users").and_then(Value::as_array).map(|l| l.iter().map(user).collect());
+        let users = json
+            .get("listen_users")
+            .and_then(Value::as_array)
+            .map(|l| l.iter().map(user).collect());
         let users: Option<Vec<u32>> = users.unwrap_or_else(|| Some(Vec::new()));
-        Ok(Listen::Unix(path.into(), mode, users.ok_or("listen_users: not numbers of users")?))
+        Ok(Listen::Unix(
+            path.into(),
+            mode,
+            users.ok_or("listen_users: not numbers of users")?,
+        ))
     }
 }
 
@@ -214,15 +257,22 @@
 }
 
 fn address(text: &str, key: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{key} is no address and port: {text}"))
+    text.parse()
+        .map_err(|_| format!("{key} is no address and port: {text}"))
 }
 
 fn text<'a>(object: &'a Value, key: &str) -> Result<&'a str, String> {
-    object.get(key).and_then(Value::as_str).ok_or_else(|| format!("{key} is missing or no text"))
+    object
+        .get(key)
+        .and_then(Value::as_str)
+        .ok_or_else(|| format!("{key} is missing or no text"))
 }
 
 fn whole(object: &Value, list: &str, key: &str) -> Result<usize, String> {
-    let n = object.get(list).and_then(|l| l.get(key)).and_then(Value::as_u64);
+    let n = object
+        .get(list)
+        .and_then(|l| l.get(key))
+        .and_then(Value::as_u64);
     let n = n.and_then(|n| usize::try_from(n).ok()).filter(|n| *n > 0);
     n.ok_or_else(|| format!("{list}.{key} is missing or no whole number above 0"))
 }
@@ -234,18 +284,32 @@
         operator: Option<&Path>,
         var: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, String> {
-        let file =
-            std::fs::read_to_string(path).map_err(|e| format!("LB_CONFIG: cannot read {path}: {e}"))?;
+        let file = std::fs::read_to_string(path)
+            .map_err(|e| format!("LB_CONFIG: cannot read {path}: {e}"))?;
         let named = |e: String| format!("{path}: {e}");
-        let json: Value = serde_json::from_str(&file)
-            .map_err(|e| named(format!("{}: {e}", if e.is_eof() { HALF } else { "the file is no JSON" })))?;
+        let json: Value = serde_json::from_str(&file).map_err(|e| {
+            named(format!(
+                "{}: {e}",
+                if e.is_eof() {
+                    HALF
+                } else {
+                    "the file is no JSON"
+                }
+            ))
+        })?;
         let mut told = enforced::split(&json).map_err(named)?;
         let added = operator.map(|at| Config::operator(&told, at)).transpose()?;
         if let Some(added) = &added {
             told.state.extend(added.ways.clone());
         }
         let mut config = Config::with(&json, told, var).map_err(named)?;
-        if let Some(Operator { control, state, status, .. }) = added {
+        if let Some(Operator {
+            control,
+            state,
+            status,
+            ..
+        }) = added
+        {
             config.platform = false;
             (config.control.socket, config.control.state, config.status) = (control, state, status);
         }
@@ -261,29 +325,52 @@
 
     /// Reads a sidecar's files. Refused files are told line by line.
     fn sidecar(files: &Files) -> Result<Config, String> {
-        let beside = || files.app.parent().unwrap_or(Path::new("")).join("site.toml");
+        let beside = || {
+            files
+                .app
+                .parent()
+                .unwrap_or(Path::new(""))
+                .join("site.toml")
+        };
         let site = files.site.clone().unwrap_or_else(beside);
-        let set = Set::read([site, files.app.clone()].into_iter().chain(files.fleet.clone()));
+        let set = Set::read(
+            [site, files.app.clone()]
+                .into_iter()
+                .chain(files.fleet.clone()),
+        );
         if set.refused() {
-            let lines = set.found.iter().filter(|d| d.refused()).map(|d| d.line(&set.sources));
-            return Err(format!("refused:\n{}", lines.collect::<Vec<_>>().join("\n")));
+            let lines = set
+                .found
+                .iter()
+                .filter(|d| d.refused())
+                .map(|d| d.line(&set.sources));
+            return Err(format!(
+                "refused:\n{}",
+                lines.collect::<Vec<_>>().join("\n")
+            ));
         }
         let apps = set.applications();
         let (Some(site), [app]) = (set.site(), &apps[..]) else {
-            return Err(format!("{} is no application's file, or its site's is none", files.app.display()));
+            return Err(format!(
+                "{} is no application's file, or its site's is none",
+                files.app.display()
+            ));
         };
         let (site, app) = (site.content, app.content);
         let name = match (&files.sidecar, &app.sidecars[..]) {
             (Some(name), _) => name,
             (None, [only]) => &only.name.value,
-            (None, _) => return Err("the application has several sidecars: name one with --sidecar".into()),
+            (None, _) => {
+                return Err("the application has several sidecars: name one with --sidecar".into())
+            }
         };
         let (told, split) = enforced::sidecar(app, site, set.fleet().map(|f| f.content), name)?;
         let mut config = Config::with(&told, split, |_| None)?;
         config.platform = false;
         config.seed = RandomState::new().hash_one(name);
-        let path =
-            |p: &Option<wrenfork_config::reader::At<String>>| p.as_ref().map(|p| PathBuf::from(&p.value));
+        let path = |p: &Option<wrenfork_config::reader::At<String>>| {
+            p.as_ref().map(|p| PathBuf::from(&p.value))
+        };
         let own = app.sidecars.iter().find(|s| s.name.value == *name);
         let others = app.sidecars.iter().filter(|s| s.name.value != *name);
         config.control = Control {
@@ -294,7 +381,11 @@
             membership: group::group(app).map(|g| Membership {
                 charter: g.charter(),
                 links: g.links(&enforced::called(app, name)),
-                alone: if g.as_known { Alone::AsKnown } else { Alone::Refuse },
+                alone: if g.as_known {
+                    Alone::AsKnown
+                } else {
+                    Alone::Refuse
+                },
                 inherited: None,
             }),
         };
@@ -312,21 +403,35 @@
             None => address(text(json, key)?, key),
         };
         let seed = text(json, "seed")?;
-        let seed = u64::from_str_radix(seed, 16).map_err(|_| format!("seed is no hex number: {seed}"))?;
+        let seed =
+            u64::from_str_radix(seed, 16).map_err(|_| format!("seed is no hex number: {seed}"))?;
         let discovery = place("LB_DISCOVERY", "discovery")?;
         told.state.insert("discovery".into(), discovery.to_string());
         let enforced = compile(&told.fixed, &State(told.state.clone()))?;
         let conf = enforced::join(&told.fixed, &told.state)?;
         let settings = &enforced.settings;
-        let sites = Sites { zones: conf.list("zones")?, kinds: conf.list("skus")? };
+        let sites = Sites {
+            zones: conf.list("zones")?,
+            kinds: conf.list("skus")?,
+        };
         let known = json.get("known").ok_or("known is missing")?;
         let known = Roster::read(known, &sites).map_err(|e| format!("known: {e}"))?;
-        let peers = if settings.limits.peers { Some(Self::peers(json)?) } else { None };
-        if peers.as_ref().is_some_and(|p| p.peers.len() != usize::from(settings.gateways)) {
+        let peers = if settings.limits.peers {
+            Some(Self::peers(json)?)
+        } else {
+            None
+        };
+        if peers
+            .as_ref()
+            .is_some_and(|p| p.peers.len() != usize::from(settings.gateways))
+        {
             return Err("peers does not have one address for each of setting n_instances".into());
         }
         let counter = if settings.limits.counter {
-            Some((address(text(json, "counter")?, "counter")?, conf.micros("family_info.count_wait_us")?))
+            Some((
+                address(text(json, "counter")?, "counter")?,
+                conf.micros("family_info.count_wait_us")?,
+            ))
         } else {
             None
         };
@@ -350,18 +455,26 @@
             told,
             platform: true,
             status: None,
-            control: Control { name: text(json, "name").unwrap_or("ingress").into(), ..Control::default() },
+            control: Control {
+                name: text(json, "name").unwrap_or("ingress").into(),
+                ..Control::default()
+            },
         })
     }
 
     fn peers(json: &Value) -> Result<PeerAddresses, String> {
-        let list = json.get("peers").and_then(Value::as_array).ok_or("peers is missing or no list")?;
+        let list = json
+            .get("peers")
+            .and_then(Value::as_array)
+            .ok_or("peers is missing or no list")?;
         let one = |v: &Value| address(v.as_str().unwrap_or_default(), "peers");
         let all = json.get("peers_all").filter(|v| !v.is_null());
         Ok(PeerAddresses {
             listen: address(text(json, "peer_listen")?, "peer_listen")?,
             peers: list.iter().map(one).collect::<Result<_, _>>()?,
-            all: all.map(|v| address(v.as_str().unwrap_or_default(), "peers_all")).transpose()?,
+            all: all
+                .map(|v| address(v.as_str().unwrap_or_default(), "peers_all"))
+                .transpose()?,
         })
     }
 }
--- a/crates/ingress/src/control.rs
+++ b/crates/ingress/src/control.rs
@@ -87,15 +87,24 @@
 impl Loop {
     /// The name of the hall that it stands in.
     fn hall(&self) -> Option<&str> {
-        let told = |key: &str| self.fixed.iter().find(|(k, _)| k == key).map(|(_, value)| value.as_str());
+        let told = |key: &str| {
+            self.fixed
+                .iter()
+                .find(|(k, _)| k == key)
+                .map(|(_, value)| value.as_str())
+        };
         told("zones")?.split(',').nth(told("zone")?.parse().ok()?)
     }
 
     fn order<T>(&self, make: impl FnOnce(SyncSender<T>) -> Order) -> Result<T, String> {
         let (done, answer) = sync_channel(1);
         self.orders.send(make(done)).map_err(|_| "it is stopping")?;
-        self.waker.wake().map_err(|e| format!("the loop can't be woken: {e}"))?;
-        answer.recv_timeout(TURN).map_err(|_| "the loop does not turn".to_string())
+        self.waker
+            .wake()
+            .map_err(|e| format!("the loop can't be woken: {e}"))?;
+        answer
+            .recv_timeout(TURN)
+            .map_err(|_| "the loop does not turn".to_string())
     }
 }
 
@@ -108,7 +117,8 @@
         let enforced = compile(&self.fixed, state)?;
         // What was in its place comes back, to be dropped here: of 100,000 accounts that takes the loop some milliseconds.
         let state = Box::new(state.clone());
-        self.order(|done| Order::Switch(Box::new(enforced), state, done)).map(drop)
+        self.order(|done| Order::Switch(Box::new(enforced), state, done))
+            .map(drop)
     }
 
     fn figures(&self) -> Figures {
@@ -134,12 +144,29 @@
     }
 
     fn log(&self, record: &Record) {
-        let Record { what, author, change, generation, why, .. } = record;
+        let Record {
+            what,
+            author,
+            change,
+            generation,
+            why,
+            ..
+        } = record;
         let change = change.short();
         if why.is_empty() {
-            tracing::info!(change, generation, author = author.as_str(), "control: {what}");
+            tracing::info!(
+                change,
+                generation,
+                author = author.as_str(),
+                "control: {what}"
+            );
         } else {
-            tracing::warn!(change, generation, author = author.as_str(), "control: {what}: {why}");
+            tracing::warn!(
+                change,
+                generation,
+                author = author.as_str(),
+                "control: {what}: {why}"
+            );
         }
     }
 }
@@ -153,7 +180,8 @@
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-    line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|l| l.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
 
 /// What the control side keeps, and what is therefore enforced from the start on.
@@ -213,8 +241,12 @@
         loop {
             let first = || Memory::first(1, state.clone());
             let ledger = Ledger::open(control.state.as_deref(), first);
-            let kept =
-                ledger.map(|ledger| Kept { control: control.clone(), fixed: fixed.clone(), ledger, most });
+            let kept = ledger.map(|ledger| Kept {
+                control: control.clone(),
+                fixed: fixed.clone(),
+                ledger,
+                most,
+            });
             match kept.and_then(|kept| kept.resume(&state, waker.clone())) {
                 Ok(Some(come)) => {
                     // Nobody takes it any more where the ingress has ended meanwhile.
@@ -232,8 +264,12 @@
             pause = (pause * 2).min(AGAIN.1);
         }
     };
-    let thread = std::thread::Builder::new().name("control".into()).stack_size(STACK);
-    thread.spawn(begin).map_err(|e| format!("control: no thread: {e}"))?;
+    let thread = std::thread::Builder::new()
+        .name("control".into())
+        .stack_size(STACK);
+    thread
+        .spawn(begin)
+        .map_err(|e| format!("control: no thread: {e}"))?;
     Ok(Coming(coming))
 }
 
@@ -249,8 +285,13 @@
     }
     let (control, own) = (config.control.clone(), State(config.told.state.clone()));
     // A group says itself what stands, and nothing is served before it has.
-    let first =
-        || if control.membership.is_some() { Memory::first(1, own.clone()) } else { first(&control, &own) };
+    let first = || {
+        if control.membership.is_some() {
+            Memory::first(1, own.clone())
+        } else {
+            first(&control, &own)
+        }
+    };
     let ledger = Ledger::open(control.state.as_deref(), first)?;
     let memory = ledger.memory();
     let Generation { number, digest } = &memory.enforced;
@@ -261,10 +302,15 @@
             "control: enforcing what was applied last, not the files"
         );
     }
-    config.enforced = compile(&config.told.fixed, &memory.state)
-        .map_err(|why| format!("state: generation {number}, which was enforced last, can't be: {why}"))?;
+    config.enforced = compile(&config.told.fixed, &memory.state).map_err(|why| {
+        format!("state: generation {number}, which was enforced last, can't be: {why}")
+    })?;
     config.told.state = memory.state.0.clone();
-    tracing::info!(generation = number, digest = digest.short(), "control: enforcing");
+    tracing::info!(
+        generation = number,
+        digest = digest.short(),
+        "control: enforcing"
+    );
     if let Some((promise, _)) = &memory.promise {
         let (change, author) = (promise.change.short(), promise.author.as_str());
         tracing::warn!(
@@ -274,14 +320,22 @@
         );
     }
     let most = config.memory / MESSAGE_SHARE;
-    Ok(Some(Kept { control, fixed: config.told.fixed.clone(), ledger, most }))
+    Ok(Some(Kept {
+        control,
+        fixed: config.told.fixed.clone(),
+        ledger,
+        most,
+    }))
 }
 
 /// What an ingress begins with that has nothing kept: what the others enforce, since what was applied there was applied here.
 /// A change that they have only promised is not decided: what was enforced before it is the safest, as all have kept to it.
 fn first(control: &Control, own: &State) -> Memory {
     let asked = control.others.iter().filter_map(|at| status(at));
-    match asked.max_by_key(|(generation, _)| generation.number).filter(|(g, _)| g.number > 1) {
+    match asked
+        .max_by_key(|(generation, _)| generation.number)
+        .filter(|(g, _)| g.number > 1)
+    {
         Some((generation, state)) => {
             tracing::info!(
                 generation = generation.number,
@@ -295,9 +349,9 @@
 
 fn status(at: &Path) -> Option<(Generation, Arc<State>)> {
     match client::ask(at, &Ask::Status, OTHERS) {
-        Ok(Say::Status { generation, state, .. }) if state.digest() == generation.digest => {
-            Some((generation, state))
-        }
+        Ok(Say::Status {
+            generation, state, ..
+        }) if state.digest() == generation.digest => Some((generation, state)),
         _ => None,
     }
 }
@@ -314,7 +368,11 @@
     }
 
     /// The same behind another process, whose loop's state is what must be enforced.
-    fn resume(self, state: &State, waker: Arc<Waker>) -> Result<Option<(Port, Option<Stands>)>, String> {
+    fn resume(
+        self,
+        state: &State,
+        waker: Arc<Waker>,
+    ) -> Result<Option<(Port, Option<Stands>)>, String> {
         // What is written is enforced before anything else is done: both had been when the other process handed over. Where a
         // folder was put in another's place meanwhile, what is kept there stands.
         let kept = self.ledger.memory().state.clone();
@@ -324,17 +382,28 @@
             tracing::warn!(
                 "control: what was handed over is not what is kept, which is enforced from now on"
             );
-            Some((Box::new(compile(&self.fixed, &kept)?), Box::new(State::clone(&kept))))
+            Some((
+                Box::new(compile(&self.fixed, &kept)?),
+                Box::new(State::clone(&kept)),
+            ))
         };
         Ok(self.listen(waker)?.map(|port| (port, stands)))
     }
 
     fn listen(self, waker: Arc<Waker>) -> Result<Option<Port>, String> {
-        let Some(path) = &self.control.socket else { return Ok(None) };
+        let Some(path) = &self.control.socket else {
+            return Ok(None);
+        };
         let socket = socket::listen(path, 0o600).map_err(|why| format!("control: {why}"))?;
         let (sender, orders) = channel();
         let (life, began) = (RandomState::new().hash_one(0), Instant::now());
-        let served = Loop { fixed: self.fixed, orders: sender, waker, life, began };
+        let served = Loop {
+            fixed: self.fixed,
+            orders: sender,
+            waker,
+            life,
+            began,
+        };
         let keeper = Keeper::start(
             &self.control.name,
             socket,
--- a/crates/ingress/src/counter.rs
+++ b/crates/ingress/src/counter.rs
@@ -83,7 +83,11 @@
     }
 
     fn tell(&mut self, name: u64, outcome: Outcome, total: f64) {
-        self.done.push(Counted { name, outcome, total });
+        self.done.push(Counted {
+            name,
+            outcome,
+            total,
+        });
     }
 
     /// Makes a call; when to look whether it is over, unless it has ended at once.
@@ -107,7 +111,12 @@
             return None;
         }
         self.put += (self.out.len() - before) as u64;
-        self.calls.push_back(Call { name, began: now, end: self.put, over: false });
+        self.calls.push_back(Call {
+            name,
+            began: now,
+            end: self.put,
+            over: false,
+        });
         self.used_at = now;
         self.write(now);
         Some(now + self.wait)
@@ -120,7 +129,11 @@
         let connected = TcpStream::connect(self.address).and_then(|mut stream| {
             // One call is a few bytes, and the next must not wait for its acknowledgement.
             stream.set_nodelay(true)?;
-            registry.register(&mut stream, self.token, Interest::READABLE | Interest::WRITABLE)?;
+            registry.register(
+                &mut stream,
+                self.token,
+                Interest::READABLE | Interest::WRITABLE,
+            )?;
             Ok(stream)
         });
         (self.put, self.written) = (0, 0);
@@ -138,7 +151,11 @@
         self.out.clear();
         let written = self.written;
         for call in std::mem::take(&mut self.calls) {
-            let outcome = if call.end <= written { Outcome::TimedOut } else { Outcome::ConnectFailed };
+            let outcome = if call.end <= written {
+                Outcome::TimedOut
+            } else {
+                Outcome::ConnectFailed
+            };
             if !call.over {
                 self.tell(call.name, outcome, 0.0);
             }
@@ -150,7 +167,9 @@
     }
 
     fn write(&mut self, now: Micros) {
-        let Some(stream) = &mut self.stream else { return };
+        let Some(stream) = &mut self.stream else {
+            return;
+        };
         let mut taken = 0;
         let failed = loop {
             if taken == self.out.len() {
@@ -159,7 +178,12 @@
             match stream.write(&self.out[taken..]) {
                 Ok(n) => taken += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     break false
                 }
                 Err(_) => break true,
@@ -176,12 +200,21 @@
     pub fn ready(&mut self, now: Micros) {
         self.write(now);
         let (mut chunk, mut ended) = ([0; 4096], false);
-        while let Some(stream) = self.stream.as_mut().filter(|_| !ended && self.buf.len() < MOST_READ) {
+        while let Some(stream) = self
+            .stream
+            .as_mut()
+            .filter(|_| !ended && self.buf.len() < MOST_READ)
+        {
             match stream.read(&mut chunk) {
                 Ok(0) => ended = true,
                 Ok(n) => self.buf.extend_from_slice(&chunk[..n]),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     break
                 }
                 Err(_) => ended = true,
@@ -221,7 +254,12 @@
     /// Tells the calls whose time is over, and gives up a connection that says nothing any more.
     pub fn overdue(&mut self, now: Micros) {
         let (wait, mut over) = (self.wait, Vec::new());
-        for call in self.calls.iter_mut().take_while(|c| c.began + wait <= now).filter(|c| !c.over) {
+        for call in self
+            .calls
+            .iter_mut()
+            .take_while(|c| c.began + wait <= now)
+            .filter(|c| !c.over)
+        {
             call.over = true;
             over.push(call.name);
         }
@@ -229,7 +267,11 @@
             // It may leave the kernel yet: even one that was not written is no longer known not to be added.
             self.tell(name, Outcome::TimedOut, 0.0);
         }
-        if self.calls.front().is_some_and(|c| c.began + DEAD * wait <= now) {
+        if self
+            .calls
+            .front()
+            .is_some_and(|c| c.began + DEAD * wait <= now)
+        {
             self.end(now, true);
         }
     }
@@ -264,11 +306,17 @@
         fn new() -> Line {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
             let counter = Counter::new(listener.local_addr().unwrap(), WAIT, Token(0));
-            Line { poll: Poll::new().unwrap(), counter, listener, now: 1_000_000 }
+            Line {
+                poll: Poll::new().unwrap(),
+                counter,
+                listener,
+                now: 1_000_000,
+            }
         }
 
         fn call(&mut self, name: u64) {
-            self.counter.call((name, 1.0, 1_000_000), self.now, self.poll.registry());
+            self.counter
+                .call((name, 1.0, 1_000_000), self.now, self.poll.registry());
         }
 
         /// Turns the loop until so many calls have ended.
@@ -278,26 +326,38 @@
                 if self.counter.done.len() >= count {
                     break;
                 }
-                self.poll.poll(&mut events, Some(Duration::from_millis(5))).unwrap();
+                self.poll
+                    .poll(&mut events, Some(Duration::from_millis(5)))
+                    .unwrap();
                 self.counter.ready(self.now);
             }
-            self.counter.done.drain(..).map(|c| (c.name, c.outcome, c.total)).collect()
+            self.counter
+                .done
+                .drain(..)
+                .map(|c| (c.name, c.outcome, c.total))
+                .collect()
         }
 
         /// Turns the loop until the service has read so many calls.
         fn read(&mut self, peer: &mut Peer, calls: usize) {
-            peer.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
+            peer.set_read_timeout(Some(Duration::from_millis(5)))
+                .unwrap();
             let (mut all, mut chunk) = (Vec::new(), [0; 4096]);
             for _ in 0..2_000 {
                 self.counter.ready(self.now);
                 if let Ok(n) = peer.read(&mut chunk) {
                     all.extend_from_slice(&chunk[..n]);
                 }
-                if all.windows(5).filter(|w| w == b"TALLY").count() == calls && all.ends_with(b"1000\r\n") {
+                if all.windows(5).filter(|w| w == b"TALLY").count() == calls
+                    && all.ends_with(b"1000\r\n")
+                {
                     return;
                 }
             }
-            panic!("{calls} calls never came: {}", String::from_utf8_lossy(&all));
+            panic!(
+                "{calls} calls never came: {}",
+                String::from_utf8_lossy(&all)
+            );
         }
     }
 
@@ -307,8 +367,13 @@
         (1..=3).for_each(|n| line.call(n));
         let mut peer = line.listener.accept().unwrap().0;
         line.read(&mut peer, 3);
-        peer.write_all(b"$3\r\n7.5\r\n-BUSY\r\n-ERR no such call\r\n").unwrap();
-        let want = [(1, Outcome::Ok, 7.5), (2, Outcome::Full, 0.0), (3, Outcome::Moot, 0.0)];
+        peer.write_all(b"$3\r\n7.5\r\n-BUSY\r\n-ERR no such call\r\n")
+            .unwrap();
+        let want = [
+            (1, Outcome::Ok, 7.5),
+            (2, Outcome::Full, 0.0),
+            (3, Outcome::Moot, 0.0),
+        ];
         assert_eq!(line.ended(3), want);
     }
 
@@ -321,7 +386,11 @@
         line.read(&mut peer, 1);
         line.now += WAIT;
         line.counter.overdue(line.now);
-        assert_eq!(line.ended(1), [(1, Outcome::TimedOut, 0.0)], "it may have been added");
+        assert_eq!(
+            line.ended(1),
+            [(1, Outcome::TimedOut, 0.0)],
+            "it may have been added"
+        );
         line.call(2);
         line.read(&mut peer, 1);
         peer.write_all(b"$2\r\n11\r\n$2\r\n22\r\n").unwrap();
@@ -338,7 +407,10 @@
         assert_eq!(line.ended(1), [(1, Outcome::TimedOut, 0.0)]);
         // Nothing listens any more: nothing was added, and the next tries wait.
         let address = line.listener.local_addr().unwrap();
-        drop(std::mem::replace(&mut line.listener, TcpListener::bind("127.0.0.1:0").unwrap()));
+        drop(std::mem::replace(
+            &mut line.listener,
+            TcpListener::bind("127.0.0.1:0").unwrap(),
+        ));
         line.now += SECOND;
         line.call(2);
         assert_eq!(line.ended(1), [(2, Outcome::ConnectFailed, 0.0)]);
@@ -359,12 +431,26 @@
     fn a_silent_service_holds_a_bounded_line_and_then_loses_its_connection() {
         let mut line = Line::new();
         (0..MOST_CALLS as u64 + 5).for_each(|n| line.call(n));
-        assert_eq!(line.ended(5).iter().filter(|c| c.1 == Outcome::Full).count(), 5);
+        assert_eq!(
+            line.ended(5)
+                .iter()
+                .filter(|c| c.1 == Outcome::Full)
+                .count(),
+            5
+        );
         line.now += WAIT;
         line.counter.overdue(line.now);
-        assert_eq!(line.ended(MOST_CALLS).len(), MOST_CALLS, "each is told once");
+        assert_eq!(
+            line.ended(MOST_CALLS).len(),
+            MOST_CALLS,
+            "each is told once"
+        );
         line.call(1);
-        assert_eq!(line.ended(1), [(1, Outcome::Full, 0.0)], "the line is as long as it was");
+        assert_eq!(
+            line.ended(1),
+            [(1, Outcome::Full, 0.0)],
+            "the line is as long as it was"
+        );
         line.now += DEAD * WAIT;
         line.counter.overdue(line.now);
         assert_eq!(line.ended(0), []);
@@ -412,7 +498,11 @@
                 }
                 std::thread::sleep(Duration::from_millis(5));
             }
-            assert!(line.counter.stream.is_none(), "{:?}", String::from_utf8_lossy(bad));
+            assert!(
+                line.counter.stream.is_none(),
+                "{:?}",
+                String::from_utf8_lossy(bad)
+            );
         }
     }
 
--- a/crates/ingress/src/discovery.rs
+++ b/crates/ingress/src/discovery.rs
@@ -50,20 +50,35 @@
 
 /// A backend's name as an id that is the same at every ingress: peers speak of backends by it (FNV-1a).
 fn backend_id(name: &str) -> BackendId {
-    BackendId(
-        name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)),
-    )
+    BackendId(name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    }))
 }
 
 impl Roster {
     /// Reads a list in discovery's form.
     pub fn read(json: &Value, sites: &Sites) -> Result<Roster, String> {
-        let index = json.get("index").and_then(Value::as_u64).ok_or("index is missing or no whole number")?;
-        let whole = json.get("snapshot").and_then(Value::as_bool).ok_or("snapshot is missing or no flag")?;
-        let list =
-            json.get("endpoints").and_then(Value::as_array).ok_or("endpoints is missing or no list")?;
-        let entries = list.iter().map(|e| Entry::read(e, sites)).collect::<Result<_, _>>()?;
-        Ok(Roster { index, whole, entries })
+        let index = json
+            .get("index")
+            .and_then(Value::as_u64)
+            .ok_or("index is missing or no whole number")?;
+        let whole = json
+            .get("snapshot")
+            .and_then(Value::as_bool)
+            .ok_or("snapshot is missing or no flag")?;
+        let list = json
+            .get("endpoints")
+            .and_then(Value::as_array)
+            .ok_or("endpoints is missing or no list")?;
+        let entries = list
+            .iter()
+            .map(|e| Entry::read(e, sites))
+            .collect::<Result<_, _>>()?;
+        Ok(Roster {
+            index,
+            whole,
+            entries,
+        })
     }
 }
 
@@ -83,12 +98,21 @@
             _ => return Err(bad("address")),
         };
         // The others that it has; a form of the future is no reason to do without those that are understood.
-        let more = json.get("addresses").and_then(Value::as_array).into_iter().flatten();
+        let more = json
+            .get("addresses")
+            .and_then(Value::as_array)
+            .into_iter()
+            .flatten();
         places.extend(more.filter_map(|a| Address::read(a.as_str()?).ok()));
         let place = |list: &[String], key: &str| {
-            text(key).and_then(|t| list.iter().position(|n| n == t)).unwrap_or(usize::MAX)
+            text(key)
+                .and_then(|t| list.iter().position(|n| n == t))
+                .unwrap_or(usize::MAX)
         };
-        let since = json.get("since_ms").map_or(Some(0), Value::as_u64).ok_or_else(|| bad("since_ms"))?;
+        let since = json
+            .get("since_ms")
+            .map_or(Some(0), Value::as_u64)
+            .ok_or_else(|| bad("since_ms"))?;
         let group = json.get("group").and_then(Value::as_u64).unwrap_or(0);
         let listed = Listed {
             backend: backend_id(name),
@@ -101,8 +125,13 @@
             started: since.saturating_mul(1000),
             pools: 0,
         };
-        let named = [name, text("zone").unwrap_or(""), text("type").unwrap_or("")].map(String::from);
-        Ok(Entry { listed, places, named })
+        let named =
+            [name, text("zone").unwrap_or(""), text("type").unwrap_or("")].map(String::from);
+        Ok(Entry {
+            listed,
+            places,
+            named,
+        })
     }
 }
 
@@ -204,7 +233,11 @@
         }
         if self.stream.is_none() {
             let connected = TcpStream::connect(self.address).and_then(|mut stream| {
-                registry.register(&mut stream, self.token, Interest::READABLE | Interest::WRITABLE)?;
+                registry.register(
+                    &mut stream,
+                    self.token,
+                    Interest::READABLE | Interest::WRITABLE,
+                )?;
                 Ok(stream)
             });
             match connected {
@@ -212,16 +245,23 @@
                 Err(e) => return self.fail(now, Failure::Broken, &format!("cannot connect: {e}")),
             }
         }
-        let since = self.index.map_or(String::new(), |i| format!("?since={i}&timeout_ms={}", WAIT / 1000));
-        self.out =
-            format!("GET /v1/endpoints{since} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address).into_bytes();
+        let since = self.index.map_or(String::new(), |i| {
+            format!("?since={i}&timeout_ms={}", WAIT / 1000)
+        });
+        self.out = format!(
+            "GET /v1/endpoints{since} HTTP/1.1\r\nHost: {}\r\n\r\n",
+            self.address
+        )
+        .into_bytes();
         self.called = Some(now);
         self.wake_at = now + PATIENCE;
         self.write(now)
     }
 
     fn write(&mut self, now: Micros) -> bool {
-        let Some(stream) = &mut self.stream else { return false };
+        let Some(stream) = &mut self.stream else {
+            return false;
+        };
         while !self.out.is_empty() {
             match stream.write(&self.out) {
                 Ok(n) => {
@@ -232,7 +272,12 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 // Not connected yet, or no room: the socket will show as writable.
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     break
                 }
                 Err(e) => return self.fail(now, Failure::Broken, &format!("cannot ask: {e}")),
@@ -242,7 +287,12 @@
     }
 
     /// Takes in what the socket has. Gives lists as they come; true if discovery just failed.
-    pub fn ready(&mut self, now: Micros, registry: &Registry, take: &mut impl FnMut(Roster)) -> bool {
+    pub fn ready(
+        &mut self,
+        now: Micros,
+        registry: &Registry,
+        take: &mut impl FnMut(Roster),
+    ) -> bool {
         if self.write(now) {
             return true;
         }
@@ -251,12 +301,19 @@
         // before it has been told.
         let mut reset = None;
         let ended = loop {
-            let Some(stream) = &mut self.stream else { return false };
+            let Some(stream) = &mut self.stream else {
+                return false;
+            };
             match stream.read(&mut chunk) {
                 Ok(0) => break true,
                 Ok(n) => self.buf.extend_from_slice(&chunk[..n]),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected
+                    ) =>
+                {
                     break false
                 }
                 Err(e) => {
@@ -305,7 +362,10 @@
     let broken = |why: String| (Failure::Broken, why);
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let start = match head.parse(buf).map_err(|e| broken(format!("an answer is no HTTP: {e}")))? {
+    let start = match head
+        .parse(buf)
+        .map_err(|e| broken(format!("an answer is no HTTP: {e}")))?
+    {
         httparse::Status::Complete(start) => start,
         httparse::Status::Partial if buf.len() > MOST_HEAD => {
             return Err(broken("an answer's head is too long".into()))
@@ -313,10 +373,16 @@
         httparse::Status::Partial => return Ok(None),
     };
     if head.code != Some(200) {
-        return Err((Failure::TurnedAway, format!("it answers with status {}", head.code.unwrap_or(0))));
+        return Err((
+            Failure::TurnedAway,
+            format!("it answers with status {}", head.code.unwrap_or(0)),
+        ));
     }
     let header = |name: &str| {
-        let found = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
+        let found = head
+            .headers
+            .iter()
+            .find(|h| h.name.eq_ignore_ascii_case(name));
         found.map(|h| String::from_utf8_lossy(h.value).trim().to_ascii_lowercase())
     };
     let goes_on = head.version == Some(1) && header("connection").is_none_or(|c| c != "close");
@@ -328,7 +394,9 @@
         Some(text) => {
             let n = text.parse::<usize>().ok().filter(|n| *n <= MOST_BODY);
             let n = n.ok_or_else(|| broken(format!("an answer's length is {text}")))?;
-            Ok(rest.get(..n).map(|body| (body.to_vec(), goes_on && rest.len() == n)))
+            Ok(rest
+                .get(..n)
+                .map(|body| (body.to_vec(), goes_on && rest.len() == n)))
         }
         None => Ok(ended.then(|| (rest.to_vec(), false))),
     }
@@ -343,8 +411,13 @@
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(_) => return Err("an answer's chunk is no chunk".into()),
         };
-        let size = usize::try_from(size).ok().filter(|n| *n <= MOST_BODY).ok_or("an answer is too long")?;
-        let Some(chunk) = rest.get(start..start + size + 2) else { return Ok(None) };
+        let size = usize::try_from(size)
+            .ok()
+            .filter(|n| *n <= MOST_BODY)
+            .ok_or("an answer is too long")?;
+        let Some(chunk) = rest.get(start..start + size + 2) else {
+            return Ok(None);
+        };
         if size == 0 {
             return Ok(Some(body));
         }
--- a/crates/ingress/src/discovery/tests.rs
+++ b/crates/ingress/src/discovery/tests.rs
@@ -6,7 +6,10 @@
 use std::time::Duration;
 
 fn sites() -> Sites {
-    Sites { zones: vec!["a".into(), "b".into()], kinds: vec!["m1".into(), "m2".into()] }
+    Sites {
+        zones: vec!["a".into(), "b".into()],
+        kinds: vec!["m1".into(), "m2".into()],
+    }
 }
 
 const LIST: &str = r#"{"index":43,"snapshot":false,"endpoints":[
@@ -16,19 +19,42 @@
 
 #[test]
 fn answers_are_read_in_all_three_framings_and_never_before_their_end() {
-    let chunked = format!("{:x}\r\n{}\r\n{:x}\r\n{}\r\n0\r\n\r\n", 9, &LIST[..9], LIST.len() - 9, &LIST[9..]);
-    let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{LIST}", LIST.len());
+    let chunked = format!(
+        "{:x}\r\n{}\r\n{:x}\r\n{}\r\n0\r\n\r\n",
+        9,
+        &LIST[..9],
+        LIST.len() - 9,
+        &LIST[9..]
+    );
+    let length = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{LIST}",
+        LIST.len()
+    );
     let chunked = format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{chunked}");
-    for (text, ended) in [(length, false), (chunked, false), (format!("HTTP/1.0 200 OK\r\n\r\n{LIST}"), true)]
-    {
+    for (text, ended) in [
+        (length, false),
+        (chunked, false),
+        (format!("HTTP/1.0 200 OK\r\n\r\n{LIST}"), true),
+    ] {
         let Answer::Whole(roster, goes_on) = read_answer(text.as_bytes(), ended, &sites()) else {
             panic!("not read: {text}")
         };
         assert_eq!((roster.index, roster.whole, goes_on), (43, false, !ended));
-        let [one, two] = &roster.entries[..] else { panic!("not two entries") };
-        assert_eq!((one.listed.zone, one.listed.kind, one.listed.cell), (1, 1, 3));
-        assert_eq!((one.listed.started, one.listed.availability), (7000, Availability::Draining));
-        assert_eq!((&two.places[..], two.listed.availability), (&[][..], Availability::Gone));
+        let [one, two] = &roster.entries[..] else {
+            panic!("not two entries")
+        };
+        assert_eq!(
+            (one.listed.zone, one.listed.kind, one.listed.cell),
+            (1, 1, 3)
+        );
+        assert_eq!(
+            (one.listed.started, one.listed.availability),
+            (7000, Availability::Draining)
+        );
+        assert_eq!(
+            (&two.places[..], two.listed.availability),
+            (&[][..], Availability::Gone)
+        );
         for cut in 0..text.len() - 1 {
             let part = read_answer(&text.as_bytes()[..cut], false, &sites());
             assert!(matches!(part, Answer::Partial), "cut at {cut}: {text}");
@@ -46,7 +72,13 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         "SSH-2.0\r\n",
     ] {
-        assert!(matches!(read_answer(bad.as_bytes(), false, &sites()), Answer::Bad(..)), "{bad}");
+        assert!(
+            matches!(
+                read_answer(bad.as_bytes(), false, &sites()),
+                Answer::Bad(..)
+            ),
+            "{bad}"
+        );
     }
 }
 
@@ -59,7 +91,8 @@
 ) -> (Vec<u64>, bool) {
     let (mut events, mut came, mut failed) = (Events::with_capacity(8), Vec::new(), false);
     while !enough(watch) {
-        poll.poll(&mut events, Some(Duration::from_secs(20))).unwrap();
+        poll.poll(&mut events, Some(Duration::from_secs(20)))
+            .unwrap();
         assert!(!events.is_empty(), "nothing comes any more");
         failed |= watch.ready(now, poll.registry(), &mut |roster| came.push(roster.index));
     }
@@ -86,22 +119,35 @@
     };
     let answer = |index: u64, entries: &str| {
         let body = format!(r#"{{"index":{index},"snapshot":false,"endpoints":[{entries}]}}"#);
-        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
     };
     assert!(!watch.wake(0, poll.registry()));
     let mut first = accept();
     hears(&mut watch, &mut poll, 0, |w| w.out.is_empty());
     // At once and with nothing: the next call waits a little, and meanwhile there comes what nobody asked for.
     first(&answer(1, ""));
-    assert_eq!(hears(&mut watch, &mut poll, 0, |w| w.called.is_none()), (vec![1], false));
+    assert_eq!(
+        hears(&mut watch, &mut poll, 0, |w| w.called.is_none()),
+        (vec![1], false)
+    );
     first("HTTP/1.1 200 OK\r\nContent-Len");
-    assert_eq!(hears(&mut watch, &mut poll, 0, |w| w.stream.is_none()), (vec![], false));
-    assert!(watch.wake_at <= NO_NEWS, "the next call comes when it would have come");
+    assert_eq!(
+        hears(&mut watch, &mut poll, 0, |w| w.stream.is_none()),
+        (vec![], false)
+    );
+    assert!(
+        watch.wake_at <= NO_NEWS,
+        "the next call comes when it would have come"
+    );
     assert!(!watch.wake(NO_NEWS, poll.registry()));
     let mut second = accept();
     second(&answer(2, r#"{"name":"s-2","status":"removed"}"#));
     assert_eq!(
-        hears(&mut watch, &mut poll, NO_NEWS, |w| w.index == Some(2) || w.called.is_none()),
+        hears(&mut watch, &mut poll, NO_NEWS, |w| w.index == Some(2)
+            || w.called.is_none()),
         (vec![2], false)
     );
 }
@@ -110,8 +156,10 @@
 /// has as long as one that waits for news, and no longer.
 #[test]
 fn a_call_for_the_whole_list_has_as_long_as_a_watch() {
-    let (listener, next) =
-        (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
+    let (listener, next) = (
+        TcpListener::bind("127.0.0.1:0").unwrap(),
+        TcpListener::bind("127.0.0.1:0").unwrap(),
+    );
     let mut poll = Poll::new().unwrap();
     let mut watch = Watch::new(listener.local_addr().unwrap(), sites(), 7, Token(1), 7);
     watch.move_to(next.local_addr().unwrap(), 0);
@@ -120,15 +168,29 @@
         assert!(!watch.wake(from, poll.registry()));
         let (mut stream, _) = next.accept().unwrap();
         hears(&mut watch, &mut poll, from, |w| w.out.is_empty());
-        assert!(!watch.wake(from + WAIT + PATIENCE - 1, poll.registry()), "it is given up");
+        assert!(
+            !watch.wake(from + WAIT + PATIENCE - 1, poll.registry()),
+            "it is given up"
+        );
         if answered {
             let body = r#"{"index":1,"snapshot":true,"endpoints":[]}"#;
-            write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
+            write!(
+                stream,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            )
+            .unwrap();
             let heard = |w: &Watch| w.index == Some(1);
-            assert_eq!(hears(&mut watch, &mut poll, from + WAIT + PATIENCE - 1, heard), (vec![1], false));
+            assert_eq!(
+                hears(&mut watch, &mut poll, from + WAIT + PATIENCE - 1, heard),
+                (vec![1], false)
+            );
             watch.move_to(next.local_addr().unwrap(), from + WAIT + PATIENCE);
         } else {
-            assert!(watch.wake(from + WAIT + PATIENCE, poll.registry()), "it waits for ever");
+            assert!(
+                watch.wake(from + WAIT + PATIENCE, poll.registry()),
+                "it waits for ever"
+            );
         }
     }
 }
--- a/crates/ingress/src/door.rs
+++ b/crates/ingress/src/door.rs
@@ -32,7 +32,12 @@
 impl Door {
     /// For these callers.
     pub fn new(callers: Callers) -> Door {
-        Door { callers, cache: Cache::new(MOST_CACHED), sources: Sources::default(), generation: 0 }
+        Door {
+            callers,
+            cache: Cache::new(MOST_CACHED),
+            sources: Sources::default(),
+            generation: 0,
+        }
     }
 
     /// Others from now on; what was checked stays checked, and is held against the new ones with the next request.
@@ -42,7 +47,11 @@
 
     fn proof(&self, claims: Arc<Claims>) -> Result<Proof, Refusal> {
         let caller = self.callers.tenants.by_token(&claims, None)?;
-        Ok(Proof { claims, caller, generation: self.generation })
+        Ok(Proof {
+            claims,
+            caller,
+            generation: self.generation,
+        })
     }
 
     /// What a token proves at a time; `source` says where it came from.
@@ -52,7 +61,9 @@
     /// Why nothing.
     pub fn auth(&mut self, token: &[u8], source: Source, now: Micros) -> Result<Proof, Refusal> {
         let (checked, may) = (self.cache.checked, self.sources.may(source, now));
-        let claims = self.cache.verify(token, &self.callers.trust, now / 1_000_000, may);
+        let claims = self
+            .cache
+            .verify(token, &self.callers.trust, now / 1_000_000, may);
         if claims.is_err() && self.cache.checked > checked {
             self.sources.failed(source, now);
         }
--- a/crates/ingress/src/ingress.rs
+++ b/crates/ingress/src/ingress.rs
@@ -148,7 +148,8 @@
 /// Takes the signals that the loop heeds.
 pub fn signals() -> Result<Signals, String> {
     // A file that may not grow is an error of the write, and no end of the process.
-    Signals::new([SIGTERM, SIGINT, SIGHUP, SIGXFSZ]).map_err(|e| format!("cannot take signals: {e}"))
+    Signals::new([SIGTERM, SIGINT, SIGHUP, SIGXFSZ])
+        .map_err(|e| format!("cannot take signals: {e}"))
 }
 
 impl<V: Variant> Ingress<V> {
@@ -165,7 +166,10 @@
         let registry = poll.registry();
         let (mut listener, socket) = match &config.listen {
             Listen::Tcp(at) => {
-                let passed = config.passed.as_ref().map(|number| inherit::listener(number, *at));
+                let passed = config
+                    .passed
+                    .as_ref()
+                    .map(|number| inherit::listener(number, *at));
                 let bound = match passed {
                     Some(Ok(passed)) => Ok(TcpListener::from_std(passed)),
                     Some(Err(why)) => {
@@ -174,13 +178,20 @@
                     }
                     None => TcpListener::bind(*at),
                 };
-                let bound = bound.map_err(|e| failed(&format!("listen: cannot listen at {at}"), e))?;
+                let bound =
+                    bound.map_err(|e| failed(&format!("listen: cannot listen at {at}"), e))?;
                 (Listener::Tcp(bound), None)
             }
             Listen::Unix(path, mode, users) => {
-                let (bound, socket) = socket::listen(path, *mode).map_err(|why| format!("listen: {why}"))?;
-                bound.set_nonblocking(true).map_err(|e| failed("listen: cannot be polled", e))?;
-                (Listener::unix(UnixListener::from_std(bound), users.clone()), Some(socket))
+                let (bound, socket) =
+                    socket::listen(path, *mode).map_err(|why| format!("listen: {why}"))?;
+                bound
+                    .set_nonblocking(true)
+                    .map_err(|e| failed("listen: cannot be polled", e))?;
+                (
+                    Listener::unix(UnixListener::from_std(bound), users.clone()),
+                    Some(socket),
+                )
             }
         };
         let registered = registry
@@ -196,28 +207,51 @@
             Listen::Tcp(at) => passed.then(|| channel::path(*at)),
             Listen::Unix(..) => None,
         };
-        let taken = next.as_deref().and_then(|path| takeover::ask::<V>(path, config.memory));
+        let taken = next
+            .as_deref()
+            .and_then(|path| takeover::ask::<V>(path, config.memory));
         let mut control = None;
         if taken.is_none() {
             let kept = control::open(&mut config)?;
-            control = kept.map(|k| k.serve(registry, CONTROL)).transpose()?.flatten();
+            control = kept
+                .map(|k| k.serve(registry, CONTROL))
+                .transpose()?
+                .flatten();
         }
         let reload = Reload::new(told, &config, status);
         let membership = config.control.membership.as_ref();
         let mut coming = None;
         let mut gate = control.as_ref().map(Port::gate).unwrap_or_default();
         if let Some(Taken { state, right, .. }) = taken.as_ref().filter(|_| controlled) {
-            coming = Some(control::follow(&config, &state.told, *right, registry, CONTROL)?);
+            coming = Some(control::follow(
+                &config,
+                &state.told,
+                *right,
+                registry,
+                CONTROL,
+            )?);
             // A member whose right did not come lets nothing in before it has one.
-            let none = Right { number: 0, until: None, gate: 0 };
+            let none = Right {
+                number: 0,
+                until: None,
+                gate: 0,
+            };
             gate = Gate::of(membership.map(|m| right.unwrap_or(none).gate(m)));
         }
         let (inherited, enforced, descriptors) = match taken {
-            Some(Taken { state, enforced, descriptors, .. }) => (Some(state), enforced, descriptors),
+            Some(Taken {
+                state,
+                enforced,
+                descriptors,
+                ..
+            }) => (Some(state), enforced, descriptors),
             None => (None, config.enforced, Vec::new()),
         };
         let mut descriptors = descriptors.into_iter();
-        let socket_of_peers = inherited.as_ref().filter(|i| i.peers).and_then(|_| descriptors.next());
+        let socket_of_peers = inherited
+            .as_ref()
+            .filter(|i| i.peers)
+            .and_then(|_| descriptors.next());
         let peers = config.peers.map(|p| {
             let at = p.listen;
             let bound = match socket_of_peers {
@@ -227,22 +261,40 @@
             bound.map_err(|e| failed(&format!("peer_listen: cannot bind {at}"), e))
         });
         let peers = peers.transpose()?;
-        let clock = inherited.as_ref().map_or_else(Clock::new, |i| Clock::resume(i.clocks));
+        let clock = inherited
+            .as_ref()
+            .map_or_else(Clock::new, |i| Clock::resume(i.clocks));
         let now = clock.now();
-        let Enforced { settings, vocabulary, routes, callers, discovery, connect_timeout, keepalive } =
-            enforced;
-        let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let Enforced {
+            settings,
+            vocabulary,
+            routes,
+            callers,
+            discovery,
+            connect_timeout,
+            keepalive,
+        } = enforced;
+        let longest = settings
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or(0);
         let grouped = membership.map_or(0, |m| wrenfork_keeper::descriptors(m.links.len()));
         let budget = Budget::new(config.sockets, config.management.is_some(), grouped)?;
-        let management =
-            management::open(config.management, registry, MANAGEMENT, |key| Token(CALLERS + key))?;
+        let management = management::open(config.management, registry, MANAGEMENT, |key| {
+            Token(CALLERS + key)
+        })?;
         let ledger = Ledger::new(names(&vocabulary));
         let mut tallies = Tallies::default();
         if membership.is_some() {
             tallies.begin();
         }
         tallies.enforce(&settings, &vocabulary);
-        let requests = Requests::new(settings.limits.max_open as usize, config.memory / MEMORY_SHARE);
+        let requests = Requests::new(
+            settings.limits.max_open as usize,
+            config.memory / MEMORY_SHARE,
+        );
         let mut timers = Timers::default();
         timers.set(now + SWEEP, Due::Sweep);
         let mut ingress = Ingress {
@@ -263,7 +315,13 @@
                 Token(FIRST + 2 * key)
             }),
             backends: Backends::new(connect_timeout, keepalive, |key| Token(FIRST + 1 + 2 * key)),
-            watch: Watch::new(discovery, config.sites, config.known.index, DISCOVERY, config.seed),
+            watch: Watch::new(
+                discovery,
+                config.sites,
+                config.known.index,
+                DISCOVERY,
+                config.seed,
+            ),
             reload,
             routing: Routing::new(routes, !config.platform || controlled),
             socket,
@@ -274,7 +332,9 @@
             management,
             calls_more: false,
             peers,
-            counter: config.counter.map(|(at, wait)| Counter::new(at, wait, COUNTER)),
+            counter: config
+                .counter
+                .map(|(at, wait)| Counter::new(at, wait, COUNTER)),
             signals,
             requests,
             timers,
@@ -305,7 +365,9 @@
         loop {
             let timeout = self.timeout();
             match self.poll.poll(&mut events, Some(timeout)) {
-                Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(format!("cannot poll: {e}")),
+                Err(e) if e.kind() != io::ErrorKind::Interrupted => {
+                    return Err(format!("cannot poll: {e}"))
+                }
                 _ => {}
             }
             // What comes within a tick of the last clock is read with that clock. Sleeping for the rest of the tick
@@ -315,9 +377,13 @@
                 self.now = clock;
             }
             ready.clear();
-            ready.extend(
-                events.iter().map(|e| (e.token(), e.is_writable(), e.is_read_closed() || e.is_error())),
-            );
+            ready.extend(events.iter().map(|e| {
+                (
+                    e.token(),
+                    e.is_writable(),
+                    e.is_read_closed() || e.is_error(),
+                )
+            }));
             self.variant.turn();
             self.turn(&mut ready);
             self.take_orders();
@@ -352,7 +418,11 @@
         }
         // Nothing falls due before there is a new clock.
         let timer = self.timers.next().min(self.watch.wake_at);
-        Duration::from_micros(timer.max(self.now + self.tick).saturating_sub(self.clock.now()))
+        Duration::from_micros(
+            timer
+                .max(self.now + self.tick)
+                .saturating_sub(self.clock.now()),
+        )
     }
 
     /// One turn: all that came is read with one clock. Discovery comes first, so that a drain that has been told
@@ -396,7 +466,8 @@
                 }
                 Token(t) if (t - FIRST) % 2 == 1 => {
                     // The true time: a connection rests for less than a tick.
-                    self.backends.ready((t - FIRST) / 2, self.clock.now(), writable, closed);
+                    self.backends
+                        .ready((t - FIRST) / 2, self.clock.now(), writable, closed);
                     self.pump();
                 }
                 Token(t) => {
@@ -422,19 +493,26 @@
     // ---- Operators ----
 
     fn accept_callers(&mut self) {
-        let Some(management) = &mut self.management else { return };
+        let Some(management) = &mut self.management else {
+            return;
+        };
         self.calls_more = management.accept(self.poll.registry(), self.now);
         self.answer_callers();
     }
 
     fn hear_caller(&mut self, key: usize) {
-        let Some(management) = &mut self.management else { return };
+        let Some(management) = &mut self.management else {
+            return;
+        };
         management.ready(key);
         self.answer_callers();
     }
 
     fn answer_callers(&mut self) {
-        let asked = self.management.as_mut().map_or(Vec::new(), |m| std::mem::take(&mut m.asked));
+        let asked = self
+            .management
+            .as_mut()
+            .map_or(Vec::new(), |m| std::mem::take(&mut m.asked));
         for asked in asked {
             let answer = match asked.ask {
                 Ask::Ready => match self.unready() {
@@ -465,7 +543,10 @@
             relayed: self.backends.relayed,
             open: self.requests.owing_count(),
             listed: self.backends.listed(),
-            avoided: self.backends.listed().saturating_sub(self.gateway.in_rotation()),
+            avoided: self
+                .backends
+                .listed()
+                .saturating_sub(self.gateway.in_rotation()),
         };
         self.ledger.telemetry(&now)
     }
@@ -475,7 +556,9 @@
     /// Takes what a process that ends, or ended, leaves free: the offer's place and the peers' address.
     fn settle(&mut self) {
         let registry = self.poll.registry();
-        let Some(path) = self.next.as_deref().filter(|_| !self.shutdown.begun()) else { return };
+        let Some(path) = self.next.as_deref().filter(|_| !self.shutdown.begun()) else {
+            return;
+        };
         if self.offer.is_none() {
             match Offer::open(path, registry, HANDOVER) {
                 Ok(offer) => self.offer = Some(offer),
@@ -502,7 +585,11 @@
             let given = match caller {
                 Ok(Caller::Next(heir, layout)) => self.give(heir, layout),
                 Ok(Caller::Keeper(lender)) => {
-                    if let Some(Err(why)) = self.clients.listening().map(|listener| lender.lend(listener)) {
+                    if let Some(Err(why)) = self
+                        .clients
+                        .listening()
+                        .map(|listener| lender.lend(listener))
+                    {
                         tracing::warn!("handover: {why}");
                     }
                     continue;
@@ -516,8 +603,12 @@
                     continue;
                 }
             };
-            let mut descriptors: Vec<OwnedFd> =
-                self.peers.take().and_then(Peers::into_descriptor).into_iter().collect();
+            let mut descriptors: Vec<OwnedFd> = self
+                .peers
+                .take()
+                .and_then(Peers::into_descriptor)
+                .into_iter()
+                .collect();
             descriptors.extend(self.clients.take_descriptors());
             descriptors.extend(self.backends.take_descriptors());
             let count = descriptors.len();
@@ -525,7 +616,11 @@
                 tracing::error!("handover: {why}: what had not passed is lost");
             }
             let took = self.clock.now().saturating_sub(began);
-            tracing::info!(connections = count, took_us = took, "handed over to the next process");
+            tracing::info!(
+                connections = count,
+                took_us = took,
+                "handed over to the next process"
+            );
             return true;
         }
         false
@@ -581,7 +676,17 @@
 
     /// Goes on where another process stopped.
     fn resume(&mut self, inherited: Inherited, mut descriptors: impl Iterator<Item = OwnedFd>) {
-        let Inherited { told, now, gateway, requests, timers, watch, clients, backends, .. } = inherited;
+        let Inherited {
+            told,
+            now,
+            gateway,
+            requests,
+            timers,
+            watch,
+            clients,
+            backends,
+            ..
+        } = inherited;
         let registry = self.poll.registry();
         let connections = clients.len() + backends.len();
         self.now = now;
@@ -634,14 +739,28 @@
     /// Enforces a new generation: requests that are open end under the one in which they came. What they were read by comes
     /// back.
     fn switch(&mut self, enforced: Enforced) -> Vocabulary {
-        let Enforced { settings, vocabulary, routes, callers, discovery, connect_timeout, keepalive } =
-            enforced;
+        let Enforced {
+            settings,
+            vocabulary,
+            routes,
+            callers,
+            discovery,
+            connect_timeout,
+            keepalive,
+        } = enforced;
         self.clients.ask(callers);
         self.most_attempts = settings.limits.max_attempts as usize;
         self.connect_timeout = connect_timeout;
         self.requests.allow(settings.limits.max_open as usize);
         self.backends.allow(connect_timeout, keepalive);
-        self.shutdown.longest(settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0));
+        self.shutdown.longest(
+            settings
+                .classes
+                .iter()
+                .map(|c| c.deadline)
+                .max()
+                .unwrap_or(0),
+        );
         self.tallies.enforce(&settings, &self.clients.words);
         let old = std::mem::replace(&mut self.clients.words, vocabulary);
         self.ledger.name(names(&self.clients.words));
@@ -659,32 +778,65 @@
 
     fn figures(&self) -> Figures {
         let ended = |end| self.ledger.all(end);
-        let (served, refused, failed) = (ended(End::Served), ended(End::Refused), ended(End::Failed));
+        let (served, refused, failed) =
+            (ended(End::Served), ended(End::Refused), ended(End::Failed));
         let taken = self.ledger.taken;
         let names = self.clients.words.plans.iter();
-        let plans = names.zip(self.gateway.in_use()).filter(|(name, u)| !name.is_empty() && u.customers > 0);
-        let plans = plans
-            .map(|(name, u)| (name.clone(), PlanUse { customers: u.customers, rate: u.rate, open: u.open }));
+        let plans = names
+            .zip(self.gateway.in_use())
+            .filter(|(name, u)| !name.is_empty() && u.customers > 0);
+        let plans = plans.map(|(name, u)| {
+            (
+                name.clone(),
+                PlanUse {
+                    customers: u.customers,
+                    rate: u.rate,
+                    open: u.open,
+                },
+            )
+        });
         let classes = &self.clients.words.classes;
         let nodes = self.routing.seen(|id| {
             let (takes, rests) = self.gateway.takes_work(id);
-            (takes, rests.into_iter().filter_map(|k| classes.get(k)).map(|c| c.0.clone()).collect())
+            (
+                takes,
+                rests
+                    .into_iter()
+                    .filter_map(|k| classes.get(k))
+                    .map(|c| c.0.clone())
+                    .collect(),
+            )
         });
-        Figures { taken, served, refused, failed, plans: plans.collect(), nodes }
+        Figures {
+            taken,
+            served,
+            refused,
+            failed,
+            plans: plans.collect(),
+            nodes,
+        }
     }
 
     // ---- What comes in ----
 
     fn discover(&mut self, ready: bool) {
         let (now, registry, mut came) = (self.now, self.poll.registry(), Vec::new());
-        let mut failed = ready && self.watch.ready(now, registry, &mut |roster| came.push(roster));
+        let mut failed = ready
+            && self
+                .watch
+                .ready(now, registry, &mut |roster| came.push(roster));
         failed |= self.watch.wake(now, registry);
         for roster in came {
-            let kind = if roster.whole { RosterKind::Full } else { RosterKind::Delta };
+            let kind = if roster.whole {
+                RosterKind::Full
+            } else {
+                RosterKind::Delta
+            };
             self.take_roster(roster, kind);
         }
         if failed && self.asks_discovery {
-            self.events.push_back(Event::Roster(RosterKind::Failed, Vec::new()));
+            self.events
+                .push_back(Event::Roster(RosterKind::Failed, Vec::new()));
         }
         self.pump();
     }
@@ -701,7 +853,8 @@
     fn hear_peers(&mut self) {
         let events = &mut self.events;
         if let Some(peers) = &mut self.peers {
-            self.peers_more |= peers.receive(|from, bytes| events.push_back(Event::Peer { from, bytes }));
+            self.peers_more |=
+                peers.receive(|from, bytes| events.push_back(Event::Peer { from, bytes }));
         }
         self.pump();
     }
@@ -710,7 +863,8 @@
         // All that came since the last look, several of one kind as one.
         let came: Vec<i32> = self.signals.pending().collect();
         if came.contains(&SIGHUP) && (self.control.is_some() || self.coming.is_some()) {
-            self.reload.refuse("changes are planned and applied here, with wrenctl plan and apply");
+            self.reload
+                .refuse("changes are planned and applied here, with wrenctl plan and apply");
         } else if came.contains(&SIGHUP) {
             self.reload.asked();
             self.reload();
@@ -735,7 +889,10 @@
         let (count, idle) = (backends.len(), backends.any_idle());
         let may = |clients: &Clients| budget.accepts(clients, count, idle);
         let room = |clients: &mut Clients| budget.client(clients, backends, now);
-        match self.clients.accept(self.poll.registry(), self.now, may, room) {
+        match self
+            .clients
+            .accept(self.poll.registry(), self.now, may, room)
+        {
             Accepted::All => {}
             Accepted::More => self.accept_more = true,
             // The poll tells of each arrival once: who waits now must not wait for the next one to come.
@@ -790,7 +947,8 @@
         // heap until its time comes.
         self.timers.set(request.deadline, Due::Deadline(id));
         let times = (request.deadline, request.deadline + early);
-        self.requests.insert(id, call, name, origin, times, self.most_attempts);
+        self.requests
+            .insert(id, call, name, origin, times, self.most_attempts);
         self.ledger.taken += 1;
         self.events.push_back(Event::Request(request));
     }
@@ -809,9 +967,18 @@
                 Due::Race(link) => self.race(link),
                 Due::Probe(link, backend, began) => {
                     if let Some(sent) = self.backends.abandon(link, Some(self.now)) {
-                        let outcome = if sent { Outcome::TimedOut } else { Outcome::ConnectFailed };
+                        let outcome = if sent {
+                            Outcome::TimedOut
+                        } else {
+                            Outcome::ConnectFailed
+                        };
                         let took = self.now - began;
-                        self.events.push_back(Event::Probed { backend, outcome, took, report: None });
+                        self.events.push_back(Event::Probed {
+                            backend,
+                            outcome,
+                            took,
+                            report: None,
+                        });
                     }
                 }
                 Due::Sweep => {
@@ -837,13 +1004,18 @@
                 Due::Close => {
                     self.accept(); // those that the kernel took in meanwhile are ours as well
                     let latest = self.clients.accepted_at;
-                    let coming = self.shutdown.still_coming(self.now, latest, &mut self.timers);
+                    let coming = self
+                        .shutdown
+                        .still_coming(self.now, latest, &mut self.timers);
                     self.clients.drain(self.now, coming);
                     self.take_incoming();
                 }
                 Due::Last => {
                     self.clients.end();
-                    self.requests.ids().into_iter().for_each(|id| self.overdue(id));
+                    self.requests
+                        .ids()
+                        .into_iter()
+                        .for_each(|id| self.overdue(id));
                 }
             }
             self.pump();
@@ -852,16 +1024,28 @@
 
     /// Gives an attempt up whose time is over. It may have run only if its last byte was written.
     fn expire(&mut self, id: RequestId, attempt: u16) {
-        if self.requests.get(id).is_some_and(|o| o.passing == Some(attempt)) {
+        if self
+            .requests
+            .get(id)
+            .is_some_and(|o| o.passing == Some(attempt))
+        {
             return; // from its first byte on nothing but a standstill ends it
         }
-        let outcome = |sent| if sent { Outcome::TimedOut } else { Outcome::ConnectFailed };
+        let outcome = |sent| {
+            if sent {
+                Outcome::TimedOut
+            } else {
+                Outcome::ConnectFailed
+            }
+        };
         self.abandon(id, attempt, Some(self.now), outcome);
     }
 
     /// Gives up what is out of a request.
     fn deadline(&mut self, id: RequestId) {
-        let Some(open) = self.requests.get(id).filter(|o| o.passing.is_none()) else { return };
+        let Some(open) = self.requests.get(id).filter(|o| o.passing.is_none()) else {
+            return;
+        };
         let attempts = u16::try_from(open.attempts.len()).unwrap_or(u16::MAX);
         self.timers.set(open.overdue, Due::Overdue(id));
         (0..attempts).for_each(|attempt| self.expire(id, attempt));
@@ -874,12 +1058,25 @@
         overdue: Option<Micros>,
         outcome: impl Fn(bool) -> Outcome,
     ) {
-        let Some(open) = self.requests.get_mut(id) else { return };
-        let Some(a) = open.attempts.get_mut(usize::from(attempt)) else { return };
-        let Some(sent) = a.link.and_then(|link| self.backends.abandon(link, overdue)) else { return };
+        let Some(open) = self.requests.get_mut(id) else {
+            return;
+        };
+        let Some(a) = open.attempts.get_mut(usize::from(attempt)) else {
+            return;
+        };
+        let Some(sent) = a.link.and_then(|link| self.backends.abandon(link, overdue)) else {
+            return;
+        };
         a.link = None;
         let who = (a.backend, a.began);
-        self.events.push_back(settled(id, attempt, who, outcome(sent), open.over, self.clock.now()));
+        self.events.push_back(settled(
+            id,
+            attempt,
+            who,
+            outcome(sent),
+            open.over,
+            self.clock.now(),
+        ));
         self.forget(id);
     }
 
@@ -904,8 +1101,9 @@
                 // What it says of the time left is as old as its begin.
                 let now = self.clock.now();
                 if let Some(open) = self.requests.get(id) {
-                    self.backends
-                        .write_anew(link, now, |out| open.call.write(until.saturating_sub(now), out));
+                    self.backends.write_anew(link, now, |out| {
+                        open.call.write(until.saturating_sub(now), out)
+                    });
                 }
             }
             while let Some(link) = self.backends.flow() {
@@ -915,10 +1113,20 @@
                 self.finish(done);
             }
             if let Some(counter) = &mut self.counter {
-                let counted = |Counted { name, outcome, total }| Event::Counted { name, outcome, total };
+                let counted = |Counted {
+                                   name,
+                                   outcome,
+                                   total,
+                               }| Event::Counted {
+                    name,
+                    outcome,
+                    total,
+                };
                 self.events.extend(counter.done.drain(..).map(counted));
             }
-            let Some(event) = self.events.pop_front() else { return };
+            let Some(event) = self.events.pop_front() else {
+                return;
+            };
             let mut actions = std::mem::take(&mut self.actions);
             self.gateway.handle(self.now, event, &mut actions);
             actions.drain(..).for_each(|action| self.carry_out(action));
@@ -928,9 +1136,13 @@
 
     /// Passes on what has come of a long answer, as far as its client has room for it.
     fn pass_on(&mut self, link: Link) {
-        let Some((Work::Attempt(id, attempt), began)) = self.backends.flowing(link) else { return };
+        let Some((Work::Attempt(id, attempt), began)) = self.backends.flowing(link) else {
+            return;
+        };
         let now = self.clock.now();
-        let Some(open) = self.requests.get_mut(id) else { return };
+        let Some(open) = self.requests.get_mut(id) else {
+            return;
+        };
         if open.over || open.passing.is_some_and(|first| first != attempt) {
             return self.abandon(id, attempt, None, |_| Outcome::Cancelled); // another one was first
         }
@@ -959,7 +1171,10 @@
         for id in hungry.drain(..) {
             let open = self.requests.get(id);
             let attempt = open.and_then(|o| o.attempts.get(usize::from(o.passing?)));
-            if let Some(link) = attempt.and_then(|a| a.link).filter(|link| self.backends.waits(*link)) {
+            if let Some(link) = attempt
+                .and_then(|a| a.link)
+                .filter(|link| self.backends.waits(*link))
+            {
                 self.pass_on(link);
             }
         }
@@ -971,14 +1186,30 @@
 
     /// An attempt or a probe has ended.
     fn finish(&mut self, done: Done) {
-        let Done { work, backend, outcome, began, report, value } = done;
+        let Done {
+            work,
+            backend,
+            outcome,
+            began,
+            report,
+            value,
+        } = done;
         let mut took = self.clock.now().saturating_sub(began);
         let (id, attempt) = match work {
             Work::Attempt(id, attempt) => (id, attempt),
-            Work::Probe => return self.events.push_back(Event::Probed { backend, outcome, took, report }),
+            Work::Probe => {
+                return self.events.push_back(Event::Probed {
+                    backend,
+                    outcome,
+                    took,
+                    report,
+                })
+            }
             Work::Race(_) => return, // it has nothing of its own to end
         };
-        let Some(open) = self.requests.get_mut(id) else { return };
+        let Some(open) = self.requests.get_mut(id) else {
+            return;
+        };
         if let Some(a) = open.attempts.get_mut(usize::from(attempt)) {
             a.link = None;
             took = a.took.unwrap_or(took); // how long a client reads says nothing of the backend
@@ -1015,10 +1246,18 @@
             return false;
         }
         let open = self.requests.owing_count();
-        let (Some(request), words) = (self.requests.get(id), &self.clients.words) else { return false };
+        let (Some(request), words) = (self.requests.get(id), &self.clients.words) else {
+            return false;
+        };
         let request = &request.call.request;
-        let class = words.classes.get(usize::from(request.class)).map_or("", |c| c.0.as_str());
-        let plan = words.plans.get(usize::from(request.plan)).map_or("", String::as_str);
+        let class = words
+            .classes
+            .get(usize::from(request.class))
+            .map_or("", |c| c.0.as_str());
+        let plan = words
+            .plans
+            .get(usize::from(request.plan))
+            .map_or("", String::as_str);
         self.variant.spoils(class, plan, open)
     }
 
@@ -1038,7 +1277,8 @@
         if let Some(open) = self.requests.owing(id) {
             open.over = true;
             self.ledger.ended(open.call.request.class, End::Failed);
-            self.tallies.ended(open, End::Failed, self.now, &self.gateway);
+            self.tallies
+                .ended(open, End::Failed, self.now, &self.gateway);
             self.clients.cut(open.origin, FAILED);
         }
     }
@@ -1066,7 +1306,12 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, backend, expires, begin_by } => self.send(id, backend, expires, begin_by),
+            Action::Send {
+                id,
+                backend,
+                expires,
+                begin_by,
+            } => self.send(id, backend, expires, begin_by),
             Action::Refuse { id, pause } => {
                 let mut text = [0; 40];
                 let mut rest = &mut text[..];
@@ -1078,9 +1323,12 @@
                 self.answer(id, &text[..40 - left], End::Refused);
             }
             Action::Fail(id) => self.fail(id),
-            Action::Cancel { id, attempt } => self.abandon(id, attempt, None, |_| Outcome::Cancelled),
+            Action::Cancel { id, attempt } => {
+                self.abandon(id, attempt, None, |_| Outcome::Cancelled)
+            }
             Action::SetTimer { delay, token } => {
-                self.timers.set(self.now.saturating_add(delay), Due::Module(token));
+                self.timers
+                    .set(self.now.saturating_add(delay), Due::Module(token));
             }
             Action::Tell { to, bytes } => {
                 if let Some(peers) = &self.peers {
@@ -1092,7 +1340,11 @@
             // The watch is always on: a real ingress must keep one in any case.
             Action::Watch(_) => {}
             Action::FetchRoster => self.watch.fetch_whole(),
-            Action::Count { name, delta, lifetime } => self.count(name, delta, lifetime),
+            Action::Count {
+                name,
+                delta,
+                lifetime,
+            } => self.count(name, delta, lifetime),
             Action::Log(text) => tracing::info!("{text}"),
         }
     }
@@ -1100,14 +1352,37 @@
     fn send(&mut self, id: RequestId, backend: BackendId, expires: Micros, begin_by: Micros) {
         let Some(open) = self.requests.get_mut(id) else {
             // Ended and forgotten: there is no attempt to count.
-            return self.events.push_back(settled(id, 0, (backend, self.now), Outcome::Moot, true, self.now));
+            return self.events.push_back(settled(
+                id,
+                0,
+                (backend, self.now),
+                Outcome::Moot,
+                true,
+                self.now,
+            ));
         };
         let number = open.attempts.len();
         let attempt = u16::try_from(number).unwrap_or(u16::MAX);
-        let until = if expires == 0 { open.deadline } else { expires.min(open.deadline) };
-        open.attempts.push(Attempt { backend, began: self.now, link: None, took: None });
+        let until = if expires == 0 {
+            open.deadline
+        } else {
+            expires.min(open.deadline)
+        };
+        open.attempts.push(Attempt {
+            backend,
+            began: self.now,
+            link: None,
+            took: None,
+        });
         if open.over || until <= self.now || number >= open.most {
-            let event = settled(id, attempt, (backend, self.now), Outcome::Moot, open.over, self.now);
+            let event = settled(
+                id,
+                attempt,
+                (backend, self.now),
+                Outcome::Moot,
+                open.over,
+                self.now,
+            );
             return self.events.push_back(event);
         }
         if !self.make_room(backend) {
@@ -1115,24 +1390,35 @@
             let event = settled(id, attempt, (backend, self.now), outcome, false, self.now);
             return self.events.push_back(event);
         }
-        let (registry, work, wait) = (self.poll.registry(), Work::Attempt(id, attempt), until - self.now);
-        let Some(open) = self.requests.get_mut(id) else { return };
+        let (registry, work, wait) = (
+            self.poll.registry(),
+            Work::Attempt(id, attempt),
+            until - self.now,
+        );
+        let Some(open) = self.requests.get_mut(id) else {
+            return;
+        };
         // How long an attempt takes is measured to the microsecond: by the turns' clock one that is answered within
         // a tick would take no time at all.
         let began = self.clock.now();
         open.attempts[number].began = began;
         let begin_by = begin_by.min(until);
-        let begun = self.backends.begin(registry, backend, work, (began, begin_by, until), |out| {
-            open.call.write(wait, out);
-            open.call.body()
-        });
+        let begun = self
+            .backends
+            .begin(registry, backend, work, (began, begin_by, until), |out| {
+                open.call.write(wait, out);
+                open.call.body()
+            });
         if let Some((link, connecting)) = begun {
             open.attempts[number].link = Some(link);
             if until < open.deadline {
                 self.timers.set(until, Due::Expire(id, attempt));
             }
             if connecting {
-                self.timers.set((self.now + self.connect_timeout).min(begin_by), Due::Connect(link));
+                self.timers.set(
+                    (self.now + self.connect_timeout).min(begin_by),
+                    Due::Connect(link),
+                );
                 if let Some(at) = self.backends.race_due(link) {
                     self.timers.set(at, Due::Race(link));
                 }
@@ -1142,20 +1428,33 @@
 
     /// Goes on with the connects to a node that has several addresses.
     fn race(&mut self, link: Link) {
-        let (now, room) = (self.clock.now(), self.budget.beside(&self.clients, &self.backends));
+        let (now, room) = (
+            self.clock.now(),
+            self.budget.beside(&self.clients, &self.backends),
+        );
         if let Some(at) = self.backends.race(self.poll.registry(), link, now, room) {
             self.timers.set(at, Due::Race(link));
         }
     }
 
     fn make_room(&mut self, backend: BackendId) -> bool {
-        self.budget.backend(backend, self.clock.now(), &mut self.clients, &mut self.backends)
+        self.budget.backend(
+            backend,
+            self.clock.now(),
+            &mut self.clients,
+            &mut self.backends,
+        )
     }
 
     fn probe(&mut self, backend: BackendId) {
         if !self.make_room(backend) {
             let (outcome, took) = (Outcome::ConnectFailed, 0);
-            return self.events.push_back(Event::Probed { backend, outcome, took, report: None });
+            return self.events.push_back(Event::Probed {
+                backend,
+                outcome,
+                took,
+                report: None,
+            });
         }
         let fill = |out: &mut Vec<u8>| {
             resp::put_array(out, 2);
@@ -1165,7 +1464,9 @@
         };
         let until = self.now + self.connect_timeout;
         let times = (self.now, until, until);
-        let begun = self.backends.begin(self.poll.registry(), backend, Work::Probe, times, fill);
+        let begun = self
+            .backends
+            .begin(self.poll.registry(), backend, Work::Probe, times, fill);
         if let Some((link, _)) = begun {
             if let Some(at) = self.backends.race_due(link) {
                 self.timers.set(at, Due::Race(link));
@@ -1186,7 +1487,11 @@
             // There is none: nothing was added.
             None => {
                 let (outcome, total) = (Outcome::ConnectFailed, 0.0);
-                self.events.push_back(Event::Counted { name, outcome, total });
+                self.events.push_back(Event::Counted {
+                    name,
+                    outcome,
+                    total,
+                });
             }
         }
     }
@@ -1196,6 +1501,9 @@
     /// Whether all that was taken is answered, and nobody is left who might say more.
     fn may_exit(&self) -> bool {
         let (clients, more) = (self.clients.len(), self.clients.has_more());
-        !self.requests.owe() && self.shutdown.may_exit(self.now, clients, more, || self.clients.busy() > 0)
+        !self.requests.owe()
+            && self
+                .shutdown
+                .may_exit(self.now, clients, more, || self.clients.busy() > 0)
     }
 }
--- a/crates/ingress/src/ledger.rs
+++ b/crates/ingress/src/ledger.rs
@@ -63,7 +63,10 @@
                 Some(row) => row,
                 None if class.is_empty() && place < self.places.len() => continue,
                 None => {
-                    self.rows.push(Row { class: class.to_string(), ..Row::default() });
+                    self.rows.push(Row {
+                        class: class.to_string(),
+                        ..Row::default()
+                    });
                     self.rows.len() - 1
                 }
             };
@@ -77,7 +80,10 @@
 
     /// A request of the class at a place has ended.
     pub fn ended(&mut self, place: u8, end: End) {
-        let row = self.places.get(usize::from(place)).and_then(|row| self.rows.get_mut(*row));
+        let row = self
+            .places
+            .get(usize::from(place))
+            .and_then(|row| self.rows.get_mut(*row));
         if let Some(row) = row {
             row.ended[end as usize] += 1;
         }
@@ -92,8 +98,10 @@
     pub fn telemetry(&self, now: &Now) -> String {
         let mut out = String::new();
         // Writing to a String cannot fail.
-        for Row { class, ended: [served, refused, failed] } in
-            self.rows.iter().filter(|r| !r.class.is_empty())
+        for Row {
+            class,
+            ended: [served, refused, failed],
+        } in self.rows.iter().filter(|r| !r.class.is_empty())
         {
             let _ = writeln!(out, "ingress.operations.{class}.fulfilled={served}");
             let _ = writeln!(out, "ingress.operations.{class}.throttled={refused}");
@@ -142,7 +150,14 @@
         ] {
             assert!(text.lines().any(|l| l == line), "no {line} in\n{text}");
         }
-        assert_eq!((ledger.all(End::Served), ledger.all(End::Refused), ledger.all(End::Failed)), (4, 1, 1));
+        assert_eq!(
+            (
+                ledger.all(End::Served),
+                ledger.all(End::Refused),
+                ledger.all(End::Failed)
+            ),
+            (4, 1, 1)
+        );
         assert_eq!(text.lines().count(), 4 * 3 + 6);
     }
 }
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -80,9 +80,24 @@
 
 fn run(variant: impl Variant, arguments: Arguments) -> Result<(), String> {
     let var = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
-    let Arguments { app, site, fleet, sidecar, operator, control, state, status, .. } = arguments;
+    let Arguments {
+        app,
+        site,
+        fleet,
+        sidecar,
+        operator,
+        control,
+        state,
+        status,
+        ..
+    } = arguments;
     let told = match app {
-        Some(app) => Told::Sidecar(Files { app, site, fleet, sidecar }),
+        Some(app) => Told::Sidecar(Files {
+            app,
+            site,
+            fleet,
+            sidecar,
+        }),
         None => Told::Platform(var("LB_CONFIG").ok_or("LB_CONFIG is not set")?, operator),
     };
     // From here on no signal ends the process: one that comes while it starts is taken up by the loop.
--- a/crates/ingress/src/logging.rs
+++ b/crates/ingress/src/logging.rs
@@ -37,8 +37,8 @@
         Level::Info => LevelFilter::INFO,
         Level::Debug => LevelFilter::DEBUG,
     };
-    let colours =
-        std::io::stderr().is_terminal() && std::env::var_os("NO_COLOR").is_none_or(|v| v.is_empty());
+    let colours = std::io::stderr().is_terminal()
+        && std::env::var_os("NO_COLOR").is_none_or(|v| v.is_empty());
     let log = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_target(false)
--- a/crates/ingress/src/management.rs
+++ b/crates/ingress/src/management.rs
@@ -54,7 +54,9 @@
         b"" => Err("no call: readyz or telemetry is wanted".into()),
         other => {
             let shown: String = String::from_utf8_lossy(other).chars().take(32).collect();
-            Err(format!("unknown call {shown:?}: readyz or telemetry is wanted"))
+            Err(format!(
+                "unknown call {shown:?}: readyz or telemetry is wanted"
+            ))
         }
     }
 }
@@ -86,7 +88,13 @@
             Ok(listener)
         });
         let listener = bound.map_err(|e| format!("management: cannot listen at {at}: {e}"))?;
-        Ok(Management { listener, callers: Default::default(), serial: 0, tokens, asked: Vec::new() })
+        Ok(Management {
+            listener,
+            callers: Default::default(),
+            serial: 0,
+            tokens,
+            asked: Vec::new(),
+        })
     }
 
     /// Accepts who waits; true if there may be more.
@@ -95,7 +103,11 @@
             match self.listener.accept() {
                 Ok((stream, _)) => self.add(stream, registry, now),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
-                Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::ConnectionAborted | ErrorKind::Interrupted
+                    ) => {}
                 // No descriptor in spite of the reserve: whoever waits is looked at again in the next turn.
                 Err(_) => {
                     self.close_oldest();
@@ -109,29 +121,50 @@
     fn close_oldest(&mut self) -> Option<usize> {
         // First those whose call is over, then those that have not said it; all those there are, if need be.
         let called = |c: &Caller| !c.out.is_empty() && !c.told;
-        let all = self.callers.iter().enumerate().filter_map(|(key, c)| Some((key, c.as_ref()?)));
-        let oldest = all.min_by_key(|(_, c)| (called(c), !c.told, c.since, c.serial)).map(|(key, _)| key);
+        let all = self
+            .callers
+            .iter()
+            .enumerate()
+            .filter_map(|(key, c)| Some((key, c.as_ref()?)));
+        let oldest = all
+            .min_by_key(|(_, c)| (called(c), !c.told, c.since, c.serial))
+            .map(|(key, _)| key);
         oldest.into_iter().for_each(|key| self.callers[key] = None);
         oldest
     }
 
     fn add(&mut self, mut stream: TcpStream, registry: &Registry, now: Micros) {
         let free = self.callers.iter().position(Option::is_none);
-        let Some(key) = free.or_else(|| self.close_oldest()) else { return };
+        let Some(key) = free.or_else(|| self.close_oldest()) else {
+            return;
+        };
         let interests = Interest::READABLE | Interest::WRITABLE;
-        if registry.register(&mut stream, (self.tokens)(key), interests).is_err() {
+        if registry
+            .register(&mut stream, (self.tokens)(key), interests)
+            .is_err()
+        {
             return;
         }
         self.serial += 1;
         let (serial, line, out) = (self.serial, Vec::new(), Vec::new());
-        self.callers[key] = Some(Caller { stream, serial, since: now, line, out, written: 0, told: false });
+        self.callers[key] = Some(Caller {
+            stream,
+            serial,
+            since: now,
+            line,
+            out,
+            written: 0,
+            told: false,
+        });
         // What it said with its connecting is heard at once: however many come behind it, it has its answer.
         self.ready(key);
     }
 
     /// Does what a caller is ready for.
     pub fn ready(&mut self, key: usize) {
-        let Some(c) = self.callers.get_mut(key).and_then(Option::as_mut) else { return };
+        let Some(c) = self.callers.get_mut(key).and_then(Option::as_mut) else {
+            return;
+        };
         let mut chunk = [0; MOST_LINE];
         let mut left = READS_A_TURN;
         let gone = loop {
@@ -140,13 +173,19 @@
             }
             match c.stream.read(&mut chunk) {
                 // The end of its sending is the end of its line, if it has begun one.
-                Ok(0) if c.out.is_empty() && !c.line.is_empty() => match read(&std::mem::take(&mut c.line)) {
-                    Ok(ask) => {
-                        self.asked.push(Asked { key, serial: c.serial, ask });
-                        break false;
+                Ok(0) if c.out.is_empty() && !c.line.is_empty() => {
+                    match read(&std::mem::take(&mut c.line)) {
+                        Ok(ask) => {
+                            self.asked.push(Asked {
+                                key,
+                                serial: c.serial,
+                                ask,
+                            });
+                            break false;
+                        }
+                        Err(why) => c.out = format!("-ERR {why}\r\n").into_bytes(),
                     }
-                    Err(why) => c.out = format!("-ERR {why}\r\n").into_bytes(),
-                },
+                }
                 Ok(0) => break c.out.is_empty() || c.told,
                 Ok(_) if !c.out.is_empty() => left -= 1,
                 Ok(n) => {
@@ -155,13 +194,20 @@
                     match end {
                         Some(end) if end <= MOST_LINE => match read(&c.line[..end]) {
                             Ok(ask) => {
-                                self.asked.push(Asked { key, serial: c.serial, ask });
+                                self.asked.push(Asked {
+                                    key,
+                                    serial: c.serial,
+                                    ask,
+                                });
                                 break false;
                             }
                             Err(why) => c.out = format!("-ERR {why}\r\n").into_bytes(),
                         },
                         None if c.line.len() <= MOST_LINE => continue,
-                        _ => c.out = format!("-ERR a line has {MOST_LINE} bytes at most\r\n").into_bytes(),
+                        _ => {
+                            c.out = format!("-ERR a line has {MOST_LINE} bytes at most\r\n")
+                                .into_bytes()
+                        }
                     }
                     c.line = Vec::new();
                 }
@@ -188,7 +234,9 @@
     }
 
     fn write(&mut self, key: usize) {
-        let Some(c) = self.callers.get_mut(key).and_then(Option::as_mut) else { return };
+        let Some(c) = self.callers.get_mut(key).and_then(Option::as_mut) else {
+            return;
+        };
         while c.written < c.out.len() {
             match c.stream.write(&c.out[c.written..]) {
                 Ok(n) => c.written += n,
@@ -219,7 +267,9 @@
     token: Token,
     tokens: fn(usize) -> Token,
 ) -> Result<Option<Management>, String> {
-    let opened = at.map(|at| Management::bind(at, registry, token, tokens)).transpose()?;
+    let opened = at
+        .map(|at| Management::bind(at, registry, token, tokens))
+        .transpose()?;
     if let Some(at) = at {
         tracing::info!("management at {at}");
     }
@@ -234,8 +284,17 @@
     fn a_line_is_a_call_or_told_why_not() {
         assert_eq!(read(b"readyz\r"), Ok(Ask::Ready));
         assert_eq!(read(b" telemetry "), Ok(Ask::Telemetry));
-        for bad in [&b""[..], b"ready", b"READYZ", b"\xff\xfe", b"telemetry now", &[b'x'; 200]] {
-            assert!(read(bad).is_err_and(|why| why.contains("readyz or telemetry") && why.len() < 400));
+        for bad in [
+            &b""[..],
+            b"ready",
+            b"READYZ",
+            b"\xff\xfe",
+            b"telemetry now",
+            &[b'x'; 200],
+        ] {
+            assert!(
+                read(bad).is_err_and(|why| why.contains("readyz or telemetry") && why.len() < 400)
+            );
         }
     }
 }
--- a/crates/ingress/src/peers.rs
+++ b/crates/ingress/src/peers.rs
@@ -21,8 +21,16 @@
 
 impl Peers {
     /// Binds the socket and registers it. Where it `may_wait`, an address that is still taken is bound later.
-    pub fn bind(known: PeerAddresses, registry: &Registry, token: Token, may_wait: bool) -> io::Result<Self> {
-        let mut peers = Peers { socket: None, known };
+    pub fn bind(
+        known: PeerAddresses,
+        registry: &Registry,
+        token: Token,
+        may_wait: bool,
+    ) -> io::Result<Self> {
+        let mut peers = Peers {
+            socket: None,
+            known,
+        };
         match peers.bind_again(registry, token) {
             Err(e) if may_wait && e.kind() == io::ErrorKind::AddrInUse => {
                 tracing::warn!(
@@ -42,7 +50,12 @@
         Ok(())
     }
 
-    fn adopt(&mut self, mut socket: UdpSocket, registry: &Registry, token: Token) -> io::Result<()> {
+    fn adopt(
+        &mut self,
+        mut socket: UdpSocket,
+        registry: &Registry,
+        token: Token,
+    ) -> io::Result<()> {
         registry.register(&mut socket, token, Interest::READABLE)?;
         self.socket = Some(socket);
         Ok(())
@@ -55,7 +68,10 @@
         registry: &Registry,
         token: Token,
     ) -> io::Result<Self> {
-        let mut peers = Peers { socket: None, known };
+        let mut peers = Peers {
+            socket: None,
+            known,
+        };
         peers.adopt(UdpSocket::from_std(descriptor.into()), registry, token)?;
         Ok(peers)
     }
@@ -72,13 +88,18 @@
 
     /// Takes in what has come, from peers alone; true if more may be waiting.
     pub fn receive(&mut self, mut take: impl FnMut(GatewayNo, Vec<u8>)) -> bool {
-        let Some(socket) = &self.socket else { return false };
+        let Some(socket) = &self.socket else {
+            return false;
+        };
         let mut buf = [0; MOST + 1]; // one more than allowed: a longer datagram shows as such
         for _ in 0..MOST_A_TURN {
             match socket.recv_from(&mut buf) {
                 Ok((n, from)) => {
                     let sender = self.known.peers.iter().position(|p| *p == from);
-                    if let Some(no) = sender.and_then(|i| u16::try_from(i).ok()).filter(|_| n <= MOST) {
+                    if let Some(no) = sender
+                        .and_then(|i| u16::try_from(i).ok())
+                        .filter(|_| n <= MOST)
+                    {
                         take(GatewayNo(no), buf[..n].to_vec());
                     }
                 }
@@ -96,7 +117,9 @@
             Some(no) => self.known.peers.get(usize::from(no.0)),
             None => self.known.all.as_ref(),
         };
-        if let (Some(address), Some(socket)) = (address.filter(|_| bytes.len() <= MOST), &self.socket) {
+        if let (Some(address), Some(socket)) =
+            (address.filter(|_| bytes.len() <= MOST), &self.socket)
+        {
             let _ = socket.send_to(bytes, *address);
         }
     }
--- a/crates/ingress/src/reload.rs
+++ b/crates/ingress/src/reload.rs
@@ -33,7 +33,17 @@
     pub fn new(told: Told, config: &Config, status: Status) -> Self {
         let (has, peers) = (config.told.clone(), config.peers.is_some());
         let place = (config.listen.clone(), config.sockets, config.memory);
-        Reload { told, has, place, peers, pause: None, next: 0, failed: false, status, verdicts: (0, 0) }
+        Reload {
+            told,
+            has,
+            place,
+            peers,
+            pause: None,
+            next: 0,
+            failed: false,
+            status,
+            verdicts: (0, 0),
+        }
     }
 
     /// What is enforced and passes to the next process.
@@ -96,17 +106,29 @@
     /// time to try again; none where nothing is due, as when a later signal's reading has succeeded meanwhile, or where
     /// another try would find the same.
     pub fn read(&mut self, now: Micros) -> Result<Box<Enforced>, Option<Micros>> {
-        let Some(pause) = self.pause.filter(|_| now >= self.next) else { return Err(None) };
+        let Some(pause) = self.pause.filter(|_| now >= self.next) else {
+            return Err(None);
+        };
         let config = match self.told.read(|_| None) {
             Ok(config) => config,
             Err(why) => {
                 let again = self.told.may_be_half_written(&why);
                 if !std::mem::replace(&mut self.failed, true) {
-                    let then =
-                        if again { "; going on as before, and trying again" } else { "; going on as before" };
+                    let then = if again {
+                        "; going on as before, and trying again"
+                    } else {
+                        "; going on as before"
+                    };
                     tracing::warn!("reload: {why}{then}");
                     self.verdicts.1 += 1;
-                    self.status.say(if again { Outcome::Waiting } else { Outcome::Refused }, &why);
+                    self.status.say(
+                        if again {
+                            Outcome::Waiting
+                        } else {
+                            Outcome::Refused
+                        },
+                        &why,
+                    );
                 }
                 (self.next, self.pause) = (now + pause, again.then_some((pause * 2).min(PAUSES.1)));
                 return Err(again.then_some(self.next));
@@ -114,7 +136,9 @@
         };
         self.pause = None;
         // It is told once the loop enforces it, which it does before it looks at anything else.
-        let whole = self.unmoved(&config).and_then(|()| self.enforce(config.told.state));
+        let whole = self
+            .unmoved(&config)
+            .and_then(|()| self.enforce(config.told.state));
         match whole {
             Ok(enforced) => {
                 self.verdicts.0 += 1;
@@ -138,14 +162,18 @@
         }
         let (old, new) = (&self.has.fixed, &config.told.fixed);
         // The list of models follows from the pools and the nodes that are known; nothing is decided by it.
-        let other = |pair: &&(String, String)| pair.0 != "skus" && old.contains(pair) != new.contains(pair);
+        let other =
+            |pair: &&(String, String)| pair.0 != "skus" && old.contains(pair) != new.contains(pair);
         let other = old.iter().chain(new).find(other);
         if let Some((key, _)) = other {
-            return Err(format!("{key} is fixed from the start on, and takes a restart"));
+            return Err(format!(
+                "{key} is fixed from the start on, and takes a restart"
+            ));
         }
         if self.place != (config.listen.clone(), config.sockets, config.memory) {
             return Err(
-                "listen, memory and descriptors are fixed from the start on, and take a restart".into()
+                "listen, memory and descriptors are fixed from the start on, and take a restart"
+                    .into(),
             );
         }
         Ok(())
@@ -156,8 +184,10 @@
         let state = align(&[&self.has.state], &wanted)?;
         // Peers name plans by their places. Each of them would find places of its own; pools are each one's own matter.
         let told = |key: &&String| key.starts_with("contracts.") || key.starts_with("grades.");
-        let moved =
-            |a: &Pairs, b: &Pairs| a.iter().any(|(key, value)| told(&key) && b.get(key) != Some(value));
+        let moved = |a: &Pairs, b: &Pairs| {
+            a.iter()
+                .any(|(key, value)| told(&key) && b.get(key) != Some(value))
+        };
         // The platform tells all ingresses at once.
         let together = matches!(self.told, Told::Platform(..));
         if self.peers && !together && (moved(&state, &wanted) || moved(&wanted, &state)) {
--- a/crates/ingress/src/requests.rs
+++ b/crates/ingress/src/requests.rs
@@ -48,7 +48,8 @@
 impl Open {
     /// When it came.
     pub fn came(&self) -> Micros {
-        self.overdue.saturating_sub(self.call.wait.min(LONGEST_WAIT))
+        self.overdue
+            .saturating_sub(self.call.wait.min(LONGEST_WAIT))
     }
 
     fn out(&self) -> bool {
@@ -143,8 +144,20 @@
         self.names.insert(name);
         let (deadline, overdue) = times;
         let (attempts, over) = (Vec::new(), false);
-        self.open
-            .insert(id, Open { call, name, origin, deadline, overdue, attempts, most, passing: None, over });
+        self.open.insert(
+            id,
+            Open {
+                call,
+                name,
+                origin,
+                deadline,
+                overdue,
+                attempts,
+                most,
+                passing: None,
+                over,
+            },
+        );
     }
 
     pub fn get(&self, id: RequestId) -> Option<&Open> {
--- a/crates/ingress/src/room.rs
+++ b/crates/ingress/src/room.rs
@@ -34,12 +34,19 @@
     /// that is next to none.
     pub fn new(sockets: usize, managed: bool, grouped: usize) -> Result<Self, String> {
         // Where the system allows less than was told, what is kept for discovery and the rest would not be there.
-        let allowed = getrlimit(Resource::Nofile).current.and_then(|n| usize::try_from(n).ok());
+        let allowed = getrlimit(Resource::Nofile)
+            .current
+            .and_then(|n| usize::try_from(n).ok());
         let sockets = allowed.map_or(sockets, |n| n.min(sockets));
         let other = OTHER_SOCKETS + grouped + if managed { MANAGEMENT_SOCKETS } else { 0 };
-        let left = sockets.checked_sub(other + MOST_SURPLUS).filter(|n| *n >= 8);
+        let left = sockets
+            .checked_sub(other + MOST_SURPLUS)
+            .filter(|n| *n >= 8);
         let left = left.ok_or_else(|| format!("limits.sockets is too few: {sockets}"));
-        left.map(|shared| Budget { shared, idle: sockets / IDLE_SHARE })
+        left.map(|shared| Budget {
+            shared,
+            idle: sockets / IDLE_SHARE,
+        })
     }
 
     fn share(self) -> usize {
@@ -67,7 +74,10 @@
     pub fn client(self, clients: &mut Clients, backends: &mut Backends, now: Micros) -> Room {
         clients.evict_spare(self.idle, now);
         let full = clients.len() >= self.share() || self.spent(clients, backends);
-        if !full || clients.evict_oldest(now) || (clients.len() < self.share() && backends.evict_oldest()) {
+        if !full
+            || clients.evict_oldest(now)
+            || (clients.len() < self.share() && backends.evict_oldest())
+        {
             Room::Free
         } else {
             Room::Surplus
--- a/crates/ingress/src/routing.rs
+++ b/crates/ingress/src/routing.rs
@@ -25,7 +25,11 @@
     /// For these pools and routes; `may_change` where others may come.
     pub fn new(table: Table, may_change: bool) -> Routing {
         let ways = Ways::of(&table);
-        Routing { table, ways, nodes: may_change.then(HashMap::new) }
+        Routing {
+            table,
+            ways,
+            nodes: may_change.then(HashMap::new),
+        }
     }
 
     /// Says of each node that is listed which pools it is of.
@@ -35,11 +39,19 @@
         }
         for e in &mut roster.entries {
             e.listed.pools = pools(&self.table, &e.listed, &e.named);
-            let Some(nodes) = &mut self.nodes else { continue };
+            let Some(nodes) = &mut self.nodes else {
+                continue;
+            };
             if e.listed.availability == Availability::Gone {
                 nodes.remove(&e.listed.backend);
             } else {
-                nodes.insert(e.listed.backend, Node { listed: e.listed, named: e.named.clone() });
+                nodes.insert(
+                    e.listed.backend,
+                    Node {
+                        listed: e.listed,
+                        named: e.named.clone(),
+                    },
+                );
             }
         }
     }
@@ -62,18 +74,32 @@
     pub fn seen(&self, work: impl Fn(BackendId) -> (bool, Vec<String>)) -> Vec<NodeSeen> {
         let nodes = self.nodes.iter().flatten().map(|(id, node)| {
             let ([name, hall, model], (takes, rests)) = (node.named.clone(), work(*id));
-            NodeSeen { name, hall, model, group: u64::from(node.listed.cell), takes, rests }
+            NodeSeen {
+                name,
+                hall,
+                model,
+                group: u64::from(node.listed.cell),
+                takes,
+                rests,
+            }
         });
         nodes.collect()
     }
 
     /// Gives a request its way.
     pub fn route(&self, request: &mut Request) {
-        let way = self.ways.way(usize::from(request.class), request.customer.0);
+        let way = self
+            .ways
+            .way(usize::from(request.class), request.customer.0);
         (request.tiers, request.own) = (way.tiers, way.own);
     }
 }
 
 fn pools(table: &Table, listed: &Listed, [name, hall, model]: &[String; 3]) -> u64 {
-    table.member(&Traits { name, hall, model, group: u64::from(listed.cell) })
+    table.member(&Traits {
+        name,
+        hall,
+        model,
+        group: u64::from(listed.cell),
+    })
 }
--- a/crates/ingress/src/shutdown.rs
+++ b/crates/ingress/src/shutdown.rs
@@ -34,7 +34,13 @@
     /// Not told to stop; `longest` is the longest deadline of a class.
     pub fn new(longest: Micros) -> Self {
         let last_answer = longest.min(LONGEST_DEADLINE) + LAST_ANSWER;
-        Shutdown { last_answer, last_at: Micros::MAX, begun: false, looked: false, closing_since: None }
+        Shutdown {
+            last_answer,
+            last_at: Micros::MAX,
+            begun: false,
+            looked: false,
+            closing_since: None,
+        }
     }
 
     /// Whether it was told to stop.
@@ -44,7 +50,9 @@
 
     /// A class has a deadline as long as this; what is open may still have a longer one.
     pub fn longest(&mut self, longest: Micros) {
-        self.last_answer = self.last_answer.max(longest.min(LONGEST_DEADLINE) + LAST_ANSWER);
+        self.last_answer = self
+            .last_answer
+            .max(longest.min(LONGEST_DEADLINE) + LAST_ANSWER);
     }
 
     /// Told to stop, perhaps not for the first time.
@@ -61,7 +69,8 @@
     pub fn still_coming(&mut self, now: Micros, accepted_at: Micros, timers: &mut Timers) -> bool {
         // Closing idle connections crosses some requests, which come again on new ones: that is waited for in any case.
         let first = !std::mem::replace(&mut self.looked, true);
-        let coming = (first || now < accepted_at + STILL_COMING) && now + STILL_ACCEPTING < self.last_at;
+        let coming =
+            (first || now < accepted_at + STILL_COMING) && now + STILL_ACCEPTING < self.last_at;
         if coming {
             timers.set(now + LOOK_AGAIN, Due::Close);
         } else {
@@ -72,8 +81,16 @@
 
     /// Whether nobody is left who might say more, where all that was taken is answered; `clients` are connected, `more` of what they
     /// said is to be answered yet or read, and `busy` says whether any of them still awaits something.
-    pub fn may_exit(&self, now: Micros, clients: usize, more: bool, busy: impl Fn() -> bool) -> bool {
-        let Some(since) = self.closing_since else { return false };
+    pub fn may_exit(
+        &self,
+        now: Micros,
+        clients: usize,
+        more: bool,
+        busy: impl Fn() -> bool,
+    ) -> bool {
+        let Some(since) = self.closing_since else {
+            return false;
+        };
         // What was read on the way out, or waits behind a full line, is refused in the next turns; one that sends without end
         // must not keep it.
         if more && now < self.last_at.saturating_add(LOOK_AGAIN) {
--- a/crates/ingress/src/status.rs
+++ b/crates/ingress/src/status.rs
@@ -62,7 +62,8 @@
     /// Whole or not at all: who reads it never sees half of it.
     fn write(&self, path: &Path, outcome: Outcome, why: &str) -> std::io::Result<()> {
         let (id, word) = (std::process::id(), outcome.word());
-        let text = json!({"process": id, "readings": self.readings, "outcome": word, "why": why}).to_string();
+        let text = json!({"process": id, "readings": self.readings, "outcome": word, "why": why})
+            .to_string();
         let mut name = path.as_os_str().to_owned();
         name.push(".new");
         let new = PathBuf::from(name);
--- a/crates/ingress/src/stream.rs
+++ b/crates/ingress/src/stream.rs
@@ -56,7 +56,13 @@
 impl Listener {
     /// A Unix socket for these users; for whoever its mode lets in where none are named.
     pub fn unix(listener: UnixListener, users: Vec<u32>) -> Listener {
-        Listener::Unix(listener, Gate { users, refused: Cell::new(0) })
+        Listener::Unix(
+            listener,
+            Gate {
+                users,
+                refused: Cell::new(0),
+            },
+        )
     }
 
     /// Takes a connection in; one that may not connect is closed, with an error that says so.
@@ -123,11 +129,13 @@
     /// Where a client's connection comes from.
     pub fn source(&self) -> sources::Source {
         match self {
-            Stream::Tcp(stream) => {
-                stream.peer_addr().map_or(sources::Source::Unknown, |at| sources::Source::of(at.ip()))
-            }
+            Stream::Tcp(stream) => stream
+                .peer_addr()
+                .map_or(sources::Source::Unknown, |at| sources::Source::of(at.ip())),
             Stream::Unix(stream) => socket_peercred(stream)
-                .map_or(sources::Source::Unknown, |peer| sources::Source::User(peer.uid.as_raw())),
+                .map_or(sources::Source::Unknown, |peer| {
+                    sources::Source::User(peer.uid.as_raw())
+                }),
         }
     }
 
--- a/crates/ingress/src/takeover.rs
+++ b/crates/ingress/src/takeover.rs
@@ -65,7 +65,9 @@
     ///
     /// Where it is something else.
     fn read(_layout: u32, rest: &[u8]) -> Result<(), String> {
-        rest.is_empty().then_some(()).ok_or_else(|| "there is more than its form has".into())
+        rest.is_empty()
+            .then_some(())
+            .ok_or_else(|| "there is more than its form has".into())
     }
 }
 
@@ -108,7 +110,9 @@
 
 fn try_ask<F: Form>(path: &Path, memory: usize) -> Result<Option<Taken>, String> {
     let asked = Ancestor::ask(path, OLDEST..=F::LAYOUT, memory / MEMORY_SHARE)?;
-    let Some((mut ancestor, layout, bytes)) = asked else { return Ok(None) };
+    let Some((mut ancestor, layout, bytes)) = asked else {
+        return Ok(None);
+    };
     // All that may fail comes before it is this process's.
     let read = read::<F>(layout, &bytes).and_then(|(state, right)| {
         let enforced = compile(&state.told.fixed, &State(state.told.state.clone()));
@@ -132,7 +136,12 @@
             count - descriptors.len()
         );
     }
-    Ok(Some(Taken { state, right, enforced, descriptors }))
+    Ok(Some(Taken {
+        state,
+        right,
+        enforced,
+        descriptors,
+    }))
 }
 
 /// Reads a state of a form.
@@ -161,7 +170,9 @@
     /// Where another process of this ingress still does, or the folder can't be used.
     pub fn open(path: &Path, registry: &Registry, token: Token) -> Result<Offer, String> {
         let (listener, socket) = socket::listen(path, 0o600)?;
-        listener.set_nonblocking(true).map_err(|e| format!("{}: {e}", path.display()))?;
+        listener
+            .set_nonblocking(true)
+            .map_err(|e| format!("{}: {e}", path.display()))?;
         let mut listener = UnixListener::from_std(listener);
         registry
             .register(&mut listener, token, Interest::READABLE)
@@ -172,7 +183,10 @@
     /// Whoever asks next.
     pub fn next<F: Form>(&self) -> Option<Result<Caller, String>> {
         let (stream, _) = self.listener.accept().ok()?;
-        Some(Caller::hear(UnixStream::from(OwnedFd::from(stream)), OLDEST..=F::LAYOUT))
+        Some(Caller::hear(
+            UnixStream::from(OwnedFd::from(stream)),
+            OLDEST..=F::LAYOUT,
+        ))
     }
 
     /// The ingress ends, with nobody behind it.
@@ -192,9 +206,11 @@
             "a process of layout {layout} knows no right to serve, and this is a member of a group"
         ));
     }
-    let mut bytes = postcard::to_stdvec(state).map_err(|e| format!("the state can't be written: {e}"))?;
+    let mut bytes =
+        postcard::to_stdvec(state).map_err(|e| format!("the state can't be written: {e}"))?;
     if layout >= 5 {
-        bytes = postcard::to_extend(&right, bytes).map_err(|e| format!("the state can't be written: {e}"))?;
+        bytes = postcard::to_extend(&right, bytes)
+            .map_err(|e| format!("the state can't be written: {e}"))?;
     }
     F::write(layout, &mut bytes);
     Ok(bytes)
--- a/crates/ingress/src/tallies.rs
+++ b/crates/ingress/src/tallies.rs
@@ -56,15 +56,24 @@
     }
 
     fn count(&mut self, request: &Request, end: tally::End) {
-        let Some(counter) = &mut self.counter else { return };
+        let Some(counter) = &mut self.counter else {
+            return;
+        };
         let of = |list: &[f64], n: usize| list.get(n).copied().unwrap_or(0.0);
         let worth = of(&self.worths, request.class.into()) * of(&self.prices, request.plan.into());
-        counter.ended(request.class, request.plan, (worth * WORTH).clamp(0.0, 1e12) as u64, end);
+        counter.ended(
+            request.class,
+            request.plan,
+            (worth * WORTH).clamp(0.0, 1e12) as u64,
+            end,
+        );
     }
 
     /// All of it, by name.
     pub fn tally(&mut self, words: &Vocabulary) -> Tally {
         self.settle(words);
-        self.counter.as_ref().map_or_else(Tally::default, Counter::tally)
+        self.counter
+            .as_ref()
+            .map_or_else(Tally::default, Counter::tally)
     }
 }
--- a/crates/ingress/tests/accepted.rs
+++ b/crates/ingress/tests/accepted.rs
@@ -56,14 +56,44 @@
         worth,
         units,
     });
-    let plan = (1u32..5_000, 0usize..3, 1u32..200, prop::option::of(1u32..20_000));
-    let plan = plan.prop_map(|(quota, per, burst, ceiling)| Plan { quota, per, burst, ceiling });
+    let plan = (
+        1u32..5_000,
+        0usize..3,
+        1u32..200,
+        prop::option::of(1u32..20_000),
+    );
+    let plan = plan.prop_map(|(quota, per, burst, ceiling)| Plan {
+        quota,
+        per,
+        burst,
+        ceiling,
+    });
     let near = prop::collection::vec((0usize..6, prop::collection::vec(0usize..6, 1..5)), 0..2);
-    let site = (1usize..6, near, prop::collection::vec(class, 1..6), prop::collection::vec(plan, 1..4));
-    let limits = (1u8..6, any::<bool>(), any::<bool>(), 1u32..50_000, 1u32..5_000, 1u32..60);
+    let site = (
+        1usize..6,
+        near,
+        prop::collection::vec(class, 1..6),
+        prop::collection::vec(plan, 1..4),
+    );
+    let limits = (
+        1u8..6,
+        any::<bool>(),
+        any::<bool>(),
+        1u32..50_000,
+        1u32..5_000,
+        1u32..60,
+    );
     let cold = (1u32..100, 1u32..60, 1u32..9);
-    let pool = (prop::option::of(0usize..6), prop::option::of(0u16..9), prop::option::of(0usize..5));
-    let route = (0usize..6, 0usize..5, prop::option::of((0usize..5, 0u32..=100)));
+    let pool = (
+        prop::option::of(0usize..6),
+        prop::option::of(0u16..9),
+        prop::option::of(0usize..5),
+    );
+    let route = (
+        0usize..6,
+        0usize..5,
+        prop::option::of((0usize..5, 0u32..=100)),
+    );
     let app = (
         0usize..6,
         16u32..256,
@@ -108,11 +138,19 @@
         );
         for (hall, others) in &self.near {
             let others: Vec<String> = others.iter().map(|h| format!("\"h{h}\"")).collect();
-            let _ = write!(text, "[[near]]\nhall = \"h{hall}\"\nothers = [{}]\n", others.join(", "));
+            let _ = write!(
+                text,
+                "[[near]]\nhall = \"h{hall}\"\nothers = [{}]\n",
+                others.join(", ")
+            );
         }
         for (n, c) in self.classes.iter().enumerate() {
             let effect = ["safe", "keyed", "unsafe"][c.effect];
-            let keyed = if c.effect == 1 { "group = \"group\"\nwindow = \"3s\"\n" } else { "" };
+            let keyed = if c.effect == 1 {
+                "group = \"group\"\nwindow = \"3s\"\n"
+            } else {
+                ""
+            };
             let _ = write!(
                 text,
                 "[[class]]\nname = \"c{n}\"\neffect = \"{effect}\"\n{keyed}wanted = \"{}ms\"\ndeadline = \"{}ms\"\nworth = {}\n\
@@ -135,7 +173,9 @@
     }
 
     fn app(&self, at: SocketAddr) -> String {
-        let sends: Vec<String> = (0..self.classes.len()).map(|n| format!("\"c{n}\"")).collect();
+        let sends: Vec<String> = (0..self.classes.len())
+            .map(|n| format!("\"c{n}\""))
+            .collect();
         let mut text = format!(
             "version = 1\nkind = \"application\"\nname = \"a\"\nsite = \"s\"\nsends = [{}]\n[limits]\nmemory = \"{}MiB\"\n\
              descriptors = {}\n[[sidecar]]\nname = \"one\"\nlisten = \"{at}\"\nhall = \"h{}\"\ndiscovery = \"127.0.0.1:1\"\n",
@@ -157,9 +197,16 @@
             text += &fallback.map_or(String::new(), |f| format!("fallback = \"q{f}\"\n"));
         }
         for (class, pool, trial) in &self.routes {
-            let _ = write!(text, "[[route]]\nclass = \"c{class}\"\npool = \"q{pool}\"\n");
+            let _ = write!(
+                text,
+                "[[route]]\nclass = \"c{class}\"\npool = \"q{pool}\"\n"
+            );
             if let Some((trial, share)) = trial {
-                let _ = write!(text, "trial = \"q{trial}\"\nshare = {}\n", f64::from(*share) / 100.0);
+                let _ = write!(
+                    text,
+                    "trial = \"q{trial}\"\nshare = {}\n",
+                    f64::from(*share) / 100.0
+                );
             }
         }
         text
@@ -170,16 +217,28 @@
 #[test]
 fn what_the_checker_accepts_the_sidecar_runs() {
     let seed = RngSeed::Fixed(19);
-    let config = Config { rng_seed: seed, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        rng_seed: seed,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let mut runner = proptest::test_runner::TestRunner::new(config);
     let (folder, strategy) = (tempfile::tempdir().unwrap(), drawn());
     let (mut taken, mut refused, mut with_pools) = (0, 0, 0);
     while taken < 24 || with_pools < 8 {
-        assert!(refused < 5_000, "{taken} of {refused} are taken, {with_pools} with pools");
+        assert!(
+            refused < 5_000,
+            "{taken} of {refused} are taken, {with_pools} with pools"
+        );
         let files = strategy.new_tree(&mut runner).unwrap().current();
         let at = place();
         let (site, app): (String, String) = (files.site(), files.app(at));
-        if Set::from_sources([Source::new("site.toml", &site), Source::new("app.toml", &app)]).refused() {
+        if Set::from_sources([
+            Source::new("site.toml", &site),
+            Source::new("app.toml", &app),
+        ])
+        .refused()
+        {
             refused += 1;
             continue;
         }
@@ -191,13 +250,17 @@
         write("site.toml", &site);
         write("app.toml", &app);
         let shown = folder.path().display();
-        let line = format!("exec '{}' --app '{shown}/app.toml'", env!("CARGO_BIN_EXE_wrenfork"));
+        let line = format!(
+            "exec '{}' --app '{shown}/app.toml'",
+            env!("CARGO_BIN_EXE_wrenfork")
+        );
         let mut ingress = Ingress::run("", at, &line);
         let start = Instant::now();
         let ready = loop {
-            let pong = TcpStream::connect(at).is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG");
-            let over =
-                ingress.child.try_wait().unwrap().is_some() || start.elapsed() > Duration::from_secs(20);
+            let pong =
+                TcpStream::connect(at).is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG");
+            let over = ingress.child.try_wait().unwrap().is_some()
+                || start.elapsed() > Duration::from_secs(20);
             if pong || over {
                 break pong;
             }
--- a/crates/ingress/tests/addresses.rs
+++ b/crates/ingress/tests/addresses.rs
@@ -27,7 +27,9 @@
 
 /// Another address of a backend.
 fn pass(stream: UnixStream, to: SocketAddr) {
-    let Ok(back) = TcpStream::connect(to) else { return };
+    let Ok(back) = TcpStream::connect(to) else {
+        return;
+    };
     let (inner, outer) = (back.try_clone().unwrap(), stream.try_clone().unwrap());
     let (ends, end) = (back.try_clone().unwrap(), stream.try_clone().unwrap());
     thread::spawn(move || copy(outer, inner, move || drop(ends.shutdown(Shutdown::Both))));
@@ -35,7 +37,10 @@
 }
 
 fn unix_door(path: &Path, to: SocketAddr) -> Arc<AtomicUsize> {
-    let (listener, came) = (UnixListener::bind(path).unwrap(), Arc::new(AtomicUsize::new(0)));
+    let (listener, came) = (
+        UnixListener::bind(path).unwrap(),
+        Arc::new(AtomicUsize::new(0)),
+    );
     let count = came.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -49,7 +54,10 @@
 /// An address that accepts connections, takes what comes and never says a word; the requests that came.
 fn silent_door() -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (at, heard) = (listener.local_addr().unwrap(), Arc::new(Mutex::new(Vec::new())));
+    let (at, heard) = (
+        listener.local_addr().unwrap(),
+        Arc::new(Mutex::new(Vec::new())),
+    );
     let all = heard.clone();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -81,20 +89,32 @@
     fn with(addresses: &[String], connect: &str) -> Site {
         let (folder, at) = (tempfile::tempdir().unwrap(), place());
         let good = |name: &str| {
-            fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../config/tests/good").join(name))
-                .unwrap()
+            fs::read_to_string(
+                Path::new(env!("CARGO_MANIFEST_DIR"))
+                    .join("../config/tests/good")
+                    .join(name),
+            )
+            .unwrap()
         };
         let app = good("with-site-no-routes.toml").replace("127.0.0.1:7600", &at.to_string());
         let app = app
-            .replace("plan = \"starter\"", "plan = \"starter\"\nquota = \"90/s\"\nburst = 600")
-            .replace("\"quote\", \"save-scenario\"", "\"quote\", \"save-scenario\", \"lender-referral\"");
+            .replace(
+                "plan = \"starter\"",
+                "plan = \"starter\"\nquota = \"90/s\"\nburst = 600",
+            )
+            .replace(
+                "\"quote\", \"save-scenario\"",
+                "\"quote\", \"save-scenario\", \"lender-referral\"",
+            );
         let write = |name: &str, text: &str| fs::write(folder.path().join(name), text).unwrap();
         let limits = format!("[limits]\nconnect = \"{connect}\"");
         write("site.toml", &good("site.toml").replace("[limits]", &limits));
         write("app.toml", &app);
         let more: Vec<String> = addresses[1..].iter().map(|a| format!("\"{a}\"")).collect();
-        let entry = entry("s-0001", "127.0.0.1:1".parse().unwrap(), "up")
-            .replace("\"127.0.0.1:1\"", &format!("\"{}\",\"addresses\":[{}]", addresses[0], more.join(",")));
+        let entry = entry("s-0001", "127.0.0.1:1".parse().unwrap(), "up").replace(
+            "\"127.0.0.1:1\"",
+            &format!("\"{}\",\"addresses\":[{}]", addresses[0], more.join(",")),
+        );
         write("fleet.json", &list(1, true, &[entry]));
         let shown = folder.path().display();
         let line = format!(
@@ -103,9 +123,14 @@
         );
         let ingress = Ingress::run("", at, &line);
         until("the sidecar is ready", || {
-            TcpStream::connect(at).is_ok_and(|stream| Client(stream).ask(&command(&["PING"])) == "+PONG")
+            TcpStream::connect(at)
+                .is_ok_and(|stream| Client(stream).ask(&command(&["PING"])) == "+PONG")
         });
-        Site { folder, at, ingress: Some(ingress) }
+        Site {
+            folder,
+            at,
+            ingress: Some(ingress),
+        }
     }
 
     fn client(&self) -> Client {
@@ -114,7 +139,12 @@
 }
 
 fn quote(id: &str) -> Vec<u8> {
-    command(&["CALL.GET", ACCOUNT, id, "c=quote,t=starter,d=900,units=1,spread=1,first=0"])
+    command(&[
+        "CALL.GET",
+        ACCOUNT,
+        id,
+        "c=quote,t=starter,d=900,units=1,spread=1,first=0",
+    ])
 }
 
 fn referral(id: &str, wait_ms: u32) -> Vec<u8> {
@@ -125,7 +155,14 @@
 /// How often each request came to a node.
 fn counts(backend: &Backend) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
-    for args in backend.seen.commands.lock().unwrap().iter().filter(|args| args.len() > 2) {
+    for args in backend
+        .seen
+        .commands
+        .lock()
+        .unwrap()
+        .iter()
+        .filter(|args| args.len() > 2)
+    {
         *counts.entry(args[2].clone()).or_default() += 1;
     }
     counts
@@ -140,14 +177,22 @@
     let came = unix_door(&path, backend.at);
     let dead = place();
     let unix = |p: &Path| format!("unix:{}", p.display());
-    let site =
-        Site::new(&[dead.to_string(), unix(&gone), "[::1]:9".into(), unix(&path), backend.at.to_string()]);
+    let site = Site::new(&[
+        dead.to_string(),
+        unix(&gone),
+        "[::1]:9".into(),
+        unix(&path),
+        backend.at.to_string(),
+    ]);
     let mut client = site.client();
     for n in 0..50 {
         let id = format!("a{n}");
         assert_eq!(client.ask(&referral(&id, 5_000)), format!("value of {id}"));
     }
-    assert!(came.load(Ordering::SeqCst) > 0, "a socket on this machine comes first");
+    assert!(
+        came.load(Ordering::SeqCst) > 0,
+        "a socket on this machine comes first"
+    );
     // Its file is gone, and whoever listened there: new connections go over the network.
     fs::remove_file(&path).unwrap();
     let before = backend.count();
@@ -156,7 +201,11 @@
         assert_eq!(client.ask(&referral(&id, 5_000)), format!("value of {id}"));
     }
     assert_eq!(backend.count() - before, 10);
-    assert!(counts(&backend).values().all(|n| *n == 1), "{:?}", counts(&backend));
+    assert!(
+        counts(&backend).values().all(|n| *n == 1),
+        "{:?}",
+        counts(&backend)
+    );
     drop(site.folder);
 }
 
@@ -168,11 +217,13 @@
     let backend = Backend::start(serve);
     // Its queue is full, and nobody takes anything out of it: whoever connects hears nothing.
     let full = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    full.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+    full.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+        .unwrap();
     full.listen(0).unwrap();
     let at = full.local_addr().unwrap().as_socket().unwrap();
-    let held: Vec<TcpStream> =
-        (0..8).map_while(|_| TcpStream::connect_timeout(&at, Duration::from_millis(100)).ok()).collect();
+    let held: Vec<TcpStream> = (0..8)
+        .map_while(|_| TcpStream::connect_timeout(&at, Duration::from_millis(100)).ok())
+        .collect();
     assert!(held.len() < 8, "the queue has no end");
     // One connect after the other would take five seconds, and no request here waits for so long.
     let site = Site::with(&[at.to_string(), backend.at.to_string()], "5s");
@@ -181,7 +232,11 @@
         let id = format!("b{n}");
         assert_eq!(client.ask(&referral(&id, 3_000)), format!("value of {id}"));
     }
-    assert!(counts(&backend).values().all(|n| *n == 1), "{:?}", counts(&backend));
+    assert!(
+        counts(&backend).values().all(|n| *n == 1),
+        "{:?}",
+        counts(&backend)
+    );
 }
 
 /// Guards against a request that may have reached a node over one address and is sent again over another.
@@ -193,7 +248,11 @@
     let mut client = site.client();
     let answer = client.ask(&referral("once", 700));
     assert!(answer.starts_with("-ERR"), "{answer}");
-    let heard_of = |id: &str| String::from_utf8_lossy(&heard.lock().unwrap()).matches(id).count();
+    let heard_of = |id: &str| {
+        String::from_utf8_lossy(&heard.lock().unwrap())
+            .matches(id)
+            .count()
+    };
     assert_eq!(
         (heard_of("once"), counts(&backend).get("once").copied()),
         (1, None),
@@ -228,7 +287,10 @@
             thread::spawn(move || {
                 for n in 0..50 {
                     let answer = client.ask(&referral(&format!("d{c}-{n}"), 400));
-                    assert!(answer.starts_with("value") || answer.starts_with('-'), "{answer}");
+                    assert!(
+                        answer.starts_with("value") || answer.starts_with('-'),
+                        "{answer}"
+                    );
                 }
             })
         })
@@ -237,7 +299,10 @@
     let counts = counts(&backend);
     let refused = |id: &str| id.bytes().map(usize::from).sum::<usize>() % 3 == 2;
     assert!(counts.len() > 100, "{} came at all", counts.len());
-    let twice: Vec<_> = counts.iter().filter(|(id, n)| **n > 1 && !refused(id)).collect();
+    let twice: Vec<_> = counts
+        .iter()
+        .filter(|(id, n)| **n > 1 && !refused(id))
+        .collect();
     assert!(twice.is_empty(), "{twice:?}");
     let mut ingress = site.ingress.take().unwrap();
     ingress.signal("TERM");
--- a/crates/ingress/tests/crowds.rs
+++ b/crates/ingress/tests/crowds.rs
@@ -13,7 +13,10 @@
 /// Whether a connection has ended, without waiting for it.
 fn has_ended(client: &Client) -> bool {
     client.0.set_nonblocking(true).unwrap();
-    let ended = !client.0.peek(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
+    let ended = !client
+        .0
+        .peek(&mut [0])
+        .is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
     client.0.set_nonblocking(false).unwrap();
     ended
 }
@@ -25,7 +28,10 @@
     let ingress = setup(&backend, 96).start();
     let mut served: Vec<Client> = (0..8).map(|_| ingress.client()).collect();
     for (n, client) in served.iter_mut().enumerate() {
-        assert_eq!(client.ask(&call("refer", &format!("s{n}"), 900)), format!("value of s{n}"));
+        assert_eq!(
+            client.ask(&call("refer", &format!("s{n}"), 900)),
+            format!("value of s{n}")
+        );
     }
     let half = |n: usize| {
         let mut client = ingress.client();
@@ -34,8 +40,12 @@
     };
     let halves: Vec<Client> = (0..6).map(half).collect();
     // One that asks shows that what came before has been read.
-    let ask =
-        |id: String| assert_eq!(ingress.client().ask(&call("refer", &id, 900)), format!("value of {id}"));
+    let ask = |id: String| {
+        assert_eq!(
+            ingress.client().ask(&call("refer", &id, 900)),
+            format!("value of {id}")
+        )
+    };
     ask("a0".into());
     // Far more than there are descriptors, all silent: they make room for each other.
     let mut silent: Vec<Client> = Vec::new();
@@ -46,7 +56,10 @@
             ask(format!("b{n}"));
         }
     }
-    assert!(silent.iter().filter(|c| has_ended(c)).count() > 80, "the silent ones make room");
+    assert!(
+        silent.iter().filter(|c| has_ended(c)).count() > 80,
+        "the silent ones make room"
+    );
     assert_eq!(
         halves.iter().filter(|c| has_ended(c)).count(),
         0,
@@ -72,7 +85,10 @@
         "one that was served makes room before halves"
     );
     for (n, client) in served.iter_mut().enumerate() {
-        assert_eq!(client.ask(&call("refer", &format!("t{n}"), 900)), format!("value of t{n}"));
+        assert_eq!(
+            client.ask(&call("refer", &format!("t{n}"), 900)),
+            format!("value of t{n}")
+        );
     }
     drop((silent, more));
 }
@@ -83,7 +99,9 @@
     let backend = Backend::start(serve);
     let ingress = setup(&backend, 256).start();
     let mut clients: Vec<Client> = (0..6).map(|_| ingress.client()).collect();
-    let parts: Vec<Vec<u8>> = (0..6).map(|n| call("refer", &format!("r{n}"), 900)).collect();
+    let parts: Vec<Vec<u8>> = (0..6)
+        .map(|n| call("refer", &format!("r{n}"), 900))
+        .collect();
     // In six pieces over two seconds, each client with its own start against the looks at the silent.
     for piece in 0..6 {
         for (client, command) in clients.iter_mut().zip(&parts) {
@@ -107,7 +125,9 @@
     let mut ingress = setup(&backend, 128).start();
     let crowd: Vec<Client> = (0..200).map(|_| ingress.client()).collect();
     let mut halves: Vec<Client> = (0..20).map(|_| ingress.client()).collect();
-    halves.iter_mut().for_each(|c| drop(std::io::Write::write(&mut c.0, b"*4\r\n$8\r\nCALL")));
+    halves
+        .iter_mut()
+        .for_each(|c| drop(std::io::Write::write(&mut c.0, b"*4\r\n$8\r\nCALL")));
     let mut client = ingress.client();
     client.send(&call("refer", "r1", 2000));
     until("it is with the backend", || backend.count() == 1);
--- a/crates/ingress/tests/endings.rs
+++ b/crates/ingress/tests/endings.rs
@@ -14,7 +14,9 @@
 fn patient(backends: &[&Backend]) -> Setup {
     let mut setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends);
     let patient = r#""connect_timeout_us":3000000"#;
-    setup.settings = setup.settings.replace(r#""connect_timeout_us":250000"#, patient);
+    setup.settings = setup
+        .settings
+        .replace(r#""connect_timeout_us":250000"#, patient);
     assert!(setup.settings.contains(patient));
     setup
 }
@@ -28,7 +30,14 @@
 
 /// The ids that a backend was given whole.
 fn ids(backend: &Backend) -> Vec<String> {
-    backend.seen.commands.lock().unwrap().iter().map(|c| c[2].clone()).collect()
+    backend
+        .seen
+        .commands
+        .lock()
+        .unwrap()
+        .iter()
+        .map(|c| c[2].clone())
+        .collect()
 }
 
 // ---- Keyed requests ----
@@ -37,10 +46,16 @@
 /// when the backends of the group have forgotten the key (`zone+brink` of the users' bench, seed 8: sent again outside its window).
 #[test]
 fn a_keyed_request_is_not_written_once_its_window_is_over() {
-    let (hang, jammed, discovery) = (Arc::new(AtomicBool::new(false)), Jammed::start(), Discovery::start());
+    let (hang, jammed, discovery) = (
+        Arc::new(AtomicBool::new(false)),
+        Jammed::start(),
+        Discovery::start(),
+    );
     let told = hang.clone();
     let first = Backend::start(move |_| {
-        until("the first attempt may break", || told.load(Ordering::SeqCst));
+        until("the first attempt may break", || {
+            told.load(Ordering::SeqCst)
+        });
         Act::Hang
     });
     // Two tries: a third one, a copy, would find the line cleared and come up in time.
@@ -68,7 +83,11 @@
 #[test]
 fn what_is_not_written_when_its_client_leaves_is_never_written() {
     let jammed = Jammed::start();
-    let mut setup = with(patient(&[]), r#""cancelling":true"#, r#""cancelling":false"#);
+    let mut setup = with(
+        patient(&[]),
+        r#""cancelling":true"#,
+        r#""cancelling":false"#,
+    );
     setup.known = vec![jammed.entry("s-0", "up")];
     let ingress = setup.start();
     let mut gone = ingress.client();
@@ -117,23 +136,41 @@
         until("answers may go", || told.load(Ordering::SeqCst));
         Act::Say(served(args))
     });
-    let (mut setup, at) = (Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]), place());
+    let (mut setup, at) = (
+        Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]),
+        place(),
+    );
     setup.more = format!(r#""management":"{at}","#);
     let ingress = setup.start();
     let mut client = ingress.client();
     // More than a line holds: some are out, some wait for a place, most are refused behind these.
-    let many: Vec<u8> = (0..400).flat_map(|n| call("refer", &format!("r{n}"), 8000)).collect();
+    let many: Vec<u8> = (0..400)
+        .flat_map(|n| call("refer", &format!("r{n}"), 8000))
+        .collect();
     client.send(&many);
     until("the places are taken", || backend.count() >= 4);
     let closed = Instant::now();
     leave(client);
-    until("all that it asked for is withdrawn", || figure(at, "ingress.open_requests") == 0);
-    println!("withdrawn {:.2?} after the close, of 0.1 s", closed.elapsed());
+    until("all that it asked for is withdrawn", || {
+        figure(at, "ingress.open_requests") == 0
+    });
+    println!(
+        "withdrawn {:.2?} after the close, of 0.1 s",
+        closed.elapsed()
+    );
     let sent = figure(at, "ingress.relayed");
     open.store(true, Ordering::SeqCst);
     // What is sent in the places that come free would come before this.
-    assert_eq!(ingress.client().ask(&call("refer", "last", 8000)), "value of last");
-    assert_eq!(figure(at, "ingress.relayed"), sent + 1, "{:?}", ids(&backend));
+    assert_eq!(
+        ingress.client().ask(&call("refer", "last", 8000)),
+        "value of last"
+    );
+    assert_eq!(
+        figure(at, "ingress.relayed"),
+        sent + 1,
+        "{:?}",
+        ids(&backend)
+    );
 }
 
 /// Guards against a first command that is broken off half way because its connection had rested before it: its client is still
@@ -159,7 +196,10 @@
 #[test]
 fn beyond_the_descriptors_all_that_is_asked_at_once_is_refused() {
     let backend = Backend::start(serve);
-    let setup = Setup { sockets: 64, ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]) };
+    let setup = Setup {
+        sockets: 64,
+        ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend])
+    };
     let ingress = setup.start();
     // As many as clients may have of 64 descriptors, each told of a bad command, and left to read that: none makes room meanwhile.
     let mut full: Vec<Client> = (0..27).map(|_| ingress.client()).collect();
@@ -169,7 +209,11 @@
         assert!(answer.starts_with("-ERR protocol error"), "{answer}");
     }
     let mut line = ingress.client();
-    line.send(&["r1", "r2", "r3"].map(|id| call("refer", id, 5000)).concat());
+    line.send(
+        &["r1", "r2", "r3"]
+            .map(|id| call("refer", id, 5000))
+            .concat(),
+    );
     assert_eq!(["r1", "r2", "r3"].map(|_| line.answer()), ["-BUSY"; 3]);
     assert!(line.ended());
     assert_eq!(backend.count(), 0);
@@ -186,14 +230,22 @@
     let ingress = setup.start();
     let (mut client, asked) = (ingress.client(), Instant::now());
     client.send(&call("refer", "r1", 5000));
-    until("it is on its way", || jammed.tried() && asked.elapsed() > Duration::from_millis(300));
+    until("it is on its way", || {
+        jammed.tried() && asked.elapsed() > Duration::from_millis(300)
+    });
     let held = asked.elapsed().as_millis();
     let backend = Backend::on(jammed.clear(), serve);
     assert_eq!(client.answer(), "value of r1");
     let commands = backend.seen.commands.lock().unwrap();
-    let told = commands[0][3].split(',').find_map(|o| o.strip_prefix("d=")).unwrap();
+    let told = commands[0][3]
+        .split(',')
+        .find_map(|o| o.strip_prefix("d="))
+        .unwrap();
     println!("told {told} ms of 5000, {held} ms after it was asked for or later");
-    assert!(told.parse::<u128>().unwrap() <= 5000 - held, "{told} ms, {held} ms after it was asked for");
+    assert!(
+        told.parse::<u128>().unwrap() <= 5000 - held,
+        "{told} ms, {held} ms after it was asked for"
+    );
 }
 
 // ---- Backends that say more than they were asked ----
@@ -205,14 +257,23 @@
     for pause in [Duration::from_micros(300), Duration::from_millis(5)] {
         let backend = Backend::start(move |args| {
             let whole = served(args);
-            Act::Parts(whole.len(), pause, [&whole[..], b"*3\r\n$9\r\nval"].concat())
+            Act::Parts(
+                whole.len(),
+                pause,
+                [&whole[..], b"*3\r\n$9\r\nval"].concat(),
+            )
         });
         let ingress = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]).start();
         let mut client = ingress.client();
         for n in 0..40 {
-            assert_eq!(client.ask(&call("refer", &format!("h{n}"), 2000)), format!("value of h{n}"));
+            assert_eq!(
+                client.ask(&call("refer", &format!("h{n}"), 2000)),
+                format!("value of h{n}")
+            );
             // Seen by the backend's end of the connection: it was closed, and not used again.
-            until("the connection is given up", || backend.seen.ended.load(Ordering::SeqCst) > n);
+            until("the connection is given up", || {
+                backend.seen.ended.load(Ordering::SeqCst) > n
+            });
         }
         assert_eq!(backend.count(), 40);
     }
@@ -235,7 +296,10 @@
     discovery.tell(jammed.entry("s-0", "draining"));
     let drained = Backend::on(jammed.clear(), serve);
     assert_eq!(client.answer(), "value of r1");
-    assert_eq!((ids(&drained), ids(&other)), (vec![], vec!["r1".to_string()]));
+    assert_eq!(
+        (ids(&drained), ids(&other)),
+        (vec![], vec!["r1".to_string()])
+    );
 }
 
 // ---- The end of the ingress ----
@@ -248,7 +312,9 @@
     socket.set_read_timeout(Some(LONG)).unwrap();
     let mut client = Client(socket.into());
     client.send(&call("refer", "r1", 5000));
-    until("it is answered", || backend.count() == 1 && client.0.peek(&mut [0]).is_ok_and(|n| n == 1));
+    until("it is answered", || {
+        backend.count() == 1 && client.0.peek(&mut [0]).is_ok_and(|n| n == 1)
+    });
     client
 }
 
@@ -256,7 +322,9 @@
 /// and the request, never read, must not be sent on.
 fn a_request_that_crosses(ingress: &Ingress, client: &mut Client, answer: &str) {
     let ours = client.0.local_addr().unwrap();
-    until("the connection is being closed", || stands_in(FIN_WAIT_1, Some(ingress.at), ours));
+    until("the connection is being closed", || {
+        stands_in(FIN_WAIT_1, Some(ingress.at), ours)
+    });
     client.send(&call("refer", "crosses", 5000));
     assert!(client.answer() == answer, "the answer did not come whole");
     assert!(client.ended());
@@ -266,7 +334,13 @@
 fn with_a_long_value() -> (Backend, String) {
     let value = "v".repeat(60_000);
     let answer = format!("*3\r\n$60000\r\n{value}\r\n$-1\r\n$-1\r\n").into_bytes();
-    let act = move |args: &[String]| if args[2] == "r1" { Act::Say(answer.clone()) } else { serve(args) };
+    let act = move |args: &[String]| {
+        if args[2] == "r1" {
+            Act::Say(answer.clone())
+        } else {
+            serve(args)
+        }
+    };
     (Backend::start(act), value)
 }
 
@@ -287,19 +361,28 @@
 #[test]
 fn an_answer_on_its_way_outlives_a_request_that_crosses_an_eviction() {
     let (backend, value) = with_a_long_value();
-    let setup = Setup { sockets: 120, ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]) };
+    let setup = Setup {
+        sockets: 120,
+        ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend])
+    };
     let ingress = setup.start();
     let mut client = with_an_answer_on_its_way(&ingress, &backend);
     let stay = |n: usize| {
         let mut client = ingress.client();
-        assert_eq!(client.ask(&call("refer", &format!("s{n}"), 900)), format!("value of s{n}"));
+        assert_eq!(
+            client.ask(&call("refer", &format!("s{n}"), 900)),
+            format!("value of s{n}")
+        );
         client
     };
     let others: Vec<Client> = (0..24).map(stay).collect();
     a_request_that_crosses(&ingress, &mut client, &value);
     let mut last = ingress.client();
     assert_eq!(last.ask(&call("refer", "last", 900)), "value of last");
-    assert!(!ids(&backend).contains(&"crosses".to_string()), "read behind the end, it was sent on");
+    assert!(
+        !ids(&backend).contains(&"crosses".to_string()),
+        "read behind the end, it was sent on"
+    );
     drop(others);
 }
 
@@ -311,13 +394,18 @@
     let mut ingress = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]).start();
     let mut client = ingress.client();
     // A line holds 256; the first ones stay with the backend until the time to stop is over.
-    let many: Vec<u8> = (0..400).flat_map(|n| call("refer", &format!("r{n}"), 8000)).collect();
+    let many: Vec<u8> = (0..400)
+        .flat_map(|n| call("refer", &format!("r{n}"), 8000))
+        .collect();
     client.send(&many);
     until("some are with the backend", || backend.count() > 0);
     ingress.signal("TERM");
     for n in 0..400 {
         let answer = client.answer();
-        assert!(answer.starts_with("-BUSY") || answer.starts_with("-ERR"), "{n}: '{answer}'");
+        assert!(
+            answer.starts_with("-BUSY") || answer.starts_with("-ERR"),
+            "{n}: '{answer}'"
+        );
     }
     assert!(client.ended());
     assert_eq!(ingress.exit().code(), Some(0));
@@ -330,7 +418,10 @@
     let mut ingress = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]).start();
     let mut clients: Vec<Client> = (0..20).map(|_| ingress.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        assert_eq!(client.ask(&call("refer", &format!("r{n}"), 900)), format!("value of r{n}"));
+        assert_eq!(
+            client.ask(&call("refer", &format!("r{n}"), 900)),
+            format!("value of r{n}")
+        );
     }
     ingress.signal("TERM");
     for client in &mut clients {
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -14,7 +14,10 @@
 const OTHER: &str = "00000000000004d2";
 
 fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_secs()
 }
 
 fn key(n: u8) -> SigningKey {
@@ -33,7 +36,10 @@
         let write = |name: &str, text: &str| fs::write(folder.path().join(name), text).unwrap();
         write("site.toml", &good("site.toml"));
         write("app.toml", &app(at, keys));
-        write("fleet.json", &list(1, true, &[backend.entry("s-0001", "up")]));
+        write(
+            "fleet.json",
+            &list(1, true, &[backend.entry("s-0001", "up")]),
+        );
         let shown = folder.path().display();
         let line = format!(
             "exec '{}' --app '{shown}/app.toml' --fleet '{shown}/fleet.json'",
@@ -43,7 +49,11 @@
         until("the sidecar is ready", || {
             TcpStream::connect(at).is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG")
         });
-        Site { folder, at, ingress }
+        Site {
+            folder,
+            at,
+            ingress,
+        }
     }
 
     fn client(&self) -> Client {
@@ -52,12 +62,20 @@
 }
 
 fn good(name: &str) -> String {
-    fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../config/tests/good").join(name)).unwrap()
+    fs::read_to_string(
+        Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join("../config/tests/good")
+            .join(name),
+    )
+    .unwrap()
 }
 
 fn app(at: SocketAddr, keys: &str) -> String {
     let text = good("with-site-no-routes.toml").replace("127.0.0.1:7600", &at.to_string());
-    let text = text.replace("plan = \"starter\"", "plan = \"starter\"\nquota = \"90/s\"\nburst = 600");
+    let text = text.replace(
+        "plan = \"starter\"",
+        "plan = \"starter\"\nquota = \"90/s\"\nburst = 600",
+    );
     format!(
         "{text}\n[identity]\naudience = \"bangna\"\nlongest = \"2h\"\n\n[[identity.issuer]]\nname = \"desk\"\n{keys}\n\
          [[identity.tenant]]\nname = \"broker\"\naccounts = [\"{OWN}\"]\nclasses = [\"quote\"]\n\n\
@@ -87,8 +105,17 @@
 }
 
 fn quote(account: &str, id: &str, token: &str) -> Vec<u8> {
-    let auth = if token.is_empty() { String::new() } else { format!(",auth={token}") };
-    command(&["CALL.GET", account, id, &format!("c=quote,t=starter,d=900{auth},units=1,spread=1,first=0")])
+    let auth = if token.is_empty() {
+        String::new()
+    } else {
+        format!(",auth={token}")
+    };
+    command(&[
+        "CALL.GET",
+        account,
+        id,
+        &format!("c=quote,t=starter,d=900{auth},units=1,spread=1,first=0"),
+    ])
 }
 
 fn save(id: &str) -> Vec<u8> {
@@ -112,12 +139,36 @@
         ("no token", "letmein".into(), "I101"),
         ("a JWT", "eyJhbGciOiJub25lIn0.e30.".into(), "I102"),
         ("another's signature", token(|_| (), 2), "I105"),
-        ("an unknown issuer", token(|c| c.issuer = "shop".into(), 1), "I104"),
-        ("for another place", token(|c| c.audience = "odense".into(), 1), "I107"),
-        ("over", token(|c| (c.from, c.until) = (now() - 900, now() - 100), 1), "I108"),
-        ("to come", token(|c| (c.from, c.until) = (now() + 900, now() + 1_000), 1), "I109"),
-        ("for a week", token(|c| c.until = now() + 7 * 86_400, 1), "I110"),
-        ("no tenant", token(|c| c.tenant = "nobody".into(), 1), "I201"),
+        (
+            "an unknown issuer",
+            token(|c| c.issuer = "shop".into(), 1),
+            "I104",
+        ),
+        (
+            "for another place",
+            token(|c| c.audience = "odense".into(), 1),
+            "I107",
+        ),
+        (
+            "over",
+            token(|c| (c.from, c.until) = (now() - 900, now() - 100), 1),
+            "I108",
+        ),
+        (
+            "to come",
+            token(|c| (c.from, c.until) = (now() + 900, now() + 1_000), 1),
+            "I109",
+        ),
+        (
+            "for a week",
+            token(|c| c.until = now() + 7 * 86_400, 1),
+            "I110",
+        ),
+        (
+            "no tenant",
+            token(|c| c.tenant = "nobody".into(), 1),
+            "I201",
+        ),
     ] {
         let denied = |answer: &str| answer.starts_with(&format!("-DENIED {code}:"));
         let answer = site.client().ask(&quote(OWN, "r1", &forged));
@@ -127,36 +178,67 @@
             let answer = client.ask(&command(&["AUTH", &forged]));
             assert!(denied(&answer), "{what}, for a connection: {answer}");
         }
-        assert!(client.ask(&quote(OWN, "r2", "")).starts_with("-DENIED I100"), "{what}: nothing was proved");
+        assert!(
+            client
+                .ask(&quote(OWN, "r2", ""))
+                .starts_with("-DENIED I100"),
+            "{what}: nothing was proved"
+        );
     }
     assert_eq!(backend.count(), 0, "something of it went on");
     let mut client = site.client();
     assert_eq!(client.ask(&command(&["AUTH", &good])), "+OK");
     assert_eq!(client.ask(&quote(OWN, "r3", "")), "value of r3");
-    assert!(client.ask(&quote(OTHER, "r4", "")).starts_with("-DENIED I202"), "another's account");
-    assert!(client.ask(&save("r5")).starts_with("-DENIED I203"), "a class that it may not send");
+    assert!(
+        client
+            .ask(&quote(OTHER, "r4", ""))
+            .starts_with("-DENIED I202"),
+        "another's account"
+    );
+    assert!(
+        client.ask(&save("r5")).starts_with("-DENIED I203"),
+        "a class that it may not send"
+    );
     // A request's own token counts for it alone, and may say less than the tenant has.
-    let (all, narrow) = (token(|c| c.tenant = "all".into(), 1), token(|c| c.accounts = Some(vec![7]), 1));
+    let (all, narrow) = (
+        token(|c| c.tenant = "all".into(), 1),
+        token(|c| c.accounts = Some(vec![7]), 1),
+    );
     // An account that is new here has what its ceiling has let through since the start, which is little at first.
     let mut asked = 0;
     until("the other account is served", || {
         asked += 1;
         let answer = client.ask(&quote(OTHER, &format!("r6-{asked}"), &all));
-        assert!(answer.starts_with("value of r6-") || answer.starts_with("-BUSY"), "{answer}");
+        assert!(
+            answer.starts_with("value of r6-") || answer.starts_with("-BUSY"),
+            "{answer}"
+        );
         answer.starts_with("value")
     });
-    assert!(client.ask(&quote(OWN, "r7", &narrow)).starts_with("-DENIED I202"));
+    assert!(client
+        .ask(&quote(OWN, "r7", &narrow))
+        .starts_with("-DENIED I202"));
     assert_eq!(client.ask(&quote(OWN, "r8", "")), "value of r8");
     // One that fails to be somebody else is nobody.
-    assert!(client.ask(&command(&["AUTH", "letmein"])).starts_with("-DENIED I101"));
-    assert!(client.ask(&quote(OWN, "r9", "")).starts_with("-DENIED I100"));
+    assert!(client
+        .ask(&command(&["AUTH", "letmein"]))
+        .starts_with("-DENIED I101"));
+    assert!(client
+        .ask(&quote(OWN, "r9", ""))
+        .starts_with("-DENIED I100"));
     let seen = format!("{:?}", backend.seen.commands.lock().unwrap());
     assert_eq!(backend.count(), 3);
-    assert!(!seen.contains("v4.public") && !seen.contains("auth="), "{seen}");
+    assert!(
+        !seen.contains("v4.public") && !seen.contains("auth="),
+        "{seen}"
+    );
     site.ingress.signal("TERM");
     assert!(site.ingress.exit().success());
     let log = site.ingress.log();
-    assert!(!log.contains("v4.") && !log.contains(&good[20..60]), "{log}");
+    assert!(
+        !log.contains("v4.") && !log.contains(&good[20..60]),
+        "{log}"
+    );
 }
 
 /// Guards against a key that is still taken behind its withdrawal, a request that was taken and is lost with it, and an honest
@@ -177,9 +259,14 @@
         site.ingress.signal("HUP");
     };
     // The new key is trusted before it is used; the old one goes on.
-    assert!(site.client().ask(&command(&["AUTH", &new])).starts_with("-DENIED I104"));
+    assert!(site
+        .client()
+        .ask(&command(&["AUTH", &new]))
+        .starts_with("-DENIED I104"));
     reload(&site, &(listed("one", 1, "") + &listed("two", 2, "")));
-    until("the new key is trusted", || site.client().ask(&command(&["AUTH", &new])) == "+OK");
+    until("the new key is trusted", || {
+        site.client().ask(&command(&["AUTH", &new])) == "+OK"
+    });
     assert_eq!(client.ask(&quote(OWN, "k1", "")), "value of k1");
     // The old one is withdrawn with a request of its caller out: that one ends, and nothing new is taken from it.
     let before = backend.count();
@@ -188,15 +275,22 @@
     let ended = format!("until = \"{}\"\n", told(now() - 1));
     reload(&site, &(listed("one", 1, &ended) + &listed("two", 2, "")));
     until("the old key is withdrawn", || {
-        site.client().ask(&command(&["AUTH", &old])).starts_with("-DENIED I106")
+        site.client()
+            .ask(&command(&["AUTH", &old]))
+            .starts_with("-DENIED I106")
     });
     assert_eq!(client.answer(), "value of k2");
-    assert!(client.ask(&quote(OWN, "k3", "")).starts_with("-DENIED I106"));
+    assert!(client
+        .ask(&quote(OWN, "k3", ""))
+        .starts_with("-DENIED I106"));
     // Its caller shows a token of the new key, and goes on over the same connection.
     assert_eq!(client.ask(&command(&["AUTH", &new])), "+OK");
     assert_eq!(client.ask(&quote(OWN, "k4", "")), "value of k4");
     // A broken file keeps what was there.
-    reload(&site, "[[identity.issuer.key]]\nname = \"two\"\npublic = \"12\"\n");
+    reload(
+        &site,
+        "[[identity.issuer.key]]\nname = \"two\"\npublic = \"12\"\n",
+    );
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(client.ask(&quote(OWN, "k5", "")), "value of k5");
     site.ingress.signal("TERM");
@@ -221,7 +315,18 @@
     }
     // Twenty at once and two a second: how many came to be checked depends on the time that this took.
     assert_eq!(codes.len(), 2, "{codes:?}");
-    assert!(codes["-DENIED I105"] >= 20 && codes["-DENIED I111"] >= 40, "{codes:?}");
-    assert_eq!(known.ask(&quote(OWN, "f1", "")), "value of f1", "its connection has proved enough");
-    assert_eq!(site.client().ask(&quote(OWN, "f2", &good)), "value of f2", "its token was checked before");
+    assert!(
+        codes["-DENIED I105"] >= 20 && codes["-DENIED I111"] >= 40,
+        "{codes:?}"
+    );
+    assert_eq!(
+        known.ask(&quote(OWN, "f1", "")),
+        "value of f1",
+        "its connection has proved enough"
+    );
+    assert_eq!(
+        site.client().ask(&quote(OWN, "f2", &good)),
+        "value of f2",
+        "its token was checked before"
+    );
 }
--- a/crates/ingress/tests/long.rs
+++ b/crates/ingress/tests/long.rs
@@ -20,13 +20,20 @@
 }
 
 fn long(args: &[String], length: usize) -> Vec<u8> {
-    format!("*3\r\n${length}\r\n{}\r\n$-1\r\n$9\r\nutil=0.25\r\n", value(&args[2], length)).into_bytes()
+    format!(
+        "*3\r\n${length}\r\n{}\r\n$-1\r\n$9\r\nutil=0.25\r\n",
+        value(&args[2], length)
+    )
+    .into_bytes()
 }
 
 /// The most memory that a process has had resident, in KiB.
 fn peak(ingress: &Ingress) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", ingress.child.id())).unwrap();
-    let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
+    let line = status
+        .lines()
+        .find_map(|l| l.strip_prefix("VmHWM:"))
+        .unwrap();
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
@@ -58,10 +65,15 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&call("refer", &format!("r{n}"), 7000));
         // One after the other begins, and nobody reads: those that have begun keep no place from the next.
-        until("it has begun", || client.0.peek(&mut [0]).is_ok_and(|n| n > 0));
+        until("it has begun", || {
+            client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
+        });
     }
     for (n, client) in clients.iter_mut().enumerate() {
-        assert!(client.answer() == value(&format!("r{n}"), LONGEST), "r{n} is not what its backend gave");
+        assert!(
+            client.answer() == value(&format!("r{n}"), LONGEST),
+            "r{n} is not what its backend gave"
+        );
     }
     let peak = peak(&ingress);
     assert!(peak < 24 * 1024, "{peak} KiB resident");
@@ -79,12 +91,21 @@
     let ingress = setup(&[&backend]).start();
     let (mut slow, mut line) = (ingress.client(), ingress.client());
     slow.send(&call("refer", "l0", 2000));
-    until("it has begun", || slow.0.peek(&mut [0]).is_ok_and(|n| n > 0));
-    line.send(&["s1", "l2", "q3", "l4", "q5"].map(|id| call("refer", id, 2500)).concat());
+    until("it has begun", || {
+        slow.0.peek(&mut [0]).is_ok_and(|n| n > 0)
+    });
+    line.send(
+        &["s1", "l2", "q3", "l4", "q5"]
+            .map(|id| call("refer", id, 2500))
+            .concat(),
+    );
     // Five at once are more than one backend has places for: whoever asks while one waits may be refused by lot.
     until("all are with the backend", || backend.count() == 6);
     for n in 0..20 {
-        assert_eq!(ingress.client().ask(&call("refer", &format!("q1{n}"), 900)), format!("value of q1{n}"));
+        assert_eq!(
+            ingress.client().ask(&call("refer", &format!("q1{n}"), 900)),
+            format!("value of q1{n}")
+        );
     }
     assert_eq!(line.answer(), "value of s1");
     assert!(line.answer() == value("l2", 1 << 20));
@@ -101,7 +122,11 @@
 fn once_begun_only_a_standstill_ends_it() {
     let backend = Backend::start(|args| {
         let bytes = long(args, 300_000);
-        Act::Parts(if args[2] == "q1" { 100_000 } else { 20 }, Duration::from_millis(1400), bytes)
+        Act::Parts(
+            if args[2] == "q1" { 100_000 } else { 20 },
+            Duration::from_millis(1400),
+            bytes,
+        )
     });
     let other = Backend::start(|args| Act::Say(long(args, 300_000)));
     let ingress = setup(&[&backend]).start();
@@ -143,12 +168,17 @@
         client.send(&call("quote", &name, 5000));
         until("the backend has it", || backend.count() == before + 1);
         if at > 1 {
-            until("it has begun", || client.0.peek(&mut [0]).is_ok_and(|n| n > 0));
+            until("it has begun", || {
+                client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
+            });
             backend.seen.hang_up.store(true, Ordering::SeqCst);
         }
         let (had, ended) = read_some(&mut client.0, LONGEST);
         backend.seen.hang_up.store(false, Ordering::SeqCst);
-        assert!(ended && had < "$200000\r\n".len() + 200_002, "cut at {at}: {had} bytes, ended: {ended}");
+        assert!(
+            ended && had < "$200000\r\n".len() + 200_002,
+            "cut at {at}: {had} bytes, ended: {ended}"
+        );
         assert_eq!(backend.count(), before + 1, "it was sent again");
     }
     // What comes behind a whole one spoils nothing but its connection.
@@ -157,13 +187,20 @@
     // Beyond the bound nothing is passed on.
     let huge = Backend::start(|args| Act::Say(long(args, LONGEST + 1)));
     let ingress = setup(&[&huge]).start();
-    assert_eq!(ingress.client().ask(&call("refer", "r1", 2000)), "-ERR failed");
+    assert_eq!(
+        ingress.client().ask(&call("refer", "r1", 2000)),
+        "-ERR failed"
+    );
 }
 
 /// A backend whose answers to `l…` stop in the middle, until it hangs up, and to `w…` pause there.
 fn breaking() -> Backend {
     Backend::start(|args| match &args[2][..1] {
-        "l" => Act::Parts(150_000, Duration::ZERO, long(args, 200_000)[..150_000].to_vec()),
+        "l" => Act::Parts(
+            150_000,
+            Duration::ZERO,
+            long(args, 200_000)[..150_000].to_vec(),
+        ),
         "w" => Act::Parts(100_000, Duration::from_millis(300), long(args, 200_000)),
         _ => serve(args),
     })
@@ -175,18 +212,32 @@
     let backend = breaking();
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
-    client.send(&["q1", "l2", "q3"].map(|id| call("refer", id, 5000)).concat());
+    client.send(
+        &["q1", "l2", "q3"]
+            .map(|id| call("refer", id, 5000))
+            .concat(),
+    );
     until("all are with the backend", || backend.count() == 3);
     backend.seen.hang_up.store(true, Ordering::SeqCst);
-    assert_eq!(["q1", "l2", "q3"].map(|_| client.answer()), ["value of q1", "-ERR failed", "value of q3"]);
+    assert_eq!(
+        ["q1", "l2", "q3"].map(|_| client.answer()),
+        ["value of q1", "-ERR failed", "value of q3"]
+    );
     backend.seen.hang_up.store(false, Ordering::SeqCst);
     // A sound one among others comes whole, and one that would be late has failed in time.
-    client.send(&["q4", "w5", "q6"].map(|id| call("refer", id, 5000)).concat());
+    client.send(
+        &["q4", "w5", "q6"]
+            .map(|id| call("refer", id, 5000))
+            .concat(),
+    );
     assert_eq!(client.answer(), "value of q4");
     assert!(client.answer() == value("w5", 200_000));
     assert_eq!(client.answer(), "value of q6");
     client.send(&["q7", "l8", "q9"].map(|id| call("refer", id, 900)).concat());
-    assert_eq!(["q7", "l8", "q9"].map(|_| client.answer()), ["value of q7", "-ERR failed", "value of q9"]);
+    assert_eq!(
+        ["q7", "l8", "q9"].map(|_| client.answer()),
+        ["value of q7", "-ERR failed", "value of q9"]
+    );
 }
 
 /// Guards against a request that is read behind an answer which passes on as it comes: if that breaks, its connection ends, and
@@ -224,9 +275,13 @@
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
     client.send(&call("refer", "l1", 2000));
-    until("it has begun", || client.0.peek(&mut [0]).is_ok_and(|n| n > 0));
+    until("it has begun", || {
+        client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
+    });
     drop(client);
-    until("the backend's connection ends", || backend.seen.ended.load(Ordering::SeqCst) == 1);
+    until("the backend's connection ends", || {
+        backend.seen.ended.load(Ordering::SeqCst) == 1
+    });
     let mut client = ingress.client();
     client.send(&call("refer", "still", 2000));
     let (had, ended) = read_some(&mut client.0, LONGEST);
@@ -243,9 +298,14 @@
     });
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
-    for at in [1, 3, 5, 11, 12, 13, 14, 70_000, 500_010, 500_012, 500_013, 500_014, 500_020, 500_030] {
+    for at in [
+        1, 3, 5, 11, 12, 13, 14, 70_000, 500_010, 500_012, 500_013, 500_014, 500_020, 500_030,
+    ] {
         let id = format!("p{at}");
-        assert!(client.ask(&call("refer", &id, 3000)) == value(&id, 500_000), "cut at {at}");
+        assert!(
+            client.ask(&call("refer", &id, 3000)) == value(&id, 500_000),
+            "cut at {at}"
+        );
     }
 }
 
@@ -289,9 +349,15 @@
         })
         .collect();
     for (n, client) in clients.into_iter().enumerate() {
-        assert_eq!(client.join().unwrap(), [format!("value of b{n}"), format!("value of s{n}")]);
+        assert_eq!(
+            client.join().unwrap(),
+            [format!("value of b{n}"), format!("value of s{n}")]
+        );
         let id = format!("b{n}");
-        assert!(body_at(&backend, &id) == Some(value(&id, LONGEST - n)), "{id} came otherwise");
+        assert!(
+            body_at(&backend, &id) == Some(value(&id, LONGEST - n)),
+            "{id} came otherwise"
+        );
     }
     let peak = peak(&ingress);
     assert!(peak < 24 * 1024, "{peak} KiB resident");
@@ -309,8 +375,11 @@
     let good = Backend::start(serve);
     let ingress = setup(&[&bad, &good]).start();
     let mut client = ingress.client();
-    for (n, length) in
-        [65_535, 65_536, 65_537, 66_000, 70_000, 73_728, 73_729, 200_000, LONGEST].into_iter().enumerate()
+    for (n, length) in [
+        65_535, 65_536, 65_537, 66_000, 70_000, 73_728, 73_729, 200_000, LONGEST,
+    ]
+    .into_iter()
+    .enumerate()
     {
         let id = format!("v{n}");
         assert_eq!(
@@ -319,7 +388,10 @@
             "{length} bytes"
         );
         let had = body_at(&good, &id).or_else(|| body_at(&bad, &id));
-        assert!(had == Some(value(&id, length)), "{length} bytes came otherwise");
+        assert!(
+            had == Some(value(&id, length)),
+            "{length} bytes came otherwise"
+        );
     }
     // Until one has been turned away, and so repeated, whichever backends were chosen above.
     for n in 0.. {
@@ -328,7 +400,10 @@
         }
         assert!(n < 200, "200 requests passed it by");
         let id = format!("w{n}");
-        assert_eq!(client.ask(&post("save", &id, &value(&id, 70_000))), format!("value of {id}"));
+        assert_eq!(
+            client.ask(&post("save", &id, &value(&id, 70_000))),
+            format!("value of {id}")
+        );
     }
 }
 
@@ -360,7 +435,13 @@
     assert_eq!(backend.count(), 1);
     // What is turned down is read to its end, and what comes behind it is served.
     let mut client = ingress.client();
-    client.send(&[post("nothing", "x2", &value("x2", 100_000)), call("refer", "r2", 900)].concat());
+    client.send(
+        &[
+            post("nothing", "x2", &value("x2", 100_000)),
+            call("refer", "r2", 900),
+        ]
+        .concat(),
+    );
     assert!(client.answer().contains("the class is unknown"));
     assert_eq!(client.answer(), "value of r2");
 }
--- a/crates/ingress/tests/management.rs
+++ b/crates/ingress/tests/management.rs
@@ -17,7 +17,8 @@
 }
 
 fn ended(at: SocketAddr, class: &str) -> [u64; 3] {
-    ["fulfilled", "throttled", "faulted"].map(|end| figure(at, &format!("ingress.operations.{class}.{end}")))
+    ["fulfilled", "throttled", "faulted"]
+        .map(|end| figure(at, &format!("ingress.operations.{class}.{end}")))
 }
 
 // ---- Figures ----
@@ -41,12 +42,28 @@
     let mut saw = [[0; 3]; 3]; // by class: served, refused, failed
     for n in 0..40 {
         // A burst of 7 lets some of one customer's through; the others have a customer each.
-        let (class, kind) = [("quote", "a"), ("save", "b"), ("refer", "f"), ("quote", "q")][n % 4];
+        let (class, kind) = [
+            ("quote", "a"),
+            ("save", "b"),
+            ("refer", "f"),
+            ("quote", "q"),
+        ][n % 4];
         let id = format!("{kind}{n}");
-        let asked = if kind == "q" { call_of(99, class, &id, 900) } else { call(class, &id, 900) };
+        let asked = if kind == "q" {
+            call_of(99, class, &id, 900)
+        } else {
+            call(class, &id, 900)
+        };
         let answer = client.ask(&asked);
-        let end = if answer.starts_with("value") { 0 } else { 1 + usize::from(!answer.starts_with("-BUSY")) };
-        saw[["quote", "save", "refer"].iter().position(|c| *c == class).unwrap()][end] += 1;
+        let end = if answer.starts_with("value") {
+            0
+        } else {
+            1 + usize::from(!answer.starts_with("-BUSY"))
+        };
+        saw[["quote", "save", "refer"]
+            .iter()
+            .position(|c| *c == class)
+            .unwrap()][end] += 1;
     }
     // An id that is not new is answered here, and counts as failed.
     assert!(client.ask(&call("save", "b37", 900)).starts_with("-ERR"));
@@ -55,14 +72,22 @@
     let had = [ended(at, "quote"), ended(at, "save"), ended(at, "refer")];
     assert_eq!(had, saw);
     assert_eq!(figure(at, "ingress.relayed"), backend.count() as u64);
-    assert_eq!((figure(at, "ingress.registry_entries"), figure(at, "ingress.open_requests")), (1, 0));
+    assert_eq!(
+        (
+            figure(at, "ingress.registry_entries"),
+            figure(at, "ingress.open_requests")
+        ),
+        (1, 0)
+    );
     for n in 0..5 {
         client.send(&call("refer", &format!("h{n}"), 2900));
     }
     // Some wait for a place, which is open as well.
     until("all are open", || figure(at, "ingress.open_requests") == 5);
     // Open here is not yet heard there: the backend reads in its own time.
-    until("one is with the backend", || held.load(Ordering::SeqCst) > 0);
+    until("one is with the backend", || {
+        held.load(Ordering::SeqCst) > 0
+    });
     (0..5).for_each(|n| assert_eq!(client.answer(), format!("value of h{n}")));
     assert_eq!(figure(at, "ingress.open_requests"), 0);
 }
@@ -70,11 +95,20 @@
 /// Guards against a backend that counts as used while nothing is sent to it.
 #[test]
 fn what_drains_is_listed_and_out_of_rotation() {
-    let (one, two, discovery) = (Backend::start(serve), Backend::start(serve), Discovery::start());
+    let (one, two, discovery) = (
+        Backend::start(serve),
+        Backend::start(serve),
+        Discovery::start(),
+    );
     let (mut setup, at) = setup(&[&one, &two]);
     setup.discovery = Some(discovery.at);
     let _ingress = setup.start();
-    let rotation = || (figure(at, "ingress.registry_entries"), figure(at, "ingress.out_of_rotation"));
+    let rotation = || {
+        (
+            figure(at, "ingress.registry_entries"),
+            figure(at, "ingress.out_of_rotation"),
+        )
+    };
     until("the list holds", || rotation() == (2, 0));
     discovery.tell(two.entry("s-1", "draining"));
     assert_eq!(rotation(), (2, 1));
@@ -91,8 +125,13 @@
     let mut ingress = setup.start();
     assert_eq!(ask(at, "readyz\n"), "+OK ready\r\n");
     assert_eq!(ask(at, "readyz\r\nand more\n"), "+OK ready\r\n");
-    for bad in ["\n", "ready\n", "*1\r\n$4\r\nPING\r\n", &format!("{}\n", "x".repeat(300)), &"y".repeat(4000)]
-    {
+    for bad in [
+        "\n",
+        "ready\n",
+        "*1\r\n$4\r\nPING\r\n",
+        &format!("{}\n", "x".repeat(300)),
+        &"y".repeat(4000),
+    ] {
         assert!(ask(at, bad).starts_with("-ERR "), "{bad}");
     }
     // In pieces.
@@ -107,7 +146,9 @@
     // Told to stop, it is ready no more; while it still answers.
     let mut client = ingress.client();
     ingress.signal("TERM");
-    until("it says that it stops", || ask(at, "readyz\n").starts_with("-ERR stopping"));
+    until("it says that it stops", || {
+        ask(at, "readyz\n").starts_with("-ERR stopping")
+    });
     assert_eq!(client.ask(&call("quote", "q1", 900)), "value of q1");
     drop(client);
     assert_eq!(ingress.exit().code(), Some(0));
@@ -130,7 +171,10 @@
         if n % 10 == 9 {
             assert_eq!(ask(at, "readyz\n"), "+OK ready\r\n");
             assert!(ask(at, "telemetry\n").ends_with(".\n"));
-            assert_eq!(ingress.client().ask(&call("quote", &format!("q{n}"), 900)), format!("value of q{n}"));
+            assert_eq!(
+                ingress.client().ask(&call("quote", &format!("q{n}"), 900)),
+                format!("value of q{n}")
+            );
         }
     }
     // And with no descriptor left for clients.
@@ -167,8 +211,14 @@
 /// What a platform's retuning does: quote goes, report comes and is unsafe, save is safe to repeat now, one attempt is left.
 fn retuned(settings: &str) -> String {
     settings
-        .replace(r#""name":"quote","effect":"repeatable""#, r#""name":"report","effect":"once""#)
-        .replace(r#""name":"save","effect":"by_key""#, r#""name":"save","effect":"repeatable""#)
+        .replace(
+            r#""name":"quote","effect":"repeatable""#,
+            r#""name":"report","effect":"once""#,
+        )
+        .replace(
+            r#""name":"save","effect":"by_key""#,
+            r#""name":"save","effect":"repeatable""#,
+        )
         .replace(r#""most_tries":3"#, r#""most_tries":1"#)
 }
 
@@ -194,10 +244,14 @@
     setup.settings = retuned(&setup.settings);
     ingress.configure(&setup.config(ingress.at));
     ingress.signal("HUP");
-    until("the file is taken", || figure(at, "ingress.cfg_accepted") == 1);
+    until("the file is taken", || {
+        figure(at, "ingress.cfg_accepted") == 1
+    });
     // Open, it is still repeatable and may have three attempts.
     assert_eq!(client.answer(), "value of h1");
-    assert!(client.ask(&call("quote", "q2", 900)).starts_with("-ERR the class is unknown"));
+    assert!(client
+        .ask(&call("quote", "q2", 900))
+        .starts_with("-ERR the class is unknown"));
     let post = |class: &str, id: &str| {
         let options = format!("c={class},t=starter,d=900,units=1,spread=1,first=0");
         command(&["CALL.POST", "00000000000004d3", id, &options, "BODY"])
@@ -208,8 +262,15 @@
     };
     assert_eq!(client.ask(&post("report", "r1")), "value of r1");
     assert_eq!(client.ask(&get("save", "s1")), "value of s1");
-    assert!(client.ask(&post("save", "s2")).starts_with("-ERR"), "it is safe to repeat now");
-    assert_eq!((ended(at, "quote"), ended(at, "report")), ([2, 0, 0], [1, 0, 0]), "counts go with the name");
+    assert!(
+        client.ask(&post("save", "s2")).starts_with("-ERR"),
+        "it is safe to repeat now"
+    );
+    assert_eq!(
+        (ended(at, "quote"), ended(at, "report")),
+        ([2, 0, 0], [1, 0, 0]),
+        "counts go with the name"
+    );
     // One attempt: what fails is not sent again.
     held.store(0, Ordering::SeqCst);
     assert!(!client.ask(&get("save", "h2")).starts_with("value"));
@@ -229,18 +290,58 @@
     setup.discovery = Some(trap.at); // what would be taken of a broken file
     let told = setup.config(ingress.at);
     let mut broken: Vec<(String, &str)> = [
-        (r#""give_up_us":1000000"#, r#""give_up_us":0"#, "grades.0.give_up_us"),
-        (r#""give_up_us":1000000"#, r#""give_up_us":-5"#, "grades.0.give_up_us"),
-        (r#""give_up_us":1000000"#, r#""give_up_us":"soon""#, "grades.0.give_up_us"),
-        (r#""give_up_us":1000000"#, r#""give_up_us":1e300"#, "grades.0.give_up_us"),
-        (r#""give_up_us":1000000"#, r#""give_up_us":null"#, "grades.0.give_up_us"),
+        (
+            r#""give_up_us":1000000"#,
+            r#""give_up_us":0"#,
+            "grades.0.give_up_us",
+        ),
+        (
+            r#""give_up_us":1000000"#,
+            r#""give_up_us":-5"#,
+            "grades.0.give_up_us",
+        ),
+        (
+            r#""give_up_us":1000000"#,
+            r#""give_up_us":"soon""#,
+            "grades.0.give_up_us",
+        ),
+        (
+            r#""give_up_us":1000000"#,
+            r#""give_up_us":1e300"#,
+            "grades.0.give_up_us",
+        ),
+        (
+            r#""give_up_us":1000000"#,
+            r#""give_up_us":null"#,
+            "grades.0.give_up_us",
+        ),
         (r#""give_up_us":1000000,"#, "", "grades.0.give_up_us"),
-        (r#""most_tries":3"#, r#""most_tries":0"#, "limits.most_tries"),
-        (r#""most_tries":3"#, r#""most_tries":-1"#, "limits.most_tries"),
-        (r#""most_tries":3"#, r#""most_tries":2.5"#, "limits.most_tries"),
-        (r#""most_tries":3"#, r#""most_tries":4294967295"#, "limits.most_tries"),
+        (
+            r#""most_tries":3"#,
+            r#""most_tries":0"#,
+            "limits.most_tries",
+        ),
+        (
+            r#""most_tries":3"#,
+            r#""most_tries":-1"#,
+            "limits.most_tries",
+        ),
+        (
+            r#""most_tries":3"#,
+            r#""most_tries":2.5"#,
+            "limits.most_tries",
+        ),
+        (
+            r#""most_tries":3"#,
+            r#""most_tries":4294967295"#,
+            "limits.most_tries",
+        ),
         (r#""most_tries":3,"#, "", "limits.most_tries"),
-        (r#""effect":"once""#, r#""effect":"sometimes""#, "grades.2.effect"),
+        (
+            r#""effect":"once""#,
+            r#""effect":"sometimes""#,
+            "grades.2.effect",
+        ),
         (r#""name":"save""#, r#""name":"quote""#, "quote"),
         (r#""name":"quote","#, "", "grades.0.name"),
         (r#""settings":"#, r#""setting":"#, "settings is missing"),
@@ -260,19 +361,29 @@
         assert_ne!(*file, told, "file {n} is not broken");
         ingress.configure(file);
         ingress.signal("HUP");
-        until("the file has its verdict", || figure(at, "ingress.cfg_invalid") == n as u64 + 1);
-        assert_eq!(client.ask(&call("quote", &format!("q{n}"), 900)), format!("value of q{n}"));
+        until("the file has its verdict", || {
+            figure(at, "ingress.cfg_invalid") == n as u64 + 1
+        });
+        assert_eq!(
+            client.ask(&call("quote", &format!("q{n}"), 900)),
+            format!("value of q{n}")
+        );
     }
     ingress.configure(&good);
     ingress.signal("HUP");
-    until("a good one is taken", || figure(at, "ingress.cfg_accepted") == 1);
+    until("a good one is taken", || {
+        figure(at, "ingress.cfg_accepted") == 1
+    });
     assert_eq!(figure(at, "ingress.cfg_invalid"), broken.len() as u64);
     assert_eq!((two.count(), trap.calls.load(Ordering::SeqCst)), (0, 0));
     ingress.signal("TERM");
     drop(client);
     assert_eq!(ingress.exit().code(), Some(0));
     let log = ingress.log();
-    let lines: Vec<&str> = log.lines().filter(|l| l.contains("reload: ") && l.contains("WARN")).collect();
+    let lines: Vec<&str> = log
+        .lines()
+        .filter(|l| l.contains("reload: ") && l.contains("WARN"))
+        .collect();
     assert_eq!(lines.len(), broken.len(), "a line for each: {log}");
     for ((_, why), line) in broken.iter().zip(lines) {
         assert!(line.contains(why), "{why} is not named: {line}");
@@ -289,8 +400,9 @@
         let mut client = ingress.client();
         move || {
             for burst in 0..40 {
-                let many: Vec<u8> =
-                    (0..100).flat_map(|n| call("quote", &format!("b{burst}-{n}"), 900)).collect();
+                let many: Vec<u8> = (0..100)
+                    .flat_map(|n| call("quote", &format!("b{burst}-{n}"), 900))
+                    .collect();
                 client.send(&many);
                 (0..100).for_each(|_| drop(client.answer()));
             }
@@ -305,5 +417,8 @@
     }
     flood.join().unwrap();
     let all: u64 = ended(at, "quote").iter().sum();
-    assert_eq!(all, 4000, "each has one end; the slowest call took {slowest:?}");
+    assert_eq!(
+        all, 4000,
+        "each has one end; the slowest call took {slowest:?}"
+    );
 }
--- a/crates/ingress/tests/pools.rs
+++ b/crates/ingress/tests/pools.rs
@@ -84,10 +84,20 @@
 
 fn files(name: &str, operator: &str) -> (tempfile::TempDir, PathBuf, PathBuf) {
     let folder = tempfile::tempdir().unwrap();
-    let (program, file) = (folder.path().join(name), folder.path().join("wrenfork.toml"));
-    std::fs::write(&file, format!("version = 1\nkind = \"ingress\"\n{operator}")).unwrap();
-    let script =
-        format!("#!/bin/sh\nexec '{}' --operator '{}'\n", env!("CARGO_BIN_EXE_wrenfork"), file.display());
+    let (program, file) = (
+        folder.path().join(name),
+        folder.path().join("wrenfork.toml"),
+    );
+    std::fs::write(
+        &file,
+        format!("version = 1\nkind = \"ingress\"\n{operator}"),
+    )
+    .unwrap();
+    let script = format!(
+        "#!/bin/sh\nexec '{}' --operator '{}'\n",
+        env!("CARGO_BIN_EXE_wrenfork"),
+        file.display()
+    );
     std::fs::write(&program, script).unwrap();
     std::fs::set_permissions(&program, std::fs::Permissions::from_mode(0o755)).unwrap();
     (folder, program, file)
@@ -96,11 +106,12 @@
 /// Plays the world with pools, routes and faults. `later` is written in place of the operator's file after so long.
 fn run(operator: &str, world: &str, faults: &str, later: Option<(Duration, &str)>) -> Report {
     let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
-    let scenario =
-        Scenario::parse("pools.toml", &format!("{world}{faults}")).unwrap_or_else(|e| panic!("{}", e[0]));
+    let scenario = Scenario::parse("pools.toml", &format!("{world}{faults}"))
+        .unwrap_or_else(|e| panic!("{}", e[0]));
     for _ in 0..TRIES {
         let (_folder, program, file) = files("ingress", operator);
-        let later = later.map(|(after, text)| (after, format!("version = 1\nkind = \"ingress\"\n{text}")));
+        let later =
+            later.map(|(after, text)| (after, format!("version = 1\nkind = \"ingress\"\n{text}")));
         let writer = later.map(|(after, text)| {
             thread::spawn(move || {
                 thread::sleep(after);
@@ -110,8 +121,15 @@
             })
         });
         let stop = AtomicBool::new(false);
-        let report = play(&scenario, Run { program: Path::new(&program), stop: &stop, watch: None })
-            .unwrap_or_else(|e| panic!("{e}"));
+        let report = play(
+            &scenario,
+            Run {
+                program: Path::new(&program),
+                stop: &stop,
+                watch: None,
+            },
+        )
+        .unwrap_or_else(|e| panic!("{e}"));
         writer.into_iter().for_each(|w| w.join().unwrap());
         if report.verdict != Verdict::Late {
             return report;
@@ -123,12 +141,23 @@
 /// No rule is broken, and there was something to break it with.
 fn held(report: &Report) {
     let found: Vec<_> = report.violations.iter().take(10).collect();
-    assert_eq!(report.verdict, Verdict::Held, "{found:?} {:?} {:?}", report.crashes, report.ingress_logs);
+    assert_eq!(
+        report.verdict,
+        Verdict::Held,
+        "{found:?} {:?} {:?}",
+        report.crashes,
+        report.ingress_logs
+    );
     assert!(report.served > 200, "only {} were served", report.served);
 }
 
 fn share(report: &Report, class: &str) -> f64 {
-    report.classes.iter().find(|c| c.name == class).unwrap().share
+    report
+        .classes
+        .iter()
+        .find(|c| c.name == class)
+        .unwrap()
+        .share
 }
 
 fn pools(fallback: &str) -> String {
@@ -153,7 +182,12 @@
         run(&pools(""), WORLD, lost, None),
     );
     [&warm, &cold, &without].into_iter().for_each(held);
-    assert!(warm.goodput > without.goodput, "{:?}\n{:?}", warm.classes, without.classes);
+    assert!(
+        warm.goodput > without.goodput,
+        "{:?}\n{:?}",
+        warm.classes,
+        without.classes
+    );
     for with in [&warm, &cold] {
         assert!(share(with, "referral") > 0.8, "{:?}", with.classes);
     }
@@ -163,11 +197,19 @@
 /// drains whole in one second and one that comes and goes each second.
 #[test]
 fn what_may_have_run_stays_in_its_pool_and_pools_that_drain_or_flap_break_no_rule() {
-    let routes =
-        pools(FALLBACK).replace("class = \"referral\"\npool = \"b\"", "class = \"referral\"\npool = \"a\"");
+    let routes = pools(FALLBACK).replace(
+        "class = \"referral\"\npool = \"b\"",
+        "class = \"referral\"\npool = \"a\"",
+    );
     let mut faults =
-        "[[at]]\nat = \"500ms\"\nwhat = \"reset\"\nbackend = [0, 1]\nfor = \"1500ms\"\n".to_string();
-    for (at, what) in [(2_500, "drain"), (4_000, "up"), (5_000, "drain"), (6_000, "up")] {
+        "[[at]]\nat = \"500ms\"\nwhat = \"reset\"\nbackend = [0, 1]\nfor = \"1500ms\"\n"
+            .to_string();
+    for (at, what) in [
+        (2_500, "drain"),
+        (4_000, "up"),
+        (5_000, "drain"),
+        (6_000, "up"),
+    ] {
         faults += &format!("[[at]]\nat = \"{at}ms\"\nwhat = \"{what}\"\nbackend = [0, 1, 2, 3]\n");
     }
     let report = run(&routes, WORLD, &faults, None);
@@ -180,15 +222,20 @@
 #[test]
 fn a_silent_trial_and_a_route_that_goes_under_load_break_no_rule() {
     let trial = "trial = \"t\"\nshare = 0.2\n";
-    let routes = pools(FALLBACK)
-        .replace("class = \"quote\"\npool = \"a\"\n", &format!("class = \"quote\"\npool = \"a\"\n{trial}"))
-        + "[[pool]]\nname = \"t\"\nnodes = [\"s-0007\"]\n";
+    let routes = pools(FALLBACK).replace(
+        "class = \"quote\"\npool = \"a\"\n",
+        &format!("class = \"quote\"\npool = \"a\"\n{trial}"),
+    ) + "[[pool]]\nname = \"t\"\nnodes = [\"s-0007\"]\n";
     let faults = "[[at]]\nat = \"1s\"\nwhat = \"hang\"\nbackend = 7\nfor = \"2s\"\n\
                   [[at]]\nat = \"4s\"\nwhat = \"move-discovery\"\ningress = [0, 1, 2]\n";
     let all = "[[pool]]\nname = \"c\"\nhalls = [\"hall-b\"]\n[[route]]\nclass = \"referral\"\npool = \"c\"\n";
     let report = run(&routes, WORLD, faults, Some((Duration::from_secs(3), all)));
     held(&report);
     assert!(report.goodput > 0.6, "{:?}", report.classes);
-    let taken = report.ingress_logs.iter().filter(|l| l.contains("enforcing the new files")).count();
+    let taken = report
+        .ingress_logs
+        .iter()
+        .filter(|l| l.contains("enforcing the new files"))
+        .count();
     assert_eq!(taken, 3, "{:?}", report.ingress_logs);
 }
