--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -13,10 +13,17 @@
 fn start(setup: &Setup, places: &[SocketAddr]) -> (Vec<Ingress>, Vec<Duration>) {
     let started = Instant::now();
     let program = format!("exec '{}'", setup.program);
-    let all: Vec<Ingress> = places.iter().map(|at| Ingress::run(&setup.config(*at), *at, &program)).collect();
+    let all: Vec<Ingress> = places
+        .iter()
+        .map(|at| Ingress::run(&setup.config(*at), *at, &program))
+        .collect();
     let mut ready: Vec<Option<Duration>> = vec![None; all.len()];
     until("all are ready", || {
-        for (at, ready) in places.iter().zip(&mut ready).filter(|(_, ready)| ready.is_none()) {
+        for (at, ready) in places
+            .iter()
+            .zip(&mut ready)
+            .filter(|(_, ready)| ready.is_none())
+        {
             let pong = std::net::TcpStream::connect(at)
                 .is_ok_and(|stream| Client(stream).ask(&command(&["PING"])) == "+PONG");
             *ready = pong.then(|| started.elapsed());
@@ -34,8 +41,10 @@
 fn nine_in_ten_of_a_hundred_that_restart_at_once_are_ready_in_time() {
     let (backend, discovery) = (Backend::start(serve), Discovery::start());
     discovery.overbooked(true);
-    let setup =
-        Setup { discovery: Some(discovery.at), ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]) };
+    let setup = Setup {
+        discovery: Some(discovery.at),
+        ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend])
+    };
     let places: Vec<SocketAddr> = (0..PROCESSES).map(|_| place()).collect();
     let (mut first, _) = start(&setup, &places);
     for (n, ingress) in first.iter_mut().enumerate() {
@@ -54,6 +63,9 @@
     println!("{PROCESSES} restarted: half ready in {median:.2?}, nine in ten in {ninth:.2?} of {READY:.0?}");
     assert!(ninth < READY, "nine in ten are ready only after {ninth:?}");
     for (n, ingress) in again.iter().enumerate().step_by(10) {
-        assert_eq!(ingress.client().ask(&call("refer", &format!("r{n}"), 3000)), format!("value of r{n}"));
+        assert_eq!(
+            ingress.client().ask(&call("refer", &format!("r{n}"), 3000)),
+            format!("value of r{n}")
+        );
     }
 }
--- a/crates/ingress/tests/scenarios.rs
+++ b/crates/ingress/tests/scenarios.rs
@@ -13,7 +13,10 @@
 #[test]
 fn every_rule_holds_in_every_scenario() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fleet/scenarios");
-    let mut files: Vec<PathBuf> = std::fs::read_dir(folder).unwrap().map(|e| e.unwrap().path()).collect();
+    let mut files: Vec<PathBuf> = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|e| e.unwrap().path())
+        .collect();
     // The demonstration is played by the tests of `wrenctl`.
     files.retain(|f| !f.ends_with("demo.toml"));
     files.sort();
@@ -24,18 +27,42 @@
         let scenario = Scenario::read(&file).unwrap_or_else(|found| panic!("{}", found[0]));
         let played = (0..TRIES).map(|_| {
             let stop = AtomicBool::new(false);
-            play(&scenario, Run { program, stop: &stop, watch: None }).unwrap_or_else(|e| panic!("{e}"))
+            play(
+                &scenario,
+                Run {
+                    program,
+                    stop: &stop,
+                    watch: None,
+                },
+            )
+            .unwrap_or_else(|e| panic!("{e}"))
         });
         let report = played.into_iter().find(|r| r.verdict != Verdict::Late);
         let Some(report) = report else {
-            wrong.push(format!("{}: the machine is too busy for the rig", scenario.name));
+            wrong.push(format!(
+                "{}: the machine is too busy for the rig",
+                scenario.name
+            ));
             continue;
         };
-        println!("{}: {:?}, goodput {:.3}", scenario.name, report.verdict, report.goodput);
+        println!(
+            "{}: {:?}, goodput {:.3}",
+            scenario.name, report.verdict, report.goodput
+        );
         // What the judge found counts, and that there was something to judge.
         if report.verdict != Verdict::Held || report.served < 50 {
-            let found: Vec<String> = report.violations.iter().take(10).map(|v| format!("{v:?}")).collect();
-            wrong.push(format!("{}: {} {:?}", scenario.name, found.join("\n  "), report.crashes));
+            let found: Vec<String> = report
+                .violations
+                .iter()
+                .take(10)
+                .map(|v| format!("{v:?}"))
+                .collect();
+            wrong.push(format!(
+                "{}: {} {:?}",
+                scenario.name,
+                found.join("\n  "),
+                report.crashes
+            ));
         }
     }
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
@@ -46,19 +73,51 @@
 #[test]
 fn a_group_cut_apart_turns_requests_away_and_serves_again() {
     let calm = include_str!("../../fleet/scenarios/calm.toml");
-    let grouped = calm.replacen("count = 3\n", "count = 3\n\n[group]\nlease = \"600ms\"\n", 1);
+    let grouped = calm.replacen(
+        "count = 3\n",
+        "count = 3\n\n[group]\nlease = \"600ms\"\n",
+        1,
+    );
     let fault = "\n[[at]]\nat = \"500ms\"\nwhat = \"link\"\nfrom = [0, 1, 2]\nto = [0, 1, 2]\nfault = \"dropped\"\nfor = \"2s\"\n";
     let program = Path::new(env!("CARGO_BIN_EXE_wrenfork"));
     let [whole, cut] = [grouped.clone(), grouped + fault].map(|text| {
-        let scenario = Scenario::parse("group.toml", &text).unwrap_or_else(|found| panic!("{}", found[0]));
+        let scenario =
+            Scenario::parse("group.toml", &text).unwrap_or_else(|found| panic!("{}", found[0]));
         let played = (0..TRIES).map(|_| {
             let stop = AtomicBool::new(false);
-            play(&scenario, Run { program, stop: &stop, watch: None }).unwrap_or_else(|e| panic!("{e}"))
+            play(
+                &scenario,
+                Run {
+                    program,
+                    stop: &stop,
+                    watch: None,
+                },
+            )
+            .unwrap_or_else(|e| panic!("{e}"))
         });
-        let report = played.into_iter().find(|r| r.verdict != Verdict::Late).expect("a run in time");
-        assert_eq!(report.verdict, Verdict::Held, "{:?} {:?}", report.violations, report.crashes);
+        let report = played
+            .into_iter()
+            .find(|r| r.verdict != Verdict::Late)
+            .expect("a run in time");
+        assert_eq!(
+            report.verdict,
+            Verdict::Held,
+            "{:?} {:?}",
+            report.violations,
+            report.crashes
+        );
         report
     });
-    assert!(cut.refused > whole.refused + 20, "{} and {} refused", whole.refused, cut.refused);
-    assert!(cut.served > 150, "{} served, {} refused", cut.served, cut.refused);
+    assert!(
+        cut.refused > whole.refused + 20,
+        "{} and {} refused",
+        whole.refused,
+        cut.refused
+    );
+    assert!(
+        cut.served > 150,
+        "{} served, {} refused",
+        cut.served,
+        cut.refused
+    );
 }
--- a/crates/ingress/tests/sidecar.rs
+++ b/crates/ingress/tests/sidecar.rs
@@ -7,7 +7,12 @@
 use wrenfork_fleet::small::*;
 
 fn good(name: &str) -> String {
-    fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../config/tests/good").join(name)).unwrap()
+    fs::read_to_string(
+        Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join("../config/tests/good")
+            .join(name),
+    )
+    .unwrap()
 }
 
 /// An application's folder, with its site and the nodes that there are.
@@ -18,8 +23,11 @@
         let folder = Folder(tempfile::tempdir().unwrap());
         folder.write("site.toml", &good("site.toml"));
         folder.write("app.toml", app);
-        let nodes: Vec<String> =
-            backends.iter().enumerate().map(|(n, b)| b.entry(&format!("s-000{n}"), "up")).collect();
+        let nodes: Vec<String> = backends
+            .iter()
+            .enumerate()
+            .map(|(n, b)| b.entry(&format!("s-000{n}"), "up"))
+            .collect();
         folder.write("fleet.json", &list(1, true, &nodes));
         folder
     }
@@ -63,9 +71,16 @@
     let ingress = folder.start(at, "");
     let mut client = ingress.client();
     let claim = "c=quote,t=enterprise,d=900,units=1,spread=40,first=7,new=x";
-    assert_eq!(client.ask(&command(&["CALL.GET", "00000000000004d3", "q1", claim])), "value of q1");
+    assert_eq!(
+        client.ask(&command(&["CALL.GET", "00000000000004d3", "q1", claim])),
+        "value of q1"
+    );
     let seen = backend.seen.commands.lock().unwrap().clone();
-    assert!(seen[0][3].ends_with(",units=1,new=x,t=starter,spread=1,first=0"), "{}", seen[0][3]);
+    assert!(
+        seen[0][3].ends_with(",units=1,new=x,t=starter,spread=1,first=0"),
+        "{}",
+        seen[0][3]
+    );
 }
 
 /// The starter plan lets 7 through at once, whatever plan is claimed.
@@ -77,13 +92,21 @@
     let mut client = ingress.client();
     let ask = |client: &mut Client, n: usize| {
         let claim = "c=quote,t=business,d=900,units=1,spread=1,first=0";
-        client.ask(&command(&["CALL.GET", "00000000000004d3", &format!("q{n}"), claim]))
+        client.ask(&command(&[
+            "CALL.GET",
+            "00000000000004d3",
+            &format!("q{n}"),
+            claim,
+        ]))
     };
     let answers: Vec<String> = (0..20).map(|n| ask(&mut client, n)).collect();
     let served = answers.iter().filter(|a| a.starts_with("value")).count();
     // Some more where the machine stands still; the plan that was claimed would have let 16 through at once.
     assert!((7..14).contains(&served), "{served} of 20: {answers:?}");
-    assert!(answers.last().is_some_and(|a| a.starts_with("-BUSY")), "{answers:?}");
+    assert!(
+        answers.last().is_some_and(|a| a.starts_with("-BUSY")),
+        "{answers:?}"
+    );
 }
 
 #[test]
@@ -95,23 +118,43 @@
     let ask = |client: &mut Client, verb: &str, account: &str, class: &str| {
         let options = format!("c={class},t=starter,d=900,units=1,spread=1,first=0");
         let parts = [verb, account, "r1", &options, "BODY"];
-        client.ask(&command(if verb == "CALL.GET" { &parts[..4] } else { &parts }))
+        client.ask(&command(if verb == "CALL.GET" {
+            &parts[..4]
+        } else {
+            &parts
+        }))
     };
     let other = ask(&mut client, "CALL.GET", "0000000000000001", "quote");
     assert!(other.contains("not this application's"), "{other}");
-    let class = ask(&mut client, "CALL.POST", "00000000000004d2", "lender-referral");
+    let class = ask(
+        &mut client,
+        "CALL.POST",
+        "00000000000004d2",
+        "lender-referral",
+    );
     assert!(class.contains("may not send"), "{class}");
     assert_eq!(backend.count(), 0);
     // An account without a ceiling: one that has counts from nothing at a start.
-    assert_eq!(ask(&mut client, "CALL.GET", "00000000000004d3", "quote"), "value of r1");
+    assert_eq!(
+        ask(&mut client, "CALL.GET", "00000000000004d3", "quote"),
+        "value of r1"
+    );
 }
 
 /// Guards against a sidecar that runs from a file that the check refuses, or does not say what is wrong with it.
 #[test]
 fn a_refused_file_starts_nothing_and_all_that_is_wrong_is_said() {
     let at = place();
-    let folder = Folder::new(&app(at).replace("\"starter\"", "\"stater\"").replace("\"6/s\"", "\"6\""), &[]);
-    let out = Command::new("/bin/sh").args(["-c", &folder.command("")]).output().unwrap();
+    let folder = Folder::new(
+        &app(at)
+            .replace("\"starter\"", "\"stater\"")
+            .replace("\"6/s\"", "\"6\""),
+        &[],
+    );
+    let out = Command::new("/bin/sh")
+        .args(["-c", &folder.command("")])
+        .output()
+        .unwrap();
     let said = String::from_utf8(out.stderr).unwrap();
     assert_eq!(out.status.code(), Some(1));
     for part in ["app.toml:19:9: C106", "app.toml:23:8: C203", "\"stater\""] {
@@ -136,15 +179,23 @@
         let text = good(&name).replace("127.0.0.1:7600", &at.to_string());
         // One of a group alone starts, and turns away what comes.
         let (two, grouped) = (name.contains("two-sidecars"), name.contains("roster"));
-        let text = (7946..=7949)
-            .fold(text, |text, port| text.replace(&format!("127.0.0.1:{port}"), &place().to_string()));
+        let text = (7946..=7949).fold(text, |text, port| {
+            text.replace(&format!("127.0.0.1:{port}"), &place().to_string())
+        });
         let own = tempfile::tempdir().unwrap();
         let text = text
             .replace("/run/desk", &own.path().display().to_string())
-            .replace("/var/lib/desk", &own.path().join("state").display().to_string());
+            .replace(
+                "/var/lib/desk",
+                &own.path().join("state").display().to_string(),
+            );
         let folder = Folder::new(&text, &[]);
         folder.write("fleet.json", &good("fleet.json"));
-        let more = if two || grouped { "--sidecar desk-1" } else { "" };
+        let more = if two || grouped {
+            "--sidecar desk-1"
+        } else {
+            ""
+        };
         let mut ingress = folder.start_until(at, more, if grouped { "-BUSY " } else { "+PONG" });
         ingress.signal("TERM");
         assert!(ingress.exit().success(), "{name}");
@@ -164,19 +215,33 @@
 /// Guards against a route that is checked and then ignored: two classes in two pools, and the fallback of one.
 #[test]
 fn requests_go_to_the_pools_of_their_routes_and_fall_back_when_these_drain() {
-    let (at, fast, slow, other) =
-        (place(), Backend::start(serve), Backend::start(serve), Backend::start(serve));
+    let (at, fast, slow, other) = (
+        place(),
+        Backend::start(serve),
+        Backend::start(serve),
+        Backend::start(serve),
+    );
     let discovery = Discovery::start();
     let text = app(at).replace("127.0.0.1:8500", &discovery.at.to_string())
         + "\n[[pool]]\nname = \"fast\"\nmodels = [\"std-3c\"]\nfallback = \"slow\"\n"
         + "\n[[pool]]\nname = \"slow\"\nmodels = [\"small-2c\"]\n"
         + "\n[[route]]\nclass = \"quote\"\npool = \"fast\"\n\n[[route]]\nclass = \"save-scenario\"\npool = \"slow\"\n";
     let folder = Folder::new(
-        &text.replace("plan = \"starter\"", "plan = \"starter\"\nquota = \"9/s\"\nburst = 60"),
+        &text.replace(
+            "plan = \"starter\"",
+            "plan = \"starter\"\nquota = \"9/s\"\nburst = 60",
+        ),
         &[],
     );
-    let nodes = [(&fast, "s-fast", "std-3c"), (&slow, "s-slow", "small-2c"), (&other, "s-other", "old-1c")];
-    let entries: Vec<String> = nodes.iter().map(|(b, name, model)| entry_of(b, name, model, "up")).collect();
+    let nodes = [
+        (&fast, "s-fast", "std-3c"),
+        (&slow, "s-slow", "small-2c"),
+        (&other, "s-other", "old-1c"),
+    ];
+    let entries: Vec<String> = nodes
+        .iter()
+        .map(|(b, name, model)| entry_of(b, name, model, "up"))
+        .collect();
     folder.write("fleet.json", &list(1, true, &entries));
     for entry in entries {
         discovery.change(entry);
@@ -186,11 +251,19 @@
     let mut next = 0;
     let mut ask = |class: &str| {
         next += 1;
-        let (verb, key) = if class == "quote" { ("CALL.GET", "") } else { ("CALL.POST", ",k=00ff") };
+        let (verb, key) = if class == "quote" {
+            ("CALL.GET", "")
+        } else {
+            ("CALL.POST", ",k=00ff")
+        };
         let options = format!("c={class},t=starter,d=900{key},units=1,spread=1,first=0");
         let id = format!("p{next}");
         let parts = [verb, "00000000000004d3", &id, &options, "BODY"];
-        client.ask(&command(if verb == "CALL.GET" { &parts[..4] } else { &parts }))
+        client.ask(&command(if verb == "CALL.GET" {
+            &parts[..4]
+        } else {
+            &parts
+        }))
     };
     until("the nodes are known", || {
         ask("quote").starts_with("value") && ask("save-scenario").starts_with("value")
@@ -222,8 +295,10 @@
 /// Guards against a new file of which only a part is taken, or none, or which ends what is under way.
 #[test]
 fn a_new_file_is_taken_whole_on_sighup_or_refused_whole() {
-    let (at, backend) =
-        (place(), Backend::start(|args| Act::Later(std::time::Duration::from_millis(300), served(args))));
+    let (at, backend) = (
+        place(),
+        Backend::start(|args| Act::Later(std::time::Duration::from_millis(300), served(args))),
+    );
     let folder = Folder::new(&app(at), &[&backend]);
     let mut ingress = folder.start(at, "");
     let asked = std::cell::Cell::new(0);
@@ -233,8 +308,11 @@
         command(&["CALL.GET", account, &format!("s{}", asked.get()), options])
     };
     let (mut client, mut open) = (ingress.client(), ingress.client());
-    let knows =
-        |client: &mut Client, account: &str| !client.ask(&bytes(account)).contains("not this application's");
+    let knows = |client: &mut Client, account: &str| {
+        !client
+            .ask(&bytes(account))
+            .contains("not this application's")
+    };
     let (old, new) = ("00000000000004d3", "00000000000004d5");
     assert!(knows(&mut client, old) && !knows(&mut client, new));
     // A request is under way while its account goes and another comes.
@@ -245,17 +323,27 @@
     ingress.signal("HUP");
     until("the new account is known", || knows(&mut client, new));
     assert!(!knows(&mut client, old), "half of the file was taken");
-    assert!(open.answer().starts_with("value"), "what was under way ends");
+    assert!(
+        open.answer().starts_with("value"),
+        "what was under way ends"
+    );
     // A file that is refused, one that changes what is fixed, one cut in half: nothing of them is taken.
     let elsewhere = app(at).replace(&at.to_string(), "127.0.0.1:9");
-    for text in [app(at).replace("starter", "stater"), app(at)[..200].to_string(), elsewhere] {
+    for text in [
+        app(at).replace("starter", "stater"),
+        app(at)[..200].to_string(),
+        elsewhere,
+    ] {
         folder.write("app.toml", &text);
         (0..10).for_each(|_| ingress.signal("HUP"));
         std::thread::sleep(std::time::Duration::from_millis(150));
         assert!(knows(&mut client, new), "it went on as before");
     }
     let good_site = good("site.toml");
-    folder.write("site.toml", &good_site.replace("[limits]", "[limits]\ntick = \"8ms\""));
+    folder.write(
+        "site.toml",
+        &good_site.replace("[limits]", "[limits]\ntick = \"8ms\""),
+    );
     folder.write("app.toml", &app(at));
     ingress.signal("HUP");
     std::thread::sleep(std::time::Duration::from_millis(150));
@@ -263,14 +351,23 @@
     folder.write("site.toml", &good_site);
     folder.write(
         "app.toml",
-        &app(at).replace(old, new).replace("[\"quote\", \"save-scenario\"]", "[\"save-scenario\"]"),
+        &app(at)
+            .replace(old, new)
+            .replace("[\"quote\", \"save-scenario\"]", "[\"save-scenario\"]"),
     );
     ingress.signal("HUP");
-    until("quotes may not be sent any more", || client.ask(&bytes(new)).contains("may not send"));
+    until("quotes may not be sent any more", || {
+        client.ask(&bytes(new)).contains("may not send")
+    });
     ingress.signal("TERM");
     assert!(ingress.exit().success());
     let log = ingress.log();
-    for part in ["stater", "enforcing the new files", "listen, memory", "tick_us is fixed"] {
+    for part in [
+        "stater",
+        "enforcing the new files",
+        "listen, memory",
+        "tick_us is fixed",
+    ] {
         assert!(log.contains(part), "{part} is not in:\n{log}");
     }
 }
@@ -289,12 +386,25 @@
     drop(std::os::unix::net::UnixListener::bind(&path).unwrap());
     let mut ingress = Ingress::run("", at, &folder.command(""));
     until("the sidecar listens", || UnixStream::connect(&path).is_ok());
-    assert_eq!(fs::metadata(&path).unwrap().permissions().mode() & 0o777, 0o600);
+    assert_eq!(
+        fs::metadata(&path).unwrap().permissions().mode() & 0o777,
+        0o600
+    );
     let mut stream = UnixStream::connect(&path).unwrap();
     let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
     for n in 0..3 {
-        stream.write_all(&command(&["CALL.GET", "00000000000004d3", &format!("u{n}"), options])).unwrap();
-        assert_eq!(read_value(&mut stream).unwrap().concat(), format!("value of u{n}"));
+        stream
+            .write_all(&command(&[
+                "CALL.GET",
+                "00000000000004d3",
+                &format!("u{n}"),
+                options,
+            ]))
+            .unwrap();
+        assert_eq!(
+            read_value(&mut stream).unwrap().concat(),
+            format!("value of u{n}")
+        );
     }
     // A second one there is refused, and the first serves on.
     let mut second = Ingress::run("", at, &folder.command(""));
@@ -327,11 +437,22 @@
             let mut stream = UnixStream::connect(&path).unwrap();
             let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
             // One that is let go may be gone before it is written to.
-            let _ = stream.write_all(&command(&["CALL.GET", "00000000000004d3", &format!("u{n}"), options]));
+            let _ = stream.write_all(&command(&[
+                "CALL.GET",
+                "00000000000004d3",
+                &format!("u{n}"),
+                options,
+            ]));
             if lets {
-                assert_eq!(read_value(&mut stream).unwrap().concat(), format!("value of u{n}"));
+                assert_eq!(
+                    read_value(&mut stream).unwrap().concat(),
+                    format!("value of u{n}")
+                );
             } else {
-                assert!(stream.read(&mut [0]).map_or(true, |n| n == 0), "it was answered");
+                assert!(
+                    stream.read(&mut [0]).map_or(true, |n| n == 0),
+                    "it was answered"
+                );
             }
         }
         ingress.signal("TERM");
@@ -351,12 +472,19 @@
 /// that has somebody when its own drains, and comes back.
 #[test]
 fn a_class_without_a_route_stays_in_its_hall_and_goes_to_the_nearest_other() {
-    let (at, home, next, far) =
-        (place(), Backend::start(serve), Backend::start(serve), Backend::start(serve));
+    let (at, home, next, far) = (
+        place(),
+        Backend::start(serve),
+        Backend::start(serve),
+        Backend::start(serve),
+    );
     let discovery = Discovery::start();
     let text = app(at).replace("127.0.0.1:8500", &discovery.at.to_string());
     let folder = Folder::new(
-        &text.replace("plan = \"starter\"", "plan = \"starter\"\nquota = \"90/s\"\nburst = 600"),
+        &text.replace(
+            "plan = \"starter\"",
+            "plan = \"starter\"\nquota = \"90/s\"\nburst = 600",
+        ),
         &[],
     );
     let site = good("site.toml").replace("\"hall-b\"]", "\"hall-b\", \"hall-c\"]");
@@ -364,8 +492,9 @@
         "site.toml",
         &format!("{site}\n[[near]]\nhall = \"hall-a\"\nothers = [\"hall-c\", \"hall-b\"]\n"),
     );
-    let node =
-        |b: &Backend, name: &str, hall: &str, status: &str| b.entry(name, status).replace("hall-a", hall);
+    let node = |b: &Backend, name: &str, hall: &str, status: &str| {
+        b.entry(name, status).replace("hall-a", hall)
+    };
     let entries = [
         node(&home, "s-1", "hall-a", "up"),
         node(&next, "s-2", "hall-c", "up"),
@@ -381,7 +510,12 @@
     let mut ask = || {
         asked += 1;
         let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
-        let answer = client.ask(&command(&["CALL.GET", "00000000000004d3", &format!("n{asked}"), options]));
+        let answer = client.ask(&command(&[
+            "CALL.GET",
+            "00000000000004d3",
+            &format!("n{asked}"),
+            options,
+        ]));
         assert!(answer.starts_with("value"), "{answer}");
     };
     let counts = || [home.count(), next.count(), far.count()];
@@ -394,7 +528,11 @@
     });
     let before = counts();
     (0..10).for_each(|_| ask());
-    assert_eq!(counts(), [before[0], before[1] + 10, 0], "hall-b is further");
+    assert_eq!(
+        counts(),
+        [before[0], before[1] + 10, 0],
+        "hall-b is further"
+    );
     discovery.change(node(&home, "s-1", "hall-a", "up"));
     until("home is back", || {
         ask();
--- a/crates/ingress/tests/told.rs
+++ b/crates/ingress/tests/told.rs
@@ -11,7 +11,10 @@
 const TOLD: Duration = Duration::from_secs(6);
 
 fn setup(backends: &[&Backend], discovery: &Discovery) -> Setup {
-    Setup { discovery: Some(discovery.at), ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends) }
+    Setup {
+        discovery: Some(discovery.at),
+        ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends)
+    }
 }
 
 /// Changes the list, and measures how long the ingress takes to hear of it from a moment on.
@@ -33,7 +36,9 @@
     let (one, discovery) = (Backend::start(serve), Discovery::start());
     discovery.overbooked(true);
     let _ingress = setup(&[&one], &discovery).start();
-    until("four calls have been turned away", || calls(&discovery) == 4);
+    until("four calls have been turned away", || {
+        calls(&discovery) == 4
+    });
     discovery.overbooked(false);
     heard("turned away four times", &discovery, Instant::now());
 }
@@ -54,7 +59,10 @@
 #[test]
 fn a_change_behind_a_service_that_was_down_or_silent() {
     for (what, fail) in [
-        ("a service that was down", Discovery::down as fn(&Discovery, bool)),
+        (
+            "a service that was down",
+            Discovery::down as fn(&Discovery, bool),
+        ),
         ("a service that was silent", Discovery::silence),
     ] {
         let (one, discovery) = (Backend::start(serve), Discovery::start());
@@ -62,7 +70,9 @@
         until("the watch begins", || calls(&discovery) > 0);
         fail(&discovery, true);
         let since = Instant::now();
-        until("the pauses are long", || since.elapsed() > Duration::from_secs(5));
+        until("the pauses are long", || {
+            since.elapsed() > Duration::from_secs(5)
+        });
         fail(&discovery, false);
         heard(what, &discovery, Instant::now());
     }
@@ -85,8 +95,17 @@
 #[test]
 fn a_change_behind_a_crowd_that_came_while_discovery_was_down() {
     for (sockets, ulimit) in [(96, 96), (1024, 64)] {
-        let (one, two, discovery) = (Backend::start(serve), Backend::start(serve), Discovery::start());
-        let ingress = Setup { sockets, ulimit: Some(ulimit), ..setup(&[&one], &discovery) }.start();
+        let (one, two, discovery) = (
+            Backend::start(serve),
+            Backend::start(serve),
+            Discovery::start(),
+        );
+        let ingress = Setup {
+            sockets,
+            ulimit: Some(ulimit),
+            ..setup(&[&one], &discovery)
+        }
+        .start();
         until("the watch begins", || calls(&discovery) > 0);
         discovery.down(true);
         let mut crowd: Vec<Client> = (0..3 * ulimit).map(|_| ingress.client()).collect();
@@ -98,9 +117,18 @@
         discovery.change(one.entry("s-0", "removed"));
         discovery.change(two.entry("s-1", "up"));
         discovery.down(false);
-        heard("a crowd while discovery was down", &discovery, Instant::now());
-        assert_eq!(ingress.client().ask(&call("refer", "r1", 3000)), "value of r1");
-        let open = std::fs::read_dir(format!("/proc/{}/fd", ingress.child.id())).unwrap().count();
+        heard(
+            "a crowd while discovery was down",
+            &discovery,
+            Instant::now(),
+        );
+        assert_eq!(
+            ingress.client().ask(&call("refer", "r1", 3000)),
+            "value of r1"
+        );
+        let open = std::fs::read_dir(format!("/proc/{}/fd", ingress.child.id()))
+            .unwrap()
+            .count();
         assert!(open <= ulimit, "{open} descriptors");
         assert_eq!(one.count(), 0, "the one that was removed meanwhile");
     }
@@ -125,13 +153,23 @@
     // Both are there when it looks again.
     ingress.signal("STOP");
     let body = list(2, false, &[drains.entry("s-0", "draining")]);
-    write!(watch, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
-    socket2::SockRef::from(&watch).set_linger(Some(Duration::ZERO)).unwrap();
+    write!(
+        watch,
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .unwrap();
+    socket2::SockRef::from(&watch)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
     drop(watch);
     ingress.signal("CONT");
     let mut client = ingress.client();
     for n in 0..20 {
-        assert_eq!(client.ask(&call("refer", &format!("r{n}"), 3000)), format!("value of r{n}"));
+        assert_eq!(
+            client.ask(&call("refer", &format!("r{n}"), 3000)),
+            format!("value of r{n}")
+        );
     }
     assert_eq!((drains.count(), stays.count()), (0, 20));
 }
--- a/crates/ingress/tests/upgrade.rs
+++ b/crates/ingress/tests/upgrade.rs
@@ -33,11 +33,18 @@
         let listener = TcpListener::bind((place().ip(), 0)).unwrap();
         let at = listener.local_addr().unwrap();
         let setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends);
-        Platform { listener, at, folder: tempfile::tempdir().unwrap(), setup }
+        Platform {
+            listener,
+            at,
+            folder: tempfile::tempdir().unwrap(),
+            setup,
+        }
     }
 
     fn channel(&self) -> PathBuf {
-        self.folder.path().join(format!("wrenfork-{}.next", self.at))
+        self.folder
+            .path()
+            .join(format!("wrenfork-{}.next", self.at))
     }
 
     /// Starts `run` once more; the descriptor is passed as 3 unless another redirection is wanted.
@@ -45,12 +52,24 @@
         let (file, management) = (self.folder.path().join("config.json"), place());
         std::fs::write(&file, self.setup.config(self.at)).unwrap();
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", &format!("exec {redirect} </dev/null; exec '{}'", self.setup.program)]);
-        command.env("LB_CONFIG", &file).env("LB_MANAGEMENT", management.to_string());
-        command.env("LB_PASSED_SOCKET", "3").env("TMPDIR", self.folder.path());
+        command.args([
+            "-c",
+            &format!("exec {redirect} </dev/null; exec '{}'", self.setup.program),
+        ]);
+        command
+            .env("LB_CONFIG", &file)
+            .env("LB_MANAGEMENT", management.to_string());
+        command
+            .env("LB_PASSED_SOCKET", "3")
+            .env("TMPDIR", self.folder.path());
         command.env_remove("LB_LISTEN").env_remove("LB_DISCOVERY");
-        command.stdin(Stdio::from(OwnedFd::from(self.listener.try_clone().unwrap())));
-        Process { child: command.stderr(Stdio::piped()).spawn().unwrap(), management }
+        command.stdin(Stdio::from(OwnedFd::from(
+            self.listener.try_clone().unwrap(),
+        )));
+        Process {
+            child: command.stderr(Stdio::piped()).spawn().unwrap(),
+            management,
+        }
     }
 
     /// Starts a process and waits until it says yes.
@@ -74,13 +93,21 @@
 
     fn figure(&self, name: &str) -> u64 {
         let text = self.ask("telemetry");
-        let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
-        line.unwrap_or_else(|| panic!("no {name} in {text}")).parse().unwrap()
+        let line = text
+            .lines()
+            .find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
+        line.unwrap_or_else(|| panic!("no {name} in {text}"))
+            .parse()
+            .unwrap()
     }
 
     fn signal(&self, name: &str) {
         let line = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("/bin/sh").args(["-c", &line]).status().unwrap().success());
+        assert!(Command::new("/bin/sh")
+            .args(["-c", &line])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// Waits for its end, which must be a good one; its log.
@@ -92,7 +119,12 @@
         });
         assert_eq!(status.unwrap().code(), Some(0));
         let mut text = String::new();
-        self.child.stderr.take().unwrap().read_to_string(&mut text).unwrap();
+        self.child
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut text)
+            .unwrap();
         text
     }
 }
@@ -106,22 +138,43 @@
 
 impl Sampler {
     fn start(first: u32) -> Sampler {
-        let (second, stop) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicBool::new(false)));
+        let (second, stop) = (
+            Arc::new(AtomicU32::new(0)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let (other, end) = (second.clone(), stop.clone());
         let looking = thread::spawn(move || {
             let mut most = (0, 0);
             while !end.load(Ordering::SeqCst) {
                 let now = [first, other.load(Ordering::SeqCst)].map(|id| {
-                    let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
-                    let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or("0 kB");
-                    let held = std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
-                    (line.trim().trim_end_matches(" kB").parse::<usize>().unwrap(), held)
+                    let status =
+                        std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
+                    let line = status
+                        .lines()
+                        .find_map(|l| l.strip_prefix("VmRSS:"))
+                        .unwrap_or("0 kB");
+                    let held =
+                        std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
+                    (
+                        line.trim()
+                            .trim_end_matches(" kB")
+                            .parse::<usize>()
+                            .unwrap(),
+                        held,
+                    )
                 });
-                most = (most.0.max(now[0].0 + now[1].0), most.1.max(now[0].1 + now[1].1));
+                most = (
+                    most.0.max(now[0].0 + now[1].0),
+                    most.1.max(now[0].1 + now[1].1),
+                );
             }
             most
         });
-        Sampler { second, stop, looking }
+        Sampler {
+            second,
+            stop,
+            looking,
+        }
     }
 
     /// The most KiB resident, and the most descriptors.
@@ -146,7 +199,10 @@
     let backends = [(); 3].map(|()| Backend::start(slow));
     let platform = Platform::new(&backends.each_ref());
     let mut first = platform.start();
-    let (stop, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let (stop, asked) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicUsize::new(0)),
+    );
     let served_ids = Arc::new(Mutex::new(HashSet::new()));
     let answered_at: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let clients: Vec<_> = (0..12)
@@ -189,7 +245,9 @@
     let before = asked.load(Ordering::SeqCst);
     until("it serves", || asked.load(Ordering::SeqCst) > before + 200);
     // It takes the place of the one before at its next look, up to half a second later.
-    until("the second can be found", || UnixStream::connect(platform.channel()).is_ok());
+    until("the second can be found", || {
+        UnixStream::connect(platform.channel()).is_ok()
+    });
     let third = platform.start();
     assert!(second.ended().contains("handed over"));
     let before = asked.load(Ordering::SeqCst);
@@ -198,13 +256,25 @@
     clients.into_iter().for_each(|c| c.join().unwrap());
     // For the page of measurements (--nocapture); whoever counts on a time fails on a busy machine.
     let at = answered_at.lock().unwrap();
-    let pause = at.windows(2).map(|w| w[1].saturating_duration_since(w[0])).max().unwrap();
-    println!("both processes: {memory} KiB resident, {descriptors} descriptors; longest pause {pause:?}");
+    let pause = at
+        .windows(2)
+        .map(|w| w[1].saturating_duration_since(w[0]))
+        .max()
+        .unwrap();
+    println!(
+        "both processes: {memory} KiB resident, {descriptors} descriptors; longest pause {pause:?}"
+    );
     assert!(descriptors < 1024 && memory < 192 * 1024);
     // What backends have had: each unsafe request once, and each that was served.
     let mut had: HashMap<String, usize> = HashMap::new();
     for backend in &backends {
-        backend.seen.commands.lock().unwrap().iter().for_each(|c| *had.entry(c[2].clone()).or_default() += 1);
+        backend
+            .seen
+            .commands
+            .lock()
+            .unwrap()
+            .iter()
+            .for_each(|c| *had.entry(c[2].clone()).or_default() += 1);
     }
     assert!(had.values().all(|n| *n == 1), "an effect came twice");
     let served_ids = served_ids.lock().unwrap();
@@ -230,8 +300,11 @@
     // A customer that has used up its store.
     let (mut spent, mut served_before) = (client(), 0);
     for n in 0..9 {
-        served_before +=
-            usize::from(spent.ask(&call_of(99, "quote", &format!("q{n}"), 900)).starts_with("value"));
+        served_before += usize::from(
+            spent
+                .ask(&call_of(99, "quote", &format!("q{n}"), 900))
+                .starts_with("value"),
+        );
     }
     assert!(served_before < 9);
     let (mut out, mut half, mut behind) = (client(), client(), client());
@@ -239,19 +312,32 @@
     behind.send(&[call("refer", "h2", 2500), call("quote", "q20", 900)].concat());
     let command = call("refer", "r1", 2500);
     half.send(&command[..40]);
-    until("two are with the backend", || held.load(Ordering::SeqCst) == 2);
+    until("two are with the backend", || {
+        held.load(Ordering::SeqCst) == 2
+    });
     let second = platform.start();
     first.ended();
     assert!(backend.seen.commands.lock().unwrap().len() < 20 && held.load(Ordering::SeqCst) == 2);
     half.send(&command[40..]);
     assert_eq!(out.answer(), "value of h1");
-    assert_eq!([behind.answer(), behind.answer()], ["value of h2", "value of q20"]);
+    assert_eq!(
+        [behind.answer(), behind.answer()],
+        ["value of h2", "value of q20"]
+    );
     assert_eq!(half.answer(), "value of r1");
     assert_eq!(held.load(Ordering::SeqCst), 2, "nothing is sent again");
     // Its quota is no new one, and an id that is known stays known.
-    assert!(spent.ask(&call_of(99, "quote", "q10", 900)).starts_with("-BUSY"));
-    assert!(client().ask(&call("refer", "h1", 900)).starts_with("-ERR the id is not new"));
-    assert_eq!(backend.seen.ended.load(Ordering::SeqCst), 0, "connections to backends pass on as well");
+    assert!(spent
+        .ask(&call_of(99, "quote", "q10", 900))
+        .starts_with("-BUSY"));
+    assert!(client()
+        .ask(&call("refer", "h1", 900))
+        .starts_with("-ERR the id is not new"));
+    assert_eq!(
+        backend.seen.ended.load(Ordering::SeqCst),
+        0,
+        "connections to backends pass on as well"
+    );
     assert_eq!(second.figure("ingress.open_requests"), 0);
 }
 
@@ -263,12 +349,17 @@
         let (hang, jammed) = (Arc::new(AtomicBool::new(false)), Jammed::start());
         let told = hang.clone();
         let taken = Backend::start(move |_| {
-            until("the first attempt may break", || told.load(Ordering::SeqCst));
+            until("the first attempt may break", || {
+                told.load(Ordering::SeqCst)
+            });
             Act::Hang
         });
         let mut platform = Platform::new(&[&taken]);
         let settings = &mut platform.setup.settings;
-        *settings = settings.replace(r#""connect_timeout_us":250000"#, r#""connect_timeout_us":3000000"#);
+        *settings = settings.replace(
+            r#""connect_timeout_us":250000"#,
+            r#""connect_timeout_us":3000000"#,
+        );
         *settings = settings.replace(r#""window_us":3000000"#, r#""window_us":900000"#);
         *settings = settings.replace(r#""most_tries":3"#, r#""most_tries":2"#);
         let discovery = Discovery::start();
@@ -315,12 +406,27 @@
     let mut first = platform.start();
     // Two that pass on as they come, and two lines of two, which are read whole first; all stand in the middle.
     let mut clients = [(); 4].map(|()| Client::connect(platform.at));
-    let ids = |n: usize| if n < 2 { vec![format!("p{n}")] } else { vec![format!("l{n}"), format!("m{n}")] };
+    let ids = |n: usize| {
+        if n < 2 {
+            vec![format!("p{n}")]
+        } else {
+            vec![format!("l{n}"), format!("m{n}")]
+        }
+    };
     for (n, client) in clients.iter_mut().enumerate() {
         let before = count();
-        client.send(&ids(n).iter().flat_map(|id| call("refer", id, 8000)).collect::<Vec<u8>>());
-        until("all of them are with a backend", || count() == before + ids(n).len());
-        until("it has begun", || n >= 2 || client.0.peek(&mut [0]).is_ok_and(|n| n > 0));
+        client.send(
+            &ids(n)
+                .iter()
+                .flat_map(|id| call("refer", id, 8000))
+                .collect::<Vec<u8>>(),
+        );
+        until("all of them are with a backend", || {
+            count() == before + ids(n).len()
+        });
+        until("it has begun", || {
+            n >= 2 || client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
+        });
     }
     // And a long body of which half has come.
     let (mut sender, body) = (Client::connect(platform.at), "y".repeat(1 << 20));
@@ -332,21 +438,39 @@
     go.store(true, Ordering::SeqCst);
     sender.send(&asked[600_000..]);
     assert!(sender.answer() == value("n0"));
-    let whole = |b: &Backend| b.seen.commands.lock().unwrap().iter().any(|c| c[2] == "n0" && c[4] == body);
+    let whole = |b: &Backend| {
+        b.seen
+            .commands
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|c| c[2] == "n0" && c[4] == body)
+    };
     assert!(backends.iter().any(whole));
     for (n, client) in clients.iter_mut().enumerate() {
         for id in ids(n) {
-            assert!(client.answer() == value(&id), "{id} is not what its backend gave");
+            assert!(
+                client.answer() == value(&id),
+                "{id} is not what its backend gave"
+            );
         }
     }
-    assert_eq!(second.figure("ingress.operations.refer.fulfilled"), 7, "all of them ended here");
+    assert_eq!(
+        second.figure("ingress.operations.refer.fulfilled"),
+        7,
+        "all of them ended here"
+    );
     assert_eq!(count(), 7, "none was sent again");
 }
 
 /// Guards against a drain that was told to the old process and not to the new, whose configuration holds an older list.
 #[test]
 fn what_drains_stays_drained_and_what_was_retuned_stays_so() {
-    let (one, two, discovery) = (Backend::start(serve), Backend::start(serve), Discovery::start());
+    let (one, two, discovery) = (
+        Backend::start(serve),
+        Backend::start(serve),
+        Discovery::start(),
+    );
     let mut platform = Platform::new(&[&one, &two]);
     platform.setup.discovery = Some(discovery.at);
     let mut first = platform.start();
@@ -358,17 +482,34 @@
     let file = platform.folder.path().join("config.json");
     std::fs::write(&file, platform.setup.config(platform.at)).unwrap();
     first.signal("HUP");
-    until("the file is taken", || first.figure("ingress.cfg_accepted") == 1);
+    until("the file is taken", || {
+        first.figure("ingress.cfg_accepted") == 1
+    });
     let second = platform.start();
     first.ended();
     let mut client = Client::connect(platform.at);
     for n in 0..10 {
-        assert_eq!(client.ask(&call("refer", &format!("r{n}"), 900)), format!("value of r{n}"));
+        assert_eq!(
+            client.ask(&call("refer", &format!("r{n}"), 900)),
+            format!("value of r{n}")
+        );
     }
-    assert!(client.ask(&call("quote", "q1", 900)).starts_with("-ERR the class is unknown"));
+    assert!(client
+        .ask(&call("quote", "q1", 900))
+        .starts_with("-ERR the class is unknown"));
     assert_eq!((one.count(), two.count()), (10, 0));
-    assert_eq!((second.figure("ingress.registry_entries"), second.figure("ingress.out_of_rotation")), (2, 1));
-    assert_eq!(second.figure("ingress.operations.refer.fulfilled"), 10, "counts begin with the process");
+    assert_eq!(
+        (
+            second.figure("ingress.registry_entries"),
+            second.figure("ingress.out_of_rotation")
+        ),
+        (2, 1)
+    );
+    assert_eq!(
+        second.figure("ingress.operations.refer.fulfilled"),
+        10,
+        "counts begin with the process"
+    );
 }
 
 /// Guards against whoever asks and does not go on: the old process must serve as if nothing had been.
@@ -394,7 +535,9 @@
     {
         let mut channel = UnixStream::connect(platform.channel()).unwrap();
         channel.write_all(says).unwrap();
-        channel.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
+        channel
+            .set_read_timeout(Some(Duration::from_millis(100)))
+            .unwrap();
         let mut had = vec![0; reads];
         let _ = channel.read(&mut had);
         if n % 2 == 0 {
@@ -402,7 +545,10 @@
         } else {
             let _ = channel.read_to_end(&mut Vec::new());
         }
-        assert_eq!(client.ask(&call("refer", &format!("r{n}"), 2900)), format!("value of r{n}"));
+        assert_eq!(
+            client.ask(&call("refer", &format!("r{n}"), 2900)),
+            format!("value of r{n}")
+        );
     }
     // One that takes the state and turns it down.
     let mut channel = UnixStream::connect(platform.channel()).unwrap();
@@ -414,7 +560,10 @@
     let next = platform.start();
     assert_eq!(client.ask(&call("refer", "next", 2900)), "value of next");
     let log = process.ended();
-    assert!(log.contains("no use for it") && log.contains("layout 9999"), "{log}");
+    assert!(
+        log.contains("no use for it") && log.contains("layout 9999"),
+        "{log}"
+    );
     drop(next);
 }
 
@@ -434,7 +583,9 @@
     assert!(!frozen.ended().contains("handed over"));
     assert_eq!(client.ask(&call("refer", "r2", 2900)), "value of r2");
     // With the old one gone the second takes its place, and hands over as any other.
-    until("the second can be found", || UnixStream::connect(platform.channel()).is_ok());
+    until("the second can be found", || {
+        UnixStream::connect(platform.channel()).is_ok()
+    });
     let mut third = platform.start();
     assert_eq!(client.ask(&call("refer", "r3", 2900)), "value of r3");
     assert!(second.ended().contains("handed over"));
@@ -443,7 +594,10 @@
     third.child.wait().unwrap();
     assert!(platform.channel().exists());
     let _fourth = platform.start();
-    assert_eq!(Client::connect(platform.at).ask(&call("refer", "r4", 2900)), "value of r4");
+    assert_eq!(
+        Client::connect(platform.at).ask(&call("refer", "r4", 2900)),
+        "value of r4"
+    );
 }
 
 /// Guards against signals in the midst: told to stop, a process is no way for the next one, which begins anew.
@@ -457,12 +611,17 @@
     until("it is with the backend", || backend.count() == 1);
     first.signal("HUP");
     first.signal("TERM");
-    until("it stops", || first.ask("readyz").starts_with("-ERR stopping"));
+    until("it stops", || {
+        first.ask("readyz").starts_with("-ERR stopping")
+    });
     let _second = platform.start();
     assert_eq!(client.answer(), "value of r1");
     drop(client);
     assert!(first.ended().contains("told to stop"));
-    assert_eq!(Client::connect(platform.at).ask(&call("refer", "r2", 2500)), "value of r2");
+    assert_eq!(
+        Client::connect(platform.at).ask(&call("refer", "r2", 2500)),
+        "value of r2"
+    );
 }
 
 /// Guards against a descriptor that is taken for what it is not.
@@ -483,6 +642,9 @@
         assert_eq!(asked, "value of r1");
         process.signal("TERM");
         let log = process.ended();
-        assert!(log.contains("LB_PASSED_SOCKET") && log.contains(why), "{redirect}: {log}");
+        assert!(
+            log.contains("LB_PASSED_SOCKET") && log.contains(why),
+            "{redirect}: {log}"
+        );
     }
 }
--- a/crates/keeper/src/client.rs
+++ b/crates/keeper/src/client.rs
@@ -22,17 +22,26 @@
     patience: Duration,
 ) -> Result<S, String> {
     let failed = |e: std::io::Error| match e.kind() {
-        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut => "it does not answer".to_string(),
+        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut => {
+            "it does not answer".to_string()
+        }
         std::io::ErrorKind::NotFound => format!("{}: there is no such socket", path.display()),
-        std::io::ErrorKind::ConnectionRefused => format!("{}: nobody listens there", path.display()),
+        std::io::ErrorKind::ConnectionRefused => {
+            format!("{}: nobody listens there", path.display())
+        }
         _ => format!("{}: {e}", path.display()),
     };
     let stream = UnixStream::connect(path).map_err(failed)?;
     stream.set_read_timeout(Some(patience)).map_err(failed)?;
     stream.set_write_timeout(Some(patience)).map_err(failed)?;
-    (&stream).write_all(protocol::line(ask).as_bytes()).map_err(failed)?;
+    (&stream)
+        .write_all(protocol::line(ask).as_bytes())
+        .map_err(failed)?;
     let mut line = String::new();
-    BufReader::new(&stream).take(MOST_ANSWER).read_line(&mut line).map_err(failed)?;
+    BufReader::new(&stream)
+        .take(MOST_ANSWER)
+        .read_line(&mut line)
+        .map_err(failed)?;
     if !line.ends_with('\n') {
         return Err("it ended in the middle of its answer".into());
     }
--- a/crates/keeper/src/connections.rs
+++ b/crates/keeper/src/connections.rs
@@ -40,7 +40,10 @@
 impl Connections {
     /// None yet, and never more than so many.
     pub fn new(most: usize) -> Connections {
-        Connections { most, table: Arc::default() }
+        Connections {
+            most,
+            table: Arc::default(),
+        }
     }
 
     fn table(&self) -> MutexGuard<'_, Table> {
@@ -55,8 +58,13 @@
     pub fn take_in(&self, stream: UnixStream) -> Result<Connection, UnixStream> {
         let mut table = self.table();
         if table.open.len() >= self.most {
-            let silent = table.open.iter().filter_map(|(key, o)| Some((o.silent?, *key)));
-            let Some((_, key)) = silent.min() else { return Err(stream) };
+            let silent = table
+                .open
+                .iter()
+                .filter_map(|(key, o)| Some((o.silent?, *key)));
+            let Some((_, key)) = silent.min() else {
+                return Err(stream);
+            };
             if let Some(open) = table.open.remove(&key) {
                 // Whoever reads from it finds that it has ended.
                 let _ = open.stream.shutdown(Shutdown::Both);
@@ -64,8 +72,18 @@
         }
         table.next += 1;
         let (key, stream) = (table.next, Arc::new(stream));
-        table.open.insert(key, Open { stream: stream.clone(), silent: Some(clock::now()) });
-        Ok(Connection { all: self.clone(), key, stream })
+        table.open.insert(
+            key,
+            Open {
+                stream: stream.clone(),
+                silent: Some(clock::now()),
+            },
+        );
+        Ok(Connection {
+            all: self.clone(),
+            key,
+            stream,
+        })
     }
 }
 
@@ -107,7 +125,11 @@
         // The first was at work when the third came, and the longest silent when the fourth did: the second went, then ...
         assert_eq!(open.len(), 2);
         assert!(open.contains(&4), "{open:?}");
-        assert_eq!(others[1].read(&mut [0]).unwrap(), 0, "whoever was closed is told");
+        assert_eq!(
+            others[1].read(&mut [0]).unwrap(),
+            0,
+            "whoever was closed is told"
+        );
         let busy: Vec<_> = taken.iter().flatten().collect();
         busy.iter().for_each(|c| c.busy(true));
         let (near, _far) = UnixStream::pair().unwrap();
--- a/crates/keeper/src/drive.rs
+++ b/crates/keeper/src/drive.rs
@@ -48,7 +48,10 @@
                 let answer = client::ask(&path, &sent, PATIENCE);
                 let _ = done.send((member, sent, answer)); // nobody waits any more
             };
-            let thread = std::thread::Builder::new().name("group".into()).stack_size(STACK).spawn(carry);
+            let thread = std::thread::Builder::new()
+                .name("group".into())
+                .stack_size(STACK)
+                .spawn(carry);
             if thread.is_err() {
                 proposer.heard(member, &ask, Err("no thread could be started".into()), now);
             }
@@ -62,7 +65,12 @@
             proposer.give_up();
             continue;
         }
-        match answers.recv_timeout(proposer.next(now).min(left).clamp(Duration::from_millis(1), LOOK)) {
+        match answers.recv_timeout(
+            proposer
+                .next(now)
+                .min(left)
+                .clamp(Duration::from_millis(1), LOOK),
+        ) {
             Ok((member, ask, answer)) => {
                 let before = proposer.phase.clone();
                 proposer.heard(member, &ask, answer, clock::now());
--- a/crates/keeper/src/fault.rs
+++ b/crates/keeper/src/fault.rs
@@ -64,7 +64,11 @@
             let mut parts = text.split(':');
             let point = parts.next().unwrap_or_default().to_string();
             let times = parts.next().and_then(|t| t.parse().ok()).unwrap_or(1);
-            Fault { point, left: Arc::new(AtomicU32::new(times)), stops: parts.next() == Some("stop") }
+            Fault {
+                point,
+                left: Arc::new(AtomicU32::new(times)),
+                stops: parts.next() == Some("stop"),
+            }
         }))
     }
 
@@ -75,7 +79,9 @@
 
     /// Passes a point; ends the process there if it is set.
     pub fn pass(&self, of: &str, step: &str) {
-        let Some(Fault { point, left, stops }) = &self.0 else { return };
+        let Some(Fault { point, left, stops }) = &self.0 else {
+            return;
+        };
         if point.split_once('.') != Some((of, step)) || left.fetch_sub(1, Ordering::SeqCst) != 1 {
             return;
         }
--- a/crates/keeper/src/group.rs
+++ b/crates/keeper/src/group.rs
@@ -69,7 +69,10 @@
     /// What stands before requests until the control side is there again; see [`Gate::pause_ms`].
     pub fn gate(&self, membership: &Membership) -> Gate {
         let pause_ms = micros(membership.charter.lease() / 3) / 1_000;
-        Gate { until: Arc::new(AtomicU64::new(self.gate)), pause_ms }
+        Gate {
+            until: Arc::new(AtomicU64::new(self.gate)),
+            pause_ms,
+        }
     }
 }
 
@@ -124,7 +127,9 @@
     ) -> Result<(Arc<Shared>, UnixStream), String> {
         let failed = |e: std::io::Error| format!("control: no wake-up: {e}");
         let (wake, woken) = UnixStream::pair().map_err(failed)?;
-        wake.set_nonblocking(true).and_then(|()| woken.set_nonblocking(true)).map_err(failed)?;
+        wake.set_nonblocking(true)
+            .and_then(|()| woken.set_nonblocking(true))
+            .map_err(failed)?;
         let now = clock::now();
         let mut standing = Standing::new(name, memory, membership.charter.clone(), drawn(), now);
         let inherited = membership.inherited.as_ref();
@@ -132,12 +137,26 @@
             standing.inherit(number, until);
         }
         // One that was serving on alone goes on so.
-        let started = if inherited.is_some_and(|i| i.gate == u64::MAX) { Duration::ZERO } else { now };
+        let started = if inherited.is_some_and(|i| i.gate == u64::MAX) {
+            Duration::ZERO
+        } else {
+            now
+        };
         let pause_ms = standing.every().as_millis() as u64;
-        let gate = Gate { until: Arc::default(), pause_ms };
+        let gate = Gate {
+            until: Arc::default(),
+            pause_ms,
+        };
         let alone = membership.alone;
         let (standing, closed) = (Mutex::new(standing), AtomicBool::new(false));
-        let shared = Shared { standing, gate, alone, started, wake, closed };
+        let shared = Shared {
+            standing,
+            gate,
+            alone,
+            started,
+            wake,
+            closed,
+        };
         shared.publish(&shared.standing(), now);
         Ok((Arc::new(shared), woken))
     }
@@ -188,12 +207,23 @@
 
     /// Answers a renewal.
     pub fn renew(&self, ask: &Ask) -> Say {
-        let Ask::Renew { from, folder, age, number, ready } = ask else {
-            return Say::No { why: "this is no renewal".into() };
+        let Ask::Renew {
+            from,
+            folder,
+            age,
+            number,
+            ready,
+        } = ask
+        else {
+            return Say::No {
+                why: "this is no renewal".into(),
+            };
         };
         let mut standing = self.standing();
         if self.closed() {
-            return Say::No { why: "it is stopping".into() };
+            return Say::No {
+                why: "it is stopping".into(),
+            };
         }
         standing.renew(from, *folder, *age, *number, ready.as_ref(), clock::now())
     }
@@ -202,7 +232,11 @@
     pub fn passed_on(&self) -> Inherited {
         let standing = self.standing();
         let number = standing.decree().map_or(0, |d| d.number);
-        Inherited { number, until: standing.until(), gate: self.gate.until.load(Ordering::Acquire) }
+        Inherited {
+            number,
+            until: standing.until(),
+            gate: self.gate.until.load(Ordering::Acquire),
+        }
     }
 
     /// Milliseconds for which this member may still serve by its lease; none where it has none.
@@ -240,13 +274,28 @@
     fn log(&self, what: &str, why: &str) {
         let decree = self.shared.standing().decree().cloned();
         let generation = decree.map_or(0, |d| d.generation);
-        let record = Record { what: what.into(), why: why.into(), generation, ..Record::default() };
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner).enforcer.log(&record);
+        let record = Record {
+            what: what.into(),
+            why: why.into(),
+            generation,
+            ..Record::default()
+        };
+        self.inner
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .enforcer
+            .log(&record);
     }
 
     pub fn run(self) {
-        let others = self.membership.links.iter().filter(|(name, _)| **name != self.name);
-        let mut links: Vec<Link> = others.map(|(name, path)| Link::new(name, path.clone())).collect();
+        let others = self
+            .membership
+            .links
+            .iter()
+            .filter(|(name, _)| **name != self.name);
+        let mut links: Vec<Link> = others
+            .map(|(name, path)| Link::new(name, path.clone()))
+            .collect();
         let (mut due, mut busy, mut held) = (Duration::ZERO, Busy::default(), None);
         let mut number = 0;
         while !self.shared.closed.load(Ordering::Acquire) {
@@ -264,11 +313,22 @@
                     Vec::new()
                 };
                 self.shared.publish(&s, now);
-                (s.ask(), whom, s.every(), s.settle_at(), s.may_form(now), s.until(), s.decree().cloned())
+                (
+                    s.ask(),
+                    whom,
+                    s.every(),
+                    s.settle_at(),
+                    s.may_form(now),
+                    s.until(),
+                    s.decree().cloned(),
+                )
             };
             if due <= now {
                 due = now + every;
-                for link in links.iter_mut().filter(|l| whom.contains(&l.name) && l.free(now)) {
+                for link in links
+                    .iter_mut()
+                    .filter(|l| whom.contains(&l.name) && l.free(now))
+                {
                     link.ask(ask.clone(), now);
                 }
             }
@@ -288,7 +348,11 @@
                     self.propose(&mut busy, None, every);
                 }
             }
-            let wake_at = [Some(due), settle_at.filter(|at| *at > now), until.filter(|u| *u > now)];
+            let wake_at = [
+                Some(due),
+                settle_at.filter(|at| *at > now),
+                until.filter(|u| *u > now),
+            ];
             let wake_at = wake_at.into_iter().flatten().min().unwrap_or(due);
             // An answer that took longer than a lease is worth nothing.
             let came = links::wait(&mut links, &self.woken, wake_at, every * 3, self.most);
@@ -301,9 +365,10 @@
     fn tell(&self, holds: bool) {
         match (holds, self.membership.alone) {
             (true, _) => self.log("lease held", ""),
-            (false, Alone::Refuse) => {
-                self.log("lease lost", "too few members answer: requests are turned away")
-            }
+            (false, Alone::Refuse) => self.log(
+                "lease lost",
+                "too few members answer: requests are turned away",
+            ),
             (false, Alone::AsKnown) => {
                 self.log(
                     "lease lost",
@@ -335,7 +400,14 @@
                     (Heard::Newer, _) => link.ask(Ask::Learn, now),
                     (Heard::Older, Some(decree)) => {
                         let (number, digest) = (decree.number, decree.digest.clone());
-                        link.ask(Ask::Decided { number, digest, decree: Some(decree.clone()) }, now);
+                        link.ask(
+                            Ask::Decided {
+                                number,
+                                digest,
+                                decree: Some(decree.clone()),
+                            },
+                            now,
+                        );
                     }
                     (Heard::OldFolder, _) => {
                         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -344,7 +416,12 @@
                     _ => {}
                 }
             }
-            (Ask::Learn, Say::Learnt { decree: Some(decree) }) => self.learn(decree, busy),
+            (
+                Ask::Learn,
+                Say::Learnt {
+                    decree: Some(decree),
+                },
+            ) => self.learn(decree, busy),
             _ => {}
         }
     }
@@ -357,11 +434,23 @@
         let (inner, learning) = (self.inner.clone(), busy.learning.clone());
         let work = move || {
             let (number, digest) = (decree.number, decree.digest.clone());
-            let ask = Ask::Decided { number, digest, decree: Some(decree) };
-            inner.lock().unwrap_or_else(PoisonError::into_inner).take_group(ask, "learn");
+            let ask = Ask::Decided {
+                number,
+                digest,
+                decree: Some(decree),
+            };
+            inner
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .take_group(ask, "learn");
             learning.store(false, Ordering::Release);
         };
-        if std::thread::Builder::new().name("group".into()).stack_size(STACK).spawn(work).is_err() {
+        if std::thread::Builder::new()
+            .name("group".into())
+            .stack_size(STACK)
+            .spawn(work)
+            .is_err()
+        {
             busy.learning.store(false, Ordering::Release);
         }
     }
@@ -385,7 +474,12 @@
             rolling.store(false, Ordering::Release);
             shared.wake();
         };
-        if std::thread::Builder::new().name("rollout".into()).stack_size(STACK).spawn(work).is_err() {
+        if std::thread::Builder::new()
+            .name("rollout".into())
+            .stack_size(STACK)
+            .spawn(work)
+            .is_err()
+        {
             busy.rolling.store(false, Ordering::Release);
         }
     }
@@ -394,7 +488,10 @@
     fn propose(&self, busy: &mut Busy, base: Option<&Arc<Decree>>, every: Duration) {
         let promised = {
             let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-            inner.group.as_ref().map_or(0, |g| g.memory().promised.round)
+            inner
+                .group
+                .as_ref()
+                .map_or(0, |g| g.memory().promised.round)
         };
         let round = promised.max(busy.outbid.load(Ordering::Acquire)) + 1;
         let (ballot, now) = (Ballot { round, by: drawn() }, clock::now());
@@ -403,7 +500,14 @@
             Some(base) => Proposer::begin(base.clone(), Aim::Settle, ballot, now),
             None => Proposer::form(self.membership.charter.clone(), ballot, now),
         };
-        self.log(if base.is_some() { "settling" } else { "forming" }, "");
+        self.log(
+            if base.is_some() {
+                "settling"
+            } else {
+                "forming"
+            },
+            "",
+        );
         busy.settling.store(true, Ordering::Release);
         let (shared, links) = (self.shared.clone(), self.membership.links.clone());
         let (settling, outbid) = (busy.settling.clone(), busy.outbid.clone());
@@ -415,7 +519,12 @@
             settling.store(false, Ordering::Release);
             shared.wake();
         };
-        if std::thread::Builder::new().name("group".into()).stack_size(STACK).spawn(work).is_err() {
+        if std::thread::Builder::new()
+            .name("group".into())
+            .stack_size(STACK)
+            .spawn(work)
+            .is_err()
+        {
             busy.settling.store(false, Ordering::Release);
         }
     }
--- a/crates/keeper/src/ledger.rs
+++ b/crates/keeper/src/ledger.rs
@@ -80,7 +80,14 @@
         let number = |row: Option<&(String, Vec<u8>)>| row.and_then(|r| r.0.parse::<u64>().ok());
         let numbers = number(last.first()).unwrap_or(0)..number(last.last()).map_or(0, |n| n + 1);
         let (past, records) = (VecDeque::new(), VecDeque::new());
-        let mut ledger = Ledger { store, closed: false, memory: Memory::default(), past, records, numbers };
+        let mut ledger = Ledger {
+            store,
+            closed: false,
+            memory: Memory::default(),
+            past,
+            records,
+            numbers,
+        };
         match kept {
             Some(text) => {
                 ledger.memory = serde_json::from_slice(&text)
@@ -107,7 +114,12 @@
     /// # Errors
     ///
     /// Where the disk refuses: nothing has changed then.
-    pub fn keep(&mut self, memory: &Memory, new: bool, record: Option<&Record>) -> Result<(), String> {
+    pub fn keep(
+        &mut self,
+        memory: &Memory,
+        new: bool,
+        record: Option<&Record>,
+    ) -> Result<(), String> {
         if self.closed {
             return Err("it is stopping".into());
         }
@@ -129,7 +141,8 @@
         let text = serde_json::to_vec(memory).map_err(|e| e.to_string())?;
         let mut batch = batch.put(Kind::Control, MEMORY, text);
         if new {
-            let text = serde_json::to_vec(&(&memory.enforced, &memory.state)).map_err(|e| e.to_string())?;
+            let text = serde_json::to_vec(&(&memory.enforced, &memory.state))
+                .map_err(|e| e.to_string())?;
             batch = batch.put(Kind::Control, &past_name(memory.enforced.number), text);
             let kept = store.names(Kind::Control).map_err(|e| e.to_string())?;
             let past: Vec<&String> = kept.iter().filter(|k| k.starts_with("past/")).collect();
@@ -142,7 +155,8 @@
 
     fn kept(&mut self, memory: &Memory, new: bool) {
         if self.store.is_none() && new {
-            self.past.push_back((memory.enforced.clone(), memory.state.clone()));
+            self.past
+                .push_back((memory.enforced.clone(), memory.state.clone()));
             let surplus = self.past.len().saturating_sub(MOST_PAST_IN_MEMORY);
             self.past.drain(..surplus);
         }
@@ -155,23 +169,48 @@
     ///
     /// Where the disk fails, or what is kept can't be read.
     pub fn member(&self) -> Result<Option<Member>, String> {
-        let Some(store) = &self.store else { return Ok(None) };
-        let told = |e: &dyn std::fmt::Display| format!("state: what is kept of the group can't be read: {e}");
-        let Some(text) = store.get(Kind::Control, GROUP).map_err(|e| told(&e))? else { return Ok(None) };
+        let Some(store) = &self.store else {
+            return Ok(None);
+        };
+        let told = |e: &dyn std::fmt::Display| {
+            format!("state: what is kept of the group can't be read: {e}")
+        };
+        let Some(text) = store.get(Kind::Control, GROUP).map_err(|e| told(&e))? else {
+            return Ok(None);
+        };
         let stored: Stored = serde_json::from_slice(&text).map_err(|e| told(&e))?;
         let decree = |digest: &Digest| {
-            let text = store.get(Kind::Control, &decree_name(digest)).map_err(|e| told(&e))?;
+            let text = store
+                .get(Kind::Control, &decree_name(digest))
+                .map_err(|e| told(&e))?;
             let text = text.ok_or_else(|| told(&"a decree is missing"))?;
             let decree: Decree = serde_json::from_slice(&text).map_err(|e| told(&e))?;
             decree.check().map_err(|e| told(&e))?;
             Ok::<_, String>(Arc::new(decree))
         };
-        let Stored { name, folder, writes, promised, .. } = stored;
-        let accepted = stored.accepted.as_ref().map(|(ballot, d)| Ok((*ballot, decree(d)?)));
+        let Stored {
+            name,
+            folder,
+            writes,
+            promised,
+            ..
+        } = stored;
+        let accepted = stored
+            .accepted
+            .as_ref()
+            .map(|(ballot, d)| Ok((*ballot, decree(d)?)));
         let accepted = accepted.transpose().map_err(|e: String| e)?;
         let decree = stored.decree.as_ref().map(decree).transpose()?;
         // From which ballot the switch was made is not kept: whoever asks after a restart waits for leases instead.
-        Ok(Some(Member { name, folder, writes, decree, from: None, promised, accepted }))
+        Ok(Some(Member {
+            name,
+            folder,
+            writes,
+            decree,
+            from: None,
+            promised,
+            accepted,
+        }))
     }
 
     /// Keeps what a member of a group must not forget, with what is enforced where that changes, and a record; all or nothing.
@@ -201,13 +240,24 @@
             let text = serde_json::to_vec(&stored).map_err(|e| e.to_string())?;
             let mut batch = Batch::new().put(Kind::Control, GROUP, text);
             let kept = store.names(Kind::Control).map_err(|e| e.to_string())?;
-            let decrees: Vec<&Arc<Decree>> = member.decree.iter().chain(accepted.map(|a| &a.1)).collect();
+            let decrees: Vec<&Arc<Decree>> =
+                member.decree.iter().chain(accepted.map(|a| &a.1)).collect();
             let names: Vec<String> = decrees.iter().map(|d| decree_name(&d.digest)).collect();
-            for (decree, name) in decrees.iter().zip(&names).filter(|(_, name)| !kept.contains(name)) {
-                batch =
-                    batch.put(Kind::Control, name, serde_json::to_vec(decree).map_err(|e| e.to_string())?);
+            for (decree, name) in decrees
+                .iter()
+                .zip(&names)
+                .filter(|(_, name)| !kept.contains(name))
+            {
+                batch = batch.put(
+                    Kind::Control,
+                    name,
+                    serde_json::to_vec(decree).map_err(|e| e.to_string())?,
+                );
             }
-            for old in kept.iter().filter(|k| k.starts_with(DECREE) && !names.contains(k)) {
+            for old in kept
+                .iter()
+                .filter(|k| k.starts_with(DECREE) && !names.contains(k))
+            {
                 batch = batch.delete(Kind::Control, old);
             }
             if let Some(own) = own {
@@ -239,7 +289,10 @@
     fn noted(&mut self, record: &Record) {
         if self.store.is_some() {
             self.numbers.end += 1;
-            self.numbers.start = self.numbers.start.max(self.numbers.end.saturating_sub(MOST_RECORDS as u64));
+            self.numbers.start = self
+                .numbers
+                .start
+                .max(self.numbers.end.saturating_sub(MOST_RECORDS as u64));
         } else {
             self.records.push_back(record.clone());
             let surplus = self.records.len().saturating_sub(MOST_RECORDS);
@@ -257,7 +310,9 @@
             return Err("it is stopping".into());
         }
         if let Some(store) = &self.store {
-            store.commit(&self.with(Batch::new(), record)?).map_err(|e| e.to_string())?;
+            store
+                .commit(&self.with(Batch::new(), record)?)
+                .map_err(|e| e.to_string())?;
         }
         self.noted(record);
         Ok(())
@@ -272,8 +327,11 @@
         let Some(store) = &self.store else {
             return Ok(self.past.iter().find(|p| p.0.number == number).cloned());
         };
-        let text = store.get(Kind::Control, &past_name(number)).map_err(|e| e.to_string())?;
-        text.map(|t| serde_json::from_slice(&t).map_err(|e| e.to_string())).transpose()
+        let text = store
+            .get(Kind::Control, &past_name(number))
+            .map_err(|e| e.to_string())?;
+        text.map(|t| serde_json::from_slice(&t).map_err(|e| e.to_string()))
+            .transpose()
     }
 
     /// The last records, the oldest first.
@@ -286,8 +344,12 @@
             let skip = self.records.len().saturating_sub(most);
             return Ok(self.records.iter().skip(skip).cloned().collect());
         };
-        let rows = store.list(Kind::Audit, most.min(MOST_RECORDS)).map_err(|e| e.to_string())?;
-        rows.into_iter().map(|(_, t)| serde_json::from_slice(&t).map_err(|e| e.to_string())).collect()
+        let rows = store
+            .list(Kind::Audit, most.min(MOST_RECORDS))
+            .map_err(|e| e.to_string())?;
+        rows.into_iter()
+            .map(|(_, t)| serde_json::from_slice(&t).map_err(|e| e.to_string()))
+            .collect()
     }
 
     /// Closes the store: a later start need not mend it.
@@ -309,26 +371,50 @@
     #[test]
     fn generations_and_records_outlive_a_restart_and_stay_bounded() {
         let folder = tempfile::tempdir().unwrap();
-        let mut ledger = Ledger::open(Some(folder.path()), || Memory::first(1, state("1"))).unwrap();
+        let mut ledger =
+            Ledger::open(Some(folder.path()), || Memory::first(1, state("1"))).unwrap();
         for n in 2..40 {
-            let record = Record { what: "made".into(), generation: n, ..Record::default() };
-            ledger.keep(&Memory::first(n, state(&n.to_string())), true, Some(&record)).unwrap();
+            let record = Record {
+                what: "made".into(),
+                generation: n,
+                ..Record::default()
+            };
+            ledger
+                .keep(
+                    &Memory::first(n, state(&n.to_string())),
+                    true,
+                    Some(&record),
+                )
+                .unwrap();
         }
         for _ in 0..MOST_RECORDS {
-            ledger.note(&Record { what: "planned".into(), ..Record::default() }).unwrap();
+            ledger
+                .note(&Record {
+                    what: "planned".into(),
+                    ..Record::default()
+                })
+                .unwrap();
         }
         ledger.close();
         assert!(
-            ledger.note(&Record::default()).is_err() && ledger.keep(&Memory::default(), true, None).is_err()
+            ledger.note(&Record::default()).is_err()
+                && ledger.keep(&Memory::default(), true, None).is_err()
         );
         drop(ledger);
         let ledger = Ledger::open(Some(folder.path()), || unreachable!("it is kept")).unwrap();
         assert_eq!(ledger.memory().enforced.number, 39);
         assert_eq!(ledger.past(39).unwrap().unwrap().1, state("39").into());
-        assert_eq!(ledger.past(39 - MOST_PAST as u64 + 1).unwrap().unwrap().1, state("24").into());
+        assert_eq!(
+            ledger.past(39 - MOST_PAST as u64 + 1).unwrap().unwrap().1,
+            state("24").into()
+        );
         assert_eq!(ledger.past(23).unwrap(), None);
         assert_eq!(ledger.records(usize::MAX).unwrap().len(), MOST_RECORDS);
-        assert!(ledger.records(3).unwrap().iter().all(|r| r.what == "planned"));
+        assert!(ledger
+            .records(3)
+            .unwrap()
+            .iter()
+            .all(|r| r.what == "planned"));
     }
 
     /// Guards against a promise, or what was taken up, that a restart forgets, and against decrees that pile up.
@@ -337,18 +423,37 @@
         use wrenfork_roster::decree::Policy;
         use wrenfork_roster::seats::{Kind as Of, Roster, Seat};
         let folder = tempfile::tempdir().unwrap();
-        let seat = Seat { name: "a".into(), folder: 7, kind: Of::Ingress, votes: true };
+        let seat = Seat {
+            name: "a".into(),
+            folder: 7,
+            kind: Of::Ingress,
+            votes: true,
+        };
         let roster = Roster::new(1, 1_500, vec![seat]).unwrap();
         let states = [("a".to_string(), Arc::new(state("1")))].into();
-        let mut decree = Arc::new(Decree::new(1, 1, Digest::default(), "ann", roster, Policy::of(&states)));
-        let mut ledger = Ledger::open(Some(folder.path()), || Memory::first(1, state("1"))).unwrap();
+        let mut decree = Arc::new(Decree::new(
+            1,
+            1,
+            Digest::default(),
+            "ann",
+            roster,
+            Policy::of(&states),
+        ));
+        let mut ledger =
+            Ledger::open(Some(folder.path()), || Memory::first(1, state("1"))).unwrap();
         assert_eq!(ledger.member(), Ok(None));
         let mut member = Member::fresh("a", 7);
         for n in 2..6 {
             let next = Arc::new(decree.nothing());
             let ballot = Ballot { round: n, by: 3 };
             let accepted = Some((ballot, next.clone()));
-            member = Member { decree: Some(decree), accepted, promised: ballot, writes: n, ..member };
+            member = Member {
+                decree: Some(decree),
+                accepted,
+                promised: ballot,
+                writes: n,
+                ..member
+            };
             ledger.keep_member(&member, None, None).unwrap();
             decree = next;
         }
@@ -367,7 +472,9 @@
     fn without_a_folder_the_last_ones_are_kept_in_memory() {
         let mut ledger = Ledger::open(None, || Memory::first(1, state("1"))).unwrap();
         for n in 2..10 {
-            ledger.keep(&Memory::first(n, state(&n.to_string())), true, None).unwrap();
+            ledger
+                .keep(&Memory::first(n, state(&n.to_string())), true, None)
+                .unwrap();
         }
         assert_eq!(ledger.past(9).unwrap().unwrap().1, state("9").into());
         assert_eq!(ledger.past(5).unwrap(), None);
--- a/crates/keeper/src/lib.rs
+++ b/crates/keeper/src/lib.rs
@@ -116,7 +116,9 @@
 }
 
 fn seconds() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_secs())
 }
 
 impl<E: Enforcer> Keeper<E> {
@@ -134,7 +136,10 @@
         most: usize,
         membership: Option<Membership>,
     ) -> Result<Keeper<E>, String> {
-        let member = membership.as_ref().map(|m| join(name, &mut ledger, m, &enforcer)).transpose()?;
+        let member = membership
+            .as_ref()
+            .map(|m| join(name, &mut ledger, m, &enforcer))
+            .transpose()?;
         let (group, begun) = match member {
             Some((acceptor, shared, woken)) => (Some(acceptor), Some((shared, woken))),
             None => (None, None),
@@ -158,13 +163,24 @@
         let inner = Arc::new(Mutex::new(inner));
         let most_connections = MOST_CONNECTIONS + membership.as_ref().map_or(0, |m| m.links.len());
         if let (Some((shared, woken)), Some(membership)) = (begun, membership) {
-            let driver = Driver { name: name.into(), membership, shared, woken, inner: inner.clone(), most };
-            let thread = std::thread::Builder::new().name("group".into()).stack_size(STACK);
+            let driver = Driver {
+                name: name.into(),
+                membership,
+                shared,
+                woken,
+                inner: inner.clone(),
+                most,
+            };
+            let thread = std::thread::Builder::new()
+                .name("group".into())
+                .stack_size(STACK);
             let run = move || {
                 let_others_first();
                 driver.run();
             };
-            thread.spawn(run).map_err(|e| format!("control: no thread: {e}"))?;
+            thread
+                .spawn(run)
+                .map_err(|e| format!("control: no thread: {e}"))?;
         }
         let (serving, sharing) = (inner.clone(), shared.clone());
         let accept = move || {
@@ -186,13 +202,23 @@
                     let _ = Self::serve(&inner, shared.as_deref(), &connection);
                 };
                 // Where no thread can be had, the connection ends.
-                let thread = std::thread::Builder::new().name("control".into()).stack_size(STACK);
+                let thread = std::thread::Builder::new()
+                    .name("control".into())
+                    .stack_size(STACK);
                 let _ = thread.spawn(serve);
             }
         };
-        let thread = std::thread::Builder::new().name("control".into()).stack_size(STACK);
-        thread.spawn(accept).map_err(|e| format!("control: no thread: {e}"))?;
-        Ok(Keeper { inner, shared, socket })
+        let thread = std::thread::Builder::new()
+            .name("control".into())
+            .stack_size(STACK);
+        thread
+            .spawn(accept)
+            .map_err(|e| format!("control: no thread: {e}"))?;
+        Ok(Keeper {
+            inner,
+            shared,
+            socket,
+        })
     }
 
     /// The deadline for letting requests in, where it belongs to a group.
@@ -363,18 +389,35 @@
     membership: &Membership,
     enforcer: &E,
 ) -> Result<(Acceptor, Arc<Shared>, UnixStream), String> {
-    let log = |why: String| enforcer.log(&Record { what: "group".into(), why, ..Record::default() });
+    let log = |why: String| {
+        enforcer.log(&Record {
+            what: "group".into(),
+            why,
+            ..Record::default()
+        })
+    };
     let memory = match ledger.member()? {
         Some(memory) if memory.name == name => memory,
         Some(other) => {
-            log(format!("the folder is {}'s: it is used as an empty one, without a vote", other.name));
+            log(format!(
+                "the folder is {}'s: it is used as an empty one, without a vote",
+                other.name
+            ));
             Member::fresh(name, group::drawn())
         }
         None => Member::fresh(name, group::drawn()),
     };
-    let memory = Member { writes: memory.writes + 1, ..memory };
-    ledger.keep_member(&memory, None, None).map_err(|why| format!("state: {why}"))?;
-    let serves = membership.charter.seat(name).is_none_or(|s| s.kind == Kind::Ingress);
+    let memory = Member {
+        writes: memory.writes + 1,
+        ..memory
+    };
+    ledger
+        .keep_member(&memory, None, None)
+        .map_err(|why| format!("state: {why}"))?;
+    let serves = membership
+        .charter
+        .seat(name)
+        .is_none_or(|s| s.kind == Kind::Ingress);
     let own = ledger.memory();
     let own = serves.then(|| (own.enforced.number, own.state.clone()));
     let (shared, woken) = Shared::new(name, &memory, membership)?;
@@ -390,25 +433,44 @@
     ) -> group_protocol::Say {
         use group_protocol::{Ask, Say};
         let (Some(acceptor), Some(shared)) = (&mut self.group, &self.shared) else {
-            return Say::No { why: "this ingress belongs to no group".into() };
+            return Say::No {
+                why: "this ingress belongs to no group".into(),
+            };
         };
         let number = acceptor.memory().number();
         let wants = self.participant.memory().state.0.get(PROGRAM);
         match ask {
             Ask::Tally => {
                 let (began, turn, tally) = (self.began, self.turn == number, self.enforcer.tally());
-                let unfit = self.unfit.as_ref().filter(|u| wants.is_some_and(|w| same_program(w, &u.0)));
+                let unfit = self
+                    .unfit
+                    .as_ref()
+                    .filter(|u| wants.is_some_and(|w| same_program(w, &u.0)));
                 let unfit = unfit.map(|u| u.1.clone()).unwrap_or_default();
-                return Say::Tallied(Box::new(Tally { number, began, turn, unfit, ..tally }));
+                return Say::Tallied(Box::new(Tally {
+                    number,
+                    began,
+                    turn,
+                    unfit,
+                    ..tally
+                }));
             }
             Ask::Turn { number: under } if under == number => {
                 self.turn = number;
                 return Say::Noted;
             }
-            Ask::Turn { .. } => return Say::No { why: "another decree stands here".into() },
+            Ask::Turn { .. } => {
+                return Say::No {
+                    why: "another decree stands here".into(),
+                }
+            }
             Ask::Unfit { program, why } => {
                 // The first reason stands: it is said again for whoever has not heard it.
-                if self.unfit.as_ref().is_some_and(|u| same_program(&u.0, &program)) {
+                if self
+                    .unfit
+                    .as_ref()
+                    .is_some_and(|u| same_program(&u.0, &program))
+                {
                     return Say::Noted;
                 }
                 let why = why.chars().take(MOST_WHY).collect::<String>();
@@ -436,7 +498,9 @@
                     standing.bar(*ballot, &decree.digest, now);
                     record = Some(("promised", decree.clone()));
                 }
-                Ask::Still { ballot, ready } if m.accepted.as_ref().is_some_and(|a| a.0 == *ballot) => {
+                Ask::Still { ballot, ready }
+                    if m.accepted.as_ref().is_some_and(|a| a.0 == *ballot) =>
+                {
                     standing.still(*ballot, ready, now);
                 }
                 _ => {}
@@ -458,8 +522,12 @@
                         Say::Stands(stand)
                     }
                     Say::No { why } => {
-                        let record =
-                            Record { at: seconds(), what: "refused".into(), why, ..Record::default() };
+                        let record = Record {
+                            at: seconds(),
+                            what: "refused".into(),
+                            why,
+                            ..Record::default()
+                        };
                         self.enforcer.log(&record);
                         let _ = self.ledger.note(&record);
                         Say::No { why: record.why }
@@ -467,9 +535,17 @@
                     say => say,
                 };
             }
-            Turn::Write { memory, then, switch } => (memory, then, switch),
+            Turn::Write {
+                memory,
+                then,
+                switch,
+            } => (memory, then, switch),
         };
-        let own = memory.decree.as_ref().filter(|_| switch).and_then(|d| d.at(&self.name));
+        let own = memory
+            .decree
+            .as_ref()
+            .filter(|_| switch)
+            .and_then(|d| d.at(&self.name));
         let own = own.filter(|(generation, _)| *generation != self.participant.memory().enforced);
         let own = own.map(|(enforced, state)| {
             let was = self.participant.memory();
@@ -483,11 +559,19 @@
         if let Some(decree) = memory.decree.as_ref().filter(|_| switch) {
             record = Some(("made", decree.clone()));
         }
-        let had = acceptor.memory().decree.as_ref().and_then(|d| d.rollout.clone());
+        let had = acceptor
+            .memory()
+            .decree
+            .as_ref()
+            .and_then(|d| d.rollout.clone());
         let record = record.map(|(what, decree)| {
-            let step =
-                decree.rollout.as_deref().filter(|step| what == "made" && had.as_deref() != Some(*step));
-            let what = step.map_or(what.to_string(), |step| format!("{ROLLOUT}: {}", step.phase));
+            let step = decree
+                .rollout
+                .as_deref()
+                .filter(|step| what == "made" && had.as_deref() != Some(*step));
+            let what = step.map_or(what.to_string(), |step| {
+                format!("{ROLLOUT}: {}", step.phase)
+            });
             Record {
                 at: seconds(),
                 what,
@@ -498,9 +582,14 @@
             }
         });
         self.faults.pass(point, "unwritten");
-        if let Err(why) = self.ledger.keep_member(&memory, own.as_ref(), record.as_ref()) {
+        if let Err(why) = self
+            .ledger
+            .keep_member(&memory, own.as_ref(), record.as_ref())
+        {
             shared.follow(acceptor.memory());
-            return Say::Unable { why: format!("{} can't keep it: {why}", self.name) };
+            return Say::Unable {
+                why: format!("{} can't keep it: {why}", self.name),
+            };
         }
         self.faults.pass(point, "written");
         acceptor.written(*memory);
@@ -508,7 +597,10 @@
             let state = own.state.clone();
             let wants = state.0.get(PROGRAM);
             // What is not wanted any more may be tried anew.
-            self.unfit = self.unfit.take().filter(|u| wants.is_some_and(|w| same_program(w, &u.0)));
+            self.unfit = self
+                .unfit
+                .take()
+                .filter(|u| wants.is_some_and(|w| same_program(w, &u.0)));
             self.participant.written(own);
             if let Err(why) = self.enforcer.switch(&state) {
                 return Say::No { why }; // the ingress ends; it will start with what is written
@@ -524,11 +616,22 @@
 
     /// The folder turned out to be an older copy: what it knows may be gone on with, its votes may not.
     pub(crate) fn shed(&mut self) {
-        let (Some(acceptor), Some(shared)) = (&mut self.group, &self.shared) else { return };
+        let (Some(acceptor), Some(shared)) = (&mut self.group, &self.shared) else {
+            return;
+        };
         let memory = acceptor.memory().shed(group::drawn());
         let why = "the folder is an older copy of what others have seen: it has no vote; wrenctl roster replace gives it one";
-        let record = Record { at: seconds(), what: "group".into(), why: why.into(), ..Record::default() };
-        if self.ledger.keep_member(&memory, None, Some(&record)).is_ok() {
+        let record = Record {
+            at: seconds(),
+            what: "group".into(),
+            why: why.into(),
+            ..Record::default()
+        };
+        if self
+            .ledger
+            .keep_member(&memory, None, Some(&record))
+            .is_ok()
+        {
             acceptor.written(memory);
             shared.follow(acceptor.memory());
             self.enforcer.log(&record);
@@ -552,11 +655,16 @@
                 };
             }
             Ask::Note { record } => {
-                let record = Record { at: seconds(), ..record };
+                let record = Record {
+                    at: seconds(),
+                    ..record
+                };
                 self.enforcer.log(&record);
                 return self.ledger.note(&record).map_or_else(no, |()| Say::Noted);
             }
-            Ask::Prepare { .. } | Ask::Fence { .. } | Ask::Decide { .. } if self.group.is_some() => {
+            Ask::Prepare { .. } | Ask::Fence { .. } | Ask::Decide { .. }
+                if self.group.is_some() =>
+            {
                 return no(
                     "it belongs to a group, which decides its changes: use a wrenctl that knows rosters"
                         .into(),
@@ -566,30 +674,60 @@
         };
         let enforcer = &self.enforcer;
         match self.participant.take(ask, |state| enforcer.check(state)) {
-            Step::Say(Say::Status { ingress, generation, state, promise, .. }) => {
+            Step::Say(Say::Status {
+                ingress,
+                generation,
+                state,
+                promise,
+                ..
+            }) => {
                 let figures = self.enforcer.figures();
-                Say::Status { ingress, generation, state, promise, figures }
+                Say::Status {
+                    ingress,
+                    generation,
+                    state,
+                    promise,
+                    figures,
+                }
             }
             Step::Say(say) => {
                 if let (Say::No { why }, Some(record)) = (&say, record) {
-                    let record = Record { what: "refused".into(), why: why.clone(), ..record };
+                    let record = Record {
+                        what: "refused".into(),
+                        why: why.clone(),
+                        ..record
+                    };
                     self.enforcer.log(&record);
                     let _ = self.ledger.note(&record);
                 }
                 say
             }
-            Step::Write { memory, then, switch } => {
+            Step::Write {
+                memory,
+                then,
+                switch,
+            } => {
                 let what = match &then {
                     Say::Yes => "promised",
-                    Say::Stands { stand: Stand::Made, .. } => "made",
-                    Say::Stands { stand: Stand::Dropped, .. } => "given up",
+                    Say::Stands {
+                        stand: Stand::Made, ..
+                    } => "made",
+                    Say::Stands {
+                        stand: Stand::Dropped,
+                        ..
+                    } => "given up",
                     _ => "fenced",
                 };
-                let record = record.map(|r| Record { what: what.into(), ..r });
+                let record = record.map(|r| Record {
+                    what: what.into(),
+                    ..r
+                });
                 self.faults.pass(point, "unwritten");
                 if let Err(why) = self.ledger.keep(&memory, switch, record.as_ref()) {
                     // Nothing has happened, and all goes on as before.
-                    return Say::Unable { why: format!("{} can't keep it: {why}", self.name) };
+                    return Say::Unable {
+                        why: format!("{} can't keep it: {why}", self.name),
+                    };
                 }
                 self.faults.pass(point, "written");
                 self.participant.written(*memory);
@@ -617,7 +755,14 @@
             }
             _ => return None,
         };
-        let (author, generation) = promise.map_or((String::new(), 0), |p| (p.author.clone(), p.next.number));
-        Some(Record { at: seconds(), change: change.clone(), author, generation, ..Record::default() })
+        let (author, generation) =
+            promise.map_or((String::new(), 0), |p| (p.author.clone(), p.next.number));
+        Some(Record {
+            at: seconds(),
+            change: change.clone(),
+            author,
+            generation,
+            ..Record::default()
+        })
     }
 }
--- a/crates/keeper/src/links.rs
+++ b/crates/keeper/src/links.rs
@@ -85,11 +85,14 @@
         self.out = Vec::new();
         self.got = Vec::new();
         self.failures = (self.failures + 1).min(8);
-        self.not_before = now + (Duration::from_millis(10) * (1 << self.failures)).min(LONGEST_PAUSE);
+        self.not_before =
+            now + (Duration::from_millis(10) * (1 << self.failures)).min(LONGEST_PAUSE);
     }
 
     fn write(&mut self, now: Duration) {
-        let Some(stream) = &mut self.stream else { return };
+        let Some(stream) = &mut self.stream else {
+            return;
+        };
         while !self.out.is_empty() {
             match stream.write(&self.out) {
                 Ok(n) if n > 0 => drop(self.out.drain(..n)),
@@ -160,16 +163,29 @@
     {
         let waiting = links.iter().filter_map(|l| {
             let stream = l.stream.as_ref().filter(|_| l.asked.is_some())?;
-            let write = if l.out.is_empty() { PollFlags::empty() } else { PollFlags::OUT };
-            Some(PollFd::from_borrowed_fd(stream.as_fd(), PollFlags::IN | write))
+            let write = if l.out.is_empty() {
+                PollFlags::empty()
+            } else {
+                PollFlags::OUT
+            };
+            Some(PollFd::from_borrowed_fd(
+                stream.as_fd(),
+                PollFlags::IN | write,
+            ))
         });
         let mut fds: Vec<PollFd> = waiting.collect();
         fds.push(PollFd::new(wake, PollFlags::IN));
-        let expires = links.iter().filter_map(|l| l.asked.as_ref()).map(|a| a.sent + patience).min();
+        let expires = links
+            .iter()
+            .filter_map(|l| l.asked.as_ref())
+            .map(|a| a.sent + patience)
+            .min();
         let until = expires.map_or(until, |e| e.min(until));
         let left = until.saturating_sub(now) + Duration::from_millis(1);
-        let left =
-            rustix::time::Timespec { tv_sec: left.as_secs() as i64, tv_nsec: left.subsec_nanos().into() };
+        let left = rustix::time::Timespec {
+            tv_sec: left.as_secs() as i64,
+            tv_nsec: left.subsec_nanos().into(),
+        };
         match poll(&mut fds, Some(&left)) {
             Ok(_) | Err(Errno::INTR) => {}
             Err(_) => std::thread::sleep(Duration::from_millis(10)),
@@ -179,7 +195,11 @@
     let _ = (&*wake).read(&mut woken); // it does not block: that it was there is all that it says
     now = clock::now();
     let mut came = Vec::new();
-    for (n, link) in links.iter_mut().enumerate().filter(|(_, l)| l.asked.is_some()) {
+    for (n, link) in links
+        .iter_mut()
+        .enumerate()
+        .filter(|(_, l)| l.asked.is_some())
+    {
         link.write(now);
         if let Some((ask, sent, say)) = link.read(now, most) {
             came.push((n, ask, sent, say));
--- a/crates/keeper/src/rollout.rs
+++ b/crates/keeper/src/rollout.rs
@@ -52,14 +52,27 @@
 impl<E: Enforcer> Driving<E> {
     /// Drives until something else stands, or this member ends.
     pub fn run(self) {
-        let Some(record) = under_way(&self.decree).cloned() else { return };
-        let Ok((_wake, woken)) = UnixStream::pair() else { return };
+        let Some(record) = under_way(&self.decree).cloned() else {
+            return;
+        };
+        let Ok((_wake, woken)) = UnixStream::pair() else {
+            return;
+        };
         if woken.set_nonblocking(true).is_err() {
             return;
         }
-        let serves = |name: &&String| self.decree.roster.seat(name).is_some_and(|s| s.kind == Kind::Ingress);
-        let mut links: Vec<Link> =
-            self.at.iter().filter(|(name, _)| serves(name)).map(|(n, p)| Link::new(n, p.clone())).collect();
+        let serves = |name: &&String| {
+            self.decree
+                .roster
+                .seat(name)
+                .is_some_and(|s| s.kind == Kind::Ingress)
+        };
+        let mut links: Vec<Link> = self
+            .at
+            .iter()
+            .filter(|(name, _)| serves(name))
+            .map(|(n, p)| Link::new(n, p.clone()))
+            .collect();
         let (mut watch, mut round) = (None::<Watch>, 0);
         while self.stands() {
             let now = clock::now();
@@ -73,11 +86,19 @@
                 });
                 let next = watch.look(clock::now(), &seen);
                 for name in watch.turns(&seen) {
-                    let turn = Ask::Turn { number: self.decree.number };
-                    let told = self.at.get(&name).map(|at| crate::client::ask::<_, Say>(at, &turn, PATIENCE));
+                    let turn = Ask::Turn {
+                        number: self.decree.number,
+                    };
+                    let told = self
+                        .at
+                        .get(&name)
+                        .map(|at| crate::client::ask::<_, Say>(at, &turn, PATIENCE));
                     // One that was not reached is told at the next look.
                     if let Some(Ok(Say::Noted)) = told {
-                        self.log(&record.phase.to_string(), &format!("{name}'s turn to change its program"));
+                        self.log(
+                            &record.phase.to_string(),
+                            &format!("{name}'s turn to change its program"),
+                        );
                     }
                 }
                 if let Some(next) = next {
@@ -98,9 +119,18 @@
 
     fn log(&self, what: &str, why: &str) {
         let (change, generation) = (self.decree.change.clone(), self.decree.generation);
-        let note =
-            Note { what: format!("rollout: {what}"), why: why.into(), change, generation, ..Note::default() };
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner).enforcer.log(&note);
+        let note = Note {
+            what: format!("rollout: {what}"),
+            why: why.into(),
+            change,
+            generation,
+            ..Note::default()
+        };
+        self.inner
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .enforcer
+            .log(&note);
     }
 
     /// Whether a voter that comes before this one is there and may serve.
@@ -110,7 +140,9 @@
         let before = self.decree.roster.voters().filter(|s| lot(&s.name) < own);
         let before: Vec<&PathBuf> = before.filter_map(|s| self.at.get(&s.name)).collect();
         let leads = |at: &PathBuf| match crate::client::ask(at, &Ask::Stand, PATIENCE) {
-            Ok(Say::Stands(stand)) => stand.number == self.decree.number && stand.lease_ms.is_some(),
+            Ok(Say::Stands(stand)) => {
+                stand.number == self.decree.number && stand.lease_ms.is_some()
+            }
             _ => false,
         };
         std::thread::scope(|scope| {
@@ -122,8 +154,10 @@
     /// What each member that serves counted so far, or that it does not answer.
     fn look(&self, links: &mut [Link], woken: &UnixStream) -> BTreeMap<String, Seen> {
         let begun = clock::now();
-        let mut seen: BTreeMap<String, Seen> =
-            links.iter().map(|l| (l.name.clone(), Err("it does not answer".to_string()))).collect();
+        let mut seen: BTreeMap<String, Seen> = links
+            .iter()
+            .map(|l| (l.name.clone(), Err("it does not answer".to_string())))
+            .collect();
         let mut left = 0;
         for link in links.iter_mut().filter(|l| l.free(begun)) {
             link.ask(Ask::Tally, begun);
@@ -151,15 +185,34 @@
         };
         let promised = {
             let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-            inner.group.as_ref().map_or(0, |g| g.memory().promised.round)
+            inner
+                .group
+                .as_ref()
+                .map_or(0, |g| g.memory().promised.round)
+        };
+        let ballot = Ballot {
+            round: promised.max(*round) + 1,
+            by: drawn(),
         };
-        let ballot = Ballot { round: promised.max(*round) + 1, by: drawn() };
-        let mut proposer = Proposer::begin(self.decree.clone(), Aim::Change(decree), ballot, clock::now());
-        match drive(&mut proposer, &self.at, self.decree.roster.lease() * DECIDE, |_| {}) {
+        let mut proposer = Proposer::begin(
+            self.decree.clone(),
+            Aim::Change(decree),
+            ballot,
+            clock::now(),
+        );
+        match drive(
+            &mut proposer,
+            &self.at,
+            self.decree.roster.lease() * DECIDE,
+            |_| {},
+        ) {
             End::Made => self.log(&what, &why),
             End::Outbid(by) => *round = by.round,
             End::Refused(all) => {
-                let all: Vec<String> = all.into_iter().map(|(name, why)| format!("{name}: {why}")).collect();
+                let all: Vec<String> = all
+                    .into_iter()
+                    .map(|(name, why)| format!("{name}: {why}"))
+                    .collect();
                 self.log(&what, &format!("refused: {}", all.join("; ")));
             }
             // Somebody else was first, or it is settled by the members; either way it shows in what stands.
--- a/crates/keeper/src/socket.rs
+++ b/crates/keeper/src/socket.rs
@@ -33,14 +33,19 @@
     // Held for as long as the socket is: two that start at once must not both find the old one dead.
     let mut options = OpenOptions::new();
     options.write(true).create(true).truncate(false).mode(0o600);
-    let lock = options.open(beside(path, ".lock")).map_err(|e| failed("cannot open its lock", e))?;
+    let lock = options
+        .open(beside(path, ".lock"))
+        .map_err(|e| failed("cannot open its lock", e))?;
     flock(&lock, FlockOperation::NonBlockingLockExclusive)
         .map_err(|_| format!("{}: another process listens there", path.display()))?;
     match fs::symlink_metadata(path) {
         Err(e) if e.kind() == ErrorKind::NotFound => {}
         Err(e) => return Err(failed("cannot look at it", e)),
         Ok(found) if !found.file_type().is_socket() => {
-            return Err(format!("{}: something that is no socket is there", path.display()));
+            return Err(format!(
+                "{}: something that is no socket is there",
+                path.display()
+            ));
         }
         Ok(_) => match UnixStream::connect(path) {
             Ok(_) => return Err(format!("{}: another process listens there", path.display())),
@@ -51,14 +56,24 @@
     // Made under another name: its mode is set before it has the one that others know.
     let new = beside(path, ".new");
     match fs::remove_file(&new) {
-        Err(e) if e.kind() != ErrorKind::NotFound => return Err(failed("cannot clear what a crash left", e)),
+        Err(e) if e.kind() != ErrorKind::NotFound => {
+            return Err(failed("cannot clear what a crash left", e))
+        }
         _ => {}
     }
     let listener = UnixListener::bind(&new).map_err(|e| failed("cannot listen", e))?;
-    fs::set_permissions(&new, Permissions::from_mode(mode)).map_err(|e| failed("cannot set its mode", e))?;
+    fs::set_permissions(&new, Permissions::from_mode(mode))
+        .map_err(|e| failed("cannot set its mode", e))?;
     let made = fs::symlink_metadata(&new).map_err(|e| failed("cannot look at it", e))?;
     fs::rename(&new, path).map_err(|e| failed("cannot give it its name", e))?;
-    Ok((listener, Socket { path: path.into(), made: (made.dev(), made.ino()), _lock: lock }))
+    Ok((
+        listener,
+        Socket {
+            path: path.into(),
+            made: (made.dev(), made.ino()),
+            _lock: lock,
+        },
+    ))
 }
 
 impl Socket {
@@ -79,8 +94,13 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("control");
         let (listener, socket) = listen(&path, 0o600).unwrap();
-        assert_eq!(fs::metadata(&path).unwrap().permissions().mode() & 0o777, 0o600);
-        assert!(listen(&path, 0o600).unwrap_err().contains("another process"));
+        assert_eq!(
+            fs::metadata(&path).unwrap().permissions().mode() & 0o777,
+            0o600
+        );
+        assert!(listen(&path, 0o600)
+            .unwrap_err()
+            .contains("another process"));
         drop((listener, socket)); // as a crash: the file stays
         assert!(path.exists());
         let (_listener, socket) = listen(&path, 0o600).unwrap();
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -23,7 +23,11 @@
 
 impl Default for Evidence {
     fn default() -> Self {
-        Evidence { stakes: [0.0; BETS], blocks: 0, sum: 0.0 }
+        Evidence {
+            stakes: [0.0; BETS],
+            blocks: 0,
+            sum: 0.0,
+        }
     }
 }
 
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -49,7 +49,8 @@
         }
         if !(self.watch_ms..=7 * 86_400_000).contains(&self.patience_ms) {
             return Err(
-                "patience is as long as a stage is watched at the least, and a week at the most".into()
+                "patience is as long as a stage is watched at the least, and a week at the most"
+                    .into(),
             );
         }
         if self.pause_ms > 3_600_000 {
@@ -162,7 +163,10 @@
 pub fn change(old: &State, new: &State) -> Change {
     let keys: BTreeSet<&String> = old.0.keys().chain(new.0.keys()).collect();
     let both = |key: &String| (old.0.get(key).cloned(), new.0.get(key).cloned());
-    keys.into_iter().filter(|k| old.0.get(*k) != new.0.get(*k)).map(|k| (k.clone(), both(k))).collect()
+    keys.into_iter()
+        .filter(|k| old.0.get(*k) != new.0.get(*k))
+        .map(|k| (k.clone(), both(k)))
+        .collect()
 }
 
 impl Record {
@@ -178,32 +182,60 @@
 
     /// The members that have the new one.
     pub fn new_at(&self) -> BTreeSet<&str> {
-        self.stages.iter().take(self.reached()).flatten().map(String::as_str).collect()
+        self.stages
+            .iter()
+            .take(self.reached())
+            .flatten()
+            .map(String::as_str)
+            .collect()
     }
 
     /// Whether it changes what a member runs, besides what it enforces.
     pub fn changes_programs(&self) -> bool {
-        self.changes.iter().any(|change| change.contains_key(PROGRAM))
+        self.changes
+            .iter()
+            .any(|change| change.contains_key(PROGRAM))
     }
 
     /// Whether a member that runs this program runs what its side says; one of which nothing is said does.
     pub fn fits(&self, name: &str, program: &str) -> bool {
-        let change = self.of.get(name).and_then(|n| self.changes.get(*n)?.get(PROGRAM));
-        let Some((old, new)) = change else { return true };
-        let has_new = self.stages.iter().take(self.reached()).flatten().any(|member| member == name);
+        let change = self
+            .of
+            .get(name)
+            .and_then(|n| self.changes.get(*n)?.get(PROGRAM));
+        let Some((old, new)) = change else {
+            return true;
+        };
+        let has_new = self
+            .stages
+            .iter()
+            .take(self.reached())
+            .flatten()
+            .any(|member| member == name);
         let told = if has_new { new } else { old };
         told.as_ref().is_none_or(|told| same_program(told, program))
     }
 
     /// The same rollout, standing elsewhere.
     pub fn at(&self, phase: Phase, why: impl Into<String>) -> Record {
-        Record { phase, why: why.into(), ..self.clone() }
+        Record {
+            phase,
+            why: why.into(),
+            ..self.clone()
+        }
     }
 
     /// The stop of it: back in steps, or at once.
     pub fn stopped(&self, at_once: bool, why: impl Into<String>) -> Record {
         let left = self.reached().saturating_sub(1);
-        self.at(if at_once || left == 0 { Phase::Stopped } else { Phase::Back { left } }, why)
+        self.at(
+            if at_once || left == 0 {
+                Phase::Stopped
+            } else {
+                Phase::Back { left }
+            },
+            why,
+        )
     }
 
     /// What a member enforces on one side, made from what it enforces now on any.
@@ -219,7 +251,9 @@
         for (key, (old, fresh)) in change {
             let has = now.0.get(key);
             if has != old.as_ref() && has != fresh.as_ref() {
-                return Err(format!("{name}: {key} is neither as it was nor as it is to be"));
+                return Err(format!(
+                    "{name}: {key} is neither as it was nor as it is to be"
+                ));
             }
             match if new { fresh } else { old } {
                 Some(value) => drop(state.0.insert(key.clone(), value.clone())),
@@ -243,11 +277,18 @@
         if self.stages.iter().any(Vec::is_empty) {
             return Err("a stage has no member".into());
         }
-        if let Some(twice) = self.stages.iter().flatten().find(|name| !seen.insert(name.as_str())) {
+        if let Some(twice) = self
+            .stages
+            .iter()
+            .flatten()
+            .find(|name| !seen.insert(name.as_str()))
+        {
             return Err(format!("{twice} belongs to two stages"));
         }
-        if let Some((name, _)) =
-            self.of.iter().find(|(name, n)| !seen.contains(name.as_str()) || **n >= self.changes.len())
+        if let Some((name, _)) = self
+            .of
+            .iter()
+            .find(|(name, n)| !seen.contains(name.as_str()) || **n >= self.changes.len())
         {
             return Err(format!("{name} belongs to no stage, or has no change"));
         }
@@ -257,7 +298,9 @@
             Phase::Back { left } => left > 0 && left < most,
             Phase::Stopped | Phase::Done => true,
         };
-        within.then_some(()).ok_or_else(|| "it stands in a stage that it does not have".into())
+        within
+            .then_some(())
+            .ok_or_else(|| "it stands in a stage that it does not have".into())
     }
 }
 
@@ -272,7 +315,9 @@
     let active = before.filter(|r| !r.phase.ended());
     let after = match (active, after) {
         (None, None) => return Ok(()),
-        (Some(_), None) => return Err("a rollout is under way, and this knows nothing of it".into()),
+        (Some(_), None) => {
+            return Err("a rollout is under way, and this knows nothing of it".into())
+        }
         (_, Some(after)) => after,
     };
     if before == Some(after) {
@@ -281,7 +326,9 @@
     after.check()?;
     let Some(active) = active else {
         let first = after.phase == Phase::On { stage: 0 };
-        return first.then_some(()).ok_or_else(|| "a rollout begins with its first stage".into());
+        return first
+            .then_some(())
+            .ok_or_else(|| "a rollout begins with its first stage".into());
     };
     if active.id != after.id {
         return Err(format!(
@@ -303,7 +350,8 @@
         (Phase::On { .. } | Phase::Held { .. } | Phase::Back { .. }, Phase::Stopped) => true,
         _ => false,
     };
-    may.then_some(()).ok_or_else(|| format!("\"{}\" does not follow \"{}\"", after.phase, active.phase))
+    may.then_some(())
+        .ok_or_else(|| format!("\"{}\" does not follow \"{}\"", after.phase, active.phase))
 }
 
 #[cfg(test)]
@@ -312,12 +360,20 @@
     use proptest::prelude::*;
 
     fn state(pairs: &[(&str, &str)]) -> State {
-        State(pairs.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect())
+        State(
+            pairs
+                .iter()
+                .map(|(k, v)| (k.to_string(), v.to_string()))
+                .collect(),
+        )
     }
 
     fn record() -> Record {
         let names = |list: &[&str]| list.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-        let change = change(&state(&[("a", "1"), ("gone", "x")]), &state(&[("a", "2"), ("new", "y")]));
+        let change = change(
+            &state(&[("a", "1"), ("gone", "x")]),
+            &state(&[("a", "2"), ("new", "y")]),
+        );
         Record {
             id: Digest::of(b"plan"),
             author: "ann".into(),
@@ -333,13 +389,18 @@
     #[test]
     fn a_member_gets_the_side_of_its_stage_and_gets_back_what_it_had() {
         let r = record();
-        let (old, new) =
-            (state(&[("a", "1"), ("gone", "x"), ("k", "v")]), state(&[("a", "2"), ("new", "y"), ("k", "v")]));
+        let (old, new) = (
+            state(&[("a", "1"), ("gone", "x"), ("k", "v")]),
+            state(&[("a", "2"), ("new", "y"), ("k", "v")]),
+        );
         assert_eq!(r.state("n1", &old, true), Ok(new.clone()));
         assert_eq!(r.state("n1", &new, false), Ok(old.clone()));
         assert_eq!(r.state("n1", &new, true), Ok(new));
         assert_eq!(r.state("elsewhere", &old, true), Ok(old));
-        assert!(r.state("n1", &state(&[("a", "3"), ("gone", "x")]), true).unwrap_err().contains("neither"));
+        assert!(r
+            .state("n1", &state(&[("a", "3"), ("gone", "x")]), true)
+            .unwrap_err()
+            .contains("neither"));
         assert_eq!(r.new_at().into_iter().collect::<Vec<_>>(), ["n0"]);
         assert_eq!(r.at(Phase::Back { left: 2 }, "").new_at().len(), 3);
         assert_eq!(r.at(Phase::Done, "").new_at().len(), 4);
@@ -348,13 +409,18 @@
 
     #[test]
     fn each_side_runs_its_own_program() {
-        let (old, new) = (format!("r-1@{}", "1".repeat(64)), format!("r-2@{}", "2".repeat(64)));
+        let (old, new) = (
+            format!("r-1@{}", "1".repeat(64)),
+            format!("r-2@{}", "2".repeat(64)),
+        );
         let same = format!("other-name@{}", "2".repeat(64));
         let mut r = record();
         assert!(!r.changes_programs() && r.fits("n0", "") && r.fits("n0", &new));
         r.changes[0].insert(PROGRAM.into(), (Some(old.clone()), Some(new.clone())));
         assert!(r.changes_programs());
-        assert!(r.fits("n0", &new) && r.fits("n0", &same) && !r.fits("n0", &old) && !r.fits("n0", ""));
+        assert!(
+            r.fits("n0", &new) && r.fits("n0", &same) && !r.fits("n0", &old) && !r.fits("n0", "")
+        );
         assert!(r.fits("n1", &old) && !r.fits("n1", &new) && r.fits("elsewhere", ""));
         let back = r.at(Phase::Stopped, "");
         assert!(back.fits("n0", &old) && !back.fits("n0", &new));
@@ -389,18 +455,35 @@
         let on = |stage| r.at(Phase::On { stage }, "");
         let may = |a: &Record, b: &Record| follows(Some(a), Some(b)).is_ok();
         assert!(follows(None, Some(&r)).is_ok() && follows(None, None).is_ok());
-        assert!(follows(None, Some(&on(1))).is_err(), "it begins with its first stage");
+        assert!(
+            follows(None, Some(&on(1))).is_err(),
+            "it begins with its first stage"
+        );
         assert!(may(&on(0), &on(1)) && !may(&on(0), &on(2)) && !may(&on(1), &on(0)));
         assert!(may(&on(2), &r.at(Phase::Done, "")) && !may(&on(1), &r.at(Phase::Done, "")));
-        assert!(follows(Some(&r), None).unwrap_err().contains("knows nothing"));
-        let other = Record { id: Digest::of(b"other"), author: "bob".into(), ..r.clone() };
-        assert!(follows(Some(&r), Some(&other)).unwrap_err().contains("by ann is under way"));
+        assert!(follows(Some(&r), None)
+            .unwrap_err()
+            .contains("knows nothing"));
+        let other = Record {
+            id: Digest::of(b"other"),
+            author: "bob".into(),
+            ..r.clone()
+        };
+        assert!(follows(Some(&r), Some(&other))
+            .unwrap_err()
+            .contains("by ann is under way"));
         let stopped = r.at(Phase::Stopped, "worse");
-        assert!(follows(Some(&stopped), Some(&other)).is_ok() && follows(Some(&stopped), None).is_ok());
+        assert!(
+            follows(Some(&stopped), Some(&other)).is_ok() && follows(Some(&stopped), None).is_ok()
+        );
         assert!(!may(&stopped, &on(1)) && !may(&r.at(Phase::Back { left: 1 }, ""), &on(1)));
-        let altered =
-            Record { stages: vec![vec!["n0".into(), "n1".into(), "n2".into(), "n3".into()]], ..on(0) };
-        assert!(follows(Some(&r), Some(&altered)).unwrap_err().contains("stays as it was begun"));
+        let altered = Record {
+            stages: vec![vec!["n0".into(), "n1".into(), "n2".into(), "n3".into()]],
+            ..on(0)
+        };
+        assert!(follows(Some(&r), Some(&altered))
+            .unwrap_err()
+            .contains("stays as it was begun"));
         assert!(may(&r, &r), "something else is decided meanwhile");
         assert_eq!(on(2).stopped(false, "").phase, Phase::Back { left: 2 });
         assert_eq!(on(2).stopped(true, "").phase, Phase::Stopped);
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -26,7 +26,9 @@
     ///
     /// With what is wrong, in words.
     pub fn read(text: &str) -> Result<Reach, String> {
-        let odd = || format!("a stage is written \"3\", \"10%\", \"hall:hall-a\" or \"all\", not \"{text}\"");
+        let odd = || {
+            format!("a stage is written \"3\", \"10%\", \"hall:hall-a\" or \"all\", not \"{text}\"")
+        };
         if text == "all" {
             return Ok(Reach::All);
         }
@@ -34,10 +36,18 @@
             return Ok(Reach::Hall(hall.into()));
         }
         if let Some(share) = text.strip_suffix('%') {
-            let share = share.parse::<f64>().ok().filter(|s| *s > 0.0 && *s <= 100.0).ok_or_else(odd)?;
+            let share = share
+                .parse::<f64>()
+                .ok()
+                .filter(|s| *s > 0.0 && *s <= 100.0)
+                .ok_or_else(odd)?;
             return Ok(Reach::Share(share / 100.0));
         }
-        let count = text.parse::<usize>().ok().filter(|n| *n > 0).ok_or_else(odd)?;
+        let count = text
+            .parse::<usize>()
+            .ok()
+            .filter(|n| *n > 0)
+            .ok_or_else(odd)?;
         Ok(Reach::Count(count))
     }
 }
@@ -72,7 +82,10 @@
     halls: &BTreeMap<String, String>,
 ) -> Result<Vec<Vec<String>>, String> {
     if reach.is_empty() || reach.len() > MOST_STAGES {
-        return Err(format!("a rollout has 1 to {MOST_STAGES} stages, not {}", reach.len()));
+        return Err(format!(
+            "a rollout has 1 to {MOST_STAGES} stages, not {}",
+            reach.len()
+        ));
     }
     let mut left = order(id, halls);
     let all = left.len();
@@ -83,12 +96,23 @@
             Reach::Hall(hall) if halls.values().all(|h| h != hall) => {
                 return Err(format!("stage {}: nobody stands in hall {hall}", n + 1))
             }
-            Reach::Hall(hall) => left.iter().filter(|name| halls.get(*name) == Some(hall)).cloned().collect(),
+            Reach::Hall(hall) => left
+                .iter()
+                .filter(|name| halls.get(*name) == Some(hall))
+                .cloned()
+                .collect(),
             Reach::All => left.clone(),
-            Reach::Count(count) => left.iter().take(count.saturating_sub(done)).cloned().collect(),
+            Reach::Count(count) => left
+                .iter()
+                .take(count.saturating_sub(done))
+                .cloned()
+                .collect(),
             Reach::Share(share) => {
                 let count = (all as f64 * share).ceil() as usize;
-                left.iter().take(count.saturating_sub(done)).cloned().collect()
+                left.iter()
+                    .take(count.saturating_sub(done))
+                    .cloned()
+                    .collect()
             }
         };
         left.retain(|name| !some.contains(name));
@@ -99,7 +123,9 @@
     }
     match left.len() {
         0 => Ok(stages),
-        left => Err(format!("the last stage leaves {left} of {all} members out: it must be \"all\"")),
+        left => Err(format!(
+            "the last stage leaves {left} of {all} members out: it must be \"all\""
+        )),
     }
 }
 
@@ -108,7 +134,9 @@
     use super::*;
 
     fn halls(count: usize) -> BTreeMap<String, String> {
-        (0..count).map(|n| (format!("n{n}"), format!("hall-{}", n % 4))).collect()
+        (0..count)
+            .map(|n| (format!("n{n}"), format!("hall-{}", n % 4)))
+            .collect()
     }
 
     #[test]
@@ -117,19 +145,32 @@
             assert!(Reach::read(good).is_ok(), "{good}");
         }
         for bad in ["0", "-1", "0%", "101%", "hall:", "", "some", "nan%"] {
-            assert!(Reach::read(bad).unwrap_err().contains("a stage is written"), "{bad}");
+            assert!(
+                Reach::read(bad).unwrap_err().contains("a stage is written"),
+                "{bad}"
+            );
         }
         let id = Digest::of(b"x");
         assert!(stages(&id, &[], &halls(4)).unwrap_err().contains("1 to 32"));
-        assert!(stages(&id, &[Reach::Count(1)], &halls(4)).unwrap_err().contains("leaves 3 of 4"));
-        assert!(stages(&id, &[Reach::Hall("x".into())], &halls(4)).unwrap_err().contains("nobody stands"));
+        assert!(stages(&id, &[Reach::Count(1)], &halls(4))
+            .unwrap_err()
+            .contains("leaves 3 of 4"));
+        assert!(stages(&id, &[Reach::Hall("x".into())], &halls(4))
+            .unwrap_err()
+            .contains("nobody stands"));
     }
 
     #[test]
     fn each_member_has_one_stage_and_halls_take_turns() {
-        let reach: Vec<Reach> = ["1", "10%", "50%", "all"].iter().map(|t| Reach::read(t).unwrap()).collect();
+        let reach: Vec<Reach> = ["1", "10%", "50%", "all"]
+            .iter()
+            .map(|t| Reach::read(t).unwrap())
+            .collect();
         let stages = stages(&Digest::of(b"x"), &reach, &halls(40)).unwrap();
-        assert_eq!(stages.iter().map(Vec::len).collect::<Vec<_>>(), [1, 3, 16, 20]);
+        assert_eq!(
+            stages.iter().map(Vec::len).collect::<Vec<_>>(),
+            [1, 3, 16, 20]
+        );
         let mut all: Vec<&String> = stages.iter().flatten().collect();
         all.sort();
         all.dedup();
@@ -137,7 +178,11 @@
         // Half of each hall has the new one at 50%.
         let of = halls(40);
         for hall in ["hall-0", "hall-1", "hall-2", "hall-3"] {
-            let new = stages[..3].iter().flatten().filter(|n| of[*n] == hall).count();
+            let new = stages[..3]
+                .iter()
+                .flatten()
+                .filter(|n| of[*n] == hall)
+                .count();
             assert_eq!(new, 5, "{hall}");
         }
     }
@@ -156,7 +201,12 @@
 
     #[test]
     fn stages_that_reach_nobody_new_fall_together() {
-        let reach = [Reach::Count(1), Reach::Share(0.1), Reach::Share(0.5), Reach::All];
+        let reach = [
+            Reach::Count(1),
+            Reach::Share(0.1),
+            Reach::Share(0.5),
+            Reach::All,
+        ];
         let few = stages(&Digest::of(b"x"), &reach, &halls(3)).unwrap();
         assert_eq!(few.iter().map(Vec::len).collect::<Vec<_>>(), [1, 1, 1]);
         let by_hall = [Reach::Count(1), Reach::Hall("hall-1".into()), Reach::All];
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/tally.rs
@@ -98,7 +98,14 @@
     /// A request of a class on a plan, by their places, has ended; its worth in parts of [`WORTH`].
     pub fn ended(&mut self, class: u8, plan: u16, worth: u64, end: End) {
         let known = self.places.len() < MOST_KINDS || self.places.contains_key(&(class, plan));
-        let kind = self.places.entry(if known { (class, plan) } else { (class, u16::MAX) }).or_default();
+        let kind = self
+            .places
+            .entry(if known {
+                (class, plan)
+            } else {
+                (class, u16::MAX)
+            })
+            .or_default();
         kind.worth = worth;
         kind.asked += 1;
         match end {
@@ -126,10 +133,17 @@
         for ((c, p), kind) in self.places.drain() {
             let class = class(c).unwrap_or("");
             // An account with a quota of its own is on a plan of its own, named after the one that it is made from.
-            let plan = plan(p).and_then(|name| name.split('~').next()).unwrap_or("");
+            let plan = plan(p)
+                .and_then(|name| name.split('~').next())
+                .unwrap_or("");
             let name = format!("{class}/{plan}");
             let room = self.kinds.len() < MOST_KINDS || self.kinds.contains_key(&name);
-            add(self.kinds.entry(if room { name } else { "/".into() }).or_default(), &kind);
+            add(
+                self.kinds
+                    .entry(if room { name } else { "/".into() })
+                    .or_default(),
+                &kind,
+            );
         }
         for (c, times) in self.times.drain() {
             let name = class(c).unwrap_or("").to_string();
@@ -145,10 +159,20 @@
     /// What was settled: the kinds and the times of a [`Tally`].
     pub fn tally(&self) -> Tally {
         let sparse = |h: &Histogram<u64>| {
-            h.iter_recorded().map(|v| (v.value_iterated_to(), v.count_at_value())).collect::<Vec<_>>()
+            h.iter_recorded()
+                .map(|v| (v.value_iterated_to(), v.count_at_value()))
+                .collect::<Vec<_>>()
         };
-        let times = self.named.iter().map(|(name, h)| (name.clone(), sparse(h))).collect();
-        Tally { kinds: self.kinds.clone(), times, ..Tally::default() }
+        let times = self
+            .named
+            .iter()
+            .map(|(name, h)| (name.clone(), sparse(h)))
+            .collect();
+        Tally {
+            kinds: self.kinds.clone(),
+            times,
+            ..Tally::default()
+        }
     }
 }
 
@@ -171,8 +195,14 @@
 
 impl Measure {
     /// All of them.
-    pub const ALL: [Measure; 6] =
-        [Measure::Lost, Measure::Failed, Measure::Half, Measure::Late, Measure::Processor, Measure::Memory];
+    pub const ALL: [Measure; 6] = [
+        Measure::Lost,
+        Measure::Failed,
+        Measure::Half,
+        Measure::Late,
+        Measure::Processor,
+        Measure::Memory,
+    ];
 
     /// What is no difference yet. Members differ by themselves, in their customers and their place: what counts as worse,
     /// `worse`, is four times as much, so that what is found is most of it.
@@ -228,7 +258,13 @@
             add(self.kinds.entry(name.clone()).or_default(), &more);
         }
         for (class, times) in &after.times {
-            let was: BTreeMap<u64, u64> = before.times.get(class).into_iter().flatten().copied().collect();
+            let was: BTreeMap<u64, u64> = before
+                .times
+                .get(class)
+                .into_iter()
+                .flatten()
+                .copied()
+                .collect();
             let to = self.times.entry(class.clone()).or_default();
             for (time, count) in times {
                 let more = count.saturating_sub(was.get(time).copied().unwrap_or(0));
@@ -250,7 +286,9 @@
 
     /// The share of answers of a class later than a time, and how many there are.
     fn later(&self, class: &str, than: u64) -> (f64, f64) {
-        let Some(times) = self.times.get(class) else { return (0.0, 0.0) };
+        let Some(times) = self.times.get(class) else {
+            return (0.0, 0.0);
+        };
         let all: u64 = times.values().sum();
         let late: u64 = times.range(than.saturating_add(1)..).map(|t| t.1).sum();
         if all == 0 {
@@ -304,17 +342,23 @@
 impl Block {
     /// How many requests on each side the comparison is as good as.
     pub fn weight(&self) -> f64 {
-        self.halls.values().map(|(new, old)| 2.0 * weight(new.asked() as f64, old.asked() as f64)).sum()
+        self.halls
+            .values()
+            .map(|(new, old)| 2.0 * weight(new.asked() as f64, old.asked() as f64))
+            .sum()
     }
 
     /// What the new has more of than the old, hall by hall and kind by kind, so that customers of another kind or in another
     /// place are nobody's fault; none where there is nothing to compare.
     pub fn differences(&self, usual: &Usual) -> BTreeMap<Measure, f64> {
         let mut means: BTreeMap<Measure, Mean> = BTreeMap::new();
-        let mut put = |measure, weight, difference| means.entry(measure).or_default().add(weight, difference);
+        let mut put =
+            |measure, weight, difference| means.entry(measure).or_default().add(weight, difference);
         for (new, old) in self.halls.values() {
             for (name, n) in &new.kinds {
-                let Some(o) = old.kinds.get(name) else { continue };
+                let Some(o) = old.kinds.get(name) else {
+                    continue;
+                };
                 let many = weight(n.asked as f64, o.asked as f64);
                 let share = |k: &Kind, lost: u64| lost as f64 / k.asked.max(1) as f64;
                 let worth = n.worth as f64 / WORTH;
@@ -323,7 +367,11 @@
                     worth * many,
                     share(n, n.refused + n.failed) - share(o, o.refused + o.failed),
                 );
-                put(Measure::Failed, many, share(n, n.failed) - share(o, o.failed));
+                put(
+                    Measure::Failed,
+                    many,
+                    share(n, n.failed) - share(o, o.failed),
+                );
             }
             for (class, (half, late)) in usual {
                 for (measure, than) in [(Measure::Half, *half), (Measure::Late, *late)] {
@@ -334,15 +382,26 @@
             let (n, o) = (new.asked() as f64, old.asked() as f64);
             if n.min(o) > 0.0 && n.max(o) <= AS_BUSY * n.min(o) {
                 let (a, b) = (new.cpu_us as f64 / n, old.cpu_us as f64 / o);
-                put(Measure::Processor, weight(n, o), 2.0 * (a - b) / (a + b).max(1e-9));
+                put(
+                    Measure::Processor,
+                    weight(n, o),
+                    2.0 * (a - b) / (a + b).max(1e-9),
+                );
             }
             if new.seconds > 0.0 && old.seconds > 0.0 {
                 let held = |s: &Side| s.memory_kb as f64 / f64::from(s.looks.max(1));
                 let growth = new.grown_kb as f64 / new.seconds - old.grown_kb as f64 / old.seconds;
-                put(Measure::Memory, 1.0, 2.0 * growth / (held(new) + held(old)).max(1.0));
+                put(
+                    Measure::Memory,
+                    1.0,
+                    2.0 * growth / (held(new) + held(old)).max(1.0),
+                );
             }
         }
-        means.into_iter().filter_map(|(measure, mean)| Some((measure, mean.get()?))).collect()
+        means
+            .into_iter()
+            .filter_map(|(measure, mean)| Some((measure, mean.get()?)))
+            .collect()
     }
 }
 
@@ -351,7 +410,9 @@
     let mut all: BTreeMap<&str, BTreeMap<u64, u64>> = BTreeMap::new();
     for (class, times) in tallies.values().flat_map(|t| &t.times) {
         let to = all.entry(class).or_default();
-        times.iter().for_each(|(time, count)| *to.entry(*time).or_default() += count);
+        times
+            .iter()
+            .for_each(|(time, count)| *to.entry(*time).or_default() += count);
     }
     let up_to = |times: &BTreeMap<u64, u64>, part: f64| {
         let mut left = times.values().sum::<u64>() as f64 * part;
@@ -361,7 +422,9 @@
         });
         at.map_or(0, |t| *t.0)
     };
-    all.into_iter().map(|(class, t)| (class.to_string(), (up_to(&t, 0.5), up_to(&t, 0.99)))).collect()
+    all.into_iter()
+        .map(|(class, t)| (class.to_string(), (up_to(&t, 0.5), up_to(&t, 0.99))))
+        .collect()
 }
 
 #[cfg(test)]
@@ -369,21 +432,41 @@
     use super::*;
 
     fn tally(list: &[(&str, u64, u64, u64)], times: &[(u64, u64)]) -> Tally {
-        let kind = |asked, refused, failed| Kind { worth: 2_000, asked, refused, failed };
-        let kinds = list.iter().map(|(n, a, r, f)| (n.to_string(), kind(*a, *r, *f))).collect();
+        let kind = |asked, refused, failed| Kind {
+            worth: 2_000,
+            asked,
+            refused,
+            failed,
+        };
+        let kinds = list
+            .iter()
+            .map(|(n, a, r, f)| (n.to_string(), kind(*a, *r, *f)))
+            .collect();
         let times = [("quote".to_string(), times.to_vec())].into();
-        Tally { kinds, times, age_ms: 1_000, cpu_us: 1_000, memory_kb: 30_000, ..Tally::default() }
+        Tally {
+            kinds,
+            times,
+            age_ms: 1_000,
+            cpu_us: 1_000,
+            memory_kb: 30_000,
+            ..Tally::default()
+        }
     }
 
     fn side(t: &Tally) -> Side {
         let mut side = Side::default();
-        let before = Tally { memory_kb: t.memory_kb, ..Tally::default() };
+        let before = Tally {
+            memory_kb: t.memory_kb,
+            ..Tally::default()
+        };
         side.add(&before, t);
         side
     }
 
     fn block(new: &Tally, old: &Tally) -> Block {
-        Block { halls: [("a".to_string(), (side(new), side(old)))].into() }
+        Block {
+            halls: [("a".to_string(), (side(new), side(old)))].into(),
+        }
     }
 
     /// Guards against a cohort that is blamed for its customers: one with more of those whose requests fail anyway.
@@ -395,28 +478,50 @@
         assert_eq!(found[&Measure::Failed], 0.0);
         assert_eq!(found[&Measure::Lost], 0.0);
         let worse = tally(&[("quote/a", 100, 4, 0)], &[]);
-        let found = block(&worse, &tally(&[("quote/a", 100, 0, 0)], &[])).differences(&Usual::new());
+        let found =
+            block(&worse, &tally(&[("quote/a", 100, 0, 0)], &[])).differences(&Usual::new());
         assert!((found[&Measure::Lost] - 0.04).abs() < 1e-9 && found[&Measure::Failed] == 0.0);
         assert!((block(&worse, &worse).weight() - 100.0).abs() < 1e-9);
-        assert!(!block(&worse, &Tally::default()).differences(&Usual::new()).contains_key(&Measure::Lost));
+        assert!(!block(&worse, &Tally::default())
+            .differences(&Usual::new())
+            .contains_key(&Measure::Lost));
     }
 
     #[test]
     fn slow_answers_and_memory_and_processor_are_found() {
-        let quick = tally(&[("quote/a", 100, 0, 0)], &[(1_000, 60), (2_000, 39), (9_000, 1)]);
-        let slow = tally(&[("quote/a", 100, 0, 0)], &[(1_000, 60), (2_000, 37), (9_000, 1), (40_000, 2)]);
+        let quick = tally(
+            &[("quote/a", 100, 0, 0)],
+            &[(1_000, 60), (2_000, 39), (9_000, 1)],
+        );
+        let slow = tally(
+            &[("quote/a", 100, 0, 0)],
+            &[(1_000, 60), (2_000, 37), (9_000, 1), (40_000, 2)],
+        );
         let all = [("n0".to_string(), quick.clone())].into();
         let usual = usual(&all);
         assert_eq!(usual["quote"], (1_000, 2_000));
         let found = block(&slow, &quick).differences(&usual);
         assert!((found[&Measure::Late] - 0.02).abs() < 1e-9 && found[&Measure::Half].abs() < 1e-9);
-        let dear = Tally { cpu_us: 3_000, ..quick.clone() };
+        let dear = Tally {
+            cpu_us: 3_000,
+            ..quick.clone()
+        };
         assert!((block(&dear, &quick).differences(&usual)[&Measure::Processor] - 1.0).abs() < 1e-9);
-        let idle = Tally { kinds: tally(&[("quote/a", 50, 0, 0)], &[]).kinds, ..dear.clone() };
-        assert!(!block(&idle, &quick).differences(&usual).contains_key(&Measure::Processor), "half as busy");
+        let idle = Tally {
+            kinds: tally(&[("quote/a", 50, 0, 0)], &[]).kinds,
+            ..dear.clone()
+        };
+        assert!(
+            !block(&idle, &quick)
+                .differences(&usual)
+                .contains_key(&Measure::Processor),
+            "half as busy"
+        );
         let mut leak = side(&quick);
         leak.grown_kb = 1_024;
-        let leaking = Block { halls: [("a".to_string(), (leak, side(&quick)))].into() };
+        let leaking = Block {
+            halls: [("a".to_string(), (leak, side(&quick)))].into(),
+        };
         let grown = leaking.differences(&usual)[&Measure::Memory];
         assert!((grown - 1_024.0 / 30_000.0).abs() < 1e-3, "{grown}");
     }
@@ -426,11 +531,19 @@
         let mut counter = Counter::default();
         counter.ended(0, 0, 2_000, End::Served(1_500));
         counter.ended(0, 1, 2_000, End::Refused);
-        counter.settle(|_| Some("quote"), |p| Some(["starter", "starter~9~9"][usize::from(p)]));
+        counter.settle(
+            |_| Some("quote"),
+            |p| Some(["starter", "starter~9~9"][usize::from(p)]),
+        );
         counter.ended(0, 0, 3_000, End::Failed);
         counter.settle(|_| Some("refer"), |_| Some("starter"));
         let tally = counter.tally();
-        let kind = |worth, asked, refused, failed| Kind { worth, asked, refused, failed };
+        let kind = |worth, asked, refused, failed| Kind {
+            worth,
+            asked,
+            refused,
+            failed,
+        };
         assert_eq!(tally.kinds["quote/starter"], kind(2_000, 2, 1, 0));
         assert_eq!(tally.kinds["refer/starter"], kind(3_000, 1, 0, 1));
         assert_eq!(tally.times["quote"].iter().map(|t| t.1).sum::<u64>(), 1);
@@ -439,7 +552,10 @@
             counter.ended(0, plan, 1, End::Served(u64::MAX));
         }
         let names: Vec<String> = (0..2_000).map(|p| format!("p{p}")).collect();
-        counter.settle(|_| Some("quote"), |p| names.get(usize::from(p)).map(String::as_str));
+        counter.settle(
+            |_| Some("quote"),
+            |p| names.get(usize::from(p)).map(String::as_str),
+        );
         assert!(counter.tally().kinds.len() <= MOST_KINDS + 1);
         let text = serde_json::to_string(&tally).unwrap();
         assert_eq!(serde_json::from_str::<Tally>(&text).unwrap(), tally);
--- a/crates/rollout/src/watch.rs
+++ b/crates/rollout/src/watch.rs
@@ -80,10 +80,21 @@
 
     /// How it stands.
     pub fn standing(&self) -> Standing {
-        let measures = self.worse.iter().map(|(m, e)| (*m, e.mean(), e.stake())).collect();
+        let measures = self
+            .worse
+            .iter()
+            .map(|(m, e)| (*m, e.mean(), e.stake()))
+            .collect();
         let (good, needed) = (self.good.stake(), 1.0 / self.error());
         let (away, changing) = (self.away.clone(), self.changing.clone());
-        Standing { measures, good, needed, blocks: self.blocks, away, changing }
+        Standing {
+            measures,
+            good,
+            needed,
+            blocks: self.blocks,
+            away,
+            changing,
+        }
     }
 
     /// Members whose turn it is to change what they run, and that have not been told: no more than may be away are at it at
@@ -94,14 +105,25 @@
         // One that does not answer in the middle of its change is still at it.
         self.turns.retain(|name| !runs(name));
         let told = |name: &&String| here(name).is_some_and(|t| t.turn);
-        self.turns.extend(self.changing.iter().filter(told).cloned());
+        self.turns
+            .extend(self.changing.iter().filter(told).cloned());
         let most = self.record.terms.away.max(1);
-        for name in self.record.stages.iter().flatten().filter(|name| self.changing.contains(name)) {
+        for name in self
+            .record
+            .stages
+            .iter()
+            .flatten()
+            .filter(|name| self.changing.contains(name))
+        {
             if self.turns.len() < most {
                 self.turns.insert(name.clone());
             }
         }
-        self.changing.iter().filter(|name| self.turns.contains(*name) && !told(name)).cloned().collect()
+        self.changing
+            .iter()
+            .filter(|name| self.turns.contains(*name) && !told(name))
+            .cloned()
+            .collect()
     }
 
     /// Takes a look at all members that serve; what is to be decided, if anything.
@@ -111,28 +133,48 @@
             Some(Ok(t)) => t.number >= self.number && !self.record.fits(name, &t.program),
             _ => false,
         };
-        self.changing = self.record.stages.iter().flatten().filter(other).cloned().collect();
+        self.changing = self
+            .record
+            .stages
+            .iter()
+            .flatten()
+            .filter(other)
+            .cloned()
+            .collect();
         let patience = Duration::from_millis(self.record.terms.patience_ms);
         if let Phase::Back { left } = self.record.phase {
             let pause = Duration::from_millis(self.record.terms.pause_ms);
-            let next = if left > 1 { Phase::Back { left: left - 1 } } else { Phase::Stopped };
+            let next = if left > 1 {
+                Phase::Back { left: left - 1 }
+            } else {
+                Phase::Stopped
+            };
             // Whoever can't go back to what it ran must not keep the others from it.
             let due = watched >= pause && self.changing.is_empty() || watched >= patience;
             return due.then(|| self.record.at(next, self.record.why.clone()));
         }
-        let Phase::On { stage } = self.record.phase else { return None };
+        let Phase::On { stage } = self.record.phase else {
+            return None;
+        };
         if let Some((name, why)) = self.unfit(seen) {
             return Some(self.record.stopped(true, format!("{name}: {why}")));
         }
         if let Some(name) = self.crashed(seen) {
-            return Some(self.record.stopped(true, format!("{name} has the new one and started again")));
+            return Some(
+                self.record
+                    .stopped(true, format!("{name} has the new one and started again")),
+            );
         }
         self.compare(seen);
         let all: BTreeSet<&String> = self.record.stages.iter().flatten().collect();
         // One that answers and has not learnt what stands is as good as away: it serves nobody until it has.
         let learnt = |t: &Seen| t.as_ref().is_ok_and(|t| t.number >= self.number);
         let here = |name: &&&String| seen.get(**name).is_some_and(learnt);
-        self.away = all.iter().filter(|name| !here(name)).map(|name| name.to_string()).collect();
+        self.away = all
+            .iter()
+            .filter(|name| !here(name))
+            .map(|name| name.to_string())
+            .collect();
         match self.away.len() <= self.record.terms.away && self.changing.is_empty() {
             true => drop(self.there.get_or_insert(now)),
             false => self.there = None,
@@ -144,14 +186,22 @@
         // Where all have the new one there is nothing to compare with: it is watched for crashes alone.
         // Nor does it go on while it looks worse rather than not: that shows a little later than that nothing is lost.
         let good = last || (self.good.shows(self.error()) && self.stake() < 1.0);
-        let watched_well = self.there.is_some_and(|at| now.saturating_sub(at) >= self.record.terms.watch());
+        let watched_well = self
+            .there
+            .is_some_and(|at| now.saturating_sub(at) >= self.record.terms.watch());
         if good && watched_well {
-            let next = if last { Phase::Done } else { Phase::On { stage: stage + 1 } };
+            let next = if last {
+                Phase::Done
+            } else {
+                Phase::On { stage: stage + 1 }
+            };
             return Some(self.record.at(next, ""));
         }
         (watched >= patience).then(|| {
             let why = match self.most_doubtful().filter(|_| self.stake() >= 1.0) {
-                _ if !self.changing.is_empty() => format!("not changed: {}", self.changing.join(", ")),
+                _ if !self.changing.is_empty() => {
+                    format!("not changed: {}", self.changing.join(", "))
+                }
                 _ if self.there.is_none() => format!("away: {}", self.away.join(", ")),
                 Some(doubt) => format!("doubtful: {doubt}"),
                 None => format!("not known to be good: {} blocks to compare", self.blocks),
@@ -163,9 +213,13 @@
     /// A member at which the new program does not come into service.
     fn unfit(&self, seen: &BTreeMap<String, Seen>) -> Option<(String, String)> {
         let new = self.record.new_at();
-        let here = seen.iter().filter_map(|(name, t)| Some((name, t.as_ref().ok()?)));
+        let here = seen
+            .iter()
+            .filter_map(|(name, t)| Some((name, t.as_ref().ok()?)));
         let mut unfit = here.filter(|(name, t)| new.contains(name.as_str()) && !t.unfit.is_empty());
-        unfit.next().map(|(name, t)| (name.clone(), t.unfit.clone()))
+        unfit
+            .next()
+            .map(|(name, t)| (name.clone(), t.unfit.clone()))
     }
 
     /// A member that has the new one and has started since it has it: it has found this very decree in its folder, or another
@@ -175,10 +229,13 @@
         let started = |name: &str, t: &Tally| {
             let other = self.last.get(name).is_some_and(|was| was.life != t.life);
             // The change of its program is a start as well, and the one that is wanted.
-            let meant = self.record.changes_programs() && t.changed && self.record.fits(name, &t.program);
+            let meant =
+                self.record.changes_programs() && t.changed && self.record.fits(name, &t.program);
             other || t.began >= self.number && !meant
         };
-        let here = seen.iter().filter_map(|(name, t)| Some((name, t.as_ref().ok()?)));
+        let here = seen
+            .iter()
+            .filter_map(|(name, t)| Some((name, t.as_ref().ok()?)));
         let mut crashed = here.filter(|(name, t)| new.contains(name.as_str()) && started(name, t));
         crashed.next().map(|(name, _)| name.clone())
     }
@@ -243,14 +300,24 @@
 
     /// Why it is worse, if that is known.
     fn found_worse(&self) -> Option<String> {
-        (self.stake() * self.error() >= 1.0).then(|| self.most_doubtful()).flatten()
+        (self.stake() * self.error() >= 1.0)
+            .then(|| self.most_doubtful())
+            .flatten()
     }
 
     /// The measure by which it looks worst.
     fn most_doubtful(&self) -> Option<String> {
-        let most = self.worse.iter().max_by(|a, b| a.1.stake().total_cmp(&b.1.stake()))?;
+        let most = self
+            .worse
+            .iter()
+            .max_by(|a, b| a.1.stake().total_cmp(&b.1.stake()))?;
         let worse = self.record.terms.worse();
         let mean = most.1.mean() + most.0.tolerance(worse);
-        Some(format!("{}: {:+.1}% beside the old one, over {} blocks", most.0, mean * 100.0, most.1.blocks()))
+        Some(format!(
+            "{}: {:+.1}% beside the old one, over {} blocks",
+            most.0,
+            mean * 100.0,
+            most.1.blocks()
+        ))
     }
 }
--- a/crates/rollout/tests/closed_world.rs
+++ b/crates/rollout/tests/closed_world.rs
@@ -33,11 +33,17 @@
     }
     let scatter = (of as f64 * share * (1.0 - share)).sqrt();
     let normal: f64 = (0..12).map(|_| rng.f64()).sum::<f64>() - 6.0;
-    (of as f64 * share + scatter * normal).round().clamp(0.0, of as f64) as u64
+    (of as f64 * share + scatter * normal)
+        .round()
+        .clamp(0.0, of as f64) as u64
 }
 
 fn record(world: &World, terms: Terms) -> Record {
-    let names = |from: usize| (from..from + world.each).map(|n| format!("n{n}")).collect::<Vec<_>>();
+    let names = |from: usize| {
+        (from..from + world.each)
+            .map(|n| format!("n{n}"))
+            .collect::<Vec<_>>()
+    };
     Record {
         id: Digest::of(b"draw"),
         author: "ann".into(),
@@ -66,18 +72,29 @@
         .collect();
     let mut base = world.base;
     for second in 0..=world.seconds {
-        base = f64::clamp(base * (1.0 + world.swell * (rng.f64() * 2.0 - 1.0)), world.base / 4.0, 0.4);
+        base = f64::clamp(
+            base * (1.0 + world.swell * (rng.f64() * 2.0 - 1.0)),
+            world.base / 4.0,
+            0.4,
+        );
         for (n, tally) in tallies.iter_mut().enumerate() {
             let share = base + if n < world.each { world.worse } else { 0.0 };
             let asked = world.rate * (80 + rng.u64(0..41)) / 100;
             let failed = lost(&mut rng, asked, share);
             let kind = tally.kinds.entry("quote/a".into()).or_default();
-            *kind =
-                Kind { worth: 2_000, asked: kind.asked + asked, refused: 0, failed: kind.failed + failed };
+            *kind = Kind {
+                worth: 2_000,
+                asked: kind.asked + asked,
+                refused: 0,
+                failed: kind.failed + failed,
+            };
             tally.age_ms += 1_000;
         }
-        let seen: BTreeMap<String, Seen> =
-            tallies.iter().enumerate().map(|(n, t)| (format!("n{n}"), Ok(t.clone()))).collect();
+        let seen: BTreeMap<String, Seen> = tallies
+            .iter()
+            .enumerate()
+            .map(|(n, t)| (format!("n{n}"), Ok(t.clone())))
+            .collect();
         if let Some(next) = watch.look(Duration::from_secs(second), &seen) {
             return (Some(next.phase), second);
         }
@@ -86,7 +103,10 @@
 }
 
 fn terms() -> Terms {
-    Terms { watch_ms: 10_000, ..Terms::default() }
+    Terms {
+        watch_ms: 10_000,
+        ..Terms::default()
+    }
 }
 
 /// Over many draws: how many were stopped, went on, and neither; the seconds of the median.
@@ -105,14 +125,27 @@
     (counts, took[took.len() / 2])
 }
 
-const CALM: World = World { each: 1, rate: 200, base: 0.01, swell: 0.0, worse: 0.0, seconds: 300 };
+const CALM: World = World {
+    each: 1,
+    rate: 200,
+    base: 0.01,
+    swell: 0.0,
+    worse: 0.0,
+    seconds: 300,
+};
 
 #[test]
 fn an_equal_goes_on_and_one_that_loses_two_in_a_hundred_does_not() {
     let (equal, _) = over(200, &CALM);
     assert!(equal[0] <= 2, "stopped, went on, neither: {equal:?}");
     assert!(equal[1] >= 190, "stopped, went on, neither: {equal:?}");
-    let (bad, median) = over(200, &World { worse: 0.04, ..CALM });
+    let (bad, median) = over(
+        200,
+        &World {
+            worse: 0.04,
+            ..CALM
+        },
+    );
     assert!(bad[0] >= 198, "stopped, went on, neither: {bad:?}");
     assert!(median <= 60, "found after {median} s");
 }
@@ -120,7 +153,14 @@
 /// Too little to go by is never good.
 #[test]
 fn too_little_traffic_is_not_known() {
-    let (few, _) = over(50, &World { rate: 1, seconds: 600, ..CALM });
+    let (few, _) = over(
+        50,
+        &World {
+            rate: 1,
+            seconds: 600,
+            ..CALM
+        },
+    );
     assert_eq!(few[1], 0, "stopped, went on, neither: {few:?}");
 }
 
@@ -128,43 +168,84 @@
 fn a_crash_stops_at_once_and_one_of_the_old_does_not() {
     for (who, stops) in [(0, true), (1, false)] {
         let mut watch = Watch::new(record(&CALM, terms()), 7, Duration::ZERO);
-        let of = |n: usize, life| Tally { life, age_ms: 60_000, number: 7, hall: "a".into(), ..tally_of(n) };
+        let of = |n: usize, life| Tally {
+            life,
+            age_ms: 60_000,
+            number: 7,
+            hall: "a".into(),
+            ..tally_of(n)
+        };
         let look = |lives: [u64; 2]| -> BTreeMap<String, Seen> {
-            (0..2).map(|n| (format!("n{n}"), Ok(of(n, lives[n])))).collect()
+            (0..2)
+                .map(|n| (format!("n{n}"), Ok(of(n, lives[n]))))
+                .collect()
         };
         assert_eq!(watch.look(Duration::from_secs(1), &look([1, 2])), None);
         let mut lives = [1, 2];
         lives[who] = 9;
         let next = watch.look(Duration::from_secs(2), &look(lives));
-        assert_eq!(next.map(|r| r.phase), stops.then_some(Phase::Stopped), "n{who}");
+        assert_eq!(
+            next.map(|r| r.phase),
+            stops.then_some(Phase::Stopped),
+            "n{who}"
+        );
     }
     // Another driver, that has seen nothing before: the member says that it began under this very decree.
     for (began, stops) in [(6, false), (7, true)] {
         let mut watch = Watch::new(record(&CALM, terms()), 7, Duration::ZERO);
-        let seen = [("n0".to_string(), Ok(Tally { life: 1, number: 7, began, ..Tally::default() }))].into();
+        let seen = [(
+            "n0".to_string(),
+            Ok(Tally {
+                life: 1,
+                number: 7,
+                began,
+                ..Tally::default()
+            }),
+        )]
+        .into();
         let next = watch.look(Duration::from_secs(1), &seen);
-        assert_eq!(next.map(|r| r.phase), stops.then_some(Phase::Stopped), "began under {began}");
+        assert_eq!(
+            next.map(|r| r.phase),
+            stops.then_some(Phase::Stopped),
+            "began under {began}"
+        );
     }
 }
 
 fn tally_of(n: usize) -> Tally {
-    Tally { cpu_us: n as u64, ..Tally::default() }
+    Tally {
+        cpu_us: n as u64,
+        ..Tally::default()
+    }
 }
 
 /// One that is away holds up, however good the rest is; it is not judged.
 #[test]
 fn more_away_than_allowed_holds_and_is_told() {
-    let terms = Terms { away: 0, patience_ms: 20_000, ..terms() };
+    let terms = Terms {
+        away: 0,
+        patience_ms: 20_000,
+        ..terms()
+    };
     let mut watch = Watch::new(record(&CALM, terms), 7, Duration::ZERO);
     for second in 0..20 {
         let seen: BTreeMap<String, Seen> = [
-            ("n0".to_string(), Ok(Tally { age_ms: 60_000, number: 7, ..Tally::default() })),
+            (
+                "n0".to_string(),
+                Ok(Tally {
+                    age_ms: 60_000,
+                    number: 7,
+                    ..Tally::default()
+                }),
+            ),
             ("n1".to_string(), Err("gone".into())),
         ]
         .into();
         assert_eq!(watch.look(Duration::from_secs(second), &seen), None);
     }
-    let held = watch.look(Duration::from_secs(20), &BTreeMap::new()).unwrap();
+    let held = watch
+        .look(Duration::from_secs(20), &BTreeMap::new())
+        .unwrap();
     assert_eq!(held.phase, Phase::Held { stage: 0 });
     assert!(held.why.contains("n1"), "{}", held.why);
 }
@@ -173,8 +254,13 @@
 fn it_is_taken_back_step_by_step() {
     let back = record(&CALM, terms()).at(Phase::Back { left: 1 }, "worse");
     let mut watch = Watch::new(back, 9, Duration::ZERO);
-    assert_eq!(watch.look(Duration::from_millis(1_900), &BTreeMap::new()), None);
-    let next = watch.look(Duration::from_millis(2_000), &BTreeMap::new()).unwrap();
+    assert_eq!(
+        watch.look(Duration::from_millis(1_900), &BTreeMap::new()),
+        None
+    );
+    let next = watch
+        .look(Duration::from_millis(2_000), &BTreeMap::new())
+        .unwrap();
     assert_eq!((next.phase, next.why.as_str()), (Phase::Stopped, "worse"));
 }
 
@@ -183,17 +269,60 @@
 #[ignore = "a measurement of some minutes"]
 fn measure_the_errors_by_ten_thousand_draws() {
     println!("world: stopped, went on, neither of 10,000; median seconds");
-    let crowd = World { each: 5, rate: 40, base: 0.05, swell: 0.5, ..CALM };
+    let crowd = World {
+        each: 5,
+        rate: 40,
+        base: 0.05,
+        swell: 0.5,
+        ..CALM
+    };
     for (name, world) in [
         ("equal", CALM),
-        ("equal, losses that swell", World { swell: 0.5, base: 0.05, ..CALM }),
+        (
+            "equal, losses that swell",
+            World {
+                swell: 0.5,
+                base: 0.05,
+                ..CALM
+            },
+        ),
         ("equal, five of each", crowd),
         ("equal, 20 a second", World { rate: 20, ..CALM }),
-        ("1% worse", World { worse: 0.01, ..CALM }),
-        ("2% worse", World { worse: 0.02, ..CALM }),
-        ("2% worse, losses that swell", World { worse: 0.02, ..crowd }),
-        ("3% worse", World { worse: 0.03, ..CALM }),
-        ("5% worse", World { worse: 0.05, ..CALM }),
+        (
+            "1% worse",
+            World {
+                worse: 0.01,
+                ..CALM
+            },
+        ),
+        (
+            "2% worse",
+            World {
+                worse: 0.02,
+                ..CALM
+            },
+        ),
+        (
+            "2% worse, losses that swell",
+            World {
+                worse: 0.02,
+                ..crowd
+            },
+        ),
+        (
+            "3% worse",
+            World {
+                worse: 0.03,
+                ..CALM
+            },
+        ),
+        (
+            "5% worse",
+            World {
+                worse: 0.05,
+                ..CALM
+            },
+        ),
     ] {
         let (counts, median) = over(10_000, &world);
         println!("{name}: {counts:?} {median}");
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -75,7 +75,9 @@
         (Phase::On { .. }, Verdict::Worse) => Some(r.stopped(false, "")),
         (Phase::On { .. }, Verdict::Crash) => Some(r.stopped(true, "")),
         (Phase::On { stage }, Verdict::Unknown) => Some(r.at(Phase::Held { stage: *stage }, "")),
-        (Phase::Back { left }, Verdict::Good) if *left > 1 => Some(r.at(Phase::Back { left: left - 1 }, "")),
+        (Phase::Back { left }, Verdict::Good) if *left > 1 => {
+            Some(r.at(Phase::Back { left: left - 1 }, ""))
+        }
         (Phase::Back { .. }, Verdict::Good) => Some(r.at(Phase::Stopped, "")),
         _ => None,
     }
@@ -142,7 +144,12 @@
                 }
             }
             if !s.record.phase.ended() {
-                for verdict in [Verdict::Good, Verdict::Worse, Verdict::Crash, Verdict::Unknown] {
+                for verdict in [
+                    Verdict::Good,
+                    Verdict::Worse,
+                    Verdict::Crash,
+                    Verdict::Unknown,
+                ] {
                     if wanted(&s.record, verdict).is_some() {
                         actions.push(Action::Look(n, verdict));
                     }
@@ -159,7 +166,9 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut s = last.clone();
         match action {
-            Action::Look(n, verdict) => s.drivers[n] = Some((s.number, wanted(&s.record, verdict)?)),
+            Action::Look(n, verdict) => {
+                s.drivers[n] = Some((s.number, wanted(&s.record, verdict)?))
+            }
             Action::Propose(n) => {
                 let (seen, next) = s.drivers[n].take()?;
                 self.decide(&mut s, seen, next);
@@ -172,7 +181,9 @@
                 s.operator = s.operator.saturating_sub(1);
                 let next = match (what, &s.record.phase) {
                     ("hold", Phase::On { stage }) => s.record.at(Phase::Held { stage: *stage }, ""),
-                    ("resume", Phase::Held { stage }) => s.record.at(Phase::On { stage: *stage }, ""),
+                    ("resume", Phase::Held { stage }) => {
+                        s.record.at(Phase::On { stage: *stage }, "")
+                    }
                     ("stop", Phase::On { .. } | Phase::Held { .. }) => s.record.stopped(false, ""),
                     ("another", _) if s.record.id == Digest::of(b"one") => record(b"two"),
                     _ => return None,
@@ -188,13 +199,16 @@
         vec![
             Property::always("nothing is wrong", |_, s: &State| s.wrong.is_none()),
             Property::eventually("it ends", |_, s: &State| s.record.phase.ended()),
-            Property::sometimes("one goes through", |_, s: &State| s.record.phase == Phase::Done),
+            Property::sometimes("one goes through", |_, s: &State| {
+                s.record.phase == Phase::Done
+            }),
             Property::sometimes("one is taken back step by step", |_, s: &State| {
                 s.record.phase == Phase::Back { left: 1 }
             }),
-            Property::sometimes("another goes through behind one that was stopped", |_, s: &State| {
-                s.record.id == Digest::of(b"two") && s.record.phase == Phase::Done
-            }),
+            Property::sometimes(
+                "another goes through behind one that was stopped",
+                |_, s: &State| s.record.id == Digest::of(b"two") && s.record.phase == Phase::Done,
+            ),
         ]
     }
 
@@ -205,12 +219,22 @@
 
 fn search(guards: Guards) -> (usize, bool) {
     let checker = World(guards).checker().threads(4).spawn_bfs().join();
-    (checker.unique_state_count(), checker.discovery("nothing is wrong").is_some())
+    (
+        checker.unique_state_count(),
+        checker.discovery("nothing is wrong").is_some(),
+    )
 }
 
 #[test]
 fn whoever_drives_dies_or_wants_something_else_nothing_is_wrong_and_it_ends() {
-    let checker = World(Guards { numbered: true, followed: true }).checker().threads(4).spawn_bfs().join();
+    let checker = World(Guards {
+        numbered: true,
+        followed: true,
+    })
+    .checker()
+    .threads(4)
+    .spawn_bfs()
+    .join();
     checker.assert_properties();
     println!("{} states", checker.unique_state_count());
     assert!(checker.unique_state_count() > 1_000);
@@ -218,7 +242,16 @@
 
 #[test]
 fn each_guard_left_out_is_found() {
-    for guards in [Guards { numbered: false, followed: true }, Guards { numbered: true, followed: false }] {
+    for guards in [
+        Guards {
+            numbered: false,
+            followed: true,
+        },
+        Guards {
+            numbered: true,
+            followed: false,
+        },
+    ] {
         let (states, found) = search(guards);
         assert!(found, "{guards:?}: nothing is wrong in {states} states");
     }
--- a/crates/rollout/tests/programs.rs
+++ b/crates/rollout/tests/programs.rs
@@ -19,8 +19,16 @@
 
 /// Two in the first stage of three.
 fn record(terms: Terms) -> Record {
-    let stages = vec![vec![name(0), name(1)], vec![name(2), name(3)], vec![name(4), name(5)]];
-    let change = [(PROGRAM.to_string(), (Some(OLD.to_string()), Some(NEW.to_string())))].into();
+    let stages = vec![
+        vec![name(0), name(1)],
+        vec![name(2), name(3)],
+        vec![name(4), name(5)],
+    ];
+    let change = [(
+        PROGRAM.to_string(),
+        (Some(OLD.to_string()), Some(NEW.to_string())),
+    )]
+    .into();
     Record {
         id: Digest::of(b"plan"),
         author: "ann".into(),
@@ -34,7 +42,13 @@
 }
 
 fn terms(away: usize) -> Terms {
-    Terms { watch_ms: 2_000, patience_ms: 60_000, pause_ms: 1_000, away, ..Terms::default() }
+    Terms {
+        watch_ms: 2_000,
+        patience_ms: 60_000,
+        pause_ms: 1_000,
+        away,
+        ..Terms::default()
+    }
 }
 
 /// A member: its life, what it runs, and how it came to.
@@ -58,8 +72,14 @@
 
 impl World {
     fn new(record: Record) -> World {
-        let members = (0..MEMBERS).map(|n| (name(n), Ok(tally(n as u64, OLD, false, 0)))).collect();
-        World { watch: Watch::new(record, NUMBER, Duration::ZERO), members, now: Duration::ZERO }
+        let members = (0..MEMBERS)
+            .map(|n| (name(n), Ok(tally(n as u64, OLD, false, 0))))
+            .collect();
+        World {
+            watch: Watch::new(record, NUMBER, Duration::ZERO),
+            members,
+            now: Duration::ZERO,
+        }
     }
 
     /// A second later: what is to be decided, and whose turn it is.
@@ -85,7 +105,13 @@
     assert_eq!(world.look(), (None, vec![name(0)]));
     // It has not heard; then it has, and nobody else is told meanwhile.
     assert_eq!(world.look(), (None, vec![name(0)]));
-    world.set(0, Ok(Tally { turn: true, ..tally(0, OLD, false, 0) }));
+    world.set(
+        0,
+        Ok(Tally {
+            turn: true,
+            ..tally(0, OLD, false, 0)
+        }),
+    );
     assert_eq!(world.look(), (None, vec![]));
     world.set(0, Err("it does not answer".into()));
     assert_eq!(world.look(), (None, vec![]));
@@ -105,7 +131,13 @@
     }
     // Another driver sees whose turn an earlier one gave.
     let mut world = World::new(record(terms(1)));
-    world.set(1, Ok(Tally { turn: true, ..tally(1, OLD, false, 0) }));
+    world.set(
+        1,
+        Ok(Tally {
+            turn: true,
+            ..tally(1, OLD, false, 0)
+        }),
+    );
     assert_eq!(world.look(), (None, vec![]));
 }
 
@@ -119,7 +151,11 @@
         world.set(0, Ok(seen));
         let next = world.look().0.expect("it is stopped");
         assert_eq!(next.phase, Phase::Stopped);
-        assert!(next.why.contains("n0 has the new one and started again"), "{}", next.why);
+        assert!(
+            next.why.contains("n0 has the new one and started again"),
+            "{}",
+            next.why
+        );
     };
     // Again, by whoever keeps it.
     crashed(&mut world, tally(200, NEW, false, NUMBER));
@@ -139,11 +175,26 @@
     let mut world = World::new(record(terms(1)));
     world.look();
     // One of the old side has nothing to say of it.
-    world.set(4, Ok(Tally { unfit: "no file".into(), ..tally(4, OLD, false, 0) }));
+    world.set(
+        4,
+        Ok(Tally {
+            unfit: "no file".into(),
+            ..tally(4, OLD, false, 0)
+        }),
+    );
     assert_eq!(world.look().0, None);
-    world.set(1, Ok(Tally { unfit: "it never answered".into(), ..tally(1, OLD, false, 0) }));
+    world.set(
+        1,
+        Ok(Tally {
+            unfit: "it never answered".into(),
+            ..tally(1, OLD, false, 0)
+        }),
+    );
     let next = world.look().0.expect("it is stopped");
-    assert_eq!((next.phase, next.why.as_str()), (Phase::Stopped, "n1: it never answered"));
+    assert_eq!(
+        (next.phase, next.why.as_str()),
+        (Phase::Stopped, "n1: it never answered")
+    );
 }
 
 #[test]
@@ -164,7 +215,10 @@
         world.changes(n);
     }
     let steps = (0..100).filter(|_| world.look().0.is_some()).count();
-    assert!(steps > 0, "one that can't go back must not keep the others from it");
+    assert!(
+        steps > 0,
+        "one that can't go back must not keep the others from it"
+    );
 }
 
 #[test]
@@ -177,7 +231,11 @@
     for second in 0..50 {
         let (next, turns) = world.look();
         if let Some(next) = next {
-            assert_eq!((next.phase, changed.len()), (Phase::Done, MEMBERS), "after {second} s");
+            assert_eq!(
+                (next.phase, changed.len()),
+                (Phase::Done, MEMBERS),
+                "after {second} s"
+            );
             return;
         }
         for turn in turns {
--- a/crates/roster/src/acceptor.rs
+++ b/crates/roster/src/acceptor.rs
@@ -31,7 +31,11 @@
 impl Memory {
     /// Of a member that knows nothing yet; the folder's number must be drawn by chance.
     pub fn fresh(name: &str, folder: Folder) -> Memory {
-        Memory { name: name.into(), folder, ..Memory::default() }
+        Memory {
+            name: name.into(),
+            folder,
+            ..Memory::default()
+        }
     }
 
     /// The number of the decree that stands; 0 where none does.
@@ -42,7 +46,11 @@
     /// The same under another folder's number: none of its votes counts any more, what it knows stays.
     pub fn shed(&self, folder: Folder) -> Memory {
         let memory = Memory::fresh(&self.name, folder);
-        Memory { decree: self.decree.clone(), writes: self.writes + 1, ..memory }
+        Memory {
+            decree: self.decree.clone(),
+            writes: self.writes + 1,
+            ..memory
+        }
     }
 }
 
@@ -82,8 +90,15 @@
     }
 
     fn moved(&self) -> Step {
-        let digest = self.memory.decree.as_ref().map_or_else(Digest::default, |d| d.digest.clone());
-        Step::Say(Say::Moved { number: self.memory.number(), digest })
+        let digest = self
+            .memory
+            .decree
+            .as_ref()
+            .map_or_else(Digest::default, |d| d.digest.clone());
+        Step::Say(Say::Moved {
+            number: self.memory.number(),
+            digest,
+        })
     }
 
     /// Takes a message. `sure` says whether this member may vote, and if not, why; `check` whether a state could be enforced
@@ -99,10 +114,16 @@
             Ask::Renew { .. } | Ask::Tally | Ask::Turn { .. } | Ask::Unfit { .. } => {
                 no("this is not asked for here")
             }
-            Ask::Learn => Step::Say(Say::Learnt { decree: m.decree.clone() }),
+            Ask::Learn => Step::Say(Say::Learnt {
+                decree: m.decree.clone(),
+            }),
             Ask::Stand => Step::Say(Say::Stands(Box::new(self.stand(sure.err())))),
             Ask::Still { .. } => Step::Say(Say::Accepted { folder: m.folder }),
-            Ask::Promise { number, ballot, trial } => {
+            Ask::Promise {
+                number,
+                ballot,
+                trial,
+            } => {
                 if number != self.next() {
                     return self.moved();
                 }
@@ -114,14 +135,29 @@
                 }
                 // A member without a vote says whether it could; nothing is counted.
                 if sure.is_err() && m.decree.is_some() {
-                    return Step::Say(Say::Promised { folder: 0, accepted: None, own: None });
+                    return Step::Say(Say::Promised {
+                        folder: 0,
+                        accepted: None,
+                        own: None,
+                    });
                 }
                 let own = self.own.clone().filter(|_| m.decree.is_none());
-                let then = Say::Promised { folder: m.folder, accepted: m.accepted.clone(), own };
+                let then = Say::Promised {
+                    folder: m.folder,
+                    accepted: m.accepted.clone(),
+                    own,
+                };
                 if ballot == m.promised {
                     return Step::Say(then);
                 }
-                self.write(Memory { promised: ballot, ..m.clone() }, then, false)
+                self.write(
+                    Memory {
+                        promised: ballot,
+                        ..m.clone()
+                    },
+                    then,
+                    false,
+                )
             }
             Ask::Accept { ballot, decree } => {
                 if decree.number != self.next() {
@@ -130,18 +166,37 @@
                 if ballot < m.promised {
                     return Step::Say(Say::Outbid { ballot: m.promised });
                 }
-                let folder = if sure.is_ok() || m.decree.is_none() { m.folder } else { 0 };
+                let folder = if sure.is_ok() || m.decree.is_none() {
+                    m.folder
+                } else {
+                    0
+                };
                 let then = Say::Accepted { folder };
-                if m.accepted.as_ref().is_some_and(|a| a.0 == ballot && a.1 == decree) {
+                if m.accepted
+                    .as_ref()
+                    .is_some_and(|a| a.0 == ballot && a.1 == decree)
+                {
                     return Step::Say(then);
                 }
                 if let Err(why) = self.could(&decree, check) {
                     return no(why);
                 }
                 let accepted = Some((ballot, decree));
-                self.write(Memory { promised: ballot, accepted, ..m.clone() }, then, false)
+                self.write(
+                    Memory {
+                        promised: ballot,
+                        accepted,
+                        ..m.clone()
+                    },
+                    then,
+                    false,
+                )
             }
-            Ask::Decided { number, digest, decree } => self.decided(number, &digest, decree, check),
+            Ask::Decided {
+                number,
+                digest,
+                decree,
+            } => self.decided(number, &digest, decree, check),
         }
     }
 
@@ -153,30 +208,54 @@
         check: impl FnOnce(&State) -> Result<(), String>,
     ) -> Step {
         let m = &self.memory;
-        let then = |number, from| Say::Decided { folder: m.folder, number, from };
+        let then = |number, from| Say::Decided {
+            folder: m.folder,
+            number,
+            from,
+        };
         if number <= m.number() {
             // It may have learnt it from another member a moment before: that changes nothing about whom it has heeded.
             let same = m.decree.as_ref().is_some_and(|d| d.digest == *digest);
             return Step::Say(then(m.number(), m.from.filter(|_| same)));
         }
-        let known = m.accepted.as_ref().filter(|(_, d)| d.number == number && d.digest == *digest);
+        let known = m
+            .accepted
+            .as_ref()
+            .filter(|(_, d)| d.number == number && d.digest == *digest);
         let from = known.map(|a| a.0);
-        let Some(decree) = known.map(|a| a.1.clone()).or(decree) else { return Step::Say(Say::Want) };
+        let Some(decree) = known.map(|a| a.1.clone()).or(decree) else {
+            return Step::Say(Say::Want);
+        };
         if decree.number != number || decree.digest != *digest {
             return no("the decree is not the one that it is said to be");
         }
-        let check = decree.check().and_then(|()| self.enforceable(&decree, check));
+        let check = decree
+            .check()
+            .and_then(|()| self.enforceable(&decree, check));
         if let Err(why) = check {
             return no(why);
         }
         let (folder, writes) = (m.folder, m.writes);
-        let memory = Memory { folder, writes, decree: Some(decree), from, ..Memory::fresh(&m.name, folder) };
+        let memory = Memory {
+            folder,
+            writes,
+            decree: Some(decree),
+            from,
+            ..Memory::fresh(&m.name, folder)
+        };
         self.write(memory, then(number, from), true)
     }
 
     fn write(&self, memory: Memory, then: Say, switch: bool) -> Step {
-        let memory = Box::new(Memory { writes: memory.writes + 1, ..memory });
-        Step::Write { memory, then, switch }
+        let memory = Box::new(Memory {
+            writes: memory.writes + 1,
+            ..memory
+        });
+        Step::Write {
+            memory,
+            then,
+            switch,
+        }
     }
 
     fn enforceable(
@@ -184,22 +263,37 @@
         decree: &Decree,
         check: impl FnOnce(&State) -> Result<(), String>,
     ) -> Result<(), String> {
-        decree.policy.at(&self.memory.name).map_or(Ok(()), |state| check(&state))
+        decree
+            .policy
+            .at(&self.memory.name)
+            .map_or(Ok(()), |state| check(&state))
     }
 
     /// Whether a decree could follow the one that stands, and be enforced here.
-    fn could(&self, decree: &Decree, check: impl FnOnce(&State) -> Result<(), String>) -> Result<(), String> {
+    fn could(
+        &self,
+        decree: &Decree,
+        check: impl FnOnce(&State) -> Result<(), String>,
+    ) -> Result<(), String> {
         decree.check()?;
         if let Some(stands) = &self.memory.decree {
             if decree.generation < stands.generation {
-                return Err(format!("generation {} was enforced already", decree.generation));
+                return Err(format!(
+                    "generation {} was enforced already",
+                    decree.generation
+                ));
             }
             if decree.generation == stands.generation && !decree.enforces_as(stands) {
-                return Err(format!("two policies under generation {}", decree.generation));
+                return Err(format!(
+                    "two policies under generation {}",
+                    decree.generation
+                ));
             }
             stands.rolls_on(decree)?;
             if !stands.roster.overlaps(&decree.roster) {
-                return Err("more than one vote would change at once: majorities would not overlap".into());
+                return Err(
+                    "more than one vote would change at once: majorities would not overlap".into(),
+                );
             }
             if decree.roster.lease_ms != stands.roster.lease_ms {
                 return Err("the length of the lease stays as the group was formed with".into());
@@ -223,7 +317,9 @@
             roster: decree.map_or_else(Roster::default, |d| d.roster.clone()),
             promised: m.promised,
             pending: m.accepted.as_ref().map(|a| a.1.digest.clone()),
-            rollout: decree.and_then(|d| d.rollout.as_ref()).map(|r| r.phase.clone()),
+            rollout: decree
+                .and_then(|d| d.rollout.as_ref())
+                .map(|r| r.phase.clone()),
             lease_ms: None,
             unsure,
             runs: None,
@@ -253,25 +349,64 @@
     /// decided, before whoever proposed it says so; it has heeded nobody else all the same.
     #[test]
     fn one_that_learnt_it_elsewhere_still_says_from_which_ballot_it_made_the_switch() {
-        let seat = Seat { name: "a".into(), folder: 1, kind: Kind::Ingress, votes: true };
+        let seat = Seat {
+            name: "a".into(),
+            folder: 1,
+            kind: Kind::Ingress,
+            votes: true,
+        };
         let roster = Roster::new(1, 1_500, vec![seat]).unwrap();
-        let first = Arc::new(Decree::new(1, 1, Digest::default(), "", roster, Policy::default()));
+        let first = Arc::new(Decree::new(
+            1,
+            1,
+            Digest::default(),
+            "",
+            roster,
+            Policy::default(),
+        ));
         let next = Arc::new(first.nothing());
-        let memory = Memory { decree: Some(first), ..Memory::fresh("a", 1) };
+        let memory = Memory {
+            decree: Some(first),
+            ..Memory::fresh("a", 1)
+        };
         let mut acceptor = Acceptor::new(memory, None);
         let ballot = Ballot { round: 3, by: 7 };
         assert_eq!(
-            written(&mut acceptor, Ask::Accept { ballot, decree: next.clone() }),
+            written(
+                &mut acceptor,
+                Ask::Accept {
+                    ballot,
+                    decree: next.clone()
+                }
+            ),
             Say::Accepted { folder: 1 }
         );
-        let told = |decree| Ask::Decided { number: 2, digest: next.digest.clone(), decree };
+        let told = |decree| Ask::Decided {
+            number: 2,
+            digest: next.digest.clone(),
+            decree,
+        };
         let from = |say| match say {
-            Say::Decided { number: 2, from, .. } => from,
+            Say::Decided {
+                number: 2, from, ..
+            } => from,
             other => panic!("{other:?}"),
         };
-        assert_eq!(from(written(&mut acceptor, told(Some(next.clone())))), Some(ballot), "by another member");
-        assert_eq!(from(written(&mut acceptor, told(None))), Some(ballot), "by whoever proposed it");
-        let other = Ask::Decided { number: 2, digest: Digest::of(b"another"), decree: None };
+        assert_eq!(
+            from(written(&mut acceptor, told(Some(next.clone())))),
+            Some(ballot),
+            "by another member"
+        );
+        assert_eq!(
+            from(written(&mut acceptor, told(None))),
+            Some(ballot),
+            "by whoever proposed it"
+        );
+        let other = Ask::Decided {
+            number: 2,
+            digest: Digest::of(b"another"),
+            decree: None,
+        };
         assert_eq!(from(written(&mut acceptor, other)), None);
     }
 }
--- a/crates/roster/src/decree.rs
+++ b/crates/roster/src/decree.rs
@@ -31,7 +31,10 @@
             let own = s.0.iter().filter(|(key, _)| !common.0.contains_key(*key));
             State(own.map(|(k, v)| (k.clone(), v.clone())).collect())
         };
-        let own = states.iter().map(|(name, s)| (name.clone(), rest(s))).collect();
+        let own = states
+            .iter()
+            .map(|(name, s)| (name.clone(), rest(s)))
+            .collect();
         Policy { common, own }
     }
 
@@ -39,7 +42,9 @@
     pub fn at(&self, name: &str) -> Option<State> {
         let own = self.own.get(name)?;
         let mut state = self.common.clone();
-        state.0.extend(own.0.iter().map(|(k, v)| (k.clone(), v.clone())));
+        state
+            .0
+            .extend(own.0.iter().map(|(k, v)| (k.clone(), v.clone())));
         Some(state)
     }
 
@@ -105,7 +110,18 @@
     ) -> Decree {
         let (author, policy, enforced) = (author.into(), Arc::new(policy), Digest::default());
         let (rollout, digest) = (None, Digest::default());
-        Decree { number, generation, change, author, roster, policy, enforced, rollout, digest }.sealed()
+        Decree {
+            number,
+            generation,
+            change,
+            author,
+            roster,
+            policy,
+            enforced,
+            rollout,
+            digest,
+        }
+        .sealed()
     }
 
     /// With its digests.
@@ -116,9 +132,19 @@
     }
 
     fn own_digest(&self) -> Digest {
-        let Decree { number, generation, change, author, roster, policy: _, enforced, rollout, digest: _ } =
-            self;
-        let mut text = format!("{number} {generation} {change:?} {author:?} {roster:?} {enforced:?}");
+        let Decree {
+            number,
+            generation,
+            change,
+            author,
+            roster,
+            policy: _,
+            enforced,
+            rollout,
+            digest: _,
+        } = self;
+        let mut text =
+            format!("{number} {generation} {change:?} {author:?} {roster:?} {enforced:?}");
         // A member that knows nothing of rollouts finds that this is not what it says that it is.
         if let Some(rollout) = rollout {
             text.push_str(&format!(" {rollout:?}"));
@@ -129,11 +155,22 @@
     /// The next decree, that changes nothing: it ends what was left undecided.
     pub fn nothing(&self) -> Decree {
         let (number, change) = (self.number + 1, Digest::default());
-        Decree { number, change, author: String::new(), ..self.clone() }.sealed()
+        Decree {
+            number,
+            change,
+            author: String::new(),
+            ..self.clone()
+        }
+        .sealed()
     }
 
     /// The next decree, with another roster, and what members that are new enforce; all others go on with what they have.
-    pub fn seated(&self, author: &str, roster: Roster, new: BTreeMap<String, Arc<State>>) -> Decree {
+    pub fn seated(
+        &self,
+        author: &str,
+        roster: Roster,
+        new: BTreeMap<String, Arc<State>>,
+    ) -> Decree {
         let stays = |name: &&String| roster.seat(name).is_some() && !new.contains_key(*name);
         let stay = self.policy.own.keys().filter(stays);
         let stay = stay.filter_map(|name| Some((name.clone(), Arc::new(self.policy.at(name)?))));
@@ -147,7 +184,15 @@
             false => Policy::of(&stay.chain(new.clone()).collect()),
         };
         let (number, change, policy) = (self.number + 1, Digest::default(), Arc::new(policy));
-        Decree { number, change, author: author.into(), roster, policy, ..self.clone() }.sealed()
+        Decree {
+            number,
+            change,
+            author: author.into(),
+            roster,
+            policy,
+            ..self.clone()
+        }
+        .sealed()
     }
 
     /// The next decree, that a rollout begins with or goes on by: each member enforces the side that its stage has.
@@ -179,7 +224,16 @@
         let generation = self.generation + u64::from(policy.digest() != self.enforced);
         let (number, change, policy) = (self.number + 1, record.id.clone(), Arc::new(policy));
         let (author, rollout) = (author.into(), Some(Arc::new(record)));
-        Ok(Decree { number, generation, change, author, policy, rollout, ..self.clone() }.sealed())
+        Ok(Decree {
+            number,
+            generation,
+            change,
+            author,
+            policy,
+            rollout,
+            ..self.clone()
+        }
+        .sealed())
     }
 
     /// Whether another may follow as far as rollouts go: one at a time, each step as it must be, and nothing else changes what
@@ -194,15 +248,24 @@
         match is {
             Some(is) if was != Some(is) => {
                 let wanted = self.rolled(&next.author, is.clone())?;
-                (wanted == *next).then_some(()).ok_or_else(|| "it is not what its rollout says".into())
+                (wanted == *next)
+                    .then_some(())
+                    .ok_or_else(|| "it is not what its rollout says".into())
             }
             Some(is) if !is.phase.ended() => {
-                let comes = next.policy.own.keys().find(|name| !self.policy.own.contains_key(*name));
+                let comes = next
+                    .policy
+                    .own
+                    .keys()
+                    .find(|name| !self.policy.own.contains_key(*name));
                 if let Some(name) = comes {
-                    return Err(format!("{name} comes in once the rollout that is under way has ended"));
+                    return Err(format!(
+                        "{name} comes in once the rollout that is under way has ended"
+                    ));
                 }
                 let same = next.generation == self.generation && next.enforces_as(self);
-                same.then_some(()).ok_or_else(|| "a rollout is under way: it says what is enforced".into())
+                same.then_some(())
+                    .ok_or_else(|| "a rollout is under way: it says what is enforced".into())
             }
             _ => Ok(()),
         }
@@ -215,7 +278,10 @@
             true => a.own.get(name) == b.own.get(name),
             false => a.at(name) == b.at(name),
         };
-        a.own.keys().filter(|name| b.own.contains_key(*name)).all(same)
+        a.own
+            .keys()
+            .filter(|name| b.own.contains_key(*name))
+            .all(same)
     }
 
     /// Whether it is what it says that it is.
@@ -226,7 +292,10 @@
     pub fn check(&self) -> Result<(), String> {
         self.roster.check().map_err(|e| e.to_string())?;
         if self.policy.digest() != self.enforced || self.own_digest() != self.digest {
-            return Err(format!("decree {} does not have its own digest", self.number));
+            return Err(format!(
+                "decree {} does not have its own digest",
+                self.number
+            ));
         }
         Ok(())
     }
@@ -234,7 +303,13 @@
     /// What a member enforces under it, with its generation; none for a witness.
     pub fn at(&self, name: &str) -> Option<(Generation, State)> {
         let state = self.policy.at(name)?;
-        Some((Generation { number: self.generation, digest: state.digest() }, state))
+        Some((
+            Generation {
+                number: self.generation,
+                digest: state.digest(),
+            },
+            state,
+        ))
     }
 }
 
@@ -243,13 +318,21 @@
     use super::*;
 
     fn state(pairs: &[(&str, &str)]) -> Arc<State> {
-        Arc::new(State(pairs.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect()))
+        Arc::new(State(
+            pairs
+                .iter()
+                .map(|(k, v)| (k.to_string(), v.to_string()))
+                .collect(),
+        ))
     }
 
     #[test]
     fn a_new_member_brings_its_own_part_and_changes_nobody_elses() {
         let all = |names: &[&str]| -> BTreeMap<String, Arc<State>> {
-            names.iter().map(|n| (n.to_string(), state(&[("k", "1"), ("at", n)]))).collect()
+            names
+                .iter()
+                .map(|n| (n.to_string(), state(&[("k", "1"), ("at", n)])))
+                .collect()
         };
         let seat = |name: &str| crate::seats::Seat {
             name: name.into(),
@@ -257,25 +340,48 @@
             kind: crate::seats::Kind::Ingress,
             votes: true,
         };
-        let roster = |names: &[&str]| Roster::new(1, 1_500, names.iter().map(|n| seat(n)).collect()).unwrap();
+        let roster = |names: &[&str]| {
+            Roster::new(1, 1_500, names.iter().map(|n| seat(n)).collect()).unwrap()
+        };
         // One member alone has everything in common with itself.
-        let one = Decree::new(1, 4, Digest::default(), "", roster(&["a"]), Policy::of(&all(&["a"])));
+        let one = Decree::new(
+            1,
+            4,
+            Digest::default(),
+            "",
+            roster(&["a"]),
+            Policy::of(&all(&["a"])),
+        );
         let two = one.seated("ann", roster(&["a", "b"]), all(&["b"]));
         assert_eq!((two.number, two.generation, two.check()), (2, 4, Ok(())));
         assert!(two.enforces_as(&one) && one.enforces_as(&two));
         assert_eq!(two.at("b").unwrap().1, *state(&[("k", "1"), ("at", "b")]));
         let without = two.seated("ann", roster(&["b"]), BTreeMap::new());
         assert!(without.at("a").is_none() && without.enforces_as(&two));
-        assert!(!Decree::new(3, 4, Digest::default(), "", roster(&["b"]), Policy::of(&all(&["b", "c"])))
-            .seated("", roster(&["b"]), [("b".to_string(), state(&[("k", "2")]))].into())
-            .enforces_as(&two));
+        assert!(!Decree::new(
+            3,
+            4,
+            Digest::default(),
+            "",
+            roster(&["b"]),
+            Policy::of(&all(&["b", "c"]))
+        )
+        .seated(
+            "",
+            roster(&["b"]),
+            [("b".to_string(), state(&[("k", "2")]))].into()
+        )
+        .enforces_as(&two));
     }
 
     #[test]
     fn each_member_gets_back_what_it_was_to_enforce_and_what_is_common_stands_once() {
         let states: BTreeMap<String, Arc<State>> = [
             ("a".to_string(), state(&[("k", "1"), ("discovery", "x")])),
-            ("b".to_string(), state(&[("k", "1"), ("discovery", "y"), ("more", "2")])),
+            (
+                "b".to_string(),
+                state(&[("k", "1"), ("discovery", "y"), ("more", "2")]),
+            ),
         ]
         .into();
         let policy = Policy::of(&states);
@@ -285,10 +391,25 @@
         }
         assert_eq!(policy.at("c"), None);
         let mut other = policy.clone();
-        other.own.get_mut("a").unwrap().0.insert("discovery".into(), "z".into());
+        other
+            .own
+            .get_mut("a")
+            .unwrap()
+            .0
+            .insert("discovery".into(), "z".into());
         assert_ne!(policy.digest(), other.digest());
-        let decree = Decree::new(3, 2, Digest::of(b"change"), "ann", Roster::default(), policy);
-        let altered = Decree { policy: Arc::new(other), ..decree.clone() };
+        let decree = Decree::new(
+            3,
+            2,
+            Digest::of(b"change"),
+            "ann",
+            Roster::default(),
+            policy,
+        );
+        let altered = Decree {
+            policy: Arc::new(other),
+            ..decree.clone()
+        };
         assert!(altered.check().is_err());
         assert_ne!(decree.digest, decree.nothing().digest);
         let text = serde_json::to_string(&decree).unwrap();
