--- a/crates/roster/src/lease.rs
+++ b/crates/roster/src/lease.rs
@@ -94,7 +94,10 @@
         let mut standing = Standing {
             name: name.into(),
             folder: memory.folder,
-            age: Age { writes: memory.writes, life },
+            age: Age {
+                writes: memory.writes,
+                life,
+            },
             decree: None,
             pending: None,
             seen: BTreeMap::new(),
@@ -114,7 +117,10 @@
     /// Goes on with the lease under decree `number` that the process before had when it handed all over to this one. Its holder
     /// is the same member with the same clock, and it has not been asked for anew: the argument above holds as it stands.
     pub fn inherit(&mut self, number: u64, until: Duration) {
-        let serves = self.roster().and_then(|r| r.seat(&self.name)).is_some_and(|s| s.kind == Kind::Ingress);
+        let serves = self
+            .roster()
+            .and_then(|r| r.seat(&self.name))
+            .is_some_and(|s| s.kind == Kind::Ingress);
         if serves && number == self.number() {
             self.until = Some(self.until.map_or(until, |u| u.max(until)));
         }
@@ -141,8 +147,8 @@
     /// A part of a time, drawn by chance but the same each time it is asked for: members that begin at one moment must not
     /// all settle at one moment.
     fn drawn(&self, below: Duration) -> Duration {
-        let mixed =
-            (self.life() ^ u64::from(self.tries) << 32 ^ self.number()).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        let mixed = (self.life() ^ u64::from(self.tries) << 32 ^ self.number())
+            .wrapping_mul(0x9E37_79B9_7F4A_7C15);
         below * (mixed >> 54) as u32 / (1 << 10)
     }
 
@@ -153,13 +159,23 @@
     /// A decree is about to be taken up: from now on nobody else is told that the one before stands. To be called *before*
     /// that is written, and so before it is said.
     pub fn bar(&mut self, ballot: Ballot, digest: &Digest, now: Duration) {
-        if let Some(p) = self.pending.as_mut().filter(|p| p.digest == *digest && p.ballot == ballot) {
+        if let Some(p) = self
+            .pending
+            .as_mut()
+            .filter(|p| p.digest == *digest && p.ballot == ballot)
+        {
             p.heard = now;
             return;
         }
         let half = self.lease() / 2;
         let (patience, ready) = (half + self.drawn(half), Vec::new());
-        self.pending = Some(Pending { digest: digest.clone(), ballot, ready, heard: now, patience });
+        self.pending = Some(Pending {
+            digest: digest.clone(),
+            ballot,
+            ready,
+            heard: now,
+            patience,
+        });
     }
 
     /// What the memory says now: after a write, or after one that failed.
@@ -174,7 +190,11 @@
         match &memory.accepted {
             None => (self.pending, self.tries) = (None, 0),
             Some((ballot, next)) => {
-                if self.pending.as_ref().is_none_or(|p| p.digest != next.digest || p.ballot != *ballot) {
+                if self
+                    .pending
+                    .as_ref()
+                    .is_none_or(|p| p.digest != next.digest || p.ballot != *ballot)
+                {
                     self.bar(*ballot, &next.digest, now);
                 }
             }
@@ -218,7 +238,10 @@
             self.seen.insert(from.into(), (folder, age));
         }
         let until = now + self.roster().map_or(Duration::ZERO, Roster::surely_out);
-        let twin = self.given.get(from).is_some_and(|g| g.folder != folder && g.until > now);
+        let twin = self
+            .given
+            .get(from)
+            .is_some_and(|g| g.folder != folder && g.until > now);
         let verdict = match (&self.decree, seat) {
             (None, _) if number == 0 => Verdict::Unformed,
             (None, _) => Verdict::Ahead,
@@ -232,7 +255,12 @@
                 Verdict::Granted
             }
         };
-        Say::Renewed { folder: self.folder, number: self.number(), seen, verdict }
+        Say::Renewed {
+            folder: self.folder,
+            number: self.number(),
+            seen,
+            verdict,
+        }
     }
 
     /// The ask that renews this member's lease.
@@ -268,18 +296,29 @@
         };
         let others = roster.voters().filter(|s| s.name != self.name);
         let mut names: Vec<&str> = others.map(|s| s.name.as_str()).collect();
-        let witness = roster.seat(&self.name).is_some_and(|s| s.kind == Kind::Witness);
-        let safe = witness || self.until.is_some_and(|until| until > now + roster.lease() / 2);
+        let witness = roster
+            .seat(&self.name)
+            .is_some_and(|s| s.kind == Kind::Witness);
+        let safe = witness
+            || self
+                .until
+                .is_some_and(|until| until > now + roster.lease() / 2);
         if safe && self.pending.is_none() && self.sure().is_ok() {
-            let lately = |name: &str| self.grants.get(name).is_some_and(|at| *at + roster.lease() > now);
+            let lately = |name: &str| {
+                self.grants
+                    .get(name)
+                    .is_some_and(|at| *at + roster.lease() > now)
+            };
             names.sort_by_key(|name| (!lately(name), self.place_of(name)));
             let own = usize::from(roster.counts(&self.name, self.folder));
             let enough = roster.majority().saturating_sub(own);
             let untold = |name: &str| self.told.get(name).is_none_or(|w| *w < self.age.writes);
             let votes = roster.counts(&self.name, self.folder);
             let all = names.into_iter().enumerate();
-            names =
-                all.filter(|(n, name)| *n < enough || votes && untold(name)).map(|(_, name)| name).collect();
+            names = all
+                .filter(|(n, name)| *n < enough || votes && untold(name))
+                .map(|(_, name)| name)
+                .collect();
         }
         names.into_iter().map(String::from).collect()
     }
@@ -287,7 +326,11 @@
     /// Whether this member is to form the group: it is the first by name, and all others said within a lease that there is
     /// none yet.
     pub fn may_form(&self, now: Duration) -> bool {
-        let lately = |name: &str| self.unformed.get(name).is_some_and(|at| *at + self.charter.lease() > now);
+        let lately = |name: &str| {
+            self.unformed
+                .get(name)
+                .is_some_and(|at| *at + self.charter.lease() > now)
+        };
         let seats = &self.charter.seats;
         self.decree.is_none()
             && self.pending.is_none()
@@ -297,14 +340,34 @@
 
     /// Of the charter, those that have not said so: the group can't be formed without them.
     pub fn unheard(&self, now: Duration) -> Vec<&str> {
-        let lately = |name: &str| self.unformed.get(name).is_some_and(|at| *at + self.charter.lease() > now);
-        let others = self.charter.seats.iter().map(|s| s.name.as_str()).filter(|n| *n != self.name);
-        others.filter(|n| self.decree.is_none() && !lately(n)).collect()
+        let lately = |name: &str| {
+            self.unformed
+                .get(name)
+                .is_some_and(|at| *at + self.charter.lease() > now)
+        };
+        let others = self
+            .charter
+            .seats
+            .iter()
+            .map(|s| s.name.as_str())
+            .filter(|n| *n != self.name);
+        others
+            .filter(|n| self.decree.is_none() && !lately(n))
+            .collect()
     }
 
     /// This member's own vote for itself: the same rules as for any other.
     pub fn renew_own(&mut self, now: Duration) {
-        let Ask::Renew { folder, age, number, ready, .. } = self.ask() else { return };
+        let Ask::Renew {
+            folder,
+            age,
+            number,
+            ready,
+            ..
+        } = self.ask()
+        else {
+            return;
+        };
         let name = self.name.clone();
         let say = self.renew(&name, folder, age, number, ready.as_ref(), now);
         self.heard(&name, (now, None), &say, now);
@@ -318,7 +381,15 @@
         say: &Say,
         now: Duration,
     ) -> Heard {
-        let Say::Renewed { folder, number, seen, verdict } = say else { return Heard::Done };
+        let Say::Renewed {
+            folder,
+            number,
+            seen,
+            verdict,
+        } = say
+        else {
+            return Heard::Done;
+        };
         if seen.is_some_and(|seen| self.age.is_older_than(&seen)) {
             return Heard::OldFolder;
         }
@@ -348,12 +419,19 @@
 
     /// The lease that the grants make: the latest moment at which a majority was asked, and the lease from there on.
     fn count(&mut self, now: Duration) {
-        let Some(roster) = self.decree.as_ref().map(|d| &d.roster) else { return };
-        if roster.seat(&self.name).is_none_or(|s| s.kind == Kind::Witness) {
+        let Some(roster) = self.decree.as_ref().map(|d| &d.roster) else {
+            return;
+        };
+        if roster
+            .seat(&self.name)
+            .is_none_or(|s| s.kind == Kind::Witness)
+        {
             return;
         }
-        let mut asked: Vec<Duration> =
-            roster.voters().filter_map(|s| self.grants.get(&s.name).copied()).collect();
+        let mut asked: Vec<Duration> = roster
+            .voters()
+            .filter_map(|s| self.grants.get(&s.name).copied())
+            .collect();
         asked.sort_unstable_by(|a, b| b.cmp(a));
         if let Some(oldest) = asked.get(roster.majority() - 1) {
             let until = *oldest + roster.lease();
@@ -375,12 +453,17 @@
     ///
     /// Why it may not.
     pub fn sure(&self) -> Result<(), String> {
-        let Some(roster) = self.roster() else { return Ok(()) };
+        let Some(roster) = self.roster() else {
+            return Ok(());
+        };
         if !roster.counts(&self.name, self.folder) {
             return Err("its folder is not the one that the roster counts".into());
         }
         let others = roster.voters().filter(|s| s.name != self.name);
-        let vouched = others.filter(|s| self.vouched.get(&s.name) == Some(&s.folder)).count() + 1;
+        let vouched = others
+            .filter(|s| self.vouched.get(&s.name) == Some(&s.folder))
+            .count()
+            + 1;
         if vouched < roster.majority() {
             return Err(
                 "too few others have answered since it started to know that its folder is no old copy".into(),
@@ -399,17 +482,37 @@
     fn roster() -> Roster {
         let seat = |(n, name): (usize, &str)| {
             let (folder, kind) = (n as u64 + 1, Kind::Ingress);
-            Seat { name: name.into(), folder, kind, votes: true }
+            Seat {
+                name: name.into(),
+                folder,
+                kind,
+                votes: true,
+            }
         };
-        Roster::new(1, 1_500, ["a", "b", "c"].into_iter().enumerate().map(seat).collect()).unwrap()
+        Roster::new(
+            1,
+            1_500,
+            ["a", "b", "c"].into_iter().enumerate().map(seat).collect(),
+        )
+        .unwrap()
     }
 
     /// Guards against a lease that outlives its decree, its end, or its holder's seat by way of a handover.
     #[test]
     fn a_lease_passes_to_the_next_process_under_the_same_decree_alone() {
-        let decree = Arc::new(Decree::new(4, 1, Digest::default(), "", roster(), Policy::default()));
+        let decree = Arc::new(Decree::new(
+            4,
+            1,
+            Digest::default(),
+            "",
+            roster(),
+            Policy::default(),
+        ));
         let begun = |name: &str| {
-            let memory = Memory { decree: Some(decree.clone()), ..Memory::fresh(name, 1) };
+            let memory = Memory {
+                decree: Some(decree.clone()),
+                ..Memory::fresh(name, 1)
+            };
             Standing::new(name, &memory, Roster::default(), 1, Duration::from_secs(9))
         };
         let (until, mut next) = (Duration::from_secs(10), begun("a"));
@@ -421,15 +524,28 @@
         let mut stranger = begun("z");
         stranger.inherit(4, until);
         assert_eq!(stranger.until(), None);
-        assert!(next.sure().is_err(), "it votes once others have answered it, as after any start");
+        assert!(
+            next.sure().is_err(),
+            "it votes once others have answered it, as after any start"
+        );
     }
 
     /// Guards against a member that goes on under the old decree though the proposer never heard that it is ready, or heard
     /// it in another ballot, and so neither waits for it nor misses it.
     #[test]
     fn only_whom_the_proposer_of_that_ballot_names_goes_on_while_something_is_taken_up() {
-        let decree = Arc::new(Decree::new(1, 1, Digest::default(), "", roster(), Policy::default()));
-        let memory = Memory { decree: Some(decree.clone()), ..Memory::fresh("a", 1) };
+        let decree = Arc::new(Decree::new(
+            1,
+            1,
+            Digest::default(),
+            "",
+            roster(),
+            Policy::default(),
+        ));
+        let memory = Memory {
+            decree: Some(decree.clone()),
+            ..Memory::fresh("a", 1)
+        };
         let (now, ballot) = (Duration::from_secs(9), Ballot { round: 1, by: 7 });
         let mut voter = Standing::new("a", &memory, Roster::default(), 1, now);
         let next = decree.nothing().digest;
@@ -446,13 +562,25 @@
         };
         assert_eq!(asked(&mut voter, None), Verdict::Granted);
         voter.bar(ballot, &next, now);
-        assert_eq!(asked(&mut voter, Some(&next)), Verdict::Pending, "its own word is not enough");
+        assert_eq!(
+            asked(&mut voter, Some(&next)),
+            Verdict::Pending,
+            "its own word is not enough"
+        );
         let higher = Ballot { round: 2, by: 8 };
         voter.still(higher, &["c".into()], now);
-        assert_eq!(asked(&mut voter, Some(&next)), Verdict::Pending, "another ballot's word is none here");
+        assert_eq!(
+            asked(&mut voter, Some(&next)),
+            Verdict::Pending,
+            "another ballot's word is none here"
+        );
         voter.still(ballot, &["b".into(), "c".into()], now);
         assert_eq!(asked(&mut voter, Some(&next)), Verdict::Granted);
-        assert_eq!(asked(&mut voter, None), Verdict::Pending, "one that has not taken it up");
+        assert_eq!(
+            asked(&mut voter, None),
+            Verdict::Pending,
+            "one that has not taken it up"
+        );
         voter.bar(higher, &next, now);
         assert_eq!(
             asked(&mut voter, Some(&next)),
--- a/crates/roster/src/proposer.rs
+++ b/crates/roster/src/proposer.rs
@@ -118,7 +118,10 @@
 
     /// Begins to form a group of all that a charter names.
     pub fn form(charter: Roster, ballot: Ballot, now: Duration) -> Proposer {
-        let none = Decree { roster: charter, ..Decree::default() };
+        let none = Decree {
+            roster: charter,
+            ..Decree::default()
+        };
         Proposer::new(Aim::Form, 1, ballot, Arc::new(none), now)
     }
 
@@ -141,7 +144,18 @@
         };
         let peers = base.roster.seats.iter().map(peer).collect();
         let (best, value, enough, phase) = (None, None, None, Phase::Promising);
-        Proposer { aim, number, ballot, base, peers, best, value, since: now, enough, phase }
+        Proposer {
+            aim,
+            number,
+            ballot,
+            base,
+            peers,
+            best,
+            value,
+            since: now,
+            enough,
+            phase,
+        }
     }
 
     /// The members' names, in the order in which they are numbered here.
@@ -162,7 +176,13 @@
     /// Members that have not done what this phase asks, with what they said last.
     pub fn away(&self) -> Vec<(String, String)> {
         let away = self.peers.iter().filter(|p| !p.answered);
-        away.map(|p| (p.name.clone(), p.why.clone().unwrap_or_else(|| "it does not answer".into()))).collect()
+        away.map(|p| {
+            (
+                p.name.clone(),
+                p.why.clone().unwrap_or_else(|| "it does not answer".into()),
+            )
+        })
+        .collect()
     }
 
     /// Whether nothing but the wait for leases to run out is left to do before all is told.
@@ -206,23 +226,45 @@
         };
         let value = self.value.clone();
         let still = self.base.roster.lease() / STILL;
-        let ready: Vec<String> = self.peers.iter().filter(|p| p.ready).map(|p| p.name.clone()).collect();
+        let ready: Vec<String> = self
+            .peers
+            .iter()
+            .filter(|p| p.ready)
+            .map(|p| p.name.clone())
+            .collect();
         let (mut asks, missing) = (Vec::new(), self.enough.is_none());
-        for (n, p) in self.peers.iter_mut().enumerate().filter(|(_, p)| !p.asked && p.not_before <= now) {
+        for (n, p) in self
+            .peers
+            .iter_mut()
+            .enumerate()
+            .filter(|(_, p)| !p.asked && p.not_before <= now)
+        {
             let ask = match (&phase, &value) {
-                (Phase::Promising, _) if !p.answered || p.unsure && missing => {
-                    Ask::Promise { number, ballot, trial: trial.clone() }
-                }
+                (Phase::Promising, _) if !p.answered || p.unsure && missing => Ask::Promise {
+                    number,
+                    ballot,
+                    trial: trial.clone(),
+                },
                 (Phase::Accepting, Some((decree, _))) if !p.answered || p.unsure && missing => {
-                    Ask::Accept { ballot, decree: decree.clone() }
+                    Ask::Accept {
+                        ballot,
+                        decree: decree.clone(),
+                    }
                 }
                 (Phase::Accepting, _) if p.answered => {
                     p.not_before = now + still;
-                    Ask::Still { ballot, ready: ready.clone() }
+                    Ask::Still {
+                        ballot,
+                        ready: ready.clone(),
+                    }
                 }
                 (Phase::Telling, Some((decree, digest))) if !p.answered => {
                     let whole = !p.ready || p.wants;
-                    Ask::Decided { number, digest: digest.clone(), decree: whole.then(|| decree.clone()) }
+                    Ask::Decided {
+                        number,
+                        digest: digest.clone(),
+                        decree: whole.then(|| decree.clone()),
+                    }
                 }
                 _ => continue,
             };
@@ -234,11 +276,13 @@
 
     /// When to ask again, at the latest, if nothing is heard.
     pub fn next(&self, now: Duration) -> Duration {
-        let again =
-            |p: &&Peer| !p.answered || self.phase == Phase::Accepting || p.unsure && self.enough.is_none();
+        let again = |p: &&Peer| {
+            !p.answered || self.phase == Phase::Accepting || p.unsure && self.enough.is_none()
+        };
         let due = self.peers.iter().filter(|p| !p.asked).filter(again);
         let due = due.map(|p| p.not_before).chain(self.ready_at());
-        due.min().map_or(self.base.roster.lease(), |at| at.saturating_sub(now))
+        due.min()
+            .map_or(self.base.roster.lease(), |at| at.saturating_sub(now))
     }
 
     /// When this phase is over though not all have answered.
@@ -269,7 +313,11 @@
             // Those that have not taken it up in this ballot may have in another one, and have been let go on there: unless
             // a majority has heeded this one alone from before the wait on until it made the switch.
             let alone = self.peers.iter().filter(|p| p.early && p.clean).count() >= self.needed();
-            let every = self.peers.iter().filter(|p| p.kind == Kind::Ingress).all(|p| p.answered);
+            let every = self
+                .peers
+                .iter()
+                .filter(|p| p.kind == Kind::Ingress)
+                .all(|p| p.answered);
             all = all && alone || every;
         }
         if self.enough.is_none() || !(all || self.ready_at().is_some_and(|at| at <= now)) {
@@ -293,7 +341,11 @@
                     (Aim::Change(wanted), Some((decree, _))) => wanted == decree,
                     _ => true,
                 };
-                self.end(if own { End::Made } else { End::Overtaken(self.number) });
+                self.end(if own {
+                    End::Made
+                } else {
+                    End::Overtaken(self.number)
+                });
             }
             Phase::Ended(_) => {}
         }
@@ -301,24 +353,59 @@
 
     /// The first decree: everybody goes on with what it enforces, and votes by the folder that it has.
     fn first(&self) -> Decree {
-        let folder = |name: &str| self.peers.iter().find(|p| p.name == name).map_or(0, |p| p.folder);
-        let seats =
-            self.base.roster.seats.iter().map(|s| Seat { folder: folder(&s.name), ..s.clone() }).collect();
-        let roster = Roster { version: 1, seats, ..self.base.roster.clone() };
-        let own = self.peers.iter().filter_map(|p| Some((p.name.clone(), p.own.clone()?)));
+        let folder = |name: &str| {
+            self.peers
+                .iter()
+                .find(|p| p.name == name)
+                .map_or(0, |p| p.folder)
+        };
+        let seats = self
+            .base
+            .roster
+            .seats
+            .iter()
+            .map(|s| Seat {
+                folder: folder(&s.name),
+                ..s.clone()
+            })
+            .collect();
+        let roster = Roster {
+            version: 1,
+            seats,
+            ..self.base.roster.clone()
+        };
+        let own = self
+            .peers
+            .iter()
+            .filter_map(|p| Some((p.name.clone(), p.own.clone()?)));
         let own: BTreeMap<_, _> = own.collect();
         let generation = own.values().map(|o| o.0).max().unwrap_or(1).max(1);
         let states = own.into_iter().map(|(name, o)| (name, o.1)).collect();
-        Decree::new(1, generation, Digest::default(), "", roster, Policy::of(&states))
+        Decree::new(
+            1,
+            generation,
+            Digest::default(),
+            "",
+            roster,
+            Policy::of(&states),
+        )
     }
 
     /// Takes what came of the ask that a member was sent: its answer, or none where the connection broke or nothing came in
     /// time, and it may have done what was asked. One that answers what an earlier phase asked counts for nothing.
-    pub fn heard(&mut self, member: usize, asked: &Ask, answer: Result<Say, String>, now: Duration) {
+    pub fn heard(
+        &mut self,
+        member: usize,
+        asked: &Ask,
+        answer: Result<Say, String>,
+        now: Duration,
+    ) {
         let (again, number, ballot) = (self.base.roster.lease() / AGAIN, self.number, self.ballot);
         let roster = &self.base.roster;
         let forming = self.aim == Aim::Form;
-        let Some(p) = self.peers.get_mut(member) else { return };
+        let Some(p) = self.peers.get_mut(member) else {
+            return;
+        };
         let ours = matches!(
             (&self.phase, asked),
             (Phase::Promising, Ask::Promise { .. })
@@ -334,10 +421,20 @@
         let unsure = |folder| votes && folder == 0;
         match (answer, asked) {
             (_, Ask::Still { .. }) => {}
-            (Ok(Say::Promised { folder, accepted, own }), Ask::Promise { .. }) => {
+            (
+                Ok(Say::Promised {
+                    folder,
+                    accepted,
+                    own,
+                }),
+                Ask::Promise { .. },
+            ) => {
                 (p.answered, p.voted, p.folder, p.own) = (true, counts(folder), folder, own);
                 (p.unsure, p.not_before) = (unsure(folder), now + again);
-                if p.voted && accepted.as_ref().is_some_and(|a| self.best.as_ref().is_none_or(|b| b.0 < a.0))
+                if p.voted
+                    && accepted
+                        .as_ref()
+                        .is_some_and(|a| self.best.as_ref().is_none_or(|b| b.0 < a.0))
                 {
                     self.best = accepted;
                 }
@@ -351,7 +448,14 @@
                     p.not_before = p.not_before.min(now + again);
                 }
             }
-            (Ok(Say::Decided { folder, number: at, from }), Ask::Decided { .. }) if at >= number => {
+            (
+                Ok(Say::Decided {
+                    folder,
+                    number: at,
+                    from,
+                }),
+                Ask::Decided { .. },
+            ) if at >= number => {
                 (p.answered, p.voted) = (true, counts(folder));
                 p.clean |= p.voted && from == Some(ballot);
             }
@@ -412,9 +516,21 @@
 
     /// A proposal of three at the point at which a majority has taken it up, the third is silent and the wait is over.
     fn telling() -> (Proposer, Duration, Digest) {
-        let seat = |n: u64| Seat { name: format!("m{n}"), folder: n, kind: Kind::Ingress, votes: true };
+        let seat = |n: u64| Seat {
+            name: format!("m{n}"),
+            folder: n,
+            kind: Kind::Ingress,
+            votes: true,
+        };
         let roster = Roster::new(1, 1_500, (1..=3).map(seat).collect()).unwrap();
-        let base = Arc::new(Decree::new(1, 1, Digest::default(), "", roster, Policy::default()));
+        let base = Arc::new(Decree::new(
+            1,
+            1,
+            Digest::default(),
+            "",
+            roster,
+            Policy::default(),
+        ));
         let next = Arc::new(base.nothing());
         let mut now = Duration::from_secs(9);
         let mut p = Proposer::begin(base, Aim::Change(next.clone()), BALLOT, now);
@@ -425,7 +541,11 @@
                 let folder = n as u64 + 1;
                 let say = match (&ask, n) {
                     (_, 2) => continue,
-                    (Ask::Promise { .. }, _) => Say::Promised { folder, accepted: None, own: None },
+                    (Ask::Promise { .. }, _) => Say::Promised {
+                        folder,
+                        accepted: None,
+                        own: None,
+                    },
                     _ => Say::Accepted { folder },
                 };
                 p.heard(n, &ask, Ok(say), now);
@@ -439,8 +559,16 @@
 
     fn told(p: &mut Proposer, now: Duration, digest: &Digest, from: [Option<Ballot>; 2]) {
         for (n, from) in from.into_iter().enumerate() {
-            let ask = Ask::Decided { number: 2, digest: digest.clone(), decree: None };
-            let say = Say::Decided { folder: n as u64 + 1, number: 2, from };
+            let ask = Ask::Decided {
+                number: 2,
+                digest: digest.clone(),
+                decree: None,
+            };
+            let say = Say::Decided {
+                folder: n as u64 + 1,
+                number: 2,
+                from,
+            };
             p.heard(n, &ask, Ok(say), now);
         }
     }
@@ -457,7 +585,12 @@
     #[test]
     fn where_another_proposer_had_a_word_it_is_made_once_old_leases_are_surely_out() {
         let (mut p, now, digest) = telling();
-        told(&mut p, now, &digest, [Some(BALLOT), Some(Ballot { round: 2, by: 1 })]);
+        told(
+            &mut p,
+            now,
+            &digest,
+            [Some(BALLOT), Some(Ballot { round: 2, by: 1 })],
+        );
         assert_eq!(p.phase, Phase::Telling);
         p.asks(now + Duration::from_millis(1_500));
         assert_eq!(p.phase, Phase::Telling);
--- a/crates/roster/src/protocol.rs
+++ b/crates/roster/src/protocol.rs
@@ -10,7 +10,9 @@
 use wrenfork_rollout::tally::Tally;
 
 /// Who proposes: a round, and a number drawn by whoever proposes in it, so that no two are alike.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct Ballot {
     /// Higher than all that were seen before.
     pub round: u64,
@@ -20,7 +22,9 @@
 
 /// A life of a member's process, and how much its folder has written. Each start draws another life; a folder that was put
 /// back from a copy has written less than others know of it, or has another life at the same age.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct Age {
     /// Writes of its folder so far.
     pub writes: u64,
@@ -244,7 +248,10 @@
 
 /// Whether a line is one of these asks: the key that tells them stands first, behind the version.
 pub fn is(line: &str) -> bool {
-    line.as_bytes().chunks(32).next().is_some_and(|head| head.windows(8).any(|w| w == b"\"group\":"))
+    line.as_bytes()
+        .chunks(32)
+        .next()
+        .is_some_and(|head| head.windows(8).any(|w| w == b"\"group\":"))
 }
 
 #[cfg(test)]
@@ -261,13 +268,34 @@
             number: 9,
             ready: None,
         };
-        let promise = Ask::Promise { number: 2, ballot: Ballot { round: u64::MAX, by: 7 }, trial: None };
+        let promise = Ask::Promise {
+            number: 2,
+            ballot: Ballot {
+                round: u64::MAX,
+                by: 7,
+            },
+            trial: None,
+        };
         let decree = Arc::new(Decree::default());
-        let accept = Ask::Accept { ballot: Ballot::default(), decree: decree.clone() };
-        let decided = Ask::Decided { number: 1, digest: Digest::default(), decree: Some(decree) };
-        for ask in
-            [renew, promise, accept, decided, Ask::Learn, Ask::Stand, Ask::Tally, Ask::Turn { number: 4 }]
-        {
+        let accept = Ask::Accept {
+            ballot: Ballot::default(),
+            decree: decree.clone(),
+        };
+        let decided = Ask::Decided {
+            number: 1,
+            digest: Digest::default(),
+            decree: Some(decree),
+        };
+        for ask in [
+            renew,
+            promise,
+            accept,
+            decided,
+            Ask::Learn,
+            Ask::Stand,
+            Ask::Tally,
+            Ask::Turn { number: 4 },
+        ] {
             let line = protocol::line(&ask);
             assert!(is(&line), "{line}");
             assert_eq!(read::<Ask>(&line), Ok(ask));
--- a/crates/roster/src/seats.rs
+++ b/crates/roster/src/seats.rs
@@ -76,7 +76,9 @@
         match self {
             RosterError::NoVoter => write!(f, "nobody in the roster has a vote"),
             RosterError::NoIngress => write!(f, "nobody in the roster serves"),
-            RosterError::TooMany(n) => write!(f, "{n} members, and a roster has {MOST_SEATS} at most"),
+            RosterError::TooMany(n) => {
+                write!(f, "{n} members, and a roster has {MOST_SEATS} at most")
+            }
             RosterError::Twice(name) => write!(f, "{name} stands in the roster twice"),
             RosterError::Unknown(name) => write!(f, "{name} is not in the roster"),
             RosterError::There(name) => write!(f, "{name} is in the roster already"),
@@ -100,7 +102,11 @@
     /// With what is wrong.
     pub fn new(version: u64, lease_ms: u64, mut seats: Vec<Seat>) -> Result<Roster, RosterError> {
         seats.sort();
-        let roster = Roster { version, lease_ms, seats };
+        let roster = Roster {
+            version,
+            lease_ms,
+            seats,
+        };
         roster.check()?;
         Ok(roster)
     }
@@ -138,7 +144,8 @@
 
     /// Whether the vote of a member with this folder counts.
     pub fn counts(&self, name: &str, folder: Folder) -> bool {
-        self.seat(name).is_some_and(|s| s.votes && s.folder == folder && folder != 0)
+        self.seat(name)
+            .is_some_and(|s| s.votes && s.folder == folder && folder != 0)
     }
 
     /// The seats that vote.
@@ -160,7 +167,8 @@
     /// holder's clock may be as slow as this one is fast.
     pub fn surely_out(&self) -> Duration {
         // The division rounds down.
-        self.lease() * (1_000 + DRIFT_PER_MILLE) / (1_000 - DRIFT_PER_MILLE) + Duration::from_micros(1)
+        self.lease() * (1_000 + DRIFT_PER_MILLE) / (1_000 - DRIFT_PER_MILLE)
+            + Duration::from_micros(1)
     }
 
     /// The roster with a member more.
@@ -182,8 +190,14 @@
     ///
     /// Where there is no such member, or too few would be left.
     pub fn without(&self, name: &str) -> Result<Roster, RosterError> {
-        self.seat(name).ok_or_else(|| RosterError::Unknown(name.into()))?;
-        let seats = self.seats.iter().filter(|s| s.name != name).cloned().collect();
+        self.seat(name)
+            .ok_or_else(|| RosterError::Unknown(name.into()))?;
+        let seats = self
+            .seats
+            .iter()
+            .filter(|s| s.name != name)
+            .cloned()
+            .collect();
         Roster::new(self.version + 1, self.lease_ms, seats)
     }
 
@@ -194,9 +208,14 @@
     ///
     /// Where there is no such member, or nobody would be left to vote.
     pub fn voting(&self, name: &str, folder: Option<Folder>) -> Result<Roster, RosterError> {
-        self.seat(name).ok_or_else(|| RosterError::Unknown(name.into()))?;
+        self.seat(name)
+            .ok_or_else(|| RosterError::Unknown(name.into()))?;
         let seats = self.seats.iter().cloned().map(|s| match s.name == name {
-            true => Seat { folder: folder.unwrap_or(0), votes: folder.is_some(), ..s },
+            true => Seat {
+                folder: folder.unwrap_or(0),
+                votes: folder.is_some(),
+                ..s
+            },
             false => s,
         });
         Roster::new(self.version + 1, self.lease_ms, seats.collect())
@@ -205,7 +224,11 @@
     /// Whether any majority of one shares a voter with any majority of the other, so that what one has decided the other
     /// can't decide anew: at most one vote more, less or of another folder.
     pub fn overlaps(&self, other: &Roster) -> bool {
-        let votes = |r: &Roster| r.voters().map(|s| (s.name.clone(), s.folder)).collect::<BTreeSet<_>>();
+        let votes = |r: &Roster| {
+            r.voters()
+                .map(|s| (s.name.clone(), s.folder))
+                .collect::<BTreeSet<_>>()
+        };
         let (old, new) = (votes(self), votes(other));
         let all: BTreeSet<_> = old.union(&new).collect();
         self.majority() + other.majority() > all.len()
@@ -218,11 +241,18 @@
     use proptest::prelude::*;
 
     fn seat(name: &str, folder: Folder, votes: bool) -> Seat {
-        Seat { name: name.into(), folder, kind: Kind::Ingress, votes }
+        Seat {
+            name: name.into(),
+            folder,
+            kind: Kind::Ingress,
+            votes,
+        }
     }
 
     fn roster(votes: usize) -> Roster {
-        let seats = (0..votes).map(|n| seat(&format!("n{n}"), n as u64 + 1, true)).collect();
+        let seats = (0..votes)
+            .map(|n| seat(&format!("n{n}"), n as u64 + 1, true))
+            .collect();
         Roster::new(1, 1_500, seats).unwrap()
     }
 
@@ -234,14 +264,25 @@
         let twice = vec![seat("a", 1, true), seat("a", 2, true)];
         assert_eq!(err(1_500, twice), RosterError::Twice("a".into()));
         assert_eq!(err(100, vec![seat("a", 1, true)]), RosterError::Lease(100));
-        let witness = Seat { kind: Kind::Witness, ..seat("w", 1, true) };
+        let witness = Seat {
+            kind: Kind::Witness,
+            ..seat("w", 1, true)
+        };
         assert_eq!(err(1_500, vec![witness]), RosterError::NoIngress);
-        let many = (0..MOST_SEATS as u64 + 1).map(|n| seat(&n.to_string(), n, true)).collect();
+        let many = (0..MOST_SEATS as u64 + 1)
+            .map(|n| seat(&n.to_string(), n, true))
+            .collect();
         assert_eq!(err(1_500, many), RosterError::TooMany(MOST_SEATS + 1));
         let three = roster(3);
-        assert_eq!(three.with(seat("n1", 9, true)), Err(RosterError::There("n1".into())));
+        assert_eq!(
+            three.with(seat("n1", 9, true)),
+            Err(RosterError::There("n1".into()))
+        );
         assert_eq!(three.without("n7"), Err(RosterError::Unknown("n7".into())));
-        assert_eq!(three.voting("n7", Some(1)), Err(RosterError::Unknown("n7".into())));
+        assert_eq!(
+            three.voting("n7", Some(1)),
+            Err(RosterError::Unknown("n7".into()))
+        );
         assert!(!three.counts("n0", 2) && three.counts("n0", 1) && !three.counts("n9", 1));
     }
 
--- a/crates/roster/tests/model.rs
+++ b/crates/roster/tests/model.rs
@@ -135,8 +135,12 @@
 }
 
 fn roster() -> Roster {
-    let seat =
-        |n: usize| Seat { name: NAMES[n].into(), folder: n as u64 + 1, kind: Kind::Ingress, votes: true };
+    let seat = |n: usize| Seat {
+        name: NAMES[n].into(),
+        folder: n as u64 + 1,
+        kind: Kind::Ingress,
+        votes: true,
+    };
     Roster::new(1, LEASE, (0..3).map(seat).collect()).unwrap()
 }
 
@@ -153,9 +157,28 @@
 }
 
 impl World {
-    fn new(variant: Variant, second: Second, (leases, losses, crashes, steps): (bool, u8, u8, u8)) -> World {
-        let first = Arc::new(Decree::new(1, 1, Digest::default(), "", roster(), policy("old")));
-        World { variant, second, leases, losses, crashes, steps, first }
+    fn new(
+        variant: Variant,
+        second: Second,
+        (leases, losses, crashes, steps): (bool, u8, u8, u8),
+    ) -> World {
+        let first = Arc::new(Decree::new(
+            1,
+            1,
+            Digest::default(),
+            "",
+            roster(),
+            policy("old"),
+        ));
+        World {
+            variant,
+            second,
+            leases,
+            losses,
+            crashes,
+            steps,
+            first,
+        }
     }
 
     fn member(&self, n: usize, memory: Memory, life: u64, now: Duration) -> (Acceptor, Standing) {
@@ -164,7 +187,11 @@
     }
 
     fn memory(&self, n: usize) -> Memory {
-        Memory { decree: Some(self.first.clone()), writes: 5, ..Memory::fresh(NAMES[n], n as u64 + 1) }
+        Memory {
+            decree: Some(self.first.clone()),
+            writes: 5,
+            ..Memory::fresh(NAMES[n], n as u64 + 1)
+        }
     }
 
     fn sure(&self, standing: &Standing) -> Result<(), String> {
@@ -198,19 +225,39 @@
         standing.follow(&memory, Duration::ZERO);
         if !self.leases {
             // Others are told of each write with the next renewal: what a copy is older than is known.
-            if let Ask::Renew { from, folder, age, number, ready } = standing.ask() {
+            if let Ask::Renew {
+                from,
+                folder,
+                age,
+                number,
+                ready,
+            } = standing.ask()
+            {
                 for j in (0..3).filter(|j| *j != i) {
-                    now.members[j].1.renew(&from, folder, age, number, ready.as_ref(), Duration::ZERO);
+                    now.members[j].1.renew(
+                        &from,
+                        folder,
+                        age,
+                        number,
+                        ready.as_ref(),
+                        Duration::ZERO,
+                    );
                 }
             }
         }
         // Why not is for people.
         let say = match say {
             Say::No { .. } => Say::No { why: String::new() },
-            Say::Accepted { .. } | Say::Promised { .. } if self.variant == Variant::VotesWithoutMemory => {
+            Say::Accepted { .. } | Say::Promised { .. }
+                if self.variant == Variant::VotesWithoutMemory =>
+            {
                 let folder = i as u64 + 1;
                 match say {
-                    Say::Promised { accepted, own, .. } => Say::Promised { folder, accepted, own },
+                    Say::Promised { accepted, own, .. } => Say::Promised {
+                        folder,
+                        accepted,
+                        own,
+                    },
                     _ => Say::Accepted { folder },
                 }
             }
@@ -227,13 +274,20 @@
     fn asks(&self, now: &mut Now) {
         let time = now.time;
         for p in 0..now.proposers.len() {
-            let Some(proposer) = &mut now.proposers[p] else { continue };
+            let Some(proposer) = &mut now.proposers[p] else {
+                continue;
+            };
             for (i, ask) in proposer.asks(self.clock(time, proposer)) {
                 // That it is still there decides nothing here, since who settles begins at any time; who is told to be ready
                 // does, and is heard at once or not at all.
                 if let Ask::Still { ballot, ready } = &ask {
                     let (acceptor, standing) = &mut now.members[i];
-                    if acceptor.memory().accepted.as_ref().is_some_and(|a| a.0 == *ballot) {
+                    if acceptor
+                        .memory()
+                        .accepted
+                        .as_ref()
+                        .is_some_and(|a| a.0 == *ballot)
+                    {
                         standing.still(*ballot, ready, time);
                     }
                     proposer.heard(i, &ask, Err(String::new()), self.clock(time, proposer));
@@ -246,10 +300,16 @@
 
     fn heard(&self, now: &mut Now, p: usize, i: usize, ask: &Ask, answer: Result<Say, String>) {
         let time = now.time;
-        let Some(proposer) = &mut now.proposers[p] else { return };
+        let Some(proposer) = &mut now.proposers[p] else {
+            return;
+        };
         let answer = match answer {
             Ok(Say::Promised { folder, own, .. }) if self.variant == Variant::IgnoresAccepted => {
-                Ok(Say::Promised { folder, accepted: None, own })
+                Ok(Say::Promised {
+                    folder,
+                    accepted: None,
+                    own,
+                })
             }
             other => other,
         };
@@ -258,7 +318,8 @@
 
     /// The clock of a proposer; one that does not wait believes that all that must run out has run out.
     fn clock(&self, time: Duration, proposer: &Proposer) -> Duration {
-        let hasty = self.variant == Variant::NoWait && (proposer.waits() || proposer.phase == Phase::Telling);
+        let hasty = self.variant == Variant::NoWait
+            && (proposer.waits() || proposer.phase == Phase::Telling);
         if hasty {
             time + 4 * STEP
         } else {
@@ -274,13 +335,17 @@
                 now.members[HOLDER].1.renew_own(time);
             }
             Do::Arrive(p, i) => {
-                let Way::Asked(ask) = std::mem::replace(&mut now.ways[p][i], Way::Idle) else { return None };
+                let Way::Asked(ask) = std::mem::replace(&mut now.ways[p][i], Way::Idle) else {
+                    return None;
+                };
                 let say = self.take(now, i, ask.clone());
                 self.heard(now, p, i, &ask, Ok(say));
             }
             Do::Lose(p, i, arrives) => {
                 now.losses -= 1;
-                let Way::Asked(ask) = std::mem::replace(&mut now.ways[p][i], Way::Idle) else { return None };
+                let Way::Asked(ask) = std::mem::replace(&mut now.ways[p][i], Way::Idle) else {
+                    return None;
+                };
                 if arrives {
                     self.take(now, i, ask.clone());
                 }
@@ -305,14 +370,19 @@
                 now.crashes -= 1;
                 let memory = now.members[i].0.memory().clone();
                 let memory = match back {
-                    Back::Kept if self.variant == Variant::NothingOnDisk => {
-                        Memory { accepted: None, promised: Ballot::default(), ..memory }
-                    }
+                    Back::Kept if self.variant == Variant::NothingOnDisk => Memory {
+                        accepted: None,
+                        promised: Ballot::default(),
+                        ..memory
+                    },
                     Back::Kept => memory,
                     Back::Older => self.memory(i),
                     Back::Empty => Memory::fresh(NAMES[i], 90 + i as u64),
                 };
-                let memory = Memory { writes: memory.writes + 1, ..memory };
+                let memory = Memory {
+                    writes: memory.writes + 1,
+                    ..memory
+                };
                 now.members[i] = self.member(i, memory, 50 + i as u64, now.time);
                 if i == HOLDER {
                     now.late = None;
@@ -340,29 +410,74 @@
     }
 
     fn sent(&self, now: &Now) -> Renewal {
-        Renewal { sent: now.time, ask: now.members[HOLDER].1.ask(), answer: None }
+        Renewal {
+            sent: now.time,
+            ask: now.members[HOLDER].1.ask(),
+            answer: None,
+        }
     }
 
     fn arrived(&self, now: &mut Now, i: usize, renewal: Renewal) -> Renewal {
-        let Ask::Renew { from, folder, age, number, ready } = &renewal.ask else { return renewal };
-        let say = now.members[i].1.renew(from, *folder, *age, *number, ready.as_ref(), now.time);
-        Renewal { answer: Some(say), ..renewal }
+        let Ask::Renew {
+            from,
+            folder,
+            age,
+            number,
+            ready,
+        } = &renewal.ask
+        else {
+            return renewal;
+        };
+        let say = now.members[i]
+            .1
+            .renew(from, *folder, *age, *number, ready.as_ref(), now.time);
+        Renewal {
+            answer: Some(say),
+            ..renewal
+        }
     }
 
     fn came(&self, now: &mut Now, i: usize, renewal: Renewal) -> Option<()> {
-        let Renewal { sent, answer: Some(say), .. } = renewal else { return None };
-        let sent = if self.variant == Variant::CountsFromAnswer { now.time } else { sent };
+        let Renewal {
+            sent,
+            answer: Some(say),
+            ..
+        } = renewal
+        else {
+            return None;
+        };
+        let sent = if self.variant == Variant::CountsFromAnswer {
+            now.time
+        } else {
+            sent
+        };
         let (acceptor, standing) = &mut now.members[HOLDER];
         match standing.heard(NAMES[i], (sent, None), &say, now.time) {
             Heard::Newer => {
                 let decree = now.members[i].0.memory().decree.clone()?;
                 let (number, digest) = (decree.number, decree.digest.clone());
-                self.take(now, HOLDER, Ask::Decided { number, digest, decree: Some(decree) });
+                self.take(
+                    now,
+                    HOLDER,
+                    Ask::Decided {
+                        number,
+                        digest,
+                        decree: Some(decree),
+                    },
+                );
             }
             Heard::Older => {
                 let decree = acceptor.memory().decree.clone()?;
                 let (number, digest) = (decree.number, decree.digest.clone());
-                self.take(now, i, Ask::Decided { number, digest, decree: Some(decree) });
+                self.take(
+                    now,
+                    i,
+                    Ask::Decided {
+                        number,
+                        digest,
+                        decree: Some(decree),
+                    },
+                );
             }
             Heard::OldFolder if self.variant != Variant::TrustsFolders => {
                 acceptor.written(acceptor.memory().shed(80));
@@ -375,7 +490,10 @@
     }
 
     fn proposer(&self, which: usize, now: Duration) -> Proposer {
-        let ballot = Ballot { round: 1 + which as u64, by: which as u64 };
+        let ballot = Ballot {
+            round: 1 + which as u64,
+            by: which as u64,
+        };
         let aim = match (which, self.second) {
             (0, _) => Aim::Change(change(&self.first, "ann", "new")),
             (_, Second::Settles | Second::Nothing) => Aim::Settle,
@@ -391,25 +509,40 @@
 
     fn init_states(&self) -> Vec<Now> {
         let time = STEP;
-        let mut members: Vec<_> =
-            (0..3).map(|n| self.member(n, self.memory(n), 7 + n as u64, time)).collect();
+        let mut members: Vec<_> = (0..3)
+            .map(|n| self.member(n, self.memory(n), 7 + n as u64, time))
+            .collect();
         // All have answered each other already: the holder has a lease from now on, and all may vote.
         for from in 0..3 {
             members[from].1.renew_own(time);
             for to in (0..3).filter(|to| *to != from) {
-                let Ask::Renew { from: name, folder, age, number, .. } = members[from].1.ask() else {
+                let Ask::Renew {
+                    from: name,
+                    folder,
+                    age,
+                    number,
+                    ..
+                } = members[from].1.ask()
+                else {
                     panic!()
                 };
                 let say = members[to].1.renew(&name, folder, age, number, None, time);
-                let Say::Renewed { verdict, .. } = &say else { panic!() };
+                let Say::Renewed { verdict, .. } = &say else {
+                    panic!()
+                };
                 assert_eq!(*verdict, Verdict::Granted);
-                members[from].1.heard(NAMES[to], (time, Some(age.writes)), &say, time);
+                members[from]
+                    .1
+                    .heard(NAMES[to], (time, Some(age.writes)), &say, time);
             }
         }
         let mut now = Now {
             time,
             members,
-            proposers: vec![Some(self.proposer(0, STEP)), (!self.leases).then(|| self.proposer(1, STEP))],
+            proposers: vec![
+                Some(self.proposer(0, STEP)),
+                (!self.leases).then(|| self.proposer(1, STEP)),
+            ],
             begun: !self.leases,
             ways: vec![vec![Way::Idle; 3]; 2],
             late: None,
@@ -436,13 +569,16 @@
                 actions.push(Do::End(p));
             }
         }
-        let over = now.proposers[0].as_ref().is_none_or(|p| matches!(p.phase, Phase::Ended(_)));
+        let over = now.proposers[0]
+            .as_ref()
+            .is_none_or(|p| matches!(p.phase, Phase::Ended(_)));
         if !now.begun && over && self.second != Second::Nothing {
             actions.push(Do::Begin);
         }
         if now.crashes > 0 {
             // Members differ by their names alone: it is always the same one that ends.
-            actions.extend([Back::Kept, Back::Older, Back::Empty].map(|back| Do::Crash(HOLDER, back)));
+            actions
+                .extend([Back::Kept, Back::Older, Back::Empty].map(|back| Do::Crash(HOLDER, back)));
         }
         if !self.leases {
             if now.members[HOLDER].1.sure().is_err() {
@@ -475,41 +611,71 @@
         fn serves(now: &Now) -> Option<(u64, Option<Digest>)> {
             let (acceptor, standing) = &now.members[HOLDER];
             let until = standing.until()?;
-            let ready = acceptor.memory().accepted.as_ref().map(|a| a.1.digest.clone());
+            let ready = acceptor
+                .memory()
+                .accepted
+                .as_ref()
+                .map(|a| a.1.digest.clone());
             (until > now.time).then(|| (acceptor.memory().number(), ready))
         }
         vec![
             Property::always("one decree under one number", |_, now: &Now| {
                 let mut by_number: BTreeMap<u64, Digest> = BTreeMap::new();
-                let stands = now.members.iter().filter_map(|m| m.0.memory().decree.as_ref());
+                let stands = now
+                    .members
+                    .iter()
+                    .filter_map(|m| m.0.memory().decree.as_ref());
                 let stands = stands.map(|d| (d.number, d.digest.clone()));
                 let decided = now.taken.iter().filter(|(_, who)| who.count_ones() >= 2);
                 let decided = decided.map(|((_, digest), _)| (2, digest.clone()));
-                stands
-                    .chain(decided)
-                    .all(|(number, digest)| *by_number.entry(number).or_insert(digest.clone()) == digest)
+                stands.chain(decided).all(|(number, digest)| {
+                    *by_number.entry(number).or_insert(digest.clone()) == digest
+                })
             }),
             Property::always(
                 "nobody serves under the one before that has not taken up the one that stands",
                 |_, now: &Now| {
-                    let Some((number, ready)) = serves(now) else { return true };
-                    let stands = now.members.iter().filter_map(|m| m.0.memory().decree.as_ref());
+                    let Some((number, ready)) = serves(now) else {
+                        return true;
+                    };
+                    let stands = now
+                        .members
+                        .iter()
+                        .filter_map(|m| m.0.memory().decree.as_ref());
                     let mut newer = stands.filter(|d| d.number > number);
                     newer.all(|d| d.number == number + 1 && ready.as_ref() == Some(&d.digest))
                 },
             ),
-            Property::always("made means that nobody serves under the one before", |_, now: &Now| {
-                let made = now.proposers.iter().flatten().filter(|p| p.phase == Phase::Ended(End::Made));
-                let made = made.filter_map(|p| p.value()).map(|d| d.number).max().unwrap_or(0);
-                serves(now).is_none_or(|(number, _)| number >= made)
-            }),
+            Property::always(
+                "made means that nobody serves under the one before",
+                |_, now: &Now| {
+                    let made = now
+                        .proposers
+                        .iter()
+                        .flatten()
+                        .filter(|p| p.phase == Phase::Ended(End::Made));
+                    let made = made
+                        .filter_map(|p| p.value())
+                        .map(|d| d.number)
+                        .max()
+                        .unwrap_or(0);
+                    serves(now).is_none_or(|(number, _)| number >= made)
+                },
+            ),
             Property::sometimes("a change is made", |_, now: &Now| {
-                now.proposers[0].as_ref().is_some_and(|p| p.phase == Phase::Ended(End::Made))
-            }),
-            Property::sometimes("a change is made while the holder is shut out", |_, now: &Now| {
-                let made = now.proposers[0].as_ref().is_some_and(|p| p.phase == Phase::Ended(End::Made));
-                made && now.members[HOLDER].0.memory().number() == 1
+                now.proposers[0]
+                    .as_ref()
+                    .is_some_and(|p| p.phase == Phase::Ended(End::Made))
             }),
+            Property::sometimes(
+                "a change is made while the holder is shut out",
+                |_, now: &Now| {
+                    let made = now.proposers[0]
+                        .as_ref()
+                        .is_some_and(|p| p.phase == Phase::Ended(End::Made));
+                    made && now.members[HOLDER].0.memory().number() == 1
+                },
+            ),
             Property::sometimes("what the first left is settled", |_, now: &Now| {
                 now.proposers[0].is_none() && now.members.iter().any(|m| m.0.memory().number() == 2)
             }),
@@ -521,7 +687,11 @@
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let whole = world.variant == Variant::Whole;
     let checker = world.checker().threads(threads);
-    let checker = if whole { checker } else { checker.finish_when(HasDiscoveries::AnyFailures) };
+    let checker = if whole {
+        checker
+    } else {
+        checker.finish_when(HasDiscoveries::AnyFailures)
+    };
     let checker = checker.spawn_bfs().join();
     let found = checker.discoveries();
     let mut against = Vec::new();
@@ -552,7 +722,10 @@
     for (second, how) in short.into_iter().chain(more.into_iter().filter(|_| long())) {
         let start = std::time::Instant::now();
         let (states, against, seen) = search(World::new(Variant::Whole, second, how));
-        println!("{second:?} {how:?}: {states} states, {seen:?} in {:?}", start.elapsed());
+        println!(
+            "{second:?} {how:?}: {states} states, {seen:?} in {:?}",
+            start.elapsed()
+        );
         assert_eq!(against, [""; 0], "{second:?}");
     }
 }
@@ -564,14 +737,21 @@
         (Variant::NothingOnDisk, Second::Settles, (false, 0, 1, 1)),
         (Variant::IgnoresAccepted, Second::Settles, (false, 0, 0, 1)),
         (Variant::TrustsFolders, Second::Settles, (false, 0, 1, 1)),
-        (Variant::VotesWithoutMemory, Second::Settles, (false, 0, 1, 1)),
+        (
+            Variant::VotesWithoutMemory,
+            Second::Settles,
+            (false, 0, 1, 1),
+        ),
         (Variant::GrantsAll, Second::Nothing, (true, 0, 0, 4)),
         (Variant::NoWait, Second::Nothing, (true, 0, 0, 4)),
         (Variant::CountsFromAnswer, Second::Nothing, (true, 0, 0, 4)),
     ] {
         let start = std::time::Instant::now();
         let (states, against, _) = search(World::new(variant, second, how));
-        println!("{variant:?}: {states} states until {against:?} in {:?}", start.elapsed());
+        println!(
+            "{variant:?}: {states} states until {against:?} in {:?}",
+            start.elapsed()
+        );
         assert!(!against.is_empty(), "{variant:?} was not found out");
     }
 }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -122,8 +122,13 @@
         let mut order = vec![first];
         let mut at = first;
         loop {
-            let pool = self.pools.get(usize::from(at.0)).ok_or(Fault::NoSuchPool(at))?;
-            let Some(next) = pool.fallback else { return Ok(order) };
+            let pool = self
+                .pools
+                .get(usize::from(at.0))
+                .ok_or(Fault::NoSuchPool(at))?;
+            let Some(next) = pool.fallback else {
+                return Ok(order);
+            };
             if let Some(start) = order.iter().position(|p| *p == next) {
                 return Err(Fault::Circle(order.split_off(start)));
             }
@@ -152,7 +157,10 @@
             }
         }
         for route in self.routes.iter().flatten() {
-            for pool in [Some(route.pool), route.trial.map(|t| t.pool)].into_iter().flatten() {
+            for pool in [Some(route.pool), route.trial.map(|t| t.pool)]
+                .into_iter()
+                .flatten()
+            {
                 let fault = Fault::NoSuchPool(pool);
                 if usize::from(pool.0) >= self.pools.len() && !faults.contains(&fault) {
                     faults.push(fault);
@@ -165,13 +173,20 @@
     /// The pools that a node is of.
     pub fn member(&self, node: &Traits) -> u64 {
         let pools = (0u8..).zip(self.pools.iter().take(MOST_POOLS));
-        pools.filter(|(_, p)| p.selector.takes(node)).fold(0, |set, (n, _)| set | PoolNo(n).bit())
+        pools
+            .filter(|(_, p)| p.selector.takes(node))
+            .fold(0, |set, (n, _)| set | PoolNo(n).bit())
     }
 
     /// Whether a customer takes part in a class's trial. It always does or never: what a customer asks for again goes
     /// to the pool that may have done it already.
     pub fn on_trial(&self, class: usize, customer: u64) -> bool {
-        let trial = self.routes.get(class).copied().flatten().and_then(|r| r.trial);
+        let trial = self
+            .routes
+            .get(class)
+            .copied()
+            .flatten()
+            .and_then(|r| r.trial);
         trial.is_some_and(|t| lot(class as u64, customer) < t.share)
     }
 
@@ -179,7 +194,10 @@
     /// A trial falls back on the pools that others go to.
     pub fn tiers(&self, class: usize, customer: u64) -> Option<Vec<u64>> {
         let route = self.routes.get(class).copied().flatten()?;
-        let trial = route.trial.filter(|_| self.on_trial(class, customer)).map(|t| t.pool);
+        let trial = route
+            .trial
+            .filter(|_| self.on_trial(class, customer))
+            .map(|t| t.pool);
         let order = self.order(route.pool).unwrap_or_else(|_| vec![route.pool]);
         let order = order.into_iter().filter(|p| Some(*p) != trial);
         Some(trial.into_iter().chain(order).map(PoolNo::bit).collect())
@@ -203,8 +221,13 @@
 pub struct Ways(Vec<(Way, Option<(Way, f64)>)>);
 
 fn way(pools: impl Iterator<Item = PoolNo>, own: u8) -> Way {
-    let mut way = Way { own, ..Way::default() };
-    pools.zip(&mut way.tiers).for_each(|(pool, tier)| *tier = pool.0 + 1);
+    let mut way = Way {
+        own,
+        ..Way::default()
+    };
+    pools
+        .zip(&mut way.tiers)
+        .for_each(|(pool, tier)| *tier = pool.0 + 1);
     way
 }
 
@@ -212,7 +235,9 @@
     /// The ways of a table.
     pub fn of(table: &Table) -> Ways {
         let ways = table.routes.iter().map(|route| {
-            let Some(route) = route else { return (Way::default(), None) };
+            let Some(route) = route else {
+                return (Way::default(), None);
+            };
             let order = table.order(route.pool).unwrap_or_else(|_| vec![route.pool]);
             let trial = route.trial.map(|t| {
                 let rest = order.iter().copied().filter(|p| *p != t.pool);
@@ -240,7 +265,12 @@
     use proptest::prelude::*;
 
     fn node<'a>(name: &'a str, hall: &'a str, model: &'a str, group: u64) -> Traits<'a> {
-        Traits { name, hall, model, group }
+        Traits {
+            name,
+            hall,
+            model,
+            group,
+        }
     }
 
     fn list(names: &[&str]) -> Vec<String> {
@@ -248,26 +278,49 @@
     }
 
     fn pools(fallbacks: &[Option<u8>]) -> Table {
-        let pool = |f: &Option<u8>| Pool { fallback: f.map(PoolNo), ..Pool::default() };
-        Table { pools: fallbacks.iter().map(pool).collect(), routes: Vec::new() }
+        let pool = |f: &Option<u8>| Pool {
+            fallback: f.map(PoolNo),
+            ..Pool::default()
+        };
+        Table {
+            pools: fallbacks.iter().map(pool).collect(),
+            routes: Vec::new(),
+        }
     }
 
     #[test]
     fn a_selector_wants_all_of_its_kinds_and_one_of_each() {
         let one = node("s-1", "hall-a", "std", 3);
-        let selector =
-            Selector { halls: list(&["hall-b", "hall-a"]), models: list(&["std"]), ..Selector::default() };
+        let selector = Selector {
+            halls: list(&["hall-b", "hall-a"]),
+            models: list(&["std"]),
+            ..Selector::default()
+        };
         assert!(selector.takes(&one));
         assert!(!selector.takes(&node("s-1", "hall-a", "small", 3)));
-        assert!(Selector::default().takes(&one), "one that names nothing takes all");
-        assert!(!Selector { groups: vec![4], ..selector.clone() }.takes(&one));
-        assert!(!Selector { nodes: list(&["s-2"]), ..selector }.takes(&one));
+        assert!(
+            Selector::default().takes(&one),
+            "one that names nothing takes all"
+        );
+        assert!(!Selector {
+            groups: vec![4],
+            ..selector.clone()
+        }
+        .takes(&one));
+        assert!(!Selector {
+            nodes: list(&["s-2"]),
+            ..selector
+        }
+        .takes(&one));
     }
 
     #[test]
     fn pools_fall_back_in_order() {
         let table = pools(&[Some(2), None, Some(1)]);
-        assert_eq!(table.order(PoolNo(0)), Ok(vec![PoolNo(0), PoolNo(2), PoolNo(1)]));
+        assert_eq!(
+            table.order(PoolNo(0)),
+            Ok(vec![PoolNo(0), PoolNo(2), PoolNo(1)])
+        );
         assert!(table.faults().is_empty());
     }
 
@@ -282,23 +335,49 @@
     #[test]
     fn what_leads_nowhere_is_a_fault() {
         let mut table = pools(&[Some(9)]);
-        table
-            .routes
-            .push(Some(Route { pool: PoolNo(5), trial: Some(Trial { pool: PoolNo(9), share: 0.1 }) }));
-        assert_eq!(table.faults(), [Fault::NoSuchPool(PoolNo(9)), Fault::NoSuchPool(PoolNo(5))]);
+        table.routes.push(Some(Route {
+            pool: PoolNo(5),
+            trial: Some(Trial {
+                pool: PoolNo(9),
+                share: 0.1,
+            }),
+        }));
+        assert_eq!(
+            table.faults(),
+            [Fault::NoSuchPool(PoolNo(9)), Fault::NoSuchPool(PoolNo(5))]
+        );
         assert_eq!(pools(&[None; 65]).faults(), [Fault::TooMany]);
     }
 
     #[test]
     fn a_trial_comes_first_for_its_share_of_customers_and_falls_back_on_the_others_pools() {
         let mut table = pools(&[Some(1), None, None]);
-        table.routes =
-            vec![None, Some(Route { pool: PoolNo(0), trial: Some(Trial { pool: PoolNo(2), share: 0.1 }) })];
-        assert_eq!(table.tiers(0, 7), None, "a class without a route goes anywhere");
+        table.routes = vec![
+            None,
+            Some(Route {
+                pool: PoolNo(0),
+                trial: Some(Trial {
+                    pool: PoolNo(2),
+                    share: 0.1,
+                }),
+            }),
+        ];
+        assert_eq!(
+            table.tiers(0, 7),
+            None,
+            "a class without a route goes anywhere"
+        );
         let on = (0..10_000).filter(|c| table.on_trial(1, *c)).count();
-        assert!((900..1_100).contains(&on), "{on} of 10,000 with a share of a tenth");
+        assert!(
+            (900..1_100).contains(&on),
+            "{on} of 10,000 with a share of a tenth"
+        );
         for customer in 0..200 {
-            let want = if table.on_trial(1, customer) { vec![4, 1, 2] } else { vec![1, 2] };
+            let want = if table.on_trial(1, customer) {
+                vec![4, 1, 2]
+            } else {
+                vec![1, 2]
+            };
             assert_eq!(table.tiers(1, customer), Some(want));
         }
     }
@@ -307,14 +386,31 @@
     #[test]
     fn a_way_is_the_tables_tiers() {
         let mut table = pools(&[Some(1), None, None]);
-        let trial = Some(Trial { pool: PoolNo(2), share: 0.3 });
-        table.routes = vec![None, Some(Route { pool: PoolNo(0), trial })];
+        let trial = Some(Trial {
+            pool: PoolNo(2),
+            share: 0.3,
+        });
+        table.routes = vec![
+            None,
+            Some(Route {
+                pool: PoolNo(0),
+                trial,
+            }),
+        ];
         let ways = Ways::of(&table);
-        assert_eq!((ways.way(0, 7), ways.way(9, 7)), (Way::default(), Way::default()));
+        assert_eq!(
+            (ways.way(0, 7), ways.way(9, 7)),
+            (Way::default(), Way::default())
+        );
         for customer in 0..200 {
             let tiers = table.tiers(1, customer).unwrap();
             let way = ways.way(1, customer);
-            let bits: Vec<u64> = way.tiers.iter().filter(|t| **t > 0).map(|t| PoolNo(t - 1).bit()).collect();
+            let bits: Vec<u64> = way
+                .tiers
+                .iter()
+                .filter(|t| **t > 0)
+                .map(|t| PoolNo(t - 1).bit())
+                .collect();
             assert_eq!(bits, tiers);
             assert_eq!(way.own == 2, table.on_trial(1, customer));
         }
--- a/crates/store/examples/open.rs
+++ b/crates/store/examples/open.rs
@@ -25,22 +25,28 @@
 fn write(folder: &Path, records: usize) {
     let store = Store::open(folder).expect("a store");
     for some in (0..records).collect::<Vec<_>>().chunks(32) {
-        let batch =
-            some.iter().fold(Batch::new(), |b, n| b.put(Kind::Control, &format!("{n:08}"), record(*n)));
+        let batch = some.iter().fold(Batch::new(), |b, n| {
+            b.put(Kind::Control, &format!("{n:08}"), record(*n))
+        });
         store.commit(&batch).expect("a commit");
     }
     println!("full");
     std::io::stdout().flush().expect("standard output");
     for n in 0.. {
         let name = format!("{:08}", n % records);
-        store.commit(&Batch::new().put(Kind::Control, &name, record(n))).expect("a commit");
+        store
+            .commit(&Batch::new().put(Kind::Control, &name, record(n)))
+            .expect("a commit");
     }
 }
 
 fn opened(folder: &Path) -> Duration {
     let start = Instant::now();
     let store = Store::open(folder).expect("a store");
-    assert!(store.get(Kind::Control, "00000000").expect("a record").is_some());
+    assert!(store
+        .get(Kind::Control, "00000000")
+        .expect("a record")
+        .is_some());
     start.elapsed()
 }
 
@@ -57,17 +63,28 @@
         for _ in 0..ROUNDS {
             let folder = tempfile::tempdir().expect("a folder");
             let mut child = Command::new(&args[0])
-                .args(["write", &folder.path().display().to_string(), &records.to_string()])
+                .args([
+                    "write",
+                    &folder.path().display().to_string(),
+                    &records.to_string(),
+                ])
                 .stdout(Stdio::piped())
                 .spawn()
                 .expect("this program");
             let mut line = String::new();
-            BufReader::new(child.stdout.take().expect("its output")).read_line(&mut line).expect("a line");
+            BufReader::new(child.stdout.take().expect("its output"))
+                .read_line(&mut line)
+                .expect("a line");
             std::thread::sleep(Duration::from_millis(100)); // in the midst of commits
             child.kill().expect("a living process");
             child.wait().expect("a dead process");
-            size = std::fs::metadata(folder.path().join("wrenfork.redb")).expect("a file").len();
-            after.push(format!("{:.1} ms", opened(folder.path()).as_secs_f64() * 1e3));
+            size = std::fs::metadata(folder.path().join("wrenfork.redb"))
+                .expect("a file")
+                .len();
+            after.push(format!(
+                "{:.1} ms",
+                opened(folder.path()).as_secs_f64() * 1e3
+            ));
             clean = opened(folder.path());
         }
         println!(
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -55,7 +55,13 @@
 
 impl Kind {
     /// All of them.
-    pub const ALL: [Kind; 5] = [Kind::Control, Kind::Audit, Kind::Lease, Kind::Use, Kind::Config];
+    pub const ALL: [Kind; 5] = [
+        Kind::Control,
+        Kind::Audit,
+        Kind::Lease,
+        Kind::Use,
+        Kind::Config,
+    ];
 
     fn table(self) -> TableDefinition<'static, &'static str, &'static [u8]> {
         TableDefinition::new(match self {
@@ -161,7 +167,12 @@
         make.create(folder).map_err(told)?;
         let private = |name: &str| {
             let mut options = OpenOptions::new();
-            options.read(true).write(true).create(true).truncate(false).mode(0o600);
+            options
+                .read(true)
+                .write(true)
+                .create(true)
+                .truncate(false)
+                .mode(0o600);
             options.open(folder.join(name)).map_err(told)
         };
         let lock = private(LOCK)?;
@@ -174,18 +185,26 @@
                 _ => {}
             }
             drop(private(NEW)?);
-            let database = redb::Builder::new().set_cache_size(CACHE).create(&new).map_err(disk)?;
+            let database = redb::Builder::new()
+                .set_cache_size(CACHE)
+                .create(&new)
+                .map_err(disk)?;
             drop(Store::checked(database, None, None)?);
             File::open(&new).and_then(|f| f.sync_all()).map_err(told)?;
             std::fs::rename(&new, &file).map_err(told)?;
             // The new name must outlive a crash as well.
-            File::open(folder).and_then(|f| f.sync_all()).map_err(told)?;
+            File::open(folder)
+                .and_then(|f| f.sync_all())
+                .map_err(told)?;
         }
         Store::checked(Store::database(&file)?, Some(file), Some(lock))
     }
 
     fn database(file: &Path) -> Result<Database, StoreError> {
-        redb::Builder::new().set_cache_size(CACHE).open(file).map_err(disk)
+        redb::Builder::new()
+            .set_cache_size(CACHE)
+            .open(file)
+            .map_err(disk)
     }
 
     /// A store on a backend of its own: for tests that have it fail. What a crash leaves of a backend before this has
@@ -195,18 +214,31 @@
     ///
     /// As [`Store::open`].
     pub fn on(backend: impl StorageBackend) -> Result<Store, StoreError> {
-        let database = redb::Builder::new().set_cache_size(CACHE).create_with_backend(backend);
+        let database = redb::Builder::new()
+            .set_cache_size(CACHE)
+            .create_with_backend(backend);
         Store::checked(database.map_err(disk)?, None, None)
     }
 
-    fn checked(database: Database, file: Option<PathBuf>, lock: Option<File>) -> Result<Store, StoreError> {
-        let store = Store { database: Mutex::new(Some(database)), file, _lock: lock };
+    fn checked(
+        database: Database,
+        file: Option<PathBuf>,
+        lock: Option<File>,
+    ) -> Result<Store, StoreError> {
+        let store = Store {
+            database: Mutex::new(Some(database)),
+            file,
+            _lock: lock,
+        };
         version::check(&store)?;
         Ok(store)
     }
 
     /// Does something with the database, which is opened again first if it failed before.
-    fn with<T>(&self, work: impl FnOnce(&Database) -> Result<T, StoreError>) -> Result<T, StoreError> {
+    fn with<T>(
+        &self,
+        work: impl FnOnce(&Database) -> Result<T, StoreError>,
+    ) -> Result<T, StoreError> {
         let mut held = self.database.lock().unwrap_or_else(PoisonError::into_inner);
         let database = match (held.take(), &self.file) {
             (Some(database), _) => database,
@@ -257,7 +289,9 @@
     pub fn names(&self, kind: Kind) -> Result<Vec<String>, StoreError> {
         let names = self.read(kind, |table| {
             let names = table.iter().map_err(disk)?;
-            names.map(|row| Ok(row.map_err(disk)?.0.value().to_string())).collect()
+            names
+                .map(|row| Ok(row.map_err(disk)?.0.value().to_string()))
+                .collect()
         });
         Ok(names?.unwrap_or_default())
     }
@@ -296,7 +330,11 @@
             for (kind, name, record) in &batch.0 {
                 let mut table = write.open_table(kind.table()).map_err(disk)?;
                 match record {
-                    Some(record) => drop(table.insert(name.as_str(), record.as_slice()).map_err(disk)?),
+                    Some(record) => drop(
+                        table
+                            .insert(name.as_str(), record.as_slice())
+                            .map_err(disk)?,
+                    ),
                     None => drop(table.remove(name.as_str()).map_err(disk)?),
                 }
             }
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -20,13 +20,19 @@
         let read = database.begin_read().map_err(disk)?;
         match read.open_table(META) {
             Err(redb::TableError::TableDoesNotExist(_)) => Ok(None),
-            table => Ok(table.map_err(disk)?.get(KEY).map_err(disk)?.map(|v| v.value())),
+            table => Ok(table
+                .map_err(disk)?
+                .get(KEY)
+                .map_err(disk)?
+                .map(|v| v.value())),
         }
     })?;
     match has {
         Some(has) if has > VERSION => Err(StoreError::Newer(has, VERSION)),
         Some(0) => Err(StoreError::Damaged("its version is 0".into())),
-        Some(has) => (has..VERSION).try_for_each(|from| step(store, from + 1, STEPS.get(from as usize - 1))),
+        Some(has) => {
+            (has..VERSION).try_for_each(|from| step(store, from + 1, STEPS.get(from as usize - 1)))
+        }
         None => step(store, VERSION, None),
     }
 }
@@ -37,7 +43,11 @@
         if let Some(change) = change {
             change(&write)?;
         }
-        write.open_table(META).map_err(disk)?.insert(KEY, to).map_err(disk)?;
+        write
+            .open_table(META)
+            .map_err(disk)?
+            .insert(KEY, to)
+            .map_err(disk)?;
         write.commit().map_err(disk)
     })
 }
@@ -51,7 +61,9 @@
     fn a_newer_version_is_refused_and_told_and_stays_as_it_was() {
         let folder = tempfile::tempdir().unwrap();
         let store = Store::open(folder.path()).unwrap();
-        store.commit(&Batch::new().put(Kind::Control, "a", b"1")).unwrap();
+        store
+            .commit(&Batch::new().put(Kind::Control, "a", b"1"))
+            .unwrap();
         step(&store, VERSION + 1, None).unwrap();
         drop(store);
         for _ in 0..2 {
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -65,7 +65,11 @@
                     Change::Write(at, data) if rng.u8(0..4) == 0 => {
                         // A disk writes sectors whole, but not all of a write's.
                         let sectors = data.len().div_ceil(512);
-                        let torn = data.iter().copied().take(rng.usize(0..=sectors) * 512).collect();
+                        let torn = data
+                            .iter()
+                            .copied()
+                            .take(rng.usize(0..=sectors) * 512)
+                            .collect();
                         apply(&mut bytes, &Change::Write(*at, torn));
                     }
                     change => apply(&mut bytes, change),
@@ -81,7 +85,11 @@
 
 impl Backend {
     fn of(bytes: Vec<u8>) -> Backend {
-        Backend(Arc::new(Mutex::new(Disk { synced: bytes.clone(), seen: bytes, ..Disk::default() })))
+        Backend(Arc::new(Mutex::new(Disk {
+            synced: bytes.clone(),
+            seen: bytes,
+            ..Disk::default()
+        })))
     }
 
     fn change(&self, change: Change) -> io::Result<()> {
@@ -131,7 +139,11 @@
     let batch = Batch::new()
         .put(Kind::Control, "enforced", text.as_bytes())
         .put(Kind::Control, "promise", text.as_bytes())
-        .put(Kind::Audit, &format!("{n:08}"), vec![n as u8; 40 + (n as usize * 97) % 3000]);
+        .put(
+            Kind::Audit,
+            &format!("{n:08}"),
+            vec![n as u8; 40 + (n as usize * 97) % 3000],
+        );
     if n % 3 == 2 {
         batch.delete(Kind::Audit, &format!("{:08}", n - 1))
     } else {
@@ -141,14 +153,23 @@
 
 /// What the store says: the number of the last commit that is there, all of it and nothing else.
 fn told(store: &Store) -> Option<u64> {
-    let get = |name| store.get(Kind::Control, name).unwrap().map(|v| String::from_utf8(v).unwrap());
+    let get = |name| {
+        store
+            .get(Kind::Control, name)
+            .unwrap()
+            .map(|v| String::from_utf8(v).unwrap())
+    };
     let (enforced, promise) = (get("enforced"), get("promise"));
     assert_eq!(enforced, promise, "half of a commit");
     let n = enforced.map(|t| t.trim_start_matches("generation ").parse::<u64>().unwrap());
     let audit = store.list(Kind::Audit, 1000).unwrap();
     let want = |m: &u64| n.is_some_and(|n| *m <= n) && !(m % 3 == 1 && n.is_some_and(|n| *m < n));
     let names: Vec<String> = (0..1000).filter(want).map(|m| format!("{m:08}")).collect();
-    assert_eq!(audit.iter().map(|a| a.0.clone()).collect::<Vec<_>>(), names, "at {n:?}");
+    assert_eq!(
+        audit.iter().map(|a| a.0.clone()).collect::<Vec<_>>(),
+        names,
+        "at {n:?}"
+    );
     for (name, record) in audit {
         let m: u64 = name.parse().unwrap();
         assert_eq!(record, vec![m as u8; 40 + (m as usize * 97) % 3000]);
@@ -159,7 +180,9 @@
 /// Opens, commits from where it stands until `commits` or the cut; which commit was the last that returned.
 /// Whether the store was made at all is told as well: before that it has no name.
 fn live(backend: &Backend, commits: u64, done: &mut Option<u64>) -> bool {
-    let Ok(store) = Store::on(backend.clone()) else { return false };
+    let Ok(store) = Store::on(backend.clone()) else {
+        return false;
+    };
     let next = done.map_or(0, |n| n + 1);
     for n in next..commits {
         if store.commit(&batch(n)).is_err() {
@@ -182,16 +205,28 @@
     let (backend, mut done) = (Backend::default(), None);
     backend.0.lock().unwrap().left = Some(cut);
     let made = live(&backend, commits, &mut done);
-    let found = if made { backend.0.lock().unwrap().after_crash(&mut rng) } else { Vec::new() };
+    let found = if made {
+        backend.0.lock().unwrap().after_crash(&mut rng)
+    } else {
+        Vec::new()
+    };
     // It starts again, and again after a crash while it recovers.
     let again = Backend::of(found);
     again.0.lock().unwrap().left = Some(rng.usize(0..20));
     let open = Store::on(again.clone());
-    let found = if made || open.is_ok() { again.0.lock().unwrap().after_crash(&mut rng) } else { Vec::new() };
+    let found = if made || open.is_ok() {
+        again.0.lock().unwrap().after_crash(&mut rng)
+    } else {
+        Vec::new()
+    };
     drop(open);
-    let store = Store::on(Backend::of(found)).unwrap_or_else(|e| panic!("cut {cut}, seed {seed}: {e}"));
+    let store =
+        Store::on(Backend::of(found)).unwrap_or_else(|e| panic!("cut {cut}, seed {seed}: {e}"));
     let has = told(&store);
-    assert!(has >= done, "cut {cut}, seed {seed}: promised {done:?}, found {has:?}");
+    assert!(
+        has >= done,
+        "cut {cut}, seed {seed}: promised {done:?}, found {has:?}"
+    );
     assert!(
         has <= done.map_or(Some(0), |n| Some(n + 1)),
         "cut {cut}, seed {seed}: {has:?} was never asked for"
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -8,14 +8,33 @@
     let folder = tempfile::tempdir().unwrap();
     let at = folder.path().join("state/of/ingress");
     let store = Store::open(&at).unwrap();
-    store.commit(&Batch::new().put(Kind::Audit, "1", b"a").put(Kind::Audit, "2", b"b")).unwrap();
-    store.commit(&Batch::new().delete(Kind::Audit, "1").put(Kind::Lease, "1", b"c")).unwrap();
+    store
+        .commit(
+            &Batch::new()
+                .put(Kind::Audit, "1", b"a")
+                .put(Kind::Audit, "2", b"b"),
+        )
+        .unwrap();
+    store
+        .commit(
+            &Batch::new()
+                .delete(Kind::Audit, "1")
+                .put(Kind::Lease, "1", b"c"),
+        )
+        .unwrap();
     drop(store);
     let store = Store::open(&at).unwrap();
-    assert_eq!(store.list(Kind::Audit, 10).unwrap(), [("2".to_string(), b"b".to_vec())]);
+    assert_eq!(
+        store.list(Kind::Audit, 10).unwrap(),
+        [("2".to_string(), b"b".to_vec())]
+    );
     assert_eq!(store.get(Kind::Lease, "1").unwrap(), Some(b"c".to_vec()));
     assert_eq!(store.get(Kind::Use, "1").unwrap(), None);
-    for (path, mode) in [(at.clone(), 0o700), (at.join("wrenfork.redb"), 0o600), (at.join("lock"), 0o600)] {
+    for (path, mode) in [
+        (at.clone(), 0o700),
+        (at.join("wrenfork.redb"), 0o600),
+        (at.join("lock"), 0o600),
+    ] {
         assert_eq!(
             std::fs::metadata(&path).unwrap().permissions().mode() & 0o777,
             mode,
@@ -43,13 +62,26 @@
     assert!(Store::open(folder.path()).is_err());
     let file = folder.path().join("file");
     std::fs::write(&file, b"").unwrap();
-    assert!(matches!(Store::open(&file).unwrap_err(), StoreError::Disk(_)));
+    assert!(matches!(
+        Store::open(&file).unwrap_err(),
+        StoreError::Disk(_)
+    ));
     let good = folder.path().join("good");
     let store = Store::open(&good).unwrap();
     let long = vec![0; MOST_RECORD + 1];
-    let e = store.commit(&Batch::new().put(Kind::Use, "a", b"1").put(Kind::Use, "b", long)).unwrap_err();
+    let e = store
+        .commit(
+            &Batch::new()
+                .put(Kind::Use, "a", b"1")
+                .put(Kind::Use, "b", long),
+        )
+        .unwrap_err();
     assert!(matches!(e, StoreError::TooLong(_)));
-    assert_eq!(store.get(Kind::Use, "a").unwrap(), None, "nothing of it was made");
+    assert_eq!(
+        store.get(Kind::Use, "a").unwrap(),
+        None,
+        "nothing of it was made"
+    );
 }
 
 /// Guards against a folder that is of no use any more because a crash came while its store was made.
@@ -58,6 +90,8 @@
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("wrenfork.new"), vec![7; 9000]).unwrap();
     let store = Store::open(folder.path()).unwrap();
-    store.commit(&Batch::new().put(Kind::Use, "a", b"1")).unwrap();
+    store
+        .commit(&Batch::new().put(Kind::Use, "a", b"1"))
+        .unwrap();
     assert!(!folder.path().join("wrenfork.new").exists());
 }
--- a/crates/tend/src/lib.rs
+++ b/crates/tend/src/lib.rs
@@ -119,13 +119,31 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
     /// Nothing runs.
-    Down { program: Program, at: Duration, changed: bool },
+    Down {
+        program: Program,
+        at: Duration,
+        changed: bool,
+    },
     /// One process; since when, and since when it answers.
-    Alone { program: Program, since: Duration, answers: Option<Duration>, ending: bool },
+    Alone {
+        program: Program,
+        since: Duration,
+        answers: Option<Duration>,
+        ending: bool,
+    },
     /// Another one is to take over.
-    Both { old: Program, new: Program, since: Duration, ending: bool },
+    Both {
+        old: Program,
+        new: Program,
+        since: Duration,
+        ending: bool,
+    },
     /// One ends, for another one to begin.
-    Between { to: Program, since: Duration, hard: bool },
+    Between {
+        to: Program,
+        since: Duration,
+        hard: bool,
+    },
 }
 
 /// Whoever keeps the process.
@@ -144,11 +162,29 @@
     /// Begins on a machine on which nothing runs yet: with the proven one, else with what was wanted last, else with `first`; what has
     /// no file any more is passed over.
     pub fn new(terms: Terms, memory: Memory, first: Program, catalog: &dyn Catalog) -> Tend {
-        let wanted = memory.wanted.clone().filter(|p| memory.failed.as_ref() != Some(p));
-        let mut may = memory.proven.iter().cloned().chain(wanted).filter(|p| catalog.has(p));
+        let wanted = memory
+            .wanted
+            .clone()
+            .filter(|p| memory.failed.as_ref() != Some(p));
+        let mut may = memory
+            .proven
+            .iter()
+            .cloned()
+            .chain(wanted)
+            .filter(|p| catalog.has(p));
         let program = may.next().unwrap_or(first);
-        let state = State::Down { program, at: Duration::ZERO, changed: false };
-        Tend { terms, memory, state, crashes: 0, told: None }
+        let state = State::Down {
+            program,
+            at: Duration::ZERO,
+            changed: false,
+        };
+        Tend {
+            terms,
+            memory,
+            state,
+            crashes: 0,
+            told: None,
+        }
     }
 
     /// What is to be on the disk before anything else is done.
@@ -174,7 +210,12 @@
     pub fn step(&mut self, now: Duration, event: Event, catalog: &dyn Catalog) -> Vec<Action> {
         match event {
             Event::Found(program) => {
-                self.state = State::Alone { program, since: now, answers: Some(now), ending: false };
+                self.state = State::Alone {
+                    program,
+                    since: now,
+                    answers: Some(now),
+                    ending: false,
+                };
                 Vec::new()
             }
             Event::Ended(which, how) => self.ended(now, which, &how),
@@ -184,7 +225,12 @@
 
     fn ended(&mut self, now: Duration, which: Which, how: &str) -> Vec<Action> {
         match (self.state.clone(), which) {
-            (State::Alone { program, answers, .. }, Which::Serving) => {
+            (
+                State::Alone {
+                    program, answers, ..
+                },
+                Which::Serving,
+            ) => {
                 // One that served for long has not crashed because of how it began.
                 if answers.is_some_and(|at| now.saturating_sub(at) >= self.terms.prove) {
                     self.crashes = 0;
@@ -198,26 +244,55 @@
                 }
                 let pause = self.terms.pause * 2u32.saturating_pow((self.crashes - 1).min(16));
                 let pause = pause.min(self.terms.longest);
-                let what = if next == program { "again" } else { next.name.as_str() };
-                let line = format!("{} ended ({how}): {what} in {} ms", program.name, pause.as_millis());
-                self.state = State::Down { program: next, at: now + pause, changed: false };
+                let what = if next == program {
+                    "again"
+                } else {
+                    next.name.as_str()
+                };
+                let line = format!(
+                    "{} ended ({how}): {what} in {} ms",
+                    program.name,
+                    pause.as_millis()
+                );
+                self.state = State::Down {
+                    program: next,
+                    at: now + pause,
+                    changed: false,
+                };
                 vec![Action::Log(line)]
             }
             (State::Both { new, .. }, Which::Serving) => {
                 // It has handed over, or has died; whichever it was, the other one goes on.
                 let line = format!("{} goes on alone", new.name);
-                self.state = State::Alone { program: new, since: now, answers: None, ending: false };
+                self.state = State::Alone {
+                    program: new,
+                    since: now,
+                    answers: None,
+                    ending: false,
+                };
                 vec![Action::Log(line)]
             }
             (State::Both { old, new, .. }, Which::Next) => {
                 self.memory.failed = Some(new.clone());
                 self.told = Some((new.clone(), now));
-                self.state = State::Alone { program: old, since: now, answers: Some(now), ending: false };
+                self.state = State::Alone {
+                    program: old,
+                    since: now,
+                    answers: Some(now),
+                    ending: false,
+                };
                 let why = format!("it did not come into service: {how}");
-                vec![Action::Log(format!("{}: {why}", new.name)), Action::Tell(new, why)]
+                vec![
+                    Action::Log(format!("{}: {why}", new.name)),
+                    Action::Tell(new, why),
+                ]
             }
             (State::Between { to, .. }, Which::Serving) => {
-                self.state = State::Down { program: to, at: now, changed: true };
+                self.state = State::Down {
+                    program: to,
+                    at: now,
+                    changed: true,
+                };
                 Vec::new()
             }
             _ => Vec::new(),
@@ -227,36 +302,82 @@
     fn looked(&mut self, now: Duration, seen: Seen, catalog: &dyn Catalog) -> Vec<Action> {
         let late = |since: Duration| now.saturating_sub(since) > self.terms.patience;
         match self.state.clone() {
-            State::Down { program, at, changed } if now >= at => {
+            State::Down {
+                program,
+                at,
+                changed,
+            } if now >= at => {
                 let (since, answers, ending) = (now, None, false);
-                self.state = State::Alone { program: program.clone(), since, answers, ending };
-                vec![Action::Start { program, beside: false, changed }]
+                self.state = State::Alone {
+                    program: program.clone(),
+                    since,
+                    answers,
+                    ending,
+                };
+                vec![Action::Start {
+                    program,
+                    beside: false,
+                    changed,
+                }]
             }
             State::Down { .. } => Vec::new(),
-            State::Alone { program, since, answers, ending } => match seen {
+            State::Alone {
+                program,
+                since,
+                answers,
+                ending,
+            } => match seen {
                 Seen::Silent if answers.is_none() && late(since) && !ending => {
-                    self.state = State::Alone { program, since, answers, ending: true };
+                    self.state = State::Alone {
+                        program,
+                        since,
+                        answers,
+                        ending: true,
+                    };
                     vec![Action::Stop(Which::Serving, true)]
                 }
                 Seen::Silent => Vec::new(),
-                Seen::Says { wanted, settled, .. } => {
+                Seen::Says {
+                    wanted, settled, ..
+                } => {
                     let at = answers.unwrap_or(now);
-                    self.state = State::Alone { program: program.clone(), since, answers: Some(at), ending };
+                    self.state = State::Alone {
+                        program: program.clone(),
+                        since,
+                        answers: Some(at),
+                        ending,
+                    };
                     self.answered(now, program, at, wanted, settled, catalog)
                 }
             },
-            State::Both { old, new, since, ending } => {
-                let taken =
-                    matches!(&seen, Seen::Says { runs: Some(runs), .. } if *runs == new && new != old);
+            State::Both {
+                old,
+                new,
+                since,
+                ending,
+            } => {
+                let taken = matches!(&seen, Seen::Says { runs: Some(runs), .. } if *runs == new && new != old);
                 if !late(since) || ending {
                     return Vec::new();
                 }
-                self.state = State::Both { old, new, since, ending: true };
+                self.state = State::Both {
+                    old,
+                    new,
+                    since,
+                    ending: true,
+                };
                 // Once the new one answers, the old one has nothing any more that could be lost.
-                vec![Action::Stop(if taken { Which::Serving } else { Which::Next }, true)]
+                vec![Action::Stop(
+                    if taken { Which::Serving } else { Which::Next },
+                    true,
+                )]
             }
             State::Between { to, since, hard } if late(since) && !hard => {
-                self.state = State::Between { to, since, hard: true };
+                self.state = State::Between {
+                    to,
+                    since,
+                    hard: true,
+                };
                 vec![Action::Stop(Which::Serving, true)]
             }
             State::Between { .. } => Vec::new(),
@@ -279,7 +400,11 @@
             let proven = settled && now.saturating_sub(since) >= self.terms.prove;
             if proven && self.memory.proven.as_ref() != Some(&program) {
                 self.crashes = 0;
-                self.memory = Memory { wanted: Some(program.clone()), proven: Some(program), failed: None };
+                self.memory = Memory {
+                    wanted: Some(program.clone()),
+                    proven: Some(program),
+                    failed: None,
+                };
                 return vec![Action::Log("it has proven itself".into())];
             }
             if self.memory.failed.as_ref().is_some_and(|f| *f != program) {
@@ -290,20 +415,30 @@
         let why = if self.memory.failed.as_ref() == Some(&wanted) {
             Some("it was tried here and given up".to_string())
         } else if !catalog.has(&wanted) {
-            Some(format!("no file here has the digest {}", &wanted.sha256[..8]))
+            Some(format!(
+                "no file here has the digest {}",
+                &wanted.sha256[..8]
+            ))
         } else if !self.terms.cold && !catalog.hands_over(&program, &wanted) {
-            Some(format!("it can't take over from {}, and the file does not say cold = true", program.name))
+            Some(format!(
+                "it can't take over from {}, and the file does not say cold = true",
+                program.name
+            ))
         } else {
             None
         };
         if let Some(why) = why {
-            let lately =
-                |(told, at): &(Program, Duration)| *told == wanted && now < *at + self.terms.patience;
+            let lately = |(told, at): &(Program, Duration)| {
+                *told == wanted && now < *at + self.terms.patience
+            };
             if self.told.as_ref().is_some_and(lately) {
                 return Vec::new();
             }
             self.told = Some((wanted.clone(), now));
-            return vec![Action::Log(format!("{}: {why}", wanted.name)), Action::Tell(wanted, why)];
+            return vec![
+                Action::Log(format!("{}: {why}", wanted.name)),
+                Action::Tell(wanted, why),
+            ];
         }
         if !may {
             return Vec::new();
@@ -312,10 +447,26 @@
         self.memory.wanted = Some(wanted.clone());
         let line = Action::Log(format!("changing from {} to {}", program.name, wanted.name));
         if catalog.hands_over(&program, &wanted) {
-            self.state = State::Both { old: program, new: wanted.clone(), since: now, ending: false };
-            return vec![line, Action::Start { program: wanted, beside: true, changed: true }];
+            self.state = State::Both {
+                old: program,
+                new: wanted.clone(),
+                since: now,
+                ending: false,
+            };
+            return vec![
+                line,
+                Action::Start {
+                    program: wanted,
+                    beside: true,
+                    changed: true,
+                },
+            ];
         }
-        self.state = State::Between { to: wanted, since: now, hard: false };
+        self.state = State::Between {
+            to: wanted,
+            since: now,
+            hard: false,
+        };
         vec![line, Action::Stop(Which::Serving, false)]
     }
 }
--- a/crates/tend/tests/decisions.rs
+++ b/crates/tend/tests/decisions.rs
@@ -7,7 +7,10 @@
 use wrenfork_versions::Program;
 
 fn program(n: usize) -> Program {
-    Program { name: format!("r-{n}"), sha256: n.to_string().repeat(64) }
+    Program {
+        name: format!("r-{n}"),
+        sha256: n.to_string().repeat(64),
+    }
 }
 
 /// Programs 1 to 4 are there; 4 takes over from nothing, and nothing from it.
@@ -27,7 +30,11 @@
 
 fn says(runs: usize, wanted: usize, turn: bool, settled: bool) -> Event {
     let wanted = Some((program(wanted), turn));
-    Event::Looked(Seen::Says { runs: Some(program(runs)), wanted, settled })
+    Event::Looked(Seen::Says {
+        runs: Some(program(runs)),
+        wanted,
+        settled,
+    })
 }
 
 fn silent() -> Event {
@@ -46,7 +53,10 @@
 
 impl Rig {
     fn new(terms: Terms, memory: Memory) -> Rig {
-        Rig { tend: Tend::new(terms, memory, program(1), &Files), now: Duration::from_secs(100) }
+        Rig {
+            tend: Tend::new(terms, memory, program(1), &Files),
+            now: Duration::from_secs(100),
+        }
     }
 
     /// What is done besides telling people.
@@ -67,18 +77,28 @@
 }
 
 fn start(n: usize, beside: bool, changed: bool) -> Action {
-    Action::Start { program: program(n), beside, changed }
+    Action::Start {
+        program: program(n),
+        beside,
+        changed,
+    }
 }
 
 #[test]
 fn a_wanted_program_is_started_beside_the_one_that_serves_at_its_turn() {
     let mut rig = Rig::serving(Terms::default());
     assert_eq!(rig.after(100, says(1, 2, false, false)), [], "not its turn");
-    assert_eq!(rig.after(100, says(1, 2, true, false)), [start(2, true, true)]);
+    assert_eq!(
+        rig.after(100, says(1, 2, true, false)),
+        [start(2, true, true)]
+    );
     assert_eq!(rig.tend.memory().wanted, Some(program(2)));
     assert!(rig.tend.changing());
     assert_eq!(rig.after(100, says(1, 2, true, false)), []);
-    assert_eq!(rig.after(100, Event::Ended(Which::Serving, "exit status: 0".into())), []);
+    assert_eq!(
+        rig.after(100, Event::Ended(Which::Serving, "exit status: 0".into())),
+        []
+    );
     assert!(!rig.tend.changing() && *rig.tend.program() == program(2));
     // While a rollout is under way nothing is proven, however long it serves.
     rig.after(100, says(2, 2, true, false));
@@ -87,8 +107,14 @@
     rig.after(100, says(2, 2, true, true));
     assert_eq!(rig.tend.memory().proven, Some(program(2)));
     // A machine begins with it, whatever is wanted.
-    let memory = Memory { wanted: Some(program(3)), ..rig.tend.memory().clone() };
-    assert_eq!(Rig::new(Terms::default(), memory).after(0, silent()), [start(2, false, false)]);
+    let memory = Memory {
+        wanted: Some(program(3)),
+        ..rig.tend.memory().clone()
+    };
+    assert_eq!(
+        Rig::new(Terms::default(), memory).after(0, silent()),
+        [start(2, false, false)]
+    );
 }
 
 #[test]
@@ -97,23 +123,37 @@
     rig.after(100, says(1, 2, true, false));
     // It is never heard of: the old one is not touched, the new one is ended.
     assert_eq!(rig.after(9_000, says(1, 2, true, false)), []);
-    assert_eq!(rig.after(2_000, says(1, 2, true, false)), [Action::Stop(Which::Next, true)]);
+    assert_eq!(
+        rig.after(2_000, says(1, 2, true, false)),
+        [Action::Stop(Which::Next, true)]
+    );
     assert_eq!(rig.after(100, says(1, 2, true, false)), []);
-    assert!(matches!(&rig.after(100, ended(Which::Next))[..], [Action::Tell(p, _)] if *p == program(2)));
+    assert!(
+        matches!(&rig.after(100, ended(Which::Next))[..], [Action::Tell(p, _)] if *p == program(2))
+    );
     assert_eq!(rig.tend.memory().failed, Some(program(2)));
     // It is told once more to whoever did not hear it, and not tried again until another one was wanted.
     assert_eq!(rig.after(100, says(1, 2, true, false)), []);
-    assert!(matches!(&rig.after(10_000, says(1, 2, true, false))[..], [Action::Tell(..)]));
+    assert!(matches!(
+        &rig.after(10_000, says(1, 2, true, false))[..],
+        [Action::Tell(..)]
+    ));
     assert_eq!(rig.after(100, says(1, 2, true, false)), []);
     assert_eq!(rig.after(100, says(1, 1, true, true)), []);
-    assert_eq!(rig.after(100, says(1, 2, true, false)), [start(2, true, true)]);
+    assert_eq!(
+        rig.after(100, says(1, 2, true, false)),
+        [start(2, true, true)]
+    );
 }
 
 #[test]
 fn one_that_has_taken_over_is_not_ended_for_an_old_one_that_hangs() {
     let mut rig = Rig::serving(Terms::default());
     rig.after(100, says(1, 2, true, false));
-    assert_eq!(rig.after(11_000, says(2, 2, true, false)), [Action::Stop(Which::Serving, true)]);
+    assert_eq!(
+        rig.after(11_000, says(2, 2, true, false)),
+        [Action::Stop(Which::Serving, true)]
+    );
     assert_eq!(rig.after(100, ended(Which::Serving)), []);
     assert_eq!(*rig.tend.program(), program(2));
 }
@@ -153,14 +193,22 @@
 
 #[test]
 fn what_can_not_take_over_is_begun_behind_the_old_one_where_that_is_allowed() {
-    let told =
-        |actions: &[Action], word: &str| matches!(actions, [Action::Tell(_, why)] if why.contains(word));
+    let told = |actions: &[Action], word: &str| matches!(actions, [Action::Tell(_, why)] if why.contains(word));
     let mut rig = Rig::serving(Terms::default());
     assert!(told(&rig.after(100, says(1, 4, true, false)), "cold"));
     assert_eq!(rig.after(100, says(1, 4, true, false)), []);
-    let mut rig = Rig::serving(Terms { cold: true, ..Terms::default() });
-    assert_eq!(rig.after(100, says(1, 4, true, false)), [Action::Stop(Which::Serving, false)]);
-    assert_eq!(rig.after(11_000, silent()), [Action::Stop(Which::Serving, true)]);
+    let mut rig = Rig::serving(Terms {
+        cold: true,
+        ..Terms::default()
+    });
+    assert_eq!(
+        rig.after(100, says(1, 4, true, false)),
+        [Action::Stop(Which::Serving, false)]
+    );
+    assert_eq!(
+        rig.after(11_000, silent()),
+        [Action::Stop(Which::Serving, true)]
+    );
     assert_eq!(rig.after(100, ended(Which::Serving)), []);
     assert_eq!(rig.after(100, silent()), [start(4, false, true)]);
     // A program that there is no file of is told, and what serves goes on.
@@ -173,7 +221,11 @@
     let mut rig = Rig::new(Terms::default(), Memory::default());
     rig.after(0, Event::Found(program(2)));
     assert_eq!(rig.after(100, says(2, 2, true, true)), []);
-    assert_eq!(rig.after(100, silent()), [], "one that answered before is not ended for a silence");
+    assert_eq!(
+        rig.after(100, silent()),
+        [],
+        "one that answered before is not ended for a silence"
+    );
     assert_eq!(rig.after(11_000, silent()), []);
     rig.after(100, ended(Which::Serving));
     assert_eq!(rig.after(200, silent()), [start(2, false, false)]);
@@ -182,7 +234,11 @@
 /// What may happen to the processes that a keeper has.
 #[derive(Clone, Debug)]
 enum Happens {
-    Look { wanted: usize, turn: bool, settled: bool },
+    Look {
+        wanted: usize,
+        turn: bool,
+        settled: bool,
+    },
     SilentLook,
     Dies(Which),
     TakesOver,
@@ -204,7 +260,11 @@
 
 /// The same plays every time; another seed is another search.
 fn plays() -> Config {
-    Config { rng_seed: RngSeed::Fixed(12), failure_persistence: None, ..Config::default() }
+    Config {
+        rng_seed: RngSeed::Fixed(12),
+        failure_persistence: None,
+        ..Config::default()
+    }
 }
 
 proptest! {
--- a/crates/versions/src/lib.rs
+++ b/crates/versions/src/lib.rs
@@ -39,7 +39,10 @@
         });
         let (name, sha256) =
             told.ok_or_else(|| format!("a program is written NAME@SHA256, not \"{text}\""))?;
-        Ok(Program { name: name.into(), sha256: sha256.into() })
+        Ok(Program {
+            name: name.into(),
+            sha256: sha256.into(),
+        })
     }
 }
 
@@ -118,9 +121,10 @@
         ("control lines", old.control, new.control),
         ("decrees", old.decrees, new.decrees),
     ] {
-        for (from, to, writes, reads) in
-            [(&old.version, &new.version, a, b), (&new.version, &old.version, b, a)]
-        {
+        for (from, to, writes, reads) in [
+            (&old.version, &new.version, a, b),
+            (&new.version, &old.version, b, a),
+        ] {
             if !reads.reads(writes) {
                 report.refused.push(format!(
                     "{what}: {from} writes {}, and {to} reads {} to {}",
@@ -175,11 +179,22 @@
         let one = Program::read(&format!("r-1@{hex}")).unwrap();
         assert_eq!(one, Program::read(&format!("other@{hex}")).unwrap());
         assert_eq!(one.to_string(), format!("r-1@{hex}"));
-        assert_eq!(serde_json::from_str::<Program>(&serde_json::to_string(&one).unwrap()).unwrap(), one);
-        for bad in
-            ["", "r-1", "@", &format!("@{hex}"), &format!("r@{}", &hex[1..]), &format!("r@{}G", &hex[1..])]
-        {
-            assert!(Program::read(bad).unwrap_err().contains("NAME@SHA256"), "{bad}");
+        assert_eq!(
+            serde_json::from_str::<Program>(&serde_json::to_string(&one).unwrap()).unwrap(),
+            one
+        );
+        for bad in [
+            "",
+            "r-1",
+            "@",
+            &format!("@{hex}"),
+            &format!("r@{}", &hex[1..]),
+            &format!("r@{}G", &hex[1..]),
+        ] {
+            assert!(
+                Program::read(bad).unwrap_err().contains("NAME@SHA256"),
+                "{bad}"
+            );
         }
     }
 
@@ -195,15 +210,24 @@
         let newer = Form::of(3, 4);
         let store = found(&|s| s.store = newer);
         assert_eq!(store.refused.len(), 1);
-        assert!(store.refused[0].contains("could not be taken back"), "{store:?}");
+        assert!(
+            store.refused[0].contains("could not be taken back"),
+            "{store:?}"
+        );
         let peers = found(&|s| s.peers = newer);
-        assert_eq!(peers.refused, ["peers' messages: r-2 writes 4, and r-1 reads 2 to 3"]);
+        assert_eq!(
+            peers.refused,
+            ["peers' messages: r-2 writes 4, and r-1 reads 2 to 3"]
+        );
         assert_eq!(found(&|s| s.control = Form::of(4, 4)).refused.len(), 2);
         assert_eq!(found(&|s| s.decrees = newer).refused.len(), 1);
         // A state is written as it is asked for: neighbours hand over, others begin anew.
         assert_eq!(found(&|s| s.handover = newer), Report::default());
         let lost = found(&|s| s.handover = Form::of(4, 5));
-        assert!(lost.refused.is_empty() && lost.lost[0].contains("begins anew"), "{lost:?}");
+        assert!(
+            lost.refused.is_empty() && lost.lost[0].contains("begins anew"),
+            "{lost:?}"
+        );
     }
 
     proptest! {
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -45,7 +45,10 @@
 fn with_own(options: &[u8], plan: &str, gateways: u64) -> Vec<u8> {
     let claims = [&b"t="[..], b"spread=", b"first="];
     let mut own = Vec::with_capacity(options.len() + 32);
-    for option in options.split(|b| *b == b',').filter(|o| !claims.iter().any(|c| o.starts_with(c))) {
+    for option in options
+        .split(|b| *b == b',')
+        .filter(|o| !claims.iter().any(|c| o.starts_with(c)))
+    {
         own.extend_from_slice(option);
         own.push(b',');
     }
@@ -80,25 +83,38 @@
 
 fn without_token(options: &[u8]) -> Result<Option<Shown>, String> {
     const NAME: &[u8] = b"auth=";
-    let mut tokens = options.split(|b| *b == b',').filter(|o| o.starts_with(NAME));
-    let Some(token) = tokens.next() else { return Ok(None) };
+    let mut tokens = options
+        .split(|b| *b == b',')
+        .filter(|o| o.starts_with(NAME));
+    let Some(token) = tokens.next() else {
+        return Ok(None);
+    };
     if tokens.next().is_some() {
         return Err("auth is given twice".into());
     }
-    let rest: Vec<&[u8]> = options.split(|b| *b == b',').filter(|o| !o.starts_with(NAME)).collect();
+    let rest: Vec<&[u8]> = options
+        .split(|b| *b == b',')
+        .filter(|o| !o.starts_with(NAME))
+        .collect();
     Ok(Some((rest.join(&b','), token[NAME.len()..].to_vec())))
 }
 
 fn digits(text: &[u8], most: u64, what: &str) -> Result<u64, String> {
     let fits = !text.is_empty() && text.len() <= 10 && text.iter().all(u8::is_ascii_digit);
     let n = fits.then(|| text.iter().fold(0, |n, d| n * 10 + u64::from(d - b'0')));
-    n.filter(|n| *n <= most).ok_or_else(|| format!("{what} is no whole number up to {most}"))
+    n.filter(|n| *n <= most)
+        .ok_or_else(|| format!("{what} is no whole number up to {most}"))
 }
 
 /// A number from nought up, in plain digits with or without a fraction.
 fn number(text: &[u8], what: &str) -> Result<f64, String> {
-    let plain = !text.is_empty() && text.len() <= 20 && text.iter().all(|b| b.is_ascii_digit() || *b == b'.');
-    let n = std::str::from_utf8(text).ok().filter(|_| plain).and_then(|t| t.parse::<f64>().ok());
+    let plain = !text.is_empty()
+        && text.len() <= 20
+        && text.iter().all(|b| b.is_ascii_digit() || *b == b'.');
+    let n = std::str::from_utf8(text)
+        .ok()
+        .filter(|_| plain)
+        .and_then(|t| t.parse::<f64>().ok());
     n.ok_or_else(|| format!("{what} is no number"))
 }
 
@@ -113,7 +129,11 @@
 
 impl Call {
     /// Reads a command's arguments, the verb among them; none if the verb is another one.
-    pub fn read(buf: &[u8], args: &[Range<usize>], words: &Vocabulary) -> Option<Result<Call, String>> {
+    pub fn read(
+        buf: &[u8],
+        args: &[Range<usize>],
+        words: &Vocabulary,
+    ) -> Option<Result<Call, String>> {
         let verb = &buf[args.first()?.clone()];
         let post = match verb {
             b"CALL.GET" => false,
@@ -122,7 +142,9 @@
         };
         let want = if post { 5 } else { 4 };
         if args.len() != want {
-            return Some(Err(format!("{want} arguments are wanted, with the command")));
+            return Some(Err(format!(
+                "{want} arguments are wanted, with the command"
+            )));
         }
         let args: Vec<&[u8]> = args.iter().map(|r| &buf[r.clone()]).collect();
         Some(Call::parse(post, &args, words))
@@ -139,18 +161,28 @@
         if !graphic(id) {
             return Err("the id is no plain word".into());
         }
-        let shown = if words.asks { without_token(options)? } else { None };
+        let shown = if words.asks {
+            without_token(options)?
+        } else {
+            None
+        };
         let (rest, token) = shown.map_or((None, None), |(rest, token)| (Some(rest), Some(token)));
         let options = rest.as_deref().unwrap_or(options);
         let own = match &words.identity {
             Some(identity) => {
                 let own = identity.accounts.get(&customer_id).copied();
-                Some((own.ok_or("the account is not this application's")?, identity))
+                Some((
+                    own.ok_or("the account is not this application's")?,
+                    identity,
+                ))
             }
             None => None,
         };
         let owned = own.map(|(place, identity)| {
-            let plan = identity.known.get(usize::from(place)).map_or("", String::as_str);
+            let plan = identity
+                .known
+                .get(usize::from(place))
+                .map_or("", String::as_str);
             with_own(options, plan, words.gateways)
         });
         let options = owned.as_deref().unwrap_or(options);
@@ -160,7 +192,10 @@
         for option in options.split(|b| *b == b',') {
             let start = at;
             at += option.len() + 1;
-            let eq = option.iter().position(|b| *b == b'=').ok_or("an option has no '='")?;
+            let eq = option
+                .iter()
+                .position(|b| *b == b'=')
+                .ok_or("an option has no '='")?;
             let (name, value) = (&option[..eq], &option[eq + 1..]);
             let twice = match name {
                 b"c" => class.replace(value).is_some(),
@@ -168,7 +203,8 @@
                 b"k" => key.replace(value).is_some(),
                 b"d" => {
                     let ms = digits(value, MOST_WAIT_MS, "d")?;
-                    wait.replace((ms * 1000, start + eq + 1..start + option.len())).is_some()
+                    wait.replace((ms * 1000, start + eq + 1..start + option.len()))
+                        .is_some()
                 }
                 b"units" => units.replace(number(value, "units")?).is_some(),
                 b"spread" => width.replace(digits(value, 65_535, "spread")?).is_some(),
@@ -181,9 +217,17 @@
         }
         let missing = |name: &str| format!("{name} is missing");
         let class = class.ok_or_else(|| missing("c"))?;
-        let class = words.classes.iter().position(|c| named(&c.0, class)).ok_or("the class is unknown")?;
+        let class = words
+            .classes
+            .iter()
+            .position(|c| named(&c.0, class))
+            .ok_or("the class is unknown")?;
         let plan = plan.ok_or_else(|| missing("t"))?;
-        let plan = words.plans.iter().position(|p| named(p, plan)).ok_or("the plan is unknown")?;
+        let plan = words
+            .plans
+            .iter()
+            .position(|p| named(p, plan))
+            .ok_or("the plan is unknown")?;
         let plan = own.map_or(plan, |(place, _)| usize::from(place));
         if own.is_some_and(|(_, identity)| !identity.sends.get(class).copied().unwrap_or(false)) {
             return Err("the application may not send this class".into());
@@ -191,16 +235,25 @@
         let (wait, place) = wait.ok_or_else(|| missing("d"))?;
         let repeat = words.classes[class].1;
         if post == (repeat == Repeat::Safe) {
-            return Err("CALL.GET is for classes that are safe to repeat, CALL.POST for the others".into());
+            return Err(
+                "CALL.GET is for classes that are safe to repeat, CALL.POST for the others".into(),
+            );
         }
         if matches!(repeat, Repeat::Keyed { .. }) && !key.is_some_and(graphic) {
             return Err(missing("k"));
         }
         // What is out of range reaches neither the module, which keeps it in the customer's record, nor a backend.
-        let range =
-            |good: bool, what: &str| if good { Ok(()) } else { Err(format!("{what} is out of range")) };
-        let (units, width) =
-            (units.ok_or_else(|| missing("units"))?, width.ok_or_else(|| missing("spread"))?);
+        let range = |good: bool, what: &str| {
+            if good {
+                Ok(())
+            } else {
+                Err(format!("{what} is out of range"))
+            }
+        };
+        let (units, width) = (
+            units.ok_or_else(|| missing("units"))?,
+            width.ok_or_else(|| missing("spread"))?,
+        );
         let first = first.ok_or_else(|| missing("first"))?;
         range(units > 0.0 && units <= words.most_units, "units")?;
         range((1..=words.gateways).contains(&width), "spread")?;
@@ -217,7 +270,9 @@
         let body = args.get(4).map_or(0, |b| b.len()).min(resp::MOST_VALUE);
         let mut bytes = Vec::with_capacity(112 + options.len() + body);
         resp::put_array(&mut bytes, args.len());
-        args[..3].iter().for_each(|a| resp::put_bulk(&mut bytes, &[a]));
+        args[..3]
+            .iter()
+            .for_each(|a| resp::put_bulk(&mut bytes, &[a]));
         let head = bytes.len();
         let id = head - 2 - id.len()..head - 2;
         bytes.extend_from_slice(&options[..place.start]);
@@ -226,7 +281,17 @@
         let after = bytes.len();
         let kept = args[4..].iter().filter(|a| a.len() <= resp::MOST_VALUE);
         kept.for_each(|a| resp::put_bulk(&mut bytes, &[a]));
-        Ok(Call { request, wait, id, bytes, head, before, after, token, body: None })
+        Ok(Call {
+            request,
+            wait,
+            id,
+            bytes,
+            head,
+            before,
+            after,
+            token,
+            body: None,
+        })
     }
 
     /// The token that came with it; it is kept no longer.
@@ -262,7 +327,10 @@
     pub fn write(&self, wait: Micros, out: &mut Vec<u8>) {
         let ms = (wait / 1000).max(1).to_string();
         out.extend_from_slice(&self.bytes[..self.head]);
-        let (before, after) = (&self.bytes[self.head..self.before], &self.bytes[self.before..self.after]);
+        let (before, after) = (
+            &self.bytes[self.head..self.before],
+            &self.bytes[self.before..self.after],
+        );
         resp::put_bulk(out, &[before, ms.as_bytes(), after]);
         out.extend_from_slice(&self.bytes[self.after..]);
     }
@@ -280,17 +348,32 @@
     use wrenfork_decision::Group;
 
     fn words() -> Vocabulary {
-        let keyed = Repeat::Keyed { group: Group::Cell, window: 3_000_000 };
-        let classes =
-            vec![("quote".into(), Repeat::Safe), ("save".into(), keyed), ("refer".into(), Repeat::Once)];
+        let keyed = Repeat::Keyed {
+            group: Group::Cell,
+            window: 3_000_000,
+        };
+        let classes = vec![
+            ("quote".into(), Repeat::Safe),
+            ("save".into(), keyed),
+            ("refer".into(), Repeat::Once),
+        ];
         let plans = vec!["starter".into(), "business".into()];
-        Vocabulary { classes, plans, most_units: 4.0, gateways: 4, identity: None, asks: false }
+        Vocabulary {
+            classes,
+            plans,
+            most_units: 4.0,
+            gateways: 4,
+            identity: None,
+            asks: false,
+        }
     }
 
     fn read(parts: &[&str]) -> Result<Call, String> {
         let (mut buf, mut args) = (Vec::new(), Vec::new());
         resp::put_array(&mut buf, parts.len());
-        parts.iter().for_each(|p| resp::put_bulk(&mut buf, &[p.as_bytes()]));
+        parts
+            .iter()
+            .for_each(|p| resp::put_bulk(&mut buf, &[p.as_bytes()]));
         resp::command(&buf, &mut args).unwrap().unwrap();
         Call::read(&buf, &args, &words()).unwrap()
     }
@@ -300,7 +383,10 @@
         let options = "c=save,t=business,d=480,k=5c0f,r=1,units=2,spread=3,first=1,new=x";
         let call = read(&["CALL.POST", "00000000b4d65521", "9b1f", options, "BO\r\nDY"]).unwrap();
         let r = call.request;
-        assert_eq!((r.class, r.plan, r.customer.0, call.wait), (1, 1, 0xb4d6_5521, 480_000));
+        assert_eq!(
+            (r.class, r.plan, r.customer.0, call.wait),
+            (1, 1, 0xb4d6_5521, 480_000)
+        );
         assert_eq!(call.id(), b"9b1f");
         assert_eq!((r.units, r.width, r.first), (2.0, 3.0, 1.0));
         let mut out = Vec::new();
@@ -337,14 +423,33 @@
             (",first=1", ",first", "'='"),
             ("units=2", "units=2,units=3", "twice"),
         ] {
-            let err = read(&["CALL.GET", "00000000b4d65521", "9b1f", &good.replace(from, to)]).unwrap_err();
+            let err = read(&[
+                "CALL.GET",
+                "00000000b4d65521",
+                "9b1f",
+                &good.replace(from, to),
+            ])
+            .unwrap_err();
             assert!(err.contains(want), "{to}: {err}");
         }
-        assert!(read(&["CALL.GET", "0000000fb4d65521", "9b1f", good]).is_err(), "a customer of 2^33 or more");
-        assert!(read(&["CALL.GET", "b4d65521", "9b1f", good]).is_err(), "a short customer");
-        assert!(read(&["CALL.GET", "00000000b4d65521", "", good]).is_err(), "an empty id");
+        assert!(
+            read(&["CALL.GET", "0000000fb4d65521", "9b1f", good]).is_err(),
+            "a customer of 2^33 or more"
+        );
+        assert!(
+            read(&["CALL.GET", "b4d65521", "9b1f", good]).is_err(),
+            "a short customer"
+        );
+        assert!(
+            read(&["CALL.GET", "00000000b4d65521", "", good]).is_err(),
+            "an empty id"
+        );
         assert!(read(&["CALL.GET", "00000000b4d65521", "9b1f", good, "BODY"]).is_err());
         let save = good.replace("quote", "save");
-        assert!(read(&["CALL.POST", "00000000b4d65521", "9b1f", &save, "BODY"]).unwrap_err().contains('k'));
+        assert!(
+            read(&["CALL.POST", "00000000b4d65521", "9b1f", &save, "BODY"])
+                .unwrap_err()
+                .contains('k')
+        );
     }
 }
--- a/crates/wire/src/long.rs
+++ b/crates/wire/src/long.rs
@@ -42,7 +42,13 @@
         }
         let (length, start) = resp::head(buf, at, MOST_LONG).ok()??;
         let length = length.filter(|n| *n > resp::MOST_VALUE)?;
-        Some((Long { left: start - at + length, rest: Vec::new() }, at))
+        Some((
+            Long {
+                left: start - at + length,
+                rest: Vec::new(),
+            },
+            at,
+        ))
     }
 
     /// Bytes of the value, with its head, that are still to pass.
@@ -56,9 +62,15 @@
     ///
     /// Where it is no such answer.
     pub fn whole(&self, buf: &[u8]) -> Result<bool, Malformed> {
-        let Some(behind) = buf.get(self.left..) else { return Ok(false) };
-        let mut rest = Long { left: 0, rest: self.rest.clone() };
-        rest.feed(behind, &mut Vec::new()).map(|whole| whole.is_some())
+        let Some(behind) = buf.get(self.left..) else {
+            return Ok(false);
+        };
+        let mut rest = Long {
+            left: 0,
+            rest: self.rest.clone(),
+        };
+        rest.feed(behind, &mut Vec::new())
+            .map(|whole| whole.is_some())
     }
 
     /// Takes in what has come; what may pass on is appended to `out`.
@@ -86,14 +98,19 @@
             if self.rest.len() <= at {
                 return Ok(None);
             }
-            let Some(element) = resp::element(&self.rest, at, MOST_REST)? else { return Ok(None) };
+            let Some(element) = resp::element(&self.rest, at, MOST_REST)? else {
+                return Ok(None);
+            };
             at = element.whole.end;
             last = Some(element);
         }
         out.extend_from_slice(END);
         let text = |e: Element| self.rest[e.text].to_vec();
         let report = last.filter(|e| e.kind == resp::Kind::Bulk).map(text);
-        Ok(Some(Whole { report, alone: at == self.rest.len() }))
+        Ok(Some(Whole {
+            report,
+            alone: at == self.rest.len(),
+        }))
     }
 }
 
--- a/crates/wire/src/long/tests.rs
+++ b/crates/wire/src/long/tests.rs
@@ -22,7 +22,9 @@
         let fed = long.feed(&bytes[from..end], &mut out);
         assert_eq!(
             whole,
-            fed.as_ref().map(Option::is_some).map_err(|e| Malformed(e.0)),
+            fed.as_ref()
+                .map(Option::is_some)
+                .map_err(|e| Malformed(e.0)),
             "whole and fed differ"
         );
         match fed {
--- a/crates/wire/src/resp.rs
+++ b/crates/wire/src/resp.rs
@@ -69,7 +69,9 @@
 fn line(buf: &[u8], at: usize, most: usize) -> Step<(Range<usize>, usize)> {
     let seen = &buf[at..buf.len().min(at + most + 2)];
     match seen.iter().position(|b| *b == b'\n') {
-        Some(end) if end > 0 && seen[end - 1] == b'\r' => Ok(Some((at..at + end - 1, at + end + 1))),
+        Some(end) if end > 0 && seen[end - 1] == b'\r' => {
+            Ok(Some((at..at + end - 1, at + end + 1)))
+        }
         Some(_) => Err(Malformed("a line does not end with CR LF")),
         None if seen.len() == most + 2 => Err(Malformed("a line is too long")),
         None => Ok(None),
@@ -84,7 +86,9 @@
     if text.is_empty() || text.len() > MOST_DIGITS || !text.iter().all(u8::is_ascii_digit) {
         return Err(Malformed("a length is no number"));
     }
-    let n = text.iter().fold(0usize, |n, d| n.saturating_mul(10).saturating_add(usize::from(d - b'0')));
+    let n = text.iter().fold(0usize, |n, d| {
+        n.saturating_mul(10).saturating_add(usize::from(d - b'0'))
+    });
     if n > most {
         return Err(Malformed("a length is over the limit"));
     }
@@ -93,7 +97,9 @@
 
 /// A length that stands behind its mark at `at`, and where the next thing begins.
 pub(crate) fn head(buf: &[u8], at: usize, most: usize) -> Step<(Option<usize>, usize)> {
-    let Some((digits, next)) = line(buf, at + 1, MOST_DIGITS)? else { return Ok(None) };
+    let Some((digits, next)) = line(buf, at + 1, MOST_DIGITS)? else {
+        return Ok(None);
+    };
     Ok(Some((length(&buf[digits], most)?, next)))
 }
 
@@ -128,8 +134,12 @@
         Some(b'*') => {}
         Some(_) => return Err(Malformed("a command is no array")),
     }
-    let Some((count, mut at)) = head(buf, 0, MOST_ITEMS)? else { return Ok(None) };
-    let Some(count) = count.filter(|n| *n > 0) else { return Err(Malformed("a command is empty")) };
+    let Some((count, mut at)) = head(buf, 0, MOST_ITEMS)? else {
+        return Ok(None);
+    };
+    let Some(count) = count.filter(|n| *n > 0) else {
+        return Err(Malformed("a command is empty"));
+    };
     let mut left = MOST_TOTAL;
     for _ in 0..count {
         match buf.get(at) {
@@ -138,13 +148,23 @@
             Some(_) => return Err(Malformed("an argument is no bulk string")),
         }
         let body = args.len() == BODY && count == BODY + 1 && buf[args[0].clone()] == *b"CALL.POST";
-        let most = if body { MOST_LONG } else { MOST_VALUE.min(left) };
-        let Some((n, start)) = head(buf, at, most)? else { return Ok(None) };
-        let Some(n) = n else { return Err(Malformed("an argument is null")) };
+        let most = if body {
+            MOST_LONG
+        } else {
+            MOST_VALUE.min(left)
+        };
+        let Some((n, start)) = head(buf, at, most)? else {
+            return Ok(None);
+        };
+        let Some(n) = n else {
+            return Err(Malformed("an argument is null"));
+        };
         if n > MOST_VALUE {
             *whole = start + n + 2;
         }
-        let Some(end) = bulk_end(buf, start, n)? else { return Ok(None) };
+        let Some(end) = bulk_end(buf, start, n)? else {
+            return Ok(None);
+        };
         args.push(start..start + n);
         left -= if body { 0 } else { n };
         at = end;
@@ -153,7 +173,9 @@
 }
 
 pub(crate) fn element(buf: &[u8], at: usize, most: usize) -> Step<Element> {
-    let Some(mark) = buf.get(at) else { return Ok(None) };
+    let Some(mark) = buf.get(at) else {
+        return Ok(None);
+    };
     let kind = match mark {
         b'+' => Kind::Simple,
         b'-' => Kind::Error,
@@ -162,18 +184,36 @@
         _ => return Err(Malformed("an answer begins with no mark of RESP2")),
     };
     if kind != Kind::Bulk {
-        let Some((text, end)) = line(buf, at + 1, MOST_LINE)? else { return Ok(None) };
-        return Ok(Some(Element { kind, text, whole: at..end }));
+        let Some((text, end)) = line(buf, at + 1, MOST_LINE)? else {
+            return Ok(None);
+        };
+        return Ok(Some(Element {
+            kind,
+            text,
+            whole: at..end,
+        }));
     }
-    let Some((n, start)) = head(buf, at, most)? else { return Ok(None) };
+    let Some((n, start)) = head(buf, at, most)? else {
+        return Ok(None);
+    };
     let Some(n) = n else {
-        return Ok(Some(Element { kind: Kind::Null, text: start..start, whole: at..start }));
+        return Ok(Some(Element {
+            kind: Kind::Null,
+            text: start..start,
+            whole: at..start,
+        }));
     };
     if *mark == b'*' {
         return Err(Malformed("an array stands inside an array"));
     }
-    let Some(end) = bulk_end(buf, start, n)? else { return Ok(None) };
-    Ok(Some(Element { kind, text: start..start + n, whole: at..end }))
+    let Some(end) = bulk_end(buf, start, n)? else {
+        return Ok(None);
+    };
+    Ok(Some(Element {
+        kind,
+        text: start..start + n,
+        whole: at..end,
+    }))
 }
 
 /// An answer and its length.
@@ -184,13 +224,24 @@
             (Reply::One(e), end)
         }));
     }
-    let Some((count, mut at)) = head(buf, 0, MOST_ITEMS)? else { return Ok(None) };
+    let Some((count, mut at)) = head(buf, 0, MOST_ITEMS)? else {
+        return Ok(None);
+    };
     let Some(count) = count else {
-        return Ok(Some((Reply::One(Element { kind: Kind::Null, text: at..at, whole: 0..at }), at)));
+        return Ok(Some((
+            Reply::One(Element {
+                kind: Kind::Null,
+                text: at..at,
+                whole: 0..at,
+            }),
+            at,
+        )));
     };
     let (mut list, mut left) = (Vec::with_capacity(count), MOST_TOTAL);
     for _ in 0..count {
-        let Some(e) = element(buf, at, MOST_VALUE.min(left))? else { return Ok(None) };
+        let Some(e) = element(buf, at, MOST_VALUE.min(left))? else {
+            return Ok(None);
+        };
         at = e.whole.end;
         left = left.saturating_sub(e.text.len());
         list.push(e);
@@ -214,7 +265,11 @@
 /// Appends an error line, less what would break it.
 pub fn put_error(out: &mut Vec<u8>, text: &str) {
     out.extend_from_slice(b"-ERR ");
-    out.extend(text.bytes().map(|b| if b.is_ascii_control() { b' ' } else { b }).take(MOST_LINE - 8));
+    out.extend(
+        text.bytes()
+            .map(|b| if b.is_ascii_control() { b' ' } else { b })
+            .take(MOST_LINE - 8),
+    );
     out.extend_from_slice(b"\r\n");
 }
 
@@ -225,14 +280,20 @@
     fn texts(buf: &[u8]) -> Step<(Vec<String>, usize)> {
         let mut args = Vec::new();
         let end = command(buf, &mut args)?;
-        let list = args.iter().map(|r| String::from_utf8_lossy(&buf[r.clone()]).into_owned()).collect();
+        let list = args
+            .iter()
+            .map(|r| String::from_utf8_lossy(&buf[r.clone()]).into_owned())
+            .collect();
         Ok(end.map(|end| (list, end)))
     }
 
     #[test]
     fn a_command_is_whole_only_with_its_last_byte() {
         let whole = b"*2\r\n$4\r\nINFO\r\n$4\r\nlo\r\n\r\n*1";
-        let want = (vec!["INFO".to_string(), "lo\r\n".to_string()], whole.len() - 2);
+        let want = (
+            vec!["INFO".to_string(), "lo\r\n".to_string()],
+            whole.len() - 2,
+        );
         assert_eq!(texts(whole), Ok(Some(want)));
         for cut in 0..whole.len() - 2 {
             assert_eq!(texts(&whole[..cut]), Ok(None), "cut at {cut}");
@@ -271,17 +332,31 @@
     #[test]
     fn an_answer_is_read_with_its_nulls_and_its_bounds() {
         let whole = b"*3\r\n$2\r\nhi\r\n*-1\r\n$9\r\nutil=0.61\r\n";
-        let Ok(Some((Reply::Array(list), end))) = reply(whole) else { panic!("not an array") };
+        let Ok(Some((Reply::Array(list), end))) = reply(whole) else {
+            panic!("not an array")
+        };
         assert_eq!(end, whole.len());
         assert_eq!(&whole[list[0].whole.clone()], b"$2\r\nhi\r\n");
-        assert_eq!((list[1].kind, &whole[list[2].text.clone()]), (Kind::Null, &b"util=0.61"[..]));
+        assert_eq!(
+            (list[1].kind, &whole[list[2].text.clone()]),
+            (Kind::Null, &b"util=0.61"[..])
+        );
         for cut in 0..whole.len() {
             assert_eq!(reply(&whole[..cut]), Ok(None), "cut at {cut}");
         }
-        for bad in [&b"?\r\n"[..], b"*1\r\n*1\r\n:1\r\n", b"$65537\r\n", b"*9\r\n", b"+a\n", b"$1\r\nab\r\n"]
-        {
+        for bad in [
+            &b"?\r\n"[..],
+            b"*1\r\n*1\r\n:1\r\n",
+            b"$65537\r\n",
+            b"*9\r\n",
+            b"+a\n",
+            b"$1\r\nab\r\n",
+        ] {
             assert!(reply(bad).is_err(), "{:?}", String::from_utf8_lossy(bad));
         }
-        assert!(reply(&[&b"-"[..], &[b'e'; 2000]].concat()).is_err(), "an endless line");
+        assert!(
+            reply(&[&b"-"[..], &[b'e'; 2000]].concat()).is_err(),
+            "an endless line"
+        );
     }
 }
--- a/crates/wire/src/tally.rs
+++ b/crates/wire/src/tally.rs
@@ -51,10 +51,20 @@
         Kind::Error if text.split(|b| *b == b' ').next() == Some(b"BUSY") => Answer::Busy,
         Kind::Error => Answer::Error,
         Kind::Bulk => {
-            let total = std::str::from_utf8(text).ok().and_then(|t| t.parse::<f64>().ok());
-            Answer::Total(total.filter(|t| t.is_finite()).ok_or(Malformed("a total is no number"))?)
+            let total = std::str::from_utf8(text)
+                .ok()
+                .and_then(|t| t.parse::<f64>().ok());
+            Answer::Total(
+                total
+                    .filter(|t| t.is_finite())
+                    .ok_or(Malformed("a total is no number"))?,
+            )
+        }
+        _ => {
+            return Err(Malformed(
+                "a count's answer is neither a total nor an error",
+            ))
         }
-        _ => return Err(Malformed("a count's answer is neither a total nor an error")),
     };
     Ok(Some((answer, end)))
 }
@@ -70,9 +80,16 @@
             put_call(&mut out, 0xabc, amount, life).then(|| String::from_utf8(out).unwrap())
         };
         let call = text(-2.5, 4_000_000).unwrap();
-        assert_eq!(call, "*4\r\n$5\r\nTALLY\r\n$16\r\n0000000000000abc\r\n$4\r\n-2.5\r\n$4\r\n4000\r\n");
-        assert!(text(0.1 + 0.2, 0).unwrap().ends_with("$3\r\n0.3\r\n$1\r\n1\r\n"));
-        assert!(text(-0.0, u64::MAX).unwrap().ends_with("$1\r\n0\r\n$5\r\n60000\r\n"));
+        assert_eq!(
+            call,
+            "*4\r\n$5\r\nTALLY\r\n$16\r\n0000000000000abc\r\n$4\r\n-2.5\r\n$4\r\n4000\r\n"
+        );
+        assert!(text(0.1 + 0.2, 0)
+            .unwrap()
+            .ends_with("$3\r\n0.3\r\n$1\r\n1\r\n"));
+        assert!(text(-0.0, u64::MAX)
+            .unwrap()
+            .ends_with("$1\r\n0\r\n$5\r\n60000\r\n"));
         assert!(text(1e-300, 1).unwrap().contains("$1\r\n0\r\n"));
         for bad in [f64::NAN, f64::INFINITY, -f64::INFINITY, 1.1e9, -1e300] {
             assert_eq!(text(bad, 1), None, "{bad}");
@@ -87,7 +104,15 @@
             found.push(one);
             at += n;
         }
-        assert_eq!(found, [Answer::Total(12.25), Answer::Busy, Answer::Error, Answer::Total(-1.0)]);
+        assert_eq!(
+            found,
+            [
+                Answer::Total(12.25),
+                Answer::Busy,
+                Answer::Error,
+                Answer::Total(-1.0)
+            ]
+        );
         for cut in 0..11 {
             assert_eq!(answer(&buf[..cut]), Ok(None), "cut at {cut}");
         }
