--- a/crates/control/src/protocol.rs
+++ b/crates/commit/src/protocol.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The protocol's version. Since 2 members of a group ask each other as well (`wrenfork-roster`); what was asked and said in 1
+/// The protocol's version. Since 2 members of a group ask each other as well (`wrenfork-consensus`); what was asked and said in 1
 /// is the same in 2.
 pub const VERSION: u32 = 2;
 /// The oldest version that is understood here.
--- a/crates/control/tests/model.rs
+++ b/crates/commit/tests/model.rs
@@ -6,14 +6,14 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::OnceLock;
-use wrenfork_control::applier::{Applier, Phase};
-use wrenfork_control::participant::{Memory, Participant, Step};
-use wrenfork_control::plan::{Plan, Seen};
-use wrenfork_control::protocol::{Ask, Say, Stand};
-use wrenfork_control::state::{Digest, Generation, State};
+use wrenfork_commit::applier::{Applier, Phase};
+use wrenfork_commit::participant::{Memory, Participant, Step};
+use wrenfork_commit::plan::{Plan, Seen};
+use wrenfork_commit::protocol::{Ask, Say, Stand};
+use wrenfork_commit::state::{Digest, Generation, State};
 
 /// Two where it must be quick; with three it takes 20 s on four cores:
-/// `WRENFORK_SEARCH=3 cargo test --release -p wrenfork-control --test model -- --nocapture every`
+/// `WRENFORK_SEARCH=3 cargo test --release -p wrenfork-commit --test model -- --nocapture every`
 fn ingresses() -> usize {
     static COUNT: OnceLock<usize> = OnceLock::new();
     *COUNT.get_or_init(|| {
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -7,7 +7,7 @@
 use crate::values::{show_rate, show_time, Listener};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
-use wrenfork_dial::{Address, MOST_ADDRESSES};
+use wrenfork_happy_eyeballs::{Address, MOST_ADDRESSES};
 use wrenfork_identity::trust::Doubt;
 use wrenfork_routes::{Fault, PoolNo, Table, Traits, MOST_POOLS, MOST_TIERS};
 
--- a/crates/config/src/group.rs
+++ b/crates/config/src/group.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use wrenfork_roster::seats::{self, Kind, Seat};
+use wrenfork_consensus::seats::{self, Kind, Seat};
 
 /// How many may decide before it is told that fewer are enough.
 const ENOUGH_VOTERS: usize = 9;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -4,7 +4,7 @@
 use crate::values::Listener;
 use std::net::SocketAddr;
 use std::ops::Range;
-use wrenfork_dial::Address;
+use wrenfork_happy_eyeballs::Address;
 use wrenfork_routes::Selector;
 
 /// The default of a key, which [`crate::form`] shows to people in the same words.
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -10,7 +10,7 @@
 use std::ops::Range;
 use toml::de::{DeInteger, DeTable, DeValue};
 use toml::Spanned;
-use wrenfork_dial::Address;
+use wrenfork_happy_eyeballs::Address;
 
 /// A value with its place.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/roster/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -6,7 +6,7 @@
 use crate::seats::{Folder, Roster};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
-use wrenfork_control::state::{Digest, State};
+use wrenfork_commit::state::{Digest, State};
 
 /// What a member must not forget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -55,7 +55,7 @@
 }
 
 /// What comes of a message; with `switch` another decree stands.
-pub type Step = wrenfork_control::participant::Step<Memory, Say>;
+pub type Step = wrenfork_commit::participant::Step<Memory, Say>;
 
 /// A member's side.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/roster/src/decree.rs
+++ b/crates/consensus/src/decree.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use wrenfork_control::state::{Digest, Generation, State};
+use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_rollout::record::{self, Record};
 
 /// The number of the form of what a group decides. 2 has rollouts, which a member that knows 1 alone refuses.
--- a/crates/roster/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -16,7 +16,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 use std::time::Duration;
-use wrenfork_control::state::Digest;
+use wrenfork_commit::state::Digest;
 
 /// Renewals in the time of a lease: one may be lost, and one late, before it runs out.
 const RENEWALS: u32 = 3;
--- a/crates/roster/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use wrenfork_control::state::{Digest, State};
+use wrenfork_commit::state::{Digest, State};
 
 /// How often whoever has taken a decree up is told that its proposer is still there, as a part of the lease: well under the
 /// half of it after which a member begins to settle.
--- a/crates/roster/src/protocol.rs
+++ b/crates/consensus/src/protocol.rs
@@ -1,11 +1,11 @@
 //! The messages between members, and between `wrenctl` and a member: lines of the control sockets' protocol
-//! (`wrenfork_control::protocol`), told from its other asks by the key `group`.
+//! (`wrenfork_commit::protocol`), told from its other asks by the key `group`.
 
 use crate::decree::Decree;
 use crate::seats::{Folder, Kind, Roster};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
-use wrenfork_control::state::{Digest, State};
+use wrenfork_commit::state::{Digest, State};
 use wrenfork_rollout::record::Phase;
 use wrenfork_rollout::tally::Tally;
 
@@ -257,7 +257,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use wrenfork_control::protocol::{self, read};
+    use wrenfork_commit::protocol::{self, read};
 
     #[test]
     fn asks_of_a_group_are_told_from_the_others_and_survive_the_way() {
--- a/crates/roster/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -7,13 +7,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use wrenfork_control::state::{Digest, State};
-use wrenfork_roster::acceptor::{Acceptor, Memory, Step};
-use wrenfork_roster::decree::{Decree, Policy};
-use wrenfork_roster::lease::{Heard, Standing};
-use wrenfork_roster::proposer::{Aim, End, Phase, Proposer};
-use wrenfork_roster::protocol::{Ask, Ballot, Say, Verdict};
-use wrenfork_roster::seats::{Kind, Roster, Seat};
+use wrenfork_commit::state::{Digest, State};
+use wrenfork_consensus::acceptor::{Acceptor, Memory, Step};
+use wrenfork_consensus::decree::{Decree, Policy};
+use wrenfork_consensus::lease::{Heard, Standing};
+use wrenfork_consensus::proposer::{Aim, End, Phase, Proposer};
+use wrenfork_consensus::protocol::{Ask, Ballot, Say, Verdict};
+use wrenfork_consensus::seats::{Kind, Roster, Seat};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 /// The member whose leases are looked at.
@@ -22,7 +22,7 @@
 /// Two of them are longer than the wait for a lease, one is not.
 const STEP: Duration = Duration::from_millis(600);
 
-/// The longer searches, which take minutes and some GB: `WRENFORK_SEARCH=long cargo test --release -p wrenfork-roster --test
+/// The longer searches, which take minutes and some GB: `WRENFORK_SEARCH=long cargo test --release -p wrenfork-consensus --test
 /// model -- --nocapture no_interleaving`
 fn long() -> bool {
     std::env::var("WRENFORK_SEARCH").is_ok_and(|n| n == "long")
--- a/crates/keeper/src/client.rs
+++ b/crates/control-plane/src/client.rs
@@ -6,7 +6,7 @@
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 use std::time::Duration;
-use wrenfork_control::protocol;
+use wrenfork_commit::protocol;
 
 /// The longest answer: a state of some hundred thousand accounts.
 const MOST_ANSWER: u64 = 64 << 20;
--- a/crates/keeper/src/drive.rs
+++ b/crates/control-plane/src/drive.rs
@@ -8,8 +8,8 @@
 use std::path::PathBuf;
 use std::sync::mpsc::{channel, RecvTimeoutError};
 use std::time::Duration;
-use wrenfork_roster::proposer::{End, Phase, Proposer};
-use wrenfork_roster::protocol::{Ask, Say};
+use wrenfork_consensus::proposer::{End, Phase, Proposer};
+use wrenfork_consensus::protocol::{Ask, Say};
 
 /// How long one ask may take: a member checks and writes some megabytes, and its disk may be slow.
 const PATIENCE: Duration = Duration::from_secs(10);
--- a/crates/keeper/src/group.rs
+++ b/crates/control-plane/src/group.rs
@@ -1,4 +1,4 @@
-//! A member of a group of ingresses, as `wrenfork-roster` decides: the deadline up to which requests may be let in, and the
+//! A member of a group of ingresses, as `wrenfork-consensus` decides: the deadline up to which requests may be let in, and the
 //! thread that renews it, learns what stands, and settles what somebody left half decided. The loop that serves sees the
 //! deadline alone.
 
@@ -16,13 +16,13 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use wrenfork_control::protocol::Record;
-use wrenfork_roster::acceptor::Memory;
-use wrenfork_roster::decree::Decree;
-use wrenfork_roster::lease::{Heard, Standing};
-use wrenfork_roster::proposer::{Aim, End, Proposer};
-use wrenfork_roster::protocol::{Ask, Ballot, Say};
-use wrenfork_roster::seats::Roster;
+use wrenfork_commit::protocol::Record;
+use wrenfork_consensus::acceptor::Memory;
+use wrenfork_consensus::decree::Decree;
+use wrenfork_consensus::lease::{Heard, Standing};
+use wrenfork_consensus::proposer::{Aim, End, Proposer};
+use wrenfork_consensus::protocol::{Ask, Ballot, Say};
+use wrenfork_consensus::seats::Roster;
 
 /// Leases for which a start is waited for by a member that serves on as it is known.
 const CATCH_UP: u32 = 2;
--- a/crates/keeper/src/ledger.rs
+++ b/crates/control-plane/src/ledger.rs
@@ -5,13 +5,13 @@
 use std::collections::VecDeque;
 use std::path::Path;
 use std::sync::Arc;
-use wrenfork_control::participant::Memory;
-use wrenfork_control::protocol::Record;
-use wrenfork_control::state::{Digest, Generation, State};
-use wrenfork_roster::acceptor::Memory as Member;
-use wrenfork_roster::decree::Decree;
-use wrenfork_roster::protocol::Ballot;
-use wrenfork_roster::seats::Folder;
+use wrenfork_commit::participant::Memory;
+use wrenfork_commit::protocol::Record;
+use wrenfork_commit::state::{Digest, Generation, State};
+use wrenfork_consensus::acceptor::Memory as Member;
+use wrenfork_consensus::decree::Decree;
+use wrenfork_consensus::protocol::Ballot;
+use wrenfork_consensus::seats::Folder;
 use wrenfork_store::{Batch, Kind, Store};
 
 /// Generations that are kept to be gone back to, on a disk and in memory.
@@ -420,8 +420,8 @@
     /// Guards against a promise, or what was taken up, that a restart forgets, and against decrees that pile up.
     #[test]
     fn a_members_memory_outlives_a_restart_and_old_decrees_go() {
-        use wrenfork_roster::decree::Policy;
-        use wrenfork_roster::seats::{Kind as Of, Roster, Seat};
+        use wrenfork_consensus::decree::Policy;
+        use wrenfork_consensus::seats::{Kind as Of, Roster, Seat};
         let folder = tempfile::tempdir().unwrap();
         let seat = Seat {
             name: "a".into(),
--- a/crates/keeper/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,12 +1,12 @@
 //! The control side of an ingress, on threads of its own: a Unix socket that its owner alone may use ([`socket`]), what must
 //! not be forgotten ([`ledger`]), and the [`Keeper`] that takes one ask after the other to the participant of
-//! `wrenfork-control`. None of it is on the loop that serves requests: reading a change of some megabytes, hashing it and
+//! `wrenfork-commit`. None of it is on the loop that serves requests: reading a change of some megabytes, hashing it and
 //! waiting for the disk would hold requests up. The loop is met through [`Enforcer`] alone.
 //!
 //! What an ask wants remembered is on the disk before it is carried out, and carried out before it is answered.
 
 //!
-//! Where ingresses belong to a group ([`group`]), what is decided comes from `wrenfork-roster` instead, by the same socket.
+//! Where ingresses belong to a group ([`group`]), what is decided comes from `wrenfork-consensus` instead, by the same socket.
 
 pub mod client;
 pub mod clock;
@@ -28,16 +28,16 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::sync::{Arc, Mutex, PoisonError, TryLockError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use wrenfork_control::figures::Figures;
-use wrenfork_control::participant::{Participant, Step};
-use wrenfork_control::protocol::{self, Ask, Record, Say, Stand};
-use wrenfork_control::state::State;
+use wrenfork_commit::figures::Figures;
+use wrenfork_commit::participant::{Participant, Step};
+use wrenfork_commit::protocol::{self, Ask, Record, Say, Stand};
+use wrenfork_commit::state::State;
+use wrenfork_consensus::acceptor::{Acceptor, Memory as Member, Step as Turn};
+use wrenfork_consensus::decree::Decree;
+use wrenfork_consensus::protocol as group_protocol;
+use wrenfork_consensus::seats::Kind;
 use wrenfork_rollout::record::{same_program, PROGRAM};
 use wrenfork_rollout::tally::Tally;
-use wrenfork_roster::acceptor::{Acceptor, Memory as Member, Step as Turn};
-use wrenfork_roster::decree::Decree;
-use wrenfork_roster::protocol as group_protocol;
-use wrenfork_roster::seats::Kind;
 
 /// Connections that are served at once, besides one for each other member of the group.
 const MOST_CONNECTIONS: usize = 8;
@@ -549,7 +549,7 @@
         let own = own.filter(|(generation, _)| *generation != self.participant.memory().enforced);
         let own = own.map(|(enforced, state)| {
             let was = self.participant.memory();
-            wrenfork_control::participant::Memory {
+            wrenfork_commit::participant::Memory {
                 enforced,
                 state: Arc::new(state),
                 promise: None,
--- a/crates/keeper/src/links.rs
+++ b/crates/control-plane/src/links.rs
@@ -10,8 +10,8 @@
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
 use std::time::Duration;
-use wrenfork_control::protocol;
-use wrenfork_roster::protocol::{Ask, Say};
+use wrenfork_commit::protocol;
+use wrenfork_consensus::protocol::{Ask, Say};
 
 /// What is read at once.
 const CHUNK: usize = 16 << 10;
--- a/crates/keeper/src/rollout.rs
+++ b/crates/control-plane/src/rollout.rs
@@ -13,14 +13,14 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use wrenfork_control::protocol::Record as Note;
-use wrenfork_control::state::Digest;
+use wrenfork_commit::protocol::Record as Note;
+use wrenfork_commit::state::Digest;
+use wrenfork_consensus::decree::Decree;
+use wrenfork_consensus::proposer::{Aim, End, Proposer};
+use wrenfork_consensus::protocol::{Ask, Ballot, Say};
+use wrenfork_consensus::seats::Kind;
 use wrenfork_rollout::record::{Phase, Record};
 use wrenfork_rollout::watch::{Seen, Watch};
-use wrenfork_roster::decree::Decree;
-use wrenfork_roster::proposer::{Aim, End, Proposer};
-use wrenfork_roster::protocol::{Ask, Ballot, Say};
-use wrenfork_roster::seats::Kind;
 
 /// Between two looks. A block of the comparison is as long at the least.
 const EVERY: Duration = Duration::from_secs(1);
--- a/crates/ctl/examples/changes.rs
+++ b/crates/ctl/examples/changes.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::*;
 
 fn program(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("this program's path");
--- a/crates/ctl/examples/pools.rs
+++ b/crates/ctl/examples/pools.rs
@@ -10,9 +10,9 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::AtomicBool;
-use wrenfork_fleet::report::{Report, Verdict};
-use wrenfork_fleet::rig::{play, Run};
-use wrenfork_fleet::scenario::Scenario;
+use wrenfork_testbed::report::{Report, Verdict};
+use wrenfork_testbed::rig::{play, Run};
+use wrenfork_testbed::scenario::Scenario;
 
 const PLOT: &str = "docs/measurements/pool-lost.svg";
 /// The second in which the pool is lost, and in which it is back.
@@ -108,7 +108,7 @@
 }
 
 fn main() {
-    let scenario = Scenario::read(Path::new("crates/fleet/measurements/pool-lost.toml"));
+    let scenario = Scenario::read(Path::new("crates/testbed/measurements/pool-lost.toml"));
     let scenario = scenario.unwrap_or_else(|found| panic!("{}", found[0]));
     let folder = tempfile::tempdir().expect("a folder");
     let ingress = |name: &str, fallback: &str| {
--- a/crates/ctl/src/change/apply.rs
+++ b/crates/ctl/src/change/apply.rs
@@ -14,13 +14,13 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
+use wrenfork_commit::applier::Applier;
+use wrenfork_commit::figures::Figures;
+use wrenfork_commit::plan::{Plan, Target};
+use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_config::enforced::Pairs;
-use wrenfork_control::applier::Applier;
-use wrenfork_control::figures::Figures;
-use wrenfork_control::plan::{Plan, Target};
-use wrenfork_control::state::{Digest, Generation, State};
+use wrenfork_consensus::decree::{Decree, Policy};
 use wrenfork_rollout::record::PROGRAM;
-use wrenfork_roster::decree::{Decree, Policy};
 
 #[derive(Args)]
 pub struct Options {
--- a/crates/ctl/src/change/drive.rs
+++ b/crates/ctl/src/change/drive.rs
@@ -5,10 +5,10 @@
 use std::io::IsTerminal;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use wrenfork_control::applier::{Applier, Phase};
-use wrenfork_control::protocol::{Ask, Say};
-use wrenfork_keeper::client;
-use wrenfork_keeper::fault::Faults;
+use wrenfork_commit::applier::{Applier, Phase};
+use wrenfork_commit::protocol::{Ask, Say};
+use wrenfork_control_plane::client;
+use wrenfork_control_plane::fault::Faults;
 
 /// Asks that are under way at once.
 const MOST_AT_ONCE: usize = 32;
--- a/crates/ctl/src/change/folder.rs
+++ b/crates/ctl/src/change/folder.rs
@@ -7,13 +7,13 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
+use wrenfork_commit::figures::Figures;
+use wrenfork_commit::participant::Promise;
+use wrenfork_commit::protocol::{Ask, Say};
+use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_config::enforced::{self, Pairs};
 use wrenfork_config::group::{self, Group};
 use wrenfork_config::set::Set;
-use wrenfork_control::figures::Figures;
-use wrenfork_control::participant::Promise;
-use wrenfork_control::protocol::{Ask, Say};
-use wrenfork_control::state::{Digest, Generation, State};
 
 /// How long an ingress may take to say what it enforces.
 const PATIENCE: Duration = Duration::from_secs(5);
--- a/crates/ctl/src/change/history.rs
+++ b/crates/ctl/src/change/history.rs
@@ -9,8 +9,8 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::{Duration, UNIX_EPOCH};
-use wrenfork_control::protocol::{Ask, Record, Say};
-use wrenfork_keeper::ROLLOUT;
+use wrenfork_commit::protocol::{Ask, Record, Say};
+use wrenfork_control_plane::ROLLOUT;
 
 #[derive(Args)]
 pub struct Options {
--- a/crates/ctl/src/change/plan.rs
+++ b/crates/ctl/src/change/plan.rs
@@ -13,13 +13,13 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
+use wrenfork_commit::figures::{Figures, NodeSeen};
+use wrenfork_commit::plan::{Danger, Plan, Seen};
+use wrenfork_commit::protocol::{Ask, Record};
+use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_config::enforced::align;
 use wrenfork_config::reach::{stranded, Node};
-use wrenfork_control::figures::{Figures, NodeSeen};
-use wrenfork_control::plan::{Danger, Plan, Seen};
-use wrenfork_control::protocol::{Ask, Record};
-use wrenfork_control::state::{Digest, Generation, State};
-use wrenfork_roster::decree::Decree;
+use wrenfork_consensus::decree::Decree;
 use wrenfork_routes::Traits;
 
 #[derive(Args)]
--- a/crates/ctl/src/change/show.rs
+++ b/crates/ctl/src/change/show.rs
@@ -4,9 +4,9 @@
 use anstream::println;
 use serde_json::json;
 use std::collections::BTreeMap;
+use wrenfork_commit::plan::Plan;
+use wrenfork_commit::state::Difference;
 use wrenfork_config::enforced::spoken;
-use wrenfork_control::plan::Plan;
-use wrenfork_control::state::Difference;
 
 /// Differences that are shown to people.
 const MOST_SHOWN: usize = 60;
--- a/crates/ctl/src/fleet/cost.rs
+++ b/crates/ctl/src/fleet/cost.rs
@@ -10,9 +10,9 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, Ordering};
-use wrenfork_fleet::report::{Report, MOST_LATE};
-use wrenfork_fleet::rig::{self, Run};
-use wrenfork_fleet::scenario::Scenario;
+use wrenfork_testbed::report::{Report, MOST_LATE};
+use wrenfork_testbed::rig::{self, Run};
+use wrenfork_testbed::scenario::Scenario;
 
 /// Seconds of the longest run: where there are many accounts, most are to be met.
 const LONGEST: u32 = 180;
--- a/crates/ctl/src/fleet/demo.rs
+++ b/crates/ctl/src/fleet/demo.rs
@@ -8,10 +8,10 @@
 use std::path::Path;
 use std::process::ExitCode;
 use std::sync::atomic::Ordering;
-use wrenfork_fleet::judge::Rule;
-use wrenfork_fleet::report::Verdict;
-use wrenfork_fleet::rig::{self, Run, Snapshot};
-use wrenfork_fleet::scenario::{Micros, Scenario, SECOND};
+use wrenfork_testbed::judge::Rule;
+use wrenfork_testbed::report::Verdict;
+use wrenfork_testbed::rig::{self, Run, Snapshot};
+use wrenfork_testbed::scenario::{Micros, Scenario, SECOND};
 
 /// Without a time it goes on until it is stopped, for an hour at the most.
 const LONGEST: u64 = 3600;
@@ -28,7 +28,7 @@
 }
 
 fn scenario(seconds: u64) -> Result<Scenario, String> {
-    let read = Scenario::parse("demo.toml", wrenfork_fleet::scenario::DEMO);
+    let read = Scenario::parse("demo.toml", wrenfork_testbed::scenario::DEMO);
     let mut scenario = read.map_err(|found| found[0].to_string())?;
     scenario.lasts = seconds * SECOND;
     let rounds = scenario.lasts / ROUND;
--- a/crates/ctl/src/fleet/mod.rs
+++ b/crates/ctl/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! `wrenctl fleet`: what the rig of `wrenfork-fleet` can do, for people and scripts.
+//! `wrenctl fleet`: what the rig of `wrenfork-testbed` can do, for people and scripts.
 
 mod cost;
 mod demo;
--- a/crates/ctl/src/fleet/run.rs
+++ b/crates/ctl/src/fleet/run.rs
@@ -8,9 +8,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::atomic::Ordering;
-use wrenfork_fleet::report::{Report, Verdict};
-use wrenfork_fleet::rig::{self, Run};
-use wrenfork_fleet::scenario::{Scenario, SECOND};
+use wrenfork_testbed::report::{Report, Verdict};
+use wrenfork_testbed::rig::{self, Run};
+use wrenfork_testbed::scenario::{Scenario, SECOND};
 
 /// A run whose rig was late is played again, so many times in all.
 const TRIES: u32 = 3;
@@ -200,7 +200,7 @@
         return;
     }
     println!("    by second {}", style::bars(&r.seconds));
-    let parts = |list: &[wrenfork_fleet::report::Part]| {
+    let parts = |list: &[wrenfork_testbed::report::Part]| {
         list.iter()
             .map(|p| format!("{} {:.3}", p.name, p.share))
             .collect::<Vec<_>>()
--- a/crates/ctl/src/group/decide.rs
+++ b/crates/ctl/src/group/decide.rs
@@ -6,11 +6,11 @@
 use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wrenfork_keeper::{clock, drive::drive};
-use wrenfork_roster::decree::Decree;
-use wrenfork_roster::proposer::{Aim, End, Phase, Proposer};
-use wrenfork_roster::protocol::Ballot;
-use wrenfork_roster::seats::Seat;
+use wrenfork_consensus::decree::Decree;
+use wrenfork_consensus::proposer::{Aim, End, Phase, Proposer};
+use wrenfork_consensus::protocol::Ballot;
+use wrenfork_consensus::seats::Seat;
+use wrenfork_control_plane::{clock, drive::drive};
 
 /// The longest pause before another try, where somebody else proposes as well.
 const LONGEST_PAUSE: Duration = Duration::from_millis(400);
--- a/crates/ctl/src/group/look.rs
+++ b/crates/ctl/src/group/look.rs
@@ -5,10 +5,10 @@
 use std::sync::mpsc::channel;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wrenfork_keeper::client;
-use wrenfork_roster::decree::Decree;
-use wrenfork_roster::protocol::{Ask, Say, Stand};
-use wrenfork_roster::seats::Roster;
+use wrenfork_consensus::decree::Decree;
+use wrenfork_consensus::protocol::{Ask, Say, Stand};
+use wrenfork_consensus::seats::Roster;
+use wrenfork_control_plane::client;
 
 /// How long the first answers are waited for.
 const PATIENCE: Duration = Duration::from_secs(5);
--- a/crates/ctl/src/group/roster.rs
+++ b/crates/ctl/src/group/roster.rs
@@ -10,12 +10,12 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use wrenfork_commit::state::State;
 use wrenfork_config::group::Member;
-use wrenfork_control::state::State;
-use wrenfork_keeper::client;
-use wrenfork_roster::decree::Decree;
-use wrenfork_roster::protocol::{Ask, Say};
-use wrenfork_roster::seats::{Folder, Kind, Roster, Seat};
+use wrenfork_consensus::decree::Decree;
+use wrenfork_consensus::protocol::{Ask, Say};
+use wrenfork_consensus::seats::{Folder, Kind, Roster, Seat};
+use wrenfork_control_plane::client;
 
 /// How long a member may take to say which folder it has.
 const PATIENCE: Duration = Duration::from_secs(5);
--- a/crates/ctl/src/group/status.rs
+++ b/crates/ctl/src/group/status.rs
@@ -8,8 +8,8 @@
 use serde_json::json;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use wrenfork_roster::protocol::Stand;
-use wrenfork_roster::seats::Kind;
+use wrenfork_consensus::protocol::Stand;
+use wrenfork_consensus::seats::Kind;
 
 #[derive(Args)]
 pub struct Options {
--- a/crates/ctl/src/group/witness.rs
+++ b/crates/ctl/src/group/witness.rs
@@ -6,15 +6,15 @@
 use signal_hook::iterator::Signals;
 use std::path::PathBuf;
 use std::process::ExitCode;
+use wrenfork_commit::figures::Figures;
+use wrenfork_commit::participant::Memory;
+use wrenfork_commit::protocol::Record;
+use wrenfork_commit::state::State;
 use wrenfork_config::group::group;
 use wrenfork_config::set::Set;
-use wrenfork_control::figures::Figures;
-use wrenfork_control::participant::Memory;
-use wrenfork_control::protocol::Record;
-use wrenfork_control::state::State;
-use wrenfork_keeper::group::{Alone, Membership};
-use wrenfork_keeper::ledger::Ledger;
-use wrenfork_keeper::{socket, Enforcer, Keeper};
+use wrenfork_control_plane::group::{Alone, Membership};
+use wrenfork_control_plane::ledger::Ledger;
+use wrenfork_control_plane::{socket, Enforcer, Keeper};
 use wrenfork_rollout::tally::Tally;
 
 /// The most bytes of a message: a decree has the whole policy, some hundred thousand accounts at most.
--- a/crates/ctl/src/rollout/make.rs
+++ b/crates/ctl/src/rollout/make.rs
@@ -11,13 +11,13 @@
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 use std::time::Duration;
-use wrenfork_control::plan::Plan;
-use wrenfork_keeper::client;
+use wrenfork_commit::plan::Plan;
+use wrenfork_consensus::decree::Decree;
+use wrenfork_consensus::protocol::{Ask, Say};
+use wrenfork_control_plane::client;
 use wrenfork_rollout::record::{change, Phase, Record};
 use wrenfork_rollout::stages::stages;
 use wrenfork_rollout::tally::Tally;
-use wrenfork_roster::decree::Decree;
-use wrenfork_roster::protocol::{Ask, Say};
 
 /// How long a member may take to tell what it counted.
 const PATIENCE: Duration = Duration::from_secs(2);
--- a/crates/ctl/src/rollout/programs.rs
+++ b/crates/ctl/src/rollout/programs.rs
@@ -4,8 +4,8 @@
 use crate::tend::{digest, speaks};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
+use wrenfork_compatibility::{compare, Program, Speaks};
 use wrenfork_rollout::record::{Record, PROGRAM};
-use wrenfork_versions::{compare, Program, Speaks};
 
 /// What the file of a program says, by the digests of those that are given.
 fn said(program: &Program, files: &BTreeMap<String, &PathBuf>) -> Result<Speaks, String> {
--- a/crates/ctl/src/rollout/show.rs
+++ b/crates/ctl/src/rollout/show.rs
@@ -11,10 +11,10 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wrenfork_keeper::clock;
+use wrenfork_consensus::decree::Decree;
+use wrenfork_control_plane::clock;
 use wrenfork_rollout::record::{Phase, Record};
 use wrenfork_rollout::watch::Watch;
-use wrenfork_roster::decree::Decree;
 
 /// Between two looks.
 const EVERY: Duration = Duration::from_secs(1);
--- a/crates/ctl/src/tend/file.rs
+++ b/crates/ctl/src/tend/file.rs
@@ -12,9 +12,9 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
+use wrenfork_compatibility::{Program, Speaks};
 use wrenfork_config::values::time;
-use wrenfork_tend::{Catalog, Terms};
-use wrenfork_versions::{Program, Speaks};
+use wrenfork_supervisor::{Catalog, Terms};
 
 /// The only version of the form so far.
 const VERSION: u32 = 1;
@@ -287,7 +287,7 @@
 
     fn hands_over(&self, old: &Program, new: &Program) -> bool {
         match (self.speaks(old), self.speaks(new)) {
-            (Some(old), Some(new)) => wrenfork_versions::compare(&old, &new).lost.is_empty(),
+            (Some(old), Some(new)) => wrenfork_compatibility::compare(&old, &new).lost.is_empty(),
             _ => false,
         }
     }
--- a/crates/ctl/src/tend/mod.rs
+++ b/crates/ctl/src/tend/mod.rs
@@ -1,4 +1,4 @@
-//! `wrenctl tend`: keeps an ingress's process on a machine without the platform. What is to be done is `wrenfork-tend`'s to say;
+//! `wrenctl tend`: keeps an ingress's process on a machine without the platform. What is to be done is `wrenfork-supervisor`'s to say;
 //! here it is carried out: the clients' socket is held, programs are started and ended, the ingress is asked what its group wants.
 
 mod file;
@@ -20,11 +20,11 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode, Stdio};
 use std::time::{Duration, Instant};
+use wrenfork_compatibility::Program;
+use wrenfork_consensus::protocol::{Ask, Say, Stand};
+use wrenfork_control_plane::{client, clock, CHANGED, RUNS};
 use wrenfork_handover::channel;
-use wrenfork_keeper::{client, clock, CHANGED, RUNS};
-use wrenfork_roster::protocol::{Ask, Say, Stand};
-use wrenfork_tend::{Action, Event, Memory, Seen, Tend, Which};
-use wrenfork_versions::Program;
+use wrenfork_supervisor::{Action, Event, Memory, Seen, Tend, Which};
 
 /// Between two looks at the ingress and its processes.
 const EVERY: Duration = Duration::from_millis(100);
--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -8,10 +8,10 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_control::protocol::{Ask, Say};
-use wrenfork_control::state::Generation;
-use wrenfork_fleet::small::*;
-use wrenfork_keeper::{client, fault};
+use wrenfork_commit::protocol::{Ask, Say};
+use wrenfork_commit::state::Generation;
+use wrenfork_control_plane::{client, fault};
+use wrenfork_testbed::small::*;
 
 /// How many sidecars there are, where it does not matter.
 const THREE: usize = 3;
@@ -651,14 +651,14 @@
     else {
         panic!()
     };
-    let mut state = wrenfork_control::state::State::clone(&state);
+    let mut state = wrenfork_commit::state::State::clone(&state);
     state.0.insert("contracts.0.colour".into(), "red".into());
     let next = Generation {
         number: generation.number + 1,
         digest: state.digest(),
     };
-    let promise = wrenfork_control::participant::Promise {
-        change: wrenfork_control::state::Digest("c".into()),
+    let promise = wrenfork_commit::participant::Promise {
+        change: wrenfork_commit::state::Digest("c".into()),
         base: generation,
         next,
         author: "ann".into(),
--- a/crates/ctl/tests/group/main.rs
+++ b/crates/ctl/tests/group/main.rs
@@ -11,10 +11,10 @@
 use std::process::Output;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_fleet::judge::policy::judge;
-use wrenfork_fleet::links::Fault;
-use wrenfork_fleet::small::*;
-use wrenfork_keeper::fault;
+use wrenfork_control_plane::fault;
+use wrenfork_testbed::judge::policy::judge;
+use wrenfork_testbed::links::Fault;
+use wrenfork_testbed::small::*;
 
 /// Three that serve, whom most tests have.
 fn three() -> Layout {
@@ -674,7 +674,7 @@
     thread::sleep(Duration::from_millis(200));
     assert_eq!(group.ask(2), Got::Policy("p0".into()), "as it was told to");
     says(&group.run(&["status", "files"]), 0, &["desk/d2"]);
-    let found = |answers: &[(wrenfork_fleet::judge::policy::Answer, Got)], group: &Group| {
+    let found = |answers: &[(wrenfork_testbed::judge::policy::Answer, Got)], group: &Group| {
         let answers: Vec<_> = answers.iter().map(|a| a.0.clone()).collect();
         judge(&group.changes, 1_000, &answers, &[]).len()
     };
--- a/crates/ctl/tests/group/measure.rs
+++ b/crates/ctl/tests/group/measure.rs
@@ -5,8 +5,8 @@
 use std::fs;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_fleet::links::Fault;
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::links::Fault;
+use wrenfork_testbed::small::*;
 
 /// The lease that files have unless they say another one.
 const DEFAULT: Duration = Duration::from_millis(1_500);
--- a/crates/ctl/tests/group/programs.rs
+++ b/crates/ctl/tests/group/programs.rs
@@ -7,8 +7,8 @@
 use std::sync::{Mutex, MutexGuard};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_fleet::small::*;
 use wrenfork_rollout::record::Phase;
+use wrenfork_testbed::small::*;
 
 fn kept(versions: &[&'static str]) -> Layout {
     Layout {
--- a/crates/ctl/tests/group/rollout.rs
+++ b/crates/ctl/tests/group/rollout.rs
@@ -7,9 +7,9 @@
 use std::process::Output;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_fleet::links::Fault;
-use wrenfork_fleet::small::*;
 use wrenfork_rollout::record::Phase;
+use wrenfork_testbed::links::Fault;
+use wrenfork_testbed::small::*;
 
 /// Terms under which a stage is decided in some ten blocks of a second.
 const TERMS: &str =
--- a/crates/ctl/tests/group/site.rs
+++ b/crates/ctl/tests/group/site.rs
@@ -9,12 +9,12 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
-use wrenfork_fleet::judge::policy::{judge, Answer, Change, Said};
-use wrenfork_fleet::links::Links;
-use wrenfork_fleet::small::*;
+use wrenfork_consensus::protocol::{Ask, Say, Stand};
+use wrenfork_control_plane::{client, fault};
 use wrenfork_handover::channel;
-use wrenfork_keeper::{client, fault};
-use wrenfork_roster::protocol::{Ask, Say, Stand};
+use wrenfork_testbed::judge::policy::{judge, Answer, Change, Said};
+use wrenfork_testbed::links::Links;
+use wrenfork_testbed::small::*;
 
 /// The policies that tests go through: each sends quotes to a pool of its own, whose node says its name.
 pub const POLICIES: usize = 4;
--- a/crates/ctl/tests/judged.rs
+++ b/crates/ctl/tests/judged.rs
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use wrenfork_control::applier::{Applier, Phase};
-use wrenfork_control::plan::{Plan, Seen};
-use wrenfork_control::protocol::{Ask, Say};
-use wrenfork_control::state::{Generation, State};
-use wrenfork_fleet::report::Verdict;
-use wrenfork_fleet::rig::{play, Run};
-use wrenfork_fleet::scenario::Scenario;
-use wrenfork_keeper::client;
+use wrenfork_commit::applier::{Applier, Phase};
+use wrenfork_commit::plan::{Plan, Seen};
+use wrenfork_commit::protocol::{Ask, Say};
+use wrenfork_commit::state::{Generation, State};
+use wrenfork_control_plane::client;
+use wrenfork_testbed::report::Verdict;
+use wrenfork_testbed::rig::{play, Run};
+use wrenfork_testbed::scenario::Scenario;
 
 const WAIT: Duration = Duration::from_secs(10);
 
--- a/crates/ctl/tests/reload.rs
+++ b/crates/ctl/tests/reload.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::Path;
 use std::process::{Command, Output};
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::*;
 
 fn good(name: &str) -> String {
     fs::read_to_string(
--- a/crates/ingress/src/backends.rs
+++ b/crates/ingress/src/backends.rs
@@ -11,7 +11,7 @@
 use std::os::fd::OwnedFd;
 use wrenfork_config::settings::note_field;
 use wrenfork_decision::{Availability, BackendId, Micros, Outcome, Report, RequestId};
-use wrenfork_dial::{Address, Book, Fared, Next, Race};
+use wrenfork_happy_eyeballs::{Address, Book, Fared, Next, Race};
 use wrenfork_wire::call::Body;
 use wrenfork_wire::long::{Long, Whole};
 use wrenfork_wire::resp::{self, Element, Kind, Reply};
--- a/crates/ingress/src/config.rs
+++ b/crates/ingress/src/config.rs
@@ -6,13 +6,13 @@
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
+use wrenfork_commit::state::State;
 pub use wrenfork_config::callers::Callers;
 use wrenfork_config::operator::Operator;
 use wrenfork_config::set::Set;
 use wrenfork_config::{enforced, group};
-use wrenfork_control::state::State;
+use wrenfork_control_plane::group::{Alone, Membership};
 use wrenfork_decision::{Micros, Settings};
-use wrenfork_keeper::group::{Alone, Membership};
 use wrenfork_routes::Table;
 use wrenfork_wire::call::{Identity, Vocabulary};
 
--- a/crates/ingress/src/discovery.rs
+++ b/crates/ingress/src/discovery.rs
@@ -8,7 +8,7 @@
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
 use wrenfork_decision::{Availability, BackendId, Listed, Micros};
-use wrenfork_dial::Address;
+use wrenfork_happy_eyeballs::Address;
 
 /// How long one call waits for news. Short, since the silence of a call can only be told once this is over.
 const WAIT: Micros = 2_000_000;
--- a/crates/ingress/src/gate.rs
+++ b/crates/ingress/src/gate.rs
@@ -1,7 +1,7 @@
 //! Whether requests may be let in: where this ingress belongs to a group, only while enough members have lately said that what
 //! it enforces still stands. What was let in goes on and ends as it came.
 
-use wrenfork_keeper::group;
+use wrenfork_control_plane::group;
 
 /// What stands before requests; always open where there is no group.
 #[derive(Debug, Default)]
--- a/crates/ingress/src/ingress.rs
+++ b/crates/ingress/src/ingress.rs
@@ -35,14 +35,14 @@
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
 use std::time::Duration;
-use wrenfork_control::figures::{Figures, PlanUse};
+use wrenfork_commit::figures::{Figures, PlanUse};
+use wrenfork_control_plane::group::Inherited as Right;
+use wrenfork_control_plane::socket::{self, Socket};
 use wrenfork_decision::{
     Action, BackendId, Discovery, Event, Gateway, Micros, Outcome, RequestId, RosterKind,
 };
 use wrenfork_handover::channel::{self, Caller, Heir};
 use wrenfork_handover::inherit;
-use wrenfork_keeper::group::Inherited as Right;
-use wrenfork_keeper::socket::{self, Socket};
 use wrenfork_wire::call::{Call, Vocabulary};
 use wrenfork_wire::resp;
 
@@ -280,7 +280,7 @@
             .map(|c| c.deadline)
             .max()
             .unwrap_or(0);
-        let grouped = membership.map_or(0, |m| wrenfork_keeper::descriptors(m.links.len()));
+        let grouped = membership.map_or(0, |m| wrenfork_control_plane::descriptors(m.links.len()));
         let budget = Budget::new(config.sockets, config.management.is_some(), grouped)?;
         let management = management::open(config.management, registry, MANAGEMENT, |key| {
             Token(CALLERS + key)
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -37,7 +37,7 @@
 use std::process::ExitCode;
 pub use takeover::Form;
 pub use variant::{Shipped, Variant};
-pub use wrenfork_versions::Speaks;
+pub use wrenfork_compatibility::Speaks;
 
 /// The ingress. Without arguments it runs from the platform's file, which LB_CONFIG names.
 #[derive(Parser)]
--- a/crates/ingress/src/reload.rs
+++ b/crates/ingress/src/reload.rs
@@ -4,8 +4,8 @@
 
 use crate::config::{compile, Config, Enforced, Listen, Told};
 use crate::status::{Outcome, Status};
+use wrenfork_commit::state::State;
 use wrenfork_config::enforced::{self, align, Pairs};
-use wrenfork_control::state::State;
 use wrenfork_decision::Micros;
 
 /// The first pause before a file that could not be read is read again, and the longest: it may be half written.
--- a/crates/ingress/src/routing.rs
+++ b/crates/ingress/src/routing.rs
@@ -3,7 +3,7 @@
 
 use crate::discovery::Roster;
 use std::collections::HashMap;
-use wrenfork_control::figures::NodeSeen;
+use wrenfork_commit::figures::NodeSeen;
 use wrenfork_decision::{Availability, BackendId, Listed, Request};
 use wrenfork_routes::{Table, Traits, Ways};
 
--- a/crates/ingress/src/speaks.rs
+++ b/crates/ingress/src/speaks.rs
@@ -1,10 +1,10 @@
 //! What this program says to others and to those that come after it, by number.
 
 use crate::takeover::OLDEST;
-use wrenfork_control::protocol;
+use wrenfork_commit::protocol;
+use wrenfork_compatibility::{Form, Speaks};
+use wrenfork_consensus::decree;
 use wrenfork_decision::PEERS;
-use wrenfork_roster::decree;
-use wrenfork_versions::{Form, Speaks};
 
 /// Of a version that writes states of handovers up to this layout.
 pub fn speaks(version: &str, layout: u32) -> Speaks {
--- a/crates/ingress/src/stream.rs
+++ b/crates/ingress/src/stream.rs
@@ -8,7 +8,7 @@
 use std::io::{self, Read, Write};
 use std::net::Shutdown;
 use std::os::fd::OwnedFd;
-use wrenfork_dial::Address;
+use wrenfork_happy_eyeballs::Address;
 use wrenfork_identity::sources;
 
 /// A listener.
--- a/crates/ingress/src/takeover.rs
+++ b/crates/ingress/src/takeover.rs
@@ -13,12 +13,12 @@
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
 use std::path::Path;
+use wrenfork_commit::state::State;
 use wrenfork_config::enforced::Told;
-use wrenfork_control::state::State;
+use wrenfork_control_plane::group::Inherited as Right;
+use wrenfork_control_plane::socket::{self, Socket};
 use wrenfork_decision::{Gateway, Micros};
 use wrenfork_handover::channel::{Ancestor, Caller};
-use wrenfork_keeper::group::Inherited as Right;
-use wrenfork_keeper::socket::{self, Socket};
 
 /// The number of the state's form. It grows with every change of what is kept in it, here or in the module: a process of
 /// another form must not read it wrongly. What a form has more than the one before stands behind all of that, so that a
--- a/crates/ingress/src/variant.rs
+++ b/crates/ingress/src/variant.rs
@@ -2,7 +2,7 @@
 //! is [`Shipped`]; what it does not do costs it nothing, since the loop is compiled for one version.
 
 use crate::takeover::Form;
-use wrenfork_versions::Speaks;
+use wrenfork_compatibility::Speaks;
 
 /// A version of the program.
 pub trait Variant: Form + 'static {
--- a/crates/ingress/tests/accepted.rs
+++ b/crates/ingress/tests/accepted.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_config::set::Set;
 use wrenfork_config::source::Source;
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::*;
 
 #[derive(Clone, Debug)]
 struct Class {
--- a/crates/ingress/tests/addresses.rs
+++ b/crates/ingress/tests/addresses.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::*;
 
 const ACCOUNT: &str = "00000000000004d3";
 
--- a/crates/ingress/tests/crowds.rs
+++ b/crates/ingress/tests/crowds.rs
@@ -2,7 +2,7 @@
 
 use std::thread;
 use std::time::Duration;
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::*;
 
 fn setup(backend: &Backend, sockets: usize) -> Setup {
     let mut setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[backend]);
--- a/crates/ingress/tests/endings.rs
+++ b/crates/ingress/tests/endings.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_fleet::small::operators::figure;
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::operators::figure;
+use wrenfork_testbed::small::*;
 
 /// A setup whose connections to backends may take three seconds to come up: longer than the kernel takes to try again.
 fn patient(backends: &[&Backend]) -> Setup {
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -6,9 +6,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use wrenfork_fleet::small::*;
 use wrenfork_identity::token::{sign, told, Claims};
 use wrenfork_identity::trust::written;
+use wrenfork_testbed::small::*;
 
 const OWN: &str = "00000000000004d3";
 const OTHER: &str = "00000000000004d2";
--- a/crates/ingress/tests/ingress.rs
+++ b/crates/ingress/tests/ingress.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::*;
 
 /// A setup round the program as it was built for the tests.
 fn setup(backends: &[&Backend]) -> Setup {
--- a/crates/ingress/tests/long.rs
+++ b/crates/ingress/tests/long.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::*;
 
 const LONGEST: usize = 4 << 20;
 
--- a/crates/ingress/tests/management.rs
+++ b/crates/ingress/tests/management.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_fleet::small::operators::{ask, figure};
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::operators::{ask, figure};
+use wrenfork_testbed::small::*;
 
 /// A setup whose ingress listens for operators.
 fn setup(backends: &[&Backend]) -> (Setup, SocketAddr) {
--- a/crates/ingress/tests/pools.rs
+++ b/crates/ingress/tests/pools.rs
@@ -7,9 +7,9 @@
 use std::sync::Mutex;
 use std::thread;
 use std::time::Duration;
-use wrenfork_fleet::report::{Report, Verdict};
-use wrenfork_fleet::rig::{play, Run};
-use wrenfork_fleet::scenario::Scenario;
+use wrenfork_testbed::report::{Report, Verdict};
+use wrenfork_testbed::rig::{play, Run};
+use wrenfork_testbed::scenario::Scenario;
 
 /// One at a time: a rig wants its core.
 static ALONE: Mutex<()> = Mutex::new(());
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::*;
 
 /// As many as the machines of the tests bear; the users run some hundreds.
 const PROCESSES: usize = 100;
--- a/crates/ingress/tests/scenarios.rs
+++ b/crates/ingress/tests/scenarios.rs
@@ -3,9 +3,9 @@
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::AtomicBool;
-use wrenfork_fleet::report::Verdict;
-use wrenfork_fleet::rig::{play, Run};
-use wrenfork_fleet::scenario::Scenario;
+use wrenfork_testbed::report::Verdict;
+use wrenfork_testbed::rig::{play, Run};
+use wrenfork_testbed::scenario::Scenario;
 
 /// A run in which the machine held the rig up has no verdict, and is played again.
 const TRIES: usize = 5;
--- a/crates/ingress/tests/sidecar.rs
+++ b/crates/ingress/tests/sidecar.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Command;
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::*;
 
 fn good(name: &str) -> String {
     fs::read_to_string(
--- a/crates/ingress/tests/told.rs
+++ b/crates/ingress/tests/told.rs
@@ -5,7 +5,7 @@
 use std::net::TcpListener;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::*;
 
 /// Behind this a change counts as told.
 const TOLD: Duration = Duration::from_secs(6);
--- a/crates/ingress/tests/upgrade.rs
+++ b/crates/ingress/tests/upgrade.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_fleet::small::*;
+use wrenfork_testbed::small::*;
 
 /// The platform: the clients' socket, the folder that all processes share, and the configuration.
 struct Platform {
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use wrenfork_control::state::{Digest, State};
+use wrenfork_commit::state::{Digest, State};
 
 /// What is asked of each stage. Whole numbers: a record's digest must survive being written and read.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -1,7 +1,7 @@
 //! Who belongs to which stage.
 
 use std::collections::BTreeMap;
-use wrenfork_control::state::Digest;
+use wrenfork_commit::state::Digest;
 
 /// The most stages of a rollout.
 pub const MOST_STAGES: usize = 32;
--- a/crates/rollout/tests/closed_world.rs
+++ b/crates/rollout/tests/closed_world.rs
@@ -4,7 +4,7 @@
 use fastrand::Rng;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wrenfork_control::state::Digest;
+use wrenfork_commit::state::Digest;
 use wrenfork_rollout::record::{Phase, Record, Terms};
 use wrenfork_rollout::tally::{Kind, Tally};
 use wrenfork_rollout::watch::{Seen, Watch};
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -1,10 +1,10 @@
 //! A search through all orders of what may happen to a rollout: two drivers that look, are slow, die and come back, an operator
 //! who holds it, lets it go on, stops it and begins another one, a member that crashes. What a group decides is one number
-//! after the other, each once (`wrenfork-roster`, searched there); here it is a register that a proposal may follow in or not.
+//! after the other, each once (`wrenfork-consensus`, searched there); here it is a register that a proposal may follow in or not.
 
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
-use wrenfork_control::state::Digest;
+use wrenfork_commit::state::Digest;
 use wrenfork_rollout::record::{follows, Phase, Record, Terms};
 
 /// What keeps it safe; each is left out on purpose below.
--- a/crates/rollout/tests/programs.rs
+++ b/crates/rollout/tests/programs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use wrenfork_control::state::Digest;
+use wrenfork_commit::state::Digest;
 use wrenfork_rollout::record::{Phase, Record, Terms, PROGRAM};
 use wrenfork_rollout::tally::Tally;
 use wrenfork_rollout::watch::{Seen, Watch};
--- a/crates/rollout/tests/whole_rollouts.rs
+++ b/crates/rollout/tests/whole_rollouts.rs
@@ -4,7 +4,7 @@
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use wrenfork_control::state::Digest;
+use wrenfork_commit::state::Digest;
 use wrenfork_rollout::record::{follows, Phase, Record, Terms};
 use wrenfork_rollout::stages::{stages, Reach};
 use wrenfork_rollout::tally::{Kind, Tally};
--- a/crates/tend/src/lib.rs
+++ b/crates/supervisor/src/lib.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
-use wrenfork_versions::Program;
+use wrenfork_compatibility::Program;
 
 /// What is asked of a keeper.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/tend/tests/decisions.rs
+++ b/crates/supervisor/tests/decisions.rs
@@ -3,8 +3,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use std::time::Duration;
-use wrenfork_tend::{Action, Catalog, Event, Memory, Seen, Tend, Terms, Which};
-use wrenfork_versions::Program;
+use wrenfork_compatibility::Program;
+use wrenfork_supervisor::{Action, Catalog, Event, Memory, Seen, Tend, Terms, Which};
 
 fn program(n: usize) -> Program {
     Program {
--- a/crates/fleet/tests/files.rs
+++ b/crates/testbed/tests/files.rs
@@ -1,8 +1,8 @@
 //! Scenario files: each that is broken is refused with its line, its key and the reason, and each that ships is good.
 
 use std::path::{Path, PathBuf};
-use wrenfork_fleet::arrivals::{Accounts, Arrivals};
-use wrenfork_fleet::scenario::Scenario;
+use wrenfork_testbed::arrivals::{Accounts, Arrivals};
+use wrenfork_testbed::scenario::Scenario;
 
 fn folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios")
--- a/crates/fleet/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -6,10 +6,10 @@
 use std::path::Path;
 use std::sync::atomic::AtomicBool;
 use std::sync::Mutex;
-use wrenfork_fleet::judge::Rule;
-use wrenfork_fleet::report::{Report, Verdict};
-use wrenfork_fleet::rig::{play, Run};
-use wrenfork_fleet::scenario::Scenario;
+use wrenfork_testbed::judge::Rule;
+use wrenfork_testbed::report::{Report, Verdict};
+use wrenfork_testbed::rig::{play, Run};
+use wrenfork_testbed::scenario::Scenario;
 
 /// One at a time: a rig wants its core.
 static ALONE: Mutex<()> = Mutex::new(());
