--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,5 +1,8 @@
 //! The adapter between the simulator's wire and the decision module. Translation only.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 mod wire;
 
 use std::collections::BTreeMap;
--- a/crates/adapter/src/wire/tests.rs
+++ b/crates/adapter/src/wire/tests.rs
@@ -1,6 +1,9 @@
 //! The frames to the byte.
 
-use super::*;
+use super::{
+    u16_at, u32_at, Action, BTreeMap, BackendId, Decoded, GatewayNo, Record, Reply, RequestId,
+    ACTION, EVENT, REPLY_HEADER,
+};
 
 #[test]
 fn every_action_has_its_code_and_its_fields_in_place() {
--- a/crates/commit/src/lib.rs
+++ b/crates/commit/src/lib.rs
@@ -10,6 +10,9 @@
 //! Whoever drives these carries their messages, writes what they want written, and tells them when that is done.
 //! `docs/design/0005-plan-and-apply.md` says why the protocol is as it is.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 pub mod applier;
 pub mod figures;
 pub mod participant;
--- a/crates/commit/src/plan.rs
+++ b/crates/commit/src/plan.rs
@@ -317,7 +317,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{Arc, BTreeMap, Generation, Plan, PlanError, PlanUse, Seen, State};
 
     fn state(pairs: &[(&str, &str)]) -> State {
         State(
--- a/crates/commit/src/protocol.rs
+++ b/crates/commit/src/protocol.rs
@@ -188,7 +188,9 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{
+        line, read, Arc, Ask, Digest, Figures, Generation, Promise, Record, Say, Stand, State,
+    };
 
     #[test]
     fn messages_survive_the_way_and_what_is_none_is_told() {
--- a/crates/commit/src/state.rs
+++ b/crates/commit/src/state.rs
@@ -128,7 +128,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{differences, State};
 
     fn state(pairs: &[(&str, &str)]) -> State {
         State(
--- a/crates/commit/tests/model.rs
+++ b/crates/commit/tests/model.rs
@@ -2,6 +2,9 @@
 //! of all of them at any point. The very participant and applier of the package are what is searched. Variants that are
 //! broken on purpose must be found out, or the search shows nothing.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::needless_pass_by_value, clippy::too_many_lines)]
+
 use stateright::{Checker, Model, Property, Representative};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/compatibility/src/lib.rs
+++ b/crates/compatibility/src/lib.rs
@@ -157,8 +157,8 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
-    use proptest::prelude::*;
+    use super::{compare, Form, Program, Report, Speaks};
+    use proptest::prelude::{prop_assert_eq, proptest};
     use proptest::test_runner::{Config, RngSeed};
 
     fn speaks(version: &str) -> Speaks {
--- a/crates/config/src/codes.rs
+++ b/crates/config/src/codes.rs
@@ -211,7 +211,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::Code;
 
     #[test]
     fn numbers_are_given_once_and_in_order() {
--- a/crates/config/src/enforced.rs
+++ b/crates/config/src/enforced.rs
@@ -484,7 +484,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{align, changeable, join, names, spoken, Pairs};
 
     fn state(plans: &[(&str, u32)]) -> Pairs {
         let mut s = Pairs::new();
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -2,6 +2,13 @@
 //! ([`source`], [`reader`], by the tables of [`form`]), checked ([`check`], all together in a [`set`]) and compiled into
 //! what a sidecar is told ([`render`]). The platform's own settings are read by [`settings`]. No sockets and no clock.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(
+    clippy::missing_errors_doc,
+    clippy::needless_pass_by_value,
+    clippy::too_many_lines
+)]
+
 pub mod callers;
 pub mod check;
 pub mod codes;
--- a/crates/config/src/locality.rs
+++ b/crates/config/src/locality.rs
@@ -103,7 +103,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{ways, Pool};
     use crate::set::Set;
     use crate::source::Source;
 
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -68,7 +68,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{read, Operator};
 
     fn told(text: &str) -> Result<Operator, String> {
         let folder = tempfile::tempdir().unwrap();
--- a/crates/config/src/reach.rs
+++ b/crates/config/src/reach.rs
@@ -99,7 +99,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{stranded, Node, Pairs, Traits};
 
     fn state(pools: &[(&str, &str, &str)], pool: Option<&str>) -> Pairs {
         let mut s = Pairs::from([
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -279,7 +279,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{account, address, is_name, listener, mode, rate, size, time, Listener};
 
     #[test]
     fn units_are_read_and_their_lack_is_told() {
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -1,6 +1,6 @@
 //! What holds for any input.
 
-use proptest::prelude::*;
+use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest, Strategy};
 use proptest::test_runner::{Config, RngSeed};
 use std::fs;
 use std::path::Path;
--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -331,7 +331,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{Acceptor, Arc, Ask, Ballot, Decree, Digest, Memory, Roster, Say, Step};
     use crate::decree::Policy;
     use crate::seats::{Kind, Seat};
 
--- a/crates/consensus/src/decree.rs
+++ b/crates/consensus/src/decree.rs
@@ -315,7 +315,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{Arc, BTreeMap, Decree, Digest, Policy, Roster, State};
 
     fn state(pairs: &[(&str, &str)]) -> Arc<State> {
         Arc::new(State(
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -475,7 +475,9 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{
+        Age, Arc, Ballot, Decree, Digest, Duration, Kind, Memory, Roster, Say, Standing, Verdict,
+    };
     use crate::decree::Policy;
     use crate::seats::Seat;
 
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -11,6 +11,9 @@
 //!   stands; a majority that has taken up the next one says so to nobody who hasn't.
 //! - [`protocol`]: the messages.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::needless_pass_by_value, clippy::too_many_lines)]
+
 pub mod acceptor;
 pub mod decree;
 pub mod lease;
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -510,7 +510,10 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{
+        Aim, Arc, Ask, Ballot, Decree, Digest, Duration, End, Kind, Phase, Policy, Proposer,
+        Roster, Say, Seat,
+    };
 
     const BALLOT: Ballot = Ballot { round: 1, by: 7 };
 
--- a/crates/consensus/src/protocol.rs
+++ b/crates/consensus/src/protocol.rs
@@ -256,7 +256,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{is, Age, Arc, Ask, Ballot, Decree, Digest, Say};
     use wrenfork_commit::protocol::{self, read};
 
     #[test]
--- a/crates/consensus/src/seats.rs
+++ b/crates/consensus/src/seats.rs
@@ -237,8 +237,8 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
-    use proptest::prelude::*;
+    use super::{Folder, Kind, Roster, RosterError, Seat, MOST_SEATS};
+    use proptest::prelude::{prop_assert, prop_assert_eq, proptest};
 
     fn seat(name: &str, folder: Folder, votes: bool) -> Seat {
         Seat {
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -3,6 +3,9 @@
 //! off, frozen or late at any point. The very acceptor, proposer and standing of the package are what is searched. Time goes
 //! in steps of a little over half a lease. Each guard that is left out on purpose must be found out, or the search shows nothing.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::needless_pass_by_value, clippy::too_many_lines)]
+
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/control-plane/src/clock.rs
+++ b/crates/control-plane/src/clock.rs
@@ -18,7 +18,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{now, Duration};
 
     #[test]
     fn it_goes_on_and_never_back() {
--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -104,7 +104,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{Connections, Duration, UnixStream};
     use std::io::Read;
 
     #[test]
--- a/crates/control-plane/src/ledger.rs
+++ b/crates/control-plane/src/ledger.rs
@@ -361,7 +361,10 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{
+        Arc, Ballot, Decree, Digest, Kind, Ledger, Member, Memory, Record, State, DECREE,
+        MOST_PAST, MOST_RECORDS,
+    };
 
     fn state(value: &str) -> State {
         State([("quota".to_string(), value.to_string())].into())
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -8,6 +8,9 @@
 //!
 //! Where ingresses belong to a group ([`group`]), what is decided comes from `wrenfork-consensus` instead, by the same socket.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 pub mod client;
 pub mod clock;
 mod connections;
--- a/crates/control-plane/src/socket.rs
+++ b/crates/control-plane/src/socket.rs
@@ -87,7 +87,8 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{fs, listen, UnixStream};
+    use std::os::unix::fs::PermissionsExt;
 
     #[test]
     fn it_is_the_owners_alone_and_taken_over_after_a_crash_but_not_from_the_living() {
--- a/crates/ctl/examples/changes.rs
+++ b/crates/ctl/examples/changes.rs
@@ -2,6 +2,9 @@
 //!
 //!     cargo build --release && cargo run --release -p wrenctl --example changes
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use std::fs;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{command, list, place, serve, until, Backend, Client, Ingress};
 
 fn program(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("this program's path");
--- a/crates/ctl/examples/pools.rs
+++ b/crates/ctl/examples/pools.rs
@@ -5,7 +5,10 @@
 //!
 //! `docs/measurements/pools.md` has what it printed; it wants the machine to itself.
 
-use plotters::prelude::*;
+use plotters::prelude::{
+    ChartBuilder, Color, IntoDrawingArea, LineSeries, Palette, Palette99, PathElement, Rectangle,
+    SVGBackend, BLACK, WHITE,
+};
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,6 +1,9 @@
 //! `wrenctl`, the operators' tool. Exit codes: 0 for good, 1 for a finding, 2 for what could not be done or read;
 //! `plan`, `apply` and `rollback` have their own, see [`change`].
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::needless_pass_by_value, clippy::too_many_lines)]
+
 mod change;
 mod config;
 mod fleet;
--- a/crates/ctl/src/rollout/page.rs
+++ b/crates/ctl/src/rollout/page.rs
@@ -1,6 +1,8 @@
 //! The page at a rollout's end: one file, with what was compared, how sure it became, and why it ended as it did.
 
-use plotters::prelude::*;
+use plotters::prelude::{
+    ChartBuilder, Color, IntoDrawingArea, LineSeries, RGBColor, SVGBackend, BLACK, WHITE,
+};
 use std::fmt::Write as _;
 use std::path::Path;
 use wrenfork_rollout::tally::Measure;
@@ -199,7 +201,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{Measure, Page, Standing};
 
     #[test]
     fn it_says_why_it_ended_and_what_was_compared_and_is_one_whole_file() {
--- a/crates/ctl/src/rollout/terms.rs
+++ b/crates/ctl/src/rollout/terms.rs
@@ -83,7 +83,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{parse, Terms};
 
     const GOOD: &str = include_str!("../../../../deploy/rollout.toml");
 
--- a/crates/ctl/src/tend/file.rs
+++ b/crates/ctl/src/tend/file.rs
@@ -295,7 +295,8 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{digest, parse, Program, Programs, RefCell, Terms};
+    use wrenfork_supervisor::Catalog;
 
     const GOOD: &str = include_str!("../../../../deploy/tend.toml");
 
--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -11,7 +11,9 @@
 use wrenfork_commit::protocol::{Ask, Say};
 use wrenfork_commit::state::Generation;
 use wrenfork_control_plane::{client, fault};
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{
+    command, list, place, serve, served, until, Act, Backend, Client, Ingress, LONG,
+};
 
 /// How many sidecars there are, where it does not matter.
 const THREE: usize = 3;
--- a/crates/ctl/tests/group/main.rs
+++ b/crates/ctl/tests/group/main.rs
@@ -1,11 +1,14 @@
 //! Changes of policy at groups of real processes, with faults between them: each holds everywhere or nowhere.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 mod measure;
 mod programs;
 mod rollout;
 mod site;
 
-use site::*;
+use site::{probe, told, Got, Group, Layout, LEASE, POLICIES};
 use std::fs;
 use std::path::Path;
 use std::process::Output;
@@ -14,7 +17,7 @@
 use wrenfork_control_plane::fault;
 use wrenfork_testbed::judge::policy::judge;
 use wrenfork_testbed::links::Fault;
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{command, signal, stopped, Client};
 
 /// Three that serve, whom most tests have.
 fn three() -> Layout {
--- a/crates/ctl/tests/group/measure.rs
+++ b/crates/ctl/tests/group/measure.rs
@@ -1,12 +1,12 @@
 //! What groups take and cost, as tables; not run by CI: `cargo test --release -p wrenctl --test group -- --ignored --nocapture
 //! --test-threads 1 measure`, on a machine that does nothing else.
 
-use super::site::*;
+use super::site::{probe, told, Got, Group, Layout};
 use std::fs;
 use std::thread;
 use std::time::{Duration, Instant};
 use wrenfork_testbed::links::Fault;
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::Client;
 
 /// The lease that files have unless they say another one.
 const DEFAULT: Duration = Duration::from_millis(1_500);
--- a/crates/ctl/tests/group/programs.rs
+++ b/crates/ctl/tests/group/programs.rs
@@ -2,13 +2,13 @@
 
 use super::rollout::says_of_rollout;
 use super::says;
-use super::site::*;
+use super::site::{end, probe, told, version, Got, Group, Layout};
 use std::fs;
 use std::sync::{Mutex, MutexGuard};
 use std::thread;
 use std::time::{Duration, Instant};
 use wrenfork_rollout::record::Phase;
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::Client;
 
 fn kept(versions: &[&'static str]) -> Layout {
     Layout {
--- a/crates/ctl/tests/group/rollout.rs
+++ b/crates/ctl/tests/group/rollout.rs
@@ -1,6 +1,6 @@
 //! Rollouts by real processes: in stages, judged while old and new serve side by side, stopped and taken back.
 
-use super::site::*;
+use super::site::{told, Bad, Got, Group, Layout, LEASE};
 use super::{says, three};
 use std::collections::BTreeSet;
 use std::fs;
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_rollout::record::Phase;
 use wrenfork_testbed::links::Fault;
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::LONG;
 
 /// Terms under which a stage is decided in some ten blocks of a second.
 const TERMS: &str =
--- a/crates/ctl/tests/group/site.rs
+++ b/crates/ctl/tests/group/site.rs
@@ -14,7 +14,7 @@
 use wrenfork_handover::channel;
 use wrenfork_testbed::judge::policy::{judge, Answer, Change, Said};
 use wrenfork_testbed::links::Links;
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{command, list, place, signal, Act, Backend, Client, Ingress, LONG};
 
 /// The policies that tests go through: each sends quotes to a pool of its own, whose node says its name.
 pub const POLICIES: usize = 4;
--- a/crates/ctl/tests/judged.rs
+++ b/crates/ctl/tests/judged.rs
@@ -1,6 +1,9 @@
 //! A change under full load, by the judge of the rules: three ingresses at work between stand-ins, and in the midst of it
 //! a plan is made from what they enforce and applied to all of them.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use std::collections::BTreeMap;
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
--- a/crates/ctl/tests/keys.rs
+++ b/crates/ctl/tests/keys.rs
@@ -1,5 +1,8 @@
 //! `wrenctl keys`: private halves are their owner's alone, tokens hold for what they say, and a rotation that is not whole is told.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
--- a/crates/ctl/tests/reload.rs
+++ b/crates/ctl/tests/reload.rs
@@ -1,9 +1,12 @@
 //! `wrenctl reload` with a real sidecar: it tells which of the files were taken, and which not and why.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use std::fs;
 use std::path::Path;
 use std::process::{Command, Output};
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{command, list, place, serve, until, Backend, Client, Ingress};
 
 fn good(name: &str) -> String {
     fs::read_to_string(
--- a/crates/decision/examples/choice.rs
+++ b/crates/decision/examples/choice.rs
@@ -6,7 +6,10 @@
 //! `docs/measurements/pools.md` has the figures.
 
 use std::time::{Duration, Instant};
-use wrenfork_decision::*;
+use wrenfork_decision::{
+    Action, Availability, BackendId, Class, CustomerId, Event, Gateway, Listed, Micros, Outcome,
+    Plan, Repeat, Request, RequestId, RosterKind, Settings, MOST_TIERS,
+};
 
 const NODES: [u64; 3] = [10, 100, 1_000];
 const POOLS: [u8; 3] = [0, 1, 16];
--- a/crates/decision/src/control.rs
+++ b/crates/decision/src/control.rs
@@ -1,9 +1,18 @@
 //! Every decision of a gateway. Its types stand in `src/interface.rs`, its records in `src/state.rs`.
 use crate::{
-    gossip::*,
-    interface::*,
+    gossip::{
+        gone_by, incarnation, tag, whole_parts, wrap, Body, Fared, Message, News, Sample, Use,
+        MOST_CLASS, MOST_PLAN, MOST_SAMPLES, MOST_USES,
+    },
+    interface::{
+        Action, Availability, BackendId, Class, CustomerId, Discovery, Event, GatewayNo, Group,
+        Listed, Micros, Outcome, Plan, Repeat, Request, RequestId, RosterKind, Settings,
+        SizeMeaning, MOST_POOLS,
+    },
     pools::{Pool, Through},
-    state::*,
+    state::{
+        decay, mix, Attempt, Backend, Customer, Customers, Gateway, Health, Open, Usual, SECOND,
+    },
 };
 use std::{cmp::Reverse, collections::VecDeque};
 
--- a/crates/decision/src/gossip.rs
+++ b/crates/decision/src/gossip.rs
@@ -328,7 +328,10 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{
+        gone_by, tag, wrap, Body, CustomerId, Fared, Message, News, Sample, Use, MOST, MOST_NEWS,
+        MOST_SAMPLES, MOST_USES,
+    };
 
     #[test]
     fn messages_survive_the_way() {
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -43,6 +43,9 @@
 //! assert!(actions.is_empty(), "the answer went to the client; nothing is left to do");
 //! ```
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::needless_pass_by_value, clippy::too_many_lines)]
+
 mod control;
 mod gossip;
 mod interface;
@@ -50,5 +53,9 @@
 mod state;
 
 pub use gossip::VERSION as PEERS;
-pub use interface::*;
+pub use interface::{
+    Action, Availability, BackendId, Class, CustomerId, Discovery, Event, GatewayNo, Group, Limits,
+    Listed, Micros, Outcome, Plan, Repeat, Report, Request, RequestId, RosterKind, Rules, Settings,
+    SizeMeaning, MOST_POOLS, MOST_TIERS,
+};
 pub use state::{Gateway, InUse};
--- a/crates/decision/src/pools.rs
+++ b/crates/decision/src/pools.rs
@@ -12,7 +12,7 @@
 //!   they are worth.
 
 use crate::control::{ALERT_OFF, ALERT_ON, PRESSURE_TAU, SPILL};
-use crate::interface::*;
+use crate::interface::{Listed, Micros, Repeat, Request, RequestId, MOST_TIERS};
 use crate::state::{decay, mix, Gateway, Open};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -2,7 +2,10 @@
 //! lives here; what the records mean and when they change is in `control.rs`.
 
 use crate::gossip::{incarnation, Body, Message, Sample};
-use crate::interface::*;
+use crate::interface::{
+    Action, BackendId, Class, CustomerId, GatewayNo, Listed, Micros, Repeat, Request, RequestId,
+    Settings,
+};
 use crate::pools::Pool;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
--- a/crates/decision/tests/decisions.rs
+++ b/crates/decision/tests/decisions.rs
@@ -1,10 +1,16 @@
 //! The module by events and actions: no bench, no simulator.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 mod rig;
 
-use rig::*;
+use rig::{failed, listed, plan, refused, sends, settings, Rig, S, T0};
 use std::collections::BTreeSet;
-use wrenfork_decision::*;
+use wrenfork_decision::{
+    Action, Availability, BackendId, Event, Gateway, GatewayNo, Listed, Micros, Outcome, Plan,
+    Repeat, Request, RequestId, RosterKind, Settings,
+};
 
 #[test]
 fn a_request_inside_the_quota_is_sent_and_one_beyond_refused() {
--- a/crates/decision/tests/deployments.rs
+++ b/crates/decision/tests/deployments.rs
@@ -2,12 +2,19 @@
 //! kind live a few seconds in a small world of their own; no rule may break on any of them, and where the world is calm
 //! next to nothing that is inside a quota may be refused. What only the first deployment's figures justified would show.
 
-use proptest::prelude::*;
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
+use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, prop_oneof, Just, Strategy};
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use wrenfork_decision::*;
+use wrenfork_decision::{
+    Action, Availability, BackendId, Class, CustomerId, Event, Gateway, GatewayNo, Group, Limits,
+    Listed, Micros, Outcome, Plan, Repeat, Request, RequestId, RosterKind, Rules, Settings,
+    SizeMeaning,
+};
 
 const T0: Micros = 500_000_000;
 const S: Micros = 1_000_000;
--- a/crates/decision/tests/hostile.rs
+++ b/crates/decision/tests/hostile.rs
@@ -1,9 +1,15 @@
 //! Properties over arbitrary legal and hostile sequences of events, with a fixed seed.
 
-use proptest::prelude::*;
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
+use proptest::prelude::{any, prop, prop_assert_eq, prop_oneof, Just, Strategy};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
-use wrenfork_decision::*;
+use wrenfork_decision::{
+    Action, Availability, BackendId, Class, CustomerId, Event, Gateway, GatewayNo, Group, Limits,
+    Listed, Micros, Outcome, Plan, Repeat, Report, Request, RequestId, RosterKind, Rules, Settings,
+};
 
 const T0: Micros = 50_000_000;
 
--- a/crates/decision/tests/pools.rs
+++ b/crates/decision/tests/pools.rs
@@ -1,11 +1,17 @@
 //! Pools and falling back, by events and actions.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 mod rig;
 
-use proptest::prelude::*;
-use rig::*;
+use proptest::prelude::{prop, prop_assert, proptest};
+use rig::{listed, settings, Rig, S, T0};
 use std::collections::BTreeMap;
-use wrenfork_decision::*;
+use wrenfork_decision::{
+    Action, Availability, BackendId, CustomerId, Event, Gateway, Listed, Micros, Outcome, Request,
+    RequestId, RosterKind, Settings, MOST_TIERS,
+};
 
 /// One gateway with so many pools; nothing but pools decides where a request goes.
 fn with_pools(pools: u8) -> Settings {
--- a/crates/decision/tests/rig/mod.rs
+++ b/crates/decision/tests/rig/mod.rs
@@ -1,7 +1,10 @@
 //! One gateway by events and actions, for the tests.
 #![allow(dead_code)]
 
-use wrenfork_decision::*;
+use wrenfork_decision::{
+    Action, Availability, BackendId, Class, CustomerId, Event, Gateway, GatewayNo, Group, Limits,
+    Listed, Micros, Outcome, Plan, Repeat, Request, RequestId, RosterKind, Rules, Settings,
+};
 
 pub const T0: Micros = 1_000_000_000;
 pub const S: Micros = 1_000_000;
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -2,9 +2,11 @@
 
 mod rig;
 
-use proptest::prelude::*;
-use rig::*;
-use wrenfork_decision::*;
+use proptest::prelude::{prop, prop_assert, proptest};
+use rig::{class, plan, sends, settings, Rig, S};
+use wrenfork_decision::{
+    Action, BackendId, Event, Gateway, GatewayNo, InUse, Outcome, Plan, Repeat, RequestId, Settings,
+};
 
 /// One gateway, so that all of a quota is its own.
 fn alone() -> Settings {
--- a/crates/decision/tests/size.rs
+++ b/crates/decision/tests/size.rs
@@ -3,8 +3,8 @@
 mod rig;
 mod world;
 
-use world::*;
-use wrenfork_decision::*;
+use world::{Plot, World, S};
+use wrenfork_decision::{Class, Limits, Plan, Repeat, Rules, Settings};
 
 /// Three plans: small with a quota, one with a ceiling beside it, and one without limits that matter.
 fn settings(gateways: u16) -> Settings {
--- a/crates/decision/tests/world/mod.rs
+++ b/crates/decision/tests/world/mod.rs
@@ -4,7 +4,10 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
-use wrenfork_decision::*;
+use wrenfork_decision::{
+    Action, BackendId, CustomerId, Event, Gateway, GatewayNo, Listed, Micros, Outcome, Request,
+    RequestId, RosterKind, Settings,
+};
 
 pub const T0: Micros = 1_000_000_000;
 pub const S: Micros = 1_000_000;
--- a/crates/happy-eyeballs/src/lib.rs
+++ b/crates/happy-eyeballs/src/lib.rs
@@ -222,8 +222,8 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
-    use proptest::prelude::*;
+    use super::{Address, Book, Fared, Micros, Next, Race, MOST_ADDRESSES, REST};
+    use proptest::prelude::{prop_assert, prop_assert_eq, proptest};
 
     fn place(text: &str) -> Address {
         Address::read(text).unwrap()
--- a/crates/identity/src/refusal.rs
+++ b/crates/identity/src/refusal.rs
@@ -113,7 +113,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::Refusal;
 
     #[test]
     fn codes_are_given_once_and_in_order() {
--- a/crates/identity/src/sources.rs
+++ b/crates/identity/src/sources.rs
@@ -73,7 +73,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{Source, Sources, MOST};
 
     /// Guards against a flood of bad tokens that has each of them checked, and one source that shuts out another.
     #[test]
--- a/crates/identity/src/trust.rs
+++ b/crates/identity/src/trust.rs
@@ -161,7 +161,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{Doubt, Issuer, Key, Seconds, Stage, Trust};
     use ed25519_dalek::SigningKey;
 
     fn key(name: &str, from: Seconds, until: Option<Seconds>) -> Key {
--- a/crates/identity/tests/tokens.rs
+++ b/crates/identity/tests/tokens.rs
@@ -1,9 +1,12 @@
 //! Tokens that are wrong in one way each, and callers that ask for more than they have: each is refused with its reason.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use ed25519_dalek::SigningKey;
-use proptest::prelude::*;
+use proptest::prelude::{any, prop, prop_assert, proptest};
 use std::collections::BTreeSet;
 use wrenfork_identity::cache::Cache;
 use wrenfork_identity::rights::{Fault, Name, Tenant, Tenants};
--- a/crates/ingress/src/backoff/tests.rs
+++ b/crates/ingress/src/backoff/tests.rs
@@ -1,6 +1,6 @@
 //! The pauses by themselves, and a crowd of callers that keep to them.
 
-use super::*;
+use super::{Backoff, Failure, Micros, LONGEST};
 
 /// So many callers start at once at a service that takes so many calls a second; a call that is turned away costs it half of
 /// one, and it turns away what would wait for more than two seconds. Gives how many are not served in 30 s, and all calls.
--- a/crates/ingress/src/counter.rs
+++ b/crates/ingress/src/counter.rs
@@ -287,8 +287,9 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{Counter, Micros, Outcome, Token, DEAD, IDLE, MOST_CALLS};
     use mio::{Events, Poll};
+    use std::io::{Read, Write};
     use std::net::{TcpListener, TcpStream as Peer};
     use std::time::Duration;
 
--- a/crates/ingress/src/discovery/tests.rs
+++ b/crates/ingress/src/discovery/tests.rs
@@ -1,7 +1,10 @@
 //! How answers of discovery are read.
 
-use super::*;
+use super::{
+    read_answer, Answer, Availability, Micros, Sites, Token, Watch, NO_NEWS, PATIENCE, WAIT,
+};
 use mio::{Events, Poll};
+use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::time::Duration;
 
--- a/crates/ingress/src/eviction/tests.rs
+++ b/crates/ingress/src/eviction/tests.rs
@@ -1,7 +1,7 @@
 //! Which connection goes first, whatever moved.
 
-use super::*;
-use proptest::prelude::*;
+use super::{Kind, Lines, Micros, Standing, SPARE};
+use proptest::prelude::{prop, prop_assert, prop_assert_eq, proptest};
 use std::collections::BTreeMap;
 
 const KINDS: [Kind; 4] = [Kind::HalfClosed, Kind::Silent, Kind::Half, Kind::Idle];
--- a/crates/ingress/src/ledger.rs
+++ b/crates/ingress/src/ledger.rs
@@ -124,7 +124,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{End, Ledger, Now};
 
     /// Guards against a class's counts that pass to another one, or go, when classes come, go and come back.
     #[test]
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -1,6 +1,9 @@
 //! wrenfork, the real ingress: clients, backends, discovery and peers on sockets, round the decision module. A library, so that
 //! tests can build versions that are worse on purpose; the program is [`Shipped`].
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::needless_pass_by_value, clippy::too_many_lines)]
+
 mod backends;
 mod backoff;
 mod clients;
--- a/crates/ingress/src/management.rs
+++ b/crates/ingress/src/management.rs
@@ -278,7 +278,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{read, Ask};
 
     #[test]
     fn a_line_is_a_call_or_told_why_not() {
--- a/crates/ingress/tests/accepted.rs
+++ b/crates/ingress/tests/accepted.rs
@@ -1,7 +1,10 @@
 //! What the checker accepts, the ingress runs: files drawn at random within the form are checked, and where they are taken
 //! the built sidecar must start from them, answer, and end well.
 
-use proptest::prelude::*;
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
+use proptest::prelude::{any, prop, Strategy};
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngSeed};
 use std::fmt::Write;
@@ -10,7 +13,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_config::set::Set;
 use wrenfork_config::source::Source;
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{command, place, Client, Ingress};
 
 #[derive(Clone, Debug)]
 struct Class {
--- a/crates/ingress/tests/addresses.rs
+++ b/crates/ingress/tests/addresses.rs
@@ -10,7 +10,9 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{
+    command, entry, list, place, serve, until, Act, Backend, Client, Ingress,
+};
 
 const ACCOUNT: &str = "00000000000004d3";
 
--- a/crates/ingress/tests/crowds.rs
+++ b/crates/ingress/tests/crowds.rs
@@ -1,8 +1,11 @@
 //! Crowds that connect and idle or stop half way, by the ingress's sockets: who makes room for whom.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use std::thread;
 use std::time::Duration;
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{call, serve, served, until, Act, Backend, Client, Setup};
 
 fn setup(backend: &Backend, sockets: usize) -> Setup {
     let mut setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[backend]);
--- a/crates/ingress/tests/endings.rs
+++ b/crates/ingress/tests/endings.rs
@@ -8,7 +8,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use wrenfork_testbed::small::operators::figure;
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{
+    call, command, leave, place, serve, served, stands_in, until, Act, Backend, Client, Discovery,
+    Ingress, Jammed, Setup, FIN_WAIT_1, LONG,
+};
 
 /// A setup whose connections to backends may take three seconds to come up: longer than the kernel takes to try again.
 fn patient(backends: &[&Backend]) -> Setup {
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -1,6 +1,9 @@
 //! Callers of the built sidecar: who proves nothing, too little or something forged is turned away with the reason, whoever
 //! proves enough is served, also while keys change.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use ed25519_dalek::SigningKey;
 use std::fs;
 use std::net::{SocketAddr, TcpStream};
@@ -8,7 +11,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use wrenfork_identity::token::{sign, told, Claims};
 use wrenfork_identity::trust::written;
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{
+    command, list, place, serve, served, until, Act, Backend, Client, Ingress,
+};
 
 const OWN: &str = "00000000000004d3";
 const OTHER: &str = "00000000000004d2";
--- a/crates/ingress/tests/ingress.rs
+++ b/crates/ingress/tests/ingress.rs
@@ -1,10 +1,16 @@
 //! The real ingress by its sockets: the built binary between small backends, discovery, peers and clients.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{
+    call, call_of, command, entry, leave, place, serve, served, until, Act, Backend, Client,
+    Discovery, Ingress, Setup, LONG,
+};
 
 /// A setup round the program as it was built for the tests.
 fn setup(backends: &[&Backend]) -> Setup {
--- a/crates/ingress/tests/management.rs
+++ b/crates/ingress/tests/management.rs
@@ -1,5 +1,8 @@
 //! The operators' address by its sockets, and settings that change while requests are open: the built binary between stand-ins.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -7,7 +10,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use wrenfork_testbed::small::operators::{ask, figure};
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{
+    call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Setup,
+};
 
 /// A setup whose ingress listens for operators.
 fn setup(backends: &[&Backend]) -> (Setup, SocketAddr) {
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -2,7 +2,9 @@
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{
+    call, command, place, serve, until, Backend, Client, Discovery, Ingress, Setup,
+};
 
 /// As many as the machines of the tests bear; the users run some hundreds.
 const PROCESSES: usize = 100;
--- a/crates/ingress/tests/sidecar.rs
+++ b/crates/ingress/tests/sidecar.rs
@@ -1,10 +1,16 @@
 //! The sidecar: the built ingress that runs from an application's files.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use std::fs;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Command;
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{
+    command, list, place, read_value, serve, served, until, Act, Backend, Client, Discovery,
+    Ingress,
+};
 
 fn good(name: &str) -> String {
     fs::read_to_string(
--- a/crates/ingress/tests/told.rs
+++ b/crates/ingress/tests/told.rs
@@ -5,7 +5,9 @@
 use std::net::TcpListener;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{
+    call, command, list, serve, until, Backend, Client, Discovery, Jammed, Setup,
+};
 
 /// Behind this a change counts as told.
 const TOLD: Duration = Duration::from_secs(6);
--- a/crates/ingress/tests/upgrade.rs
+++ b/crates/ingress/tests/upgrade.rs
@@ -1,6 +1,9 @@
 //! A new version under load: processes of one ingress after each other on one listening socket that the test holds, as a
 //! platform would. A connection that a client keeps must never end, and each request has one answer and one effect.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use std::collections::{HashMap, HashSet};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,7 +15,10 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::*;
+use wrenfork_testbed::small::{
+    call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Jammed,
+    Setup, LONG,
+};
 
 /// The platform: the clients' socket, the folder that all processes share, and the configuration.
 struct Platform {
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -72,8 +72,8 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
-    use proptest::prelude::*;
+    use super::Evidence;
+    use proptest::prelude::{prop_assert, proptest};
 
     #[test]
     fn a_difference_is_found_and_one_below_nothing_never_is() {
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -8,6 +8,9 @@
 //! - [`evidence`]: the sequential test that these differences go to.
 //! - [`watch`]: whoever drives a rollout looks at all members, and this says what is to be decided, if anything.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 pub mod evidence;
 pub mod record;
 pub mod stages;
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -356,8 +356,8 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
-    use proptest::prelude::*;
+    use super::{change, follows, same_program, Digest, Phase, Record, State, Terms, PROGRAM};
+    use proptest::prelude::{prop_assert, prop_oneof, proptest, Just, Strategy};
 
     fn state(pairs: &[(&str, &str)]) -> State {
         State(
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -131,7 +131,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{stages, BTreeMap, Digest, Reach};
 
     fn halls(count: usize) -> BTreeMap<String, String> {
         (0..count)
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/tally.rs
@@ -429,7 +429,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{usual, Block, Counter, End, Kind, Measure, Side, Tally, Usual, MOST_KINDS};
 
     fn tally(list: &[(&str, u64, u64, u64)], times: &[(u64, u64)]) -> Tally {
         let kind = |asked, refused, failed| Kind {
--- a/crates/rollout/tests/whole_rollouts.rs
+++ b/crates/rollout/tests/whole_rollouts.rs
@@ -1,6 +1,9 @@
 //! Whole rollouts in a world without processes: twenty members in four halls, four stages, the new one bad in many ways, and
 //! equals while something else goes wrong. Who is stopped, in which stage, after how long, and what was lost by then.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -261,8 +261,8 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
-    use proptest::prelude::*;
+    use super::{BTreeSet, Fault, Pool, PoolNo, Route, Selector, Table, Traits, Trial, Way, Ways};
+    use proptest::prelude::{prop, prop_assert_eq, proptest};
 
     fn node<'a>(name: &'a str, hall: &'a str, model: &'a str, group: u64) -> Traits<'a> {
         Traits {
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -54,7 +54,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{step, Store, StoreError, VERSION};
     use crate::{Batch, Kind};
 
     #[test]
--- a/crates/supervisor/src/lib.rs
+++ b/crates/supervisor/src/lib.rs
@@ -4,6 +4,9 @@
 //!
 //! Whoever carries this out tells what happens by [`Tend::step`] and does what comes back, in its order.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use wrenfork_compatibility::Program;
--- a/crates/supervisor/tests/decisions.rs
+++ b/crates/supervisor/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! What a keeper does, step by step, and in a world in which anything happens at any time.
 
-use proptest::prelude::*;
+use proptest::prelude::{any, prop_assert, prop_assert_eq, prop_oneof, proptest, Just, Strategy};
 use proptest::test_runner::{Config, RngSeed};
 use std::time::Duration;
 use wrenfork_compatibility::Program;
--- a/crates/testbed/src/judge/ceilings.rs
+++ b/crates/testbed/src/judge/ceilings.rs
@@ -35,7 +35,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{Stores, SECOND};
 
     #[test]
     fn a_store_starts_full_fills_and_holds_no_more() {
--- a/crates/testbed/src/judge/policy.rs
+++ b/crates/testbed/src/judge/policy.rs
@@ -126,7 +126,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{judge, Answer, Change, Micros, Said, Wrong};
 
     fn changes() -> Vec<Change> {
         let of = |generation, policy: &str, made, given_up| Change {
--- a/crates/testbed/src/judge/tests.rs
+++ b/crates/testbed/src/judge/tests.rs
@@ -1,6 +1,6 @@
 //! The judge by what it is told: the excuses, and the edges of the rules.
 
-use super::*;
+use super::{Answer, Judge, Micros, Rule, Scenario, Seen, Try, ANSWER_SLACK, ON_SOCKETS, SECOND};
 
 fn judge() -> Judge {
     let text = include_str!("../../scenarios/calm.toml");
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -4,6 +4,13 @@
 //! A [`scenario`] says what the world is and what goes wrong when; [`rig::play`] plays it; the [`judge`] decides from
 //! what the stand-ins saw; the [`report`] tells what it came to. [`small`] has stand-ins that a test drives by hand.
 
+// Not done yet, see docs/ROADMAP.md.
+#![allow(
+    clippy::missing_panics_doc,
+    clippy::needless_pass_by_value,
+    clippy::too_many_lines
+)]
+
 pub mod arrivals;
 pub mod judge;
 pub mod links;
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -297,7 +297,8 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{thread, Duration, ErrorKind, Fault, Instant, Links, Path};
+    use std::io::{Read, Write};
     use std::os::unix::net;
 
     /// A member that says back what it hears, a line at a time.
--- a/crates/testbed/src/machine.rs
+++ b/crates/testbed/src/machine.rs
@@ -185,7 +185,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{BackendSet, Job, Machine, Micros, Taken, SECOND};
 
     fn set() -> BackendSet {
         BackendSet {
--- a/crates/testbed/src/rig/counter.rs
+++ b/crates/testbed/src/rig/counter.rs
@@ -269,7 +269,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{tally, HashMap, SECOND};
 
     #[test]
     fn a_number_starts_at_nothing_is_forgotten_after_its_life_and_bad_calls_add_nothing() {
--- a/crates/testbed/src/scenario/diagnostic.rs
+++ b/crates/testbed/src/scenario/diagnostic.rs
@@ -77,7 +77,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::Diagnostic;
 
     #[test]
     fn the_place_is_that_of_the_line_and_its_key() {
--- a/crates/testbed/src/scenario/file.rs
+++ b/crates/testbed/src/scenario/file.rs
@@ -1027,7 +1027,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::Span;
 
     #[test]
     fn times_are_read_in_their_units_and_bad_ones_are_told() {
--- a/crates/testbed/src/small.rs
+++ b/crates/testbed/src/small.rs
@@ -694,7 +694,7 @@
 
 /// What operators ask an ingress at its address for them.
 pub mod operators {
-    use super::*;
+    use super::{Read, SocketAddr, TcpStream, Write, LONG};
 
     /// What a line is answered, whole.
     pub fn ask(at: SocketAddr, line: &str) -> String {
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -344,7 +344,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{resp, Call, Repeat, Vocabulary};
     use wrenfork_decision::Group;
 
     fn words() -> Vocabulary {
--- a/crates/wire/src/long/tests.rs
+++ b/crates/wire/src/long/tests.rs
@@ -1,7 +1,7 @@
 //! Answers that pass on as they come, cut anywhere.
 
-use super::*;
-use proptest::prelude::*;
+use super::{Long, Malformed, Whole};
+use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest, ProptestConfig};
 
 fn answer(length: usize, rest: &str) -> Vec<u8> {
     let mut bytes = format!("*3\r\n${length}\r\n").into_bytes();
--- a/crates/wire/src/resp.rs
+++ b/crates/wire/src/resp.rs
@@ -275,7 +275,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{command, reply, Kind, Reply, Step};
 
     fn texts(buf: &[u8]) -> Step<(Vec<String>, usize)> {
         let mut args = Vec::new();
--- a/crates/wire/src/tally.rs
+++ b/crates/wire/src/tally.rs
@@ -71,7 +71,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{answer, put_call, Answer};
 
     #[test]
     fn a_call_stays_within_the_limits_of_the_service() {
