--- a/crates/ctl/tests/group/main.rs
+++ b/crates/ctl/tests/group/main.rs
@@ -4,6 +4,7 @@
 #![allow(clippy::too_many_lines)]
 
 mod measure;
+mod mixed_builds;
 mod programs;
 mod rollout;
 mod site;
--- a/crates/ctl/tests/group/programs.rs
+++ b/crates/ctl/tests/group/programs.rs
@@ -10,7 +10,7 @@
 use wrenfork_rollout::record::Phase;
 use wrenfork_testbed::small::Client;
 
-fn kept(versions: &[&'static str]) -> Layout {
+pub fn kept(versions: &[&'static str]) -> Layout {
     Layout {
         versions: versions.to_vec(),
         ..Layout::of(4, 1)
@@ -20,13 +20,13 @@
 /// One of these plays at a time, of ten processes each: judged are times as well, which a crowded machine stretches.
 static ALONE: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
+pub fn alone() -> MutexGuard<'static, ()> {
     ALONE.lock().unwrap_or_else(|e| e.into_inner())
 }
 
 impl Group {
     /// Begins a rollout of a version of the program.
-    fn roll_program(
+    pub fn roll_program(
         &mut self,
         who: &str,
         to: usize,
@@ -57,13 +57,13 @@
     }
 
     /// Waits until every ingress that runs runs a version.
-    fn all_run(&self, version: &str) {
+    pub fn all_run(&self, version: &str) {
         self.wait(&format!("all run {version}"), || {
             (0..self.at.len()).all(|n| self.runs(n).as_deref() == Some(version))
         });
     }
 
-    fn running(&self, version: &str) -> usize {
+    pub fn running(&self, version: &str) -> usize {
         (0..self.at.len())
             .filter(|n| self.runs(*n).as_deref() == Some(version))
             .count()
--- a/crates/ctl/tests/group/site.rs
+++ b/crates/ctl/tests/group/site.rs
@@ -28,6 +28,22 @@
     Path::new(env!("CARGO_BIN_EXE_wrenctl")).with_file_name(name)
 }
 
+/// The version that is the program of another build, whose file [`OTHER_BUILD`] names.
+pub const BEFORE: &str = "before";
+/// The environment variable that names the program of another build.
+pub const OTHER_BUILD: &str = "WRENFORK_BEFORE";
+
+/// The program that a version is a copy of.
+fn copied(word: &str) -> PathBuf {
+    if word == BEFORE {
+        let path = std::env::var_os(OTHER_BUILD);
+        return path
+            .unwrap_or_else(|| panic!("{OTHER_BUILD} names no program"))
+            .into();
+    }
+    program("examples/odd")
+}
+
 /// The file of a version of the program, by what is odd with it, and its digest.
 pub fn version(word: &str) -> (PathBuf, String) {
     static MADE: Mutex<BTreeMap<String, (PathBuf, String)>> = Mutex::new(BTreeMap::new());
@@ -45,10 +61,10 @@
         let strip = Command::new("strip")
             .arg("-o")
             .arg(&new)
-            .arg(program("examples/odd"))
+            .arg(copied(word))
             .status();
         if !strip.is_ok_and(|status| status.success()) {
-            fs::copy(program("examples/odd"), &new).unwrap();
+            fs::copy(copied(word), &new).unwrap();
         }
         // Its own bytes behind the end make it a file of its own.
         let mut file = fs::OpenOptions::new().append(true).open(&new).unwrap();
