--- a/crates/ingress/src/backends.rs
+++ b/crates/ingress/src/backends.rs
@@ -1277,3 +1277,6 @@
         oldest.is_some()
     }
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/ingress/src/clients.rs
+++ b/crates/ingress/src/clients.rs
@@ -1258,3 +1258,6 @@
             .for_each(|key| self.half_close_if_silent(key, now));
     }
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -135,3 +135,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/ingress/src/requests.rs
+++ b/crates/ingress/src/requests.rs
@@ -204,3 +204,6 @@
         }
     }
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
--- a/crates/ingress/src/takeover.rs
+++ b/crates/ingress/src/takeover.rs
@@ -215,3 +215,6 @@
     F::write(layout, &mut bytes);
     Ok(bytes)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/ingress/src/timers.rs
+++ b/crates/ingress/src/timers.rs
@@ -59,3 +59,6 @@
         due
     }
 }
+
+#[cfg(test)]
+pub(crate) mod tests;
