--- a/crates/commit/src/applier.rs
+++ b/crates/commit/src/coordinator.rs
@@ -5,28 +5,27 @@
 //! fences every member with a higher ballot before it decides, so that nobody else decides there any more; then it finishes
 //! what one member has begun, and gives up what none has.
 
-use crate::participant::Promise;
 use crate::plan::Plan;
-use crate::protocol::{Ask, Ballot, Say, Stand};
+use crate::protocol::{Ballot, CommitRequest, CommitResponse, CommitStatus, PreparedVote};
 use crate::state::{Digest, Generation, State};
 use std::sync::Arc;
 
 /// A member of a change, as its applier sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Member {
+pub struct MemberProgress {
     /// The ingress's name.
     pub ingress: String,
     /// Its promise and what it is to enforce; none where the applier recovers and has no plan.
-    pub change: Option<(Promise, Arc<State>)>,
+    pub prepare: Option<(PreparedVote, Arc<State>)>,
     /// It has answered what this phase asks.
     pub answered: bool,
     /// How it said last that the change stands there.
-    pub stand: Option<Stand>,
+    pub status: Option<CommitStatus>,
 }
 
 /// Where an apply stands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Phase {
+pub enum CommitPhase {
     /// Members are asked for their promise.
     Preparing,
     /// Members are fenced, and say how the change stands there.
@@ -36,26 +35,26 @@
     /// Every member has made the switch, or every member has forgotten it.
     Ended(bool),
     /// Somebody else decides this change.
-    Overtaken,
+    Superseded,
 }
 
 /// An apply, or the recovery of one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Applier {
+pub struct Coordinator {
     /// The change.
     pub change: Digest,
     ballot: Ballot,
     /// Its members.
-    pub members: Vec<Member>,
+    pub members: Vec<MemberProgress>,
     /// Where it stands.
-    pub phase: Phase,
+    pub phase: CommitPhase,
     /// Why it was given up, by the member that said so.
-    pub refused: Vec<(String, String)>,
+    pub rejections: Vec<(String, String)>,
 }
 
-impl Applier {
+impl Coordinator {
     /// Begins to apply a plan. The ballot must be this applier's alone: the time is a good choice.
-    pub fn begin(plan: &Plan, ballot: Ballot) -> Applier {
+    pub fn new(plan: &Plan, ballot: Ballot) -> Coordinator {
         let change = plan.id();
         let names: Vec<String> = plan.targets.iter().map(|t| t.ingress.clone()).collect();
         let members = plan.targets.iter().map(|t| {
@@ -63,7 +62,7 @@
                 number: plan.generation,
                 digest: t.wanted.clone(),
             };
-            let promise = Promise {
+            let promise = PreparedVote {
                 change: change.clone(),
                 base: t.base.clone(),
                 next,
@@ -74,70 +73,74 @@
                 .states
                 .get(&t.wanted)
                 .map(|wanted| (promise, wanted.clone()));
-            Member {
+            MemberProgress {
                 ingress: t.ingress.clone(),
-                change,
+                prepare: change,
                 answered: false,
-                stand: None,
+                status: None,
             }
         });
         let members = members.collect();
-        Applier {
+        Coordinator {
             change,
             ballot,
             members,
-            phase: Phase::Preparing,
-            refused: Vec::new(),
+            phase: CommitPhase::Preparing,
+            rejections: Vec::new(),
         }
     }
 
     /// Begins to recover a change, with a ballot that is higher than that of all before it.
-    pub fn recover(change: Digest, members: Vec<String>, ballot: Ballot) -> Applier {
-        let member = |ingress| Member {
+    pub fn recover(change: Digest, members: Vec<String>, ballot: Ballot) -> Coordinator {
+        let member = |ingress| MemberProgress {
             ingress,
-            change: None,
+            prepare: None,
             answered: false,
-            stand: None,
+            status: None,
         };
         let members = members.into_iter().map(member).collect();
-        Applier {
+        Coordinator {
             change,
             ballot,
             members,
-            phase: Phase::Fencing,
-            refused: Vec::new(),
+            phase: CommitPhase::Fencing,
+            rejections: Vec::new(),
         }
     }
 
     /// What is to be asked of a member now; none where it has answered.
-    pub fn ask(&self, member: usize) -> Option<Ask> {
+    pub fn next_request(&self, member: usize) -> Option<CommitRequest> {
         let m = self.members.get(member).filter(|m| !m.answered)?;
         let (change, ballot) = (self.change.clone(), self.ballot);
         match self.phase {
-            Phase::Preparing => {
-                let (promise, wanted) = m.change.clone()?;
-                Some(Ask::Prepare {
-                    promise,
+            CommitPhase::Preparing => {
+                let (promise, wanted) = m.prepare.clone()?;
+                Some(CommitRequest::Prepare {
+                    vote: promise,
                     ballot,
-                    wanted,
+                    state: wanted,
                 })
             }
-            Phase::Fencing => Some(Ask::Fence { change, ballot }),
-            Phase::Deciding(commit) => Some(Ask::Decide {
+            CommitPhase::Fencing => Some(CommitRequest::Fence { change, ballot }),
+            CommitPhase::Deciding(commit) => Some(CommitRequest::Decide {
                 change,
                 ballot,
                 commit,
             }),
-            Phase::Ended(_) | Phase::Overtaken => None,
+            CommitPhase::Ended(_) | CommitPhase::Superseded => None,
         }
     }
 
     fn decide(&mut self, commit: bool) {
-        self.phase = Phase::Deciding(commit);
-        let end = if commit { Stand::Made } else { Stand::Dropped };
+        self.phase = CommitPhase::Deciding(commit);
+        let end = if commit {
+            CommitStatus::Committed
+        } else {
+            CommitStatus::Aborted
+        };
         self.members
             .iter_mut()
-            .for_each(|m| m.answered = m.stand == Some(end));
+            .for_each(|m| m.answered = m.status == Some(end));
         self.all_answered();
     }
 
@@ -146,57 +149,87 @@
             return;
         }
         match self.phase {
-            Phase::Preparing => self.decide(true),
-            Phase::Fencing => {
-                let made = self.members.iter().any(|m| m.stand == Some(Stand::Made));
+            CommitPhase::Preparing => self.decide(true),
+            CommitPhase::Fencing => {
+                let made = self
+                    .members
+                    .iter()
+                    .any(|m| m.status == Some(CommitStatus::Committed));
                 self.decide(made);
             }
-            Phase::Deciding(commit) => self.phase = Phase::Ended(commit),
-            Phase::Ended(_) | Phase::Overtaken => {}
+            CommitPhase::Deciding(commit) => self.phase = CommitPhase::Ended(commit),
+            CommitPhase::Ended(_) | CommitPhase::Superseded => {}
         }
     }
 
     /// Takes what came of the ask that a member was sent in this phase: its answer, or none where the connection broke or
     /// nothing came in time, and it may have done what was asked.
-    pub fn heard(&mut self, member: usize, answer: Option<Say>) {
+    pub fn handle_response(&mut self, member: usize, answer: Option<CommitResponse>) {
         let Some(m) = self.members.get_mut(member) else {
             return;
         };
         let name = m.ingress.clone();
         match (self.phase.clone(), answer) {
-            (Phase::Preparing, Some(Say::Yes)) => {
-                (m.answered, m.stand) = (true, Some(Stand::Promised));
+            (CommitPhase::Preparing, Some(CommitResponse::Prepared)) => {
+                (m.answered, m.status) = (true, Some(CommitStatus::Prepared));
                 self.all_answered();
             }
             // It may have promised all the same: it is told to forget it, like all.
-            (Phase::Preparing, None) => {
-                self.refused.push((name, "it did not answer".into()));
+            (CommitPhase::Preparing, None) => {
+                self.rejections.push((name, "it did not answer".into()));
                 self.decide(false);
             }
-            (Phase::Preparing, Some(Say::No { why } | Say::Unable { why })) => {
-                self.refused.push((name, why));
+            (
+                CommitPhase::Preparing,
+                Some(
+                    CommitResponse::Rejected { reason: why }
+                    | CommitResponse::Unavailable { reason: why },
+                ),
+            ) => {
+                self.rejections.push((name, why));
                 self.decide(false);
             }
-            (Phase::Fencing | Phase::Deciding(_), None | Some(Say::Unable { .. })) => {} // asked again
-            (Phase::Fencing, Some(Say::Stands { change, stand })) if change == self.change => {
-                (m.answered, m.stand) = (true, Some(stand));
+            (
+                CommitPhase::Fencing | CommitPhase::Deciding(_),
+                None | Some(CommitResponse::Unavailable { .. }),
+            ) => {} // asked again
+            (
+                CommitPhase::Fencing,
+                Some(CommitResponse::ChangeStatus {
+                    change,
+                    status: stand,
+                }),
+            ) if change == self.change => {
+                (m.answered, m.status) = (true, Some(stand));
                 self.all_answered();
             }
-            (Phase::Deciding(commit), Some(Say::Stands { change, stand }))
-                if change == self.change =>
-            {
-                m.stand = Some(stand);
-                let as_decided = stand == if commit { Stand::Made } else { Stand::Dropped };
+            (
+                CommitPhase::Deciding(commit),
+                Some(CommitResponse::ChangeStatus {
+                    change,
+                    status: stand,
+                }),
+            ) if change == self.change => {
+                m.status = Some(stand);
+                let as_decided = stand
+                    == if commit {
+                        CommitStatus::Committed
+                    } else {
+                        CommitStatus::Aborted
+                    };
                 if as_decided {
                     m.answered = true;
                     self.all_answered();
                 } else {
-                    self.phase = Phase::Overtaken;
+                    self.phase = CommitPhase::Superseded;
                 }
             }
-            (Phase::Fencing | Phase::Deciding(_), Some(Say::No { why })) => {
-                self.refused.push((name, why));
-                self.phase = Phase::Overtaken;
+            (
+                CommitPhase::Fencing | CommitPhase::Deciding(_),
+                Some(CommitResponse::Rejected { reason: why }),
+            ) => {
+                self.rejections.push((name, why));
+                self.phase = CommitPhase::Superseded;
             }
             _ => {}
         }
--- a/crates/commit/src/participant.rs
+++ b/crates/commit/src/participant.rs
@@ -1,8 +1,8 @@
 //! An ingress's side: what it enforces, what it has promised, and what it knows of changes that have ended. All of it is
-//! one [`Memory`], which is written as a whole before anything is said or done that rests on it.
+//! one [`ParticipantState`], which is written as a whole before anything is said or done that rests on it.
 
-use crate::figures::Figures;
-use crate::protocol::{Ask, Ballot, Say, Stand};
+use crate::metrics::IngressMetrics;
+use crate::protocol::{Ballot, CommitRequest, CommitResponse, CommitStatus, PreparedVote};
 use crate::state::{Digest, Generation, State};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -10,57 +10,49 @@
 /// Changes that have ended, and fences, that are remembered.
 const MOST_REMEMBERED: usize = 64;
 
-/// To make one switch, if it is so decided.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Promise {
-    /// The change: its plan's identity.
-    pub change: Digest,
-    /// What must be enforced here for it.
-    pub base: Generation,
-    /// What is enforced after it.
-    pub next: Generation,
-    /// Who made it.
-    pub author: String,
-    /// All ingresses that are to make it, this one among them.
-    pub members: Vec<String>,
-}
-
 /// What an ingress must not forget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Memory {
+pub struct ParticipantState {
     /// What is enforced.
     pub enforced: Generation,
     /// All of it.
     pub state: Arc<State>,
     /// What is promised, and its state.
-    pub promise: Option<(Promise, Arc<State>)>,
+    #[serde(rename = "promise")]
+    pub prepared: Option<(PreparedVote, Arc<State>)>,
     /// Changes that have ended here, the last ones: whether the switch was made.
     pub ended: Vec<(Digest, bool)>,
     /// The number of the one that may decide a change: who prepared it here, or who fenced it last.
     pub fences: Vec<(Digest, Ballot)>,
 }
 
-impl Memory {
+impl ParticipantState {
     /// Of an ingress that has made no change yet.
-    pub fn first(number: u64, state: impl Into<Arc<State>>) -> Memory {
+    pub fn new(number: u64, state: impl Into<Arc<State>>) -> ParticipantState {
         let state = state.into();
         let enforced = Generation {
             number,
             digest: state.digest(),
         };
-        Memory {
+        ParticipantState {
             enforced,
             state,
-            ..Memory::default()
+            ..ParticipantState::default()
         }
     }
 
-    fn stand(&self, change: &Digest) -> Stand {
+    fn stand(&self, change: &Digest) -> CommitStatus {
         match self.ended.iter().find(|e| e.0 == *change) {
-            Some((_, true)) => Stand::Made,
-            Some((_, false)) => Stand::Dropped,
-            None if self.promise.as_ref().is_some_and(|p| p.0.change == *change) => Stand::Promised,
-            None => Stand::Unknown,
+            Some((_, true)) => CommitStatus::Committed,
+            Some((_, false)) => CommitStatus::Aborted,
+            None if self
+                .prepared
+                .as_ref()
+                .is_some_and(|p| p.0.change == *change) =>
+            {
+                CommitStatus::Prepared
+            }
+            None => CommitStatus::Unknown,
         }
     }
 
@@ -76,7 +68,7 @@
     }
 
     fn end(&mut self, change: &Digest, made: bool) {
-        self.promise = self.promise.take().filter(|p| p.0.change != *change);
+        self.prepared = self.prepared.take().filter(|p| p.0.change != *change);
         self.fences.retain(|f| f.0 != *change);
         self.ended.push((change.clone(), made));
         let surplus = self.ended.len().saturating_sub(MOST_REMEMBERED);
@@ -86,18 +78,18 @@
 
 /// What comes of a message, to whoever must remember an `M` and answers with an `S`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step<M = Memory, S = Say> {
+pub enum Step<M = ParticipantState, S = CommitResponse> {
     /// The answer; nothing is to be remembered.
-    Say(S),
+    Respond(S),
     /// This is to be remembered first: written, and told with `written`. Then the answer may go, and with
     /// `switch` the new state is enforced in one step. If it can't be written, nothing has happened.
-    Write {
+    Persist {
         /// All that is to be remembered.
-        memory: Box<M>,
+        state: Box<M>,
         /// The answer.
-        then: S,
+        response: S,
         /// Whether the enforced state is another.
-        switch: bool,
+        applies: bool,
     },
 }
 
@@ -105,16 +97,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Participant {
     name: String,
-    memory: Memory,
+    memory: ParticipantState,
 }
 
 fn no(why: impl Into<String>) -> Step {
-    Step::Say(Say::No { why: why.into() })
+    Step::Respond(CommitResponse::Rejected { reason: why.into() })
 }
 
 impl Participant {
     /// One that remembers this.
-    pub fn new(name: &str, memory: Memory) -> Participant {
+    pub fn new(name: &str, memory: ParticipantState) -> Participant {
         Participant {
             name: name.into(),
             memory,
@@ -122,65 +114,71 @@
     }
 
     /// What it remembers.
-    pub fn memory(&self) -> &Memory {
+    pub fn state(&self) -> &ParticipantState {
         &self.memory
     }
 
     /// What a step wanted remembered is written.
-    pub fn written(&mut self, memory: Memory) {
+    pub fn persisted(&mut self, memory: ParticipantState) {
         self.memory = memory;
     }
 
     /// Takes a message. `check` says whether a state could be enforced here, and if not, why.
-    pub fn take(&self, ask: Ask, check: impl FnOnce(&State) -> Result<(), String>) -> Step {
+    pub fn handle(
+        &self,
+        ask: CommitRequest,
+        check: impl FnOnce(&State) -> Result<(), String>,
+    ) -> Step {
         let m = &self.memory;
         match ask {
-            Ask::Status => Step::Say(Say::Status {
+            CommitRequest::Status => Step::Respond(CommitResponse::Status {
                 ingress: self.name.clone(),
                 generation: m.enforced.clone(),
                 state: m.state.clone(),
-                figures: Figures::default(),
-                promise: m.promise.as_ref().map(|p| p.0.clone()),
+                metrics: IngressMetrics::default(),
+                prepared: m.prepared.as_ref().map(|p| p.0.clone()),
             }),
-            Ask::Prepare {
-                promise,
+            CommitRequest::Prepare {
+                vote: promise,
                 ballot,
-                wanted,
+                state: wanted,
             } => self.prepare(promise, ballot, wanted, check),
-            Ask::Fence { change, ballot } => self.fence(&change, ballot),
-            Ask::Decide {
+            CommitRequest::Fence { change, ballot } => self.fence(&change, ballot),
+            CommitRequest::Decide {
                 change,
                 ballot,
                 commit,
             } => self.decide(&change, ballot, commit),
             // What went before is not a matter of the protocol: whoever keeps it answers.
-            Ask::Recall { .. } | Ask::History { .. } | Ask::Note { .. } => {
-                no("nothing is kept here")
-            }
+            CommitRequest::FetchGeneration { .. }
+            | CommitRequest::History { .. }
+            | CommitRequest::AppendRecord { .. } => no("nothing is kept here"),
         }
     }
 
     fn prepare(
         &self,
-        promise: Promise,
+        promise: PreparedVote,
         ballot: Ballot,
         wanted: Arc<State>,
         check: impl FnOnce(&State) -> Result<(), String>,
     ) -> Step {
         let m = &self.memory;
         match m.stand(&promise.change) {
-            Stand::Promised if m.fence(&promise.change) == Some(ballot) => {
-                return Step::Say(Say::Yes)
+            CommitStatus::Prepared if m.fence(&promise.change) == Some(ballot) => {
+                return Step::Respond(CommitResponse::Prepared)
             }
-            Stand::Promised => return no("somebody else applies this plan: ask how it ended"),
-            Stand::Made => return no("this plan was applied here already"),
-            Stand::Dropped => return no("this plan was given up: make it anew"),
-            Stand::Unknown => {}
+            CommitStatus::Prepared => {
+                return no("somebody else applies this plan: ask how it ended")
+            }
+            CommitStatus::Committed => return no("this plan was applied here already"),
+            CommitStatus::Aborted => return no("this plan was given up: make it anew"),
+            CommitStatus::Unknown => {}
         }
         if m.fence(&promise.change).is_some() {
             return no("somebody recovers this change: ask how it ended");
         }
-        if let Some((other, _)) = &m.promise {
+        if let Some((other, _)) = &m.prepared {
             let (change, author) = (other.change.short(), &other.author);
             return no(format!(
                 "another change ({change}, by {author}) is promised and not decided: resume that first"
@@ -207,64 +205,68 @@
         }
         let mut memory = Box::new(m.clone());
         memory.guard(&promise.change, ballot);
-        memory.promise = Some((promise, wanted));
-        Step::Write {
-            memory,
-            then: Say::Yes,
-            switch: false,
+        memory.prepared = Some((promise, wanted));
+        Step::Persist {
+            state: memory,
+            response: CommitResponse::Prepared,
+            applies: false,
         }
     }
 
     fn fence(&self, change: &Digest, ballot: Ballot) -> Step {
         let m = &self.memory;
         let stand = m.stand(change);
-        let then = Say::Stands {
+        let then = CommitResponse::ChangeStatus {
             change: change.clone(),
-            stand,
+            status: stand,
         };
-        if matches!(stand, Stand::Made | Stand::Dropped) {
-            return Step::Say(then);
+        if matches!(stand, CommitStatus::Committed | CommitStatus::Aborted) {
+            return Step::Respond(then);
         }
         if m.fence(change).is_some_and(|has| has >= ballot) {
             return no("somebody else recovers this change with a higher number");
         }
         let mut memory = Box::new(m.clone());
         memory.guard(change, ballot);
-        Step::Write {
-            memory,
-            then,
-            switch: false,
+        Step::Persist {
+            state: memory,
+            response: then,
+            applies: false,
         }
     }
 
     fn decide(&self, change: &Digest, ballot: Ballot, commit: bool) -> Step {
         let m = &self.memory;
-        let stands = |stand| Say::Stands {
+        let stands = |stand| CommitResponse::ChangeStatus {
             change: change.clone(),
-            stand,
+            status: stand,
         };
         match m.stand(change) {
-            ended @ (Stand::Made | Stand::Dropped) => return Step::Say(stands(ended)),
-            Stand::Unknown if commit => return no("nothing was promised here for this change"),
-            Stand::Promised | Stand::Unknown => {}
+            ended @ (CommitStatus::Committed | CommitStatus::Aborted) => {
+                return Step::Respond(stands(ended))
+            }
+            CommitStatus::Unknown if commit => {
+                return no("nothing was promised here for this change")
+            }
+            CommitStatus::Prepared | CommitStatus::Unknown => {}
         }
         if m.fence(change).is_some_and(|its| its != ballot) {
             return no("somebody else decides this change: ask how it ended");
         }
         let mut memory = Box::new(m.clone());
         memory.end(change, commit);
-        if let Some((promise, state)) = m.promise.clone().filter(|_| commit) {
+        if let Some((promise, state)) = m.prepared.clone().filter(|_| commit) {
             (memory.enforced, memory.state) = (promise.next, state);
-            return Step::Write {
-                memory,
-                then: stands(Stand::Made),
-                switch: true,
+            return Step::Persist {
+                state: memory,
+                response: stands(CommitStatus::Committed),
+                applies: true,
             };
         }
-        Step::Write {
-            memory,
-            then: stands(Stand::Dropped),
-            switch: false,
+        Step::Persist {
+            state: memory,
+            response: stands(CommitStatus::Aborted),
+            applies: false,
         }
     }
 }
--- a/crates/commit/src/plan.rs
+++ b/crates/commit/src/plan.rs
@@ -1,7 +1,7 @@
 //! A plan: a change that was seen before it happens. It is bound to the generation that each ingress had when it was
 //! made, says what would differ, and carries the whole of what is wanted, under a checksum.
 
-use crate::figures::PlanUse;
+use crate::metrics::PlanUsage;
 use crate::state::{differences, Difference, Digest, Generation, State};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -31,7 +31,8 @@
     /// The key that it comes from.
     pub key: String,
     /// The words.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 /// A change over some ingresses.
@@ -44,7 +45,8 @@
     /// When, in microseconds of Unix time: two plans of the same change are two. And for how many seconds it may be applied.
     pub made_at: u64,
     /// See `made_at`.
-    pub good_for: u64,
+    #[serde(rename = "good_for")]
+    pub valid_for: u64,
     /// The number of the generation that it makes.
     pub generation: u64,
     /// The ingresses, by name.
@@ -108,7 +110,7 @@
 
 /// An ingress that a plan is made for.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct IngressSnapshot {
     /// Its name.
     pub ingress: String,
     /// Its control socket.
@@ -116,20 +118,20 @@
     /// What it enforces.
     pub base: Generation,
     /// All of it.
-    pub has: Arc<State>,
+    pub current: Arc<State>,
     /// What it is to enforce.
     pub wanted: Arc<State>,
     /// What is used there, by the name of the plan.
-    pub used: BTreeMap<String, PlanUse>,
+    pub usage: BTreeMap<String, PlanUsage>,
     /// What is dangerous besides, found by those who know what the state means.
-    pub besides: Vec<Danger>,
+    pub extra_dangers: Vec<Danger>,
 }
 
 impl Plan {
     /// Makes a plan from what each ingress enforces and what each is to enforce; none where nothing would differ.
     pub fn make(
         (author, made_at, good_for): (&str, u64, u64),
-        ingresses: Vec<Seen>,
+        ingresses: Vec<IngressSnapshot>,
     ) -> Option<Plan> {
         let generation = ingresses.iter().map(|i| i.base.number).max().unwrap_or(0) + 1;
         let mut dangers: Vec<Danger> = Vec::new();
@@ -150,10 +152,10 @@
             let list = *known
                 .entry((seen.base.digest.clone(), wanted.clone()))
                 .or_insert_with(|| {
-                    lists.push(differences(&seen.has, &seen.wanted));
+                    lists.push(differences(&seen.current, &seen.wanted));
                     lists.len() - 1
                 });
-            let besides = seen.besides.iter().cloned();
+            let besides = seen.extra_dangers.iter().cloned();
             for danger in lists[list]
                 .iter()
                 .filter_map(|d| danger(d, &seen))
@@ -163,7 +165,7 @@
                     dangers.push(danger);
                 }
             }
-            let Seen {
+            let IngressSnapshot {
                 ingress,
                 control,
                 base,
@@ -186,7 +188,7 @@
             version,
             author,
             made_at,
-            good_for,
+            valid_for: good_for,
             generation,
             targets,
             states,
@@ -198,7 +200,7 @@
     }
 
     /// The same for some of its ingresses alone: another plan, with an identity of its own.
-    pub fn only(&self, keep: impl Fn(&Target) -> bool) -> Plan {
+    pub fn restricted_to(&self, keep: impl Fn(&Target) -> bool) -> Plan {
         let mut plan = self.clone();
         plan.targets.retain(keep);
         plan.states
@@ -222,7 +224,7 @@
     }
 
     /// The file's text.
-    pub fn write(&self) -> String {
+    pub fn to_file_text(&self) -> String {
         let plan = self.text();
         let file = File {
             version: VERSION,
@@ -239,7 +241,7 @@
     /// # Errors
     ///
     /// Where it is no plan, of another version, or altered.
-    pub fn read(text: &str) -> Result<Plan, PlanError> {
+    pub fn from_file_text(text: &str) -> Result<Plan, PlanError> {
         let form = |e: serde_json::Error| PlanError::Form(e.to_string());
         let file: File = serde_json::from_str(text).map_err(form)?;
         if file.version != VERSION {
@@ -256,17 +258,17 @@
     /// # Errors
     ///
     /// Where its time is over.
-    pub fn still_good(&self, now: u64) -> Result<(), PlanError> {
+    pub fn check_validity(&self, now: u64) -> Result<(), PlanError> {
         let age = now.saturating_sub(self.made_at) / 1_000_000;
-        if age > self.good_for {
-            return Err(PlanError::Old(age, self.good_for));
+        if age > self.valid_for {
+            return Err(PlanError::Old(age, self.valid_for));
         }
         Ok(())
     }
 }
 
 /// What is dangerous about one difference at an ingress.
-fn danger(d: &Difference, seen: &Seen) -> Option<Danger> {
+fn danger(d: &Difference, seen: &IngressSnapshot) -> Option<Danger> {
     let number = |v: &Option<String>| v.as_ref().and_then(|v| v.parse::<f64>().ok());
     let (old, new) = (number(&d.old), number(&d.new));
     let lower = matches!((old, new), (Some(old), Some(new)) if new < old);
@@ -274,8 +276,8 @@
     let first = matches!((old, new), (Some(0.0), Some(new)) if new > 0.0);
     let last = d.key.rsplit('.').next().unwrap_or("");
     let used = d.key.strip_suffix(last).and_then(|list| {
-        let name = seen.has.0.get(&format!("{list}name"))?;
-        seen.used.get(name).map(|u| (name.as_str(), *u))
+        let name = seen.current.0.get(&format!("{list}name"))?;
+        seen.usage.get(name).map(|u| (name.as_str(), *u))
     });
     let tightens = (lower && new != Some(0.0)) || first;
     let what = match (last, used) {
@@ -283,12 +285,12 @@
             "a customer on {name} uses {:.1} units a second right now, more than the new quota: it is refused at once",
             u.rate
         ),
-        ("never_over_rate", Some((name, u))) if tightens && (u.rate > new.unwrap_or(0.0) || u.open > 0) => format!(
+        ("never_over_rate", Some((name, u))) if tightens && (u.rate > new.unwrap_or(0.0) || u.open_attempts > 0) => format!(
             "a ceiling is lowered while customers on {name} use up to {:.1} units a second, with up to {} attempts out",
-            u.rate, u.open
+            u.rate, u.open_attempts
         ),
-        ("max_out", Some((name, u))) if tightens && f64::from(u.open) > new.unwrap_or(0.0) => {
-            format!("a cap is lowered, and a customer on {name} has {} attempts out right now", u.open)
+        ("max_out", Some((name, u))) if tightens && f64::from(u.open_attempts) > new.unwrap_or(0.0) => {
+            format!("a cap is lowered, and a customer on {name} has {} attempts out right now", u.open_attempts)
         }
         ("quota_rate" | "burst", _) if tightens => "a quota is lowered: customers above it are refused".into(),
         ("never_over_rate" | "ceiling_burst", _) if tightens => "a ceiling is lowered".into(),
@@ -311,13 +313,13 @@
     };
     Some(Danger {
         key: d.key.clone(),
-        what,
+        description: what,
     })
 }
 
 #[cfg(test)]
 mod tests {
-    use super::{Arc, BTreeMap, Generation, Plan, PlanError, PlanUse, Seen, State};
+    use super::{Arc, BTreeMap, Generation, IngressSnapshot, Plan, PlanError, PlanUsage, State};
 
     fn state(pairs: &[(&str, &str)]) -> State {
         State(
@@ -345,10 +347,10 @@
             };
             let used = [(
                 "starter".to_string(),
-                PlanUse {
+                PlanUsage {
                     customers: 1,
                     rate: 6.5,
-                    open: 2,
+                    open_attempts: 2,
                 },
             )]
             .into();
@@ -357,14 +359,14 @@
                 Arc::new(wanted.clone()),
                 format!("/run/{name}"),
             );
-            Seen {
+            IngressSnapshot {
                 ingress: name.into(),
                 control,
                 base,
-                has,
+                current: has,
                 wanted,
-                used,
-                besides: Vec::new(),
+                usage: used,
+                extra_dangers: Vec::new(),
             }
         };
         Plan::make(("ann", 1_000, 600), vec![of("n0", 4), of("n1", 6)]).unwrap()
@@ -389,7 +391,7 @@
         let words: Vec<&str> = p
             .dangers
             .iter()
-            .map(|d| d.what.split(':').next().unwrap())
+            .map(|d| d.description.split(':').next().unwrap())
             .collect();
         let uses =
             "a customer on starter uses 6.5 units a second right now, more than the new quota";
@@ -403,14 +405,14 @@
             number: 1,
             digest: same.digest(),
         };
-        let seen = Seen {
+        let seen = IngressSnapshot {
             ingress: "n0".into(),
             control: "/run/n0".into(),
             base,
-            has: Arc::new(same.clone()),
+            current: Arc::new(same.clone()),
             wanted: Arc::new(same),
-            used: BTreeMap::new(),
-            besides: Vec::new(),
+            usage: BTreeMap::new(),
+            extra_dangers: Vec::new(),
         };
         assert_eq!(Plan::make(("ann", 0, 1), vec![seen]), None);
     }
@@ -422,62 +424,65 @@
             ("contracts.0.name", "starter"),
             ("contracts.0.max_out", "0"),
         ]);
-        let seen = Seen {
+        let seen = IngressSnapshot {
             ingress: "n0".into(),
             control: "/run/n0".into(),
             base: Generation {
                 number: 1,
                 digest: base.digest(),
             },
-            has: Arc::new(base.clone()),
+            current: Arc::new(base.clone()),
             wanted: Arc::new(state(&[
                 ("contracts.0.name", "starter"),
                 ("contracts.0.max_out", "2"),
             ])),
-            used: [(
+            usage: [(
                 "starter".to_string(),
-                PlanUse {
+                PlanUsage {
                     customers: 1,
                     rate: 1.0,
-                    open: 5,
+                    open_attempts: 5,
                 },
             )]
             .into(),
-            besides: Vec::new(),
+            extra_dangers: Vec::new(),
         };
         let p = Plan::make(("ann", 0, 1), vec![seen]).unwrap();
         assert!(
-            p.dangers[0].what.contains("5 attempts out"),
+            p.dangers[0].description.contains("5 attempts out"),
             "{:?}",
             p.dangers
         );
-        let part = plan().only(|t| t.ingress == "n1");
+        let part = plan().restricted_to(|t| t.ingress == "n1");
         assert!(part.id() != plan().id() && part.targets.len() == 1 && part.states.len() == 1);
     }
 
     #[test]
     fn a_file_that_was_altered_is_of_another_version_or_is_old_is_refused() {
-        let text = plan().write();
-        assert_eq!(Plan::read(&text).unwrap(), plan());
-        assert_eq!(Plan::read(&text).unwrap().id(), plan().id());
+        let text = plan().to_file_text();
+        assert_eq!(Plan::from_file_text(&text).unwrap(), plan());
+        assert_eq!(Plan::from_file_text(&text).unwrap().id(), plan().id());
         for (from, to) in [
             ("\\\"new\\\":\\\"4\\\"", "\\\"new\\\":\\\"9\\\""),
             ("ann", "bob"),
             ("n1", "n2"),
         ] {
             assert!(text.contains(from), "{from} in {text}");
-            assert_eq!(Plan::read(&text.replace(from, to)), Err(PlanError::Altered));
+            assert_eq!(
+                Plan::from_file_text(&text.replace(from, to)),
+                Err(PlanError::Altered)
+            );
         }
         let newer = text.replacen("\"version\":1", "\"version\":2", 1);
-        assert_eq!(Plan::read(&newer), Err(PlanError::Version(2)));
+        assert_eq!(Plan::from_file_text(&newer), Err(PlanError::Version(2)));
         for cut in 0..text.len() - 1 {
             if text.is_char_boundary(cut) {
-                assert!(Plan::read(&text[..cut]).is_err(), "cut at {cut}");
+                assert!(Plan::from_file_text(&text[..cut]).is_err(), "cut at {cut}");
             }
         }
-        assert_eq!(plan().still_good(600_001_000), Ok(()));
+        assert_eq!(plan().check_validity(600_001_000), Ok(()));
         assert_eq!(
-            plan().still_good(601_001_000),
+            plan().check_validity(601_001_000),
             Err(PlanError::Old(601, 600))
         );
     }
--- a/crates/commit/src/protocol.rs
+++ b/crates/commit/src/protocol.rs
@@ -1,200 +1,247 @@
-//! The messages between an applier and an ingress: one JSON object a line, with the version first. What is unknown in a
-//! message of the same version is skipped; a message of another version is refused with the versions that are known.
+//! Messages of the commit protocol between a coordinator and an ingress: one JSON object a line, with the protocol's version
+//! first.
+//!
+//! Keys that are unknown in a message of a known version are skipped; a message of another version is rejected. Field and
+//! variant names are part of the wire format: a name that differs from the Rust one is given by `serde(rename)`.
 
-use crate::figures::Figures;
-use crate::participant::Promise;
+use crate::metrics::IngressMetrics;
 use crate::state::{Digest, Generation, State};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The protocol's version. Since 2 members of a group ask each other as well (`wrenfork-consensus`); what was asked and said in 1
-/// is the same in 2.
+/// Version of the protocol. Since version 2 members of a group exchange messages as well (`wrenfork-consensus`); the messages
+/// of version 1 are the same in version 2.
 pub const VERSION: u32 = 2;
-/// The oldest version that is understood here.
-pub const OLDEST: u32 = 1;
+/// Oldest version that is understood.
+pub const OLDEST_VERSION: u32 = 1;
 
-/// Who may decide: each applier has a number of its own, and one that recovers a higher one than all before it. The time
-/// of its start is a good choice.
+/// Identifies who may decide a change. Each coordinator has a ballot of its own, and one that recovers a change a higher
+/// one than all before it; the time of its start is a good choice.
 pub type Ballot = u64;
 
-/// What is asked of an ingress.
+/// A vote to make one change, if the coordinator so decides.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct PreparedVote {
+    /// The change: the identity of its plan.
+    pub change: Digest,
+    /// What must be enforced before it.
+    pub base: Generation,
+    /// What is enforced after it.
+    pub next: Generation,
+    /// Who made the change.
+    pub author: String,
+    /// Names of all participants of the change, this one among them.
+    pub members: Vec<String>,
+}
+
+/// A request to an ingress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
-pub enum Ask {
-    /// What it enforces and has promised.
+pub enum CommitRequest {
+    /// Asks what it enforces and has prepared.
     Status,
-    /// To take a change aside, check it, and promise to make the switch.
+    /// Phase 1 of two-phase commit: validate a change, store it, and vote to make it.
     Prepare {
-        /// The change.
-        promise: Promise,
-        /// Of whoever asks.
+        /// The vote that is asked for.
+        #[serde(rename = "promise")]
+        vote: PreparedVote,
+        /// Ballot of the coordinator.
         ballot: Ballot,
-        /// What it is to enforce.
-        wanted: Arc<State>,
+        /// What the ingress is to enforce.
+        #[serde(rename = "wanted")]
+        state: Arc<State>,
     },
-    /// To decide nothing of a change for anybody with a lower number, and to say how it stands there.
+    /// Accept decisions on a change from no lower ballot any more, and report its status.
     Fence {
         /// The change.
         change: Digest,
-        /// The number.
+        /// Ballot of the recovering coordinator.
         ballot: Ballot,
     },
-    /// To make the switch, or to forget the change.
+    /// Phase 2 of two-phase commit: make the change or discard it.
     Decide {
         /// The change.
         change: Digest,
-        /// Of whoever decides.
+        /// Ballot of the coordinator.
         ballot: Ballot,
-        /// Make the switch.
+        /// Whether the change is made.
         commit: bool,
     },
-    /// What it enforced under a number before.
-    Recall {
-        /// The number.
+    /// Asks what was enforced under an earlier generation.
+    #[serde(rename = "recall")]
+    FetchGeneration {
+        /// Number of the generation.
         generation: u64,
     },
-    /// What was planned, promised, made, given up and refused there, the last of it.
+    /// Asks for the latest audit records.
     History {
-        /// How many records at the most.
-        most: usize,
+        /// Maximum number of records.
+        #[serde(rename = "most")]
+        limit: usize,
     },
-    /// To keep a record of what somebody did: a plan, an apply, a rollback.
-    Note {
-        /// What.
-        record: Record,
+    /// Stores an audit record.
+    #[serde(rename = "note")]
+    AppendRecord {
+        /// The record.
+        record: AuditRecord,
     },
 }
 
-/// A record of what happened.
+/// A record of the audit log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
-    /// When, in seconds of Unix time; the ingress's clock.
+pub struct AuditRecord {
+    /// Unix time by the ingress's clock, in seconds.
     #[serde(default)]
     pub at: u64,
-    /// What: `planned`, `promised`, `made`, `given up`, `refused`, `started`.
-    pub what: String,
-    /// Who.
+    /// Kind of event: `planned`, `promised`, `made`, `given up`, `refused`, `started`.
+    #[serde(rename = "what")]
+    pub event: String,
+    /// Who caused it.
     pub author: String,
-    /// The change, where there is one.
+    /// The change, if there is one.
     pub change: Digest,
-    /// The generation that it makes.
+    /// Number of the generation the change makes.
     pub generation: u64,
-    /// In words.
-    pub why: String,
+    /// Description for people.
+    #[serde(rename = "why")]
+    pub detail: String,
 }
 
-/// How a change stands at an ingress.
+/// Status of a change at an ingress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Stand {
+pub enum CommitStatus {
     /// Nothing is known of it.
     Unknown,
-    /// It is promised.
-    Promised,
-    /// The switch was made.
-    Made,
-    /// It was given up.
-    Dropped,
+    /// The ingress has voted for it.
+    #[serde(rename = "promised")]
+    Prepared,
+    /// The change was made.
+    #[serde(rename = "made")]
+    Committed,
+    /// The change was discarded.
+    #[serde(rename = "dropped")]
+    Aborted,
 }
 
-/// An ingress's answer. One lives for as long as its connection is written to, so that the large one is not boxed.
+/// An ingress's response.
+///
+/// A response lives only until it is written to its connection, so the large variant is not boxed.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "kebab-case")]
-pub enum Say {
-    /// What it enforces.
+pub enum CommitResponse {
+    /// To [`CommitRequest::Status`].
     Status {
-        /// Its name.
+        /// Name of the ingress.
         ingress: String,
-        /// Number and digest.
+        /// Generation that is enforced.
         generation: Generation,
-        /// All of it.
+        /// Its state.
         state: Arc<State>,
-        /// What it has promised.
-        promise: Option<Promise>,
-        /// What is used there, and how it goes.
-        figures: Figures,
+        /// What the ingress has voted for and is not decided.
+        #[serde(rename = "promise")]
+        prepared: Option<PreparedVote>,
+        /// Metrics of the ingress.
+        #[serde(rename = "figures")]
+        metrics: IngressMetrics,
     },
-    /// It promises.
-    Yes,
-    /// It does not, or can't do what was asked; nothing has changed.
-    No {
-        /// Why, in plain words.
-        why: String,
+    /// The ingress votes for the change.
+    #[serde(rename = "yes")]
+    Prepared,
+    /// The request is rejected; nothing has changed.
+    #[serde(rename = "no")]
+    Rejected {
+        /// Why, for people.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    /// What was asked can't be kept there right now, by the disk for one; nothing has changed, and it may be asked again.
-    Unable {
-        /// Why, in plain words.
-        why: String,
+    /// The request can't be carried out now, for example because of the disk; nothing has changed and it may be retried.
+    #[serde(rename = "unable")]
+    Unavailable {
+        /// Why, for people.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    /// How a change stands there.
-    Stands {
+    /// To [`CommitRequest::Fence`] and [`CommitRequest::Decide`].
+    #[serde(rename = "stands")]
+    ChangeStatus {
         /// The change.
         change: Digest,
-        /// How.
-        stand: Stand,
+        /// Its status.
+        #[serde(rename = "stand")]
+        status: CommitStatus,
     },
-    /// What it enforced under a number.
-    Was {
-        /// Number and digest.
+    /// To [`CommitRequest::FetchGeneration`].
+    #[serde(rename = "was")]
+    PastGeneration {
+        /// The generation.
         generation: Generation,
-        /// All of it.
+        /// Its state.
         state: Arc<State>,
     },
-    /// Records, the oldest first.
+    /// To [`CommitRequest::History`].
     Records {
-        /// They.
-        records: Vec<Record>,
+        /// The records, oldest first.
+        records: Vec<AuditRecord>,
     },
-    /// A record is kept.
-    Noted,
+    /// The audit record is stored.
+    #[serde(rename = "noted")]
+    Recorded,
 }
 
+/// A message with the protocol's version, as it is sent.
 #[derive(Serialize, Deserialize)]
-struct Line<T> {
+struct VersionedMessage<T> {
     v: u32,
     #[serde(flatten)]
-    what: T,
+    message: T,
 }
 
-/// A message as a line.
-pub fn line<T: Serialize>(what: &T) -> String {
-    let mut text = serde_json::to_string(&Line { v: VERSION, what }).unwrap_or_default();
+/// Encodes a message as a line, with its newline.
+pub fn encode_line<T: Serialize>(message: &T) -> String {
+    let versioned = VersionedMessage {
+        v: VERSION,
+        message,
+    };
+    let mut text = serde_json::to_string(&versioned).unwrap_or_default();
     text.push('\n');
     text
 }
 
-/// Reads a line.
+/// Decodes a line.
 ///
 /// # Errors
 ///
-/// In plain words: another version, or no message of this one.
-pub fn read<T: for<'a> Deserialize<'a>>(text: &str) -> Result<T, String> {
+/// If the line has another version, or is no message of this protocol.
+pub fn decode_line<T: for<'a> Deserialize<'a>>(text: &str) -> Result<T, String> {
     #[derive(Deserialize)]
     struct Version {
         v: u32,
     }
     let version: Version =
         serde_json::from_str(text).map_err(|e| format!("no message of this protocol: {e}"))?;
-    if !(OLDEST..=VERSION).contains(&version.v) {
+    if !(OLDEST_VERSION..=VERSION).contains(&version.v) {
         let v = version.v;
         return Err(format!(
-            "the message is of version {v}, and versions {OLDEST} to {VERSION} are spoken here"
+            "the message is of version {v}, and versions {OLDEST_VERSION} to {VERSION} are spoken here"
         ));
     }
-    let line: Line<T> = serde_json::from_str(text).map_err(|e| format!("not understood: {e}"))?;
-    Ok(line.what)
+    let versioned: VersionedMessage<T> =
+        serde_json::from_str(text).map_err(|e| format!("not understood: {e}"))?;
+    Ok(versioned.message)
 }
 
 #[cfg(test)]
 mod tests {
     use super::{
-        line, read, Arc, Ask, Digest, Figures, Generation, Promise, Record, Say, Stand, State,
+        decode_line, encode_line, Arc, AuditRecord, CommitRequest, CommitResponse, CommitStatus,
+        Digest, Generation, IngressMetrics, PreparedVote, State,
     };
 
     #[test]
     fn messages_survive_the_way_and_what_is_none_is_told() {
-        let promise = Promise {
+        let promise = PreparedVote {
             change: Digest("ab".into()),
             base: Generation {
                 number: 3,
@@ -209,81 +256,86 @@
         };
         let wanted = Arc::new(State([("a.b".to_string(), "1".to_string())].into()));
         let asks = [
-            Ask::Status,
-            Ask::Prepare {
-                promise: promise.clone(),
+            CommitRequest::Status,
+            CommitRequest::Prepare {
+                vote: promise.clone(),
                 ballot: 5,
-                wanted: wanted.clone(),
+                state: wanted.clone(),
             },
-            Ask::Fence {
+            CommitRequest::Fence {
                 change: Digest("ab".into()),
                 ballot: 7,
             },
-            Ask::Decide {
+            CommitRequest::Decide {
                 change: Digest("ab".into()),
                 ballot: 0,
                 commit: true,
             },
-            Ask::Recall { generation: 3 },
-            Ask::History { most: 7 },
-            Ask::Note {
-                record: Record::default(),
+            CommitRequest::FetchGeneration { generation: 3 },
+            CommitRequest::History { limit: 7 },
+            CommitRequest::AppendRecord {
+                record: AuditRecord::default(),
             },
         ];
         for ask in asks {
-            let text = line(&ask);
+            let text = encode_line(&ask);
             assert_eq!(text.matches('\n').count(), 1, "one line: {text}");
-            assert_eq!(read::<Ask>(&text), Ok(ask));
+            assert_eq!(decode_line::<CommitRequest>(&text), Ok(ask));
         }
         let says = [
-            Say::Yes,
-            Say::No {
-                why: "moved".into(),
+            CommitResponse::Prepared,
+            CommitResponse::Rejected {
+                reason: "moved".into(),
             },
-            Say::Unable {
-                why: "the disk is full".into(),
+            CommitResponse::Unavailable {
+                reason: "the disk is full".into(),
             },
-            Say::Stands {
+            CommitResponse::ChangeStatus {
                 change: Digest("ab".into()),
-                stand: Stand::Made,
+                status: CommitStatus::Committed,
             },
-            Say::Status {
+            CommitResponse::Status {
                 ingress: "n0".into(),
                 generation: promise.base.clone(),
                 state: wanted.clone(),
-                promise: Some(promise.clone()),
-                figures: Figures::default(),
+                prepared: Some(promise.clone()),
+                metrics: IngressMetrics::default(),
             },
-            Say::Was {
+            CommitResponse::PastGeneration {
                 generation: promise.base,
                 state: wanted,
             },
-            Say::Records {
-                records: vec![Record {
-                    what: "made".into(),
-                    ..Record::default()
+            CommitResponse::Records {
+                records: vec![AuditRecord {
+                    event: "made".into(),
+                    ..AuditRecord::default()
                 }],
             },
-            Say::Noted,
+            CommitResponse::Recorded,
         ];
         for say in says {
-            assert_eq!(read::<Say>(&line(&say)), Ok(say));
+            assert_eq!(decode_line::<CommitResponse>(&encode_line(&say)), Ok(say));
         }
-        assert!(read::<Ask>("{\"v\":3,\"ask\":\"status\"}")
+        assert!(decode_line::<CommitRequest>("{\"v\":3,\"ask\":\"status\"}")
             .unwrap_err()
             .contains("version 3"));
         assert_eq!(
-            read::<Ask>("{\"v\":1,\"ask\":\"status\"}"),
-            Ok(Ask::Status),
+            decode_line::<CommitRequest>("{\"v\":1,\"ask\":\"status\"}"),
+            Ok(CommitRequest::Status),
             "an older applier"
         );
-        assert!(read::<Ask>("{\"v\":1,\"ask\":\"explode\"}")
-            .unwrap_err()
-            .contains("not understood"));
         assert!(
-            read::<Ask>("{\"v\":1,\"ask\":\"status\",\"later\":3}").is_ok(),
+            decode_line::<CommitRequest>("{\"v\":1,\"ask\":\"explode\"}")
+                .unwrap_err()
+                .contains("not understood")
+        );
+        assert!(
+            decode_line::<CommitRequest>("{\"v\":1,\"ask\":\"status\",\"later\":3}").is_ok(),
             "a key of the future"
         );
-        assert!(read::<Ask>("garbage").is_err() && read::<Ask>("").is_err());
+        assert!(
+            decode_line::<CommitRequest>("garbage").is_err()
+                && decode_line::<CommitRequest>("").is_err()
+        );
     }
 }
--- a/crates/commit/tests/golden.rs
+++ b/crates/commit/tests/golden.rs
@@ -8,10 +8,12 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 use std::sync::Arc;
-use wrenfork_commit::figures::{Figures, NodeSeen, PlanUse};
-use wrenfork_commit::participant::{Memory, Promise};
-use wrenfork_commit::plan::{Danger, Plan, Seen};
-use wrenfork_commit::protocol::{self, Ask, Record, Say, Stand};
+use wrenfork_commit::metrics::{IngressMetrics, ObservedNode, PlanUsage};
+use wrenfork_commit::participant::ParticipantState;
+use wrenfork_commit::plan::{Danger, IngressSnapshot, Plan};
+use wrenfork_commit::protocol::{
+    self, AuditRecord, CommitRequest, CommitResponse, CommitStatus, PreparedVote,
+};
 use wrenfork_commit::state::{differences, Difference, Digest, Generation, State};
 
 fn path(name: &str) -> PathBuf {
@@ -46,8 +48,8 @@
     }
 }
 
-fn promise() -> Promise {
-    Promise {
+fn promise() -> PreparedVote {
+    PreparedVote {
         change: Digest::of(b"change"),
         base: generation(3, "8"),
         next: generation(4, "4"),
@@ -56,117 +58,122 @@
     }
 }
 
-fn figures() -> Figures {
-    let used = PlanUse {
+fn figures() -> IngressMetrics {
+    let used = PlanUsage {
         customers: 2,
         rate: 6.5,
-        open: 3,
+        open_attempts: 3,
     };
-    let node = |name: &str, rests: &[&str]| NodeSeen {
+    let node = |name: &str, rests: &[&str]| ObservedNode {
         name: name.into(),
-        hall: "hall-1".into(),
+        zone_group: "hall-1".into(),
         model: "m2".into(),
         group: 9,
-        takes: rests.is_empty(),
-        rests: rests.iter().map(|r| r.to_string()).collect(),
+        accepting: rests.is_empty(),
+        ejected_for: rests.iter().map(|r| r.to_string()).collect(),
     };
-    Figures {
-        taken: 10,
+    IngressMetrics {
+        received: 10,
         served: 7,
-        refused: 2,
+        rejected: 2,
         failed: 1,
         plans: [("starter".to_string(), used)].into(),
         nodes: vec![node("node-a", &[]), node("node-b", &["chat", "batch"])],
     }
 }
 
-fn record() -> Record {
-    Record {
+fn record() -> AuditRecord {
+    AuditRecord {
         at: 1_700_000_000,
-        what: "given up".into(),
+        event: "given up".into(),
         author: "ann".into(),
         change: Digest::of(b"change"),
         generation: 4,
-        why: "n1: the disk is full".into(),
+        detail: "n1: the disk is full".into(),
     }
 }
 
-fn asks() -> Vec<Ask> {
+fn asks() -> Vec<CommitRequest> {
     let change = Digest::of(b"change");
     vec![
-        Ask::Status,
-        Ask::Prepare {
-            promise: promise(),
+        CommitRequest::Status,
+        CommitRequest::Prepare {
+            vote: promise(),
             ballot: u64::MAX,
-            wanted: state("4"),
+            state: state("4"),
         },
-        Ask::Fence {
+        CommitRequest::Fence {
             change: change.clone(),
             ballot: 7,
         },
-        Ask::Decide {
+        CommitRequest::Decide {
             change: change.clone(),
             ballot: 0,
             commit: true,
         },
-        Ask::Decide {
+        CommitRequest::Decide {
             change,
             ballot: 1,
             commit: false,
         },
-        Ask::Recall { generation: 3 },
-        Ask::History { most: 7 },
-        Ask::Note { record: record() },
-        Ask::Note {
-            record: Record::default(),
+        CommitRequest::FetchGeneration { generation: 3 },
+        CommitRequest::History { limit: 7 },
+        CommitRequest::AppendRecord { record: record() },
+        CommitRequest::AppendRecord {
+            record: AuditRecord::default(),
         },
     ]
 }
 
-fn says() -> Vec<Say> {
-    let stands =
-        [Stand::Unknown, Stand::Promised, Stand::Made, Stand::Dropped].map(|stand| Say::Stands {
-            change: Digest::of(b"change"),
-            stand,
-        });
-    let status = |promise: Option<Promise>, figures| Say::Status {
+fn says() -> Vec<CommitResponse> {
+    let stands = [
+        CommitStatus::Unknown,
+        CommitStatus::Prepared,
+        CommitStatus::Committed,
+        CommitStatus::Aborted,
+    ]
+    .map(|stand| CommitResponse::ChangeStatus {
+        change: Digest::of(b"change"),
+        status: stand,
+    });
+    let status = |promise: Option<PreparedVote>, figures| CommitResponse::Status {
         ingress: "n0".into(),
         generation: generation(3, "8"),
         state: state("8"),
-        promise,
-        figures,
+        prepared: promise,
+        metrics: figures,
     };
     let mut says = vec![
         status(Some(promise()), figures()),
-        status(None, Figures::default()),
-        Say::Yes,
-        Say::No {
-            why: "it has \"moved\"".into(),
+        status(None, IngressMetrics::default()),
+        CommitResponse::Prepared,
+        CommitResponse::Rejected {
+            reason: "it has \"moved\"".into(),
         },
-        Say::Unable {
-            why: "the disk is full".into(),
+        CommitResponse::Unavailable {
+            reason: "the disk is full".into(),
         },
-        Say::Was {
+        CommitResponse::PastGeneration {
             generation: generation(2, "9"),
             state: state("9"),
         },
-        Say::Records {
-            records: vec![record(), Record::default()],
+        CommitResponse::Records {
+            records: vec![record(), AuditRecord::default()],
         },
-        Say::Noted,
+        CommitResponse::Recorded,
     ];
     says.extend(stands);
     says
 }
 
-fn memories() -> Vec<Memory> {
+fn memories() -> Vec<ParticipantState> {
     vec![
-        Memory::default(),
-        Memory::first(1, state("8")),
-        Memory {
+        ParticipantState::default(),
+        ParticipantState::new(1, state("8")),
+        ParticipantState {
             enforced: generation(3, "8"),
             state: state("8"),
-            promise: Some((promise(), state("4"))),
+            prepared: Some((promise(), state("4"))),
             ended: vec![(Digest::of(b"one"), true), (Digest::of(b"two"), false)],
             fences: vec![(Digest::of(b"change"), 5), (Digest::of(b"other"), u64::MAX)],
         },
@@ -174,24 +181,24 @@
 }
 
 fn plan() -> Plan {
-    let seen = |name: &str, number: u64, value: &str| Seen {
+    let seen = |name: &str, number: u64, value: &str| IngressSnapshot {
         ingress: name.into(),
         control: format!("/run/{name}"),
         base: generation(number, value),
-        has: state(value),
+        current: state(value),
         wanted: state("4"),
-        used: [(
+        usage: [(
             "starter \"one\"\n\u{fc}".to_string(),
-            PlanUse {
+            PlanUsage {
                 customers: 1,
                 rate: 6.5,
-                open: 2,
+                open_attempts: 2,
             },
         )]
         .into(),
-        besides: vec![Danger {
+        extra_dangers: vec![Danger {
             key: "sends".into(),
-            what: "found \"besides\"".into(),
+            description: "found \"besides\"".into(),
         }],
     };
     let mut plan = Plan::make(
@@ -206,7 +213,7 @@
 }
 
 fn plans() -> Vec<Plan> {
-    let mut without_groups = plan().only(|target| target.ingress == "n0");
+    let mut without_groups = plan().restricted_to(|target| target.ingress == "n0");
     without_groups.groups.clear();
     vec![plan(), without_groups]
 }
@@ -251,21 +258,27 @@
 fn in_the_oldest(lines: &str) -> String {
     lines.replace(
         &format!("{{\"v\":{},", protocol::VERSION),
-        &format!("{{\"v\":{},", protocol::OLDEST),
+        &format!("{{\"v\":{},", protocol::OLDEST_VERSION),
     )
 }
 
 fn files() -> Vec<(&'static str, String)> {
-    let asks: String = asks().iter().map(protocol::line).collect();
-    let says: String = says().iter().map(protocol::line).collect();
+    let asks: String = asks().iter().map(protocol::encode_line).collect();
+    let says: String = says().iter().map(protocol::encode_line).collect();
     vec![
         ("asks-v1.jsonl", in_the_oldest(&asks)),
         ("asks-v2.jsonl", asks),
         ("says-v1.jsonl", in_the_oldest(&says)),
         ("says-v2.jsonl", says),
         ("memory.jsonl", json(&memories())),
-        ("figures.jsonl", json(&[figures(), Figures::default()])),
-        ("plans.jsonl", plans().iter().map(Plan::write).collect()),
+        (
+            "figures.jsonl",
+            json(&[figures(), IngressMetrics::default()]),
+        ),
+        (
+            "plans.jsonl",
+            plans().iter().map(Plan::to_file_text).collect(),
+        ),
         ("differences.jsonl", json(&all_differences())),
         ("digests.txt", digests()),
     ]
@@ -293,10 +306,14 @@
     let text = golden(name);
     assert_eq!(text.lines().count(), values.len(), "{name}");
     for (golden_line, value) in text.lines().zip(values) {
-        let found: T = protocol::read(golden_line).unwrap();
+        let found: T = protocol::decode_line(golden_line).unwrap();
         assert_eq!(found, *value, "{name}");
         let current = golden_line.replacen("{\"v\":1,", "{\"v\":2,", 1);
-        assert_eq!(protocol::line(&found), format!("{current}\n"), "{name}");
+        assert_eq!(
+            protocol::encode_line(&found),
+            format!("{current}\n"),
+            "{name}"
+        );
     }
 }
 
@@ -326,29 +343,35 @@
 #[test]
 fn golden_records_are_read_and_written_again_to_the_same_bytes() {
     assert_json_round_trips("memory.jsonl", &memories());
-    assert_json_round_trips("figures.jsonl", &[figures(), Figures::default()]);
+    assert_json_round_trips("figures.jsonl", &[figures(), IngressMetrics::default()]);
     assert_json_round_trips("differences.jsonl", &all_differences());
 }
 
 #[test]
 fn golden_plans_are_read_and_written_again_to_the_same_bytes() {
     let text = golden("plans.jsonl");
-    let found: Vec<Plan> = text.lines().map(|line| Plan::read(line).unwrap()).collect();
+    let found: Vec<Plan> = text
+        .lines()
+        .map(|line| Plan::from_file_text(line).unwrap())
+        .collect();
     assert_eq!(found, plans());
-    assert_eq!(found.iter().map(Plan::write).collect::<String>(), text);
+    assert_eq!(
+        found.iter().map(Plan::to_file_text).collect::<String>(),
+        text
+    );
 }
 
 #[test]
 fn figures_and_records_of_an_older_program_that_leaves_fields_out_are_read() {
     assert_eq!(
-        serde_json::from_str::<Figures>("{}").unwrap(),
-        Figures::default()
+        serde_json::from_str::<IngressMetrics>("{}").unwrap(),
+        IngressMetrics::default()
     );
     let node = r#"{"name":"a","hall":"h","model":"m","group":1,"takes":true}"#;
-    let node: NodeSeen = serde_json::from_str(node).unwrap();
-    assert_eq!(node.rests, Vec::<String>::new());
+    let node: ObservedNode = serde_json::from_str(node).unwrap();
+    assert_eq!(node.ejected_for, Vec::<String>::new());
     let record = r#"{"what":"made","author":"ann","change":"c","generation":2,"why":""}"#;
-    assert_eq!(serde_json::from_str::<Record>(record).unwrap().at, 0);
+    assert_eq!(serde_json::from_str::<AuditRecord>(record).unwrap().at, 0);
 }
 
 /// Digests of group states and the lots of rollouts are made over the `Debug` form of a digest.
--- a/crates/commit/tests/model.rs
+++ b/crates/commit/tests/model.rs
@@ -9,10 +9,10 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::OnceLock;
-use wrenfork_commit::applier::{Applier, Phase};
-use wrenfork_commit::participant::{Memory, Participant, Step};
-use wrenfork_commit::plan::{Plan, Seen};
-use wrenfork_commit::protocol::{Ask, Say, Stand};
+use wrenfork_commit::coordinator::{CommitPhase, Coordinator};
+use wrenfork_commit::participant::{Participant, ParticipantState, Step};
+use wrenfork_commit::plan::{IngressSnapshot, Plan};
+use wrenfork_commit::protocol::{CommitRequest, CommitResponse, CommitStatus};
 use wrenfork_commit::state::{Digest, Generation, State};
 
 /// Two where it must be quick; with three it takes 20 s on four cores:
@@ -60,14 +60,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Way {
     Idle,
-    Asked(Ask),
-    Answered(Say),
+    Asked(CommitRequest),
+    Answered(CommitResponse),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Now {
     ingresses: Vec<Participant>,
-    appliers: Vec<Option<Applier>>,
+    appliers: Vec<Option<Coordinator>>,
     ways: Vec<Vec<Way>>,
     crashes: u8,
     /// By change: ingresses that said yes.
@@ -94,7 +94,7 @@
         let mut order: Vec<usize> = (0..self.ingresses.len()).collect();
         order.sort_by_cached_key(|i| {
             let mut hash = DefaultHasher::new();
-            self.ingresses[*i].memory().hash(&mut hash);
+            self.ingresses[*i].state().hash(&mut hash);
             self.ways.iter().for_each(|w| w[*i].hash(&mut hash));
             for member in self
                 .appliers
@@ -102,7 +102,7 @@
                 .flatten()
                 .filter_map(|a| a.members.get(*i))
             {
-                (member.answered, member.stand).hash(&mut hash);
+                (member.answered, member.status).hash(&mut hash);
             }
             self.said_yes
                 .iter()
@@ -112,7 +112,7 @@
         let mut like = self.clone();
         for (to, from) in order.iter().enumerate() {
             like.ingresses[to] =
-                Participant::new(&format!("n{to}"), self.ingresses[*from].memory().clone());
+                Participant::new(&format!("n{to}"), self.ingresses[*from].state().clone());
             for (ways, its) in like.ways.iter_mut().zip(&self.ways) {
                 ways[to] = its[*from].clone();
             }
@@ -154,14 +154,14 @@
             digest: base.digest(),
         };
         let (ingress, control, used) = (format!("n{n}"), String::new(), BTreeMap::new());
-        Seen {
+        IngressSnapshot {
             ingress,
             control,
             base: generation,
-            has: base.clone().into(),
+            current: base.clone().into(),
             wanted: state(value).into(),
-            used,
-            besides: Vec::new(),
+            usage: used,
+            extra_dangers: Vec::new(),
         }
     };
     Plan::make((author, 0, 1), (0..ingresses()).map(of).collect()).unwrap()
@@ -171,28 +171,28 @@
     fn carry(&self, now: &mut Now, a: usize, i: usize, written: bool, answered: bool) {
         let ask = match std::mem::replace(&mut now.ways[a][i], Way::Idle) {
             Way::Asked(ask) => Some(ask),
-            _ => now.appliers[a].as_ref().and_then(|x| x.ask(i)),
+            _ => now.appliers[a].as_ref().and_then(|x| x.next_request(i)),
         };
         let Some(ask) = ask else { return };
         let ask = match ask {
-            Ask::Prepare {
-                mut promise,
+            CommitRequest::Prepare {
+                vote: mut promise,
                 ballot,
-                wanted,
+                state: wanted,
             } if self.variant == Variant::NoGenerationCheck => {
-                promise.base = now.ingresses[i].memory().enforced.clone();
+                promise.base = now.ingresses[i].state().enforced.clone();
                 promise.next.number = promise.base.number + 1;
-                Ask::Prepare {
-                    promise,
+                CommitRequest::Prepare {
+                    vote: promise,
                     ballot,
-                    wanted,
+                    state: wanted,
                 }
             }
-            Ask::Decide { change, commit, .. } if self.variant == Variant::NoFence => {
+            CommitRequest::Decide { change, commit, .. } if self.variant == Variant::NoFence => {
                 // With whatever number would be right.
-                let fences = &now.ingresses[i].memory().fences;
+                let fences = &now.ingresses[i].state().fences;
                 let ballot = fences.iter().find(|f| f.0 == change).map_or(0, |f| f.1);
-                Ask::Decide {
+                CommitRequest::Decide {
                     change,
                     ballot,
                     commit,
@@ -200,29 +200,35 @@
             }
             ask => ask,
         };
-        let change = if let Ask::Prepare { promise, .. } = &ask {
+        let change = if let CommitRequest::Prepare { vote: promise, .. } = &ask {
             promise.change.0.clone()
         } else {
             String::new()
         };
-        let say = match now.ingresses[i].take(ask, |_| Ok(())) {
-            Step::Say(say) => Some(say),
-            Step::Write { memory, then, .. } if written => {
-                now.ingresses[i].written(*memory);
+        let say = match now.ingresses[i].handle(ask, |_| Ok(())) {
+            Step::Respond(say) => Some(say),
+            Step::Persist {
+                state: memory,
+                response: then,
+                ..
+            } if written => {
+                now.ingresses[i].persisted(*memory);
                 Some(then)
             }
-            Step::Write { .. } => None,
+            Step::Persist { .. } => None,
         };
         // Why not is for people: nothing follows from it.
         let say = say.map(|s| {
-            if matches!(s, Say::No { .. }) {
-                Say::No { why: String::new() }
+            if matches!(s, CommitResponse::Rejected { .. }) {
+                CommitResponse::Rejected {
+                    reason: String::new(),
+                }
             } else {
                 s
             }
         });
         if let Some(say) = say.filter(|_| answered) {
-            if say == Say::Yes {
+            if say == CommitResponse::Prepared {
                 *now.said_yes.entry(change).or_default() |= 1 << i;
             }
             now.ways[a][i] = Way::Answered(say);
@@ -230,9 +236,9 @@
             self.lost(now, a, i);
         }
         if !(written && answered) && self.variant == Variant::NoPromiseOnDisk {
-            let m = now.ingresses[i].memory().clone();
-            now.ingresses[i].written(Memory {
-                promise: None,
+            let m = now.ingresses[i].state().clone();
+            now.ingresses[i].persisted(ParticipantState {
+                prepared: None,
                 fences: vec![],
                 ended: vec![],
                 ..m
@@ -248,7 +254,7 @@
                     return None;
                 };
                 if let Some(applier) = &mut now.appliers[a] {
-                    applier.heard(i, Some(say));
+                    applier.handle_response(i, Some(say));
                 }
             }
             Do::Crash(a, i, written) => {
@@ -259,7 +265,7 @@
                 now.crashes -= 1;
                 let ended = now.appliers[a].take()?;
                 for i in 0..ingresses() {
-                    now.ways[a][i] = match ended.ask(i) {
+                    now.ways[a][i] = match ended.next_request(i) {
                         Some(ask) if now.ways[a][i] == Way::Idle => Way::Asked(ask),
                         _ => Way::Idle,
                     };
@@ -272,22 +278,22 @@
     fn lost(&self, now: &mut Now, a: usize, i: usize) {
         now.ways[a][i] = Way::Idle;
         if let Some(applier) = &mut now.appliers[a] {
-            applier.heard(i, None);
+            applier.handle_response(i, None);
         }
     }
 }
 
-fn stand(p: &Participant, change: &Digest) -> Stand {
-    match p.take(
-        Ask::Fence {
+fn stand(p: &Participant, change: &Digest) -> CommitStatus {
+    match p.handle(
+        CommitRequest::Fence {
             change: change.clone(),
             ballot: u64::MAX,
         },
         |_| Ok(()),
     ) {
-        Step::Say(Say::Stands { stand, .. })
-        | Step::Write {
-            then: Say::Stands { stand, .. },
+        Step::Respond(CommitResponse::ChangeStatus { status: stand, .. })
+        | Step::Persist {
+            response: CommitResponse::ChangeStatus { status: stand, .. },
             ..
         } => stand,
         other => panic!("{other:?}"),
@@ -299,16 +305,16 @@
     type Action = Do;
 
     fn init_states(&self) -> Vec<Now> {
-        let first = Applier::begin(&plan("ann", "new"), 1);
+        let first = Coordinator::new(&plan("ann", "new"), 1);
         let second = match self.second {
-            Second::AppliesAnother => Applier::begin(&plan("bob", "other"), 2),
-            Second::AppliesTheSame => Applier::begin(&plan("ann", "new"), 2),
+            Second::AppliesAnother => Coordinator::new(&plan("bob", "other"), 2),
+            Second::AppliesTheSame => Coordinator::new(&plan("ann", "new"), 2),
             Second::Recovers => {
                 let names = (0..ingresses()).map(|n| format!("n{n}")).collect();
-                Applier::recover(plan("ann", "new").id(), names, 3)
+                Coordinator::recover(plan("ann", "new").id(), names, 3)
             }
         };
-        let memory = || Memory::first(1, state("old"));
+        let memory = || ParticipantState::new(1, state("old"));
         vec![Now {
             ingresses: (0..ingresses())
                 .map(|n| Participant::new(&format!("n{n}"), memory()))
@@ -323,7 +329,9 @@
     fn actions(&self, now: &Now, actions: &mut Vec<Do>) {
         for a in 0..now.appliers.len() {
             for i in 0..ingresses() {
-                let asks = now.appliers[a].as_ref().is_some_and(|x| x.ask(i).is_some());
+                let asks = now.appliers[a]
+                    .as_ref()
+                    .is_some_and(|x| x.next_request(i).is_some());
                 let asks = asks || matches!(now.ways[a][i], Way::Asked(_));
                 if matches!(now.ways[a][i], Way::Answered(_)) {
                     actions.push(Do::Hear(a, i));
@@ -348,7 +356,7 @@
         now.appliers
             .iter_mut()
             .flatten()
-            .for_each(|a| a.refused.clear());
+            .for_each(|a| a.rejections.clear());
         Some(now)
     }
 
@@ -358,9 +366,10 @@
                 "no change is made at one ingress and given up at another",
                 |world: &World, now: &Now| {
                     world.plans.iter().all(|p| {
-                        let stands: Vec<Stand> =
+                        let stands: Vec<CommitStatus> =
                             now.ingresses.iter().map(|i| stand(i, p)).collect();
-                        !(stands.contains(&Stand::Made) && stands.contains(&Stand::Dropped))
+                        !(stands.contains(&CommitStatus::Committed)
+                            && stands.contains(&CommitStatus::Aborted))
                     })
                 },
             ),
@@ -369,7 +378,7 @@
                 |_, now: &Now| {
                     let mut by_number: BTreeMap<u64, &Digest> = BTreeMap::new();
                     now.ingresses.iter().all(|i| {
-                        let m = i.memory();
+                        let m = i.state();
                         let whole = known(&m.state) == &m.enforced.digest;
                         whole
                             && *by_number
@@ -386,7 +395,7 @@
                         world
                             .plans
                             .iter()
-                            .filter(|p| stand(i, p) == Stand::Made)
+                            .filter(|p| stand(i, p) == CommitStatus::Committed)
                             .count()
                             < 2
                     })
@@ -395,7 +404,7 @@
             Property::always("a promise is never lost", |world: &World, now: &Now| {
                 world.plans.iter().all(|p| {
                     let yes = now.said_yes.get(&p.0).copied().unwrap_or(0);
-                    let known = |i: usize| stand(&now.ingresses[i], p) != Stand::Unknown;
+                    let known = |i: usize| stand(&now.ingresses[i], p) != CommitStatus::Unknown;
                     (0..ingresses()).all(|i| yes & (1 << i) == 0 || known(i))
                 })
             }),
@@ -403,12 +412,12 @@
                 "an apply that says made is made everywhere",
                 |_, now: &Now| {
                     now.appliers.iter().flatten().all(|a| match a.phase {
-                        Phase::Ended(made) => now.ingresses.iter().all(|i| {
+                        CommitPhase::Ended(made) => now.ingresses.iter().all(|i| {
                             let stand = stand(i, &a.change);
                             if made {
-                                stand == Stand::Made
+                                stand == CommitStatus::Committed
                             } else {
-                                stand != Stand::Made && stand != Stand::Promised
+                                stand != CommitStatus::Committed && stand != CommitStatus::Prepared
                             }
                         }),
                         _ => true,
@@ -416,13 +425,13 @@
                 },
             ),
             Property::sometimes("a change is made", |_, now: &Now| {
-                now.ingresses.iter().all(|i| i.memory().enforced.number > 1)
+                now.ingresses.iter().all(|i| i.state().enforced.number > 1)
             }),
             Property::sometimes("a change is given up", |_, now: &Now| {
                 now.appliers
                     .iter()
                     .flatten()
-                    .any(|a| a.phase == Phase::Ended(false))
+                    .any(|a| a.phase == CommitPhase::Ended(false))
             }),
         ]
     }
--- a/crates/compatibility/src/lib.rs
+++ b/crates/compatibility/src/lib.rs
@@ -32,7 +32,7 @@
     /// # Errors
     ///
     /// Where it is written otherwise.
-    pub fn read(text: &str) -> Result<Program, String> {
+    pub fn parse(text: &str) -> Result<Program, String> {
         let told = text.rsplit_once('@').filter(|(name, sha256)| {
             let hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
             !name.is_empty() && sha256.len() == 64 && sha256.bytes().all(hex)
@@ -50,7 +50,7 @@
     type Error = String;
 
     fn try_from(text: String) -> Result<Program, String> {
-        Program::read(&text)
+        Program::parse(&text)
     }
 }
 
@@ -62,71 +62,72 @@
 
 /// The numbers of one form that a version reads; it writes the newest, or what the other side asks for where that is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Form {
+pub struct VersionRange {
     /// The oldest that it reads.
     pub oldest: u32,
     /// The newest that it reads, and what it writes.
     pub newest: u32,
 }
 
-impl Form {
+impl VersionRange {
     /// Reads and writes from one number to another.
-    pub fn of(oldest: u32, newest: u32) -> Form {
-        Form { oldest, newest }
+    pub fn new(oldest: u32, newest: u32) -> VersionRange {
+        VersionRange { oldest, newest }
     }
 
     /// Whether it reads what another writes.
-    fn reads(self, other: Form) -> bool {
+    fn reads(self, other: VersionRange) -> bool {
         (self.oldest..=self.newest).contains(&other.newest)
     }
 
     /// Whether there is a number that both know.
-    fn shares(self, other: Form) -> bool {
+    fn shares(self, other: VersionRange) -> bool {
         self.oldest.max(other.oldest) <= self.newest.min(other.newest)
     }
 }
 
 /// All that a version says to others and to those that come after it, as `wrenfork --speaks` tells it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Speaks {
+pub struct FormatVersions {
     /// The version, for people.
     pub version: String,
     /// Peers' datagrams: what customers use.
-    pub peers: Form,
+    pub peers: VersionRange,
     /// The lines of control sockets: changes, leases, what members count.
-    pub control: Form,
+    pub control: VersionRange,
     /// What a group decides.
-    pub decrees: Form,
+    #[serde(rename = "decrees")]
+    pub group_states: VersionRange,
     /// The store of what must not be forgotten.
-    pub store: Form,
+    pub store: VersionRange,
     /// The state that passes from one process to the next.
-    pub handover: Form,
+    pub handover: VersionRange,
 }
 
 /// What comes of two versions side by side.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct CompatibilityReport {
     /// Why a rollout from the one to the other must not begin.
-    pub refused: Vec<String>,
+    pub incompatible: Vec<String>,
     /// What is lost at each change of a process.
-    pub lost: Vec<String>,
+    pub degraded: Vec<String>,
 }
 
 /// Whether two versions may be in service at the same time, and whether the old one can follow the new one again.
-pub fn compare(old: &Speaks, new: &Speaks) -> Report {
-    let mut report = Report::default();
+pub fn check_compatibility(old: &FormatVersions, new: &FormatVersions) -> CompatibilityReport {
+    let mut report = CompatibilityReport::default();
     // These are heard by both sides for as long as both serve.
     for (what, a, b) in [
         ("peers' messages", old.peers, new.peers),
         ("control lines", old.control, new.control),
-        ("decrees", old.decrees, new.decrees),
+        ("decrees", old.group_states, new.group_states),
     ] {
         for (from, to, writes, reads) in [
             (&old.version, &new.version, a, b),
             (&new.version, &old.version, b, a),
         ] {
             if !reads.reads(writes) {
-                report.refused.push(format!(
+                report.incompatible.push(format!(
                     "{what}: {from} writes {}, and {to} reads {} to {}",
                     writes.newest, reads.oldest, reads.newest
                 ));
@@ -134,19 +135,19 @@
         }
     }
     if !new.store.reads(old.store) {
-        report.refused.push(format!(
+        report.incompatible.push(format!(
             "the store: {} can't read what {} keeps ({})",
             new.version, old.version, old.store.newest
         ));
     }
     if !old.store.reads(new.store) {
-        report.refused.push(format!(
+        report.incompatible.push(format!(
             "the store: it could not be taken back, since {} can't read what {} keeps ({})",
             old.version, new.version, new.store.newest
         ));
     }
     if !old.handover.shares(new.handover) {
-        report.lost.push(format!(
+        report.degraded.push(format!(
             "the handover: {} writes states up to {}, {} reads from {}: each process begins anew, what is open when the old one \
              ends is answered first, and its connections end",
             old.version, old.handover.newest, new.version, new.handover.oldest
@@ -157,17 +158,17 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{compare, Form, Program, Report, Speaks};
+    use super::{check_compatibility, CompatibilityReport, FormatVersions, Program, VersionRange};
     use proptest::prelude::{prop_assert_eq, proptest};
     use proptest::test_runner::{Config, RngSeed};
 
-    fn speaks(version: &str) -> Speaks {
-        let form = Form::of(2, 3);
-        Speaks {
+    fn speaks(version: &str) -> FormatVersions {
+        let form = VersionRange::new(2, 3);
+        FormatVersions {
             version: version.into(),
             peers: form,
             control: form,
-            decrees: form,
+            group_states: form,
             store: form,
             handover: form,
         }
@@ -176,8 +177,8 @@
     #[test]
     fn a_program_is_known_by_its_file() {
         let hex = "ab".repeat(32);
-        let one = Program::read(&format!("r-1@{hex}")).unwrap();
-        assert_eq!(one, Program::read(&format!("other@{hex}")).unwrap());
+        let one = Program::parse(&format!("r-1@{hex}")).unwrap();
+        assert_eq!(one, Program::parse(&format!("other@{hex}")).unwrap());
         assert_eq!(one.to_string(), format!("r-1@{hex}"));
         assert_eq!(
             serde_json::from_str::<Program>(&serde_json::to_string(&one).unwrap()).unwrap(),
@@ -192,7 +193,7 @@
             &format!("r@{}G", &hex[1..]),
         ] {
             assert!(
-                Program::read(bad).unwrap_err().contains("NAME@SHA256"),
+                Program::parse(bad).unwrap_err().contains("NAME@SHA256"),
                 "{bad}"
             );
         }
@@ -201,31 +202,42 @@
     #[test]
     fn what_could_not_be_taken_back_is_refused_and_what_is_lost_is_told() {
         let old = speaks("r-1");
-        assert_eq!(compare(&old, &speaks("r-2")), Report::default());
-        let found = |change: &dyn Fn(&mut Speaks)| {
+        assert_eq!(
+            check_compatibility(&old, &speaks("r-2")),
+            CompatibilityReport::default()
+        );
+        let found = |change: &dyn Fn(&mut FormatVersions)| {
             let mut new = speaks("r-2");
             change(&mut new);
-            compare(&old, &new)
+            check_compatibility(&old, &new)
         };
-        let newer = Form::of(3, 4);
+        let newer = VersionRange::new(3, 4);
         let store = found(&|s| s.store = newer);
-        assert_eq!(store.refused.len(), 1);
+        assert_eq!(store.incompatible.len(), 1);
         assert!(
-            store.refused[0].contains("could not be taken back"),
+            store.incompatible[0].contains("could not be taken back"),
             "{store:?}"
         );
         let peers = found(&|s| s.peers = newer);
         assert_eq!(
-            peers.refused,
+            peers.incompatible,
             ["peers' messages: r-2 writes 4, and r-1 reads 2 to 3"]
         );
-        assert_eq!(found(&|s| s.control = Form::of(4, 4)).refused.len(), 2);
-        assert_eq!(found(&|s| s.decrees = newer).refused.len(), 1);
+        assert_eq!(
+            found(&|s| s.control = VersionRange::new(4, 4))
+                .incompatible
+                .len(),
+            2
+        );
+        assert_eq!(found(&|s| s.group_states = newer).incompatible.len(), 1);
         // A state is written as it is asked for: neighbours hand over, others begin anew.
-        assert_eq!(found(&|s| s.handover = newer), Report::default());
-        let lost = found(&|s| s.handover = Form::of(4, 5));
+        assert_eq!(
+            found(&|s| s.handover = newer),
+            CompatibilityReport::default()
+        );
+        let lost = found(&|s| s.handover = VersionRange::new(4, 5));
         assert!(
-            lost.refused.is_empty() && lost.lost[0].contains("begins anew"),
+            lost.incompatible.is_empty() && lost.degraded[0].contains("begins anew"),
             "{lost:?}"
         );
     }
@@ -236,14 +248,14 @@
         /// Guards against a rollout that goes one way alone: where it may begin, its way back may as well.
         #[test]
         fn whoever_may_go_may_go_back(forms in proptest::collection::vec((1u32..5, 0u32..4), 10)) {
-            let form = |n: usize| Form::of(forms[n].0, forms[n].0 + forms[n].1);
-            let of = |at: usize| Speaks {
-                version: "r".into(), peers: form(at), control: form(at + 1), decrees: form(at + 2),
+            let form = |n: usize| VersionRange::new(forms[n].0, forms[n].0 + forms[n].1);
+            let of = |at: usize| FormatVersions {
+                version: "r".into(), peers: form(at), control: form(at + 1), group_states: form(at + 2),
                 store: form(at + 3), handover: form(at + 4),
             };
-            let (there, back) = (compare(&of(0), &of(5)), compare(&of(5), &of(0)));
-            prop_assert_eq!(there.refused.is_empty(), back.refused.is_empty());
-            prop_assert_eq!(there.lost.is_empty(), back.lost.is_empty());
+            let (there, back) = (check_compatibility(&of(0), &of(5)), check_compatibility(&of(5), &of(0)));
+            prop_assert_eq!(there.incompatible.is_empty(), back.incompatible.is_empty());
+            prop_assert_eq!(there.degraded.is_empty(), back.degraded.is_empty());
         }
     }
 }
--- a/crates/compatibility/tests/golden.rs
+++ b/crates/compatibility/tests/golden.rs
@@ -5,7 +5,7 @@
 //! `cargo test -p wrenfork-compatibility --test golden -- --ignored write_golden_files`
 
 use std::path::PathBuf;
-use wrenfork_compatibility::{compare, Form, Program, Speaks};
+use wrenfork_compatibility::{check_compatibility, FormatVersions, Program, VersionRange};
 
 fn path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
@@ -17,21 +17,21 @@
     std::fs::read_to_string(path(name)).unwrap()
 }
 
-fn speaks() -> Vec<Speaks> {
-    let all = |first: u32| Speaks {
+fn speaks() -> Vec<FormatVersions> {
+    let all = |first: u32| FormatVersions {
         version: format!("0.{first}.0 \"odd\""),
-        peers: Form::of(first, first + 1),
-        control: Form::of(first + 2, first + 3),
-        decrees: Form::of(first + 4, first + 5),
-        store: Form::of(first + 6, first + 7),
-        handover: Form::of(first + 8, first + 9),
+        peers: VersionRange::new(first, first + 1),
+        control: VersionRange::new(first + 2, first + 3),
+        group_states: VersionRange::new(first + 4, first + 5),
+        store: VersionRange::new(first + 6, first + 7),
+        handover: VersionRange::new(first + 8, first + 9),
     };
     vec![all(1), all(11)]
 }
 
 fn programs() -> Vec<Program> {
     [("r-1", "a1"), ("odd@name \"q\"", "0f")]
-        .map(|(name, hex)| Program::read(&format!("{name}@{}", hex.repeat(32))).unwrap())
+        .map(|(name, hex)| Program::parse(&format!("{name}@{}", hex.repeat(32))).unwrap())
         .into()
 }
 
@@ -40,11 +40,11 @@
     let all = speaks();
     let mut text = String::new();
     for (old, new) in [(0, 1), (1, 0), (0, 0)] {
-        let report = compare(&all[old], &all[new]);
-        for line in report.refused {
+        let report = check_compatibility(&all[old], &all[new]);
+        for line in report.incompatible {
             text.push_str(&format!("refused: {line}\n"));
         }
-        for line in report.lost {
+        for line in report.degraded {
             text.push_str(&format!("lost: {line}\n"));
         }
     }
@@ -84,7 +84,7 @@
 #[test]
 fn golden_files_are_read_and_written_again_to_the_same_bytes() {
     let text = golden("speaks.jsonl");
-    let found: Vec<Speaks> = text
+    let found: Vec<FormatVersions> = text
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
--- a/crates/config/src/group.rs
+++ b/crates/config/src/group.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use wrenfork_consensus::seats::{self, Kind, Seat};
+use wrenfork_consensus::membership::{self, MemberRole};
 
 /// How many may decide before it is told that fewer are enough.
 const ENOUGH_VOTERS: usize = 9;
@@ -56,26 +56,26 @@
 
 impl Group {
     /// Its seats as the file has them, before anybody's folder is known.
-    pub fn charter(&self) -> seats::Roster {
+    pub fn charter(&self) -> membership::Membership {
         let seat = |m: &Member| {
             let kind = if m.serves {
-                Kind::Ingress
+                MemberRole::Ingress
             } else {
-                Kind::Witness
+                MemberRole::Witness
             };
-            Seat {
+            membership::Member {
                 name: m.name.clone(),
-                folder: 0,
-                kind,
+                replica: 0,
+                role: kind,
                 votes: m.votes,
             }
         };
-        let mut seats: Vec<Seat> = self.members.iter().map(seat).collect();
+        let mut seats: Vec<membership::Member> = self.members.iter().map(seat).collect();
         seats.sort();
-        seats::Roster {
+        membership::Membership {
             version: 0,
             lease_ms: self.lease_ms,
-            seats,
+            members: seats,
         }
     }
 
@@ -172,7 +172,7 @@
         );
         found.push(a.wrong(Code::RosterUnkept, &sidecar.name, message));
     }
-    if !(seats::SHORTEST_LEASE..=seats::LONGEST_LEASE)
+    if !(membership::MIN_LEASE..=membership::MAX_LEASE)
         .contains(&Duration::from_micros(roster.lease.value))
     {
         let message = "a lease is from 300 ms to 60 s long";
--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -1,53 +1,55 @@
-//! A member's side of a decision. All that it must not forget is one [`Memory`], written as a whole before anything is said
+//! A member's side of a decision. All that it must not forget is one [`PersistentState`], written as a whole before anything is said
 //! that rests on it.
 
-use crate::decree::Decree;
-use crate::protocol::{Ask, Ballot, Say, Stand};
-use crate::seats::{Folder, Roster};
+use crate::group_state::GroupState;
+use crate::membership::{Membership, ReplicaId};
+use crate::protocol::{Ballot, GroupRequest, GroupResponse, GroupStatus};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use wrenfork_commit::state::{Digest, State};
 
 /// What a member must not forget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Memory {
+pub struct PersistentState {
     /// Whose it is.
     pub name: String,
     /// Drawn when it was made.
-    pub folder: Folder,
+    #[serde(rename = "folder")]
+    pub replica: ReplicaId,
     /// How often it was written.
     pub writes: u64,
     /// What stands; none before the group has been formed.
-    pub decree: Option<Arc<Decree>>,
+    #[serde(rename = "decree")]
+    pub group_state: Option<Arc<GroupState>>,
     /// The ballot from which it made the switch to that, where it had taken it up before.
-    #[serde(default)]
-    pub from: Option<Ballot>,
+    #[serde(rename = "from", default)]
+    pub accepted_in: Option<Ballot>,
     /// The highest ballot for the next decree that it takes part in.
     pub promised: Ballot,
     /// The next decree, taken up but not decided yet as far as is known here.
-    pub accepted: Option<(Ballot, Arc<Decree>)>,
+    pub accepted: Option<(Ballot, Arc<GroupState>)>,
 }
 
-impl Memory {
+impl PersistentState {
     /// Of a member that knows nothing yet; the folder's number must be drawn by chance.
-    pub fn fresh(name: &str, folder: Folder) -> Memory {
-        Memory {
+    pub fn new(name: &str, folder: ReplicaId) -> PersistentState {
+        PersistentState {
             name: name.into(),
-            folder,
-            ..Memory::default()
+            replica: folder,
+            ..PersistentState::default()
         }
     }
 
     /// The number of the decree that stands; 0 where none does.
-    pub fn number(&self) -> u64 {
-        self.decree.as_ref().map_or(0, |d| d.number)
+    pub fn version(&self) -> u64 {
+        self.group_state.as_ref().map_or(0, |d| d.version)
     }
 
     /// The same under another folder's number: none of its votes counts any more, what it knows stays.
-    pub fn shed(&self, folder: Folder) -> Memory {
-        let memory = Memory::fresh(&self.name, folder);
-        Memory {
-            decree: self.decree.clone(),
+    pub fn with_new_replica(&self, folder: ReplicaId) -> PersistentState {
+        let memory = PersistentState::new(&self.name, folder);
+        PersistentState {
+            group_state: self.group_state.clone(),
             writes: self.writes + 1,
             ..memory
         }
@@ -55,103 +57,108 @@
 }
 
 /// What comes of a message; with `switch` another decree stands.
-pub type Step = wrenfork_commit::participant::Step<Memory, Say>;
+pub type Step = wrenfork_commit::participant::Step<PersistentState, GroupResponse>;
 
 /// A member's side.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
-    memory: Memory,
+    memory: PersistentState,
     /// What it enforces while no decree stands, with its generation; none for a witness.
     own: Option<(u64, Arc<State>)>,
 }
 
 fn no(why: impl Into<String>) -> Step {
-    Step::Say(Say::No { why: why.into() })
+    Step::Respond(GroupResponse::Rejected { reason: why.into() })
 }
 
 impl Acceptor {
     /// One that remembers this.
-    pub fn new(memory: Memory, own: Option<(u64, Arc<State>)>) -> Acceptor {
+    pub fn new(memory: PersistentState, own: Option<(u64, Arc<State>)>) -> Acceptor {
         Acceptor { memory, own }
     }
 
     /// What it remembers.
-    pub fn memory(&self) -> &Memory {
+    pub fn state(&self) -> &PersistentState {
         &self.memory
     }
 
     /// What a step wanted remembered is written.
-    pub fn written(&mut self, memory: Memory) {
+    pub fn persisted(&mut self, memory: PersistentState) {
         self.memory = memory;
     }
 
     fn next(&self) -> u64 {
-        self.memory.number() + 1
+        self.memory.version() + 1
     }
 
     fn moved(&self) -> Step {
         let digest = self
             .memory
-            .decree
+            .group_state
             .as_ref()
             .map_or_else(Digest::default, |d| d.digest.clone());
-        Step::Say(Say::Moved {
-            number: self.memory.number(),
+        Step::Respond(GroupResponse::OtherVersion {
+            version: self.memory.version(),
             digest,
         })
     }
 
     /// Takes a message. `sure` says whether this member may vote, and if not, why; `check` whether a state could be enforced
     /// here. Renewals are [`crate::lease::Standing`]'s.
-    pub fn take(
+    pub fn handle(
         &self,
-        ask: Ask,
+        ask: GroupRequest,
         sure: Result<(), String>,
         check: impl FnOnce(&State) -> Result<(), String>,
     ) -> Step {
         let m = &self.memory;
         match ask {
-            Ask::Renew { .. } | Ask::Tally | Ask::Turn { .. } | Ask::Unfit { .. } => {
-                no("this is not asked for here")
-            }
-            Ask::Learn => Step::Say(Say::Learnt {
-                decree: m.decree.clone(),
+            GroupRequest::Renew { .. }
+            | GroupRequest::Tally
+            | GroupRequest::UpgradeTurn { .. }
+            | GroupRequest::ProgramUnfit { .. } => no("this is not asked for here"),
+            GroupRequest::Learn => Step::Respond(GroupResponse::State {
+                state: m.group_state.clone(),
             }),
-            Ask::Stand => Step::Say(Say::Stands(Box::new(self.stand(sure.err())))),
-            Ask::Still { .. } => Step::Say(Say::Accepted { folder: m.folder }),
-            Ask::Promise {
-                number,
+            GroupRequest::Status => {
+                Step::Respond(GroupResponse::Status(Box::new(self.status(sure.err()))))
+            }
+            GroupRequest::ProposerAlive { .. } => {
+                Step::Respond(GroupResponse::Accepted { replica: m.replica })
+            }
+            GroupRequest::Prepare {
+                version: number,
                 ballot,
-                trial,
+                candidate: trial,
             } => {
                 if number != self.next() {
                     return self.moved();
                 }
                 if ballot < m.promised {
-                    return Step::Say(Say::Outbid { ballot: m.promised });
+                    return Step::Respond(GroupResponse::HigherBallot { ballot: m.promised });
                 }
                 if let Some(why) = trial.as_ref().and_then(|t| self.could(t, check).err()) {
                     return no(why);
                 }
                 // A member without a vote says whether it could; nothing is counted.
-                if sure.is_err() && m.decree.is_some() {
-                    return Step::Say(Say::Promised {
-                        folder: 0,
+                if sure.is_err() && m.group_state.is_some() {
+                    return Step::Respond(GroupResponse::Promised {
+                        replica: 0,
                         accepted: None,
-                        own: None,
+                        enforced: None,
                     });
                 }
-                let own = self.own.clone().filter(|_| m.decree.is_none());
-                let then = Say::Promised {
-                    folder: m.folder,
+                let own = self.own.clone().filter(|_| m.group_state.is_none());
+                let then = GroupResponse::Promised {
+                    replica: m.replica,
                     accepted: m.accepted.clone(),
-                    own,
+                    enforced: own,
                 };
                 if ballot == m.promised {
-                    return Step::Say(then);
+                    return Step::Respond(then);
                 }
                 self.write(
-                    Memory {
+                    PersistentState {
                         promised: ballot,
                         ..m.clone()
                     },
@@ -159,31 +166,34 @@
                     false,
                 )
             }
-            Ask::Accept { ballot, decree } => {
-                if decree.number != self.next() {
+            GroupRequest::Accept {
+                ballot,
+                state: decree,
+            } => {
+                if decree.version != self.next() {
                     return self.moved();
                 }
                 if ballot < m.promised {
-                    return Step::Say(Say::Outbid { ballot: m.promised });
+                    return Step::Respond(GroupResponse::HigherBallot { ballot: m.promised });
                 }
-                let folder = if sure.is_ok() || m.decree.is_none() {
-                    m.folder
+                let folder = if sure.is_ok() || m.group_state.is_none() {
+                    m.replica
                 } else {
                     0
                 };
-                let then = Say::Accepted { folder };
+                let then = GroupResponse::Accepted { replica: folder };
                 if m.accepted
                     .as_ref()
                     .is_some_and(|a| a.0 == ballot && a.1 == decree)
                 {
-                    return Step::Say(then);
+                    return Step::Respond(then);
                 }
                 if let Err(why) = self.could(&decree, check) {
                     return no(why);
                 }
                 let accepted = Some((ballot, decree));
                 self.write(
-                    Memory {
+                    PersistentState {
                         promised: ballot,
                         accepted,
                         ..m.clone()
@@ -192,10 +202,10 @@
                     false,
                 )
             }
-            Ask::Decided {
-                number,
+            GroupRequest::Decided {
+                version: number,
                 digest,
-                decree,
+                state: decree,
             } => self.decided(number, &digest, decree, check),
         }
     }
@@ -204,29 +214,29 @@
         &self,
         number: u64,
         digest: &Digest,
-        decree: Option<Arc<Decree>>,
+        decree: Option<Arc<GroupState>>,
         check: impl FnOnce(&State) -> Result<(), String>,
     ) -> Step {
         let m = &self.memory;
-        let then = |number, from| Say::Decided {
-            folder: m.folder,
-            number,
-            from,
+        let then = |number, from| GroupResponse::Decided {
+            replica: m.replica,
+            version: number,
+            accepted_in: from,
         };
-        if number <= m.number() {
+        if number <= m.version() {
             // It may have learnt it from another member a moment before: that changes nothing about whom it has heeded.
-            let same = m.decree.as_ref().is_some_and(|d| d.digest == *digest);
-            return Step::Say(then(m.number(), m.from.filter(|_| same)));
+            let same = m.group_state.as_ref().is_some_and(|d| d.digest == *digest);
+            return Step::Respond(then(m.version(), m.accepted_in.filter(|_| same)));
         }
         let known = m
             .accepted
             .as_ref()
-            .filter(|(_, d)| d.number == number && d.digest == *digest);
+            .filter(|(_, d)| d.version == number && d.digest == *digest);
         let from = known.map(|a| a.0);
         let Some(decree) = known.map(|a| a.1.clone()).or(decree) else {
-            return Step::Say(Say::Want);
+            return Step::Respond(GroupResponse::NeedState);
         };
-        if decree.number != number || decree.digest != *digest {
+        if decree.version != number || decree.digest != *digest {
             return no("the decree is not the one that it is said to be");
         }
         let check = decree
@@ -235,67 +245,67 @@
         if let Err(why) = check {
             return no(why);
         }
-        let (folder, writes) = (m.folder, m.writes);
-        let memory = Memory {
-            folder,
+        let (folder, writes) = (m.replica, m.writes);
+        let memory = PersistentState {
+            replica: folder,
             writes,
-            decree: Some(decree),
-            from,
-            ..Memory::fresh(&m.name, folder)
+            group_state: Some(decree),
+            accepted_in: from,
+            ..PersistentState::new(&m.name, folder)
         };
         self.write(memory, then(number, from), true)
     }
 
-    fn write(&self, memory: Memory, then: Say, switch: bool) -> Step {
-        let memory = Box::new(Memory {
+    fn write(&self, memory: PersistentState, then: GroupResponse, switch: bool) -> Step {
+        let memory = Box::new(PersistentState {
             writes: memory.writes + 1,
             ..memory
         });
-        Step::Write {
-            memory,
-            then,
-            switch,
+        Step::Persist {
+            state: memory,
+            response: then,
+            applies: switch,
         }
     }
 
     fn enforceable(
         &self,
-        decree: &Decree,
+        decree: &GroupState,
         check: impl FnOnce(&State) -> Result<(), String>,
     ) -> Result<(), String> {
         decree
             .policy
-            .at(&self.memory.name)
+            .state_for(&self.memory.name)
             .map_or(Ok(()), |state| check(&state))
     }
 
     /// Whether a decree could follow the one that stands, and be enforced here.
     fn could(
         &self,
-        decree: &Decree,
+        decree: &GroupState,
         check: impl FnOnce(&State) -> Result<(), String>,
     ) -> Result<(), String> {
         decree.check()?;
-        if let Some(stands) = &self.memory.decree {
+        if let Some(stands) = &self.memory.group_state {
             if decree.generation < stands.generation {
                 return Err(format!(
                     "generation {} was enforced already",
                     decree.generation
                 ));
             }
-            if decree.generation == stands.generation && !decree.enforces_as(stands) {
+            if decree.generation == stands.generation && !decree.enforces_same_as(stands) {
                 return Err(format!(
                     "two policies under generation {}",
                     decree.generation
                 ));
             }
-            stands.rolls_on(decree)?;
-            if !stands.roster.overlaps(&decree.roster) {
+            stands.check_rollout_step(decree)?;
+            if !stands.membership.majorities_overlap(&decree.membership) {
                 return Err(
                     "more than one vote would change at once: majorities would not overlap".into(),
                 );
             }
-            if decree.roster.lease_ms != stands.roster.lease_ms {
+            if decree.membership.lease_ms != stands.membership.lease_ms {
                 return Err("the length of the lease stays as the group was formed with".into());
             }
         }
@@ -303,45 +313,54 @@
     }
 
     /// How it stands.
-    pub fn stand(&self, unsure: Option<String>) -> Stand {
+    pub fn status(&self, unsure: Option<String>) -> GroupStatus {
         let m = &self.memory;
-        let decree = m.decree.as_deref();
-        Stand {
+        let decree = m.group_state.as_deref();
+        GroupStatus {
             name: m.name.clone(),
-            folder: m.folder,
-            kind: decree.and_then(|d| d.roster.seat(&m.name)).map(|s| s.kind),
-            number: m.number(),
+            replica: m.replica,
+            role: decree
+                .and_then(|d| d.membership.member(&m.name))
+                .map(|s| s.role),
+            version: m.version(),
             generation: decree.map_or(0, |d| d.generation),
             change: decree.map_or_else(Digest::default, |d| d.change.clone()),
             digest: decree.map_or_else(Digest::default, |d| d.digest.clone()),
-            roster: decree.map_or_else(Roster::default, |d| d.roster.clone()),
+            membership: decree.map_or_else(Membership::default, |d| d.membership.clone()),
             promised: m.promised,
             pending: m.accepted.as_ref().map(|a| a.1.digest.clone()),
             rollout: decree
                 .and_then(|d| d.rollout.as_ref())
                 .map(|r| r.phase.clone()),
             lease_ms: None,
-            unsure,
-            runs: None,
-            wants: None,
-            turn: false,
+            vote_withheld: unsure,
+            running_program: None,
+            wanted_program: None,
+            may_upgrade: false,
         }
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::{Acceptor, Arc, Ask, Ballot, Decree, Digest, Memory, Roster, Say, Step};
-    use crate::decree::Policy;
-    use crate::seats::{Kind, Seat};
+    use super::{
+        Acceptor, Arc, Ballot, Digest, GroupRequest, GroupResponse, GroupState, Membership,
+        PersistentState, Step,
+    };
+    use crate::group_state::Policy;
+    use crate::membership::{Member, MemberRole};
 
-    fn written(acceptor: &mut Acceptor, ask: Ask) -> Say {
-        match acceptor.take(ask, Ok(()), |_| Ok(())) {
-            Step::Write { memory, then, .. } => {
-                acceptor.written(*memory);
+    fn written(acceptor: &mut Acceptor, ask: GroupRequest) -> GroupResponse {
+        match acceptor.handle(ask, Ok(()), |_| Ok(())) {
+            Step::Persist {
+                state: memory,
+                response: then,
+                ..
+            } => {
+                acceptor.persisted(*memory);
                 then
             }
-            Step::Say(say) => say,
+            Step::Respond(say) => say,
         }
     }
 
@@ -349,14 +368,14 @@
     /// decided, before whoever proposed it says so; it has heeded nobody else all the same.
     #[test]
     fn one_that_learnt_it_elsewhere_still_says_from_which_ballot_it_made_the_switch() {
-        let seat = Seat {
+        let seat = Member {
             name: "a".into(),
-            folder: 1,
-            kind: Kind::Ingress,
+            replica: 1,
+            role: MemberRole::Ingress,
             votes: true,
         };
-        let roster = Roster::new(1, 1_500, vec![seat]).unwrap();
-        let first = Arc::new(Decree::new(
+        let roster = Membership::new(1, 1_500, vec![seat]).unwrap();
+        let first = Arc::new(GroupState::new(
             1,
             1,
             Digest::default(),
@@ -364,31 +383,36 @@
             roster,
             Policy::default(),
         ));
-        let next = Arc::new(first.nothing());
-        let memory = Memory {
-            decree: Some(first),
-            ..Memory::fresh("a", 1)
+        let next = Arc::new(first.unchanged_successor());
+        let memory = PersistentState {
+            group_state: Some(first),
+            ..PersistentState::new("a", 1)
         };
         let mut acceptor = Acceptor::new(memory, None);
-        let ballot = Ballot { round: 3, by: 7 };
+        let ballot = Ballot {
+            round: 3,
+            proposer: 7,
+        };
         assert_eq!(
             written(
                 &mut acceptor,
-                Ask::Accept {
+                GroupRequest::Accept {
                     ballot,
-                    decree: next.clone()
+                    state: next.clone()
                 }
             ),
-            Say::Accepted { folder: 1 }
+            GroupResponse::Accepted { replica: 1 }
         );
-        let told = |decree| Ask::Decided {
-            number: 2,
+        let told = |decree| GroupRequest::Decided {
+            version: 2,
             digest: next.digest.clone(),
-            decree,
+            state: decree,
         };
         let from = |say| match say {
-            Say::Decided {
-                number: 2, from, ..
+            GroupResponse::Decided {
+                version: 2,
+                accepted_in: from,
+                ..
             } => from,
             other => panic!("{other:?}"),
         };
@@ -402,10 +426,10 @@
             Some(ballot),
             "by whoever proposed it"
         );
-        let other = Ask::Decided {
-            number: 2,
+        let other = GroupRequest::Decided {
+            version: 2,
             digest: Digest::of(b"another"),
-            decree: None,
+            state: None,
         };
         assert_eq!(from(written(&mut acceptor, other)), None);
     }
--- a/crates/consensus/src/decree.rs
+++ b/crates/consensus/src/group_state.rs
@@ -1,6 +1,6 @@
 //! What stands in a group.
 
-use crate::seats::Roster;
+use crate::membership::{Member, MemberRole, Membership};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,14 +14,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Policy {
     /// What all have.
-    pub common: State,
+    #[serde(rename = "common")]
+    pub shared: State,
     /// What a member has besides, by its name.
-    pub own: BTreeMap<String, State>,
+    #[serde(rename = "own")]
+    pub per_member: BTreeMap<String, State>,
 }
 
 impl Policy {
     /// Of what each member is to enforce.
-    pub fn of(states: &BTreeMap<String, Arc<State>>) -> Policy {
+    pub fn from_states(states: &BTreeMap<String, Arc<State>>) -> Policy {
         let mut all = states.values();
         let mut common = all.next().map_or_else(State::default, |s| State::clone(s));
         for one in all {
@@ -35,13 +37,16 @@
             .iter()
             .map(|(name, s)| (name.clone(), rest(s)))
             .collect();
-        Policy { common, own }
+        Policy {
+            shared: common,
+            per_member: own,
+        }
     }
 
     /// What a member is to enforce; none where nothing is said of it.
-    pub fn at(&self, name: &str) -> Option<State> {
-        let own = self.own.get(name)?;
-        let mut state = self.common.clone();
+    pub fn state_for(&self, name: &str) -> Option<State> {
+        let own = self.per_member.get(name)?;
+        let mut state = self.shared.clone();
         state
             .0
             .extend(own.0.iter().map(|(k, v)| (k.clone(), v.clone())));
@@ -50,8 +55,8 @@
 
     /// Over all of it.
     pub fn digest(&self) -> Digest {
-        let mut text = self.common.canonical();
-        for (name, own) in &self.own {
+        let mut text = self.shared.canonical();
+        for (name, own) in &self.per_member {
             text.push_str(&format!("\n{} {name}\n", name.len()));
             text.push_str(&own.canonical());
         }
@@ -62,9 +67,10 @@
 /// One decision: who belongs to the group from now on, and what they enforce. It says all, so that whoever missed any number
 /// of them needs the last one alone. Two are the same if their digests are.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Decree {
+pub struct GroupState {
     /// Its number; the first is 1.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub version: u64,
     /// The generation that is enforced under it.
     pub generation: u64,
     /// The change that it makes: a plan's identity; empty where it changes no policy.
@@ -72,11 +78,13 @@
     /// Who made it.
     pub author: String,
     /// Who belongs to the group.
-    pub roster: Roster,
+    #[serde(rename = "roster")]
+    pub membership: Membership,
     /// What they enforce.
     pub policy: Arc<Policy>,
     /// The digest of that.
-    pub enforced: Digest,
+    #[serde(rename = "enforced")]
+    pub policy_digest: Digest,
     /// The rollout that it is a step of, or that was the last one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rollout: Option<Arc<Record>>,
@@ -84,40 +92,40 @@
     pub digest: Digest,
 }
 
-impl PartialEq for Decree {
-    fn eq(&self, other: &Decree) -> bool {
+impl PartialEq for GroupState {
+    fn eq(&self, other: &GroupState) -> bool {
         self.digest == other.digest
     }
 }
 
-impl Eq for Decree {}
+impl Eq for GroupState {}
 
-impl std::hash::Hash for Decree {
+impl std::hash::Hash for GroupState {
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
         self.digest.hash(state);
     }
 }
 
-impl Decree {
+impl GroupState {
     /// A decree over a policy.
     pub fn new(
         number: u64,
         generation: u64,
         change: Digest,
         author: &str,
-        roster: Roster,
+        roster: Membership,
         policy: Policy,
-    ) -> Decree {
+    ) -> GroupState {
         let (author, policy, enforced) = (author.into(), Arc::new(policy), Digest::default());
         let (rollout, digest) = (None, Digest::default());
-        Decree {
-            number,
+        GroupState {
+            version: number,
             generation,
             change,
             author,
-            roster,
+            membership: roster,
             policy,
-            enforced,
+            policy_digest: enforced,
             rollout,
             digest,
         }
@@ -125,27 +133,28 @@
     }
 
     /// With its digests.
-    fn sealed(mut self) -> Decree {
-        self.enforced = self.policy.digest();
+    fn sealed(mut self) -> GroupState {
+        self.policy_digest = self.policy.digest();
         self.digest = self.own_digest();
         self
     }
 
     fn own_digest(&self) -> Digest {
-        let Decree {
-            number,
+        let GroupState {
+            version,
             generation,
             change,
             author,
-            roster,
+            membership,
             policy: _,
-            enforced,
+            policy_digest,
             rollout,
             digest: _,
         } = self;
+        let membership = membership_digest_text(membership);
         let mut text =
-            format!("{number} {generation} {change:?} {author:?} {roster:?} {enforced:?}");
-        // A member that knows nothing of rollouts finds that this is not what it says that it is.
+            format!("{version} {generation} {change:?} {author:?} {membership} {policy_digest:?}");
+        // A member of a version without rollouts computes another digest and rejects the state.
         if let Some(rollout) = rollout {
             text.push_str(&format!(" {rollout:?}"));
         }
@@ -153,10 +162,10 @@
     }
 
     /// The next decree, that changes nothing: it ends what was left undecided.
-    pub fn nothing(&self) -> Decree {
-        let (number, change) = (self.number + 1, Digest::default());
-        Decree {
-            number,
+    pub fn unchanged_successor(&self) -> GroupState {
+        let (number, change) = (self.version + 1, Digest::default());
+        GroupState {
+            version: number,
             change,
             author: String::new(),
             ..self.clone()
@@ -165,30 +174,33 @@
     }
 
     /// The next decree, with another roster, and what members that are new enforce; all others go on with what they have.
-    pub fn seated(
+    pub fn with_membership(
         &self,
         author: &str,
-        roster: Roster,
+        roster: Membership,
         new: BTreeMap<String, Arc<State>>,
-    ) -> Decree {
-        let stays = |name: &&String| roster.seat(name).is_some() && !new.contains_key(*name);
-        let stay = self.policy.own.keys().filter(stays);
-        let stay = stay.filter_map(|name| Some((name.clone(), Arc::new(self.policy.at(name)?))));
+    ) -> GroupState {
+        let stays = |name: &&String| roster.member(name).is_some() && !new.contains_key(*name);
+        let stay = self.policy.per_member.keys().filter(stays);
+        let stay =
+            stay.filter_map(|name| Some((name.clone(), Arc::new(self.policy.state_for(name)?))));
         let policy = match new.is_empty() {
             // Nobody's part has to be found out anew.
             true => {
                 let mut policy = Policy::clone(&self.policy);
-                policy.own.retain(|name, _| roster.seat(name).is_some());
+                policy
+                    .per_member
+                    .retain(|name, _| roster.member(name).is_some());
                 policy
             }
-            false => Policy::of(&stay.chain(new.clone()).collect()),
+            false => Policy::from_states(&stay.chain(new.clone()).collect()),
         };
-        let (number, change, policy) = (self.number + 1, Digest::default(), Arc::new(policy));
-        Decree {
-            number,
+        let (number, change, policy) = (self.version + 1, Digest::default(), Arc::new(policy));
+        GroupState {
+            version: number,
             change,
             author: author.into(),
-            roster,
+            membership: roster,
             policy,
             ..self.clone()
         }
@@ -200,19 +212,19 @@
     /// # Errors
     ///
     /// Where a member enforces neither.
-    pub fn rolled(&self, author: &str, record: Record) -> Result<Decree, String> {
+    pub fn with_rollout(&self, author: &str, record: Record) -> Result<GroupState, String> {
         let new = record.new_at();
         // Most members enforce the same before and after: each such state is made once.
         type Same<'a> = (&'a State, Option<&'a usize>, bool);
         let mut made: Vec<(Same, Arc<State>)> = Vec::new();
         let mut states = BTreeMap::new();
-        for (name, own) in &self.policy.own {
+        for (name, own) in &self.policy.per_member {
             let same = (own, record.of.get(name), new.contains(name.as_str()));
             let known = made.iter().find(|m| m.0 == same).map(|m| m.1.clone());
             let state = match known {
                 Some(state) => state,
                 None => {
-                    let now = self.policy.at(name).unwrap_or_default();
+                    let now = self.policy.state_for(name).unwrap_or_default();
                     let state = Arc::new(record.state(name, &now, same.2)?);
                     made.push((same, state.clone()));
                     state
@@ -220,12 +232,12 @@
             };
             states.insert(name.clone(), state);
         }
-        let policy = Policy::of(&states);
-        let generation = self.generation + u64::from(policy.digest() != self.enforced);
-        let (number, change, policy) = (self.number + 1, record.id.clone(), Arc::new(policy));
+        let policy = Policy::from_states(&states);
+        let generation = self.generation + u64::from(policy.digest() != self.policy_digest);
+        let (number, change, policy) = (self.version + 1, record.id.clone(), Arc::new(policy));
         let (author, rollout) = (author.into(), Some(Arc::new(record)));
-        Ok(Decree {
-            number,
+        Ok(GroupState {
+            version: number,
             generation,
             change,
             author,
@@ -242,12 +254,12 @@
     /// # Errors
     ///
     /// Why not, in words.
-    pub fn rolls_on(&self, next: &Decree) -> Result<(), String> {
+    pub fn check_rollout_step(&self, next: &GroupState) -> Result<(), String> {
         let (was, is) = (self.rollout.as_deref(), next.rollout.as_deref());
         record::follows(was, is)?;
         match is {
             Some(is) if was != Some(is) => {
-                let wanted = self.rolled(&next.author, is.clone())?;
+                let wanted = self.with_rollout(&next.author, is.clone())?;
                 (wanted == *next)
                     .then_some(())
                     .ok_or_else(|| "it is not what its rollout says".into())
@@ -255,15 +267,15 @@
             Some(is) if !is.phase.ended() => {
                 let comes = next
                     .policy
-                    .own
+                    .per_member
                     .keys()
-                    .find(|name| !self.policy.own.contains_key(*name));
+                    .find(|name| !self.policy.per_member.contains_key(*name));
                 if let Some(name) = comes {
                     return Err(format!(
                         "{name} comes in once the rollout that is under way has ended"
                     ));
                 }
-                let same = next.generation == self.generation && next.enforces_as(self);
+                let same = next.generation == self.generation && next.enforces_same_as(self);
                 same.then_some(())
                     .ok_or_else(|| "a rollout is under way: it says what is enforced".into())
             }
@@ -272,15 +284,15 @@
     }
 
     /// Whether whoever is a member under both enforces the same under both.
-    pub fn enforces_as(&self, other: &Decree) -> bool {
+    pub fn enforces_same_as(&self, other: &GroupState) -> bool {
         let (a, b) = (&self.policy, &other.policy);
-        let same = |name: &String| match a.common == b.common {
-            true => a.own.get(name) == b.own.get(name),
-            false => a.at(name) == b.at(name),
+        let same = |name: &String| match a.shared == b.shared {
+            true => a.per_member.get(name) == b.per_member.get(name),
+            false => a.state_for(name) == b.state_for(name),
         };
-        a.own
+        a.per_member
             .keys()
-            .filter(|name| b.own.contains_key(*name))
+            .filter(|name| b.per_member.contains_key(*name))
             .all(same)
     }
 
@@ -290,19 +302,19 @@
     ///
     /// With what is wrong.
     pub fn check(&self) -> Result<(), String> {
-        self.roster.check().map_err(|e| e.to_string())?;
-        if self.policy.digest() != self.enforced || self.own_digest() != self.digest {
+        self.membership.check().map_err(|e| e.to_string())?;
+        if self.policy.digest() != self.policy_digest || self.own_digest() != self.digest {
             return Err(format!(
                 "decree {} does not have its own digest",
-                self.number
+                self.version
             ));
         }
         Ok(())
     }
 
     /// What a member enforces under it, with its generation; none for a witness.
-    pub fn at(&self, name: &str) -> Option<(Generation, State)> {
-        let state = self.policy.at(name)?;
+    pub fn enforced_by(&self, name: &str) -> Option<(Generation, State)> {
+        let state = self.policy.state_for(name)?;
         Some((
             Generation {
                 number: self.generation,
@@ -313,9 +325,36 @@
     }
 }
 
+/// Text of a membership that goes into the digest of a group state.
+///
+/// Its names are part of the stored form, whatever the types and fields are called in the code.
+fn membership_digest_text(membership: &Membership) -> String {
+    let members: Vec<String> = membership.members.iter().map(member_digest_text).collect();
+    format!(
+        "Roster {{ version: {}, lease_ms: {}, seats: [{}] }}",
+        membership.version,
+        membership.lease_ms,
+        members.join(", ")
+    )
+}
+
+fn member_digest_text(member: &Member) -> String {
+    let Member {
+        name,
+        replica,
+        role,
+        votes,
+    } = member;
+    let role = match role {
+        MemberRole::Ingress => "Ingress",
+        MemberRole::Witness => "Witness",
+    };
+    format!("Seat {{ name: {name:?}, folder: {replica}, kind: {role}, votes: {votes} }}")
+}
+
 #[cfg(test)]
 mod tests {
-    use super::{Arc, BTreeMap, Decree, Digest, Policy, Roster, State};
+    use super::{Arc, BTreeMap, Digest, GroupState, Membership, Policy, State};
 
     fn state(pairs: &[(&str, &str)]) -> Arc<State> {
         Arc::new(State(
@@ -334,44 +373,47 @@
                 .map(|n| (n.to_string(), state(&[("k", "1"), ("at", n)])))
                 .collect()
         };
-        let seat = |name: &str| crate::seats::Seat {
+        let seat = |name: &str| crate::membership::Member {
             name: name.into(),
-            folder: 1,
-            kind: crate::seats::Kind::Ingress,
+            replica: 1,
+            role: crate::membership::MemberRole::Ingress,
             votes: true,
         };
         let roster = |names: &[&str]| {
-            Roster::new(1, 1_500, names.iter().map(|n| seat(n)).collect()).unwrap()
+            Membership::new(1, 1_500, names.iter().map(|n| seat(n)).collect()).unwrap()
         };
         // One member alone has everything in common with itself.
-        let one = Decree::new(
+        let one = GroupState::new(
             1,
             4,
             Digest::default(),
             "",
             roster(&["a"]),
-            Policy::of(&all(&["a"])),
+            Policy::from_states(&all(&["a"])),
+        );
+        let two = one.with_membership("ann", roster(&["a", "b"]), all(&["b"]));
+        assert_eq!((two.version, two.generation, two.check()), (2, 4, Ok(())));
+        assert!(two.enforces_same_as(&one) && one.enforces_same_as(&two));
+        assert_eq!(
+            two.enforced_by("b").unwrap().1,
+            *state(&[("k", "1"), ("at", "b")])
         );
-        let two = one.seated("ann", roster(&["a", "b"]), all(&["b"]));
-        assert_eq!((two.number, two.generation, two.check()), (2, 4, Ok(())));
-        assert!(two.enforces_as(&one) && one.enforces_as(&two));
-        assert_eq!(two.at("b").unwrap().1, *state(&[("k", "1"), ("at", "b")]));
-        let without = two.seated("ann", roster(&["b"]), BTreeMap::new());
-        assert!(without.at("a").is_none() && without.enforces_as(&two));
-        assert!(!Decree::new(
+        let without = two.with_membership("ann", roster(&["b"]), BTreeMap::new());
+        assert!(without.enforced_by("a").is_none() && without.enforces_same_as(&two));
+        assert!(!GroupState::new(
             3,
             4,
             Digest::default(),
             "",
             roster(&["b"]),
-            Policy::of(&all(&["b", "c"]))
+            Policy::from_states(&all(&["b", "c"]))
         )
-        .seated(
+        .with_membership(
             "",
             roster(&["b"]),
             [("b".to_string(), state(&[("k", "2")]))].into()
         )
-        .enforces_as(&two));
+        .enforces_same_as(&two));
     }
 
     #[test]
@@ -384,35 +426,35 @@
             ),
         ]
         .into();
-        let policy = Policy::of(&states);
-        assert_eq!(policy.common, *state(&[("k", "1")]));
+        let policy = Policy::from_states(&states);
+        assert_eq!(policy.shared, *state(&[("k", "1")]));
         for (name, wanted) in &states {
-            assert_eq!(policy.at(name).as_ref(), Some(&**wanted));
+            assert_eq!(policy.state_for(name).as_ref(), Some(&**wanted));
         }
-        assert_eq!(policy.at("c"), None);
+        assert_eq!(policy.state_for("c"), None);
         let mut other = policy.clone();
         other
-            .own
+            .per_member
             .get_mut("a")
             .unwrap()
             .0
             .insert("discovery".into(), "z".into());
         assert_ne!(policy.digest(), other.digest());
-        let decree = Decree::new(
+        let decree = GroupState::new(
             3,
             2,
             Digest::of(b"change"),
             "ann",
-            Roster::default(),
+            Membership::default(),
             policy,
         );
-        let altered = Decree {
+        let altered = GroupState {
             policy: Arc::new(other),
             ..decree.clone()
         };
         assert!(altered.check().is_err());
-        assert_ne!(decree.digest, decree.nothing().digest);
+        assert_ne!(decree.digest, decree.unchanged_successor().digest);
         let text = serde_json::to_string(&decree).unwrap();
-        assert_eq!(serde_json::from_str::<Decree>(&text).unwrap(), decree);
+        assert_eq!(serde_json::from_str::<GroupState>(&text).unwrap(), decree);
     }
 }
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -7,9 +7,9 @@
 //! becomes of the proposer. It is told to be enforced once every member that serves has taken it up, or the lease of those
 //! that have not has surely run out.
 
-use crate::decree::{Decree, Policy};
-use crate::protocol::{Ask, Ballot, Say};
-use crate::seats::{Folder, Kind, Roster, Seat};
+use crate::group_state::{GroupState, Policy};
+use crate::membership::{Member, MemberRole, Membership, ReplicaId};
+use crate::protocol::{Ballot, GroupRequest, GroupResponse};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,50 +23,50 @@
 
 /// What is wanted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Aim {
+pub enum ProposalGoal {
     /// This decree, made from the one that stands.
-    Change(Arc<Decree>),
+    Change(Arc<GroupState>),
     /// An end of what is taken up and not decided: what one has taken up, else nothing new.
-    Settle,
+    Recover,
     /// The first decree, by all members of a charter.
     Form,
 }
 
 /// Where it stands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Phase {
+pub enum ProposalPhase {
     /// Members are asked to take part.
-    Promising,
+    Preparing,
     /// Members are asked to take the decree up.
     Accepting,
     /// It is decided, and told.
-    Telling,
+    Notifying,
     /// It has ended.
-    Ended(End),
+    Ended(ProposalOutcome),
 }
 
 /// How it ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum ProposalOutcome {
     /// The decree stands, and nobody serves under the one before any more.
-    Made,
+    Committed,
     /// A member that is there could not: nothing has happened. Who, and why.
-    Refused(Vec<(String, String)>),
+    Rejected(Vec<(String, String)>),
     /// Too few answered, and nothing has happened: votes that came, and those that are enough.
-    Few(usize, usize),
+    NoQuorum(usize, usize),
     /// Somebody has a higher ballot.
-    Outbid(Ballot),
+    HigherBallot(Ballot),
     /// Another decree has that number.
-    Overtaken(u64),
+    Superseded(u64),
     /// Time was over before it was decided, or before all were told: members settle it among themselves.
-    Unfinished,
+    TimedOut,
 }
 
 /// A member, as a proposer sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Peer {
     name: String,
-    kind: Kind,
+    kind: MemberRole,
     /// It is asked, and has not answered.
     asked: bool,
     /// Not to be asked again before this.
@@ -85,7 +85,7 @@
     clean: bool,
     /// It wants all of the decree.
     wants: bool,
-    folder: Folder,
+    folder: ReplicaId,
     own: Option<(u64, Arc<State>)>,
     /// Why it did not, last.
     why: Option<String>,
@@ -94,41 +94,52 @@
 /// A proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
-    aim: Aim,
+    aim: ProposalGoal,
     number: u64,
     ballot: Ballot,
     /// The decree before, whose roster decides.
-    base: Arc<Decree>,
+    base: Arc<GroupState>,
     peers: Vec<Peer>,
-    best: Option<(Ballot, Arc<Decree>)>,
-    value: Option<(Arc<Decree>, Digest)>,
+    best: Option<(Ballot, Arc<GroupState>)>,
+    value: Option<(Arc<GroupState>, Digest)>,
     /// When this phase began.
     since: Duration,
     /// When its majority was there.
     enough: Option<Duration>,
     /// Where it stands.
-    pub phase: Phase,
+    pub phase: ProposalPhase,
 }
 
 impl Proposer {
     /// Begins. `base` is the decree that stands, and `ballot` higher than all that are known, its number drawn.
-    pub fn begin(base: Arc<Decree>, aim: Aim, ballot: Ballot, now: Duration) -> Proposer {
-        Proposer::new(aim, base.number + 1, ballot, base, now)
+    pub fn new(
+        base: Arc<GroupState>,
+        aim: ProposalGoal,
+        ballot: Ballot,
+        now: Duration,
+    ) -> Proposer {
+        Proposer::start(aim, base.version + 1, ballot, base, now)
     }
 
     /// Begins to form a group of all that a charter names.
-    pub fn form(charter: Roster, ballot: Ballot, now: Duration) -> Proposer {
-        let none = Decree {
-            roster: charter,
-            ..Decree::default()
+    pub fn form_group(charter: Membership, ballot: Ballot, now: Duration) -> Proposer {
+        let none = GroupState {
+            membership: charter,
+            ..GroupState::default()
         };
-        Proposer::new(Aim::Form, 1, ballot, Arc::new(none), now)
+        Proposer::start(ProposalGoal::Form, 1, ballot, Arc::new(none), now)
     }
 
-    fn new(aim: Aim, number: u64, ballot: Ballot, base: Arc<Decree>, now: Duration) -> Proposer {
-        let peer = |s: &Seat| Peer {
+    fn start(
+        aim: ProposalGoal,
+        number: u64,
+        ballot: Ballot,
+        base: Arc<GroupState>,
+        now: Duration,
+    ) -> Proposer {
+        let peer = |s: &Member| Peer {
             name: s.name.clone(),
-            kind: s.kind,
+            kind: s.role,
             asked: false,
             not_before: now,
             answered: false,
@@ -142,8 +153,8 @@
             own: None,
             why: None,
         };
-        let peers = base.roster.seats.iter().map(peer).collect();
-        let (best, value, enough, phase) = (None, None, None, Phase::Promising);
+        let peers = base.membership.members.iter().map(peer).collect();
+        let (best, value, enough, phase) = (None, None, None, ProposalPhase::Preparing);
         Proposer {
             aim,
             number,
@@ -159,7 +170,7 @@
     }
 
     /// The members' names, in the order in which they are numbered here.
-    pub fn names(&self) -> impl Iterator<Item = &str> {
+    pub fn member_names(&self) -> impl Iterator<Item = &str> {
         self.peers.iter().map(|p| p.name.as_str())
     }
 
@@ -169,12 +180,12 @@
     }
 
     /// The decree that is decided, or is to be.
-    pub fn value(&self) -> Option<&Arc<Decree>> {
+    pub fn value(&self) -> Option<&Arc<GroupState>> {
         self.value.as_ref().map(|v| &v.0)
     }
 
     /// Members that have not done what this phase asks, with what they said last.
-    pub fn away(&self) -> Vec<(String, String)> {
+    pub fn unresponsive(&self) -> Vec<(String, String)> {
         let away = self.peers.iter().filter(|p| !p.answered);
         away.map(|p| {
             (
@@ -186,8 +197,8 @@
     }
 
     /// Whether nothing but the wait for leases to run out is left to do before all is told.
-    pub fn waits(&self) -> bool {
-        self.phase == Phase::Accepting && self.enough.is_some()
+    pub fn is_waiting_for_leases(&self) -> bool {
+        self.phase == ProposalPhase::Accepting && self.enough.is_some()
     }
 
     fn votes(&self) -> usize {
@@ -196,14 +207,14 @@
 
     fn needed(&self) -> usize {
         // A group is formed by all of it: no majority could know that there is none yet.
-        if self.aim == Aim::Form {
+        if self.aim == ProposalGoal::Form {
             self.peers.len()
         } else {
-            self.base.roster.majority()
+            self.base.membership.majority()
         }
     }
 
-    fn turn(&mut self, phase: Phase, now: Duration) {
+    fn turn(&mut self, phase: ProposalPhase, now: Duration) {
         (self.phase, self.since, self.enough) = (phase, now, None);
         for p in &mut self.peers {
             // An answer to what the last phase asked may still come; it counts for nothing then.
@@ -212,20 +223,20 @@
         }
     }
 
-    fn end(&mut self, end: End) {
-        self.phase = Phase::Ended(end);
+    fn end(&mut self, end: ProposalOutcome) {
+        self.phase = ProposalPhase::Ended(end);
     }
 
     /// What is to be asked of which member now. Each is asked one thing at a time.
-    pub fn asks(&mut self, now: Duration) -> Vec<(usize, Ask)> {
+    pub fn requests(&mut self, now: Duration) -> Vec<(usize, GroupRequest)> {
         self.go_on(now);
         let (number, ballot, phase) = (self.number, self.ballot, self.phase.clone());
         let trial = match &self.aim {
-            Aim::Change(decree) => Some(decree.clone()),
-            Aim::Settle | Aim::Form => None,
+            ProposalGoal::Change(decree) => Some(decree.clone()),
+            ProposalGoal::Recover | ProposalGoal::Form => None,
         };
         let value = self.value.clone();
-        let still = self.base.roster.lease() / STILL;
+        let still = self.base.membership.lease() / STILL;
         let ready: Vec<String> = self
             .peers
             .iter()
@@ -240,30 +251,34 @@
             .filter(|(_, p)| !p.asked && p.not_before <= now)
         {
             let ask = match (&phase, &value) {
-                (Phase::Promising, _) if !p.answered || p.unsure && missing => Ask::Promise {
-                    number,
-                    ballot,
-                    trial: trial.clone(),
-                },
-                (Phase::Accepting, Some((decree, _))) if !p.answered || p.unsure && missing => {
-                    Ask::Accept {
+                (ProposalPhase::Preparing, _) if !p.answered || p.unsure && missing => {
+                    GroupRequest::Prepare {
+                        version: number,
+                        ballot,
+                        candidate: trial.clone(),
+                    }
+                }
+                (ProposalPhase::Accepting, Some((decree, _)))
+                    if !p.answered || p.unsure && missing =>
+                {
+                    GroupRequest::Accept {
                         ballot,
-                        decree: decree.clone(),
+                        state: decree.clone(),
                     }
                 }
-                (Phase::Accepting, _) if p.answered => {
+                (ProposalPhase::Accepting, _) if p.answered => {
                     p.not_before = now + still;
-                    Ask::Still {
+                    GroupRequest::ProposerAlive {
                         ballot,
-                        ready: ready.clone(),
+                        accepted_by: ready.clone(),
                     }
                 }
-                (Phase::Telling, Some((decree, digest))) if !p.answered => {
+                (ProposalPhase::Notifying, Some((decree, digest))) if !p.answered => {
                     let whole = !p.ready || p.wants;
-                    Ask::Decided {
-                        number,
+                    GroupRequest::Decided {
+                        version: number,
                         digest: digest.clone(),
-                        decree: whole.then(|| decree.clone()),
+                        state: whole.then(|| decree.clone()),
                     }
                 }
                 _ => continue,
@@ -275,14 +290,16 @@
     }
 
     /// When to ask again, at the latest, if nothing is heard.
-    pub fn next(&self, now: Duration) -> Duration {
+    pub fn next_request_in(&self, now: Duration) -> Duration {
         let again = |p: &&Peer| {
-            !p.answered || self.phase == Phase::Accepting || p.unsure && self.enough.is_none()
+            !p.answered
+                || self.phase == ProposalPhase::Accepting
+                || p.unsure && self.enough.is_none()
         };
         let due = self.peers.iter().filter(|p| !p.asked).filter(again);
         let due = due.map(|p| p.not_before).chain(self.ready_at());
         due.min()
-            .map_or(self.base.roster.lease(), |at| at.saturating_sub(now))
+            .map_or(self.base.membership.lease(), |at| at.saturating_sub(now))
     }
 
     /// When this phase is over though not all have answered.
@@ -290,11 +307,15 @@
         let enough = self.enough?;
         match self.phase {
             // Those that answer slowly are waited for a little, so that they need not be shut out.
-            Phase::Promising if self.aim == Aim::Settle => Some(enough),
-            Phase::Promising => Some(enough.max(self.since + self.base.roster.lease() / 3)),
+            ProposalPhase::Preparing if self.aim == ProposalGoal::Recover => Some(enough),
+            ProposalPhase::Preparing => {
+                Some(enough.max(self.since + self.base.membership.lease() / 3))
+            }
             // Asked for before the last of the majority said so, counted by the slowest clock.
-            Phase::Accepting | Phase::Telling => Some(enough + self.base.roster.surely_out()),
-            Phase::Ended(_) => None,
+            ProposalPhase::Accepting | ProposalPhase::Notifying => {
+                Some(enough + self.base.membership.lease_expiry_bound())
+            }
+            ProposalPhase::Ended(_) => None,
         }
     }
 
@@ -304,19 +325,19 @@
         }
         // Whom this phase has to wait for. Whoever has not taken the decree up serves no more once the wait is over.
         let waited_for = |p: &&Peer| match self.phase {
-            Phase::Accepting => p.kind == Kind::Ingress,
-            Phase::Telling => p.kind == Kind::Ingress && p.ready,
+            ProposalPhase::Accepting => p.kind == MemberRole::Ingress,
+            ProposalPhase::Notifying => p.kind == MemberRole::Ingress && p.ready,
             _ => true,
         };
         let mut all = self.peers.iter().filter(waited_for).all(|p| p.answered);
-        if self.phase == Phase::Telling {
+        if self.phase == ProposalPhase::Notifying {
             // Those that have not taken it up in this ballot may have in another one, and have been let go on there: unless
             // a majority has heeded this one alone from before the wait on until it made the switch.
             let alone = self.peers.iter().filter(|p| p.early && p.clean).count() >= self.needed();
             let every = self
                 .peers
                 .iter()
-                .filter(|p| p.kind == Kind::Ingress)
+                .filter(|p| p.kind == MemberRole::Ingress)
                 .all(|p| p.answered);
             all = all && alone || every;
         }
@@ -324,35 +345,35 @@
             return;
         }
         match self.phase {
-            Phase::Promising => {
+            ProposalPhase::Preparing => {
                 let decree = match (self.best.take(), &self.aim) {
                     (Some((_, decree)), _) => decree,
-                    (None, Aim::Change(decree)) => decree.clone(),
-                    (None, Aim::Settle) => Arc::new(self.base.nothing()),
-                    (None, Aim::Form) => Arc::new(self.first()),
+                    (None, ProposalGoal::Change(decree)) => decree.clone(),
+                    (None, ProposalGoal::Recover) => Arc::new(self.base.unchanged_successor()),
+                    (None, ProposalGoal::Form) => Arc::new(self.first()),
                 };
                 let digest = decree.digest.clone();
                 self.value = Some((decree, digest));
-                self.turn(Phase::Accepting, now);
+                self.turn(ProposalPhase::Accepting, now);
             }
-            Phase::Accepting => self.turn(Phase::Telling, now),
-            Phase::Telling => {
+            ProposalPhase::Accepting => self.turn(ProposalPhase::Notifying, now),
+            ProposalPhase::Notifying => {
                 let own = match (&self.aim, &self.value) {
-                    (Aim::Change(wanted), Some((decree, _))) => wanted == decree,
+                    (ProposalGoal::Change(wanted), Some((decree, _))) => wanted == decree,
                     _ => true,
                 };
                 self.end(if own {
-                    End::Made
+                    ProposalOutcome::Committed
                 } else {
-                    End::Overtaken(self.number)
+                    ProposalOutcome::Superseded(self.number)
                 });
             }
-            Phase::Ended(_) => {}
+            ProposalPhase::Ended(_) => {}
         }
     }
 
     /// The first decree: everybody goes on with what it enforces, and votes by the folder that it has.
-    fn first(&self) -> Decree {
+    fn first(&self) -> GroupState {
         let folder = |name: &str| {
             self.peers
                 .iter()
@@ -361,18 +382,18 @@
         };
         let seats = self
             .base
-            .roster
-            .seats
+            .membership
+            .members
             .iter()
-            .map(|s| Seat {
-                folder: folder(&s.name),
+            .map(|s| Member {
+                replica: folder(&s.name),
                 ..s.clone()
             })
             .collect();
-        let roster = Roster {
+        let roster = Membership {
             version: 1,
-            seats,
-            ..self.base.roster.clone()
+            members: seats,
+            ..self.base.membership.clone()
         };
         let own = self
             .peers
@@ -381,53 +402,60 @@
         let own: BTreeMap<_, _> = own.collect();
         let generation = own.values().map(|o| o.0).max().unwrap_or(1).max(1);
         let states = own.into_iter().map(|(name, o)| (name, o.1)).collect();
-        Decree::new(
+        GroupState::new(
             1,
             generation,
             Digest::default(),
             "",
             roster,
-            Policy::of(&states),
+            Policy::from_states(&states),
         )
     }
 
     /// Takes what came of the ask that a member was sent: its answer, or none where the connection broke or nothing came in
     /// time, and it may have done what was asked. One that answers what an earlier phase asked counts for nothing.
-    pub fn heard(
+    pub fn handle_response(
         &mut self,
         member: usize,
-        asked: &Ask,
-        answer: Result<Say, String>,
+        asked: &GroupRequest,
+        answer: Result<GroupResponse, String>,
         now: Duration,
     ) {
-        let (again, number, ballot) = (self.base.roster.lease() / AGAIN, self.number, self.ballot);
-        let roster = &self.base.roster;
-        let forming = self.aim == Aim::Form;
+        let (again, number, ballot) = (
+            self.base.membership.lease() / AGAIN,
+            self.number,
+            self.ballot,
+        );
+        let roster = &self.base.membership;
+        let forming = self.aim == ProposalGoal::Form;
         let Some(p) = self.peers.get_mut(member) else {
             return;
         };
         let ours = matches!(
             (&self.phase, asked),
-            (Phase::Promising, Ask::Promise { .. })
-                | (Phase::Accepting, Ask::Accept { .. } | Ask::Still { .. })
-                | (Phase::Telling, Ask::Decided { .. })
+            (ProposalPhase::Preparing, GroupRequest::Prepare { .. })
+                | (
+                    ProposalPhase::Accepting,
+                    GroupRequest::Accept { .. } | GroupRequest::ProposerAlive { .. }
+                )
+                | (ProposalPhase::Notifying, GroupRequest::Decided { .. })
         );
         if !ours {
             return;
         }
         p.asked = false;
-        let counts = |folder| roster.counts(&p.name, folder) || forming && folder != 0;
-        let votes = roster.seat(&p.name).is_some_and(|s| s.votes);
+        let counts = |folder| roster.counts_vote(&p.name, folder) || forming && folder != 0;
+        let votes = roster.member(&p.name).is_some_and(|s| s.votes);
         let unsure = |folder| votes && folder == 0;
         match (answer, asked) {
-            (_, Ask::Still { .. }) => {}
+            (_, GroupRequest::ProposerAlive { .. }) => {}
             (
-                Ok(Say::Promised {
-                    folder,
+                Ok(GroupResponse::Promised {
+                    replica: folder,
                     accepted,
-                    own,
+                    enforced: own,
                 }),
-                Ask::Promise { .. },
+                GroupRequest::Prepare { .. },
             ) => {
                 (p.answered, p.voted, p.folder, p.own) = (true, counts(folder), folder, own);
                 (p.unsure, p.not_before) = (unsure(folder), now + again);
@@ -439,7 +467,7 @@
                     self.best = accepted;
                 }
             }
-            (Ok(Say::Accepted { folder }), Ask::Accept { .. }) => {
+            (Ok(GroupResponse::Accepted { replica: folder }), GroupRequest::Accept { .. }) => {
                 (p.answered, p.ready, p.voted) = (true, true, counts(folder));
                 p.early |= p.voted && self.enough.is_none();
                 (p.unsure, p.not_before) = (unsure(folder), now + again);
@@ -449,44 +477,59 @@
                 }
             }
             (
-                Ok(Say::Decided {
-                    folder,
-                    number: at,
-                    from,
+                Ok(GroupResponse::Decided {
+                    replica: folder,
+                    version: at,
+                    accepted_in: from,
                 }),
-                Ask::Decided { .. },
+                GroupRequest::Decided { .. },
             ) if at >= number => {
                 (p.answered, p.voted) = (true, counts(folder));
                 p.clean |= p.voted && from == Some(ballot);
             }
-            (Ok(Say::Want), Ask::Decided { .. }) => p.wants = true,
-            (Ok(Say::Moved { number: at, digest }), Ask::Promise { .. } | Ask::Accept { .. })
-                if at >= number =>
-            {
+            (Ok(GroupResponse::NeedState), GroupRequest::Decided { .. }) => p.wants = true,
+            (
+                Ok(GroupResponse::OtherVersion {
+                    version: at,
+                    digest,
+                }),
+                GroupRequest::Prepare { .. } | GroupRequest::Accept { .. },
+            ) if at >= number => {
                 // It may be this very decree, settled by a member already: then it stands there.
                 let same = at == number && self.value.as_ref().is_some_and(|v| v.1 == digest);
-                if same && matches!(asked, Ask::Accept { .. }) {
-                    let folder = roster.seat(&p.name).map_or(0, |s| s.folder);
+                if same && matches!(asked, GroupRequest::Accept { .. }) {
+                    let folder = roster.member(&p.name).map_or(0, |s| s.replica);
                     (p.answered, p.ready, p.voted) = (true, true, counts(folder));
                     // It grants nobody anything under the one before any more.
                     p.early |= p.voted && self.enough.is_none();
                     p.clean = p.early;
                 } else {
-                    self.end(End::Overtaken(at));
+                    self.end(ProposalOutcome::Superseded(at));
                 }
             }
-            (Ok(Say::Moved { number: at, .. }), _) => {
+            (Ok(GroupResponse::OtherVersion { version: at, .. }), _) => {
                 p.why = Some(format!("it has not heard of more than decree {at}"));
                 p.not_before = now + again;
             }
-            (Ok(Say::Outbid { ballot }), _) => self.end(End::Outbid(ballot)),
+            (Ok(GroupResponse::HigherBallot { ballot }), _) => {
+                self.end(ProposalOutcome::HigherBallot(ballot))
+            }
             // Nothing has been decided yet: it ends here, and nothing has happened. One that could, but for its disk, is
             // as good as away.
-            (Ok(Say::No { why }), Ask::Promise { .. }) if matches!(self.aim, Aim::Change(_)) => {
+            (Ok(GroupResponse::Rejected { reason: why }), GroupRequest::Prepare { .. })
+                if matches!(self.aim, ProposalGoal::Change(_)) =>
+            {
                 let refused = vec![(p.name.clone(), why)];
-                self.end(End::Refused(refused));
+                self.end(ProposalOutcome::Rejected(refused));
             }
-            (Ok(Say::No { why } | Say::Unable { why }) | Err(why), _) => {
+            (
+                Ok(
+                    GroupResponse::Rejected { reason: why }
+                    | GroupResponse::Unavailable { reason: why },
+                )
+                | Err(why),
+                _,
+            ) => {
                 p.why = Some(why);
                 p.not_before = now + again;
             }
@@ -499,11 +542,13 @@
     }
 
     /// Ends it for want of time.
-    pub fn give_up(&mut self) {
+    pub fn time_out(&mut self) {
         match self.phase {
-            Phase::Ended(_) => {}
-            Phase::Promising => self.end(End::Few(self.votes(), self.needed())),
-            _ => self.end(End::Unfinished),
+            ProposalPhase::Ended(_) => {}
+            ProposalPhase::Preparing => {
+                self.end(ProposalOutcome::NoQuorum(self.votes(), self.needed()))
+            }
+            _ => self.end(ProposalOutcome::TimedOut),
         }
     }
 }
@@ -511,22 +556,25 @@
 #[cfg(test)]
 mod tests {
     use super::{
-        Aim, Arc, Ask, Ballot, Decree, Digest, Duration, End, Kind, Phase, Policy, Proposer,
-        Roster, Say, Seat,
+        Arc, Ballot, Digest, Duration, GroupRequest, GroupResponse, GroupState, Member, MemberRole,
+        Membership, Policy, ProposalGoal, ProposalOutcome, ProposalPhase, Proposer,
     };
 
-    const BALLOT: Ballot = Ballot { round: 1, by: 7 };
+    const BALLOT: Ballot = Ballot {
+        round: 1,
+        proposer: 7,
+    };
 
     /// A proposal of three at the point at which a majority has taken it up, the third is silent and the wait is over.
     fn telling() -> (Proposer, Duration, Digest) {
-        let seat = |n: u64| Seat {
+        let seat = |n: u64| Member {
             name: format!("m{n}"),
-            folder: n,
-            kind: Kind::Ingress,
+            replica: n,
+            role: MemberRole::Ingress,
             votes: true,
         };
-        let roster = Roster::new(1, 1_500, (1..=3).map(seat).collect()).unwrap();
-        let base = Arc::new(Decree::new(
+        let roster = Membership::new(1, 1_500, (1..=3).map(seat).collect()).unwrap();
+        let base = Arc::new(GroupState::new(
             1,
             1,
             Digest::default(),
@@ -534,45 +582,45 @@
             roster,
             Policy::default(),
         ));
-        let next = Arc::new(base.nothing());
+        let next = Arc::new(base.unchanged_successor());
         let mut now = Duration::from_secs(9);
-        let mut p = Proposer::begin(base, Aim::Change(next.clone()), BALLOT, now);
-        for phase in [Phase::Promising, Phase::Accepting] {
-            let asks = p.asks(now);
+        let mut p = Proposer::new(base, ProposalGoal::Change(next.clone()), BALLOT, now);
+        for phase in [ProposalPhase::Preparing, ProposalPhase::Accepting] {
+            let asks = p.requests(now);
             assert_eq!(p.phase, phase);
             for (n, ask) in asks {
                 let folder = n as u64 + 1;
                 let say = match (&ask, n) {
                     (_, 2) => continue,
-                    (Ask::Promise { .. }, _) => Say::Promised {
-                        folder,
+                    (GroupRequest::Prepare { .. }, _) => GroupResponse::Promised {
+                        replica: folder,
                         accepted: None,
-                        own: None,
+                        enforced: None,
                     },
-                    _ => Say::Accepted { folder },
+                    _ => GroupResponse::Accepted { replica: folder },
                 };
-                p.heard(n, &ask, Ok(say), now);
+                p.handle_response(n, &ask, Ok(say), now);
             }
             now += Duration::from_secs(2);
         }
-        p.asks(now);
-        assert_eq!(p.phase, Phase::Telling);
+        p.requests(now);
+        assert_eq!(p.phase, ProposalPhase::Notifying);
         (p, now, next.digest.clone())
     }
 
     fn told(p: &mut Proposer, now: Duration, digest: &Digest, from: [Option<Ballot>; 2]) {
         for (n, from) in from.into_iter().enumerate() {
-            let ask = Ask::Decided {
-                number: 2,
+            let ask = GroupRequest::Decided {
+                version: 2,
                 digest: digest.clone(),
-                decree: None,
+                state: None,
             };
-            let say = Say::Decided {
-                folder: n as u64 + 1,
-                number: 2,
-                from,
+            let say = GroupResponse::Decided {
+                replica: n as u64 + 1,
+                version: 2,
+                accepted_in: from,
             };
-            p.heard(n, &ask, Ok(say), now);
+            p.handle_response(n, &ask, Ok(say), now);
         }
     }
 
@@ -580,7 +628,7 @@
     fn it_is_made_without_a_second_wait_where_a_majority_heeded_this_ballot_alone() {
         let (mut p, now, digest) = telling();
         told(&mut p, now, &digest, [Some(BALLOT), Some(BALLOT)]);
-        assert_eq!(p.phase, Phase::Ended(End::Made));
+        assert_eq!(p.phase, ProposalPhase::Ended(ProposalOutcome::Committed));
     }
 
     /// Guards against "made" being said while another proposer has let the third go on: found by the rig, with 20 members
@@ -592,12 +640,18 @@
             &mut p,
             now,
             &digest,
-            [Some(BALLOT), Some(Ballot { round: 2, by: 1 })],
+            [
+                Some(BALLOT),
+                Some(Ballot {
+                    round: 2,
+                    proposer: 1,
+                }),
+            ],
         );
-        assert_eq!(p.phase, Phase::Telling);
-        p.asks(now + Duration::from_millis(1_500));
-        assert_eq!(p.phase, Phase::Telling);
-        p.asks(now + Duration::from_millis(1_531));
-        assert_eq!(p.phase, Phase::Ended(End::Made));
+        assert_eq!(p.phase, ProposalPhase::Notifying);
+        p.requests(now + Duration::from_millis(1_500));
+        assert_eq!(p.phase, ProposalPhase::Notifying);
+        p.requests(now + Duration::from_millis(1_531));
+        assert_eq!(p.phase, ProposalPhase::Ended(ProposalOutcome::Committed));
     }
 }
--- a/crates/consensus/src/protocol.rs
+++ b/crates/consensus/src/protocol.rs
@@ -1,316 +1,408 @@
-//! The messages between members, and between `wrenctl` and a member: lines of the control sockets' protocol
-//! (`wrenfork_commit::protocol`), told from its other asks by the key `group`.
+//! Messages of the group protocol, between members and between `wrenctl` and a member.
+//!
+//! They are lines of the control sockets' protocol ([`wrenfork_commit::protocol`]) and are distinguished from the messages
+//! of two-phase commit by the key `group`. Field and variant names are part of the wire format: a name that differs from
+//! the Rust one is given by `serde(rename)`.
 
-use crate::decree::Decree;
-use crate::seats::{Folder, Kind, Roster};
+use crate::group_state::GroupState;
+use crate::membership::{MemberRole, Membership, ReplicaId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use wrenfork_commit::state::{Digest, State};
 use wrenfork_rollout::record::Phase;
 use wrenfork_rollout::tally::Tally;
 
-/// Who proposes: a round, and a number drawn by whoever proposes in it, so that no two are alike.
+/// How far into a line the key `group` is looked for, in bytes: it is the first key after the version.
+const GROUP_KEY_PREFIX: usize = 32;
+const GROUP_KEY: &[u8] = b"\"group\":";
+
+/// A Paxos ballot: a round, made unique by a random number of its proposer.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// Higher than all that were seen before.
+    /// Higher than every round the proposer has seen.
     pub round: u64,
-    /// Whose it is.
-    pub by: u64,
+    /// Random number of the proposer, which orders ballots of the same round.
+    #[serde(rename = "by")]
+    pub proposer: u64,
 }
 
-/// A life of a member's process, and how much its folder has written. Each start draws another life; a folder that was put
-/// back from a copy has written less than others know of it, or has another life at the same age.
+/// How recent a replica's stored state is.
+///
+/// Each start of a process draws another incarnation. A replica restored from a copy has fewer writes than its peers have
+/// seen, or the same number with another incarnation.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct Age {
-    /// Writes of its folder so far.
+pub struct ReplicaVersion {
+    /// Number of writes of the replica so far.
     pub writes: u64,
-    /// The life of its process, drawn at its start.
-    pub life: u64,
+    /// Random number of the process, drawn at its start.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
-impl Age {
-    /// Whether a folder that says it is of this age must be an older copy of one that was seen at another.
-    pub fn is_older_than(&self, seen: &Age) -> bool {
-        self.writes < seen.writes || self.writes == seen.writes && self.life != seen.life
+impl ReplicaVersion {
+    /// Whether a replica that reports this version must be an older copy of one that was `seen` before.
+    pub fn is_older_copy_of(&self, seen: &ReplicaVersion) -> bool {
+        self.writes < seen.writes
+            || self.writes == seen.writes && self.incarnation != seen.incarnation
     }
 }
 
-/// What is asked of a member.
+/// A request to a member of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "group", rename_all = "kebab-case")]
-pub enum Ask {
-    /// To say that a decree still stands: a lease for whoever asks, from the moment of its asking on.
+pub enum GroupRequest {
+    /// Renews the sender's lease, which counts from the moment the request was sent.
     Renew {
-        /// Who asks.
+        /// Name of the sender.
         from: String,
-        /// Its folder.
-        folder: Folder,
-        /// The folder's age.
-        age: Age,
-        /// The decree that it serves under; 0 where it knows none.
-        number: u64,
-        /// The next decree, where it has taken that up.
-        ready: Option<Digest>,
+        /// Replica of the sender.
+        #[serde(rename = "folder")]
+        replica: ReplicaId,
+        /// Version of that replica.
+        #[serde(rename = "age")]
+        replica_version: ReplicaVersion,
+        /// Version of the group state the sender serves under; 0 if it knows none.
+        #[serde(rename = "number")]
+        version: u64,
+        /// Digest of the next group state, if the sender has accepted it.
+        #[serde(rename = "ready")]
+        accepted: Option<Digest>,
     },
-    /// To take part in deciding decree `number`, and in no lower ballot any more.
-    Promise {
-        /// Which decree.
-        number: u64,
-        /// Whose.
+    /// Phase 1a of Paxos: take part in deciding `version`, and in no lower ballot from now on.
+    #[serde(rename = "promise")]
+    Prepare {
+        /// Version of the group state to be decided.
+        #[serde(rename = "number")]
+        version: u64,
+        /// Ballot of the proposer.
         ballot: Ballot,
-        /// What would be proposed, to be looked at: whoever could not enforce it says so before anything is decided.
-        trial: Option<Arc<Decree>>,
+        /// What would be proposed. A member that could not enforce it says so before anything is decided.
+        #[serde(rename = "trial")]
+        candidate: Option<Arc<GroupState>>,
     },
-    /// To take a decree up: from now on it is enforced as soon as it is said to be decided, and nobody who hasn't taken
-    /// it up is told that the one before still stands.
+    /// Phase 2a of Paxos: accept a group state. From then on the member enforces it as soon as it hears that it is
+    /// decided, and renews leases under its predecessor only for members that have accepted it too.
     Accept {
-        /// Whose.
+        /// Ballot of the proposer.
         ballot: Ballot,
-        /// What.
-        decree: Arc<Decree>,
+        /// The proposed state.
+        #[serde(rename = "decree")]
+        state: Arc<GroupState>,
     },
-    /// Whoever proposed is still at work on a decree that was taken up.
-    Still {
-        /// Whose.
+    /// Heartbeat of the proposer of an accepted state.
+    #[serde(rename = "still")]
+    ProposerAlive {
+        /// Ballot of the proposer.
         ballot: Ballot,
-        /// Who is known to it to have taken it up: they, and nobody else, may go on serving under the one before until they
-        /// are told.
-        ready: Vec<String>,
+        /// Members the proposer knows to have accepted its state. They alone may keep serving under its predecessor until
+        /// they are notified.
+        #[serde(rename = "ready")]
+        accepted_by: Vec<String>,
     },
-    /// A decree is decided.
+    /// Notifies a member that a group state is decided.
     Decided {
-        /// Its number.
-        number: u64,
+        /// Its version.
+        #[serde(rename = "number")]
+        version: u64,
         /// Its digest.
         digest: Digest,
-        /// All of it, for those that have not taken it up.
-        decree: Option<Arc<Decree>>,
+        /// The state itself, for members that have not accepted it.
+        #[serde(rename = "decree")]
+        state: Option<Arc<GroupState>>,
     },
-    /// What stands, whole.
+    /// Asks for the whole group state in force.
     Learn,
-    /// How it stands, for people and for whoever proposes.
-    Stand,
-    /// What it has counted of its requests, for whoever drives a rollout.
+    /// Asks for the member's status.
+    #[serde(rename = "stand")]
+    Status,
+    /// Asks for the member's request counts; sent by the leader of a rollout.
     Tally,
-    /// From whoever drives a rollout: under this decree it is its turn to change the program that it runs.
-    Turn {
-        /// The decree's number.
-        number: u64,
+    /// Allows a member to change the program it runs; sent by the leader of a rollout.
+    #[serde(rename = "turn")]
+    UpgradeTurn {
+        /// Version of the group state the permission holds for.
+        #[serde(rename = "number")]
+        version: u64,
     },
-    /// From whoever keeps its process: a program does not come into service there.
-    Unfit {
-        /// Which.
+    /// Reports that a program fails to come into service; sent by the member's supervisor.
+    #[serde(rename = "unfit")]
+    ProgramUnfit {
+        /// The program, written `NAME@SHA256`.
         program: String,
-        /// Why.
-        why: String,
+        /// Why it failed.
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
-/// What becomes of a renewal.
+/// Outcome of a renewal request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Verdict {
-    /// It still stands.
+pub enum RenewalVerdict {
+    /// The lease is granted.
     Granted,
-    /// Another decree has been taken up here, and whoever asks has not.
+    /// The voter has accepted the next group state, and the requester has not.
     Pending,
-    /// Another one stands here already.
+    /// The requester's group state is older than the voter's.
     Behind,
-    /// Whoever asks knows more than this member.
+    /// The requester's group state is newer than the voter's.
     Ahead,
-    /// No seat has that name.
-    Stranger,
+    /// The requester is not a member.
+    #[serde(rename = "stranger")]
+    UnknownMember,
     /// The group has not been formed yet.
-    Unformed,
-    /// Another process of that name, with another folder, may still be serving.
-    Twin,
+    #[serde(rename = "unformed")]
+    NoGroup,
+    /// Another process with the same name and another replica may hold a lease.
+    #[serde(rename = "twin")]
+    DuplicateMember,
 }
 
-/// A member's answer.
+/// A member's response.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "kebab-case")]
-pub enum Say {
-    /// To a renewal.
+pub enum GroupResponse {
+    /// To [`GroupRequest::Renew`].
     Renewed {
-        /// The folder of whoever answers.
-        folder: Folder,
-        /// The decree that stands there.
-        number: u64,
-        /// What was seen of the folder of whoever asks, before this ask.
-        seen: Option<Age>,
-        /// What becomes of it.
-        verdict: Verdict,
+        /// Replica of the responder.
+        #[serde(rename = "folder")]
+        replica: ReplicaId,
+        /// Version of the group state in force at the responder.
+        #[serde(rename = "number")]
+        version: u64,
+        /// Last version of the requester's replica seen before this request.
+        #[serde(rename = "seen")]
+        last_seen: Option<ReplicaVersion>,
+        /// Whether the lease is granted.
+        verdict: RenewalVerdict,
     },
-    /// It takes part.
+    /// Phase 1b of Paxos: the member takes part in the ballot.
     Promised {
-        /// Its folder.
-        folder: Folder,
-        /// What it has taken up in a lower ballot.
-        accepted: Option<(Ballot, Arc<Decree>)>,
-        /// What it enforces, where no decree stands yet.
-        own: Option<(u64, Arc<State>)>,
+        /// Replica of the responder; 0 if its vote does not count.
+        #[serde(rename = "folder")]
+        replica: ReplicaId,
+        /// What it has accepted in a lower ballot.
+        accepted: Option<(Ballot, Arc<GroupState>)>,
+        /// What it enforces, with its generation, while there is no group state.
+        #[serde(rename = "own")]
+        enforced: Option<(u64, Arc<State>)>,
     },
-    /// It has taken the decree up.
+    /// Phase 2b of Paxos: the member has accepted the state.
     Accepted {
-        /// Its folder.
-        folder: Folder,
+        /// Replica of the responder; 0 if its vote does not count.
+        #[serde(rename = "folder")]
+        replica: ReplicaId,
     },
-    /// Somebody has a higher ballot.
-    Outbid {
-        /// That one.
+    /// The member has promised a higher ballot.
+    #[serde(rename = "outbid")]
+    HigherBallot {
+        /// That ballot.
         ballot: Ballot,
     },
-    /// Another number is to be decided here.
-    Moved {
-        /// The decree that stands.
-        number: u64,
+    /// The version to be decided next at the member is another one.
+    #[serde(rename = "moved")]
+    OtherVersion {
+        /// Version of the group state in force there.
+        #[serde(rename = "number")]
+        version: u64,
         /// Its digest.
         digest: Digest,
     },
-    /// The decree stands there now.
+    /// The decided state is in force at the member.
     Decided {
-        /// Its folder.
-        folder: Folder,
-        /// The decree that stands.
-        number: u64,
-        /// The ballot in which it had taken it up, where it has made the switch at this word.
-        from: Option<Ballot>,
+        /// Replica of the responder.
+        #[serde(rename = "folder")]
+        replica: ReplicaId,
+        /// Version of the group state in force there.
+        #[serde(rename = "number")]
+        version: u64,
+        /// Ballot in which the member had accepted it, if it had.
+        #[serde(rename = "from")]
+        accepted_in: Option<Ballot>,
     },
-    /// All of the decree is needed.
-    Want,
-    /// What stands; nothing where the group has not been formed.
-    Learnt {
-        /// It.
-        decree: Option<Arc<Decree>>,
+    /// The member needs the whole state to act on [`GroupRequest::Decided`].
+    #[serde(rename = "want")]
+    NeedState,
+    /// To [`GroupRequest::Learn`].
+    #[serde(rename = "learnt")]
+    State {
+        /// The group state in force; none before the group is formed.
+        #[serde(rename = "decree")]
+        state: Option<Arc<GroupState>>,
     },
-    /// How it stands.
-    Stands(Box<Stand>),
-    /// What it has counted.
+    /// To [`GroupRequest::Status`].
+    #[serde(rename = "stands")]
+    Status(Box<GroupStatus>),
+    /// To [`GroupRequest::Tally`].
     Tallied(Box<Tally>),
-    /// It is noted.
-    Noted,
-    /// It does not; nothing has changed.
-    No {
-        /// Why, in plain words.
-        why: String,
+    /// The request has been recorded.
+    #[serde(rename = "noted")]
+    Acknowledged,
+    /// The request is rejected; nothing has changed.
+    #[serde(rename = "no")]
+    Rejected {
+        /// Why, for people.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    /// It can't right now, by the disk for one; nothing has changed, and it may be asked again.
-    Unable {
-        /// Why, in plain words.
-        why: String,
+    /// The request can't be carried out now, for example because of the disk; nothing has changed and it may be retried.
+    #[serde(rename = "unable")]
+    Unavailable {
+        /// Why, for people.
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
-/// How it stands at a member.
+/// Status of a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Stand {
-    /// Its name.
+pub struct GroupStatus {
+    /// Name of the member.
     pub name: String,
-    /// Its folder.
-    pub folder: Folder,
-    /// What it is, if its seat says so.
-    pub kind: Option<Kind>,
-    /// The decree that stands there; 0 where the group has not been formed.
-    pub number: u64,
-    /// The generation that is enforced under it.
+    /// Its replica.
+    #[serde(rename = "folder")]
+    pub replica: ReplicaId,
+    /// Its role, if it is a member of the group state in force.
+    #[serde(rename = "kind")]
+    pub role: Option<MemberRole>,
+    /// Version of the group state in force; 0 before the group is formed.
+    #[serde(rename = "number")]
+    pub version: u64,
+    /// Generation enforced under it.
     pub generation: u64,
-    /// Its change.
+    /// The change that made it.
     pub change: Digest,
-    /// The decree's digest.
+    /// Its digest.
     pub digest: Digest,
-    /// The roster under it.
-    pub roster: Roster,
-    /// The highest ballot that it takes part in.
+    /// Its membership.
+    #[serde(rename = "roster")]
+    pub membership: Membership,
+    /// Highest ballot promised.
     pub promised: Ballot,
-    /// The next decree, where it has taken one up.
+    /// Digest of the next state, if one has been accepted.
     pub pending: Option<Digest>,
-    /// Where the rollout stands that its decree is of, if any.
+    /// Phase of the rollout the group state belongs to, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rollout: Option<Phase>,
-    /// Milliseconds for which it may still serve; none where it may not.
+    /// Milliseconds until the lease expires; none if the member may not serve.
     pub lease_ms: Option<u64>,
-    /// Why it does not vote, where it does not.
-    pub unsure: Option<String>,
-    /// The program that it runs, where whoever keeps its process says so.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub runs: Option<String>,
-    /// The program that it is to run, where its decree says so.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub wants: Option<String>,
-    /// Whether it may change to that now.
-    #[serde(default)]
-    pub turn: bool,
+    /// Why the member's vote does not count, if it does not.
+    #[serde(rename = "unsure")]
+    pub vote_withheld: Option<String>,
+    /// Program the member runs, as its supervisor says.
+    #[serde(rename = "runs", default, skip_serializing_if = "Option::is_none")]
+    pub running_program: Option<String>,
+    /// Program the group state wants it to run.
+    #[serde(rename = "wants", default, skip_serializing_if = "Option::is_none")]
+    pub wanted_program: Option<String>,
+    /// Whether it may change to that program now.
+    #[serde(rename = "turn", default)]
+    pub may_upgrade: bool,
 }
 
-/// Whether a line is one of these asks: the key that tells them stands first, behind the version.
-pub fn is(line: &str) -> bool {
-    line.as_bytes()
-        .chunks(32)
-        .next()
-        .is_some_and(|head| head.windows(8).any(|w| w == b"\"group\":"))
+/// Whether a line of the control socket is a [`GroupRequest`].
+pub fn is_group_request(line: &str) -> bool {
+    let bytes = line.as_bytes();
+    let head = &bytes[..bytes.len().min(GROUP_KEY_PREFIX)];
+    head.windows(GROUP_KEY.len())
+        .any(|window| window == GROUP_KEY)
 }
 
 #[cfg(test)]
 mod tests {
-    use super::{is, Age, Arc, Ask, Ballot, Decree, Digest, Say};
-    use wrenfork_commit::protocol::{self, read};
+    use super::{
+        is_group_request, Arc, Ballot, Digest, GroupRequest, GroupResponse, GroupState,
+        ReplicaVersion,
+    };
+    use wrenfork_commit::protocol::{self, decode_line};
 
     #[test]
     fn asks_of_a_group_are_told_from_the_others_and_survive_the_way() {
-        let renew = Ask::Renew {
+        let renew = GroupRequest::Renew {
             from: "a".into(),
-            folder: 3,
-            age: Age { writes: 1, life: 2 },
-            number: 9,
-            ready: None,
+            replica: 3,
+            replica_version: ReplicaVersion {
+                writes: 1,
+                incarnation: 2,
+            },
+            version: 9,
+            accepted: None,
         };
-        let promise = Ask::Promise {
-            number: 2,
+        let promise = GroupRequest::Prepare {
+            version: 2,
             ballot: Ballot {
                 round: u64::MAX,
-                by: 7,
+                proposer: 7,
             },
-            trial: None,
+            candidate: None,
         };
-        let decree = Arc::new(Decree::default());
-        let accept = Ask::Accept {
+        let decree = Arc::new(GroupState::default());
+        let accept = GroupRequest::Accept {
             ballot: Ballot::default(),
-            decree: decree.clone(),
+            state: decree.clone(),
         };
-        let decided = Ask::Decided {
-            number: 1,
+        let decided = GroupRequest::Decided {
+            version: 1,
             digest: Digest::default(),
-            decree: Some(decree),
+            state: Some(decree),
         };
         for ask in [
             renew,
             promise,
             accept,
             decided,
-            Ask::Learn,
-            Ask::Stand,
-            Ask::Tally,
-            Ask::Turn { number: 4 },
+            GroupRequest::Learn,
+            GroupRequest::Status,
+            GroupRequest::Tally,
+            GroupRequest::UpgradeTurn { version: 4 },
         ] {
-            let line = protocol::line(&ask);
-            assert!(is(&line), "{line}");
-            assert_eq!(read::<Ask>(&line), Ok(ask));
+            let line = protocol::encode_line(&ask);
+            assert!(is_group_request(&line), "{line}");
+            assert_eq!(decode_line::<GroupRequest>(&line), Ok(ask));
         }
-        assert!(!is(&protocol::line(&protocol::Ask::Status)) && !is("") && !is("{"));
+        assert!(
+            !is_group_request(&protocol::encode_line(&protocol::CommitRequest::Status))
+                && !is_group_request("")
+                && !is_group_request("{")
+        );
         for say in [
-            Say::Want,
-            Say::Stands(Box::default()),
-            Say::Tallied(Box::default()),
-            Say::Learnt { decree: None },
+            GroupResponse::NeedState,
+            GroupResponse::Status(Box::default()),
+            GroupResponse::Tallied(Box::default()),
+            GroupResponse::State { state: None },
         ] {
-            assert_eq!(read::<Say>(&protocol::line(&say)), Ok(say));
+            assert_eq!(
+                decode_line::<GroupResponse>(&protocol::encode_line(&say)),
+                Ok(say)
+            );
+        }
+        assert!(ReplicaVersion {
+            writes: 4,
+            incarnation: 1
+        }
+        .is_older_copy_of(&ReplicaVersion {
+            writes: 5,
+            incarnation: 1
+        }));
+        assert!(ReplicaVersion {
+            writes: 5,
+            incarnation: 1
+        }
+        .is_older_copy_of(&ReplicaVersion {
+            writes: 5,
+            incarnation: 2
+        }));
+        assert!(!ReplicaVersion {
+            writes: 6,
+            incarnation: 1
         }
-        assert!(Age { writes: 4, life: 1 }.is_older_than(&Age { writes: 5, life: 1 }));
-        assert!(Age { writes: 5, life: 1 }.is_older_than(&Age { writes: 5, life: 2 }));
-        assert!(!Age { writes: 6, life: 1 }.is_older_than(&Age { writes: 5, life: 2 }));
+        .is_older_copy_of(&ReplicaVersion {
+            writes: 5,
+            incarnation: 2
+        }));
     }
 }
