--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -11,16 +11,18 @@
 use std::sync::Arc;
 use wrenfork_commit::protocol;
 use wrenfork_commit::state::{Digest, State};
-use wrenfork_consensus::acceptor::Memory;
-use wrenfork_consensus::decree::{Decree, Policy};
-use wrenfork_consensus::protocol::{Age, Ask, Ballot, Say, Stand, Verdict};
-use wrenfork_consensus::seats::{Kind, Roster, Seat};
+use wrenfork_consensus::acceptor::PersistentState;
+use wrenfork_consensus::group_state::{GroupState, Policy};
+use wrenfork_consensus::membership::{Member, MemberRole, Membership};
+use wrenfork_consensus::protocol::{
+    Ballot, GroupRequest, GroupResponse, GroupStatus, RenewalVerdict, ReplicaVersion,
+};
 use wrenfork_rollout::record::{self, Phase, Record, Terms};
 use wrenfork_rollout::tally::{self, Tally};
 
 const BALLOT: Ballot = Ballot {
     round: 3,
-    by: u64::MAX,
+    proposer: u64::MAX,
 };
 
 fn path(name: &str) -> PathBuf {
@@ -45,20 +47,20 @@
 /// Names and values that a text form has to escape.
 const ODD: &str = "b \"quoted\"\n\\ \u{fc}\u{200b}";
 
-fn roster() -> Roster {
-    let seat = |name: &str, folder, kind, votes| Seat {
+fn roster() -> Membership {
+    let seat = |name: &str, folder, kind, votes| Member {
         name: name.into(),
-        folder,
-        kind,
+        replica: folder,
+        role: kind,
         votes,
     };
     let seats = vec![
-        seat("a", 1, Kind::Ingress, true),
-        seat(ODD, u64::MAX, Kind::Ingress, true),
-        seat("w", 3, Kind::Witness, true),
-        seat("z", 0, Kind::Ingress, false),
+        seat("a", 1, MemberRole::Ingress, true),
+        seat(ODD, u64::MAX, MemberRole::Ingress, true),
+        seat("w", 3, MemberRole::Witness, true),
+        seat("z", 0, MemberRole::Ingress, false),
     ];
-    Roster::new(7, 1_500, seats).unwrap()
+    Membership::new(7, 1_500, seats).unwrap()
 }
 
 fn states() -> BTreeMap<String, Arc<State>> {
@@ -70,14 +72,14 @@
     .into()
 }
 
-fn base() -> Decree {
-    Decree::new(
+fn base() -> GroupState {
+    GroupState::new(
         4,
         2,
         Digest::of(b"change"),
         "ann \"the\" first\n",
         roster(),
-        Policy::of(&states()),
+        Policy::from_states(&states()),
     )
 }
 
@@ -118,89 +120,92 @@
     ]
 }
 
-fn decrees() -> Vec<Decree> {
-    let mut all = vec![Decree::default(), base(), base().nothing()];
-    let smaller = roster().without("z").unwrap();
-    all.push(base().seated("carl", smaller, BTreeMap::new()));
+fn decrees() -> Vec<GroupState> {
+    let mut all = vec![GroupState::default(), base(), base().unchanged_successor()];
+    let smaller = roster().without_member("z").unwrap();
+    all.push(base().with_membership("carl", smaller, BTreeMap::new()));
     let larger = roster()
-        .with(Seat {
+        .with_member(Member {
             name: "y".into(),
-            folder: 5,
-            kind: Kind::Ingress,
+            replica: 5,
+            role: MemberRole::Ingress,
             votes: true,
         })
         .unwrap();
-    all.push(base().seated(
+    all.push(base().with_membership(
         "carl",
         larger,
         [("y".to_string(), state(&[("k", "2")]))].into(),
     ));
-    all.push(base().seated("", roster().voting(ODD, None).unwrap(), BTreeMap::new()));
+    all.push(base().with_membership("", roster().with_vote(ODD, None).unwrap(), BTreeMap::new()));
     for phase in phases() {
-        all.push(base().rolled("bob", rollout(phase)).unwrap());
+        all.push(base().with_rollout("bob", rollout(phase)).unwrap());
     }
     all
 }
 
-fn decree() -> Arc<Decree> {
+fn decree() -> Arc<GroupState> {
     Arc::new(
         base()
-            .rolled("bob", rollout(Phase::On { stage: 0 }))
+            .with_rollout("bob", rollout(Phase::On { stage: 0 }))
             .unwrap(),
     )
 }
 
-fn age() -> Age {
-    Age { writes: 9, life: 8 }
+fn age() -> ReplicaVersion {
+    ReplicaVersion {
+        writes: 9,
+        incarnation: 8,
+    }
 }
 
-fn asks() -> Vec<Ask> {
-    let renew = |number, ready| Ask::Renew {
+fn asks() -> Vec<GroupRequest> {
+    let renew = |number, ready| GroupRequest::Renew {
         from: ODD.into(),
-        folder: 3,
-        age: age(),
-        number,
-        ready,
+        replica: 3,
+        replica_version: age(),
+        version: number,
+        accepted: ready,
     };
     let digest = Digest::of(b"decree");
     vec![
         renew(0, None),
         renew(4, Some(digest.clone())),
-        Ask::Promise {
-            number: 5,
+        GroupRequest::Prepare {
+            version: 5,
             ballot: BALLOT,
-            trial: None,
+            candidate: None,
         },
-        Ask::Promise {
-            number: 5,
+        GroupRequest::Prepare {
+            version: 5,
             ballot: BALLOT,
-            trial: Some(decree()),
+            candidate: Some(decree()),
         },
-        Ask::Accept {
+        GroupRequest::Accept {
             ballot: BALLOT,
-            decree: decree(),
+            state: decree(),
         },
-        Ask::Still {
+        GroupRequest::ProposerAlive {
             ballot: BALLOT,
-            ready: vec!["a".into(), ODD.into()],
+            accepted_by: vec!["a".into(), ODD.into()],
         },
-        Ask::Decided {
-            number: 5,
+        GroupRequest::Decided {
+            version: 5,
             digest: digest.clone(),
-            decree: None,
+            state: None,
         },
-        Ask::Decided {
-            number: 5,
+        GroupRequest::Decided {
+            version: 5,
             digest,
-            decree: Some(decree()),
+            state: Some(decree()),
         },
-        Ask::Learn,
-        Ask::Stand,
-        Ask::Tally,
-        Ask::Turn { number: 4 },
-        Ask::Unfit {
+        GroupRequest::Learn,
+        GroupRequest::Status,
+        GroupRequest::Tally,
+        GroupRequest::UpgradeTurn { version: 4 },
+        GroupRequest::ProgramUnfit {
             program: format!("r-1@{}", "1".repeat(64)),
-            why: "it ends \"at once\"".into(),
+            reason: "it ends \"at once\"".into(),
         },
     ]
 }
@@ -232,100 +237,107 @@
     }
 }
 
-fn stand() -> Stand {
-    Stand {
+fn stand() -> GroupStatus {
+    GroupStatus {
         name: "a".into(),
-        folder: 1,
-        kind: Some(Kind::Witness),
-        number: 4,
+        replica: 1,
+        role: Some(MemberRole::Witness),
+        version: 4,
         generation: 2,
         change: Digest::of(b"change"),
         digest: Digest::of(b"decree"),
-        roster: roster(),
+        membership: roster(),
         promised: BALLOT,
         pending: Some(Digest::of(b"next")),
         rollout: Some(Phase::Held { stage: 1 }),
         lease_ms: Some(700),
-        unsure: Some("too few".into()),
-        runs: Some("r-1".into()),
-        wants: Some("r-2".into()),
-        turn: true,
+        vote_withheld: Some("too few".into()),
+        running_program: Some("r-1".into()),
+        wanted_program: Some("r-2".into()),
+        may_upgrade: true,
     }
 }
 
-fn says() -> Vec<Say> {
+fn says() -> Vec<GroupResponse> {
     let verdicts = [
-        Verdict::Granted,
-        Verdict::Pending,
-        Verdict::Behind,
-        Verdict::Ahead,
-        Verdict::Stranger,
-        Verdict::Unformed,
-        Verdict::Twin,
+        RenewalVerdict::Granted,
+        RenewalVerdict::Pending,
+        RenewalVerdict::Behind,
+        RenewalVerdict::Ahead,
+        RenewalVerdict::UnknownMember,
+        RenewalVerdict::NoGroup,
+        RenewalVerdict::DuplicateMember,
     ];
-    let mut says: Vec<Say> = verdicts
+    let mut says: Vec<GroupResponse> = verdicts
         .into_iter()
         .enumerate()
-        .map(|(n, verdict)| Say::Renewed {
-            folder: 2,
-            number: 4,
-            seen: (n > 0).then(age),
+        .map(|(n, verdict)| GroupResponse::Renewed {
+            replica: 2,
+            version: 4,
+            last_seen: (n > 0).then(age),
             verdict,
         })
         .collect();
-    let decided = |from| Say::Decided {
-        folder: 2,
-        number: 5,
-        from,
+    let decided = |from| GroupResponse::Decided {
+        replica: 2,
+        version: 5,
+        accepted_in: from,
     };
     says.extend([
-        Say::Promised {
-            folder: 2,
+        GroupResponse::Promised {
+            replica: 2,
             accepted: None,
-            own: None,
+            enforced: None,
         },
-        Say::Promised {
-            folder: 2,
+        GroupResponse::Promised {
+            replica: 2,
             accepted: Some((BALLOT, decree())),
-            own: Some((4, state(&[("k", ODD)]))),
+            enforced: Some((4, state(&[("k", ODD)]))),
         },
-        Say::Accepted { folder: 2 },
-        Say::Outbid { ballot: BALLOT },
-        Say::Moved {
-            number: 6,
+        GroupResponse::Accepted { replica: 2 },
+        GroupResponse::HigherBallot { ballot: BALLOT },
+        GroupResponse::OtherVersion {
+            version: 6,
             digest: Digest::of(b"moved"),
         },
         decided(None),
         decided(Some(BALLOT)),
-        Say::Want,
-        Say::Learnt { decree: None },
-        Say::Learnt {
-            decree: Some(decree()),
+        GroupResponse::NeedState,
+        GroupResponse::State { state: None },
+        GroupResponse::State {
+            state: Some(decree()),
         },
-        Say::Stands(Box::default()),
-        Say::Stands(Box::new(stand())),
-        Say::Tallied(Box::default()),
-        Say::Tallied(Box::new(tally())),
-        Say::Noted,
-        Say::No { why: ODD.into() },
-        Say::Unable {
-            why: "the disk is full".into(),
+        GroupResponse::Status(Box::default()),
+        GroupResponse::Status(Box::new(stand())),
+        GroupResponse::Tallied(Box::default()),
+        GroupResponse::Tallied(Box::new(tally())),
+        GroupResponse::Acknowledged,
+        GroupResponse::Rejected { reason: ODD.into() },
+        GroupResponse::Unavailable {
+            reason: "the disk is full".into(),
         },
     ]);
     says
 }
 
-fn memories() -> Vec<Memory> {
-    let whole = Memory {
+fn memories() -> Vec<PersistentState> {
+    let whole = PersistentState {
         name: ODD.into(),
-        folder: 3,
+        replica: 3,
         writes: 9,
-        decree: Some(Arc::new(base())),
-        from: Some(BALLOT),
-        promised: Ballot { round: 4, by: 1 },
+        group_state: Some(Arc::new(base())),
+        accepted_in: Some(BALLOT),
+        promised: Ballot {
+            round: 4,
+            proposer: 1,
+        },
         accepted: Some((BALLOT, decree())),
     };
-    vec![Memory::fresh("a", 1), whole.shed(77), whole]
+    vec![
+        PersistentState::new("a", 1),
+        whole.with_new_replica(77),
+        whole,
+    ]
 }
 
 fn json<T: Serialize>(values: &[T]) -> String {
@@ -337,11 +349,17 @@
 
 fn files() -> Vec<(&'static str, String)> {
     vec![
-        ("asks.jsonl", asks().iter().map(protocol::line).collect()),
-        ("says.jsonl", says().iter().map(protocol::line).collect()),
+        (
+            "asks.jsonl",
+            asks().iter().map(protocol::encode_line).collect(),
+        ),
+        (
+            "says.jsonl",
+            says().iter().map(protocol::encode_line).collect(),
+        ),
         ("decrees.jsonl", json(&decrees())),
         ("memory.jsonl", json(&memories())),
-        ("roster.jsonl", json(&[Roster::default(), roster()])),
+        ("roster.jsonl", json(&[Membership::default(), roster()])),
     ]
 }
 
@@ -367,11 +385,11 @@
     let text = golden(name);
     let found: Vec<T> = text
         .lines()
-        .map(|line| protocol::read(line).unwrap())
+        .map(|line| protocol::decode_line(line).unwrap())
         .collect();
     assert_eq!(found, values, "{name}");
     assert_eq!(
-        found.iter().map(protocol::line).collect::<String>(),
+        found.iter().map(protocol::encode_line).collect::<String>(),
         text,
         "{name}"
     );
@@ -400,7 +418,7 @@
 fn golden_records_are_read_and_written_again_to_the_same_bytes() {
     assert_json_round_trips("decrees.jsonl", &decrees());
     assert_json_round_trips("memory.jsonl", &memories());
-    assert_json_round_trips("roster.jsonl", &[Roster::default(), roster()]);
+    assert_json_round_trips("roster.jsonl", &[Membership::default(), roster()]);
 }
 
 /// A digest is made over a text with the names of fields and types: a rename that reached it would part members of two
@@ -408,8 +426,8 @@
 #[test]
 fn every_golden_decree_still_has_the_digest_that_it_was_written_with() {
     for line in golden("decrees.jsonl").lines().skip(1) {
-        let decree: Decree = serde_json::from_str(line).unwrap();
-        let roster_ok = decree.roster.check();
+        let decree: GroupState = serde_json::from_str(line).unwrap();
+        let roster_ok = decree.membership.check();
         assert_eq!(roster_ok, Ok(()));
         assert_eq!(decree.check(), Ok(()), "{line}");
     }
@@ -418,13 +436,13 @@
 #[test]
 fn records_of_an_older_program_that_leaves_fields_out_are_read() {
     let memory = r#"{"name":"a","folder":1,"writes":0,"decree":null,"promised":{"round":0,"by":0},"accepted":null}"#;
-    let memory: Memory = serde_json::from_str(memory).unwrap();
-    assert_eq!(memory, Memory::fresh("a", 1));
-    let text = serde_json::to_string(&Stand::default()).unwrap();
+    let memory: PersistentState = serde_json::from_str(memory).unwrap();
+    assert_eq!(memory, PersistentState::new("a", 1));
+    let text = serde_json::to_string(&GroupStatus::default()).unwrap();
     assert!(text.ends_with(",\"turn\":false}"), "{text}");
     let older = text.replace(",\"turn\":false", "");
     assert_eq!(
-        serde_json::from_str::<Stand>(&older).unwrap(),
-        Stand::default()
+        serde_json::from_str::<GroupStatus>(&older).unwrap(),
+        GroupStatus::default()
     );
 }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -11,12 +11,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 use wrenfork_commit::state::{Digest, State};
-use wrenfork_consensus::acceptor::{Acceptor, Memory, Step};
-use wrenfork_consensus::decree::{Decree, Policy};
-use wrenfork_consensus::lease::{Heard, Standing};
-use wrenfork_consensus::proposer::{Aim, End, Phase, Proposer};
-use wrenfork_consensus::protocol::{Ask, Ballot, Say, Verdict};
-use wrenfork_consensus::seats::{Kind, Roster, Seat};
+use wrenfork_consensus::acceptor::{Acceptor, PersistentState, Step};
+use wrenfork_consensus::group_state::{GroupState, Policy};
+use wrenfork_consensus::lease::{LeaseManager, RenewalResult};
+use wrenfork_consensus::membership::{Member, MemberRole, Membership};
+use wrenfork_consensus::proposer::{ProposalGoal, ProposalOutcome, ProposalPhase, Proposer};
+use wrenfork_consensus::protocol::{Ballot, GroupRequest, GroupResponse, RenewalVerdict};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 /// The member whose leases are looked at.
@@ -73,27 +73,27 @@
     /// Ends of members and of proposers.
     crashes: u8,
     steps: u8,
-    first: Arc<Decree>,
+    first: Arc<GroupState>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Way {
     Idle,
-    Asked(Ask),
+    Asked(GroupRequest),
 }
 
 /// A renewal under way between the holder and another: sent when, its ask, its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Renewal {
     sent: Duration,
-    ask: Ask,
-    answer: Option<Say>,
+    ask: GroupRequest,
+    answer: Option<GroupResponse>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Now {
     time: Duration,
-    members: Vec<(Acceptor, Standing)>,
+    members: Vec<(Acceptor, LeaseManager)>,
     proposers: Vec<Option<Proposer>>,
     begun: bool,
     ways: Vec<Vec<Way>>,
@@ -134,27 +134,27 @@
 
 fn policy(value: &str) -> Policy {
     let state = Arc::new(State([("quota".to_string(), value.to_string())].into()));
-    Policy::of(&NAMES.map(|n| (n.to_string(), state.clone())).into())
+    Policy::from_states(&NAMES.map(|n| (n.to_string(), state.clone())).into())
 }
 
-fn roster() -> Roster {
-    let seat = |n: usize| Seat {
+fn roster() -> Membership {
+    let seat = |n: usize| Member {
         name: NAMES[n].into(),
-        folder: n as u64 + 1,
-        kind: Kind::Ingress,
+        replica: n as u64 + 1,
+        role: MemberRole::Ingress,
         votes: true,
     };
-    Roster::new(1, LEASE, (0..3).map(seat).collect()).unwrap()
+    Membership::new(1, LEASE, (0..3).map(seat).collect()).unwrap()
 }
 
-fn change(base: &Decree, who: &str, value: &str) -> Arc<Decree> {
+fn change(base: &GroupState, who: &str, value: &str) -> Arc<GroupState> {
     let change = Digest::of(who.as_bytes());
-    Arc::new(Decree::new(
-        base.number + 1,
+    Arc::new(GroupState::new(
+        base.version + 1,
         base.generation + 1,
         change,
         who,
-        base.roster.clone(),
+        base.membership.clone(),
         policy(value),
     ))
 }
@@ -165,7 +165,7 @@
         second: Second,
         (leases, losses, crashes, steps): (bool, u8, u8, u8),
     ) -> World {
-        let first = Arc::new(Decree::new(
+        let first = Arc::new(GroupState::new(
             1,
             1,
             Digest::default(),
@@ -184,60 +184,74 @@
         }
     }
 
-    fn member(&self, n: usize, memory: Memory, life: u64, now: Duration) -> (Acceptor, Standing) {
-        let standing = Standing::new(NAMES[n], &memory, Roster::default(), life, now);
+    fn member(
+        &self,
+        n: usize,
+        memory: PersistentState,
+        life: u64,
+        now: Duration,
+    ) -> (Acceptor, LeaseManager) {
+        let standing = LeaseManager::new(NAMES[n], &memory, Membership::default(), life, now);
         (Acceptor::new(memory, None), standing)
     }
 
-    fn memory(&self, n: usize) -> Memory {
-        Memory {
-            decree: Some(self.first.clone()),
+    fn memory(&self, n: usize) -> PersistentState {
+        PersistentState {
+            group_state: Some(self.first.clone()),
             writes: 5,
-            ..Memory::fresh(NAMES[n], n as u64 + 1)
+            ..PersistentState::new(NAMES[n], n as u64 + 1)
         }
     }
 
-    fn sure(&self, standing: &Standing) -> Result<(), String> {
+    fn sure(&self, standing: &LeaseManager) -> Result<(), String> {
         match self.variant {
             Variant::TrustsFolders => Ok(()),
-            _ => standing.sure(),
+            _ => standing.check_vote_eligibility(),
         }
     }
 
     /// A member takes an ask, and writes what that wants; none where it ended before it could answer.
-    fn take(&self, now: &mut Now, i: usize, ask: Ask) -> Say {
+    fn take(&self, now: &mut Now, i: usize, ask: GroupRequest) -> GroupResponse {
         let (acceptor, standing) = &mut now.members[i];
         // Taken up is barred before it is written.
         let mut taken = None;
-        if let Ask::Accept { decree, ballot } = &ask {
-            standing.bar(*ballot, &decree.digest, Duration::ZERO);
+        if let GroupRequest::Accept {
+            state: decree,
+            ballot,
+        } = &ask
+        {
+            standing.block_grants(*ballot, &decree.digest, Duration::ZERO);
             taken = Some((*ballot, decree.digest.clone()));
         }
         let sure = self.sure(standing);
-        let say = match acceptor.take(ask, sure, |_| Ok(())) {
-            Step::Say(say) => say,
-            Step::Write { memory, then, .. } => {
-                acceptor.written(*memory);
+        let say = match acceptor.handle(ask, sure, |_| Ok(())) {
+            Step::Respond(say) => say,
+            Step::Persist {
+                state: memory,
+                response: then,
+                ..
+            } => {
+                acceptor.persisted(*memory);
                 then
             }
         };
-        let mut memory = acceptor.memory().clone();
+        let mut memory = acceptor.state().clone();
         if self.variant == Variant::GrantsAll {
             memory.accepted = None;
         }
-        standing.follow(&memory, Duration::ZERO);
+        standing.apply_state(&memory, Duration::ZERO);
         if !self.leases {
             // Others are told of each write with the next renewal: what a copy is older than is known.
-            if let Ask::Renew {
+            if let GroupRequest::Renew {
                 from,
-                folder,
-                age,
-                number,
-                ready,
-            } = standing.ask()
+                replica: folder,
+                replica_version: age,
+                version: number,
+                accepted: ready,
+            } = standing.renewal_request()
             {
                 for j in (0..3).filter(|j| *j != i) {
-                    now.members[j].1.renew(
+                    now.members[j].1.handle_renewal(
                         &from,
                         folder,
                         age,
@@ -250,24 +264,30 @@
         }
         // Why not is for people.
         let say = match say {
-            Say::No { .. } => Say::No { why: String::new() },
-            Say::Accepted { .. } | Say::Promised { .. }
+            GroupResponse::Rejected { .. } => GroupResponse::Rejected {
+                reason: String::new(),
+            },
+            GroupResponse::Accepted { .. } | GroupResponse::Promised { .. }
                 if self.variant == Variant::VotesWithoutMemory =>
             {
                 let folder = i as u64 + 1;
                 match say {
-                    Say::Promised { accepted, own, .. } => Say::Promised {
-                        folder,
+                    GroupResponse::Promised {
+                        accepted,
+                        enforced: own,
+                        ..
+                    } => GroupResponse::Promised {
+                        replica: folder,
                         accepted,
-                        own,
+                        enforced: own,
                     },
-                    _ => Say::Accepted { folder },
+                    _ => GroupResponse::Accepted { replica: folder },
                 }
             }
             say => say,
         };
-        if let (Say::Accepted { folder }, Some(taken)) = (&say, taken) {
-            if self.first.roster.counts(NAMES[i], *folder) {
+        if let (GroupResponse::Accepted { replica: folder }, Some(taken)) = (&say, taken) {
+            if self.first.membership.counts_vote(NAMES[i], *folder) {
                 *now.taken.entry(taken).or_default() |= 1 << i;
             }
         }
@@ -280,20 +300,29 @@
             let Some(proposer) = &mut now.proposers[p] else {
                 continue;
             };
-            for (i, ask) in proposer.asks(self.clock(time, proposer)) {
+            for (i, ask) in proposer.requests(self.clock(time, proposer)) {
                 // That it is still there decides nothing here, since who settles begins at any time; who is told to be ready
                 // does, and is heard at once or not at all.
-                if let Ask::Still { ballot, ready } = &ask {
+                if let GroupRequest::ProposerAlive {
+                    ballot,
+                    accepted_by: ready,
+                } = &ask
+                {
                     let (acceptor, standing) = &mut now.members[i];
                     if acceptor
-                        .memory()
+                        .state()
                         .accepted
                         .as_ref()
                         .is_some_and(|a| a.0 == *ballot)
                     {
-                        standing.still(*ballot, ready, time);
+                        standing.proposer_alive(*ballot, ready, time);
                     }
-                    proposer.heard(i, &ask, Err(String::new()), self.clock(time, proposer));
+                    proposer.handle_response(
+                        i,
+                        &ask,
+                        Err(String::new()),
+                        self.clock(time, proposer),
+                    );
                 } else {
                     now.ways[p][i] = Way::Asked(ask);
                 }
@@ -301,28 +330,37 @@
         }
     }
 
-    fn heard(&self, now: &mut Now, p: usize, i: usize, ask: &Ask, answer: Result<Say, String>) {
+    fn heard(
+        &self,
+        now: &mut Now,
+        p: usize,
+        i: usize,
+        ask: &GroupRequest,
+        answer: Result<GroupResponse, String>,
+    ) {
         let time = now.time;
         let Some(proposer) = &mut now.proposers[p] else {
             return;
         };
         let answer = match answer {
-            Ok(Say::Promised { folder, own, .. }) if self.variant == Variant::IgnoresAccepted => {
-                Ok(Say::Promised {
-                    folder,
-                    accepted: None,
-                    own,
-                })
-            }
+            Ok(GroupResponse::Promised {
+                replica: folder,
+                enforced: own,
+                ..
+            }) if self.variant == Variant::IgnoresAccepted => Ok(GroupResponse::Promised {
+                replica: folder,
+                accepted: None,
+                enforced: own,
+            }),
             other => other,
         };
-        proposer.heard(i, ask, answer, self.clock(time, proposer));
+        proposer.handle_response(i, ask, answer, self.clock(time, proposer));
     }
 
     /// The clock of a proposer; one that does not wait believes that all that must run out has run out.
     fn clock(&self, time: Duration, proposer: &Proposer) -> Duration {
         let hasty = self.variant == Variant::NoWait
-            && (proposer.waits() || proposer.phase == Phase::Telling);
+            && (proposer.is_waiting_for_leases() || proposer.phase == ProposalPhase::Notifying);
         if hasty {
             time + 4 * STEP
         } else {
@@ -335,7 +373,7 @@
             Do::Tick => {
                 now.time += STEP;
                 let time = now.time;
-                now.members[HOLDER].1.renew_own(time);
+                now.members[HOLDER].1.renew_from_self(time);
             }
             Do::Arrive(p, i) => {
                 let Way::Asked(ask) = std::mem::replace(&mut now.ways[p][i], Way::Idle) else {
@@ -371,18 +409,18 @@
             }
             Do::Crash(i, back) => {
                 now.crashes -= 1;
-                let memory = now.members[i].0.memory().clone();
+                let memory = now.members[i].0.state().clone();
                 let memory = match back {
-                    Back::Kept if self.variant == Variant::NothingOnDisk => Memory {
+                    Back::Kept if self.variant == Variant::NothingOnDisk => PersistentState {
                         accepted: None,
                         promised: Ballot::default(),
                         ..memory
                     },
                     Back::Kept => memory,
                     Back::Older => self.memory(i),
-                    Back::Empty => Memory::fresh(NAMES[i], 90 + i as u64),
+                    Back::Empty => PersistentState::new(NAMES[i], 90 + i as u64),
                 };
-                let memory = Memory {
+                let memory = PersistentState {
                     writes: memory.writes + 1,
                     ..memory
                 };
@@ -415,25 +453,26 @@
     fn sent(&self, now: &Now) -> Renewal {
         Renewal {
             sent: now.time,
-            ask: now.members[HOLDER].1.ask(),
+            ask: now.members[HOLDER].1.renewal_request(),
             answer: None,
         }
     }
 
     fn arrived(&self, now: &mut Now, i: usize, renewal: Renewal) -> Renewal {
-        let Ask::Renew {
+        let GroupRequest::Renew {
             from,
-            folder,
-            age,
-            number,
-            ready,
+            replica: folder,
+            replica_version: age,
+            version: number,
+            accepted: ready,
         } = &renewal.ask
         else {
             return renewal;
         };
-        let say = now.members[i]
-            .1
-            .renew(from, *folder, *age, *number, ready.as_ref(), now.time);
+        let say =
+            now.members[i]
+                .1
+                .handle_renewal(from, *folder, *age, *number, ready.as_ref(), now.time);
         Renewal {
             answer: Some(say),
             ..renewal
@@ -455,39 +494,39 @@
             sent
         };
         let (acceptor, standing) = &mut now.members[HOLDER];
-        match standing.heard(NAMES[i], (sent, None), &say, now.time) {
-            Heard::Newer => {
-                let decree = now.members[i].0.memory().decree.clone()?;
-                let (number, digest) = (decree.number, decree.digest.clone());
+        match standing.handle_response(NAMES[i], (sent, None), &say, now.time) {
+            RenewalResult::FetchState => {
+                let decree = now.members[i].0.state().group_state.clone()?;
+                let (number, digest) = (decree.version, decree.digest.clone());
                 self.take(
                     now,
                     HOLDER,
-                    Ask::Decided {
-                        number,
+                    GroupRequest::Decided {
+                        version: number,
                         digest,
-                        decree: Some(decree),
+                        state: Some(decree),
                     },
                 );
             }
-            Heard::Older => {
-                let decree = acceptor.memory().decree.clone()?;
-                let (number, digest) = (decree.number, decree.digest.clone());
+            RenewalResult::SendState => {
+                let decree = acceptor.state().group_state.clone()?;
+                let (number, digest) = (decree.version, decree.digest.clone());
                 self.take(
                     now,
                     i,
-                    Ask::Decided {
-                        number,
+                    GroupRequest::Decided {
+                        version: number,
                         digest,
-                        decree: Some(decree),
+                        state: Some(decree),
                     },
                 );
             }
-            Heard::OldFolder if self.variant != Variant::TrustsFolders => {
-                acceptor.written(acceptor.memory().shed(80));
-                let memory = acceptor.memory().clone();
-                standing.follow(&memory, now.time);
+            RenewalResult::StaleReplica if self.variant != Variant::TrustsFolders => {
+                acceptor.persisted(acceptor.state().with_new_replica(80));
+                let memory = acceptor.state().clone();
+                standing.apply_state(&memory, now.time);
             }
-            Heard::OldFolder | Heard::Done => {}
+            RenewalResult::StaleReplica | RenewalResult::Handled => {}
         }
         Some(())
     }
@@ -495,14 +534,14 @@
     fn proposer(&self, which: usize, now: Duration) -> Proposer {
         let ballot = Ballot {
             round: 1 + which as u64,
-            by: which as u64,
+            proposer: which as u64,
         };
         let aim = match (which, self.second) {
-            (0, _) => Aim::Change(change(&self.first, "ann", "new")),
-            (_, Second::Settles | Second::Nothing) => Aim::Settle,
-            (_, Second::Another) => Aim::Change(change(&self.first, "bob", "other")),
+            (0, _) => ProposalGoal::Change(change(&self.first, "ann", "new")),
+            (_, Second::Settles | Second::Nothing) => ProposalGoal::Recover,
+            (_, Second::Another) => ProposalGoal::Change(change(&self.first, "bob", "other")),
         };
-        Proposer::begin(self.first.clone(), aim, ballot, now)
+        Proposer::new(self.first.clone(), aim, ballot, now)
     }
 }
 
@@ -517,26 +556,28 @@
             .collect();
         // All have answered each other already: the holder has a lease from now on, and all may vote.
         for from in 0..3 {
-            members[from].1.renew_own(time);
+            members[from].1.renew_from_self(time);
             for to in (0..3).filter(|to| *to != from) {
-                let Ask::Renew {
+                let GroupRequest::Renew {
                     from: name,
-                    folder,
-                    age,
-                    number,
+                    replica: folder,
+                    replica_version: age,
+                    version: number,
                     ..
-                } = members[from].1.ask()
+                } = members[from].1.renewal_request()
                 else {
                     panic!()
                 };
-                let say = members[to].1.renew(&name, folder, age, number, None, time);
-                let Say::Renewed { verdict, .. } = &say else {
+                let say = members[to]
+                    .1
+                    .handle_renewal(&name, folder, age, number, None, time);
+                let GroupResponse::Renewed { verdict, .. } = &say else {
                     panic!()
                 };
-                assert_eq!(*verdict, Verdict::Granted);
+                assert_eq!(*verdict, RenewalVerdict::Granted);
                 members[from]
                     .1
-                    .heard(NAMES[to], (time, Some(age.writes)), &say, time);
+                    .handle_response(NAMES[to], (time, Some(age.writes)), &say, time);
             }
         }
         let mut now = Now {
@@ -574,7 +615,7 @@
         }
         let over = now.proposers[0]
             .as_ref()
-            .is_none_or(|p| matches!(p.phase, Phase::Ended(_)));
+            .is_none_or(|p| matches!(p.phase, ProposalPhase::Ended(_)));
         if !now.begun && over && self.second != Second::Nothing {
             actions.push(Do::Begin);
         }
@@ -584,7 +625,7 @@
                 .extend([Back::Kept, Back::Older, Back::Empty].map(|back| Do::Crash(HOLDER, back)));
         }
         if !self.leases {
-            if now.members[HOLDER].1.sure().is_err() {
+            if now.members[HOLDER].1.check_vote_eligibility().is_err() {
                 actions.push(Do::Vouch);
             }
             return;
@@ -613,13 +654,13 @@
     fn properties(&self) -> Vec<Property<Self>> {
         fn serves(now: &Now) -> Option<(u64, Option<Digest>)> {
             let (acceptor, standing) = &now.members[HOLDER];
-            let until = standing.until()?;
+            let until = standing.lease_deadline()?;
             let ready = acceptor
-                .memory()
+                .state()
                 .accepted
                 .as_ref()
                 .map(|a| a.1.digest.clone());
-            (until > now.time).then(|| (acceptor.memory().number(), ready))
+            (until > now.time).then(|| (acceptor.state().version(), ready))
         }
         vec![
             Property::always("one decree under one number", |_, now: &Now| {
@@ -627,8 +668,8 @@
                 let stands = now
                     .members
                     .iter()
-                    .filter_map(|m| m.0.memory().decree.as_ref());
-                let stands = stands.map(|d| (d.number, d.digest.clone()));
+                    .filter_map(|m| m.0.state().group_state.as_ref());
+                let stands = stands.map(|d| (d.version, d.digest.clone()));
                 let decided = now.taken.iter().filter(|(_, who)| who.count_ones() >= 2);
                 let decided = decided.map(|((_, digest), _)| (2, digest.clone()));
                 stands.chain(decided).all(|(number, digest)| {
@@ -644,22 +685,21 @@
                     let stands = now
                         .members
                         .iter()
-                        .filter_map(|m| m.0.memory().decree.as_ref());
-                    let mut newer = stands.filter(|d| d.number > number);
-                    newer.all(|d| d.number == number + 1 && ready.as_ref() == Some(&d.digest))
+                        .filter_map(|m| m.0.state().group_state.as_ref());
+                    let mut newer = stands.filter(|d| d.version > number);
+                    newer.all(|d| d.version == number + 1 && ready.as_ref() == Some(&d.digest))
                 },
             ),
             Property::always(
                 "made means that nobody serves under the one before",
                 |_, now: &Now| {
-                    let made = now
-                        .proposers
-                        .iter()
-                        .flatten()
-                        .filter(|p| p.phase == Phase::Ended(End::Made));
+                    let made =
+                        now.proposers.iter().flatten().filter(|p| {
+                            p.phase == ProposalPhase::Ended(ProposalOutcome::Committed)
+                        });
                     let made = made
                         .filter_map(|p| p.value())
-                        .map(|d| d.number)
+                        .map(|d| d.version)
                         .max()
                         .unwrap_or(0);
                     serves(now).is_none_or(|(number, _)| number >= made)
@@ -668,19 +708,19 @@
             Property::sometimes("a change is made", |_, now: &Now| {
                 now.proposers[0]
                     .as_ref()
-                    .is_some_and(|p| p.phase == Phase::Ended(End::Made))
+                    .is_some_and(|p| p.phase == ProposalPhase::Ended(ProposalOutcome::Committed))
             }),
             Property::sometimes(
                 "a change is made while the holder is shut out",
                 |_, now: &Now| {
-                    let made = now.proposers[0]
-                        .as_ref()
-                        .is_some_and(|p| p.phase == Phase::Ended(End::Made));
-                    made && now.members[HOLDER].0.memory().number() == 1
+                    let made = now.proposers[0].as_ref().is_some_and(|p| {
+                        p.phase == ProposalPhase::Ended(ProposalOutcome::Committed)
+                    });
+                    made && now.members[HOLDER].0.state().version() == 1
                 },
             ),
             Property::sometimes("what the first left is settled", |_, now: &Now| {
-                now.proposers[0].is_none() && now.members.iter().any(|m| m.0.memory().number() == 2)
+                now.proposers[0].is_none() && now.members.iter().any(|m| m.0.state().version() == 2)
             }),
         ]
     }
--- a/crates/control-plane/src/client.rs
+++ b/crates/control-plane/src/client.rs
@@ -35,7 +35,7 @@
     stream.set_read_timeout(Some(patience)).map_err(failed)?;
     stream.set_write_timeout(Some(patience)).map_err(failed)?;
     (&stream)
-        .write_all(protocol::line(ask).as_bytes())
+        .write_all(protocol::encode_line(ask).as_bytes())
         .map_err(failed)?;
     let mut line = String::new();
     BufReader::new(&stream)
@@ -45,5 +45,5 @@
     if !line.ends_with('\n') {
         return Err("it ended in the middle of its answer".into());
     }
-    protocol::read(&line)
+    protocol::decode_line(&line)
 }
--- a/crates/control-plane/src/drive.rs
+++ b/crates/control-plane/src/drive.rs
@@ -8,8 +8,8 @@
 use std::path::PathBuf;
 use std::sync::mpsc::{channel, RecvTimeoutError};
 use std::time::Duration;
-use wrenfork_consensus::proposer::{End, Phase, Proposer};
-use wrenfork_consensus::protocol::{Ask, Say};
+use wrenfork_consensus::proposer::{ProposalOutcome, ProposalPhase, Proposer};
+use wrenfork_consensus::protocol::{GroupRequest, GroupResponse};
 
 /// How long one ask may take: a member checks and writes some megabytes, and its disk may be slow.
 const PATIENCE: Duration = Duration::from_secs(10);
@@ -25,14 +25,14 @@
     at: &BTreeMap<String, PathBuf>,
     patience: Duration,
     mut tell: impl FnMut(&Proposer),
-) -> End {
+) -> ProposalOutcome {
     let (faults, begun) = (Faults::told(), clock::now());
-    let names: Vec<String> = proposer.names().map(String::from).collect();
-    let (answered, answers) = channel::<(usize, Ask, Result<Say, String>)>();
+    let names: Vec<String> = proposer.member_names().map(String::from).collect();
+    let (answered, answers) = channel::<(usize, GroupRequest, Result<GroupResponse, String>)>();
     faults.pass("apply", "begun");
     loop {
         let (now, before) = (clock::now(), proposer.phase.clone());
-        let asks = proposer.asks(now);
+        let asks = proposer.requests(now);
         if before != proposer.phase {
             faults.pass("apply", "decided");
         }
@@ -40,7 +40,7 @@
             faults.pass("apply", "asking");
             let Some(path) = at.get(&names[member]).cloned() else {
                 let why = Err("nothing says where its socket is".to_string());
-                proposer.heard(member, &ask, why, now);
+                proposer.handle_response(member, &ask, why, now);
                 continue;
             };
             let (done, sent) = (answered.clone(), ask.clone());
@@ -53,34 +53,39 @@
                 .stack_size(STACK)
                 .spawn(carry);
             if thread.is_err() {
-                proposer.heard(member, &ask, Err("no thread could be started".into()), now);
+                proposer.handle_response(
+                    member,
+                    &ask,
+                    Err("no thread could be started".into()),
+                    now,
+                );
             }
         }
         tell(proposer);
-        if let Phase::Ended(end) = &proposer.phase {
+        if let ProposalPhase::Ended(end) = &proposer.phase {
             return end.clone();
         }
         let left = (begun + patience).saturating_sub(now);
         if left.is_zero() {
-            proposer.give_up();
+            proposer.time_out();
             continue;
         }
         match answers.recv_timeout(
             proposer
-                .next(now)
+                .next_request_in(now)
                 .min(left)
                 .clamp(Duration::from_millis(1), LOOK),
         ) {
             Ok((member, ask, answer)) => {
                 let before = proposer.phase.clone();
-                proposer.heard(member, &ask, answer, clock::now());
+                proposer.handle_response(member, &ask, answer, clock::now());
                 faults.pass("apply", "answered");
                 if before != proposer.phase {
                     faults.pass("apply", "decided");
                 }
             }
             Err(RecvTimeoutError::Timeout) => {}
-            Err(RecvTimeoutError::Disconnected) => proposer.give_up(),
+            Err(RecvTimeoutError::Disconnected) => proposer.time_out(),
         }
     }
 }
--- a/crates/control-plane/src/group.rs
+++ b/crates/control-plane/src/group.rs
@@ -16,13 +16,13 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use wrenfork_commit::protocol::Record;
-use wrenfork_consensus::acceptor::Memory;
-use wrenfork_consensus::decree::Decree;
-use wrenfork_consensus::lease::{Heard, Standing};
-use wrenfork_consensus::proposer::{Aim, End, Proposer};
-use wrenfork_consensus::protocol::{Ask, Ballot, Say};
-use wrenfork_consensus::seats::Roster;
+use wrenfork_commit::protocol::AuditRecord;
+use wrenfork_consensus::acceptor::PersistentState;
+use wrenfork_consensus::group_state::GroupState;
+use wrenfork_consensus::lease::{LeaseManager, RenewalResult};
+use wrenfork_consensus::membership;
+use wrenfork_consensus::proposer::{ProposalGoal, ProposalOutcome, Proposer};
+use wrenfork_consensus::protocol::{Ballot, GroupRequest, GroupResponse};
 
 /// Leases for which a start is waited for by a member that serves on as it is known.
 const CATCH_UP: u32 = 2;
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct Membership {
     /// The group as the files have it, without folders.
-    pub charter: Roster,
+    pub charter: membership::Membership,
     /// The members' control sockets as they are reached from here, this one's among them.
     pub links: BTreeMap<String, PathBuf>,
     /// What is done without a lease.
@@ -111,7 +111,7 @@
 /// What the threads of the control side share about the group.
 #[derive(Debug)]
 pub(crate) struct Shared {
-    standing: Mutex<Standing>,
+    standing: Mutex<LeaseManager>,
     gate: Gate,
     alone: Alone,
     started: Duration,
@@ -122,7 +122,7 @@
 impl Shared {
     pub fn new(
         name: &str,
-        memory: &Memory,
+        memory: &PersistentState,
         membership: &Membership,
     ) -> Result<(Arc<Shared>, UnixStream), String> {
         let failed = |e: std::io::Error| format!("control: no wake-up: {e}");
@@ -131,10 +131,11 @@
             .and_then(|()| woken.set_nonblocking(true))
             .map_err(failed)?;
         let now = clock::now();
-        let mut standing = Standing::new(name, memory, membership.charter.clone(), drawn(), now);
+        let mut standing =
+            LeaseManager::new(name, memory, membership.charter.clone(), drawn(), now);
         let inherited = membership.inherited.as_ref();
         if let Some((number, until)) = inherited.and_then(|i| Some((i.number, i.until?))) {
-            standing.inherit(number, until);
+            standing.inherit_lease(number, until);
         }
         // One that was serving on alone goes on so.
         let started = if inherited.is_some_and(|i| i.gate == u64::MAX) {
@@ -142,7 +143,7 @@
         } else {
             now
         };
-        let pause_ms = standing.every().as_millis() as u64;
+        let pause_ms = standing.renewal_interval().as_millis() as u64;
         let gate = Gate {
             until: Arc::default(),
             pause_ms,
@@ -161,7 +162,7 @@
         Ok((Arc::new(shared), woken))
     }
 
-    pub fn standing(&self) -> MutexGuard<'_, Standing> {
+    pub fn standing(&self) -> MutexGuard<'_, LeaseManager> {
         self.standing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -170,20 +171,20 @@
     }
 
     /// Tells the loop how long it may let requests in.
-    fn publish(&self, standing: &Standing, now: Duration) {
-        let caught_up = now >= self.started + standing.every() * 3 * CATCH_UP;
+    fn publish(&self, standing: &LeaseManager, now: Duration) {
+        let caught_up = now >= self.started + standing.renewal_interval() * 3 * CATCH_UP;
         let until = match self.alone {
             Alone::AsKnown if caught_up => u64::MAX,
-            _ => standing.until().map_or(0, micros),
+            _ => standing.lease_deadline().map_or(0, micros),
         };
         self.gate.until.store(until, Ordering::Release);
     }
 
     /// The memory has changed, or a change of it failed.
-    pub fn follow(&self, memory: &Memory) {
+    pub fn follow(&self, memory: &PersistentState) {
         let now = clock::now();
         let mut standing = self.standing();
-        standing.follow(memory, now);
+        standing.apply_state(memory, now);
         self.publish(&standing, now);
         drop(standing);
         self.wake();
@@ -206,42 +207,45 @@
     }
 
     /// Answers a renewal.
-    pub fn renew(&self, ask: &Ask) -> Say {
-        let Ask::Renew {
+    pub fn renew(&self, ask: &GroupRequest) -> GroupResponse {
+        let GroupRequest::Renew {
             from,
-            folder,
-            age,
-            number,
-            ready,
+            replica: folder,
+            replica_version: age,
+            version: number,
+            accepted: ready,
         } = ask
         else {
-            return Say::No {
-                why: "this is no renewal".into(),
+            return GroupResponse::Rejected {
+                reason: "this is no renewal".into(),
             };
         };
         let mut standing = self.standing();
         if self.closed() {
-            return Say::No {
-                why: "it is stopping".into(),
+            return GroupResponse::Rejected {
+                reason: "it is stopping".into(),
             };
         }
-        standing.renew(from, *folder, *age, *number, ready.as_ref(), clock::now())
+        standing.handle_renewal(from, *folder, *age, *number, ready.as_ref(), clock::now())
     }
 
     /// The right to serve as it stands now, for the process that comes after.
     pub fn passed_on(&self) -> Inherited {
         let standing = self.standing();
-        let number = standing.decree().map_or(0, |d| d.number);
+        let number = standing.group_state().map_or(0, |d| d.version);
         Inherited {
             number,
-            until: standing.until(),
+            until: standing.lease_deadline(),
             gate: self.gate.until.load(Ordering::Acquire),
         }
     }
 
     /// Milliseconds for which this member may still serve by its lease; none where it has none.
     pub fn lease_ms(&self) -> Option<u64> {
-        let left = self.standing().until()?.checked_sub(clock::now())?;
+        let left = self
+            .standing()
+            .lease_deadline()?
+            .checked_sub(clock::now())?;
         Some(left.as_millis() as u64).filter(|ms| *ms > 0)
     }
 }
@@ -272,13 +276,13 @@
 
 impl<E: Enforcer> Driver<E> {
     fn log(&self, what: &str, why: &str) {
-        let decree = self.shared.standing().decree().cloned();
+        let decree = self.shared.standing().group_state().cloned();
         let generation = decree.map_or(0, |d| d.generation);
-        let record = Record {
-            what: what.into(),
-            why: why.into(),
+        let record = AuditRecord {
+            event: what.into(),
+            detail: why.into(),
             generation,
-            ..Record::default()
+            ..AuditRecord::default()
         };
         self.inner
             .lock()
@@ -302,25 +306,25 @@
             let now = clock::now();
             let (ask, whom, every, settle_at, form, until, stands) = {
                 let mut s = self.shared.standing();
-                if s.decree().map_or(0, |d| d.number) != number {
-                    number = s.decree().map_or(0, |d| d.number);
+                if s.group_state().map_or(0, |d| d.version) != number {
+                    number = s.group_state().map_or(0, |d| d.version);
                     due = now; // under what stands now
                 }
                 let whom = if due <= now {
-                    s.renew_own(now);
-                    s.whom(now)
+                    s.renew_from_self(now);
+                    s.renewal_targets(now)
                 } else {
                     Vec::new()
                 };
                 self.shared.publish(&s, now);
                 (
-                    s.ask(),
+                    s.renewal_request(),
                     whom,
-                    s.every(),
-                    s.settle_at(),
-                    s.may_form(now),
-                    s.until(),
-                    s.decree().cloned(),
+                    s.renewal_interval(),
+                    s.recovery_deadline(),
+                    s.can_form_group(now),
+                    s.lease_deadline(),
+                    s.group_state().cloned(),
                 )
             };
             if due <= now {
@@ -381,35 +385,41 @@
     fn heard(
         &self,
         link: &mut Link,
-        ask: &Ask,
+        ask: &GroupRequest,
         sent: Duration,
-        say: Say,
+        say: GroupResponse,
         busy: &Busy,
-        stands: Option<&Arc<Decree>>,
+        stands: Option<&Arc<GroupState>>,
     ) {
         let now = clock::now();
         match (ask, say) {
-            (Ask::Renew { age, .. }, say @ Say::Renewed { .. }) => {
+            (
+                GroupRequest::Renew {
+                    replica_version: age,
+                    ..
+                },
+                say @ GroupResponse::Renewed { .. },
+            ) => {
                 let found = {
                     let mut s = self.shared.standing();
-                    let found = s.heard(&link.name, (sent, Some(age.writes)), &say, now);
+                    let found = s.handle_response(&link.name, (sent, Some(age.writes)), &say, now);
                     self.shared.publish(&s, now);
                     found
                 };
                 match (found, stands) {
-                    (Heard::Newer, _) => link.ask(Ask::Learn, now),
-                    (Heard::Older, Some(decree)) => {
-                        let (number, digest) = (decree.number, decree.digest.clone());
+                    (RenewalResult::FetchState, _) => link.ask(GroupRequest::Learn, now),
+                    (RenewalResult::SendState, Some(decree)) => {
+                        let (number, digest) = (decree.version, decree.digest.clone());
                         link.ask(
-                            Ask::Decided {
-                                number,
+                            GroupRequest::Decided {
+                                version: number,
                                 digest,
-                                decree: Some(decree.clone()),
+                                state: Some(decree.clone()),
                             },
                             now,
                         );
                     }
-                    (Heard::OldFolder, _) => {
+                    (RenewalResult::StaleReplica, _) => {
                         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
                         inner.shed();
                     }
@@ -417,9 +427,9 @@
                 }
             }
             (
-                Ask::Learn,
-                Say::Learnt {
-                    decree: Some(decree),
+                GroupRequest::Learn,
+                GroupResponse::State {
+                    state: Some(decree),
                 },
             ) => self.learn(decree, busy),
             _ => {}
@@ -427,17 +437,17 @@
     }
 
     /// Takes up what another member says stands, on a thread of its own.
-    fn learn(&self, decree: Arc<Decree>, busy: &Busy) {
+    fn learn(&self, decree: Arc<GroupState>, busy: &Busy) {
         if busy.learning.swap(true, Ordering::AcqRel) {
             return;
         }
         let (inner, learning) = (self.inner.clone(), busy.learning.clone());
         let work = move || {
-            let (number, digest) = (decree.number, decree.digest.clone());
-            let ask = Ask::Decided {
-                number,
+            let (number, digest) = (decree.version, decree.digest.clone());
+            let ask = GroupRequest::Decided {
+                version: number,
                 digest,
-                decree: Some(decree),
+                state: Some(decree),
             };
             inner
                 .lock()
@@ -456,7 +466,7 @@
     }
 
     /// Drives the rollout that stands, on a thread of its own, if that is not being done.
-    fn roll(&self, decree: &Arc<Decree>, busy: &Busy) {
+    fn roll(&self, decree: &Arc<GroupState>, busy: &Busy) {
         if busy.rolling.swap(true, Ordering::AcqRel) {
             return;
         }
@@ -485,20 +495,23 @@
     }
 
     /// Settles what was left half decided, or forms the group, on a thread of its own.
-    fn propose(&self, busy: &mut Busy, base: Option<&Arc<Decree>>, every: Duration) {
+    fn propose(&self, busy: &mut Busy, base: Option<&Arc<GroupState>>, every: Duration) {
         let promised = {
             let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-            inner
-                .group
-                .as_ref()
-                .map_or(0, |g| g.memory().promised.round)
+            inner.group.as_ref().map_or(0, |g| g.state().promised.round)
         };
         let round = promised.max(busy.outbid.load(Ordering::Acquire)) + 1;
-        let (ballot, now) = (Ballot { round, by: drawn() }, clock::now());
+        let (ballot, now) = (
+            Ballot {
+                round,
+                proposer: drawn(),
+            },
+            clock::now(),
+        );
         // A pending decree without one that stands is the first one: all must take part in it.
         let mut proposer = match base {
-            Some(base) => Proposer::begin(base.clone(), Aim::Settle, ballot, now),
-            None => Proposer::form(self.membership.charter.clone(), ballot, now),
+            Some(base) => Proposer::new(base.clone(), ProposalGoal::Recover, ballot, now),
+            None => Proposer::form_group(self.membership.charter.clone(), ballot, now),
         };
         self.log(
             if base.is_some() {
@@ -512,10 +525,12 @@
         let (shared, links) = (self.shared.clone(), self.membership.links.clone());
         let (settling, outbid) = (busy.settling.clone(), busy.outbid.clone());
         let work = move || {
-            if let End::Outbid(by) = drive(&mut proposer, &links, every * 3 * SETTLE, |_| {}) {
+            if let ProposalOutcome::HigherBallot(by) =
+                drive(&mut proposer, &links, every * 3 * SETTLE, |_| {})
+            {
                 outbid.fetch_max(by.round, Ordering::AcqRel);
             }
-            shared.standing().settle_later(clock::now());
+            shared.standing().postpone_recovery(clock::now());
             settling.store(false, Ordering::Release);
             shared.wake();
         };
--- a/crates/control-plane/src/ledger.rs
+++ b/crates/control-plane/src/ledger.rs
@@ -1,18 +1,18 @@
-//! What an ingress must not forget: its [`Memory`], the generations that it enforced before, and a record of what was planned
+//! What an ingress must not forget: its [`ParticipantState`], the generations that it enforced before, and a record of what was planned
 //! and done. On a folder, where there is one; else for as long as the process lives.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::path::Path;
 use std::sync::Arc;
-use wrenfork_commit::participant::Memory;
-use wrenfork_commit::protocol::Record;
+use wrenfork_commit::participant::ParticipantState;
+use wrenfork_commit::protocol::AuditRecord;
 use wrenfork_commit::state::{Digest, Generation, State};
-use wrenfork_consensus::acceptor::Memory as Member;
-use wrenfork_consensus::decree::Decree;
+use wrenfork_consensus::acceptor::PersistentState;
+use wrenfork_consensus::group_state::GroupState;
+use wrenfork_consensus::membership::ReplicaId;
 use wrenfork_consensus::protocol::Ballot;
-use wrenfork_consensus::seats::Folder;
-use wrenfork_store::{Batch, Kind, Store};
+use wrenfork_store::{Batch, RecordKind, Store};
 
 /// Generations that are kept to be gone back to, on a disk and in memory.
 const MOST_PAST: usize = 16;
@@ -28,7 +28,7 @@
 #[derive(Serialize, Deserialize)]
 struct Stored {
     name: String,
-    folder: Folder,
+    folder: ReplicaId,
     writes: u64,
     decree: Option<Digest>,
     promised: Ballot,
@@ -52,10 +52,10 @@
 pub struct Ledger {
     store: Option<Store>,
     closed: bool,
-    memory: Memory,
+    memory: ParticipantState,
     /// Without a store: generations and records, the oldest first.
     past: VecDeque<(Generation, Arc<State>)>,
-    records: VecDeque<Record>,
+    records: VecDeque<AuditRecord>,
     /// The numbers of the records in the store.
     numbers: std::ops::Range<u64>,
 }
@@ -66,15 +66,18 @@
     /// # Errors
     ///
     /// Where the folder can't be used; see [`wrenfork_store::StoreError`].
-    pub fn open(folder: Option<&Path>, first: impl FnOnce() -> Memory) -> Result<Ledger, String> {
+    pub fn open(
+        folder: Option<&Path>,
+        first: impl FnOnce() -> ParticipantState,
+    ) -> Result<Ledger, String> {
         let told = |e: wrenfork_store::StoreError| format!("state: {e}");
         let store = folder.map(Store::open).transpose().map_err(told)?;
         let kept = match &store {
-            Some(store) => store.get(Kind::Control, MEMORY).map_err(told)?,
+            Some(store) => store.get(RecordKind::Control, MEMORY).map_err(told)?,
             None => None,
         };
         let last = match &store {
-            Some(store) => store.list(Kind::Audit, MOST_RECORDS).map_err(told)?,
+            Some(store) => store.list(RecordKind::Audit, MOST_RECORDS).map_err(told)?,
             None => Vec::new(),
         };
         let number = |row: Option<&(String, Vec<u8>)>| row.and_then(|r| r.0.parse::<u64>().ok());
@@ -83,7 +86,7 @@
         let mut ledger = Ledger {
             store,
             closed: false,
-            memory: Memory::default(),
+            memory: ParticipantState::default(),
             past,
             records,
             numbers,
@@ -105,7 +108,7 @@
     }
 
     /// What is remembered.
-    pub fn memory(&self) -> &Memory {
+    pub fn memory(&self) -> &ParticipantState {
         &self.memory
     }
 
@@ -116,9 +119,9 @@
     /// Where the disk refuses: nothing has changed then.
     pub fn keep(
         &mut self,
-        memory: &Memory,
+        memory: &ParticipantState,
         new: bool,
-        record: Option<&Record>,
+        record: Option<&AuditRecord>,
     ) -> Result<(), String> {
         if self.closed {
             return Err("it is stopping".into());
@@ -137,23 +140,34 @@
         Ok(())
     }
 
-    fn own(store: &Store, batch: Batch, memory: &Memory, new: bool) -> Result<Batch, String> {
+    fn own(
+        store: &Store,
+        batch: Batch,
+        memory: &ParticipantState,
+        new: bool,
+    ) -> Result<Batch, String> {
         let text = serde_json::to_vec(memory).map_err(|e| e.to_string())?;
-        let mut batch = batch.put(Kind::Control, MEMORY, text);
+        let mut batch = batch.put(RecordKind::Control, MEMORY, text);
         if new {
             let text = serde_json::to_vec(&(&memory.enforced, &memory.state))
                 .map_err(|e| e.to_string())?;
-            batch = batch.put(Kind::Control, &past_name(memory.enforced.number), text);
-            let kept = store.names(Kind::Control).map_err(|e| e.to_string())?;
+            batch = batch.put(
+                RecordKind::Control,
+                &past_name(memory.enforced.number),
+                text,
+            );
+            let kept = store
+                .names(RecordKind::Control)
+                .map_err(|e| e.to_string())?;
             let past: Vec<&String> = kept.iter().filter(|k| k.starts_with("past/")).collect();
             for old in past.iter().take((past.len() + 1).saturating_sub(MOST_PAST)) {
-                batch = batch.delete(Kind::Control, old);
+                batch = batch.delete(RecordKind::Control, old);
             }
         }
         Ok(batch)
     }
 
-    fn kept(&mut self, memory: &Memory, new: bool) {
+    fn kept(&mut self, memory: &ParticipantState, new: bool) {
         if self.store.is_none() && new {
             self.past
                 .push_back((memory.enforced.clone(), memory.state.clone()));
@@ -168,23 +182,26 @@
     /// # Errors
     ///
     /// Where the disk fails, or what is kept can't be read.
-    pub fn member(&self) -> Result<Option<Member>, String> {
+    pub fn member(&self) -> Result<Option<PersistentState>, String> {
         let Some(store) = &self.store else {
             return Ok(None);
         };
         let told = |e: &dyn std::fmt::Display| {
             format!("state: what is kept of the group can't be read: {e}")
         };
-        let Some(text) = store.get(Kind::Control, GROUP).map_err(|e| told(&e))? else {
+        let Some(text) = store
+            .get(RecordKind::Control, GROUP)
+            .map_err(|e| told(&e))?
+        else {
             return Ok(None);
         };
         let stored: Stored = serde_json::from_slice(&text).map_err(|e| told(&e))?;
         let decree = |digest: &Digest| {
             let text = store
-                .get(Kind::Control, &decree_name(digest))
+                .get(RecordKind::Control, &decree_name(digest))
                 .map_err(|e| told(&e))?;
             let text = text.ok_or_else(|| told(&"a decree is missing"))?;
-            let decree: Decree = serde_json::from_slice(&text).map_err(|e| told(&e))?;
+            let decree: GroupState = serde_json::from_slice(&text).map_err(|e| told(&e))?;
             decree.check().map_err(|e| told(&e))?;
             Ok::<_, String>(Arc::new(decree))
         };
@@ -202,12 +219,12 @@
         let accepted = accepted.transpose().map_err(|e: String| e)?;
         let decree = stored.decree.as_ref().map(decree).transpose()?;
         // From which ballot the switch was made is not kept: whoever asks after a restart waits for leases instead.
-        Ok(Some(Member {
+        Ok(Some(PersistentState {
             name,
-            folder,
+            replica: folder,
             writes,
-            decree,
-            from: None,
+            group_state: decree,
+            accepted_in: None,
             promised,
             accepted,
         }))
@@ -220,9 +237,9 @@
     /// Where the disk refuses: nothing has changed then.
     pub fn keep_member(
         &mut self,
-        member: &Member,
-        own: Option<&Memory>,
-        record: Option<&Record>,
+        member: &PersistentState,
+        own: Option<&ParticipantState>,
+        record: Option<&AuditRecord>,
     ) -> Result<(), String> {
         if self.closed {
             return Err("it is stopping".into());
@@ -231,17 +248,22 @@
             let accepted = member.accepted.as_ref();
             let stored = Stored {
                 name: member.name.clone(),
-                folder: member.folder,
+                folder: member.replica,
                 writes: member.writes,
-                decree: member.decree.as_ref().map(|d| d.digest.clone()),
+                decree: member.group_state.as_ref().map(|d| d.digest.clone()),
                 promised: member.promised,
                 accepted: accepted.map(|(ballot, d)| (*ballot, d.digest.clone())),
             };
             let text = serde_json::to_vec(&stored).map_err(|e| e.to_string())?;
-            let mut batch = Batch::new().put(Kind::Control, GROUP, text);
-            let kept = store.names(Kind::Control).map_err(|e| e.to_string())?;
-            let decrees: Vec<&Arc<Decree>> =
-                member.decree.iter().chain(accepted.map(|a| &a.1)).collect();
+            let mut batch = Batch::new().put(RecordKind::Control, GROUP, text);
+            let kept = store
+                .names(RecordKind::Control)
+                .map_err(|e| e.to_string())?;
+            let decrees: Vec<&Arc<GroupState>> = member
+                .group_state
+                .iter()
+                .chain(accepted.map(|a| &a.1))
+                .collect();
             let names: Vec<String> = decrees.iter().map(|d| decree_name(&d.digest)).collect();
             for (decree, name) in decrees
                 .iter()
@@ -249,7 +271,7 @@
                 .filter(|(_, name)| !kept.contains(name))
             {
                 batch = batch.put(
-                    Kind::Control,
+                    RecordKind::Control,
                     name,
                     serde_json::to_vec(decree).map_err(|e| e.to_string())?,
                 );
@@ -258,7 +280,7 @@
                 .iter()
                 .filter(|k| k.starts_with(DECREE) && !names.contains(k))
             {
-                batch = batch.delete(Kind::Control, old);
+                batch = batch.delete(RecordKind::Control, old);
             }
             if let Some(own) = own {
                 batch = Self::own(store, batch, own, true)?;
@@ -277,16 +299,16 @@
         Ok(())
     }
 
-    fn with(&self, batch: Batch, record: &Record) -> Result<Batch, String> {
+    fn with(&self, batch: Batch, record: &AuditRecord) -> Result<Batch, String> {
         let text = serde_json::to_vec(record).map_err(|e| e.to_string())?;
-        let mut batch = batch.put(Kind::Audit, &record_name(self.numbers.end), text);
+        let mut batch = batch.put(RecordKind::Audit, &record_name(self.numbers.end), text);
         if self.numbers.end - self.numbers.start >= MOST_RECORDS as u64 {
-            batch = batch.delete(Kind::Audit, &record_name(self.numbers.start));
+            batch = batch.delete(RecordKind::Audit, &record_name(self.numbers.start));
         }
         Ok(batch)
     }
 
-    fn noted(&mut self, record: &Record) {
+    fn noted(&mut self, record: &AuditRecord) {
         if self.store.is_some() {
             self.numbers.end += 1;
             self.numbers.start = self
@@ -305,7 +327,7 @@
     /// # Errors
     ///
     /// Where the disk refuses.
-    pub fn note(&mut self, record: &Record) -> Result<(), String> {
+    pub fn note(&mut self, record: &AuditRecord) -> Result<(), String> {
         if self.closed {
             return Err("it is stopping".into());
         }
@@ -328,7 +350,7 @@
             return Ok(self.past.iter().find(|p| p.0.number == number).cloned());
         };
         let text = store
-            .get(Kind::Control, &past_name(number))
+            .get(RecordKind::Control, &past_name(number))
             .map_err(|e| e.to_string())?;
         text.map(|t| serde_json::from_slice(&t).map_err(|e| e.to_string()))
             .transpose()
@@ -339,13 +361,13 @@
     /// # Errors
     ///
     /// Where the disk fails.
-    pub fn records(&self, most: usize) -> Result<Vec<Record>, String> {
+    pub fn records(&self, most: usize) -> Result<Vec<AuditRecord>, String> {
         let Some(store) = &self.store else {
             let skip = self.records.len().saturating_sub(most);
             return Ok(self.records.iter().skip(skip).cloned().collect());
         };
         let rows = store
-            .list(Kind::Audit, most.min(MOST_RECORDS))
+            .list(RecordKind::Audit, most.min(MOST_RECORDS))
             .map_err(|e| e.to_string())?;
         rows.into_iter()
             .map(|(_, t)| serde_json::from_slice(&t).map_err(|e| e.to_string()))
@@ -362,8 +384,8 @@
 #[cfg(test)]
 mod tests {
     use super::{
-        Arc, Ballot, Decree, Digest, Kind, Ledger, Member, Memory, Record, State, DECREE,
-        MOST_PAST, MOST_RECORDS,
+        Arc, AuditRecord, Ballot, Digest, GroupState, Ledger, ParticipantState, PersistentState,
+        RecordKind, State, DECREE, MOST_PAST, MOST_RECORDS,
     };
 
     fn state(value: &str) -> State {
@@ -375,16 +397,16 @@
     fn generations_and_records_outlive_a_restart_and_stay_bounded() {
         let folder = tempfile::tempdir().unwrap();
         let mut ledger =
-            Ledger::open(Some(folder.path()), || Memory::first(1, state("1"))).unwrap();
+            Ledger::open(Some(folder.path()), || ParticipantState::new(1, state("1"))).unwrap();
         for n in 2..40 {
-            let record = Record {
-                what: "made".into(),
+            let record = AuditRecord {
+                event: "made".into(),
                 generation: n,
-                ..Record::default()
+                ..AuditRecord::default()
             };
             ledger
                 .keep(
-                    &Memory::first(n, state(&n.to_string())),
+                    &ParticipantState::new(n, state(&n.to_string())),
                     true,
                     Some(&record),
                 )
@@ -392,16 +414,18 @@
         }
         for _ in 0..MOST_RECORDS {
             ledger
-                .note(&Record {
-                    what: "planned".into(),
-                    ..Record::default()
+                .note(&AuditRecord {
+                    event: "planned".into(),
+                    ..AuditRecord::default()
                 })
                 .unwrap();
         }
         ledger.close();
         assert!(
-            ledger.note(&Record::default()).is_err()
-                && ledger.keep(&Memory::default(), true, None).is_err()
+            ledger.note(&AuditRecord::default()).is_err()
+                && ledger
+                    .keep(&ParticipantState::default(), true, None)
+                    .is_err()
         );
         drop(ledger);
         let ledger = Ledger::open(Some(folder.path()), || unreachable!("it is kept")).unwrap();
@@ -417,41 +441,44 @@
             .records(3)
             .unwrap()
             .iter()
-            .all(|r| r.what == "planned"));
+            .all(|r| r.event == "planned"));
     }
 
     /// Guards against a promise, or what was taken up, that a restart forgets, and against decrees that pile up.
     #[test]
     fn a_members_memory_outlives_a_restart_and_old_decrees_go() {
-        use wrenfork_consensus::decree::Policy;
-        use wrenfork_consensus::seats::{Kind as Of, Roster, Seat};
+        use wrenfork_consensus::group_state::Policy;
+        use wrenfork_consensus::membership::{Member, MemberRole as Of, Membership};
         let folder = tempfile::tempdir().unwrap();
-        let seat = Seat {
+        let seat = Member {
             name: "a".into(),
-            folder: 7,
-            kind: Of::Ingress,
+            replica: 7,
+            role: Of::Ingress,
             votes: true,
         };
-        let roster = Roster::new(1, 1_500, vec![seat]).unwrap();
+        let roster = Membership::new(1, 1_500, vec![seat]).unwrap();
         let states = [("a".to_string(), Arc::new(state("1")))].into();
-        let mut decree = Arc::new(Decree::new(
+        let mut decree = Arc::new(GroupState::new(
             1,
             1,
             Digest::default(),
             "ann",
             roster,
-            Policy::of(&states),
+            Policy::from_states(&states),
         ));
         let mut ledger =
-            Ledger::open(Some(folder.path()), || Memory::first(1, state("1"))).unwrap();
+            Ledger::open(Some(folder.path()), || ParticipantState::new(1, state("1"))).unwrap();
         assert_eq!(ledger.member(), Ok(None));
-        let mut member = Member::fresh("a", 7);
+        let mut member = PersistentState::new("a", 7);
         for n in 2..6 {
-            let next = Arc::new(decree.nothing());
-            let ballot = Ballot { round: n, by: 3 };
+            let next = Arc::new(decree.unchanged_successor());
+            let ballot = Ballot {
+                round: n,
+                proposer: 3,
+            };
             let accepted = Some((ballot, next.clone()));
-            member = Member {
-                decree: Some(decree),
+            member = PersistentState {
+                group_state: Some(decree),
                 accepted,
                 promised: ballot,
                 writes: n,
@@ -460,23 +487,28 @@
             ledger.keep_member(&member, None, None).unwrap();
             decree = next;
         }
-        let own = Memory::first(4, state("4"));
+        let own = ParticipantState::new(4, state("4"));
         ledger.keep_member(&member, Some(&own), None).unwrap();
         ledger.close();
         drop(ledger);
         let ledger = Ledger::open(Some(folder.path()), || unreachable!("it is kept")).unwrap();
         assert_eq!(ledger.member(), Ok(Some(member)));
         assert_eq!(ledger.memory(), &own);
-        let names = ledger.store.as_ref().unwrap().names(Kind::Control).unwrap();
+        let names = ledger
+            .store
+            .as_ref()
+            .unwrap()
+            .names(RecordKind::Control)
+            .unwrap();
         assert_eq!(names.iter().filter(|n| n.starts_with(DECREE)).count(), 2);
     }
 
     #[test]
     fn without_a_folder_the_last_ones_are_kept_in_memory() {
-        let mut ledger = Ledger::open(None, || Memory::first(1, state("1"))).unwrap();
+        let mut ledger = Ledger::open(None, || ParticipantState::new(1, state("1"))).unwrap();
         for n in 2..10 {
             ledger
-                .keep(&Memory::first(n, state(&n.to_string())), true, None)
+                .keep(&ParticipantState::new(n, state(&n.to_string())), true, None)
                 .unwrap();
         }
         assert_eq!(ledger.past(9).unwrap().unwrap().1, state("9").into());
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -31,14 +31,14 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::sync::{Arc, Mutex, PoisonError, TryLockError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use wrenfork_commit::figures::Figures;
+use wrenfork_commit::metrics::IngressMetrics;
 use wrenfork_commit::participant::{Participant, Step};
-use wrenfork_commit::protocol::{self, Ask, Record, Say, Stand};
+use wrenfork_commit::protocol::{self, AuditRecord, CommitRequest, CommitResponse, CommitStatus};
 use wrenfork_commit::state::State;
-use wrenfork_consensus::acceptor::{Acceptor, Memory as Member, Step as Turn};
-use wrenfork_consensus::decree::Decree;
-use wrenfork_consensus::protocol as group_protocol;
-use wrenfork_consensus::seats::Kind;
+use wrenfork_consensus::acceptor::{Acceptor, PersistentState, Step as Turn};
+use wrenfork_consensus::group_state::GroupState;
+use wrenfork_consensus::membership::MemberRole;
+use wrenfork_consensus::protocol::{self as group_protocol, GroupRequest, GroupResponse};
 use wrenfork_rollout::record::{same_program, PROGRAM};
 use wrenfork_rollout::tally::Tally;
 
@@ -78,7 +78,7 @@
     fn switch(&self, state: &State) -> Result<(), String>;
 
     /// What is used now, and how it goes.
-    fn figures(&self) -> Figures;
+    fn figures(&self) -> IngressMetrics;
 
     /// What was counted of requests, for whoever drives a rollout; its decree's number is filled in elsewhere.
     fn tally(&self) -> Tally;
@@ -89,7 +89,7 @@
     }
 
     /// A line for the log.
-    fn log(&self, record: &Record);
+    fn log(&self, record: &AuditRecord);
 }
 
 struct Inner<E> {
@@ -153,7 +153,7 @@
         let inner = Inner {
             name: name.into(),
             participant,
-            began: group.as_ref().map_or(0, |g| g.memory().number()),
+            began: group.as_ref().map_or(0, |g| g.state().version()),
             group,
             shared: shared.clone(),
             ledger,
@@ -195,7 +195,10 @@
                     Ok(connection) => connection,
                     Err(stream) => {
                         let why = "too many control connections: try again".to_string();
-                        let _ = (&stream).write_all(protocol::line(&Say::No { why }).as_bytes());
+                        let _ = (&stream).write_all(
+                            protocol::encode_line(&CommitResponse::Rejected { reason: why })
+                                .as_bytes(),
+                        );
                         continue;
                     }
                 };
@@ -251,18 +254,20 @@
                 let why = format!(
                     "the message is longer than {most} bytes, which is what this ingress's memory allows"
                 );
-                return (&*stream).write_all(protocol::line(&Say::No { why }).as_bytes());
+                return (&*stream).write_all(
+                    protocol::encode_line(&CommitResponse::Rejected { reason: why }).as_bytes(),
+                );
             }
             if !line.ends_with('\n') {
                 return Ok(()); // cut off: nobody waits for an answer
             }
-            if group_protocol::is(&line) {
-                let ask = protocol::read::<group_protocol::Ask>(&line);
+            if group_protocol::is_group_request(&line) {
+                let ask = protocol::decode_line::<GroupRequest>(&line);
                 drop(line);
                 Self::serve_group(inner, shared, ask, stream)?;
                 continue;
             }
-            let ask = protocol::read::<Ask>(&line);
+            let ask = protocol::decode_line::<CommitRequest>(&line);
             drop(line);
             let (say, faults, point) = {
                 let mut inner = inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -270,12 +275,12 @@
                 inner.faults.pass(point, "heard");
                 let say = match ask {
                     Ok(ask) => inner.take(ask, point),
-                    Err(why) => Say::No { why },
+                    Err(why) => CommitResponse::Rejected { reason: why },
                 };
                 inner.faults.pass(point, "unanswered");
                 (say, inner.faults.clone(), point)
             };
-            (&*stream).write_all(protocol::line(&say).as_bytes())?;
+            (&*stream).write_all(protocol::encode_line(&say).as_bytes())?;
             faults.pass(point, "answered");
         }
     }
@@ -284,12 +289,12 @@
     fn serve_group(
         inner: &Mutex<Inner<E>>,
         shared: Option<&Shared>,
-        ask: Result<group_protocol::Ask, String>,
+        ask: Result<GroupRequest, String>,
         mut stream: &UnixStream,
     ) -> std::io::Result<()> {
         let (say, faults, point) = match (ask, shared) {
-            (Ok(ask @ group_protocol::Ask::Renew { .. }), Some(shared)) => {
-                return stream.write_all(protocol::line(&shared.renew(&ask)).as_bytes());
+            (Ok(ask @ GroupRequest::Renew { .. }), Some(shared)) => {
+                return stream.write_all(protocol::encode_line(&shared.renew(&ask)).as_bytes());
             }
             (Ok(ask), Some(_)) => {
                 let point = point_of_group(&ask);
@@ -301,11 +306,19 @@
             }
             (Ok(_), None) => {
                 let why = "this ingress belongs to no group".to_string();
-                (group_protocol::Say::No { why }, Faults::default(), "other")
+                (
+                    GroupResponse::Rejected { reason: why },
+                    Faults::default(),
+                    "other",
+                )
             }
-            (Err(why), _) => (group_protocol::Say::No { why }, Faults::default(), "other"),
+            (Err(why), _) => (
+                GroupResponse::Rejected { reason: why },
+                Faults::default(),
+                "other",
+            ),
         };
-        stream.write_all(protocol::line(&say).as_bytes())?;
+        stream.write_all(protocol::encode_line(&say).as_bytes())?;
         faults.pass(point, "answered");
         Ok(())
     }
@@ -366,21 +379,21 @@
 }
 
 /// The name of an ask among the fault points.
-fn point_of(ask: &Result<Ask, String>) -> &'static str {
+fn point_of(ask: &Result<CommitRequest, String>) -> &'static str {
     match ask {
-        Ok(Ask::Prepare { .. }) => "prepare",
-        Ok(Ask::Fence { .. }) => "fence",
-        Ok(Ask::Decide { .. }) => "decide",
+        Ok(CommitRequest::Prepare { .. }) => "prepare",
+        Ok(CommitRequest::Fence { .. }) => "fence",
+        Ok(CommitRequest::Decide { .. }) => "decide",
         _ => "other",
     }
 }
 
 /// The name of an ask of a group's member among the fault points.
-fn point_of_group(ask: &group_protocol::Ask) -> &'static str {
+fn point_of_group(ask: &GroupRequest) -> &'static str {
     match ask {
-        group_protocol::Ask::Promise { .. } => "promise",
-        group_protocol::Ask::Accept { .. } => "accept",
-        group_protocol::Ask::Decided { .. } => "decided",
+        GroupRequest::Prepare { .. } => "promise",
+        GroupRequest::Accept { .. } => "accept",
+        GroupRequest::Decided { .. } => "decided",
         _ => "other",
     }
 }
@@ -393,10 +406,10 @@
     enforcer: &E,
 ) -> Result<(Acceptor, Arc<Shared>, UnixStream), String> {
     let log = |why: String| {
-        enforcer.log(&Record {
-            what: "group".into(),
-            why,
-            ..Record::default()
+        enforcer.log(&AuditRecord {
+            event: "group".into(),
+            detail: why,
+            ..AuditRecord::default()
         })
     };
     let memory = match ledger.member()? {
@@ -406,11 +419,11 @@
                 "the folder is {}'s: it is used as an empty one, without a vote",
                 other.name
             ));
-            Member::fresh(name, group::drawn())
+            PersistentState::new(name, group::drawn())
         }
-        None => Member::fresh(name, group::drawn()),
+        None => PersistentState::new(name, group::drawn()),
     };
-    let memory = Member {
+    let memory = PersistentState {
         writes: memory.writes + 1,
         ..memory
     };
@@ -419,8 +432,8 @@
         .map_err(|why| format!("state: {why}"))?;
     let serves = membership
         .charter
-        .seat(name)
-        .is_none_or(|s| s.kind == Kind::Ingress);
+        .member(name)
+        .is_none_or(|s| s.role == MemberRole::Ingress);
     let own = ledger.memory();
     let own = serves.then(|| (own.enforced.number, own.state.clone()));
     let (shared, woken) = Shared::new(name, &memory, membership)?;
@@ -429,28 +442,23 @@
 
 impl<E: Enforcer> Inner<E> {
     /// As a member of a group, takes a message that is no renewal.
-    pub(crate) fn take_group(
-        &mut self,
-        ask: group_protocol::Ask,
-        point: &'static str,
-    ) -> group_protocol::Say {
-        use group_protocol::{Ask, Say};
+    pub(crate) fn take_group(&mut self, ask: GroupRequest, point: &'static str) -> GroupResponse {
         let (Some(acceptor), Some(shared)) = (&mut self.group, &self.shared) else {
-            return Say::No {
-                why: "this ingress belongs to no group".into(),
+            return GroupResponse::Rejected {
+                reason: "this ingress belongs to no group".into(),
             };
         };
-        let number = acceptor.memory().number();
-        let wants = self.participant.memory().state.0.get(PROGRAM);
+        let number = acceptor.state().version();
+        let wants = self.participant.state().state.0.get(PROGRAM);
         match ask {
-            Ask::Tally => {
+            GroupRequest::Tally => {
                 let (began, turn, tally) = (self.began, self.turn == number, self.enforcer.tally());
                 let unfit = self
                     .unfit
                     .as_ref()
                     .filter(|u| wants.is_some_and(|w| same_program(w, &u.0)));
                 let unfit = unfit.map(|u| u.1.clone()).unwrap_or_default();
-                return Say::Tallied(Box::new(Tally {
+                return GroupResponse::Tallied(Box::new(Tally {
                     number,
                     began,
                     turn,
@@ -458,34 +466,37 @@
                     ..tally
                 }));
             }
-            Ask::Turn { number: under } if under == number => {
+            GroupRequest::UpgradeTurn { version: under } if under == number => {
                 self.turn = number;
-                return Say::Noted;
+                return GroupResponse::Acknowledged;
             }
-            Ask::Turn { .. } => {
-                return Say::No {
-                    why: "another decree stands here".into(),
+            GroupRequest::UpgradeTurn { .. } => {
+                return GroupResponse::Rejected {
+                    reason: "another decree stands here".into(),
                 }
             }
-            Ask::Unfit { program, why } => {
+            GroupRequest::ProgramUnfit {
+                program,
+                reason: why,
+            } => {
                 // The first reason stands: it is said again for whoever has not heard it.
                 if self
                     .unfit
                     .as_ref()
                     .is_some_and(|u| same_program(&u.0, &program))
                 {
-                    return Say::Noted;
+                    return GroupResponse::Acknowledged;
                 }
                 let why = why.chars().take(MOST_WHY).collect::<String>();
                 let (at, what) = (seconds(), "program".to_string());
-                self.enforcer.log(&Record {
+                self.enforcer.log(&AuditRecord {
                     at,
-                    what,
-                    why: format!("{program}: {why}"),
-                    ..Record::default()
+                    event: what,
+                    detail: format!("{program}: {why}"),
+                    ..AuditRecord::default()
                 });
                 self.unfit = Some((program, why));
-                return Say::Noted;
+                return GroupResponse::Acknowledged;
             }
             _ => {}
         }
@@ -493,78 +504,90 @@
         let mut record = None;
         {
             let mut standing = shared.standing();
-            let m = acceptor.memory();
+            let m = acceptor.state();
             match &ask {
                 // From here on nobody who has not taken it up is told that the one before stands; if it is not taken up
                 // after all, `follow` takes that back.
-                Ask::Accept { ballot, decree } if decree.number == m.number() + 1 => {
-                    standing.bar(*ballot, &decree.digest, now);
+                GroupRequest::Accept {
+                    ballot,
+                    state: decree,
+                } if decree.version == m.version() + 1 => {
+                    standing.block_grants(*ballot, &decree.digest, now);
                     record = Some(("promised", decree.clone()));
                 }
-                Ask::Still { ballot, ready }
-                    if m.accepted.as_ref().is_some_and(|a| a.0 == *ballot) =>
-                {
-                    standing.still(*ballot, ready, now);
+                GroupRequest::ProposerAlive {
+                    ballot,
+                    accepted_by: ready,
+                } if m.accepted.as_ref().is_some_and(|a| a.0 == *ballot) => {
+                    standing.proposer_alive(*ballot, ready, now);
                 }
                 _ => {}
             }
         }
-        let sure = shared.standing().sure();
+        let sure = shared.standing().check_vote_eligibility();
         let enforcer = &self.enforcer;
-        let (memory, then, switch) = match acceptor.take(ask, sure, |state| enforcer.check(state)) {
-            Turn::Say(say) => {
-                shared.follow(acceptor.memory());
+        let (memory, then, switch) = match acceptor.handle(ask, sure, |state| enforcer.check(state))
+        {
+            Turn::Respond(say) => {
+                shared.follow(acceptor.state());
                 return match say {
-                    Say::Stands(mut stand) => {
+                    GroupResponse::Status(mut stand) => {
                         stand.lease_ms = shared.lease_ms();
-                        stand.runs = self.enforcer.runs();
-                        stand.wants = wants.cloned();
-                        let ended = |d: &Decree| d.rollout.as_ref().is_none_or(|r| r.phase.ended());
-                        let free = acceptor.memory().decree.as_ref().is_none_or(|d| ended(d));
-                        stand.turn = free || self.turn == number;
-                        Say::Stands(stand)
+                        stand.running_program = self.enforcer.runs();
+                        stand.wanted_program = wants.cloned();
+                        let ended =
+                            |d: &GroupState| d.rollout.as_ref().is_none_or(|r| r.phase.ended());
+                        let free = acceptor
+                            .state()
+                            .group_state
+                            .as_ref()
+                            .is_none_or(|d| ended(d));
+                        stand.may_upgrade = free || self.turn == number;
+                        GroupResponse::Status(stand)
                     }
-                    Say::No { why } => {
-                        let record = Record {
+                    GroupResponse::Rejected { reason: why } => {
+                        let record = AuditRecord {
                             at: seconds(),
-                            what: "refused".into(),
-                            why,
-                            ..Record::default()
+                            event: "refused".into(),
+                            detail: why,
+                            ..AuditRecord::default()
                         };
                         self.enforcer.log(&record);
                         let _ = self.ledger.note(&record);
-                        Say::No { why: record.why }
+                        GroupResponse::Rejected {
+                            reason: record.detail,
+                        }
                     }
                     say => say,
                 };
             }
-            Turn::Write {
-                memory,
-                then,
-                switch,
+            Turn::Persist {
+                state: memory,
+                response: then,
+                applies: switch,
             } => (memory, then, switch),
         };
         let own = memory
-            .decree
+            .group_state
             .as_ref()
             .filter(|_| switch)
-            .and_then(|d| d.at(&self.name));
-        let own = own.filter(|(generation, _)| *generation != self.participant.memory().enforced);
+            .and_then(|d| d.enforced_by(&self.name));
+        let own = own.filter(|(generation, _)| *generation != self.participant.state().enforced);
         let own = own.map(|(enforced, state)| {
-            let was = self.participant.memory();
-            wrenfork_commit::participant::Memory {
+            let was = self.participant.state();
+            wrenfork_commit::participant::ParticipantState {
                 enforced,
                 state: Arc::new(state),
-                promise: None,
+                prepared: None,
                 ..was.clone()
             }
         });
-        if let Some(decree) = memory.decree.as_ref().filter(|_| switch) {
+        if let Some(decree) = memory.group_state.as_ref().filter(|_| switch) {
             record = Some(("made", decree.clone()));
         }
         let had = acceptor
-            .memory()
-            .decree
+            .state()
+            .group_state
             .as_ref()
             .and_then(|d| d.rollout.clone());
         let record = record.map(|(what, decree)| {
@@ -575,13 +598,13 @@
             let what = step.map_or(what.to_string(), |step| {
                 format!("{ROLLOUT}: {}", step.phase)
             });
-            Record {
+            AuditRecord {
                 at: seconds(),
-                what,
+                event: what,
                 author: decree.author.clone(),
                 change: decree.change.clone(),
                 generation: decree.generation,
-                why: step.map_or_else(String::new, |step| step.why.clone()),
+                detail: step.map_or_else(String::new, |step| step.why.clone()),
             }
         });
         self.faults.pass(point, "unwritten");
@@ -589,13 +612,13 @@
             .ledger
             .keep_member(&memory, own.as_ref(), record.as_ref())
         {
-            shared.follow(acceptor.memory());
-            return Say::Unable {
-                why: format!("{} can't keep it: {why}", self.name),
+            shared.follow(acceptor.state());
+            return GroupResponse::Unavailable {
+                reason: format!("{} can't keep it: {why}", self.name),
             };
         }
         self.faults.pass(point, "written");
-        acceptor.written(*memory);
+        acceptor.persisted(*memory);
         if let Some(own) = own {
             let state = own.state.clone();
             let wants = state.0.get(PROGRAM);
@@ -604,13 +627,13 @@
                 .unfit
                 .take()
                 .filter(|u| wants.is_some_and(|w| same_program(w, &u.0)));
-            self.participant.written(own);
+            self.participant.persisted(own);
             if let Err(why) = self.enforcer.switch(&state) {
-                return Say::No { why }; // the ingress ends; it will start with what is written
+                return GroupResponse::Rejected { reason: why }; // the ingress ends; it will start with what is written
             }
             self.faults.pass(point, "switched");
         }
-        shared.follow(acceptor.memory());
+        shared.follow(acceptor.state());
         if let Some(record) = record {
             self.enforcer.log(&record);
         }
@@ -622,50 +645,57 @@
         let (Some(acceptor), Some(shared)) = (&mut self.group, &self.shared) else {
             return;
         };
-        let memory = acceptor.memory().shed(group::drawn());
+        let memory = acceptor.state().with_new_replica(group::drawn());
         let why = "the folder is an older copy of what others have seen: it has no vote; wrenctl roster replace gives it one";
-        let record = Record {
+        let record = AuditRecord {
             at: seconds(),
-            what: "group".into(),
-            why: why.into(),
-            ..Record::default()
+            event: "group".into(),
+            detail: why.into(),
+            ..AuditRecord::default()
         };
         if self
             .ledger
             .keep_member(&memory, None, Some(&record))
             .is_ok()
         {
-            acceptor.written(memory);
-            shared.follow(acceptor.memory());
+            acceptor.persisted(memory);
+            shared.follow(acceptor.state());
             self.enforcer.log(&record);
         }
     }
 
-    fn take(&mut self, ask: Ask, point: &'static str) -> Say {
-        let no = |why: String| Say::No { why };
+    fn take(&mut self, ask: CommitRequest, point: &'static str) -> CommitResponse {
+        let no = |why: String| CommitResponse::Rejected { reason: why };
         let record = match ask {
-            Ask::Recall { generation } => {
+            CommitRequest::FetchGeneration { generation } => {
                 return match self.ledger.past(generation) {
-                    Ok(Some((generation, state))) => Say::Was { generation, state },
+                    Ok(Some((generation, state))) => {
+                        CommitResponse::PastGeneration { generation, state }
+                    }
                     Ok(None) => no(format!("generation {generation} is not kept here any more")),
                     Err(why) => no(why),
                 };
             }
-            Ask::History { most } => {
+            CommitRequest::History { limit: most } => {
                 return match self.ledger.records(most) {
-                    Ok(records) => Say::Records { records },
+                    Ok(records) => CommitResponse::Records { records },
                     Err(why) => no(why),
                 };
             }
-            Ask::Note { record } => {
-                let record = Record {
+            CommitRequest::AppendRecord { record } => {
+                let record = AuditRecord {
                     at: seconds(),
                     ..record
                 };
                 self.enforcer.log(&record);
-                return self.ledger.note(&record).map_or_else(no, |()| Say::Noted);
+                return self
+                    .ledger
+                    .note(&record)
+                    .map_or_else(no, |()| CommitResponse::Recorded);
             }
-            Ask::Prepare { .. } | Ask::Fence { .. } | Ask::Decide { .. }
+            CommitRequest::Prepare { .. }
+            | CommitRequest::Fence { .. }
+            | CommitRequest::Decide { .. }
                 if self.group.is_some() =>
             {
                 return no(
@@ -676,28 +706,28 @@
             ref other => self.record(other),
         };
         let enforcer = &self.enforcer;
-        match self.participant.take(ask, |state| enforcer.check(state)) {
-            Step::Say(Say::Status {
+        match self.participant.handle(ask, |state| enforcer.check(state)) {
+            Step::Respond(CommitResponse::Status {
                 ingress,
                 generation,
                 state,
-                promise,
+                prepared: promise,
                 ..
             }) => {
                 let figures = self.enforcer.figures();
-                Say::Status {
+                CommitResponse::Status {
                     ingress,
                     generation,
                     state,
-                    promise,
-                    figures,
+                    prepared: promise,
+                    metrics: figures,
                 }
             }
-            Step::Say(say) => {
-                if let (Say::No { why }, Some(record)) = (&say, record) {
-                    let record = Record {
-                        what: "refused".into(),
-                        why: why.clone(),
+            Step::Respond(say) => {
+                if let (CommitResponse::Rejected { reason: why }, Some(record)) = (&say, record) {
+                    let record = AuditRecord {
+                        event: "refused".into(),
+                        detail: why.clone(),
                         ..record
                     };
                     self.enforcer.log(&record);
@@ -705,37 +735,38 @@
                 }
                 say
             }
-            Step::Write {
-                memory,
-                then,
-                switch,
+            Step::Persist {
+                state: memory,
+                response: then,
+                applies: switch,
             } => {
                 let what = match &then {
-                    Say::Yes => "promised",
-                    Say::Stands {
-                        stand: Stand::Made, ..
+                    CommitResponse::Prepared => "promised",
+                    CommitResponse::ChangeStatus {
+                        status: CommitStatus::Committed,
+                        ..
                     } => "made",
-                    Say::Stands {
-                        stand: Stand::Dropped,
+                    CommitResponse::ChangeStatus {
+                        status: CommitStatus::Aborted,
                         ..
                     } => "given up",
                     _ => "fenced",
                 };
-                let record = record.map(|r| Record {
-                    what: what.into(),
+                let record = record.map(|r| AuditRecord {
+                    event: what.into(),
                     ..r
                 });
                 self.faults.pass(point, "unwritten");
                 if let Err(why) = self.ledger.keep(&memory, switch, record.as_ref()) {
                     // Nothing has happened, and all goes on as before.
-                    return Say::Unable {
-                        why: format!("{} can't keep it: {why}", self.name),
+                    return CommitResponse::Unavailable {
+                        reason: format!("{} can't keep it: {why}", self.name),
                     };
                 }
                 self.faults.pass(point, "written");
-                self.participant.written(*memory);
+                self.participant.persisted(*memory);
                 if switch {
-                    if let Err(why) = self.enforcer.switch(&self.participant.memory().state) {
+                    if let Err(why) = self.enforcer.switch(&self.participant.state().state) {
                         return no(why); // the ingress ends; it will start with what is written
                     }
                     self.faults.pass(point, "switched");
@@ -749,23 +780,23 @@
     }
 
     /// A record of an ask; who and what is filled in from the promise that it is about.
-    fn record(&self, ask: &Ask) -> Option<Record> {
-        let promised = self.participant.memory().promise.as_ref().map(|p| &p.0);
+    fn record(&self, ask: &CommitRequest) -> Option<AuditRecord> {
+        let promised = self.participant.state().prepared.as_ref().map(|p| &p.0);
         let (change, promise) = match ask {
-            Ask::Prepare { promise, .. } => (&promise.change, Some(promise)),
-            Ask::Decide { change, .. } | Ask::Fence { change, .. } => {
+            CommitRequest::Prepare { vote: promise, .. } => (&promise.change, Some(promise)),
+            CommitRequest::Decide { change, .. } | CommitRequest::Fence { change, .. } => {
                 (change, promised.filter(|p| p.change == *change))
             }
             _ => return None,
         };
         let (author, generation) =
             promise.map_or((String::new(), 0), |p| (p.author.clone(), p.next.number));
-        Some(Record {
+        Some(AuditRecord {
             at: seconds(),
             change: change.clone(),
             author,
             generation,
-            ..Record::default()
+            ..AuditRecord::default()
         })
     }
 }
--- a/crates/control-plane/src/links.rs
+++ b/crates/control-plane/src/links.rs
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use wrenfork_commit::protocol;
-use wrenfork_consensus::protocol::{Ask, Say};
+use wrenfork_consensus::protocol::{GroupRequest, GroupResponse};
 
 /// What is read at once.
 const CHUNK: usize = 16 << 10;
@@ -21,7 +21,7 @@
 /// What is under way on a link.
 #[derive(Debug)]
 struct Asked {
-    ask: Ask,
+    ask: GroupRequest,
     sent: Duration,
 }
 
@@ -68,14 +68,14 @@
     }
 
     /// Asks; what comes of it is told by [`Link::answer`].
-    pub fn ask(&mut self, ask: Ask, now: Duration) {
+    pub fn ask(&mut self, ask: GroupRequest, now: Duration) {
         if self.stream.is_none() {
             match self.connect() {
                 Ok(stream) => self.stream = Some(stream),
                 Err(_) => return self.fail(now),
             }
         }
-        self.out = protocol::line(&ask).into_bytes();
+        self.out = protocol::encode_line(&ask).into_bytes();
         self.asked = Some(Asked { ask, sent: now });
         self.write(now);
     }
@@ -104,7 +104,11 @@
     }
 
     /// Reads what has come; the whole answer, if it has, with what was asked and when. `most` bounds it in bytes.
-    fn read(&mut self, now: Duration, most: usize) -> Option<(Ask, Duration, Say)> {
+    fn read(
+        &mut self,
+        now: Duration,
+        most: usize,
+    ) -> Option<(GroupRequest, Duration, GroupResponse)> {
         let stream = self.stream.as_mut()?;
         let mut chunk = [0; CHUNK];
         loop {
@@ -128,7 +132,7 @@
             }
         }
         let text = String::from_utf8(std::mem::take(&mut self.got)).ok();
-        let say = text.and_then(|t| protocol::read::<Say>(&t).ok());
+        let say = text.and_then(|t| protocol::decode_line::<GroupResponse>(&t).ok());
         match (say, self.asked.take()) {
             (Some(say), Some(Asked { ask, sent })) => {
                 self.failures = 0;
@@ -158,7 +162,7 @@
     until: Duration,
     patience: Duration,
     most: usize,
-) -> Vec<(usize, Ask, Duration, Say)> {
+) -> Vec<(usize, GroupRequest, Duration, GroupResponse)> {
     let mut now = clock::now();
     {
         let waiting = links.iter().filter_map(|l| {
--- a/crates/control-plane/src/rollout.rs
+++ b/crates/control-plane/src/rollout.rs
@@ -13,12 +13,12 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use wrenfork_commit::protocol::Record as Note;
+use wrenfork_commit::protocol::AuditRecord as Note;
 use wrenfork_commit::state::Digest;
-use wrenfork_consensus::decree::Decree;
-use wrenfork_consensus::proposer::{Aim, End, Proposer};
-use wrenfork_consensus::protocol::{Ask, Ballot, Say};
-use wrenfork_consensus::seats::Kind;
+use wrenfork_consensus::group_state::GroupState;
+use wrenfork_consensus::membership::MemberRole;
+use wrenfork_consensus::proposer::{ProposalGoal, ProposalOutcome, Proposer};
+use wrenfork_consensus::protocol::{Ballot, GroupRequest, GroupResponse};
 use wrenfork_rollout::record::{Phase, Record};
 use wrenfork_rollout::watch::{Seen, Watch};
 
@@ -30,7 +30,7 @@
 const DECIDE: u32 = 4;
 
 /// The rollout of a decree, if there is something to drive.
-pub(crate) fn under_way(decree: &Decree) -> Option<&Record> {
+pub(crate) fn under_way(decree: &GroupState) -> Option<&Record> {
     let record = decree.rollout.as_deref()?;
     matches!(record.phase, Phase::On { .. } | Phase::Back { .. }).then_some(record)
 }
@@ -40,7 +40,7 @@
     /// The member that this is.
     pub name: String,
     /// What stands.
-    pub decree: Arc<Decree>,
+    pub decree: Arc<GroupState>,
     /// The members' control sockets, this one's among them.
     pub at: BTreeMap<String, PathBuf>,
     pub shared: Arc<Shared>,
@@ -63,9 +63,9 @@
         }
         let serves = |name: &&String| {
             self.decree
-                .roster
-                .seat(name)
-                .is_some_and(|s| s.kind == Kind::Ingress)
+                .membership
+                .member(name)
+                .is_some_and(|s| s.role == MemberRole::Ingress)
         };
         let mut links: Vec<Link> = self
             .at
@@ -82,19 +82,19 @@
                 let seen = self.look(&mut links, &woken);
                 let watch = watch.get_or_insert_with(|| {
                     self.log(&record.phase.to_string(), "driven from here");
-                    Watch::new(record.clone(), self.decree.number, now)
+                    Watch::new(record.clone(), self.decree.version, now)
                 });
                 let next = watch.look(clock::now(), &seen);
                 for name in watch.turns(&seen) {
-                    let turn = Ask::Turn {
-                        number: self.decree.number,
+                    let turn = GroupRequest::UpgradeTurn {
+                        version: self.decree.version,
                     };
                     let told = self
                         .at
                         .get(&name)
-                        .map(|at| crate::client::ask::<_, Say>(at, &turn, PATIENCE));
+                        .map(|at| crate::client::ask::<_, GroupResponse>(at, &turn, PATIENCE));
                     // One that was not reached is told at the next look.
-                    if let Some(Ok(Say::Noted)) = told {
+                    if let Some(Ok(GroupResponse::Acknowledged)) = told {
                         self.log(
                             &record.phase.to_string(),
                             &format!("{name}'s turn to change its program"),
@@ -113,15 +113,19 @@
 
     /// Whether what is driven still stands.
     fn stands(&self) -> bool {
-        let number = self.shared.standing().decree().map_or(0, |d| d.number);
-        !self.shared.closed() && number == self.decree.number
+        let number = self
+            .shared
+            .standing()
+            .group_state()
+            .map_or(0, |d| d.version);
+        !self.shared.closed() && number == self.decree.version
     }
 
     fn log(&self, what: &str, why: &str) {
         let (change, generation) = (self.decree.change.clone(), self.decree.generation);
         let note = Note {
-            what: format!("rollout: {what}"),
-            why: why.into(),
+            event: format!("rollout: {what}"),
+            detail: why.into(),
             change,
             generation,
             ..Note::default()
@@ -137,11 +141,15 @@
     fn led_by_another(&self, record: &Record) -> bool {
         let lot = |name: &str| Digest::of(format!("{:?} drives {name}", record.id).as_bytes());
         let own = lot(&self.name);
-        let before = self.decree.roster.voters().filter(|s| lot(&s.name) < own);
+        let before = self
+            .decree
+            .membership
+            .voters()
+            .filter(|s| lot(&s.name) < own);
         let before: Vec<&PathBuf> = before.filter_map(|s| self.at.get(&s.name)).collect();
-        let leads = |at: &PathBuf| match crate::client::ask(at, &Ask::Stand, PATIENCE) {
-            Ok(Say::Stands(stand)) => {
-                stand.number == self.decree.number && stand.lease_ms.is_some()
+        let leads = |at: &PathBuf| match crate::client::ask(at, &GroupRequest::Status, PATIENCE) {
+            Ok(GroupResponse::Status(stand)) => {
+                stand.version == self.decree.version && stand.lease_ms.is_some()
             }
             _ => false,
         };
@@ -160,14 +168,14 @@
             .collect();
         let mut left = 0;
         for link in links.iter_mut().filter(|l| l.free(begun)) {
-            link.ask(Ask::Tally, begun);
+            link.ask(GroupRequest::Tally, begun);
             left += 1;
         }
         let until = begun + PATIENCE;
         while left > 0 && clock::now() < until {
             for (n, _, sent, say) in links::wait(links, woken, until, PATIENCE, self.most) {
                 // What was asked before this look is too old to be compared with the others'.
-                if let (Say::Tallied(tally), true) = (say, sent >= begun) {
+                if let (GroupResponse::Tallied(tally), true) = (say, sent >= begun) {
                     seen.insert(links[n].name.clone(), Ok(*tally));
                 }
                 left -= 1;
@@ -179,36 +187,33 @@
     /// Has the group decide a step.
     fn decide(&self, next: Record, round: &mut u64) {
         let (what, why) = (next.phase.to_string(), next.why.clone());
-        let decree = match self.decree.rolled(&self.decree.author, next) {
+        let decree = match self.decree.with_rollout(&self.decree.author, next) {
             Ok(decree) => Arc::new(decree),
             Err(why) => return self.log(&what, &format!("can't be: {why}")),
         };
         let promised = {
             let inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-            inner
-                .group
-                .as_ref()
-                .map_or(0, |g| g.memory().promised.round)
+            inner.group.as_ref().map_or(0, |g| g.state().promised.round)
         };
         let ballot = Ballot {
             round: promised.max(*round) + 1,
-            by: drawn(),
+            proposer: drawn(),
         };
-        let mut proposer = Proposer::begin(
+        let mut proposer = Proposer::new(
             self.decree.clone(),
-            Aim::Change(decree),
+            ProposalGoal::Change(decree),
             ballot,
             clock::now(),
         );
         match drive(
             &mut proposer,
             &self.at,
-            self.decree.roster.lease() * DECIDE,
+            self.decree.membership.lease() * DECIDE,
             |_| {},
         ) {
-            End::Made => self.log(&what, &why),
-            End::Outbid(by) => *round = by.round,
-            End::Refused(all) => {
+            ProposalOutcome::Committed => self.log(&what, &why),
+            ProposalOutcome::HigherBallot(by) => *round = by.round,
+            ProposalOutcome::Rejected(all) => {
                 let all: Vec<String> = all
                     .into_iter()
                     .map(|(name, why)| format!("{name}: {why}"))
@@ -216,7 +221,9 @@
                 self.log(&what, &format!("refused: {}", all.join("; ")));
             }
             // Somebody else was first, or it is settled by the members; either way it shows in what stands.
-            End::Few(..) | End::Overtaken(_) | End::Unfinished => {}
+            ProposalOutcome::NoQuorum(..)
+            | ProposalOutcome::Superseded(_)
+            | ProposalOutcome::TimedOut => {}
         }
     }
 }
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -9,18 +9,18 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
-use wrenfork_commit::participant::{Memory, Promise};
-use wrenfork_commit::protocol::Record;
+use wrenfork_commit::participant::ParticipantState;
+use wrenfork_commit::protocol::{AuditRecord, PreparedVote};
 use wrenfork_commit::state::{Digest, Generation, State};
-use wrenfork_consensus::acceptor::Memory as Member;
-use wrenfork_consensus::decree::{Decree, Policy};
+use wrenfork_consensus::acceptor::PersistentState;
+use wrenfork_consensus::group_state::{GroupState, Policy};
+use wrenfork_consensus::membership::{Member, MemberRole, Membership};
 use wrenfork_consensus::protocol::Ballot;
-use wrenfork_consensus::seats::{Kind as SeatKind, Roster, Seat};
 use wrenfork_control_plane::group::Inherited;
 use wrenfork_control_plane::ledger::Ledger;
 use wrenfork_control_plane::{fault, CHANGED, ROLLOUT, RUNS};
 use wrenfork_rollout::record::{Phase, Record as RolloutRecord, Terms};
-use wrenfork_store::{Batch, Kind, Store};
+use wrenfork_store::{Batch, RecordKind, Store};
 
 fn path(name: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "tests", "golden", name]
@@ -33,22 +33,22 @@
     State(pairs.map(|(k, v)| (k.to_string(), v.to_string())).into())
 }
 
-fn record(what: &str, generation: u64) -> Record {
-    Record {
+fn record(what: &str, generation: u64) -> AuditRecord {
+    AuditRecord {
         at: 1_700_000_000 + generation,
-        what: what.into(),
+        event: what.into(),
         author: "ann \"the first\"".into(),
         change: Digest("0123abcd".into()),
         generation,
-        why: format!("because of {generation}"),
+        detail: format!("because of {generation}"),
     }
 }
 
 /// What is enforced, with a promise, changes that have ended and fences.
-fn memory() -> Memory {
-    let enforced = Memory::first(3, state("3"));
+fn memory() -> ParticipantState {
+    let enforced = ParticipantState::new(3, state("3"));
     let next = state("4");
-    let promise = Promise {
+    let promise = PreparedVote {
         change: Digest("feed".into()),
         base: enforced.enforced.clone(),
         next: Generation {
@@ -58,41 +58,41 @@
         author: "bob".into(),
         members: vec!["n0".into(), "n1".into()],
     };
-    Memory {
-        promise: Some((promise, Arc::new(next))),
+    ParticipantState {
+        prepared: Some((promise, Arc::new(next))),
         ended: vec![(Digest("aa".into()), true), (Digest("bb".into()), false)],
         fences: vec![(Digest("cc".into()), 17)],
         ..enforced
     }
 }
 
-fn decree() -> Decree {
-    let seat = |name: &str, folder, kind, votes| Seat {
+fn decree() -> GroupState {
+    let seat = |name: &str, folder, kind, votes| Member {
         name: name.into(),
-        folder,
-        kind,
+        replica: folder,
+        role: kind,
         votes,
     };
     let seats = vec![
-        seat("n0", 7, SeatKind::Ingress, true),
-        seat("n1", 8, SeatKind::Ingress, false),
-        seat("w0", 9, SeatKind::Witness, true),
+        seat("n0", 7, MemberRole::Ingress, true),
+        seat("n1", 8, MemberRole::Ingress, false),
+        seat("w0", 9, MemberRole::Witness, true),
     ];
-    let roster = Roster::new(2, 1_500, seats).unwrap();
+    let roster = Membership::new(2, 1_500, seats).unwrap();
     let states: BTreeMap<String, Arc<State>> = [("n0", "3"), ("n1", "5")]
         .map(|(name, value)| (name.to_string(), Arc::new(state(value))))
         .into();
-    Decree::new(
+    GroupState::new(
         4,
         3,
         Digest("feed".into()),
         "ann",
         roster,
-        Policy::of(&states),
+        Policy::from_states(&states),
     )
 }
 
-fn rolled(decree: &Decree) -> Decree {
+fn rolled(decree: &GroupState) -> GroupState {
     let change = [(
         "quota".to_string(),
         (Some("3".to_string()), Some("6".to_string())),
@@ -107,24 +107,33 @@
         phase: Phase::On { stage: 0 },
         why: "its first stage".into(),
     };
-    decree.rolled("carol", rollout).unwrap()
+    decree.with_rollout("carol", rollout).unwrap()
 }
 
-fn member() -> Member {
+fn member() -> PersistentState {
     let decree = decree();
     let accepted = Arc::new(rolled(&decree));
-    Member {
+    PersistentState {
         name: "n0".into(),
-        folder: 7,
+        replica: 7,
         writes: 12,
-        decree: Some(Arc::new(decree)),
-        from: None,
-        promised: Ballot { round: 5, by: 6 },
-        accepted: Some((Ballot { round: 5, by: 3 }, accepted)),
+        group_state: Some(Arc::new(decree)),
+        accepted_in: None,
+        promised: Ballot {
+            round: 5,
+            proposer: 6,
+        },
+        accepted: Some((
+            Ballot {
+                round: 5,
+                proposer: 3,
+            },
+            accepted,
+        )),
     }
 }
 
-fn own_records() -> [Record; 3] {
+fn own_records() -> [AuditRecord; 3] {
     [
         record("made", 2),
         record("planned", 3),
@@ -136,7 +145,10 @@
 fn dump(folder: &Path) -> String {
     let store = Store::open(folder).unwrap();
     let mut text = String::new();
-    for (kind, label) in [(Kind::Control, "control"), (Kind::Audit, "audit")] {
+    for (kind, label) in [
+        (RecordKind::Control, "control"),
+        (RecordKind::Audit, "audit"),
+    ] {
         let mut names = store.names(kind).unwrap();
         names.sort();
         for name in names {
@@ -152,12 +164,12 @@
     folder: &Path,
     first: State,
     second: State,
-    own: &Memory,
-    member: &Member,
-    records: &[Record; 3],
+    own: &ParticipantState,
+    member: &PersistentState,
+    records: &[AuditRecord; 3],
 ) {
-    let mut ledger = Ledger::open(Some(folder), || Memory::first(1, first)).unwrap();
-    let second = Memory::first(2, second);
+    let mut ledger = Ledger::open(Some(folder), || ParticipantState::new(1, first)).unwrap();
+    let second = ParticipantState::new(2, second);
     ledger.keep(&second, true, Some(&records[0])).unwrap();
     ledger.note(&records[1]).unwrap();
     ledger
@@ -183,15 +195,15 @@
 fn fresh_store() -> String {
     let folder = tempfile::tempdir().unwrap();
     let mut ledger = Ledger::open(Some(folder.path()), empty_memory).unwrap();
-    let member = Member::fresh("n0", 7);
+    let member = PersistentState::new("n0", 7);
     ledger.keep_member(&member, None, None).unwrap();
     ledger.close();
     drop(ledger);
     dump(folder.path())
 }
 
-fn empty_memory() -> Memory {
-    Memory::first(1, State::default())
+fn empty_memory() -> ParticipantState {
+    ParticipantState::new(1, State::default())
 }
 
 fn inherited() -> [Inherited; 2] {
@@ -238,8 +250,8 @@
     for line in text.lines() {
         let mut parts = line.splitn(3, ' ');
         let kind = match parts.next() {
-            Some("control") => Kind::Control,
-            _ => Kind::Audit,
+            Some("control") => RecordKind::Control,
+            _ => RecordKind::Audit,
         };
         let (name, record) = (parts.next().unwrap(), parts.next().unwrap());
         batch = batch.put(kind, name, record);
@@ -285,7 +297,10 @@
     let folder = restored("fresh-store.txt");
     let ledger = Ledger::open(Some(folder.path()), || unreachable!("it is kept")).unwrap();
     assert_eq!(ledger.memory(), &empty_memory());
-    assert_eq!(ledger.member().unwrap(), Some(Member::fresh("n0", 7)));
+    assert_eq!(
+        ledger.member().unwrap(),
+        Some(PersistentState::new("n0", 7))
+    );
 }
 
 #[test]
--- a/crates/ctl/src/change/apply.rs
+++ b/crates/ctl/src/change/apply.rs
@@ -14,12 +14,12 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
-use wrenfork_commit::applier::Applier;
-use wrenfork_commit::figures::Figures;
+use wrenfork_commit::coordinator::Coordinator;
+use wrenfork_commit::metrics::IngressMetrics;
 use wrenfork_commit::plan::{Plan, Target};
 use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_config::enforced::Pairs;
-use wrenfork_consensus::decree::{Decree, Policy};
+use wrenfork_consensus::group_state::{GroupState, Policy};
 use wrenfork_rollout::record::PROGRAM;
 
 #[derive(Args)]
@@ -103,7 +103,7 @@
             Ok((decree, gone)) => {
                 away.extend(
                     gone.into_iter()
-                        .filter(|(name, _)| decree.roster.seat(name).is_some()),
+                        .filter(|(name, _)| decree.membership.member(name).is_some()),
                 );
                 if let Err(why) = follows(part, &decree, false) {
                     failed(why);
@@ -128,11 +128,12 @@
 
 /// A plan's parts: that of each group, with its members' sockets, and that of ingresses which decide each for itself.
 pub fn parts(plan: &Plan) -> (Vec<Part<'_>>, Plan) {
-    let of = |group: &BTreeMap<String, String>| plan.only(|t| group.contains_key(&t.ingress));
+    let of =
+        |group: &BTreeMap<String, String>| plan.restricted_to(|t| group.contains_key(&t.ingress));
     let groups = plan.groups.iter().map(|group| (group, of(group))).collect();
     (
         groups,
-        plan.only(|t| plan.groups.iter().all(|g| !g.contains_key(&t.ingress))),
+        plan.restricted_to(|t| plan.groups.iter().all(|g| !g.contains_key(&t.ingress))),
     )
 }
 
@@ -140,11 +141,11 @@
 pub fn planned<'a>(
     part: &'a Plan,
     target: &Target,
-    stands: &Decree,
+    stands: &GroupState,
 ) -> Result<(State, &'a Arc<State>), String> {
     let name = &target.ingress;
     let (enforces, state) = stands
-        .at(name)
+        .enforced_by(name)
         .ok_or_else(|| format!("{name}: it is not in the roster any more: make the plan anew"))?;
     still(part, target, &enforces).map_err(|why| format!("{name}: {why}"))?;
     let wanted = part
@@ -155,7 +156,7 @@
 }
 
 /// A group makes no other change while a rollout goes through it.
-pub fn none_under_way(stands: &Decree) -> Result<(), String> {
+pub fn none_under_way(stands: &GroupState) -> Result<(), String> {
     let rollout = stands.rollout.as_ref().filter(|r| !r.phase.ended());
     rollout.map_or(Ok(()), |r| {
         let (author, phase) = (&r.author, &r.phase);
@@ -167,7 +168,7 @@
 
 /// The decree that a group's part of a plan wants behind the one that stands. Only where it is a part of the members on
 /// purpose may it say nothing of one, which goes on with what it has.
-fn follows(part: &Plan, stands: &Decree, some: bool) -> Result<Decree, String> {
+fn follows(part: &Plan, stands: &GroupState, some: bool) -> Result<GroupState, String> {
     none_under_way(stands)?;
     let mut states: BTreeMap<String, Arc<State>> = BTreeMap::new();
     for target in &part.targets {
@@ -182,9 +183,11 @@
         }
         states.insert(target.ingress.clone(), wanted.clone());
     }
-    for seat in &stands.roster.seats {
-        if let (false, Some((_, state))) = (states.contains_key(&seat.name), stands.at(&seat.name))
-        {
+    for seat in &stands.membership.members {
+        if let (false, Some((_, state))) = (
+            states.contains_key(&seat.name),
+            stands.enforced_by(&seat.name),
+        ) {
             if !some {
                 return Err(format!(
                     "{} has come into the roster since the plan was made: make it anew",
@@ -194,13 +197,13 @@
             states.insert(seat.name.clone(), Arc::new(state));
         }
     }
-    let (number, policy) = (stands.number + 1, Policy::of(&states));
-    Ok(Decree::new(
+    let (number, policy) = (stands.version + 1, Policy::from_states(&states));
+    Ok(GroupState::new(
         number,
         part.generation,
         part.id(),
         &part.author,
-        stands.roster.clone(),
+        stands.membership.clone(),
         policy,
     ))
 }
@@ -281,7 +284,7 @@
 
 /// Makes a change at ingresses that decide each for itself.
 fn alone(plan: &Plan, patience: Duration) -> ExitCode {
-    let mut applier = Applier::begin(plan, micros());
+    let mut applier = Coordinator::new(plan, micros());
     let end = drive(&mut applier, &sockets(plan), patience);
     drive::tell(&end, &applier);
     code(&end)
@@ -306,8 +309,8 @@
     let path = options.plan.display();
     let text =
         std::fs::read_to_string(&options.plan).map_err(|e| failed(format!("{path}: {e}")))?;
-    let plan = Plan::read(&text).map_err(|e| failed(format!("{path}: {e}")))?;
-    plan.still_good(micros())
+    let plan = Plan::from_file_text(&text).map_err(|e| failed(format!("{path}: {e}")))?;
+    plan.check_validity(micros())
         .map_err(|e| failed(format!("{path}: {e}")))?;
     for name in &options.leave_out {
         if plan.targets.iter().all(|t| t.ingress != *name) {
@@ -322,7 +325,7 @@
     let plan = if options.leave_out.is_empty() {
         plan
     } else {
-        plan.only(|t| !options.leave_out.contains(&t.ingress))
+        plan.restricted_to(|t| !options.leave_out.contains(&t.ingress))
     };
     let away = unmoved(&plan)?;
     show::text(&plan);
@@ -337,18 +340,18 @@
 }
 
 /// The sum of the figures of some ingresses.
-fn figures(plan: &Plan) -> Result<Figures, ExitCode> {
-    let mut sum = Figures::default();
+fn figures(plan: &Plan) -> Result<IngressMetrics, ExitCode> {
+    let mut sum = IngressMetrics::default();
     for (target, status) in plan.targets.iter().zip(folder::status(
         plan.targets.iter().map(|t| Path::new(&t.control)),
     )) {
         let status = status.map_err(|why| failed(format!("{}: {why}", target.ingress)))?;
-        sum.add(&status.figures);
+        sum.merge(&status.figures);
     }
     Ok(sum)
 }
 
-fn watched(plan: &Plan, span: Duration) -> Result<Figures, ExitCode> {
+fn watched(plan: &Plan, span: Duration) -> Result<IngressMetrics, ExitCode> {
     let before = figures(plan)?;
     std::thread::sleep(span);
     Ok(figures(plan)?.since(&before))
@@ -368,8 +371,8 @@
         .take(first)
         .map(|t| t.ingress.as_str())
         .collect();
-    let part = plan.only(|t| names.contains(&t.ingress.as_str()));
-    let rest = plan.only(|t| !names.contains(&t.ingress.as_str()));
+    let part = plan.restricted_to(|t| names.contains(&t.ingress.as_str()));
+    let rest = plan.restricted_to(|t| !names.contains(&t.ingress.as_str()));
     eprintln!(
         "watching {} for {:?} before the change",
         names.join(", "),
@@ -386,14 +389,14 @@
         options.watch
     );
     let after = watched(&part, options.watch)?;
-    let (was, is) = (before.lost(), after.lost());
+    let (was, is) = (before.failure_ratio(), after.failure_ratio());
     let mut table = style::table(&["", "served", "refused", "failed", "lost"]);
     for (when, f) in [("before", &before), ("after", &after)] {
-        let lost = format!("{:.1}%", f.lost() * 100.0);
+        let lost = format!("{:.1}%", f.failure_ratio() * 100.0);
         table.add_row(vec![
             when.to_string(),
             f.served.to_string(),
-            f.refused.to_string(),
+            f.rejected.to_string(),
             f.failed.to_string(),
             lost,
         ]);
@@ -447,7 +450,7 @@
         numbers,
     )?;
     let made = plan::make(
-        (&plan.author, micros(), plan.good_for),
+        (&plan.author, micros(), plan.valid_for),
         was,
         has,
         plan.groups.clone(),
@@ -472,7 +475,8 @@
     } else {
         let text = std::fs::read_to_string(from)
             .map_err(|e| failed(format!("{}: {e}", from.display())))?;
-        let plan = Plan::read(&text).map_err(|e| failed(format!("{}: {e}", from.display())))?;
+        let plan =
+            Plan::from_file_text(&text).map_err(|e| failed(format!("{}: {e}", from.display())))?;
         (sockets(&plan), plan.groups.iter().map(members).collect())
     };
     at.retain(|name, _| groups.iter().all(|g| !g.contains_key(name)));
@@ -508,7 +512,7 @@
         return Ok(worst);
     }
     for (change, members) in changes {
-        let mut applier = Applier::recover(change, members, micros());
+        let mut applier = Coordinator::recover(change, members, micros());
         let end = drive(&mut applier, &at, patience);
         drive::tell(&end, &applier);
         // Given up is an end as good as another here.
--- a/crates/ctl/src/change/drive.rs
+++ b/crates/ctl/src/change/drive.rs
@@ -5,8 +5,8 @@
 use std::io::IsTerminal;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use wrenfork_commit::applier::{Applier, Phase};
-use wrenfork_commit::protocol::{Ask, Say};
+use wrenfork_commit::coordinator::{CommitPhase, Coordinator};
+use wrenfork_commit::protocol::{CommitRequest, CommitResponse};
 use wrenfork_control_plane::client;
 use wrenfork_control_plane::fault::Faults;
 
@@ -18,7 +18,10 @@
 const AGAIN: Duration = Duration::from_millis(200);
 
 /// Asks many at once; their answers, in the same order.
-pub fn ask_all(asks: Vec<(PathBuf, Ask)>, patience: Duration) -> Vec<Result<Say, String>> {
+pub fn ask_all(
+    asks: Vec<(PathBuf, CommitRequest)>,
+    patience: Duration,
+) -> Vec<Result<CommitResponse, String>> {
     let mut answers = Vec::with_capacity(asks.len());
     for some in asks.chunks(MOST_AT_ONCE) {
         std::thread::scope(|scope| {
@@ -60,13 +63,13 @@
         Progress { bar, phase: "" }
     }
 
-    fn tell(&mut self, applier: &Applier) {
+    fn tell(&mut self, applier: &Coordinator) {
         let phase = match applier.phase {
-            Phase::Preparing => "promises",
-            Phase::Fencing => "asking how it stands",
-            Phase::Deciding(true) => "switches",
-            Phase::Deciding(false) => "giving up",
-            Phase::Ended(_) | Phase::Overtaken => return,
+            CommitPhase::Preparing => "promises",
+            CommitPhase::Fencing => "asking how it stands",
+            CommitPhase::Deciding(true) => "switches",
+            CommitPhase::Deciding(false) => "giving up",
+            CommitPhase::Ended(_) | CommitPhase::Superseded => return,
         };
         let answered = applier.members.iter().filter(|m| m.answered).count();
         if let Some(bar) = &self.bar {
@@ -89,7 +92,7 @@
 }
 
 /// Drives a change to its end; `at` has the control sockets of the members by name.
-pub fn drive(applier: &mut Applier, at: &BTreeMap<String, PathBuf>, patience: Duration) -> End {
+pub fn drive(applier: &mut Coordinator, at: &BTreeMap<String, PathBuf>, patience: Duration) -> End {
     let (faults, start) = (Faults::told(), Instant::now());
     let mut progress = Progress::new();
     let mut first_switch = None;
@@ -99,18 +102,18 @@
         progress.tell(applier);
         let phase = applier.phase.clone();
         match phase {
-            Phase::Ended(true) => {
+            CommitPhase::Ended(true) => {
                 return End::Made(first_switch.map_or(Duration::ZERO, |t: Instant| t.elapsed()))
             }
-            Phase::Ended(false) => return End::GivenUp,
-            Phase::Overtaken => return End::Overtaken,
-            Phase::Deciding(true) => first_switch = first_switch.or(Some(Instant::now())),
+            CommitPhase::Ended(false) => return End::GivenUp,
+            CommitPhase::Superseded => return End::Overtaken,
+            CommitPhase::Deciding(true) => first_switch = first_switch.or(Some(Instant::now())),
             _ => {}
         }
         let mut asked = Vec::new();
         let mut asks = Vec::new();
         for member in 0..applier.members.len() {
-            let Some(ask) = applier.ask(member) else {
+            let Some(ask) = applier.next_request(member) else {
                 continue;
             };
             let Some(path) = at.get(&applier.members[member].ingress) else {
@@ -135,12 +138,12 @@
         let answers: Vec<_> = answers.collect();
         let mut silent = asked.is_empty();
         for (member, answer) in asked.into_iter().zip(answers) {
-            if let Err(what) | Ok(Say::Unable { why: what }) = &answer {
+            if let Err(what) | Ok(CommitResponse::Unavailable { reason: what }) = &answer {
                 silent = true;
                 why.insert(applier.members[member].ingress.clone(), what.clone());
             }
             if applier.phase == phase {
-                applier.heard(member, answer.ok());
+                applier.handle_response(member, answer.ok());
             }
         }
         if applier.phase != phase {
@@ -167,8 +170,8 @@
 }
 
 /// Tells people how a change ended.
-pub fn tell(end: &End, applier: &Applier) {
-    for (name, why) in &applier.refused {
+pub fn tell(end: &End, applier: &Coordinator) {
+    for (name, why) in &applier.rejections {
         anstream::eprintln!("  {name}: {why}");
     }
     match end {
@@ -191,8 +194,8 @@
         ),
         End::Unfinished(left) => {
             let decided = match applier.phase {
-                Phase::Deciding(true) => "it is made, and ",
-                Phase::Deciding(false) => "it is given up and nothing has changed, but ",
+                CommitPhase::Deciding(true) => "it is made, and ",
+                CommitPhase::Deciding(false) => "it is given up and nothing has changed, but ",
                 _ => "",
             };
             anstream::eprintln!(
--- a/crates/ctl/src/change/folder.rs
+++ b/crates/ctl/src/change/folder.rs
@@ -7,9 +7,9 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
-use wrenfork_commit::figures::Figures;
-use wrenfork_commit::participant::Promise;
-use wrenfork_commit::protocol::{Ask, Say};
+use wrenfork_commit::metrics::IngressMetrics;
+use wrenfork_commit::protocol::PreparedVote;
+use wrenfork_commit::protocol::{CommitRequest, CommitResponse};
 use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_config::enforced::{self, Pairs};
 use wrenfork_config::group::{self, Group};
@@ -59,8 +59,8 @@
 pub struct Status {
     pub generation: Generation,
     pub state: Arc<State>,
-    pub promise: Option<Promise>,
-    pub figures: Figures,
+    pub promise: Option<PreparedVote>,
+    pub figures: IngressMetrics,
 }
 
 /// The files of a folder that are read: those in it, not those below it.
@@ -168,7 +168,7 @@
                 n,
                 (
                     i.control.clone(),
-                    Ask::Recall {
+                    CommitRequest::FetchGeneration {
                         generation: numbers(n),
                     },
                 ),
@@ -185,8 +185,10 @@
         .collect();
     for (n, answer) in places.into_iter().zip(answers) {
         match answer {
-            Ok(Say::Was { state, .. }) => drop(known.insert(n, Arc::new(state.0.clone()))),
-            Ok(Say::No { why }) | Err(why) => drop(missing.insert(n, why)),
+            Ok(CommitResponse::PastGeneration { state, .. }) => {
+                drop(known.insert(n, Arc::new(state.0.clone())))
+            }
+            Ok(CommitResponse::Rejected { reason: why }) | Err(why) => drop(missing.insert(n, why)),
             Ok(_) => drop(missing.insert(n, "it answers something else".into())),
         }
     }
@@ -223,14 +225,14 @@
 pub fn status<'a>(at: impl IntoIterator<Item = &'a Path>) -> Vec<Result<Status, String>> {
     let asks: Vec<_> = at
         .into_iter()
-        .map(|path| (path.to_path_buf(), Ask::Status))
+        .map(|path| (path.to_path_buf(), CommitRequest::Status))
         .collect();
     let mut known: HashMap<Digest, Arc<State>> = HashMap::new();
     // Some at once: each may be of some megabytes, and most are the same.
     let answers = asks.chunks(STATES_AT_ONCE).flat_map(|some| {
         let mut answers = drive::ask_all(some.to_vec(), PATIENCE);
         for answer in answers.iter_mut().flatten() {
-            if let Say::Status {
+            if let CommitResponse::Status {
                 generation, state, ..
             } = answer
             {
@@ -243,11 +245,11 @@
         answers
     });
     let read = answers.map(|answer| match answer? {
-        Say::Status {
+        CommitResponse::Status {
             generation,
             state,
-            promise,
-            figures,
+            prepared: promise,
+            metrics: figures,
             ..
         } => Ok(Status {
             generation,
@@ -255,7 +257,7 @@
             promise,
             figures,
         }),
-        Say::No { why } => Err(why),
+        CommitResponse::Rejected { reason: why } => Err(why),
         _ => Err("it answers something else".into()),
     });
     read.collect()
--- a/crates/ctl/src/change/history.rs
+++ b/crates/ctl/src/change/history.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::{Duration, UNIX_EPOCH};
-use wrenfork_commit::protocol::{Ask, Record, Say};
+use wrenfork_commit::protocol::{AuditRecord, CommitRequest, CommitResponse};
 use wrenfork_control_plane::ROLLOUT;
 
 #[derive(Args)]
@@ -37,29 +37,36 @@
 fn run(options: &Options, rollouts: bool) -> Result<ExitCode, ExitCode> {
     let files = folder::read(&options.folder)?;
     let ingresses = &files.ingresses;
-    let asks = ingresses
-        .iter()
-        .map(|i| (i.control.clone(), Ask::History { most: options.most }));
+    let asks = ingresses.iter().map(|i| {
+        (
+            i.control.clone(),
+            CommitRequest::History {
+                limit: options.most,
+            },
+        )
+    });
     let answers = drive::ask_all(asks.collect(), Duration::from_secs(5));
-    let (mut rows, mut code): (Vec<(String, Record)>, _) = (Vec::new(), ExitCode::SUCCESS);
+    let (mut rows, mut code): (Vec<(String, AuditRecord)>, _) = (Vec::new(), ExitCode::SUCCESS);
     for (ingress, answer) in ingresses.iter().zip(answers) {
         match answer {
             // The others have decided without it, and tell.
             Err(why) if files.group_of(&ingress.name).is_some() => {
                 anstream::eprintln!("{} {}: {why}", style::doubtful("away:"), ingress.name);
             }
-            Ok(Say::Records { records }) => {
+            Ok(CommitResponse::Records { records }) => {
                 rows.extend(records.into_iter().map(|r| (ingress.name.clone(), r)))
             }
-            Ok(Say::No { why }) | Err(why) => code = failed(format!("{}: {why}", ingress.name)),
+            Ok(CommitResponse::Rejected { reason: why }) | Err(why) => {
+                code = failed(format!("{}: {why}", ingress.name))
+            }
             Ok(_) => code = failed(format!("{}: it answers something else", ingress.name)),
         }
     }
     rows.sort_by_key(|(_, r)| r.at);
     if rollouts {
         let mut seen = BTreeSet::new();
-        rows.retain(|(_, r)| r.what.starts_with(ROLLOUT));
-        rows.retain(|(_, r)| seen.insert((r.change.clone(), r.what.clone(), r.why.clone())));
+        rows.retain(|(_, r)| r.event.starts_with(ROLLOUT));
+        rows.retain(|(_, r)| seen.insert((r.change.clone(), r.event.clone(), r.detail.clone())));
     }
     match options.format {
         Format::Json => {
@@ -86,9 +93,9 @@
                 let when =
                     humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_secs(r.at))
                         .to_string();
-                let what = match r.what.as_str() {
-                    "made" => style::good(&r.what),
-                    "refused" | "given up" => style::bad(&r.what),
+                let what = match r.event.as_str() {
+                    "made" => style::good(&r.event),
+                    "refused" | "given up" => style::bad(&r.event),
                     other => other.to_string(),
                 };
                 let generation = if r.generation == 0 {
@@ -103,7 +110,7 @@
                     generation,
                     r.change.short().into(),
                     r.author.clone(),
-                    r.why.clone(),
+                    r.detail.clone(),
                 ];
                 table.add_row(cells.to_vec());
             }
--- a/crates/ctl/src/change/plan.rs
+++ b/crates/ctl/src/change/plan.rs
@@ -13,13 +13,13 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
-use wrenfork_commit::figures::{Figures, NodeSeen};
-use wrenfork_commit::plan::{Danger, Plan, Seen};
-use wrenfork_commit::protocol::{Ask, Record};
+use wrenfork_commit::metrics::{IngressMetrics, ObservedNode};
+use wrenfork_commit::plan::{Danger, IngressSnapshot, Plan};
+use wrenfork_commit::protocol::{AuditRecord, CommitRequest};
 use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_config::enforced::align;
 use wrenfork_config::reach::{stranded, Node};
-use wrenfork_consensus::decree::Decree;
+use wrenfork_consensus::group_state::GroupState;
 use wrenfork_routes::Traits;
 
 #[derive(Args)]
@@ -61,7 +61,7 @@
 const LOOK_AGAIN: Duration = Duration::from_millis(300);
 
 /// What stands in a group, once nothing is being decided there.
-fn settled(at: &Sockets) -> Result<(Look, Arc<Decree>), String> {
+fn settled(at: &Sockets) -> Result<(Look, Arc<GroupState>), String> {
     for _ in 0..LOOKS {
         let seen = look_at(at)?;
         let stands = seen.known()?;
@@ -99,14 +99,14 @@
                 continue;
             }
         };
-        for seat in &decree.roster.seats {
+        for seat in &decree.membership.members {
             if !at.contains_key(&seat.name) {
                 let name = &seat.name;
                 refuse(format!(
                     "{name} is in the roster and not in the files: wrenctl roster remove {name}"
                 ));
             }
-            if let Some((generation, state)) = decree.at(&seat.name) {
+            if let Some((generation, state)) = decree.enforced_by(&seat.name) {
                 // Most members enforce the same, which is kept once.
                 let state = states
                     .entry(generation.digest.clone())
@@ -115,7 +115,7 @@
                 stands.insert(seat.name.clone(), (generation, state));
             }
         }
-        let seated = |name: &String| decree.roster.seat(name).is_some();
+        let seated = |name: &String| decree.membership.member(name).is_some();
         away.extend(seen.away.into_iter().filter(|(name, _)| seated(name)));
         groups.push(
             at.iter()
@@ -180,7 +180,7 @@
                 generation: generation.clone(),
                 state: state.clone(),
                 promise: None,
-                figures: Figures::default(),
+                figures: IngressMetrics::default(),
             }),
             (Ok(status), None) => {
                 if let Some(p) = &status.promise {
@@ -208,14 +208,14 @@
     Ok(seen)
 }
 
-fn node(seen: &NodeSeen) -> Node<'_> {
-    let NodeSeen {
+fn node(seen: &ObservedNode) -> Node<'_> {
+    let ObservedNode {
         name,
-        hall,
+        zone_group: hall,
         model,
         group,
-        takes,
-        rests,
+        accepting: takes,
+        ejected_for: rests,
     } = seen;
     Node {
         traits: Traits {
@@ -236,7 +236,7 @@
     has: Vec<Status>,
     groups: Vec<BTreeMap<String, String>>,
 ) -> Result<Option<Plan>, ExitCode> {
-    let mut seen: Vec<Seen> = Vec::with_capacity(ingresses.len());
+    let mut seen: Vec<IngressSnapshot> = Vec::with_capacity(ingresses.len());
     // The sidecars of an application tell each other what is used.
     let application = |name: &str| name.split('/').next().map(String::from);
     let mut known: Vec<((Vec<*const State>, *const _), Arc<State>)> = Vec::new();
@@ -266,20 +266,23 @@
     for ((ingress, has), wanted) in ingresses.into_iter().zip(has).zip(aligned) {
         let nodes: Vec<Node> = has.figures.nodes.iter().map(node).collect();
         let lost = stranded(&has.state.0, &wanted.0, &nodes);
-        seen.push(Seen {
-            besides: lost
+        seen.push(IngressSnapshot {
+            extra_dangers: lost
                 .into_iter()
-                .map(|(key, what)| Danger { key, what })
+                .map(|(key, what)| Danger {
+                    key,
+                    description: what,
+                })
                 .collect(),
             ingress: ingress.name,
             control: ingress.control.display().to_string(),
             base: has.generation,
-            has: has.state,
+            current: has.state,
             wanted,
-            used: has.figures.plans,
+            usage: has.figures.plans,
         });
     }
-    Ok(Plan::make(who, seen).map(|plan| Plan { groups, ..plan }.only(|_| true)))
+    Ok(Plan::make(who, seen).map(|plan| Plan { groups, ..plan }.restricted_to(|_| true)))
 }
 
 /// Writes a plan's file: whole or not at all.
@@ -290,7 +293,7 @@
         .filter(|p| !p.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
     let mut file = tempfile::NamedTempFile::new_in(folder).map_err(told)?;
-    file.write_all(plan.write().as_bytes())
+    file.write_all(plan.to_file_text().as_bytes())
         .and_then(|()| file.as_file().sync_all())
         .map_err(told)?;
     file.persist(to).map_err(|e| told(e.error))?;
@@ -299,13 +302,13 @@
 
 /// Has every ingress of a plan that is not away keep a record of what was done; one that can't has none.
 pub fn note(plan: &Plan, away: &BTreeMap<String, String>, what: &str, author: &str, why: &str) {
-    let record = Record {
+    let record = AuditRecord {
         at: 0,
-        what: what.into(),
+        event: what.into(),
         author: author.into(),
         change: plan.id(),
         generation: plan.generation,
-        why: why.into(),
+        detail: why.into(),
     };
     let there = plan
         .targets
@@ -314,7 +317,7 @@
     let asks = there.map(|t| {
         (
             PathBuf::from(&t.control),
-            Ask::Note {
+            CommitRequest::AppendRecord {
                 record: record.clone(),
             },
         )
--- a/crates/ctl/src/change/show.rs
+++ b/crates/ctl/src/change/show.rs
@@ -79,7 +79,7 @@
         let none = BTreeMap::new();
         let spoken = || spoken(&danger.key, &none, &none);
         let key = d.map_or_else(spoken, |d| name(d, &plan.differences[number], plan, number));
-        println!("{} {key}: {}", style::bad("danger:"), danger.what);
+        println!("{} {key}: {}", style::bad("danger:"), danger.description);
     }
     let lines: usize = plan.differences.iter().map(Vec::len).sum();
     println!(
@@ -107,7 +107,7 @@
         json!({"ingress": t.ingress, "control": t.control, "base": t.base, "wanted": t.wanted,
                "differences": plan.differences[t.differences]})
     });
-    let whole = json!({"change": plan.id(), "author": plan.author, "made_at": plan.made_at, "good_for": plan.good_for,
+    let whole = json!({"change": plan.id(), "author": plan.author, "made_at": plan.made_at, "good_for": plan.valid_for,
                        "generation": plan.generation, "targets": targets.collect::<Vec<_>>(),
                        "dangers": plan.dangers, "away": away});
     println!(
--- a/crates/ctl/src/group/decide.rs
+++ b/crates/ctl/src/group/decide.rs
@@ -6,10 +6,10 @@
 use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wrenfork_consensus::decree::Decree;
-use wrenfork_consensus::proposer::{Aim, End, Phase, Proposer};
+use wrenfork_consensus::group_state::GroupState;
+use wrenfork_consensus::membership::Member;
+use wrenfork_consensus::proposer::{ProposalGoal, ProposalOutcome, ProposalPhase, Proposer};
 use wrenfork_consensus::protocol::Ballot;
-use wrenfork_consensus::seats::Seat;
 use wrenfork_control_plane::{clock, drive::drive};
 
 /// The longest pause before another try, where somebody else proposes as well.
@@ -18,7 +18,7 @@
 /// How it ended.
 pub enum Outcome {
     /// This decree stands, and nobody serves under the one before. Who is away, and how long it took.
-    Made(Arc<Decree>, Vec<(String, String)>, Duration),
+    Made(Arc<GroupState>, Vec<(String, String)>, Duration),
     /// Nothing has happened.
     Refused(String),
     /// It may be decided or not; the members settle it among themselves.
@@ -33,16 +33,16 @@
 /// Tells of progress on standard error, a line for each step.
 fn progress(step: &mut &'static str, proposer: &Proposer) {
     let now = match proposer.phase {
-        Phase::Promising => "promises",
-        Phase::Accepting if proposer.waits() => {
+        ProposalPhase::Preparing => "promises",
+        ProposalPhase::Accepting if proposer.is_waiting_for_leases() => {
             "waiting for the leases of those that are away to run out"
         }
-        Phase::Accepting => "taking it up",
-        Phase::Telling => "switches",
-        Phase::Ended(_) => return,
+        ProposalPhase::Accepting => "taking it up",
+        ProposalPhase::Notifying => "switches",
+        ProposalPhase::Ended(_) => return,
     };
     if *step != now {
-        eprintln!("{now}: {} members", proposer.names().count());
+        eprintln!("{now}: {} members", proposer.member_names().count());
         *step = now;
     }
 }
@@ -50,7 +50,7 @@
 /// What is wanted of a group.
 pub enum Wanted<'a> {
     /// A decree made from the one that stands; its change tells it from others, or its roster does.
-    Decree(&'a dyn Fn(&Decree) -> Result<Decree, String>),
+    Decree(&'a dyn Fn(&GroupState) -> Result<GroupState, String>),
     /// An end of what was left undecided.
     End,
 }
@@ -58,7 +58,7 @@
 /// Has a group decide what is wanted, within a time.
 pub fn decide(at: &Sockets, wanted: &Wanted, patience: Duration) -> Outcome {
     let start = Instant::now();
-    let (mut ours, mut round): (Option<Arc<Decree>>, u64) = (None, 0);
+    let (mut ours, mut round): (Option<Arc<GroupState>>, u64) = (None, 0);
     let mut step = "";
     loop {
         let seen = match look(at).and_then(|seen| Ok((seen.known()?, seen))) {
@@ -74,58 +74,61 @@
         let (base, seen) = seen;
         if ours.as_ref() == Some(&base) {
             // Somebody settled it for us. From when a majority stands there on, the one before is granted to nobody.
-            let there = |s: &&Seat| {
+            let there = |s: &&Member| {
                 seen.stands
                     .get(&s.name)
-                    .is_some_and(|m| m.number >= base.number)
+                    .is_some_and(|m| m.version >= base.version)
             };
-            if base.roster.voters().filter(there).count() < base.roster.majority() {
+            if base.membership.voters().filter(there).count() < base.membership.majority() {
                 if start.elapsed() >= patience {
                     return Outcome::Unfinished;
                 }
                 std::thread::sleep(LONGEST_PAUSE);
                 continue;
             }
-            std::thread::sleep(base.roster.surely_out());
+            std::thread::sleep(base.membership.lease_expiry_bound());
             return Outcome::Made(base, seen.away.into_iter().collect(), start.elapsed());
         }
-        if ours.as_ref().is_some_and(|o| o.number < base.number) {
+        if ours.as_ref().is_some_and(|o| o.version < base.version) {
             return Outcome::Unfinished; // it has been decided or not, and another one after it
         }
         let aim = match wanted {
             Wanted::End if !seen.pending() => {
                 return Outcome::Made(base, seen.away.into_iter().collect(), start.elapsed())
             }
-            Wanted::End => Aim::Settle,
+            Wanted::End => ProposalGoal::Recover,
             Wanted::Decree(make) => match make(&base) {
-                Ok(decree) => Aim::Change(Arc::new(decree)),
+                Ok(decree) => ProposalGoal::Change(Arc::new(decree)),
                 Err(why) => return Outcome::Refused(why),
             },
         };
-        if let Aim::Change(decree) = &aim {
+        if let ProposalGoal::Change(decree) = &aim {
             ours = Some(decree.clone());
         }
         round = round.max(seen.round()) + 1;
-        let ballot = Ballot { round, by: drawn() };
-        let mut proposer = Proposer::begin(base.clone(), aim, ballot, clock::now());
+        let ballot = Ballot {
+            round,
+            proposer: drawn(),
+        };
+        let mut proposer = Proposer::new(base.clone(), aim, ballot, clock::now());
         let left = patience.saturating_sub(start.elapsed());
         match drive(&mut proposer, at, left, |p| progress(&mut step, p)) {
-            End::Made => {
+            ProposalOutcome::Committed => {
                 let Some(decree) = proposer.value().cloned() else {
                     return Outcome::Unfinished;
                 };
-                return Outcome::Made(decree, proposer.away(), start.elapsed());
+                return Outcome::Made(decree, proposer.unresponsive(), start.elapsed());
             }
-            End::Refused(all) => {
+            ProposalOutcome::Rejected(all) => {
                 let all: Vec<String> = all
                     .into_iter()
                     .map(|(name, why)| format!("{name}: {why}"))
                     .collect();
                 return Outcome::Refused(all.join("; "));
             }
-            End::Few(votes, needed) => {
+            ProposalOutcome::NoQuorum(votes, needed) => {
                 let away: Vec<String> = proposer
-                    .away()
+                    .unresponsive()
                     .into_iter()
                     .map(|(name, why)| format!("{name} ({why})"))
                     .collect();
@@ -134,9 +137,9 @@
                     away.join(", ")
                 ));
             }
-            End::Unfinished => return Outcome::Unfinished,
-            End::Outbid(by) => round = round.max(by.round),
-            End::Overtaken(_) => {}
+            ProposalOutcome::TimedOut => return Outcome::Unfinished,
+            ProposalOutcome::HigherBallot(by) => round = round.max(by.round),
+            ProposalOutcome::Superseded(_) => {}
         }
         if start.elapsed() >= patience {
             return Outcome::Unfinished;
@@ -150,14 +153,14 @@
 pub fn tell(what: &str, outcome: &Outcome) {
     match outcome {
         Outcome::Made(decree, away, took) => {
-            let members = decree.roster.seats.len();
+            let members = decree.membership.members.len();
             anstream::println!(
                 "{} {what} at {} of {members} members in {} ms (generation {}, decree {})",
                 style::good("made:"),
                 members.saturating_sub(away.len()),
                 took.as_millis(),
                 decree.generation,
-                decree.number
+                decree.version
             );
             for (name, why) in away {
                 anstream::println!("  {name} is away ({why}): it serves nobody until it has learnt this");
--- a/crates/ctl/src/group/look.rs
+++ b/crates/ctl/src/group/look.rs
@@ -5,9 +5,9 @@
 use std::sync::mpsc::channel;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wrenfork_consensus::decree::Decree;
-use wrenfork_consensus::protocol::{Ask, Say, Stand};
-use wrenfork_consensus::seats::Roster;
+use wrenfork_consensus::group_state::GroupState;
+use wrenfork_consensus::membership::Membership;
+use wrenfork_consensus::protocol::{GroupRequest, GroupResponse, GroupStatus};
 use wrenfork_control_plane::client;
 
 /// How long the first answers are waited for.
@@ -18,15 +18,15 @@
 /// A look at all members.
 pub struct Look {
     /// What each said of itself.
-    pub stands: BTreeMap<String, Stand>,
+    pub stands: BTreeMap<String, GroupStatus>,
     /// Who did not, and why.
     pub away: BTreeMap<String, String>,
     /// What stands; none where the group has not been formed.
-    pub decree: Option<Arc<Decree>>,
+    pub decree: Option<Arc<GroupState>>,
 }
 
 /// Whether as many voters of a roster as are enough are among those that answered.
-fn enough(roster: &Roster, stands: &BTreeMap<String, Stand>) -> bool {
+fn enough(roster: &Membership, stands: &BTreeMap<String, GroupStatus>) -> bool {
     roster
         .voters()
         .filter(|s| stands.contains_key(&s.name))
@@ -44,7 +44,8 @@
     for (name, path) in at.clone() {
         let sender = sender.clone();
         let ask = move || {
-            let answer: Result<Say, String> = client::ask(&path, &Ask::Stand, PATIENCE);
+            let answer: Result<GroupResponse, String> =
+                client::ask(&path, &GroupRequest::Status, PATIENCE);
             let _ = sender.send((name, answer)); // nobody waits any more
         };
         std::thread::Builder::new()
@@ -52,22 +53,24 @@
             .map_err(|e| format!("no thread: {e}"))?;
     }
     drop(sender);
-    let (mut stands, mut away) = (BTreeMap::<String, Stand>::new(), BTreeMap::new());
+    let (mut stands, mut away) = (BTreeMap::<String, GroupStatus>::new(), BTreeMap::new());
     let (start, mut until) = (Instant::now(), PATIENCE);
     while let Ok((name, answer)) = answers.recv_timeout(until.saturating_sub(start.elapsed())) {
         match answer {
-            Ok(Say::Stands(stand)) if stand.name == name => drop(stands.insert(name, *stand)),
-            Ok(Say::Stands(stand)) => {
+            Ok(GroupResponse::Status(stand)) if stand.name == name => {
+                drop(stands.insert(name, *stand))
+            }
+            Ok(GroupResponse::Status(stand)) => {
                 drop(away.insert(name, format!("{} answers there", stand.name)))
             }
-            Ok(Say::No { why }) | Err(why) => drop(away.insert(name, why)),
+            Ok(GroupResponse::Rejected { reason: why }) | Err(why) => drop(away.insert(name, why)),
             Ok(_) => drop(away.insert(name, "it answers something else".into())),
         }
         let newest = stands
             .values()
-            .max_by_key(|s| s.number)
-            .filter(|s| s.number > 0);
-        if until == PATIENCE && newest.is_some_and(|s| enough(&s.roster, &stands)) {
+            .max_by_key(|s| s.version)
+            .filter(|s| s.version > 0);
+        if until == PATIENCE && newest.is_some_and(|s| enough(&s.membership, &stands)) {
             until = (start.elapsed() + GRACE).min(PATIENCE);
         }
     }
@@ -75,7 +78,7 @@
         away.entry(name.clone())
             .or_insert_with(|| "it does not answer".into());
     }
-    let newest = stands.values().max_by_key(|s| s.number);
+    let newest = stands.values().max_by_key(|s| s.version);
     let Some(newest) = newest else {
         let why: Vec<String> = away
             .iter()
@@ -83,10 +86,10 @@
             .collect();
         return Err(format!("no member answers: {}", why.join("; ")));
     };
-    let decree = match newest.number {
+    let decree = match newest.version {
         0 => None,
-        _ => match client::ask(&at[&newest.name], &Ask::Learn, PATIENCE) {
-            Ok(Say::Learnt { decree }) => decree,
+        _ => match client::ask(&at[&newest.name], &GroupRequest::Learn, PATIENCE) {
+            Ok(GroupResponse::State { state: decree }) => decree,
             Ok(_) => return Err(format!("{}: it answers something else", newest.name)),
             Err(why) => return Err(format!("{}: {why}", newest.name)),
         },
@@ -104,7 +107,7 @@
     /// # Errors
     ///
     /// Where the group has not been formed, or too few answer to know.
-    pub fn known(&self) -> Result<Arc<Decree>, String> {
+    pub fn known(&self) -> Result<Arc<GroupState>, String> {
         let away: Vec<String> = self
             .away
             .iter()
@@ -120,16 +123,16 @@
                 "the group has not been formed yet, which takes all of its members{rest}"
             ));
         };
-        if !enough(&decree.roster, &self.stands) {
+        if !enough(&decree.membership, &self.stands) {
             let answer = decree
-                .roster
+                .membership
                 .voters()
                 .filter(|s| self.stands.contains_key(&s.name))
                 .count();
             return Err(format!(
                 "too few members answer to decide: {answer} of {}, and {} are enough; these are away: {}",
-                decree.roster.voters().count(),
-                decree.roster.majority(),
+                decree.membership.voters().count(),
+                decree.membership.majority(),
                 away.join(", ")
             ));
         }
@@ -147,9 +150,9 @@
 
     /// Whether a decree is taken up somewhere and not decided, as far as is known.
     pub fn pending(&self) -> bool {
-        let number = self.decree.as_ref().map_or(0, |d| d.number);
+        let number = self.decree.as_ref().map_or(0, |d| d.version);
         self.stands
             .values()
-            .any(|s| s.number == number && s.pending.is_some())
+            .any(|s| s.version == number && s.pending.is_some())
     }
 }
--- a/crates/ctl/src/group/roster.rs
+++ b/crates/ctl/src/group/roster.rs
@@ -12,9 +12,9 @@
 use std::time::{Duration, Instant};
 use wrenfork_commit::state::State;
 use wrenfork_config::group::Member;
-use wrenfork_consensus::decree::Decree;
-use wrenfork_consensus::protocol::{Ask, Say};
-use wrenfork_consensus::seats::{Folder, Kind, Roster, Seat};
+use wrenfork_consensus::group_state::GroupState;
+use wrenfork_consensus::membership::{self, MemberRole, Membership, ReplicaId};
+use wrenfork_consensus::protocol::{GroupRequest, GroupResponse};
 use wrenfork_control_plane::client;
 
 /// How long a member may take to say which folder it has.
@@ -95,14 +95,14 @@
     }
 
     /// The folder that a member has.
-    fn folder(&self, member: &Member) -> Result<Folder, ExitCode> {
-        match client::ask(&member.control, &Ask::Stand, PATIENCE) {
-            Ok(Say::Stands(stand)) if stand.name == member.name => Ok(stand.folder),
-            Ok(Say::Stands(stand)) => Err(failed(format!(
+    fn folder(&self, member: &Member) -> Result<ReplicaId, ExitCode> {
+        match client::ask(&member.control, &GroupRequest::Status, PATIENCE) {
+            Ok(GroupResponse::Status(stand)) if stand.name == member.name => Ok(stand.replica),
+            Ok(GroupResponse::Status(stand)) => Err(failed(format!(
                 "{}: {} answers at its socket",
                 member.name, stand.name
             ))),
-            Ok(Say::No { why }) | Err(why) => Err(failed(format!(
+            Ok(GroupResponse::Rejected { reason: why }) | Err(why) => Err(failed(format!(
                 "{}: {why}: it has to run, so that it can be asked for its folder",
                 member.name
             ))),
@@ -114,16 +114,16 @@
     }
 
     /// What a member that is new is to enforce.
-    fn own(&self, stands: &Decree, name: &str) -> Result<BTreeMap<String, Arc<State>>, String> {
+    fn own(&self, stands: &GroupState, name: &str) -> Result<BTreeMap<String, Arc<State>>, String> {
         let of = |name: &str| self.files.ingresses.iter().find(|i| i.name == name);
         let Some(new) = of(name) else {
             return Ok(BTreeMap::new());
         }; // a witness
         let known = stands
             .policy
-            .own
+            .per_member
             .keys()
-            .find_map(|n| Some((stands.policy.at(n)?, of(n)?)));
+            .find_map(|n| Some((stands.policy.state_for(n)?, of(n)?)));
         let (has, files_like) = known.ok_or("no member of the roster is in the files")?;
         Ok([(
             name.to_string(),
@@ -135,19 +135,20 @@
     fn make(
         &self,
         what: &str,
-        roster: &dyn Fn(&Roster) -> Result<Roster, String>,
+        roster: &dyn Fn(&Membership) -> Result<Membership, String>,
     ) -> Result<ExitCode, ExitCode> {
-        let wanted = |stands: &Decree| {
-            let roster = roster(&stands.roster)?;
-            let new = match roster.seat(&self.change.member) {
+        let wanted = |stands: &GroupState| {
+            let roster = roster(&stands.membership)?;
+            let new = match roster.member(&self.change.member) {
                 Some(seat)
-                    if seat.kind == Kind::Ingress && stands.roster.seat(&seat.name).is_none() =>
+                    if seat.role == MemberRole::Ingress
+                        && stands.membership.member(&seat.name).is_none() =>
                 {
                     self.own(stands, &seat.name)?
                 }
                 _ => BTreeMap::new(),
             };
-            Ok(stands.seated(&self.author, roster, new))
+            Ok(stands.with_membership(&self.author, roster, new))
         };
         let left = self.change.patience.saturating_sub(self.start.elapsed());
         let outcome = decide(&self.at, &Wanted::Decree(&wanted), left);
@@ -163,25 +164,27 @@
         let member = self.member()?;
         let folder = self.folder(member)?;
         let kind = if member.serves {
-            Kind::Ingress
+            MemberRole::Ingress
         } else {
-            Kind::Witness
+            MemberRole::Witness
         };
         let folder = if member.votes { folder } else { 0 };
-        let seat = Seat {
+        let seat = membership::Member {
             name: member.name.clone(),
-            folder,
-            kind,
+            replica: folder,
+            role: kind,
             votes: member.votes,
         };
         let what = format!("{} belongs to the roster", member.name);
-        self.make(&what, &|r| r.with(seat.clone()).map_err(|e| e.to_string()))
+        self.make(&what, &|r| {
+            r.with_member(seat.clone()).map_err(|e| e.to_string())
+        })
     }
 
     fn remove(&self) -> Result<ExitCode, ExitCode> {
         let name = &self.change.member;
         self.make(&format!("{name} is out of the roster"), &|r| {
-            r.without(name).map_err(|e| e.to_string())
+            r.without_member(name).map_err(|e| e.to_string())
         })
     }
 
@@ -191,25 +194,27 @@
         let (name, folder) = (&member.name, self.folder(member)?);
         let seen = look(&self.at).map_err(failed)?;
         let stands = seen.known().map_err(failed)?;
-        let Some(seat) = stands.roster.seat(name) else {
+        let Some(seat) = stands.membership.member(name) else {
             return Err(failed(format!(
                 "{name} is not in the roster: wrenctl roster add"
             )));
         };
-        if seat.votes && seat.folder == folder {
+        if seat.votes && seat.replica == folder {
             anstream::println!("{name} votes by the folder that it has: there is nothing to do");
             return Ok(ExitCode::SUCCESS);
         }
         if seat.votes {
             let what = format!("{name} has no vote by its old folder");
-            let out = self.make(&what, &|r| r.voting(name, None).map_err(|e| e.to_string()))?;
+            let out = self.make(&what, &|r| {
+                r.with_vote(name, None).map_err(|e| e.to_string())
+            })?;
             if out != ExitCode::SUCCESS {
                 return Ok(out);
             }
         }
         let what = format!("{name} votes by its new folder");
         self.make(&what, &|r| {
-            r.voting(name, Some(folder)).map_err(|e| e.to_string())
+            r.with_vote(name, Some(folder)).map_err(|e| e.to_string())
         })
     }
 }
--- a/crates/ctl/src/group/status.rs
+++ b/crates/ctl/src/group/status.rs
@@ -8,8 +8,8 @@
 use serde_json::json;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use wrenfork_consensus::protocol::Stand;
-use wrenfork_consensus::seats::Kind;
+use wrenfork_consensus::membership::MemberRole;
+use wrenfork_consensus::protocol::GroupStatus;
 
 #[derive(Args)]
 pub struct Options {
@@ -22,9 +22,9 @@
 }
 
 /// What a member's lease allows it, in words.
-fn lease(stand: &Stand, as_known: bool) -> String {
-    match (stand.kind, stand.lease_ms) {
-        (Some(Kind::Witness), _) => "serves nobody".into(),
+fn lease(stand: &GroupStatus, as_known: bool) -> String {
+    match (stand.role, stand.lease_ms) {
+        (Some(MemberRole::Witness), _) => "serves nobody".into(),
         (_, Some(ms)) => format!("serves for {ms} ms more"),
         (_, None) if as_known => style::doubtful("none: serves as known"),
         (_, None) => style::bad("none: turns requests away"),
@@ -35,11 +35,11 @@
     let head = match &seen.decree {
         None => "not formed yet: that takes all of its members".to_string(),
         Some(d) => {
-            let (voters, enough) = (d.roster.voters().count(), d.roster.majority());
-            let (version, lease) = (d.roster.version, d.roster.lease_ms);
+            let (voters, enough) = (d.membership.voters().count(), d.membership.majority());
+            let (version, lease) = (d.membership.version, d.membership.lease_ms);
             format!(
                 "generation {}, decree {}, roster {version}: {enough} of {voters} voters decide, leases of {lease} ms",
-                d.generation, d.number
+                d.generation, d.version
             )
         }
     };
@@ -56,7 +56,7 @@
     let seats = seen
         .decree
         .iter()
-        .flat_map(|d| d.roster.seats.iter().map(|s| s.name.as_str()));
+        .flat_map(|d| d.membership.members.iter().map(|s| s.name.as_str()));
     let mut names: Vec<&str> = seats
         .chain(seen.stands.keys().map(String::as_str))
         .collect();
@@ -64,15 +64,15 @@
     names.sort_unstable();
     names.dedup();
     for name in names {
-        let seat = seen.decree.as_ref().and_then(|d| d.roster.seat(name));
-        let is = match seat.map(|s| s.kind) {
-            Some(Kind::Ingress) => "ingress",
-            Some(Kind::Witness) => "witness",
+        let seat = seen.decree.as_ref().and_then(|d| d.membership.member(name));
+        let is = match seat.map(|s| s.role) {
+            Some(MemberRole::Ingress) => "ingress",
+            Some(MemberRole::Witness) => "witness",
             None => "no member",
         };
         let mut notes = Vec::new();
         let votes = match (seat, seen.stands.get(name)) {
-            (Some(seat), Some(stand)) if seat.votes && seat.folder != stand.folder => {
+            (Some(seat), Some(stand)) if seat.votes && seat.replica != stand.replica => {
                 notes.push("another folder: wrenctl roster replace".to_string());
                 style::bad("none")
             }
@@ -83,7 +83,7 @@
             Some(stand) => {
                 notes.extend(
                     stand
-                        .unsure
+                        .vote_withheld
                         .clone()
                         .filter(|_| seat.is_some_and(|s| s.votes)),
                 );
@@ -95,7 +95,7 @@
                 }
                 (
                     stand.generation.to_string(),
-                    stand.number.to_string(),
+                    stand.version.to_string(),
                     lease(stand, as_known),
                 )
             }
@@ -145,8 +145,8 @@
             Format::Text => text(name, &seen, group.as_known),
             Format::Json => {
                 let stands = seen.decree.as_ref().map(|d| {
-                    json!({"number": d.number, "generation": d.generation, "change": d.change,
-                           "digest": d.digest, "roster": d.roster})
+                    json!({"number": d.version, "generation": d.generation, "change": d.change,
+                           "digest": d.digest, "roster": d.membership})
                 });
                 all.push(
                     json!({"application": name, "stands": stands, "members": seen.stands, "away": seen.away}),
--- a/crates/ctl/src/group/witness.rs
+++ b/crates/ctl/src/group/witness.rs
@@ -6,9 +6,9 @@
 use signal_hook::iterator::Signals;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use wrenfork_commit::figures::Figures;
-use wrenfork_commit::participant::Memory;
-use wrenfork_commit::protocol::Record;
+use wrenfork_commit::metrics::IngressMetrics;
+use wrenfork_commit::participant::ParticipantState;
+use wrenfork_commit::protocol::AuditRecord;
 use wrenfork_commit::state::State;
 use wrenfork_config::group::group;
 use wrenfork_config::set::Set;
@@ -48,21 +48,21 @@
         Ok(())
     }
 
-    fn figures(&self) -> Figures {
-        Figures::default()
+    fn figures(&self) -> IngressMetrics {
+        IngressMetrics::default()
     }
 
     fn tally(&self) -> Tally {
         Tally::default()
     }
 
-    fn log(&self, record: &Record) {
-        let Record {
-            what,
+    fn log(&self, record: &AuditRecord) {
+        let AuditRecord {
+            event: what,
             author,
             change,
             generation,
-            why,
+            detail: why,
             ..
         } = record;
         let why = if why.is_empty() {
@@ -127,7 +127,7 @@
         .ok_or("it has no folder: --state DIR")?;
     let mut signals =
         Signals::new([SIGTERM, SIGINT]).map_err(|e| format!("cannot take signals: {e}"))?;
-    let ledger = Ledger::open(Some(&folder), || Memory::first(1, State::default()))?;
+    let ledger = Ledger::open(Some(&folder), || ParticipantState::new(1, State::default()))?;
     let listening = socket::listen(&own.control, 0o600).map_err(|why| format!("control: {why}"))?;
     let links = told.links(&own.name);
     let membership = Membership {
--- a/crates/ctl/src/rollout/make.rs
+++ b/crates/ctl/src/rollout/make.rs
@@ -12,8 +12,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use wrenfork_commit::plan::Plan;
-use wrenfork_consensus::decree::Decree;
-use wrenfork_consensus::protocol::{Ask, Say};
+use wrenfork_consensus::group_state::GroupState;
+use wrenfork_consensus::protocol::{GroupRequest, GroupResponse};
 use wrenfork_control_plane::client;
 use wrenfork_rollout::record::{change, Phase, Record};
 use wrenfork_rollout::stages::stages;
@@ -26,9 +26,9 @@
 pub fn tallies(at: &Sockets, names: &[String]) -> BTreeMap<String, Result<Tally, String>> {
     let ask = |name: &String| match at.get(name) {
         None => Err("nothing says where its socket is".to_string()),
-        Some(path) => match client::ask(path, &Ask::Tally, PATIENCE)? {
-            Say::Tallied(tally) => Ok(*tally),
-            Say::No { why } => Err(why),
+        Some(path) => match client::ask(path, &GroupRequest::Tally, PATIENCE)? {
+            GroupResponse::Tallied(tally) => Ok(*tally),
+            GroupResponse::Rejected { reason: why } => Err(why),
             _ => Err("it answers something else".into()),
         },
     };
@@ -50,7 +50,7 @@
 /// The rollout that a plan begins behind what stands.
 fn record(
     part: &Plan,
-    stands: &Decree,
+    stands: &GroupState,
     begin: &Begin,
     halls: &BTreeMap<String, String>,
 ) -> Result<Record, String> {
@@ -72,7 +72,7 @@
     }
     if let Some(name) = stands
         .policy
-        .own
+        .per_member
         .keys()
         .find(|name| !of.contains_key(*name))
     {
@@ -100,8 +100,8 @@
 pub fn begin(begin: &Begin, start: bool) -> Result<ExitCode, String> {
     let told = |e: &dyn std::fmt::Display| format!("{}: {e}", begin.plan.display());
     let text = std::fs::read_to_string(&begin.plan).map_err(|e| told(&e))?;
-    let plan = Plan::read(&text).map_err(|e| told(&e))?;
-    plan.still_good(micros()).map_err(|e| told(&e))?;
+    let plan = Plan::from_file_text(&text).map_err(|e| told(&e))?;
+    plan.check_validity(micros()).map_err(|e| told(&e))?;
     let (groups, rest) = parts(&plan);
     let [(members, part)] = &groups[..] else {
         return Err(format!(
@@ -117,7 +117,7 @@
     }
     let at = sockets(members);
     let stands = look(&at)?.known()?;
-    let names: Vec<String> = stands.policy.own.keys().cloned().collect();
+    let names: Vec<String> = stands.policy.per_member.keys().cloned().collect();
     // A member that is away stands in no hall that is known, and comes last.
     let halls: BTreeMap<String, String> = tallies(&at, &names)
         .into_iter()
@@ -130,10 +130,12 @@
         return Ok(ExitCode::SUCCESS);
     }
     meant(begin.yes)?;
-    let wanted =
-        |stands: &Decree| stands.rolled(&part.author, record(part, stands, begin, &halls)?);
-    let wanted =
-        |stands: &Decree| wanted(stands).and_then(|next| stands.rolls_on(&next).map(|()| next));
+    let wanted = |stands: &GroupState| {
+        stands.with_rollout(&part.author, record(part, stands, begin, &halls)?)
+    };
+    let wanted = |stands: &GroupState| {
+        wanted(stands).and_then(|next| stands.check_rollout_step(&next).map(|()| next))
+    };
     Ok(end(
         "stage 1",
         decide(&at, &Wanted::Decree(&wanted), begin.patience),
@@ -233,7 +235,7 @@
         });
     };
     let author = crate::change::author(None);
-    let wanted = |stands: &Decree| {
+    let wanted = |stands: &GroupState| {
         let record = stands.rollout.as_deref().ok_or("no rollout is under way")?;
         let next = step(record)?;
         let why = if next.why.is_empty() {
@@ -241,7 +243,7 @@
         } else {
             next.why.clone()
         };
-        stands.rolled(&author, Record { why, ..next })
+        stands.with_rollout(&author, Record { why, ..next })
     };
     Ok(end(
         what,
--- a/crates/ctl/src/rollout/programs.rs
+++ b/crates/ctl/src/rollout/programs.rs
@@ -4,11 +4,11 @@
 use crate::tend::{digest, speaks};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
-use wrenfork_compatibility::{compare, Program, Speaks};
+use wrenfork_compatibility::{check_compatibility, FormatVersions, Program};
 use wrenfork_rollout::record::{Record, PROGRAM};
 
 /// What the file of a program says, by the digests of those that are given.
-fn said(program: &Program, files: &BTreeMap<String, &PathBuf>) -> Result<Speaks, String> {
+fn said(program: &Program, files: &BTreeMap<String, &PathBuf>) -> Result<FormatVersions, String> {
     let path = files.get(&program.sha256).ok_or_else(|| {
         let short = &program.sha256[..8];
         format!(
@@ -17,7 +17,7 @@
         )
     })?;
     let speaks = speaks(path)?;
-    Ok(Speaks {
+    Ok(FormatVersions {
         version: program.name.clone(),
         ..speaks
     })
@@ -49,20 +49,20 @@
             );
             continue;
         };
-        let (old, new) = (Program::read(old)?, Program::read(new)?);
-        let report = compare(&said(&old, &files)?, &said(&new, &files)?);
-        if !report.refused.is_empty() {
+        let (old, new) = (Program::parse(old)?, Program::parse(new)?);
+        let report = check_compatibility(&said(&old, &files)?, &said(&new, &files)?);
+        if !report.incompatible.is_empty() {
             return Err(format!(
                 "from {} to {}: {}",
                 old.name,
                 new.name,
-                report.refused.join("; ")
+                report.incompatible.join("; ")
             ));
         }
-        for lost in &report.lost {
+        for lost in &report.degraded {
             anstream::println!("{} {lost}", style::doubtful("lost:"));
         }
-        if report.lost.is_empty() {
+        if report.degraded.is_empty() {
             anstream::println!(
                 "from {} to {}: each process hands over to the next",
                 old.name,
--- a/crates/ctl/src/rollout/show.rs
+++ b/crates/ctl/src/rollout/show.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wrenfork_consensus::decree::Decree;
+use wrenfork_consensus::group_state::GroupState;
 use wrenfork_control_plane::clock;
 use wrenfork_rollout::record::{Phase, Record};
 use wrenfork_rollout::watch::Watch;
@@ -92,7 +92,7 @@
 }
 
 /// What is known of a group's rollout.
-fn stands(at: &Sockets) -> Result<Arc<Decree>, String> {
+fn stands(at: &Sockets) -> Result<Arc<GroupState>, String> {
     look(at)?.known()
 }
 
@@ -109,7 +109,7 @@
             style::head(format!("{name}:")),
             phase(record)
         );
-        let names: Vec<String> = decree.policy.own.keys().cloned().collect();
+        let names: Vec<String> = decree.policy.per_member.keys().cloned().collect();
         let (seen, new) = (tallies(&at, &names), record.new_at());
         let mut table = style::table(&["stage", "member", "has", "notes"]);
         for (n, stage) in record.stages.iter().enumerate() {
@@ -120,7 +120,7 @@
                     "old"
                 };
                 let note = match &seen[member] {
-                    Ok(t) if t.number < decree.number => "it has not learnt this yet".to_string(),
+                    Ok(t) if t.number < decree.version => "it has not learnt this yet".to_string(),
                     Ok(t) if !t.unfit.is_empty() => t.unfit.clone(),
                     Ok(t) if !record.fits(member, &t.program) => {
                         format!("still runs {}", runs(&t.program))
@@ -145,11 +145,11 @@
     };
     let (mut text, watch, mut standing) = (phase(record), &mut seen.watch, None);
     if let Phase::On { .. } = record.phase {
-        if watch.as_ref().is_none_or(|w| w.0 != decree.number) {
-            let fresh = Watch::new(Record::clone(record), decree.number, clock::now());
-            *watch = Some((decree.number, fresh));
+        if watch.as_ref().is_none_or(|w| w.0 != decree.version) {
+            let fresh = Watch::new(Record::clone(record), decree.version, clock::now());
+            *watch = Some((decree.version, fresh));
         }
-        let names: Vec<String> = decree.policy.own.keys().cloned().collect();
+        let names: Vec<String> = decree.policy.per_member.keys().cloned().collect();
         if let Some((_, watch)) = watch {
             // What it would decide is the driver's to decide.
             let _ = watch.look(clock::now(), &tallies(at, &names));
--- a/crates/ctl/src/tend/file.rs
+++ b/crates/ctl/src/tend/file.rs
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
-use wrenfork_compatibility::{Program, Speaks};
+use wrenfork_compatibility::{FormatVersions, Program};
 use wrenfork_config::values::time;
 use wrenfork_supervisor::{Catalog, Terms};
 
@@ -100,7 +100,7 @@
     }
     let mut list = Vec::new();
     for Listed { name, path, sha256 } in form.program {
-        let program = Program::read(&format!("{name}@{sha256}"))
+        let program = Program::parse(&format!("{name}@{sha256}"))
             .map_err(|_| format!("program \"{name}\": sha256 is 64 hex digits in lower case"))?;
         if let Some((other, _)) = list
             .iter()
@@ -181,7 +181,7 @@
 /// # Errors
 ///
 /// Where it can't be started, takes too long, or says something else.
-pub fn speaks(path: &Path) -> Result<Speaks, String> {
+pub fn speaks(path: &Path) -> Result<FormatVersions, String> {
     let told = |why: &dyn std::fmt::Display| format!("{} --speaks: {why}", path.display());
     let mut command = Command::new(path);
     command
@@ -218,7 +218,7 @@
 pub struct Programs {
     list: Vec<(Program, PathBuf)>,
     /// What those that were asked speak; a file of a digest always says the same.
-    said: RefCell<BTreeMap<String, Option<Speaks>>>,
+    said: RefCell<BTreeMap<String, Option<FormatVersions>>>,
     /// Files whose digest was as it should be, as they were then: one is read whole again when it is another one.
     looked: RefCell<BTreeMap<PathBuf, Stamp>>,
 }
@@ -268,7 +268,7 @@
             .collect()
     }
 
-    fn speaks(&self, program: &Program) -> Option<Speaks> {
+    fn speaks(&self, program: &Program) -> Option<FormatVersions> {
         if let Some(said) = self.said.borrow().get(&program.sha256) {
             return said.clone();
         }
@@ -287,7 +287,9 @@
 
     fn hands_over(&self, old: &Program, new: &Program) -> bool {
         match (self.speaks(old), self.speaks(new)) {
-            (Some(old), Some(new)) => wrenfork_compatibility::compare(&old, &new).lost.is_empty(),
+            (Some(old), Some(new)) => wrenfork_compatibility::check_compatibility(&old, &new)
+                .degraded
+                .is_empty(),
             _ => false,
         }
     }
--- a/crates/ctl/src/tend/mod.rs
+++ b/crates/ctl/src/tend/mod.rs
@@ -21,7 +21,7 @@
 use std::process::{Command, ExitCode, Stdio};
 use std::time::{Duration, Instant};
 use wrenfork_compatibility::Program;
-use wrenfork_consensus::protocol::{Ask, Say, Stand};
+use wrenfork_consensus::protocol::{GroupRequest, GroupResponse, GroupStatus};
 use wrenfork_control_plane::{client, clock, CHANGED, RUNS};
 use wrenfork_handover::channel;
 use wrenfork_supervisor::{Action, Event, Memory, Seen, Tend, Which};
@@ -196,15 +196,15 @@
         }
         let seen = match asked(&self.told) {
             None => Seen::Silent,
-            Some(Stand {
-                runs,
-                wants,
-                turn,
+            Some(GroupStatus {
+                running_program: runs,
+                wanted_program: wants,
+                may_upgrade: turn,
                 rollout,
                 ..
             }) => Seen::Says {
-                runs: runs.and_then(|text| Program::read(&text).ok()),
-                wanted: wants.and_then(|text| Some((Program::read(&text).ok()?, turn))),
+                runs: runs.and_then(|text| Program::parse(&text).ok()),
+                wanted: wants.and_then(|text| Some((Program::parse(&text).ok()?, turn))),
                 settled: rollout.is_none_or(|phase| phase.ended()),
             },
         };
@@ -257,11 +257,13 @@
                 }
             }
             Action::Tell(program, why) => {
-                let unfit = Ask::Unfit {
+                let unfit = GroupRequest::ProgramUnfit {
                     program: program.to_string(),
-                    why,
+                    reason: why,
                 };
-                if let Err(why) = client::ask::<_, Say>(&self.told.control, &unfit, PATIENCE) {
+                if let Err(why) =
+                    client::ask::<_, GroupResponse>(&self.told.control, &unfit, PATIENCE)
+                {
                     log(&format!("the ingress could not be told: {why}"));
                 }
             }
@@ -326,17 +328,17 @@
 
 /// The program that serves, where it says so.
 fn serves(told: &Told) -> Option<Program> {
-    Program::read(&asked(told)?.runs?).ok()
+    Program::parse(&asked(told)?.running_program?).ok()
 }
 
 /// How the ingress stands, as it says itself.
-fn asked(told: &Told) -> Option<Stand> {
-    match client::ask(&told.control, &Ask::Stand, PATIENCE) {
-        Ok(Say::Stands(stand)) => Some(*stand),
+fn asked(told: &Told) -> Option<GroupStatus> {
+    match client::ask(&told.control, &GroupRequest::Status, PATIENCE) {
+        Ok(GroupResponse::Status(stand)) => Some(*stand),
         // It belongs to no group, which wants nothing then.
-        Ok(Say::No { .. }) => Some(Stand {
-            turn: true,
-            ..Stand::default()
+        Ok(GroupResponse::Rejected { .. }) => Some(GroupStatus {
+            may_upgrade: true,
+            ..GroupStatus::default()
         }),
         _ => None,
     }
--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_commit::protocol::{Ask, Say};
+use wrenfork_commit::protocol::{CommitRequest, CommitResponse};
 use wrenfork_commit::state::Generation;
 use wrenfork_control_plane::{client, fault};
 use wrenfork_testbed::small::{
@@ -164,11 +164,11 @@
     }
 
     fn status(&self, n: usize) -> (Generation, bool) {
-        match client::ask(&self.control(n), &Ask::Status, LONG) {
-            Ok(Say::Status {
+        match client::ask(&self.control(n), &CommitRequest::Status, LONG) {
+            Ok(CommitResponse::Status {
                 generation,
                 state,
-                promise,
+                prepared: promise,
                 ..
             }) => {
                 assert_eq!(state.digest(), generation.digest, "half a state");
@@ -647,9 +647,9 @@
 fn what_an_ingress_does_not_know_it_refuses_and_serves_on() {
     let site = Site::started(1);
     let at = site.control(0);
-    let Ok(Say::Status {
+    let Ok(CommitResponse::Status {
         generation, state, ..
-    }) = client::ask(&at, &Ask::Status, LONG)
+    }) = client::ask(&at, &CommitRequest::Status, LONG)
     else {
         panic!()
     };
@@ -659,7 +659,7 @@
         number: generation.number + 1,
         digest: state.digest(),
     };
-    let promise = wrenfork_commit::participant::Promise {
+    let promise = wrenfork_commit::protocol::PreparedVote {
         change: wrenfork_commit::state::Digest("c".into()),
         base: generation,
         next,
@@ -668,16 +668,16 @@
     };
     let said = client::ask(
         &at,
-        &Ask::Prepare {
-            promise,
+        &CommitRequest::Prepare {
+            vote: promise,
             ballot: 1,
-            wanted: state.into(),
+            state: state.into(),
         },
         LONG,
     )
     .unwrap();
     assert!(
-        matches!(&said, Say::No { why } if why.contains("contracts.0.colour")),
+        matches!(&said, CommitResponse::Rejected { reason: why } if why.contains("contracts.0.colour")),
         "{said:?}"
     );
     for line in ["{\"v\":9,\"ask\":\"status\"}\n", "garbage\n", "\n"] {
--- a/crates/ctl/tests/group/programs.rs
+++ b/crates/ctl/tests/group/programs.rs
@@ -281,7 +281,9 @@
     room(Some(0));
     let log = |n: usize| fs::read_to_string(group.path(&format!("log-{n}"))).unwrap_or_default();
     group.until("the last stage", |p| *p == Phase::On { stage: 1 });
-    group.wait("its turn", || group.stand(old).is_some_and(|s| s.turn));
+    group.wait("its turn", || {
+        group.stand(old).is_some_and(|s| s.may_upgrade)
+    });
     thread::sleep(Duration::from_secs(1));
     assert_eq!(group.runs(old).as_deref(), Some("equal"));
     assert!(!log(old).contains("newer started"), "{}", log(old));
@@ -341,7 +343,7 @@
             let end = loop {
                 let stands = (0..group.count())
                     .filter_map(|n| group.stand(n))
-                    .max_by_key(|s| s.number);
+                    .max_by_key(|s| s.version);
                 let phase = stands.and_then(|s| s.rollout);
                 most = most.max(group.running(&name));
                 let new = (0..4).find(|n| group.runs(*n).as_deref() == Some(name.as_str()));
--- a/crates/ctl/tests/group/rollout.rs
+++ b/crates/ctl/tests/group/rollout.rs
@@ -38,7 +38,7 @@
     /// Where the rollout stands, as the member knows that knows most.
     fn phase(&self) -> Option<Phase> {
         let stands = (0..self.count()).filter_map(|n| self.stand(n));
-        stands.max_by_key(|s| s.number)?.rollout
+        stands.max_by_key(|s| s.version)?.rollout
     }
 
     pub fn until(&self, what: &str, mut wanted: impl FnMut(&Phase) -> bool) {
--- a/crates/ctl/tests/group/site.rs
+++ b/crates/ctl/tests/group/site.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
-use wrenfork_consensus::protocol::{Ask, Say, Stand};
+use wrenfork_consensus::protocol::{GroupRequest, GroupResponse, GroupStatus};
 use wrenfork_control_plane::{client, fault};
 use wrenfork_handover::channel;
 use wrenfork_testbed::judge::policy::{judge, Answer, Change, Said};
@@ -458,9 +458,9 @@
         got(&Client::connect(self.at[n]).ask(&probe(NEXT.fetch_add(1, Ordering::Relaxed))))
     }
 
-    pub fn stand(&self, n: usize) -> Option<Stand> {
-        match client::ask(&self.control(n), &Ask::Stand, LONG) {
-            Ok(Say::Stands(stand)) => Some(*stand),
+    pub fn stand(&self, n: usize) -> Option<GroupStatus> {
+        match client::ask(&self.control(n), &GroupRequest::Status, LONG) {
+            Ok(GroupResponse::Status(stand)) => Some(*stand),
             _ => None,
         }
     }
@@ -578,7 +578,7 @@
     pub fn runs(&self, n: usize) -> Option<String> {
         Some(
             self.stand(n)?
-                .runs?
+                .running_program?
                 .split('@')
                 .next()
                 .unwrap_or_default()
@@ -609,14 +609,14 @@
         };
         let start = Instant::now();
         loop {
-            let stands: Vec<Option<Stand>> = (0..self.count())
+            let stands: Vec<Option<GroupStatus>> = (0..self.count())
                 .filter(running)
                 .map(|n| self.stand(n))
                 .collect();
             let digests: Vec<_> = stands
                 .iter()
                 .flatten()
-                .map(|s| (s.number, s.digest.clone()))
+                .map(|s| (s.version, s.digest.clone()))
                 .collect();
             let pending = stands.iter().flatten().any(|s| s.pending.is_some());
             if digests.len() == stands.len() && digests.windows(2).all(|w| w[0] == w[1]) && !pending
@@ -665,10 +665,10 @@
         assert!(!answers.is_empty());
         let said: Vec<Said> = (0..self.count())
             .filter_map(|n| self.stand(n))
-            .filter(|s| s.number > 0)
+            .filter(|s| s.version > 0)
             .map(|s| Said {
                 member: s.name,
-                generation: s.number,
+                generation: s.version,
                 enforces: s.digest.0,
             })
             .collect();
