--- a/crates/ctl/tests/judged.rs
+++ b/crates/ctl/tests/judged.rs
@@ -12,9 +12,9 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use wrenfork_commit::applier::{Applier, Phase};
-use wrenfork_commit::plan::{Plan, Seen};
-use wrenfork_commit::protocol::{Ask, Say};
+use wrenfork_commit::coordinator::{CommitPhase, Coordinator};
+use wrenfork_commit::plan::{IngressSnapshot, Plan};
+use wrenfork_commit::protocol::{CommitRequest, CommitResponse};
 use wrenfork_commit::state::{Generation, State};
 use wrenfork_control_plane::client;
 use wrenfork_testbed::report::Verdict;
@@ -64,8 +64,8 @@
 "#;
 
 fn status(at: &Path) -> (String, Generation, Arc<State>) {
-    match client::ask(at, &Ask::Status, WAIT) {
-        Ok(Say::Status {
+    match client::ask(at, &CommitRequest::Status, WAIT) {
+        Ok(CommitResponse::Status {
             ingress,
             generation,
             state,
@@ -76,7 +76,7 @@
 }
 
 /// Lowers quota and ceiling at all of them by one change; how it ended.
-fn change(sockets: &[PathBuf]) -> Phase {
+fn change(sockets: &[PathBuf]) -> CommitPhase {
     let seen = sockets.iter().map(|at| {
         let (ingress, base, has) = status(at);
         let mut wanted = State::clone(&has);
@@ -89,22 +89,26 @@
             assert!(old.is_some_and(|old| old != value), "{key} is as it was");
         }
         let (control, used) = (at.display().to_string(), BTreeMap::new());
-        Seen {
+        IngressSnapshot {
             ingress,
             control,
             base,
-            has,
+            current: has,
             wanted: wanted.into(),
-            used,
-            besides: Vec::new(),
+            usage: used,
+            extra_dangers: Vec::new(),
         }
     });
     let plan = Plan::make(("ann", 0, 1), seen.collect()).unwrap();
-    let mut applier = Applier::begin(&plan, 1);
-    while !matches!(applier.phase, Phase::Ended(_) | Phase::Overtaken) {
+    let mut applier = Coordinator::new(&plan, 1);
+    while !matches!(
+        applier.phase,
+        CommitPhase::Ended(_) | CommitPhase::Superseded
+    ) {
         for (n, target) in plan.targets.iter().enumerate() {
-            if let Some(ask) = applier.ask(n) {
-                applier.heard(n, client::ask(Path::new(&target.control), &ask, WAIT).ok());
+            if let Some(ask) = applier.next_request(n) {
+                applier
+                    .handle_response(n, client::ask(Path::new(&target.control), &ask, WAIT).ok());
             }
         }
     }
@@ -167,7 +171,7 @@
         )
         .unwrap_or_else(|e| panic!("{e}"));
         let (ended, now) = applier.join().unwrap();
-        assert_eq!(ended, Phase::Ended(true));
+        assert_eq!(ended, CommitPhase::Ended(true));
         assert!(now.iter().all(|g| g.number == 2), "{now:?}");
         if report.verdict == Verdict::Late {
             continue;
--- a/crates/ingress/examples/odd.rs
+++ b/crates/ingress/examples/odd.rs
@@ -16,7 +16,7 @@
 use std::process::ExitCode;
 use std::thread;
 use std::time::Duration;
-use wrenfork::{Form, Speaks, Variant};
+use wrenfork::{Form, FormatVersions, Variant};
 
 /// What is odd.
 #[derive(Default)]
@@ -129,10 +129,14 @@
             const COPIES: usize = $copies;
             const SPOILS: bool = true;
 
-            fn speaks(&self) -> Speaks {
+            fn speaks(&self) -> FormatVersions {
                 let mut speaks = wrenfork::speaks(Self::VERSION, Self::LAYOUT);
                 if self.0.is("stranger") {
-                    for form in [&mut speaks.peers, &mut speaks.control, &mut speaks.decrees] {
+                    for form in [
+                        &mut speaks.peers,
+                        &mut speaks.control,
+                        &mut speaks.group_states,
+                    ] {
                         form.newest += 1;
                     }
                     speaks.store.newest += 1;
--- a/crates/ingress/src/control.rs
+++ b/crates/ingress/src/control.rs
@@ -8,9 +8,9 @@
 use std::sync::mpsc::{channel, sync_channel, Receiver, Sender, SyncSender};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wrenfork_commit::figures::Figures;
-use wrenfork_commit::participant::Memory;
-use wrenfork_commit::protocol::{Ask, Record, Say};
+use wrenfork_commit::metrics::IngressMetrics;
+use wrenfork_commit::participant::ParticipantState;
+use wrenfork_commit::protocol::{AuditRecord, CommitRequest, CommitResponse};
 use wrenfork_commit::state::{Generation, State};
 use wrenfork_config::enforced::Told;
 use wrenfork_control_plane::group::Inherited;
@@ -33,7 +33,7 @@
     /// Enforce this from now on, which is what a state says.
     Switch(Box<Enforced>, Box<State>, SyncSender<Vocabulary>),
     /// Tell how it goes.
-    Figures(SyncSender<Figures>),
+    Figures(SyncSender<IngressMetrics>),
     /// Tell what was counted.
     Tally(SyncSender<Tally>),
 }
@@ -121,7 +121,7 @@
             .map(drop)
     }
 
-    fn figures(&self) -> Figures {
+    fn figures(&self) -> IngressMetrics {
         self.order(Order::Figures).unwrap_or_default()
     }
 
@@ -143,13 +143,13 @@
         told(RUNS)
     }
 
-    fn log(&self, record: &Record) {
-        let Record {
-            what,
+    fn log(&self, record: &AuditRecord) {
+        let AuditRecord {
+            event: what,
             author,
             change,
             generation,
-            why,
+            detail: why,
             ..
         } = record;
         let change = change.short();
@@ -239,7 +239,7 @@
     let begin = move || {
         let (mut pause, mut told) = (AGAIN.0, false);
         loop {
-            let first = || Memory::first(1, state.clone());
+            let first = || ParticipantState::new(1, state.clone());
             let ledger = Ledger::open(control.state.as_deref(), first);
             let kept = ledger.map(|ledger| Kept {
                 control: control.clone(),
@@ -287,7 +287,7 @@
     // A group says itself what stands, and nothing is served before it has.
     let first = || {
         if control.membership.is_some() {
-            Memory::first(1, own.clone())
+            ParticipantState::new(1, own.clone())
         } else {
             first(&control, &own)
         }
@@ -311,7 +311,7 @@
         digest = digest.short(),
         "control: enforcing"
     );
-    if let Some((promise, _)) = &memory.promise {
+    if let Some((promise, _)) = &memory.prepared {
         let (change, author) = (promise.change.short(), promise.author.as_str());
         tracing::warn!(
             change,
@@ -330,7 +330,7 @@
 
 /// What an ingress begins with that has nothing kept: what the others enforce, since what was applied there was applied here.
 /// A change that they have only promised is not decided: what was enforced before it is the safest, as all have kept to it.
-fn first(control: &Control, own: &State) -> Memory {
+fn first(control: &Control, own: &State) -> ParticipantState {
     let asked = control.others.iter().filter_map(|at| status(at));
     match asked
         .max_by_key(|(generation, _)| generation.number)
@@ -341,15 +341,15 @@
                 generation = generation.number,
                 "control: nothing was kept; taken from another ingress"
             );
-            Memory::first(generation.number, state)
+            ParticipantState::new(generation.number, state)
         }
-        None => Memory::first(1, own.clone()),
+        None => ParticipantState::new(1, own.clone()),
     }
 }
 
 fn status(at: &Path) -> Option<(Generation, Arc<State>)> {
-    match client::ask(at, &Ask::Status, OTHERS) {
-        Ok(Say::Status {
+    match client::ask(at, &CommitRequest::Status, OTHERS) {
+        Ok(CommitResponse::Status {
             generation, state, ..
         }) if state.digest() == generation.digest => Some((generation, state)),
         _ => None,
--- a/crates/ingress/src/ingress.rs
+++ b/crates/ingress/src/ingress.rs
@@ -35,7 +35,7 @@
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
 use std::time::Duration;
-use wrenfork_commit::figures::{Figures, PlanUse};
+use wrenfork_commit::metrics::{IngressMetrics, PlanUsage};
 use wrenfork_control_plane::group::Inherited as Right;
 use wrenfork_control_plane::socket::{self, Socket};
 use wrenfork_decision::{
@@ -776,7 +776,7 @@
         old
     }
 
-    fn figures(&self) -> Figures {
+    fn figures(&self) -> IngressMetrics {
         let ended = |end| self.ledger.all(end);
         let (served, refused, failed) =
             (ended(End::Served), ended(End::Refused), ended(End::Failed));
@@ -788,10 +788,10 @@
         let plans = plans.map(|(name, u)| {
             (
                 name.clone(),
-                PlanUse {
+                PlanUsage {
                     customers: u.customers,
                     rate: u.rate,
-                    open: u.open,
+                    open_attempts: u.open,
                 },
             )
         });
@@ -807,10 +807,10 @@
                     .collect(),
             )
         });
-        Figures {
-            taken,
+        IngressMetrics {
+            received: taken,
             served,
-            refused,
+            rejected: refused,
             failed,
             plans: plans.collect(),
             nodes,
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -40,7 +40,7 @@
 use std::process::ExitCode;
 pub use takeover::Form;
 pub use variant::{Shipped, Variant};
-pub use wrenfork_compatibility::Speaks;
+pub use wrenfork_compatibility::FormatVersions;
 
 /// The ingress. Without arguments it runs from the platform's file, which LB_CONFIG names.
 #[derive(Parser)]
--- a/crates/ingress/src/routing.rs
+++ b/crates/ingress/src/routing.rs
@@ -3,7 +3,7 @@
 
 use crate::discovery::Roster;
 use std::collections::HashMap;
-use wrenfork_commit::figures::NodeSeen;
+use wrenfork_commit::metrics::ObservedNode;
 use wrenfork_decision::{Availability, BackendId, Listed, Request};
 use wrenfork_routes::{Table, Traits, Ways};
 
@@ -71,16 +71,16 @@
 
     /// The nodes that are listed, for whoever plans a change; `work` says whether one takes work and for which classes it
     /// rests. None where pools can't change.
-    pub fn seen(&self, work: impl Fn(BackendId) -> (bool, Vec<String>)) -> Vec<NodeSeen> {
+    pub fn seen(&self, work: impl Fn(BackendId) -> (bool, Vec<String>)) -> Vec<ObservedNode> {
         let nodes = self.nodes.iter().flatten().map(|(id, node)| {
             let ([name, hall, model], (takes, rests)) = (node.named.clone(), work(*id));
-            NodeSeen {
+            ObservedNode {
                 name,
-                hall,
+                zone_group: hall,
                 model,
                 group: u64::from(node.listed.cell),
-                takes,
-                rests,
+                accepting: takes,
+                ejected_for: rests,
             }
         });
         nodes.collect()
--- a/crates/ingress/src/speaks.rs
+++ b/crates/ingress/src/speaks.rs
@@ -2,20 +2,20 @@
 
 use crate::takeover::OLDEST;
 use wrenfork_commit::protocol;
-use wrenfork_compatibility::{Form, Speaks};
-use wrenfork_consensus::decree;
+use wrenfork_compatibility::{FormatVersions, VersionRange};
+use wrenfork_consensus::group_state;
 use wrenfork_decision::PEERS;
 
 /// Of a version that writes states of handovers up to this layout.
-pub fn speaks(version: &str, layout: u32) -> Speaks {
-    Speaks {
+pub fn speaks(version: &str, layout: u32) -> FormatVersions {
+    FormatVersions {
         version: version.into(),
         // A datagram of another number is skipped.
-        peers: Form::of(PEERS.into(), PEERS.into()),
-        control: Form::of(protocol::OLDEST, protocol::VERSION),
-        decrees: Form::of(1, decree::VERSION),
+        peers: VersionRange::new(PEERS.into(), PEERS.into()),
+        control: VersionRange::new(protocol::OLDEST_VERSION, protocol::VERSION),
+        group_states: VersionRange::new(1, group_state::VERSION),
         // Older folders are brought up to date.
-        store: Form::of(1, wrenfork_store::VERSION),
-        handover: Form::of(OLDEST, layout),
+        store: VersionRange::new(1, wrenfork_store::VERSION),
+        handover: VersionRange::new(OLDEST, layout),
     }
 }
--- a/crates/ingress/src/variant.rs
+++ b/crates/ingress/src/variant.rs
@@ -2,7 +2,7 @@
 //! is [`Shipped`]; what it does not do costs it nothing, since the loop is compiled for one version.
 
 use crate::takeover::Form;
-use wrenfork_compatibility::Speaks;
+use wrenfork_compatibility::FormatVersions;
 
 /// A version of the program.
 pub trait Variant: Form + 'static {
@@ -12,7 +12,7 @@
     const COPIES: usize = 1;
 
     /// What it reads and writes of each form.
-    fn speaks(&self) -> Speaks {
+    fn speaks(&self) -> FormatVersions {
         crate::speaks::speaks(Self::VERSION, Self::LAYOUT)
     }
 
--- a/crates/store/examples/open.rs
+++ b/crates/store/examples/open.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
-use wrenfork_store::{Batch, Kind, Store};
+use wrenfork_store::{Batch, RecordKind, Store};
 
 /// Bytes of a record: what 6,000 accounts take.
 const RECORD: usize = 256 << 10;
@@ -26,7 +26,7 @@
     let store = Store::open(folder).expect("a store");
     for some in (0..records).collect::<Vec<_>>().chunks(32) {
         let batch = some.iter().fold(Batch::new(), |b, n| {
-            b.put(Kind::Control, &format!("{n:08}"), record(*n))
+            b.put(RecordKind::Control, &format!("{n:08}"), record(*n))
         });
         store.commit(&batch).expect("a commit");
     }
@@ -35,7 +35,7 @@
     for n in 0.. {
         let name = format!("{:08}", n % records);
         store
-            .commit(&Batch::new().put(Kind::Control, &name, record(n)))
+            .commit(&Batch::new().put(RecordKind::Control, &name, record(n)))
             .expect("a commit");
     }
 }
@@ -44,7 +44,7 @@
     let start = Instant::now();
     let store = Store::open(folder).expect("a store");
     assert!(store
-        .get(Kind::Control, "00000000")
+        .get(RecordKind::Control, "00000000")
         .expect("a record")
         .is_some());
     start.elapsed()
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,16 +1,16 @@
 //! What must survive a crash. A [`Store`] is a folder with one file, an embedded ACID store of named records: what
 //! [`Store::commit`] has returned for is there after a crash at any later point, whole, and what it has not returned for
-//! is there whole or not at all. Records are bytes under a [`Kind`] and a name; what they mean is their owner's.
+//! is there whole or not at all. Records are bytes under a [`RecordKind`] and a name; what they mean is their owner's.
 //!
 //! A commit waits for the disk. Whoever serves requests calls it from another thread.
 //!
 //! ```
-//! use wrenfork_store::{Batch, Kind, Store};
+//! use wrenfork_store::{Batch, RecordKind, Store};
 //!
 //! let folder = tempfile::tempdir().unwrap();
 //! let store = Store::open(folder.path()).unwrap();
-//! store.commit(&Batch::new().put(Kind::Control, "enforced", b"generation 7")).unwrap();
-//! assert_eq!(store.get(Kind::Control, "enforced").unwrap().as_deref(), Some(&b"generation 7"[..]));
+//! store.commit(&Batch::new().put(RecordKind::Control, "enforced", b"generation 7")).unwrap();
+//! assert_eq!(store.get(RecordKind::Control, "enforced").unwrap().as_deref(), Some(&b"generation 7"[..]));
 //! ```
 
 mod version;
@@ -32,15 +32,15 @@
 /// Memory for what was read: an ingress may have as little as 32 MB.
 const CACHE: usize = 1 << 20;
 /// The most bytes of a record, and of its name.
-pub const MOST_RECORD: usize = 16 << 20;
-/// See [`MOST_RECORD`].
-pub const MOST_NAME: usize = 256;
+pub const MAX_RECORD_BYTES: usize = 16 << 20;
+/// See [`MAX_RECORD_BYTES`].
+pub const MAX_NAME_BYTES: usize = 256;
 
 type Table = redb::ReadOnlyTable<&'static str, &'static [u8]>;
 
 /// What kind of record one is: a table each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RecordKind {
     /// Generations that are enforced, and promises.
     Control,
     /// Who planned, applied and rolled back what.
@@ -53,23 +53,23 @@
     Config,
 }
 
-impl Kind {
+impl RecordKind {
     /// All of them.
-    pub const ALL: [Kind; 5] = [
-        Kind::Control,
-        Kind::Audit,
-        Kind::Lease,
-        Kind::Use,
-        Kind::Config,
+    pub const ALL: [RecordKind; 5] = [
+        RecordKind::Control,
+        RecordKind::Audit,
+        RecordKind::Lease,
+        RecordKind::Use,
+        RecordKind::Config,
     ];
 
     fn table(self) -> TableDefinition<'static, &'static str, &'static [u8]> {
         TableDefinition::new(match self {
-            Kind::Control => "control",
-            Kind::Audit => "audit",
-            Kind::Lease => "lease",
-            Kind::Use => "use",
-            Kind::Config => "config",
+            RecordKind::Control => "control",
+            RecordKind::Audit => "audit",
+            RecordKind::Lease => "lease",
+            RecordKind::Use => "use",
+            RecordKind::Config => "config",
         })
     }
 }
@@ -78,30 +78,30 @@
 #[derive(Debug)]
 pub enum StoreError {
     /// Another process has the folder.
-    Taken(PathBuf),
+    Locked(PathBuf),
     /// The folder was written by a program that is newer than this one: its version, and the one known here.
-    Newer(u32, u32),
+    NewerVersion(u32, u32),
     /// The file is none of this store's, or damaged beyond what a crash can do.
-    Damaged(String),
+    Corrupted(String),
     /// A record or its name is too long.
     TooLong(String),
     /// The disk is full, read-only or broken; what is stored is as it was.
-    Disk(String),
+    Io(String),
 }
 
 impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            StoreError::Taken(at) => write!(f, "another process has the folder {}", at.display()),
-            StoreError::Newer(has, known) => {
+            StoreError::Locked(at) => write!(f, "another process has the folder {}", at.display()),
+            StoreError::NewerVersion(has, known) => {
                 write!(
                     f,
                     "the folder is of version {has}, and this program knows up to {known}: use a newer one"
                 )
             }
-            StoreError::Damaged(why) => write!(f, "the store is damaged: {why}"),
+            StoreError::Corrupted(why) => write!(f, "the store is damaged: {why}"),
             StoreError::TooLong(name) => write!(f, "a record is too long: {name}"),
-            StoreError::Disk(why) => write!(f, "the disk: {why}"),
+            StoreError::Io(why) => write!(f, "the disk: {why}"),
         }
     }
 }
@@ -110,15 +110,15 @@
 
 fn disk(e: impl Into<redb::Error>) -> StoreError {
     match e.into() {
-        redb::Error::Corrupted(why) => StoreError::Damaged(why),
-        redb::Error::DatabaseAlreadyOpen => StoreError::Taken(PathBuf::new()),
-        other => StoreError::Disk(other.to_string()),
+        redb::Error::Corrupted(why) => StoreError::Corrupted(why),
+        redb::Error::DatabaseAlreadyOpen => StoreError::Locked(PathBuf::new()),
+        other => StoreError::Io(other.to_string()),
     }
 }
 
 /// Changes that are made together.
 #[derive(Clone, Debug, Default)]
-pub struct Batch(Vec<(Kind, String, Option<Vec<u8>>)>);
+pub struct Batch(Vec<(RecordKind, String, Option<Vec<u8>>)>);
 
 impl Batch {
     /// No change yet.
@@ -128,14 +128,14 @@
 
     /// And a record under a name, in place of the one that is there.
     #[must_use]
-    pub fn put(mut self, kind: Kind, name: &str, record: impl Into<Vec<u8>>) -> Self {
+    pub fn put(mut self, kind: RecordKind, name: &str, record: impl Into<Vec<u8>>) -> Self {
         self.0.push((kind, name.into(), Some(record.into())));
         self
     }
 
     /// And no record under a name.
     #[must_use]
-    pub fn delete(mut self, kind: Kind, name: &str) -> Self {
+    pub fn delete(mut self, kind: RecordKind, name: &str) -> Self {
         self.0.push((kind, name.into(), None));
         self
     }
@@ -161,7 +161,7 @@
     ///
     /// Where another process has it, the version is newer than known, or the disk fails.
     pub fn open(folder: &Path) -> Result<Store, StoreError> {
-        let told = |e: std::io::Error| StoreError::Disk(format!("{}: {e}", folder.display()));
+        let told = |e: std::io::Error| StoreError::Io(format!("{}: {e}", folder.display()));
         let mut make = std::fs::DirBuilder::new();
         std::os::unix::fs::DirBuilderExt::mode(make.recursive(true), 0o700);
         make.create(folder).map_err(told)?;
@@ -177,7 +177,7 @@
         };
         let lock = private(LOCK)?;
         flock(&lock, FlockOperation::NonBlockingLockExclusive)
-            .map_err(|_| StoreError::Taken(folder.to_path_buf()))?;
+            .map_err(|_| StoreError::Locked(folder.to_path_buf()))?;
         let (file, new) = (folder.join(FILE), folder.join(NEW));
         if !file.exists() {
             match std::fs::remove_file(&new) {
@@ -213,7 +213,7 @@
     /// # Errors
     ///
     /// As [`Store::open`].
-    pub fn on(backend: impl StorageBackend) -> Result<Store, StoreError> {
+    pub fn with_backend(backend: impl StorageBackend) -> Result<Store, StoreError> {
         let database = redb::Builder::new()
             .set_cache_size(CACHE)
             .create_with_backend(backend);
@@ -243,10 +243,10 @@
         let database = match (held.take(), &self.file) {
             (Some(database), _) => database,
             (None, Some(file)) => Store::database(file)?,
-            (None, None) => return Err(StoreError::Disk("it failed before".into())),
+            (None, None) => return Err(StoreError::Io("it failed before".into())),
         };
         let done = work(&database);
-        let failed = matches!(done, Err(StoreError::Disk(_) | StoreError::Damaged(_)));
+        let failed = matches!(done, Err(StoreError::Io(_) | StoreError::Corrupted(_)));
         if !failed || self.file.is_none() {
             *held = Some(database);
         }
@@ -256,7 +256,7 @@
     /// Reads of a kind's records; none where there has never been one.
     fn read<T>(
         &self,
-        kind: Kind,
+        kind: RecordKind,
         look: impl FnOnce(&Table) -> Result<T, StoreError>,
     ) -> Result<Option<T>, StoreError> {
         self.with(|database| {
@@ -273,7 +273,7 @@
     /// # Errors
     ///
     /// Where the disk fails.
-    pub fn get(&self, kind: Kind, name: &str) -> Result<Option<Vec<u8>>, StoreError> {
+    pub fn get(&self, kind: RecordKind, name: &str) -> Result<Option<Vec<u8>>, StoreError> {
         let found = self.read(kind, |table| {
             let found = table.get(name).map_err(disk)?;
             Ok(found.map(|v| v.value().to_vec()))
@@ -286,7 +286,7 @@
     /// # Errors
     ///
     /// Where the disk fails.
-    pub fn names(&self, kind: Kind) -> Result<Vec<String>, StoreError> {
+    pub fn names(&self, kind: RecordKind) -> Result<Vec<String>, StoreError> {
         let names = self.read(kind, |table| {
             let names = table.iter().map_err(disk)?;
             names
@@ -301,7 +301,11 @@
     /// # Errors
     ///
     /// Where the disk fails.
-    pub fn list(&self, kind: Kind, most: usize) -> Result<Vec<(String, Vec<u8>)>, StoreError> {
+    pub fn list(
+        &self,
+        kind: RecordKind,
+        most: usize,
+    ) -> Result<Vec<(String, Vec<u8>)>, StoreError> {
         let rows = self.read(kind, |table| {
             let rows = table.iter().map_err(disk)?.rev().take(most).map(|row| {
                 let (name, record) = row.map_err(disk)?;
@@ -321,7 +325,9 @@
     /// Where a record is too long or the disk fails: nothing is changed then.
     pub fn commit(&self, batch: &Batch) -> Result<(), StoreError> {
         for (_, name, record) in &batch.0 {
-            if name.len() > MOST_NAME || record.as_ref().is_some_and(|r| r.len() > MOST_RECORD) {
+            if name.len() > MAX_NAME_BYTES
+                || record.as_ref().is_some_and(|r| r.len() > MAX_RECORD_BYTES)
+            {
                 return Err(StoreError::TooLong(name.chars().take(60).collect()));
             }
         }
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -28,8 +28,8 @@
         }
     })?;
     match has {
-        Some(has) if has > VERSION => Err(StoreError::Newer(has, VERSION)),
-        Some(0) => Err(StoreError::Damaged("its version is 0".into())),
+        Some(has) if has > VERSION => Err(StoreError::NewerVersion(has, VERSION)),
+        Some(0) => Err(StoreError::Corrupted("its version is 0".into())),
         Some(has) => {
             (has..VERSION).try_for_each(|from| step(store, from + 1, STEPS.get(from as usize - 1)))
         }
@@ -55,20 +55,20 @@
 #[cfg(test)]
 mod tests {
     use super::{step, Store, StoreError, VERSION};
-    use crate::{Batch, Kind};
+    use crate::{Batch, RecordKind};
 
     #[test]
     fn a_newer_version_is_refused_and_told_and_stays_as_it_was() {
         let folder = tempfile::tempdir().unwrap();
         let store = Store::open(folder.path()).unwrap();
         store
-            .commit(&Batch::new().put(Kind::Control, "a", b"1"))
+            .commit(&Batch::new().put(RecordKind::Control, "a", b"1"))
             .unwrap();
         step(&store, VERSION + 1, None).unwrap();
         drop(store);
         for _ in 0..2 {
             let e = Store::open(folder.path()).unwrap_err();
-            assert!(matches!(e, StoreError::Newer(2, 1)), "{e}");
+            assert!(matches!(e, StoreError::NewerVersion(2, 1)), "{e}");
             assert!(e.to_string().contains("use a newer one"));
         }
     }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -4,7 +4,7 @@
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex};
-use wrenfork_store::{Batch, Kind, Store};
+use wrenfork_store::{Batch, RecordKind, Store};
 
 #[derive(Clone, Debug)]
 enum Change {
@@ -137,15 +137,15 @@
 fn batch(n: u64) -> Batch {
     let text = format!("generation {n}");
     let batch = Batch::new()
-        .put(Kind::Control, "enforced", text.as_bytes())
-        .put(Kind::Control, "promise", text.as_bytes())
+        .put(RecordKind::Control, "enforced", text.as_bytes())
+        .put(RecordKind::Control, "promise", text.as_bytes())
         .put(
-            Kind::Audit,
+            RecordKind::Audit,
             &format!("{n:08}"),
             vec![n as u8; 40 + (n as usize * 97) % 3000],
         );
     if n % 3 == 2 {
-        batch.delete(Kind::Audit, &format!("{:08}", n - 1))
+        batch.delete(RecordKind::Audit, &format!("{:08}", n - 1))
     } else {
         batch
     }
@@ -155,14 +155,14 @@
 fn told(store: &Store) -> Option<u64> {
     let get = |name| {
         store
-            .get(Kind::Control, name)
+            .get(RecordKind::Control, name)
             .unwrap()
             .map(|v| String::from_utf8(v).unwrap())
     };
     let (enforced, promise) = (get("enforced"), get("promise"));
     assert_eq!(enforced, promise, "half of a commit");
     let n = enforced.map(|t| t.trim_start_matches("generation ").parse::<u64>().unwrap());
-    let audit = store.list(Kind::Audit, 1000).unwrap();
+    let audit = store.list(RecordKind::Audit, 1000).unwrap();
     let want = |m: &u64| n.is_some_and(|n| *m <= n) && !(m % 3 == 1 && n.is_some_and(|n| *m < n));
     let names: Vec<String> = (0..1000).filter(want).map(|m| format!("{m:08}")).collect();
     assert_eq!(
@@ -180,7 +180,7 @@
 /// Opens, commits from where it stands until `commits` or the cut; which commit was the last that returned.
 /// Whether the store was made at all is told as well: before that it has no name.
 fn live(backend: &Backend, commits: u64, done: &mut Option<u64>) -> bool {
-    let Ok(store) = Store::on(backend.clone()) else {
+    let Ok(store) = Store::with_backend(backend.clone()) else {
         return false;
     };
     let next = done.map_or(0, |n| n + 1);
@@ -213,15 +213,15 @@
     // It starts again, and again after a crash while it recovers.
     let again = Backend::of(found);
     again.0.lock().unwrap().left = Some(rng.usize(0..20));
-    let open = Store::on(again.clone());
+    let open = Store::with_backend(again.clone());
     let found = if made || open.is_ok() {
         again.0.lock().unwrap().after_crash(&mut rng)
     } else {
         Vec::new()
     };
     drop(open);
-    let store =
-        Store::on(Backend::of(found)).unwrap_or_else(|e| panic!("cut {cut}, seed {seed}: {e}"));
+    let store = Store::with_backend(Backend::of(found))
+        .unwrap_or_else(|e| panic!("cut {cut}, seed {seed}: {e}"));
     let has = told(&store);
     assert!(
         has >= done,
@@ -263,14 +263,17 @@
 #[test]
 fn a_full_disk_refuses_a_commit_and_keeps_what_is_there() {
     let backend = Backend::default();
-    let store = Store::on(backend.clone()).unwrap();
+    let store = Store::with_backend(backend.clone()).unwrap();
     store.commit(&batch(0)).unwrap();
     backend.0.lock().unwrap().full = true;
     let large = vec![9; 12 << 20];
-    let refused = store.commit(&Batch::new().put(Kind::Config, "large", large));
+    let refused = store.commit(&Batch::new().put(RecordKind::Config, "large", large));
     assert!(refused.is_err());
     backend.0.lock().unwrap().full = false;
     drop(store);
     let bytes = backend.0.lock().unwrap().seen.clone();
-    assert_eq!(told(&Store::on(Backend::of(bytes)).unwrap()), Some(0));
+    assert_eq!(
+        told(&Store::with_backend(Backend::of(bytes)).unwrap()),
+        Some(0)
+    );
 }
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -1,7 +1,7 @@
 //! The store on a real folder.
 
 use std::os::unix::fs::PermissionsExt;
-use wrenfork_store::{Batch, Kind, Store, StoreError, MOST_RECORD};
+use wrenfork_store::{Batch, RecordKind, Store, StoreError, MAX_RECORD_BYTES};
 
 #[test]
 fn records_are_there_again_and_the_folder_is_the_owners_alone() {
@@ -11,25 +11,28 @@
     store
         .commit(
             &Batch::new()
-                .put(Kind::Audit, "1", b"a")
-                .put(Kind::Audit, "2", b"b"),
+                .put(RecordKind::Audit, "1", b"a")
+                .put(RecordKind::Audit, "2", b"b"),
         )
         .unwrap();
     store
         .commit(
             &Batch::new()
-                .delete(Kind::Audit, "1")
-                .put(Kind::Lease, "1", b"c"),
+                .delete(RecordKind::Audit, "1")
+                .put(RecordKind::Lease, "1", b"c"),
         )
         .unwrap();
     drop(store);
     let store = Store::open(&at).unwrap();
     assert_eq!(
-        store.list(Kind::Audit, 10).unwrap(),
+        store.list(RecordKind::Audit, 10).unwrap(),
         [("2".to_string(), b"b".to_vec())]
     );
-    assert_eq!(store.get(Kind::Lease, "1").unwrap(), Some(b"c".to_vec()));
-    assert_eq!(store.get(Kind::Use, "1").unwrap(), None);
+    assert_eq!(
+        store.get(RecordKind::Lease, "1").unwrap(),
+        Some(b"c".to_vec())
+    );
+    assert_eq!(store.get(RecordKind::Use, "1").unwrap(), None);
     for (path, mode) in [
         (at.clone(), 0o700),
         (at.join("wrenfork.redb"), 0o600),
@@ -50,7 +53,7 @@
     let folder = tempfile::tempdir().unwrap();
     let store = Store::open(folder.path()).unwrap();
     let e = Store::open(folder.path()).unwrap_err();
-    assert!(matches!(e, StoreError::Taken(_)), "{e}");
+    assert!(matches!(e, StoreError::Locked(_)), "{e}");
     drop(store);
     Store::open(folder.path()).unwrap();
 }
@@ -62,23 +65,20 @@
     assert!(Store::open(folder.path()).is_err());
     let file = folder.path().join("file");
     std::fs::write(&file, b"").unwrap();
-    assert!(matches!(
-        Store::open(&file).unwrap_err(),
-        StoreError::Disk(_)
-    ));
+    assert!(matches!(Store::open(&file).unwrap_err(), StoreError::Io(_)));
     let good = folder.path().join("good");
     let store = Store::open(&good).unwrap();
-    let long = vec![0; MOST_RECORD + 1];
+    let long = vec![0; MAX_RECORD_BYTES + 1];
     let e = store
         .commit(
             &Batch::new()
-                .put(Kind::Use, "a", b"1")
-                .put(Kind::Use, "b", long),
+                .put(RecordKind::Use, "a", b"1")
+                .put(RecordKind::Use, "b", long),
         )
         .unwrap_err();
     assert!(matches!(e, StoreError::TooLong(_)));
     assert_eq!(
-        store.get(Kind::Use, "a").unwrap(),
+        store.get(RecordKind::Use, "a").unwrap(),
         None,
         "nothing of it was made"
     );
@@ -91,7 +91,7 @@
     std::fs::write(folder.path().join("wrenfork.new"), vec![7; 9000]).unwrap();
     let store = Store::open(folder.path()).unwrap();
     store
-        .commit(&Batch::new().put(Kind::Use, "a", b"1"))
+        .commit(&Batch::new().put(RecordKind::Use, "a", b"1"))
         .unwrap();
     assert!(!folder.path().join("wrenfork.new").exists());
 }
--- a/crates/store/tests/golden.rs
+++ b/crates/store/tests/golden.rs
@@ -4,7 +4,7 @@
 //! `cargo test -p wrenfork-store --test golden -- --ignored write_golden_folder`
 
 use std::path::{Path, PathBuf};
-use wrenfork_store::{Batch, Kind, Store, StoreError, VERSION};
+use wrenfork_store::{Batch, RecordKind, Store, StoreError, VERSION};
 
 const FILE: &str = "wrenfork.redb";
 
@@ -15,14 +15,14 @@
 /// Each kind of record, one that is replaced and one that is deleted, in two commits.
 fn write_records(folder: &Path) {
     let store = Store::open(folder).unwrap();
-    let first = Kind::ALL.iter().fold(Batch::new(), |batch, kind| {
+    let first = RecordKind::ALL.iter().fold(Batch::new(), |batch, kind| {
         batch
             .put(*kind, "replaced", b"old")
             .put(*kind, "deleted", b"gone")
             .put(*kind, "past/00000000000000000003", vec![0, 1, 254, 255])
     });
     store.commit(&first).unwrap();
-    let second = Kind::ALL.iter().fold(Batch::new(), |batch, kind| {
+    let second = RecordKind::ALL.iter().fold(Batch::new(), |batch, kind| {
         batch
             .put(*kind, "replaced", format!("new {kind:?}"))
             .delete(*kind, "deleted")
@@ -51,7 +51,7 @@
     let folder = copy_of_golden_folder();
     for _ in 0..2 {
         let store = Store::open(folder.path()).unwrap();
-        for kind in Kind::ALL {
+        for kind in RecordKind::ALL {
             let expected = [
                 (
                     "past/00000000000000000003".to_string(),
@@ -100,11 +100,11 @@
 #[test]
 fn what_operators_read_of_a_failure_stays() {
     let texts = [
-        StoreError::Taken("/state".into()),
-        StoreError::Newer(2, 1),
-        StoreError::Damaged("why".into()),
+        StoreError::Locked("/state".into()),
+        StoreError::NewerVersion(2, 1),
+        StoreError::Corrupted("why".into()),
         StoreError::TooLong("name".into()),
-        StoreError::Disk("why".into()),
+        StoreError::Io("why".into()),
     ]
     .map(|error| error.to_string());
     assert_eq!(
