--- a/crates/decision/src/control.rs
+++ b/crates/decision/src/control.rs
@@ -286,7 +286,12 @@
             return;
         };
         o.held = true;
-        let left = (req.deadline - now).min(o.class.aim);
+        // Past its deadline it has no time left, and is asked for once more all the same.
+        let aim = o.class.aim;
+        let left = req
+            .deadline
+            .checked_sub(now)
+            .map_or(aim, |left| left.min(aim));
         self.checks
             .push(Reverse((now + FRESH.min(left / 5), req.id)));
         let (me, lead) = (self.s.me.0, self.lead(&self.customers[&req.customer]));
