--- /dev/null
+++ b/crates/decision/tests/simulation/scenarios.rs
@@ -0,0 +1,338 @@
+//! The deployments of the seeded runs: quite different settings, and how their backends fare over time.
+
+use wrenfork_decision::{
+    Availability, BackendId, Class, Discovery, Group, Limits, Listed, Micros, Plan, Repeat, Rules,
+    Settings, SizeMeaning,
+};
+
+const SECOND: Micros = 1_000_000;
+/// How long the backends of a run stay in one mood.
+pub const MOOD_SPAN: Micros = 4 * SECOND;
+
+#[derive(Clone)]
+pub struct Scenario {
+    pub name: &'static str,
+    pub settings: Settings,
+    /// The numbers of the gateways that run; the others are never heard.
+    pub running: Vec<u16>,
+    pub backends: u64,
+    pub customers: u64,
+    pub seed: u64,
+    /// The mean time between two events.
+    pub pace: Micros,
+}
+
+/// How a backend fares for a while.
+pub struct Mood {
+    /// The least time that it takes.
+    pub least: Micros,
+    /// Of a thousand attempts, those that end badly.
+    pub bad: u64,
+}
+
+impl Scenario {
+    pub fn endpoint(&self, n: u64) -> Listed {
+        let pools = u64::from(self.settings.pools);
+        let in_pool = |p: &u64| n % pools == *p || (n + 1) % pools == *p;
+        Listed {
+            backend: BackendId(n),
+            zone: (n % 3) as u8,
+            cell: (n % 4) as u16,
+            kind: (n % 2) as u16,
+            availability: Availability::Ready,
+            size: 0.5 + (n % 4) as f64 / 2.0,
+            started: 0,
+            pools: (0..pools).filter(in_pool).fold(0, |set, p| set | 1 << p),
+        }
+    }
+
+    /// The first gateway of a customer and how many it has; for some a figure that means nothing.
+    pub fn spread(&self, customer: u64) -> (f64, f64) {
+        let gateways = u64::from(self.settings.gateways.max(1));
+        match customer % 11 {
+            9 => (0.0, f64::NAN),
+            10 => (1e6, 2.0),
+            _ => ((customer % 3) as f64, (1 + customer % gateways) as f64),
+        }
+    }
+
+    pub fn mood(&self, backend: BackendId, now: Micros) -> Mood {
+        let objective = self.settings.classes[0].aim;
+        let calm = objective / 12;
+        let phase = now / MOOD_SPAN % 6;
+        let hit = backend.0 % 5 == 0;
+        match phase {
+            1 => Mood {
+                least: objective * 3 / 4,
+                bad: 30,
+            },
+            2 if hit => Mood {
+                least: calm,
+                bad: 800,
+            },
+            3 if hit => Mood {
+                least: 8 * objective,
+                bad: 500,
+            },
+            4 if backend.0 % 3 == 1 => Mood {
+                least: calm,
+                bad: 950,
+            },
+            5 => Mood {
+                least: objective * 5 / 4,
+                bad: 150,
+            },
+            _ => Mood {
+                least: calm + backend.0 % 7 * calm / 4,
+                bad: 15,
+            },
+        }
+    }
+
+    pub fn changed_settings(&self, draw: u64) -> Settings {
+        let mut settings = self.settings.clone();
+        match draw {
+            0 => settings.plans.push(plan(3.0, 9.0)),
+            1 => {
+                settings.plans.truncate(settings.plans.len().max(2) - 1);
+                settings.words = [settings.words[0], settings.words[1].wrapping_add(1)];
+            }
+            2 => {
+                for plan in &mut settings.plans {
+                    plan.rate *= 0.5;
+                    plan.burst *= 0.75;
+                }
+                settings.classes[0].repeat = Repeat::Once;
+                settings.limits.second_copies = !settings.limits.second_copies;
+            }
+            _ => settings.classes.push(class(Repeat::Safe, 300_000)),
+        }
+        settings
+    }
+}
+
+fn class(repeat: Repeat, aim: Micros) -> Class {
+    Class {
+        aim,
+        aim_stretch: 0.0,
+        deadline: 4 * SECOND,
+        worth: 1.0,
+        late_worth: 0.0,
+        repeat,
+        stream: false,
+    }
+}
+
+fn plan(rate: f64, burst: f64) -> Plan {
+    Plan {
+        rate,
+        burst,
+        open_cap: 0,
+        ceiling_rate: 0.0,
+        ceiling_burst: 0.0,
+        ceiling_slack: 0.0,
+        price: 1.0,
+        over_worth: 0.0,
+        over_cost: 1.0,
+    }
+}
+
+fn keyed(group: Group) -> Repeat {
+    let window = 700_000;
+    Repeat::Keyed { group, window }
+}
+
+fn limits() -> Limits {
+    Limits {
+        max_attempts: 3,
+        second_copies: true,
+        cancel: true,
+        probes: false,
+        peers: true,
+        peer_in_per_s: 60.0,
+        retry_after: true,
+        max_retry_after: 2 * SECOND,
+        counter: false,
+        max_open: 20_000,
+    }
+}
+
+fn rules() -> Rules {
+    Rules {
+        answer_slack: 16_000,
+        drain_grace: 250_000,
+        cold_from: 0.2,
+        cold_time: 6 * SECOND,
+        fall_factor: 3.0,
+        fall_time: SECOND,
+        must_ask: 2 * SECOND,
+    }
+}
+
+fn few_gateways() -> Scenario {
+    let ceiling = Plan {
+        ceiling_rate: 12.0,
+        ceiling_burst: 24.0,
+        price: 3.0,
+        ..plan(50.0, 50.0)
+    };
+    let capped = Plan {
+        open_cap: 3,
+        ..plan(0.0, 0.0)
+    };
+    let settings = Settings {
+        gateways: 3,
+        tick: 4_000,
+        classes: vec![
+            class(Repeat::Safe, 500_000),
+            class(keyed(Group::Cell), 800_000),
+            class(Repeat::Once, 500_000),
+        ],
+        plans: vec![plan(1e6, 1e6), plan(4.0, 12.0), ceiling, capped],
+        limits: limits(),
+        rules: rules(),
+        ..Settings::default()
+    };
+    Scenario {
+        name: "few gateways",
+        settings,
+        running: vec![0, 1, 2],
+        backends: 9,
+        customers: 24,
+        seed: 11,
+        pace: 3_000,
+    }
+}
+
+fn one_gateway() -> Scenario {
+    let few = few_gateways();
+    let mut settings = few.settings.clone();
+    settings.gateways = 1;
+    settings.limits.peers = false;
+    settings.limits.second_copies = false;
+    settings.limits.max_attempts = 5;
+    settings.discovery = Discovery::Ask;
+    settings.sizes = SizeMeaning::Capacity;
+    settings.classes = vec![
+        class(Repeat::Safe, 250_000),
+        class(keyed(Group::All), 400_000),
+    ];
+    Scenario {
+        name: "one gateway that polls discovery",
+        settings,
+        running: vec![0],
+        backends: 5,
+        customers: 40,
+        seed: 12,
+        pace: 1_500,
+    }
+}
+
+fn many_gateways() -> Scenario {
+    let few = few_gateways();
+    let mut settings = few.settings.clone();
+    settings.gateways = 100;
+    settings.limits.peer_in_per_s = 40.0;
+    settings.classes[1] = class(keyed(Group::Zone), 800_000);
+    settings.words = [4, 9];
+    Scenario {
+        name: "a hundred gateways",
+        settings,
+        running: vec![0, 1, 2, 3, 40, 99],
+        backends: 60,
+        customers: 30,
+        seed: 13,
+        pace: 2_000,
+    }
+}
+
+fn pools() -> Scenario {
+    let few = few_gateways();
+    let mut settings = few.settings.clone();
+    settings.pools = 4;
+    settings.gateways = 2;
+    settings.sizes = SizeMeaning::Capacity;
+    Scenario {
+        name: "pools with fallback",
+        settings,
+        running: vec![0, 1],
+        backends: 14,
+        customers: 35,
+        seed: 14,
+        pace: 2_000,
+    }
+}
+
+fn post_paid() -> Scenario {
+    let few = few_gateways();
+    let mut settings = few.settings.clone();
+    settings.post_paid = true;
+    settings.meter_period = SECOND;
+    settings.limits.cancel = false;
+    settings.limits.retry_after = false;
+    settings.gateways = 4;
+    settings.plans = vec![
+        plan(30.0, 40.0),
+        Plan {
+            open_cap: 2,
+            price: 2.0,
+            ..plan(10.0, 15.0)
+        },
+        Plan {
+            ceiling_rate: 5.0,
+            ceiling_burst: 6.0,
+            ceiling_slack: 1.0,
+            ..plan(8.0, 16.0)
+        },
+    ];
+    Scenario {
+        name: "post-paid, nothing is cancelled",
+        settings,
+        running: vec![0, 1, 2, 3],
+        backends: 7,
+        customers: 20,
+        seed: 15,
+        pace: 3_000,
+    }
+}
+
+fn many_gateways_with_pools() -> Scenario {
+    let many = many_gateways();
+    let mut settings = many.settings.clone();
+    settings.pools = 3;
+    settings.gateways = 60;
+    settings.limits.second_copies = false;
+    settings.rules.cold_time = 30 * SECOND;
+    settings.discovery = Discovery::Ask;
+    // More plans than a message can name.
+    settings.plans = (0..70)
+        .map(|n| Plan {
+            price: f64::from(1 + n % 3),
+            ceiling_rate: f64::from(n % 4) * 3.0,
+            ceiling_burst: f64::from(n % 4) * 6.0,
+            open_cap: if n % 7 == 6 { 2 } else { 0 },
+            ..plan(6.0, 12.0)
+        })
+        .collect();
+    Scenario {
+        name: "sixty gateways, pools, many plans, long warm-up",
+        settings,
+        running: vec![0, 1, 2, 17],
+        backends: 30,
+        customers: 120,
+        seed: 16,
+        pace: 2_000,
+    }
+}
+
+/// All deployments.
+pub fn all() -> Vec<Scenario> {
+    vec![
+        few_gateways(),
+        one_gateway(),
+        many_gateways(),
+        pools(),
+        post_paid(),
+        many_gateways_with_pools(),
+    ]
+}
