--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use wrenfork_config::settings::note_field;
 use wrenfork_decision::{
-    Action, Availability, BackendId, CustomerId, Event, GatewayNo, Listed, Outcome, Report,
-    Request, RequestId, RosterKind,
+    Action, BackendId, CustomerId, Endpoint, EndpointListKind, EndpointState, Event, GatewayId,
+    LoadReport, Outcome, Request, RequestId,
 };
 
 /// Bytes of a batch's header.
@@ -157,19 +157,19 @@
         Ok(match u16_at(self.body, at) {
             200 => Outcome::Ok,
             502 => Outcome::Error,
-            429 => Outcome::Full,
+            429 => Outcome::Rejected,
             408 => Outcome::TimedOut,
             521 => Outcome::ConnectFailed,
             520 => Outcome::Reset,
             444 => Outcome::Cancelled,
-            409 => Outcome::Moot,
+            409 => Outcome::NotSent,
             other => return Err(self.error("outcome", &format!("unknown code {other}"))),
         })
     }
 
-    fn report(&self, at: usize, fields: &[String]) -> Option<Report> {
+    fn report(&self, at: usize, fields: &[String]) -> Option<LoadReport> {
         let n = usize::from(self.body[at]).min(4);
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         for (i, name) in fields.iter().enumerate().take(n) {
             let value = f32_at(self.body, at + 1 + 4 * i);
             let value = value.is_finite().then_some(value);
@@ -180,35 +180,33 @@
 
     fn roster(&self) -> Result<Event, String> {
         let kind = match self.body[3] {
-            0 => RosterKind::Delta,
-            1 => RosterKind::Full,
-            2 => RosterKind::Cached,
-            3 => RosterKind::Failed,
+            0 => EndpointListKind::Delta,
+            1 => EndpointListKind::Full,
+            2 => EndpointListKind::Cached,
+            3 => EndpointListKind::Failed,
             other => return Err(self.error("scope", &format!("unknown kind {other}"))),
         };
         let rows = self.tail_part(12, "rows", ENTRY)?;
         let mut list = Vec::with_capacity(rows.len() / ENTRY);
         for row in rows.chunks_exact(ENTRY) {
-            let availability = match row[11] {
-                0 => Availability::Draining,
-                1 => Availability::Ready,
-                2 => Availability::Gone,
-                other => {
-                    return Err(self.error("rows.availability", &format!("unknown state {other}")))
-                }
+            let state = match row[11] {
+                0 => EndpointState::Draining,
+                1 => EndpointState::Ready,
+                2 => EndpointState::Removed,
+                other => return Err(self.error("rows.state", &format!("unknown state {other}"))),
             };
-            list.push(Listed {
+            list.push(Endpoint {
                 backend: backend_at(row, 0),
                 zone: row[6],
-                kind: u16_at(row, 7),
+                machine_kind: u16_at(row, 7),
                 cell: u16_at(row, 9),
-                availability,
-                size: f32_at(row, 12),
-                started: u64_at(row, 16),
-                ..Listed::default()
+                state,
+                weight: f32_at(row, 12),
+                started_at: u64_at(row, 16),
+                ..Endpoint::default()
             });
         }
-        Ok(Event::Roster(kind, list))
+        Ok(Event::EndpointsChanged(kind, list))
     }
 
     /// What the record says; none for a code that this adapter does not know.
@@ -238,42 +236,42 @@
                 customer: CustomerId(u64_at(b, 14)),
                 deadline: u64_at(b, 22),
                 units: f32_at(b, 30),
-                width: f32_at(b, 34),
-                first: f32_at(b, 38),
+                gateway_span: f32_at(b, 34),
+                first_gateway: f32_at(b, 38),
                 ..Request::default()
             }),
-            30 => Event::Probed {
+            30 => Event::HealthChecked {
                 backend: backend_at(b, 3),
                 outcome: self.outcome(9)?,
-                took: u64::from(u32_at(b, 11)),
+                elapsed: u64::from(u32_at(b, 11)),
                 report: self.report(15, names),
             },
-            20 => Event::Settled {
+            20 => Event::AttemptCompleted {
                 id: RequestId(u64_at(b, 3)),
-                took: u64::from(u32_at(b, 11)),
+                elapsed: u64::from(u32_at(b, 11)),
                 outcome: self.outcome(15)?,
                 complete: b[17] != 0,
                 attempt: u16_at(b, 18),
-                metered: Some(u16_at(b, 20))
+                metered_usage: Some(u16_at(b, 20))
                     .filter(|m| *m > 0)
                     .map(|m| f64::from(m - 1) / 100.0),
                 backend: backend_at(b, 22),
-                charged: Some(u16_at(b, 28)).filter(|c| *c > 0).map(f64::from),
+                charged_units: Some(u16_at(b, 28)).filter(|c| *c > 0).map(f64::from),
                 report: self.report(30, names),
             },
-            40 => Event::Counted {
-                name: u64_at(b, 3),
+            40 => Event::CounterUpdated {
+                counter: u64_at(b, 3),
                 outcome: self.outcome(11)?,
                 total: f32_at(b, 13),
             },
-            90 => Event::Withdrawn(RequestId(u64_at(b, 3))),
+            90 => Event::ClientDisconnected(RequestId(u64_at(b, 3))),
             70 => Event::Timer(u32_at(b, 3)),
             100 => Event::FirstByte {
                 id: RequestId(u64_at(b, 3)),
                 attempt: u16_at(b, 11),
             },
-            80 => Event::Peer {
-                from: GatewayNo(u16_at(b, 3)),
+            80 => Event::PeerMessage {
+                from: GatewayId(u16_at(b, 3)),
                 bytes: self.tail_part(5, "octets", 1)?.to_vec(),
             },
             _ => return Ok(None),
@@ -310,18 +308,23 @@
                 Action::Send {
                     id,
                     backend,
-                    expires,
+                    expires_at,
                     ..
                 } => {
                     code(10);
                     put(3, &id.0.to_le_bytes());
-                    put(11, &expires.to_le_bytes());
+                    put(11, &expires_at.to_le_bytes());
                     put(19, &backend.0.to_le_bytes()[..6]);
                 }
-                Action::Refuse { id, pause } => {
+                Action::Reject { id, retry_after } => {
                     code(20);
                     put(3, &id.0.to_le_bytes());
-                    put(11, &u32::try_from(*pause).unwrap_or(u32::MAX).to_le_bytes());
+                    put(
+                        11,
+                        &u32::try_from(*retry_after)
+                            .unwrap_or(u32::MAX)
+                            .to_le_bytes(),
+                    );
                 }
                 Action::Fail(id) => {
                     code(30);
@@ -337,34 +340,35 @@
                     put(3, &u32::try_from(*delay).unwrap_or(u32::MAX).to_le_bytes());
                     put(7, &token.to_le_bytes());
                 }
-                Action::Probe(backend) => {
+                Action::CheckHealth(backend) => {
                     code(60);
                     put(3, &backend.0.to_le_bytes()[..6]);
                 }
-                Action::CloseIdle(backend) => {
+                Action::CloseIdleConnections(backend) => {
                     code(70);
                     put(3, &backend.0.to_le_bytes()[..6]);
                 }
-                Action::Tell { to, bytes } => {
+                Action::SendToPeer { to, bytes } => {
                     code(80);
                     put(3, &to.map_or(u16::MAX, |peer| peer.0).to_le_bytes());
                     put(5, &(self.tail.len() as u32).to_le_bytes());
                     put(9, &(bytes.len() as u32).to_le_bytes());
                     self.tail.extend_from_slice(bytes);
                 }
-                Action::Log(text) => {
+                Action::Log(event) => {
+                    let text = event.to_string();
                     code(90);
                     put(3, &(self.tail.len() as u32).to_le_bytes());
                     put(7, &(text.len() as u32).to_le_bytes());
                     self.tail.extend_from_slice(text.as_bytes());
                 }
-                Action::Watch(on) => {
+                Action::WatchEndpoints(on) => {
                     code(110);
                     put(3, &[u8::from(*on)]);
                 }
-                Action::FetchRoster => code(120),
-                Action::Count {
-                    name,
+                Action::FetchEndpoints => code(120),
+                Action::AddToCounter {
+                    counter: name,
                     delta,
                     lifetime,
                 } => {
--- a/crates/adapter/src/wire/tests.rs
+++ b/crates/adapter/src/wire/tests.rs
@@ -1,9 +1,21 @@
 //! The frames to the byte.
 
 use super::{
-    u16_at, u32_at, Action, BTreeMap, BackendId, Decoded, GatewayNo, Record, Reply, RequestId,
+    u16_at, u32_at, Action, BTreeMap, BackendId, Decoded, GatewayId, Record, Reply, RequestId,
     ACTION, EVENT, REPLY_HEADER,
 };
+use wrenfork_decision::LogEvent;
+
+fn level_change() -> LogEvent {
+    LogEvent::LoadSheddingLevelChanged {
+        pool: 0,
+        from: 0,
+        to: 1,
+        pressure: 1.25,
+        limit: 8.0,
+        in_flight: 10,
+    }
+}
 
 #[test]
 fn every_action_has_its_code_and_its_fields_in_place() {
@@ -14,14 +26,17 @@
             Action::Send {
                 id,
                 backend,
-                expires: 77,
-                begin_by: 99,
+                expires_at: 77,
+                start_by: 99,
             },
             vec![(3, 0x0c), (11, 77), (19, 1), (24, 6)],
         ),
         (
             20,
-            Action::Refuse { id, pause: 300 },
+            Action::Reject {
+                id,
+                retry_after: 300,
+            },
             vec![(3, 0x0c), (11, 44), (12, 1)],
         ),
         (30, Action::Fail(id), vec![(3, 0x0c), (4, 0x0b)]),
@@ -35,31 +50,35 @@
             Action::SetTimer { delay: 5, token: 9 },
             vec![(3, 5), (7, 9)],
         ),
-        (60, Action::Probe(backend), vec![(3, 1), (8, 6)]),
-        (70, Action::CloseIdle(backend), vec![(3, 1), (8, 6)]),
+        (60, Action::CheckHealth(backend), vec![(3, 1), (8, 6)]),
+        (
+            70,
+            Action::CloseIdleConnections(backend),
+            vec![(3, 1), (8, 6)],
+        ),
         (
             80,
-            Action::Tell {
-                to: Some(GatewayNo(2)),
+            Action::SendToPeer {
+                to: Some(GatewayId(2)),
                 bytes: vec![8, 9],
             },
             vec![(3, 2), (5, 0), (9, 2)],
         ),
         (
             80,
-            Action::Tell {
+            Action::SendToPeer {
                 to: None,
                 bytes: vec![7],
             },
             vec![(3, 255), (4, 255), (5, 2), (9, 1)],
         ),
-        (90, Action::Log("abc".into()), vec![(3, 3), (7, 3)]),
-        (110, Action::Watch(true), vec![(3, 1)]),
-        (120, Action::FetchRoster, vec![(3, 0)]),
+        (90, Action::Log(level_change()), vec![(3, 3), (7, 51)]),
+        (110, Action::WatchEndpoints(true), vec![(3, 1)]),
+        (120, Action::FetchEndpoints, vec![(3, 0)]),
         (
             130,
-            Action::Count {
-                name: 6,
+            Action::AddToCounter {
+                counter: 6,
                 delta: 4.0,
                 lifetime: 8,
             },
@@ -74,7 +93,7 @@
     assert_eq!(u32_at(&frame, 4) as usize, frame.len());
     assert_eq!(
         &frame[REPLY_HEADER + ACTION * actions.len()..],
-        b"\x08\x09\x07abc"
+        b"\x08\x09\x07ladder: rung 0 to 1, pressure 1.25, limit 8, out 10"
     );
     for (n, (code, action, fields)) in actions.iter().enumerate() {
         let record = &frame[REPLY_HEADER + ACTION * n..][..ACTION];
@@ -127,7 +146,7 @@
         "{text}"
     );
     assert!(
-        text.contains("units: 2.0, width: 3.0, first: 0.0"),
+        text.contains("units: 2.0, gateway_span: 3.0, first_gateway: 0.0"),
         "{text}"
     );
     let settled = body(
@@ -151,28 +170,34 @@
         "BackendId(8)",
         "Ok",
         "complete: true",
-        "took: 7",
-        "metered: Some(0.5)",
+        "elapsed: 7",
+        "metered_usage: Some(0.5)",
         "queue: Some(6.0)",
     ] {
         assert!(text.contains(part), "{part} in {text}");
     }
-    assert_eq!(read(body(90, &[(3, &[6])])), "Withdrawn(RequestId(6))");
+    assert_eq!(
+        read(body(90, &[(3, &[6])])),
+        "ClientDisconnected(RequestId(6))"
+    );
     assert_eq!(read(body(70, &[(3, &[6])])), "Timer(6)");
     assert_eq!(
         read(body(100, &[(3, &[6]), (11, &[2])])),
         "FirstByte { id: RequestId(6), attempt: 2 }"
     );
     let peer = body(80, &[(3, &[2]), (5, &[1]), (9, &[2])]);
-    assert_eq!(read(peer), "Peer { from: GatewayNo(2), bytes: [5, 6] }");
+    assert_eq!(
+        read(peer),
+        "PeerMessage { from: GatewayId(2), bytes: [5, 6] }"
+    );
     let probed = read(body(30, &[(3, &[8]), (9, &[0x99, 1]), (11, &[7])]));
     assert!(
-        probed.contains("Moot") && probed.contains("took: 7"),
+        probed.contains("NotSent") && probed.contains("elapsed: 7"),
         "{probed}"
     );
     let counted = read(body(40, &[(3, &[5]), (11, &[200]), (13, &float(38.0))]));
     assert!(
-        counted.contains("name: 5") && counted.contains("38.0"),
+        counted.contains("counter: 5") && counted.contains("38.0"),
         "{counted}"
     );
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -4,8 +4,8 @@
 
 use std::collections::HashMap;
 use wrenfork_decision::{
-    Class, Discovery, GatewayNo, Group, Limits, Micros, Plan, Repeat, Report, Rules, Settings,
-    SizeMeaning,
+    BackendRules, Class, DiscoveryMode, GatewayId, Idempotency, KeyScope, Limits, LoadReport,
+    Micros, Plan, Settings, WeightMeaning,
 };
 
 /// The longest deadline of a class, a day, and the most attempts for a request: more than either is a slip of the hand.
@@ -116,13 +116,13 @@
     fn class(&self, i: u64) -> Result<Class, String> {
         let key = |name: &str| format!("grades.{i}.{name}");
         let repeat = match self.text(&key("effect"))? {
-            "repeatable" => Repeat::Safe,
-            "once" => Repeat::Once,
-            "by_key" => Repeat::Keyed {
-                group: match self.text(&key("group"))? {
-                    "all" => Group::All,
-                    "zone" => Group::Zone,
-                    "cell" => Group::Cell,
+            "repeatable" => Idempotency::Idempotent,
+            "once" => Idempotency::NotIdempotent,
+            "by_key" => Idempotency::WithKey {
+                scope: match self.text(&key("group"))? {
+                    "all" => KeyScope::All,
+                    "zone" => KeyScope::Zone,
+                    "cell" => KeyScope::Cell,
                     other => return Err(format!("setting {} is unknown: {other}", key("group"))),
                 },
                 window: self.micros(&key("window_us"))?,
@@ -130,13 +130,13 @@
             other => return Err(format!("setting {} is unknown: {other}", key("effect"))),
         };
         Ok(Class {
-            aim: self.micros(&key("objective_us"))?,
-            aim_stretch: self.number_or(&key("aim_stretch"), 0.0)?,
+            latency_objective: self.micros(&key("objective_us"))?,
+            objective_stretch: self.number_or(&key("aim_stretch"), 0.0)?,
             deadline: self.positive(&key("give_up_us"), MOST_DEADLINE)?,
-            worth: self.number(&key("worth"))?,
-            late_worth: self.number(&key("late_worth"))?,
-            repeat,
-            stream: self.flag(&key("stream"))?,
+            priority_weight: self.number(&key("worth"))?,
+            late_weight: self.number(&key("late_worth"))?,
+            idempotency: repeat,
+            streaming: self.flag(&key("stream"))?,
         })
     }
 
@@ -145,13 +145,13 @@
         Ok(Plan {
             rate: self.number(&key("quota_rate"))?,
             burst: self.number(&key("burst"))?,
-            open_cap: self.whole(&key("max_out"), u64::from(u32::MAX))? as u32,
+            max_in_flight: self.whole(&key("max_out"), u64::from(u32::MAX))? as u32,
             ceiling_rate: self.number(&key("never_over_rate"))?,
             ceiling_burst: self.number(&key("ceiling_burst"))?,
             ceiling_slack: self.number(&key("ceiling_slack"))?,
-            price: self.number(&key("worth_factor"))?,
-            over_worth: self.number(&key("over_worth"))?,
-            over_cost: self.number(&key("beyond_costs"))?,
+            weight_factor: self.number(&key("worth_factor"))?,
+            over_quota_weight: self.number(&key("over_worth"))?,
+            over_quota_cost: self.number(&key("beyond_costs"))?,
         })
     }
 
@@ -175,48 +175,48 @@
             .map(|i| self.plan(i))
             .collect::<Result<Vec<_>, _>>()?;
         Ok(Settings {
-            gateways: self.whole("n_instances", 65_535)? as u16,
-            me: GatewayNo(self.whole("slot_no", 65_535)? as u16),
+            gateway_count: self.whole("n_instances", 65_535)? as u16,
+            gateway_id: GatewayId(self.whole("slot_no", 65_535)? as u16),
             zone: self.whole("zone", 255)? as u8,
             tick: self.micros("tick_us")?,
             classes,
             plans,
             limits: Limits {
                 max_attempts: self.positive("limits.most_tries", MOST_ATTEMPTS)? as u32,
-                second_copies: self.flag("limits.second_copies")?,
-                cancel: self.flag("limits.cancelling")?,
-                probes: self.flag("limits.may_probe")?,
+                hedging: self.flag("limits.second_copies")?,
+                cancellation: self.flag("limits.cancelling")?,
+                health_checks: self.flag("limits.may_probe")?,
                 peers: self.flag("limits.peers")?,
-                peer_in_per_s: self.number("family_info.peer_in_per_s")?,
+                peer_messages_per_s: self.number("family_info.peer_in_per_s")?,
                 retry_after: self.flag("limits.retry_after")?,
                 max_retry_after: self.micros("limits.max_retry_after_us")?,
-                counter: self.flag("family_info.has_counter")?,
-                max_open: self.whole("limits.max_open", u64::from(u32::MAX))? as u32,
+                shared_counter: self.flag("family_info.has_counter")?,
+                max_pending: self.whole("limits.max_open", u64::from(u32::MAX))? as u32,
             },
-            rules: Rules {
+            rules: BackendRules {
                 answer_slack: self.micros("rules.answer_slack_us")?,
                 drain_grace: self.micros("rules.drain_grace_us")?,
-                cold_from: self.number("rules.cold_from")?,
-                cold_time: self.micros("rules.cold_us")?,
-                fall_factor: self.number("rules.overload_factor")?,
-                fall_time: self.micros("rules.fall_us")?,
-                must_ask: self.micros("rules.must_ask_in_us")?,
+                warm_up_from: self.number("rules.cold_from")?,
+                warm_up_time: self.micros("rules.cold_us")?,
+                overload_factor: self.number("rules.overload_factor")?,
+                overload_window: self.micros("rules.fall_us")?,
+                max_poll_interval: self.micros("rules.must_ask_in_us")?,
             },
             discovery: match self.text("membership_mode")? {
-                "ask" => Discovery::Ask,
-                "push" => Discovery::Push,
+                "ask" => DiscoveryMode::Poll,
+                "push" => DiscoveryMode::Push,
                 other => return Err(format!("setting membership_mode is unknown: {other}")),
             },
-            sizes: match self.text("weights")? {
-                "none" => SizeMeaning::None,
-                "live" => SizeMeaning::Live,
-                "nominal" | "rough" => SizeMeaning::Capacity,
+            weights: match self.text("weights")? {
+                "none" => WeightMeaning::None,
+                "live" => WeightMeaning::Live,
+                "nominal" | "rough" => WeightMeaning::Capacity,
                 other => return Err(format!("setting weights is unknown: {other}")),
             },
             meter_period: self.micros("family_info.meter_period_us")?,
             post_paid: self.flag("family_info.post_paid")?,
-            pools: 0,
-            words: [self.words("grades"), self.words("contracts")],
+            pool_count: 0,
+            name_digests: [self.words("grades"), self.words("contracts")],
         })
     }
 
@@ -246,11 +246,11 @@
 }
 
 /// Notes a value of a load report under the name that the settings, or plain words, give it.
-pub fn note_field(report: &mut Report, name: &str, value: Option<f64>) {
+pub fn note_field(report: &mut LoadReport, name: &str, value: Option<f64>) {
     match name {
         "concurrent" | "inflight" => report.in_flight = value,
         "depth" | "queue" => report.queue = value,
-        "load_share" | "util" => report.util = value,
+        "load_share" | "util" => report.utilization = value,
         "mean_ms" | "latency_ms" => report.latency_ms = value,
         "tps" | "qps" => report.served = value,
         "err_ps" | "eps" => report.errors = value,
--- a/crates/decision/examples/choice.rs
+++ b/crates/decision/examples/choice.rs
@@ -7,8 +7,8 @@
 
 use std::time::{Duration, Instant};
 use wrenfork_decision::{
-    Action, Availability, BackendId, Class, CustomerId, Event, Gateway, Listed, Micros, Outcome,
-    Plan, Repeat, Request, RequestId, RosterKind, Settings, MOST_TIERS,
+    Action, BackendId, Class, CustomerId, Endpoint, EndpointListKind, EndpointState, Event,
+    Gateway, Idempotency, Micros, Outcome, Plan, Request, RequestId, Settings, MAX_ROUTE_POOLS,
 };
 
 const NODES: [u64; 3] = [10, 100, 1_000];
@@ -28,46 +28,46 @@
 impl World {
     fn new(nodes: u64, pools: u8) -> World {
         let class = Class {
-            repeat: Repeat::Safe,
-            aim: SECOND,
+            idempotency: Idempotency::Idempotent,
+            latency_objective: SECOND,
             deadline: 4 * SECOND,
-            worth: 1.0,
+            priority_weight: 1.0,
             ..Class::default()
         };
         let plan = Plan {
             rate: 1e6,
             burst: 1e6,
-            open_cap: 0,
+            max_in_flight: 0,
             ceiling_rate: 0.0,
             ceiling_burst: 0.0,
             ceiling_slack: 0.0,
-            price: 1.0,
-            over_worth: 0.0,
-            over_cost: 1.0,
+            weight_factor: 1.0,
+            over_quota_weight: 0.0,
+            over_quota_cost: 1.0,
         };
         let mut settings = Settings {
             classes: vec![class],
             plans: vec![plan],
-            gateways: 1,
-            pools,
+            gateway_count: 1,
+            pool_count: pools,
             ..Settings::default()
         };
         settings.limits.peers = false;
         (
-            settings.limits.max_open,
+            settings.limits.max_pending,
             settings.limits.max_attempts,
             settings.tick,
         ) = (100_000, 3, 4_000);
         let now = 1_000_000 * SECOND;
-        let list = (0..nodes).map(|n| Listed {
+        let list = (0..nodes).map(|n| Endpoint {
             backend: BackendId(n.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
-            availability: Availability::Ready,
-            size: 1.0,
+            state: EndpointState::Ready,
+            weight: 1.0,
             // Every pool has a node, and every node a pool.
             pools: (0..u64::from(pools))
                 .filter(|p| p % nodes == n || n % u64::from(pools) == *p)
                 .fold(0, |set, p| set | 1 << p),
-            ..Listed::default()
+            ..Endpoint::default()
         });
         let mut world = World {
             gateway: Gateway::new(settings, 7, now),
@@ -76,7 +76,7 @@
             next: 0,
             actions: Vec::new(),
         };
-        let roster = Event::Roster(RosterKind::Full, list.collect());
+        let roster = Event::EndpointsChanged(EndpointListKind::Full, list.collect());
         world.gateway.handle(now, roster, &mut world.actions);
         world
     }
@@ -88,12 +88,12 @@
             self.next += 1;
             self.now += 100;
             let id = RequestId(self.next);
-            let mut tiers = [0; MOST_TIERS];
+            let mut route = [0; MAX_ROUTE_POOLS];
             if self.pools > 0 {
                 let first = (self.next % u64::from(self.pools)) as u8;
-                tiers[0] = first + 1;
+                route[0] = first + 1;
                 if self.pools > 1 {
-                    tiers[1] = (first + 1) % self.pools + 1;
+                    route[1] = (first + 1) % self.pools + 1;
                 }
             }
             let request = Request {
@@ -101,9 +101,9 @@
                 customer: CustomerId(self.next % 1_000),
                 deadline: self.now + 4 * SECOND,
                 units: 1.0,
-                width: 1.0,
-                tiers,
-                own: 1,
+                gateway_span: 1.0,
+                route,
+                own_pools: 1,
                 ..Request::default()
             };
             self.gateway
@@ -116,15 +116,15 @@
             }
             if out.len() == 4 {
                 for (id, backend) in out.drain(..) {
-                    let settled = Event::Settled {
+                    let settled = Event::AttemptCompleted {
                         id,
                         attempt: 0,
                         backend,
                         outcome: Outcome::Ok,
                         complete: true,
-                        took: 400,
-                        metered: None,
-                        charged: None,
+                        elapsed: 400,
+                        metered_usage: None,
+                        charged_units: None,
                         report: None,
                     };
                     self.gateway.handle(self.now, settled, &mut self.actions);
@@ -141,14 +141,14 @@
         .flat_map(|n| POOLS.map(|p| (*n, p, World::new(*n, p), Vec::new())))
         .collect();
     for round in 0..=ROUNDS {
-        for (_, _, world, took) in &mut worlds {
+        for (_, _, world, elapsed) in &mut worlds {
             let (each, sent) = world.run(REQUESTS);
             assert!(
                 sent >= REQUESTS * 9 / 10,
                 "only {sent} of {REQUESTS} were sent"
             );
             if round > 0 {
-                took.push(each); // the first fills caches and stores
+                elapsed.push(each); // the first fills caches and stores
             }
         }
     }
@@ -157,9 +157,9 @@
         let cells = worlds
             .iter_mut()
             .filter(|w| w.0 == nodes)
-            .map(|(_, _, _, took)| {
-                took.sort_unstable();
-                let ns = |at: usize| took[at].as_nanos();
+            .map(|(_, _, _, elapsed)| {
+                elapsed.sort_unstable();
+                let ns = |at: usize| elapsed[at].as_nanos();
                 format!("{} ns ({} to {})", ns(ROUNDS / 2), ns(0), ns(ROUNDS - 1))
             });
         println!("| {nodes} | {} |", cells.collect::<Vec<_>>().join(" | "));
--- a/crates/decision/src/control.rs
+++ b/crates/decision/src/control.rs
@@ -1,15 +1,16 @@
-//! Every decision of a gateway. Its types stand in `src/interface.rs`, its records in `src/state.rs`.
+//! Every decision of a gateway. Its types stand in `src/event.rs` and `src/action.rs`, its records in `src/state.rs`.
 use crate::{
+    action::{Action, LogEvent},
+    event::{Endpoint, EndpointListKind, EndpointState, Event, Outcome, Request},
     gossip::{
         gone_by, incarnation, tag, whole_parts, wrap, Body, Fared, Message, News, Sample, Use,
         MOST_CLASS, MOST_PLAN, MOST_SAMPLES, MOST_USES,
     },
-    interface::{
-        Action, Availability, BackendId, Class, CustomerId, Discovery, Event, GatewayNo, Group,
-        Listed, Micros, Outcome, Plan, Repeat, Request, RequestId, RosterKind, Settings,
-        SizeMeaning, MOST_POOLS,
-    },
+    ids::{BackendId, CustomerId, GatewayId, Micros, RequestId},
     pools::{Pool, Through},
+    settings::{
+        Class, DiscoveryMode, Idempotency, KeyScope, Plan, Settings, WeightMeaning, MAX_POOLS,
+    },
     state::{
         decay, mix, Attempt, Backend, Customer, Customers, Gateway, Health, Open, Usual, SECOND,
     },
@@ -97,7 +98,9 @@
         } else {
             1.0
         };
-        let own = self.rate.max(plan.rate / self.width.max(1.0) * floor);
+        let own = self
+            .rate
+            .max(plan.rate / self.gateway_span.max(1.0) * floor);
         own / (own + self.others).max(1e-9)
     }
 
@@ -135,7 +138,7 @@
 impl Usual {
     /// What is taken for usual before any answer.
     fn first(class: &Class, now: Micros) -> Usual {
-        let recent = class.aim as f64 * 0.15;
+        let recent = class.latency_objective as f64 * 0.15;
         Usual {
             recent,
             calm: recent,
@@ -155,9 +158,9 @@
             .map(|c| Usual::first(c, now))
             .collect();
         let pace = usual.iter().map(|u| u.recent).sum::<f64>() / usual.len().max(1) as f64;
-        let shares = u64::from(settings.gateways.max(1));
+        let shares = u64::from(settings.gateway_count.max(1));
         // Most of what a receiver takes in, over all senders; no faster than 20 a second: bytes cost.
-        let period = 1.5 * (shares as f64 - 1.0) / settings.limits.peer_in_per_s.max(1.0);
+        let period = 1.5 * (shares as f64 - 1.0) / settings.limits.peer_messages_per_s.max(1.0);
         let few = period <= FEW_PERIOD;
         Gateway {
             rng: seed,
@@ -165,7 +168,7 @@
             born: now,
             usual,
             retries: RETRY_BURST,
-            pools: (0..=settings.pools.min(MOST_POOLS as u8))
+            pools: (0..=settings.pool_count.min(MAX_POOLS as u8))
                 .map(|_| Pool::new(PLACES))
                 .collect(),
             pace,
@@ -202,14 +205,14 @@
         self.now = self.now.max(now);
         match event {
             Event::Request(req) => self.on_request(req, act),
-            Event::Settled { .. } => self.on_settled(event, act),
-            Event::Withdrawn(id) => self.on_gone(id, act),
+            Event::AttemptCompleted { .. } => self.on_settled(event, act),
+            Event::ClientDisconnected(id) => self.on_gone(id, act),
             Event::FirstByte { id, attempt } => self.on_first_byte(id, attempt, act),
-            Event::Peer { from, bytes } => self.on_peer(from, &bytes, act),
-            Event::Roster(kind, list) => self.on_roster(kind, list, act),
-            Event::Settings(new) => self.on_settings(*new),
+            Event::PeerMessage { from, bytes } => self.on_peer(from, &bytes, act),
+            Event::EndpointsChanged(kind, list) => self.on_roster(kind, list, act),
+            Event::SettingsChanged(new) => self.on_settings(*new),
             Event::Timer(_) if self.now < self.wake_at => return,
-            Event::Timer(_) | Event::Probed { .. } | Event::Counted { .. } => {}
+            Event::Timer(_) | Event::HealthChecked { .. } | Event::CounterUpdated { .. } => {}
         }
         if self.now >= self.wake_at {
             self.on_wake(act);
@@ -251,10 +254,10 @@
         let (quota, ceiling) = self.wait_for_room(&req);
         let c = &self.customers[&req.customer];
         // A no may rest on older news than a yes: else a red customer's retries ask without end.
-        let red = quota.is_some() && self.s.plans[plan].open_cap == 0;
+        let red = quota.is_some() && self.s.plans[plan].max_in_flight == 0;
         let fresh = now - c.news_at.min(now) < if red { NO_AGAIN } else { FRESH };
-        let known = fresh || self.lead(c) == self.s.me.0;
-        let short = ceiling.is_some() && quota.is_none() && c.pools != [self.s.me.0; 2];
+        let known = fresh || self.lead(c) == self.s.gateway_id.0;
+        let short = ceiling.is_some() && quota.is_none() && c.pools != [self.s.gateway_id.0; 2];
         if !may_wait || (known && !short) {
             self.requests.insert(req.id, open);
             return self.admit(req.id, true, act);
@@ -267,7 +270,7 @@
     /// small fleet each home's own, and where there is nobody to ask one's own.
     fn lead(&self, c: &Customer) -> u16 {
         if (self.period > 0 && c.home) || !self.s.limits.peers {
-            return self.s.me.0;
+            return self.s.gateway_id.0;
         }
         let heard = |h: &&u16| self.peers.get(h).is_none_or(|p| p.silent_until <= self.now);
         *c.pools.iter().find(heard).unwrap_or(&c.pools[0])
@@ -287,14 +290,17 @@
         };
         o.held = true;
         // Past its deadline it has no time left, and is asked for once more all the same.
-        let aim = o.class.aim;
+        let aim = o.class.latency_objective;
         let left = req
             .deadline
             .checked_sub(now)
             .map_or(aim, |left| left.min(aim));
         self.checks
             .push(Reverse((now + FRESH.min(left / 5), req.id)));
-        let (me, lead) = (self.s.me.0, self.lead(&self.customers[&req.customer]));
+        let (me, lead) = (
+            self.s.gateway_id.0,
+            self.lead(&self.customers[&req.customer]),
+        );
         let Some(c) = self.customers.get_mut(&req.customer) else {
             return;
         };
@@ -321,7 +327,11 @@
         let Some(o) = self.requests.get_mut(&id) else {
             return;
         };
-        let (req, aim, held) = (o.req, o.class.aim, std::mem::take(&mut o.held));
+        let (req, aim, held) = (
+            o.req,
+            o.class.latency_objective,
+            std::mem::take(&mut o.held),
+        );
         let (quota_wait, ceiling_wait) = self.wait_for_room(&req);
         let wait = quota_wait.into_iter().chain(ceiling_wait).reduce(f64::max);
         // The fuller the line, the fewer customers may join it; the same ones for an epoch, as on the ladder.
@@ -380,9 +390,9 @@
         } else {
             0
         };
-        act.push(Action::Refuse {
+        act.push(Action::Reject {
             id,
-            pause: pause.min(most),
+            retry_after: pause.min(most),
         });
     }
 
@@ -390,16 +400,16 @@
     fn meet(&mut self, req: &Request) -> bool {
         let now = self.now;
         let plan = &self.s.plans[usize::from(req.plan)];
-        let most = self.s.gateways.max(1) as f64;
-        let sane = req.width.is_finite() && (0.0..most).contains(&req.first);
-        let (first, width) = if sane {
-            (req.first.floor(), req.width.clamp(1.0, most))
+        let most = self.s.gateway_count.max(1) as f64;
+        let sane = req.gateway_span.is_finite() && (0.0..most).contains(&req.first_gateway);
+        let (first_gateway, gateway_span) = if sane {
+            (req.first_gateway.floor(), req.gateway_span.clamp(1.0, most))
         } else {
             (0.0, most)
         };
         // Of a customer unseen here a gateway that is no home lets its share through, or one request.
-        let level = (plan.burst / width).max(req.units).min(plan.burst);
-        let others = plan.rate * (1.0 - 1.0 / width);
+        let level = (plan.burst / gateway_span).max(req.units).min(plan.burst);
+        let others = plan.rate * (1.0 - 1.0 / gateway_span);
         let new = || Customer {
             level,
             others,
@@ -410,28 +420,34 @@
         let unseen = c.seen == 0 || now - c.seen > AGING;
         (c.plan, c.seen) = (usize::from(req.plan), now);
         let burst = plan.burst;
-        self.settle_in(req.customer, first as u16, width as u16, burst);
+        self.settle_in(
+            req.customer,
+            first_gateway as u16,
+            gateway_span as u16,
+            burst,
+        );
         unseen
     }
 
     /// Fixes, for good, a customer's homes and the part of its ceiling here: not given out twice. A home
     /// begins with a `level` (full, if nobody told another: most use little of their buckets, and where all
     /// homes are new nobody knows better) and asks the others: an older one's word comes in its place.
-    fn settle_in(&mut self, id: CustomerId, first: u16, width: u16, level: f64) {
+    fn settle_in(&mut self, id: CustomerId, first_gateway: u16, gateway_span: u16, level: f64) {
         let (few, me, all, life) = (
             self.period > 0,
-            self.s.me.0,
-            self.s.gateways,
+            self.s.gateway_id.0,
+            self.s.gateway_count,
             self.now - self.born,
         );
         let Some(c) = self.customers.get_mut(&id).filter(|c| c.homes.is_empty()) else {
             return;
         };
-        let (plan, set) = (&self.s.plans[c.plan], u64::from(width.clamp(1, all)));
-        let at = |n: u64| ((u64::from(first) + n % set) % u64::from(all)) as u16;
+        let (plan, set) = (&self.s.plans[c.plan], u64::from(gateway_span.clamp(1, all)));
+        let at = |n: u64| ((u64::from(first_gateway) + n % set) % u64::from(all)) as u16;
         let one = (mix(id.0) * set as f64) as u64;
         let other = 1 + (mix(!id.0) * (set as f64 - 1.0)) as u64;
-        (c.first, c.width, c.pools) = (first, set as f64, [at(one), at(one + other)]);
+        (c.first_gateway, c.gateway_span, c.pools) =
+            (first_gateway, set as f64, [at(one), at(one + other)]);
         c.homes = if few {
             (0..set).map(at).collect()
         } else {
@@ -441,7 +457,7 @@
         c.home = c.homes.contains(&me);
         // Half of the ceiling lies with two, who hand it out; each has some for when they are not heard.
         // Where a part is less than a unit it would serve nobody; and where one is asked first, it has most.
-        let useless = plan.ceiling_burst * (1.0 - POOLED) < c.width;
+        let useless = plan.ceiling_burst * (1.0 - POOLED) < c.gateway_span;
         let (pooled, lead) = (
             if useless { 1.0 } else { POOLED },
             if few { 0.5 } else { LEADS },
@@ -452,7 +468,7 @@
             .zip([lead, 1.0 - lead])
             .filter(|(p, _)| **p == me)
             .map(|(_, part)| part);
-        c.part = (1.0 - pooled) / c.width + pooled * parts.sum::<f64>();
+        c.part = (1.0 - pooled) / c.gateway_span + pooled * parts.sum::<f64>();
         // It counts from nothing at this start: what went before is not known here.
         c.ceiling = (plan.ceiling_rate * life as f64 / SECOND).min(plan.ceiling_burst) * c.part;
         if !c.home || !self.s.limits.peers {
@@ -489,7 +505,7 @@
         // What a lead hears of it has been asked for; elsewhere its word was right when it came.
         let span = match self.period {
             // One that nobody has told of passes its first request by itself: most are far from their quotas.
-            0 if self.lead(c) == self.s.me.0 || c.news_at == 0 => 0,
+            0 if self.lead(c) == self.s.gateway_id.0 || c.news_at == 0 => 0,
             0 => UNHEARD.min(self.now - c.news_at.min(self.now)),
             period => period + UNHEARD,
         };
@@ -508,7 +524,7 @@
             .min((self.period + UNHEARD) as f64);
         let begun = c.others * lasts / SECOND / req.units.max(0.1);
         let open = c.open + c.others_open + begun as u32;
-        if plan.open_cap > 0 && open >= plan.open_cap {
+        if plan.max_in_flight > 0 && open >= plan.max_in_flight {
             quota = Some(
                 quota
                     .unwrap_or(0.0)
@@ -548,15 +564,15 @@
             .s
             .plans
             .iter()
-            .map(|p| p.price)
+            .map(|p| p.weight_factor)
             .fold(f64::MIN, f64::max);
-        let differ = self.s.plans.iter().any(|p| p.price < top);
+        let differ = self.s.plans.iter().any(|p| p.weight_factor < top);
         let share = if rung == LAST_RUNG && differ {
             0.0
         } else {
             AMBER[rung.min(3)]
         };
-        (differ && self.s.plans[plan].price >= top) || self.draw(customer) < share
+        (differ && self.s.plans[plan].weight_factor >= top) || self.draw(customer) < share
     }
 
     fn draw(&self, customer: CustomerId) -> f64 {
@@ -602,7 +618,7 @@
         let cold = self
             .backends
             .ready()
-            .filter_map(|(_, b)| self.cold(b).map(|warmth| warmth * b.size));
+            .filter_map(|(_, b)| self.cold(b).map(|warmth| warmth * b.weight));
         self.cold_able = cold.sum();
         let warmth = |p: &usize| self.cold(self.backends.at(*p)).unwrap_or(1.0);
         let able = |p: &usize| warmth(p).min(1.0 / self.backends.at(*p).slow);
@@ -632,16 +648,15 @@
         }
         if rung != p.rung {
             p.rung_since = now;
-            let of = if at == 0 {
-                String::new()
-            } else {
-                format!(" of pool {at}")
-            };
             let (up, pressure, out) = (p.rung, p.pressure, p.out);
-            let text = format!(
-                "ladder{of}: rung {rung} to {up}, pressure {pressure:.2}, limit {limit:.0}, out {out}"
-            );
-            act.push(Action::Log(text));
+            act.push(Action::Log(LogEvent::LoadSheddingLevelChanged {
+                pool: at,
+                from: rung,
+                to: up,
+                pressure,
+                limit,
+                in_flight: out,
+            }));
         }
         // One cut in a memory of the pressure: answers sent before a cut must not cause the next one.
         if p.pressure > ALERT_ON && now - p.limit_at > (PRESSURE_TAU * SECOND) as Micros {
@@ -675,10 +690,10 @@
 
     /// How warm a backend is for sure; none where it is cold no more.
     fn cold(&self, b: &Backend) -> Option<f64> {
-        let (rules, age) = (&self.s.rules, self.now.saturating_sub(b.listed.started));
-        let cold = b.listed.started > 0 && age < rules.cold_time;
+        let (rules, age) = (&self.s.rules, self.now.saturating_sub(b.listed.started_at));
+        let cold = b.listed.started_at > 0 && age < rules.warm_up_time;
         cold.then(|| {
-            rules.cold_from + (1.0 - rules.cold_from) * age as f64 / rules.cold_time as f64
+            rules.warm_up_from + (1.0 - rules.warm_up_from) * age as f64 / rules.warm_up_time as f64
         })
     }
 
@@ -690,21 +705,22 @@
         let Some(warmth) = self.cold(b) else {
             return (1.0, true);
         };
-        let (rules, span) = (&self.s.rules, self.s.rules.fall_time.max(1));
+        let (rules, span) = (&self.s.rules, self.s.rules.overload_window.max(1));
         let within = |sends: &VecDeque<Micros>| {
             sends.iter().filter(|t| **t + span > self.now).count() as f64
         };
         let rate = self.sent_rate * decay(self.sent_at, self.now, RATE_TAU);
-        let fair = rate / self.pools[0].ready_size.max(b.size) * span as f64 / SECOND * part;
+        let fair = rate / self.pools[0].ready_size.max(b.weight) * span as f64 / SECOND * part;
         let (budget, all) = (
-            rules.fall_factor * COLD_MARGIN * fair,
-            self.cold_able.max(b.size * warmth),
+            rules.overload_factor * COLD_MARGIN * fair,
+            self.cold_able.max(b.weight * warmth),
         );
         let (own, all) = (
-            (budget * b.size * warmth).max(part / self.shares as f64),
+            (budget * b.weight * warmth).max(part / self.shares as f64),
             budget * all,
         );
-        let lot = |of: u64| mix(of ^ (self.now / span) << 48 ^ u64::from(self.s.me.0) << 32);
+        let lot =
+            |of: u64| mix(of ^ (self.now / span) << 48 ^ u64::from(self.s.gateway_id.0) << 32);
         let recent = within(&b.cold_sends);
         let pooled = own < 1.0 && !bound && recent == 0.0;
         let may = recent + lot(b.listed.backend.0) < own
@@ -722,9 +738,9 @@
         } else {
             1.0
         };
-        let bound = match (o.class.repeat, o.may_have_run()) {
-            _ if now.saturating_add(self.s.tick) >= o.begin_by() => return None,
-            (Repeat::Keyed { group, .. }, Some(a)) => Some((group, a.to)),
+        let bound = match (o.class.idempotency, o.may_have_run()) {
+            _ if now.saturating_add(self.s.tick) >= o.start_by() => return None,
+            (Idempotency::WithKey { scope: group, .. }, Some(a)) => Some((group, a.to)),
             _ => None,
         };
         // Two drawn by their weight, and more the more of the load is its own: what many see as the
@@ -750,16 +766,16 @@
                 .backends
                 .at(pool.order[((noise * n as f64) as usize + step) % n]);
             let bid = b.listed.backend;
-            let fits = bound.is_none_or(|(group, l): (Group, Listed)| {
+            let fits = bound.is_none_or(|(group, l): (KeyScope, Endpoint)| {
                 let (zone, cell) = (b.listed.zone == l.zone, b.listed.cell == l.cell);
-                group == Group::All
-                    || (group == Group::Zone && zone)
-                    || (group == Group::Cell && cell)
+                group == KeyScope::All
+                    || (group == KeyScope::Zone && zone)
+                    || (group == KeyScope::Cell && cell)
             });
             let tried = o.attempts.iter().any(|a| a.to.backend == bid);
             let (warmth, may) = self.warmth(b, part, bound.is_some());
             // Its slowness was learned while it was cold: by both, it would count twice.
-            let weight = b.size * warmth.sqrt() / b.slow * all as f64 / pool.ready_size / 2.0;
+            let weight = b.weight * warmth.sqrt() / b.slow * all as f64 / pool.ready_size / 2.0;
             if !fits || !may || (want < all && mix(self.rng ^ (step as u64) << 40) > weight) {
                 continue;
             }
@@ -819,7 +835,7 @@
         self.customers
             .entry(o.req.customer)
             .and_modify(|c| c.open += 1);
-        let (patience, begin_by) = (o.patience(), o.begin_by());
+        let (patience, start_by) = (o.patience(), o.start_by());
         self.checks
             .push(Reverse((now + (patience * SILENCE) as Micros, id)));
         self.pools[at].sent(guest, now);
@@ -839,9 +855,9 @@
                 void: false,
             });
             b.out += 1;
-            if b.listed.started > 0 && now < b.listed.started + self.s.rules.cold_time {
+            if b.listed.started_at > 0 && now < b.listed.started_at + self.s.rules.warm_up_time {
                 for sends in [&mut b.cold_sends, &mut self.cold_sends] {
-                    sends.retain(|t| *t + self.s.rules.fall_time > now);
+                    sends.retain(|t| *t + self.s.rules.overload_window > now);
                     sends.push_back(now);
                 }
             }
@@ -849,8 +865,8 @@
         act.push(Action::Send {
             id,
             backend: bid,
-            expires: 0,
-            begin_by,
+            expires_at: 0,
+            start_by,
         });
         true
     }
@@ -859,26 +875,26 @@
 
     /// An answer's lesson, of an attempt `through` a pool; one that a peer had counts, but rests nobody.
     fn learn(&mut self, bid: BackendId, class: usize, fared: Fared, through: Option<Through>) {
-        let took = if let Fared::Answered(took) = fared {
-            Some(took)
+        let elapsed = if let Fared::Answered(elapsed) = fared {
+            Some(elapsed)
         } else {
             None
         };
         let (now, aim, own) = (
             self.now,
-            self.s.classes[class].aim.max(1) as f64,
+            self.s.classes[class].latency_objective.max(1) as f64,
             through.is_some(),
         );
         let Some(b) = self.backends.get_mut(&bid) else {
             return;
         };
         if let Some((at, _)) = through {
-            self.pools[at].note(took.is_none(), now);
+            self.pools[at].note(elapsed.is_none(), now);
         }
-        b.troubled |= took.is_none();
-        b.health[class].note(now, took.is_none(), if own { 0.15 } else { 0.1 });
+        b.troubled |= elapsed.is_none();
+        b.health[class].note(now, elapsed.is_none(), if own { 0.15 } else { 0.1 });
         if own && self.period == 0 && class <= MOST_CLASS {
-            let fared = took.map_or(fared, |t| Fared::Answered(t / aim));
+            let fared = elapsed.map_or(fared, |t| Fared::Answered(t / aim));
             let sample = Sample {
                 tag: tag(bid.0),
                 class: class as u8,
@@ -887,35 +903,35 @@
             self.samples.push_front((TELLINGS, sample));
             self.samples.truncate(MOST_SAMPLES);
         }
-        let Some(took) = took.filter(|_| now != self.woke) else {
+        let Some(elapsed) = elapsed.filter(|_| now != self.woke) else {
             return;
         };
         let u = &mut self.usual[class];
-        b.slow = (b.slow + 0.1 * ((took / u.recent.max(1.0)).min(4.0) - b.slow)).max(0.3);
+        b.slow = (b.slow + 0.1 * ((elapsed / u.recent.max(1.0)).min(4.0) - b.slow)).max(0.3);
         u.count += 1.0;
-        u.recent += (took - u.recent) / u.count.min(20.0);
+        u.recent += (elapsed - u.recent) / u.count.min(20.0);
         // Down at once, up by a percent a second: half a minute of overload must not pass for calm.
         let creep = 1.0 + (now - u.at) as f64 / SECOND * CALM_CREEP;
-        u.long += (took - u.long) / u.count.min(LONG);
+        u.long += (elapsed - u.long) / u.count.min(LONG);
         u.calm = if u.count <= 20.0 {
             u.recent.min(aim * 0.3)
         } else {
             u.long.min(u.calm * creep)
         };
         u.at = now;
-        let strain = took / u.calm.max(1.0);
-        self.pace += 0.05 * (took - self.pace);
+        let strain = elapsed / u.calm.max(1.0);
+        self.pace += 0.05 * (elapsed - self.pace);
         // What a peer felt was in a pool of the backend's that it does not tell.
         let listed = b.listed;
         match through {
-            Some(at) => self.feel(at, took / (aim * AIM_SHARE), strain),
+            Some(at) => self.feel(at, elapsed / (aim * AIM_SHARE), strain),
             None if self.pools.len() == 1 => {
-                self.feel((0, false), took / (aim * AIM_SHARE), strain)
+                self.feel((0, false), elapsed / (aim * AIM_SHARE), strain)
             }
             None => {
                 let of: Vec<usize> = self.pools_of(&listed).collect();
                 of.into_iter()
-                    .for_each(|at| self.feel((at, false), took / (aim * AIM_SHARE), strain));
+                    .for_each(|at| self.feel((at, false), elapsed / (aim * AIM_SHARE), strain));
             }
         }
     }
@@ -924,7 +940,7 @@
         &mut self,
         bid: BackendId,
         outcome: Outcome,
-        took: Micros,
+        elapsed: Micros,
         of: Option<(usize, Through)>,
     ) {
         let (Some(b), Some((class, at))) = (self.backends.get_mut(&bid), of) else {
@@ -932,7 +948,7 @@
         };
         if matches!(
             outcome,
-            Outcome::Moot | Outcome::Cancelled | Outcome::TimedOut
+            Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut
         ) {
             return;
         }
@@ -949,7 +965,7 @@
             .note(now, !reached, weight);
         let h = &mut b.health[class];
         h.heard = now;
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             b.queue += self.shares as f64;
             return self.feel(at, 2.0, 7.0);
         }
@@ -960,7 +976,7 @@
             h.strikes = 0;
         }
         let fared = match outcome {
-            _ if !bad => Fared::Answered(took as f64),
+            _ if !bad => Fared::Answered(elapsed as f64),
             Outcome::ConnectFailed => Fared::Silent,
             _ => Fared::Failed,
         };
@@ -968,14 +984,14 @@
     }
 
     fn on_settled(&mut self, event: Event, act: &mut Vec<Action>) {
-        let Event::Settled {
+        let Event::AttemptCompleted {
             id,
             attempt,
             backend,
             outcome,
             complete,
-            took,
-            charged,
+            elapsed,
+            charged_units,
             report,
             ..
         } = event
@@ -989,7 +1005,7 @@
                 .map_or((0, false), |a| (a.pool, a.guest));
             (usize::from(o.req.class), through)
         });
-        self.on_answer(backend, outcome, took, of);
+        self.on_answer(backend, outcome, elapsed, of);
         if let (Some(b), Some(queue)) = (
             self.backends.get_mut(&backend),
             report.and_then(|r| r.queue),
@@ -1011,13 +1027,13 @@
             b.out = b.out.saturating_sub(1);
         }
         let (customer, units) = (o.req.customer, o.req.units);
-        let more = charged
+        let more = charged_units
             .filter(|_| self.s.post_paid)
             .map_or(0.0, |u| u - units);
         let mut news = more != 0.0;
         if let Some(c) = self.customers.get_mut(&customer) {
             (c.open, c.level, c.used) = (c.open.saturating_sub(1), c.level - more, c.used + more);
-            news |= self.s.plans[c.plan].open_cap > 0;
+            news |= self.s.plans[c.plan].max_in_flight > 0;
         }
         o.done |= complete || outcome == Outcome::Ok;
         if o.done {
@@ -1048,10 +1064,11 @@
     fn again(&mut self, id: RequestId, act: &mut Vec<Action>) -> bool {
         let o = &self.requests[&id];
         let class = &o.class;
-        let allowed = class.repeat != Repeat::Once || o.may_have_run().is_none();
-        let useful = self.now + self.s.tick < (o.arrived + class.aim).min(o.req.deadline);
+        let allowed = class.idempotency != Idempotency::NotIdempotent || o.may_have_run().is_none();
+        let useful =
+            self.now + self.s.tick < (o.arrived + class.latency_objective).min(o.req.deadline);
         let room = (o.attempts.len() as u32) < o.most;
-        let single = o.out() == 0 || self.s.limits.second_copies;
+        let single = o.out() == 0 || self.s.limits.hedging;
         let cost = if o.out() == 0 { 1.0 } else { COPY_COST };
         let sent =
             allowed && useful && room && single && self.retries >= cost && self.resend(id, act);
@@ -1065,10 +1082,10 @@
             return;
         };
         if matches!(
-            o.class.repeat,
-            Repeat::Safe
-                | Repeat::Keyed {
-                    group: Group::All,
+            o.class.idempotency,
+            Idempotency::Idempotent
+                | Idempotency::WithKey {
+                    scope: KeyScope::All,
                     ..
                 }
         ) || o.may_have_run().is_none()
@@ -1086,7 +1103,7 @@
             return;
         };
         o.done = true;
-        o.call_off(None, self.s.limits.cancel && !o.streaming, act);
+        o.call_off(None, self.s.limits.cancellation && !o.streaming, act);
         if o.out() == 0 {
             let (req, unsent, held) = (o.req, o.attempts.is_empty(), o.held);
             self.requests.remove(&id);
@@ -1123,9 +1140,9 @@
         let ready: Vec<u16> = self.due.iter().copied().filter(ready).collect();
         ready.into_iter().for_each(|p| self.flush(p, act));
         self.sweep(act);
-        if self.s.discovery == Discovery::Ask && now >= self.watch_at {
-            self.watch_at = now + (self.s.rules.must_ask / 2).max(1);
-            act.push(Action::Watch(true));
+        if self.s.discovery == DiscoveryMode::Poll && now >= self.watch_at {
+            self.watch_at = now + (self.s.rules.max_poll_interval / 2).max(1);
+            act.push(Action::WatchEndpoints(true));
         }
     }
 
@@ -1139,7 +1156,8 @@
         let Some(o) = self.requests.get(&id).filter(|o| !o.done && o.out() == 0) else {
             return true;
         };
-        let end = self.now > o.arrived + self.hold(o.req.class, o.class.aim) as Micros
+        let end = self.now
+            > o.arrived + self.hold(o.req.class, o.class.latency_objective) as Micros
             || !self.may_wait(o, self.now);
         if end {
             self.finish(id, act);
@@ -1156,7 +1174,7 @@
         else {
             return false;
         };
-        let (asked, me) = (c.asked, self.s.me.0);
+        let (asked, me) = (c.asked, self.s.gateway_id.0);
         let p = self.peers.entry(asked).or_default();
         let first = p.silent_until <= self.now;
         p.silent_until = self.now + AGING / 10;
@@ -1190,7 +1208,10 @@
             return;
         };
         let k = usize::from(o.req.class);
-        let (once, patience) = (o.class.repeat == Repeat::Once, o.patience());
+        let (once, patience) = (
+            o.class.idempotency == Idempotency::NotIdempotent,
+            o.patience(),
+        );
         let Some(a) = o.attempts.iter_mut().rev().find(|a| a.out && !a.cancelled) else {
             return;
         };
@@ -1224,7 +1245,7 @@
             return;
         }
         let (again, limits) = ((dead || self.pools[at].rung == 0) && !once, &self.s.limits);
-        let move_it = again && dead && now < hedge_at && !limits.second_copies && limits.cancel;
+        let move_it = again && dead && now < hedge_at && !limits.hedging && limits.cancellation;
         if move_it && self.retries >= COPY_COST {
             self.retries -= COPY_COST - 1.0; // the rest with the retry that follows
             o.call_off(None, true, act);
@@ -1242,7 +1263,7 @@
             b.health[k].rest(now);
             self.learn(bid, k, Fared::Silent, Some((at, guest)));
         }
-        if again && self.s.limits.second_copies {
+        if again && self.s.limits.hedging {
             self.again(id, act);
         }
     }
@@ -1254,7 +1275,11 @@
         let Some(c) = self.customers.get(&id).filter(|_| self.s.limits.peers) else {
             return;
         };
-        let (me, pools, capped) = (self.s.me.0, c.pools, self.s.plans[c.plan].open_cap > 0);
+        let (me, pools, capped) = (
+            self.s.gateway_id.0,
+            c.pools,
+            self.s.plans[c.plan].max_in_flight > 0,
+        );
         let one = if ask { c.asked } else { self.lead(c) };
         let to = if self.period > 0 {
             c.homes.clone()
@@ -1277,7 +1302,7 @@
 
     /// Whether one more message may go: all together must not send more than all together take in.
     fn may_tell(&mut self) -> bool {
-        let rate = self.s.limits.peer_in_per_s * TELLS;
+        let rate = self.s.limits.peer_messages_per_s * TELLS;
         let (now, most) = (self.now, rate / 4.0);
         let filled = rate * (now - self.tells_at.max(self.born)) as f64 / SECOND;
         (self.tells, self.tells_at) = ((self.tells + filled).min(most), now);
@@ -1306,7 +1331,7 @@
         if p.outbox.is_empty() {
             self.due.remove(&to);
         }
-        let (mut uses, now, me, few) = (Vec::new(), self.now, self.s.me.0, self.period > 0);
+        let (mut uses, now, me, few) = (Vec::new(), self.now, self.s.gateway_id.0, self.period > 0);
         for (customer, (_, ask)) in list {
             let Some(c) = self.fill(customer) else {
                 continue;
@@ -1315,7 +1340,8 @@
             // One of the two is asked for ceiling units, by lot: two gifts would waste one.
             let at = c.pools[usize::from(mix(now ^ customer.0) < 0.5)];
             let short = ask && c.short && (at == to || c.pools.contains(&me) || !few);
-            let (first, width, units) = (c.first, c.width as u16, c.asks);
+            let (first_gateway, gateway_span, units) =
+                (c.first_gateway, c.gateway_span as u16, c.asks);
             let (total, open, plan, level) = (wrap(c.used), c.open.min(127) as u8, c.plan, c.level);
             let full = (level / self.s.plans[plan].burst.max(1e-9) * 254.0).clamp(0.0, 254.0) as u8;
             let (plan, level) = (plan.min(MOST_PLAN) as u8, if known { full } else { 255 });
@@ -1325,8 +1351,8 @@
                 total,
                 open,
                 level,
-                first,
-                width,
+                first_gateway,
+                gateway_span,
                 ask,
                 units,
                 short,
@@ -1342,7 +1368,7 @@
             return;
         }
         self.sweep_at = now + SECOND as Micros;
-        let (me, peers) = (self.s.me.0, self.s.limits.peers);
+        let (me, peers) = (self.s.gateway_id.0, self.s.limits.peers);
         let (mirrored, due) = (now.saturating_sub(SECOND as Micros), &mut self.due);
         self.customers.retain(|id, c| {
             let p = &plans[c.plan];
@@ -1351,7 +1377,7 @@
                 other.outbox.entry(*id).or_insert((1, false));
                 due.insert(c.pools[1]);
             }
-            if p.open_cap > 0 && c.home {
+            if p.max_in_flight > 0 && c.home {
                 // Attempts of a peer that fell silent hold no place for ever.
                 c.heard
                     .values_mut()
@@ -1359,7 +1385,7 @@
                     .for_each(|h| h.open = 0);
                 c.others_open = c.heard.values().map(|h| u32::from(h.open)).sum();
             }
-            if p.open_cap > 0 && c.open > 0 {
+            if p.max_in_flight > 0 && c.open > 0 {
                 again.push(*id);
             }
             // Their counts go on: once forgotten, all that one let through would pass for new.
@@ -1375,12 +1401,12 @@
         again.into_iter().for_each(|id| self.report(id, false, act));
     }
 
-    fn on_peer(&mut self, from: GatewayNo, bytes: &[u8], act: &mut Vec<Action>) {
+    fn on_peer(&mut self, from: GatewayId, bytes: &[u8], act: &mut Vec<Action>) {
         let Some(m) = Message::unpack(bytes) else {
             return;
         };
         let (now, mine) = (self.now, incarnation(self.born));
-        if from == self.s.me || from.0 >= self.s.gateways {
+        if from == self.s.gateway_id || from.0 >= self.s.gateway_count {
             return;
         }
         let peer = self.peers.entry(from.0).or_default();
@@ -1404,11 +1430,11 @@
             return; // a repeat, or overtaken
         }
         (peer.seq, peer.silent_until) = (m.seq, 0);
-        let [classes, plans] = [0, 1].map(|n| m.words[n] == self.s.words[n]); // the same places there as here
+        let [classes, plans] = [0, 1].map(|n| m.name_digests[n] == self.s.name_digests[n]); // the same places there as here
         for s in m.samples.into_iter().filter(|_| classes) {
             let class = usize::from(s.class);
             if let (Some(bid), Some(k)) = (self.tags.get(&s.tag), self.s.classes.get(class)) {
-                let (bid, aim) = (*bid, k.aim as f64);
+                let (bid, aim) = (*bid, k.latency_objective as f64);
                 // What peers can't reach tells of the zone, and what they reach; some of it is from before.
                 let zone = self.backends.get(&bid).map_or(u8::MAX, |b| b.listed.zone);
                 self.zones.entry(zone).or_default().note(
@@ -1471,7 +1497,7 @@
         let plan = self.s.plans.get(place)?;
         let (burst, cap, told) = (
             plan.burst,
-            plan.open_cap,
+            plan.max_in_flight,
             f64::from(u.level) / 254.0 * plan.burst,
         );
         // Of a customer that never came here the sender's view counts, if it has one.
@@ -1486,7 +1512,7 @@
         if known.is_some_and(|k| k.1) {
             c.plan = place; // the settings have changed since it was seen here, and a peer knows its plan
         }
-        self.settle_in(u.customer, u.first, u.width, level);
+        self.settle_in(u.customer, u.first_gateway, u.gateway_span, level);
         let c = self.fill(u.customer)?;
         if c.plan != place || !c.home {
             return None; // not a home of this one
@@ -1546,7 +1572,7 @@
 
     /// A home's word on a customer: the bucket is what it says, less what it cannot have heard.
     fn on_news(&mut self, from: u16, older: bool, n: News, act: &mut Vec<Action>) {
-        let (now, me, few) = (self.now, self.s.me.0, self.period > 0);
+        let (now, me, few) = (self.now, self.s.gateway_id.0, self.period > 0);
         let Some(lead) = self.customers.get(&n.customer).map(|c| self.lead(c)) else {
             return;
         };
@@ -1585,13 +1611,11 @@
     /// Open requests end under their class as it was; buckets are filled by the old figures till now.
     fn on_settings(&mut self, mut new: Settings) {
         // Places beyond the end may be in use still; what they were sold for must not count on the ladder.
-        let price = new.plans.last().map_or(1.0, |p| p.price);
-        let rest = self
-            .s
-            .plans
-            .iter()
-            .skip(new.plans.len())
-            .map(|p| Plan { price, ..p.clone() });
+        let weight_factor = new.plans.last().map_or(1.0, |p| p.weight_factor);
+        let rest = self.s.plans.iter().skip(new.plans.len()).map(|p| Plan {
+            weight_factor,
+            ..p.clone()
+        });
         new.plans.extend(rest);
         new.classes
             .extend(self.s.classes.iter().skip(new.classes.len()));
@@ -1601,7 +1625,7 @@
         }
         // A name that comes back with another effect is another class: nothing of the old one is its.
         let known = self.s.classes.iter().zip(&new.classes).enumerate();
-        for (k, (_, c)) in known.filter(|(_, (was, is))| was.repeat != is.repeat) {
+        for (k, (_, c)) in known.filter(|(_, (was, is))| was.idempotency != is.idempotency) {
             self.usual[k] = Usual::first(c, self.now);
             self.backends
                 .values_mut()
@@ -1618,36 +1642,38 @@
         let known = backends.filter(|b| !b.health.is_empty());
         known.for_each(|b| b.health.resize(count, Health::default()));
         (self.s.classes, self.s.plans, self.s.rules) = (new.classes, new.plans, new.rules);
-        (self.s.limits, self.s.words, self.changed_at) = (new.limits, new.words, self.now);
+        (self.s.limits, self.s.name_digests, self.changed_at) =
+            (new.limits, new.name_digests, self.now);
         // Pools that went are in no request that comes; what is out of them counts until it is back.
-        let pools = usize::from(new.pools) + 1;
+        let pools = usize::from(new.pool_count) + 1;
         self.pools
             .resize_with(pools.max(self.pools.len()), || Pool::new(PLACES));
     }
 
     // ---- 8. The list of backends ----
 
-    fn on_roster(&mut self, kind: RosterKind, list: Vec<Listed>, act: &mut Vec<Action>) {
-        if kind == RosterKind::Failed {
+    fn on_roster(&mut self, kind: EndpointListKind, list: Vec<Endpoint>, act: &mut Vec<Action>) {
+        if kind == EndpointListKind::Failed {
             return self.watch_at = self
                 .watch_at
-                .min(self.now + (self.s.rules.must_ask / 8).max(1));
+                .min(self.now + (self.s.rules.max_poll_interval / 8).max(1));
         }
-        if kind != RosterKind::Delta {
+        if kind != EndpointListKind::Delta {
             self.backends.values_mut().for_each(|b| b.ready = false); // absent from a whole list: gone
         }
         let health = vec![Health::default(); self.s.classes.len()];
         for l in list {
             let b = self.backends.entry(l.backend);
-            if b.health.is_empty() || l.started != b.listed.started {
+            if b.health.is_empty() || l.started_at != b.listed.started_at {
                 (b.slow, b.health, b.queue) = (1.0, health.clone(), 0.0); // a new process, a new record
                 self.zones.remove(&l.zone);
                 b.troubled = false;
             }
             b.listed = l;
-            let sized = self.s.sizes == SizeMeaning::Capacity && l.size.is_finite() && l.size > 0.0;
-            b.size = if sized { l.size } else { 1.0 };
-            b.ready = l.availability == Availability::Ready;
+            let sized =
+                self.s.weights == WeightMeaning::Capacity && l.weight.is_finite() && l.weight > 0.0;
+            b.weight = if sized { l.weight } else { 1.0 };
+            b.ready = l.state == EndpointState::Ready;
         }
         self.backends.forget_idle();
         self.tags = self
@@ -1655,14 +1681,14 @@
             .ready()
             .map(|(_, b)| (tag(b.listed.backend.0), b.listed.backend))
             .collect();
-        let (backends, me, now) = (&self.backends, self.s.me.0, self.now);
+        let (backends, me, now) = (&self.backends, self.s.gateway_id.0, self.now);
         let own = |place: &usize| mix(backends.at(*place).listed.backend.0 ^ u64::from(me) << 48);
         for (at, pool) in self.pools.iter_mut().enumerate() {
-            let of = |l: &Listed| at == 0 || l.pools & 1 << (at - 1) != 0;
+            let of = |l: &Endpoint| at == 0 || l.pools & 1 << (at - 1) != 0;
             let ready = || backends.ready().filter(|(_, b)| of(&b.listed));
             let mut order: Vec<usize> = ready().map(|(place, _)| place).collect();
             order.sort_by(|a, b| own(a).total_cmp(&own(b)));
-            pool.listed(order, ready().map(|(_, b)| b.size).sum(), now);
+            pool.listed(order, ready().map(|(_, b)| b.weight).sum(), now);
         }
         self.count_able();
         self.dispatch(act);
--- a/crates/decision/src/gossip.rs
+++ b/crates/decision/src/gossip.rs
@@ -1,6 +1,6 @@
 //! The bytes of messages between gateways: packing and checked unpacking. No decision lives here.
 
-use crate::interface::CustomerId;
+use crate::ids::CustomerId;
 use serde::{Deserialize, Serialize};
 
 const USE: u8 = 0;
@@ -42,9 +42,9 @@
     /// How full the gateway takes the customer's store to be, 254 for full; 255 where it was never told.
     pub level: u8,
     /// The first of its gateways, and how many there are.
-    pub first: u16,
+    pub first_gateway: u16,
     /// See `first`.
-    pub width: u16,
+    pub gateway_span: u16,
     /// Asks for [`News`], for a request of so many units, in quarters, 63 at most.
     pub ask: bool,
     /// See `ask`.
@@ -112,7 +112,7 @@
     /// Counts the sender's messages to this receiver, wrapped round.
     pub seq: u16,
     /// What the sender's places in the lists of classes and of plans mean, see [`Settings::words`](crate::Settings::words).
-    pub words: [u8; 2],
+    pub name_digests: [u8; 2],
     /// How the sender's latest attempts went.
     pub samples: Vec<Sample>,
     /// What it carries.
@@ -212,7 +212,7 @@
             Body::News(_, news) => news.len().min(MOST_NEWS),
         };
         bytes.push(rows as u8);
-        bytes.extend_from_slice(&self.words);
+        bytes.extend_from_slice(&self.name_digests);
         self.samples
             .iter()
             .take(samples)
@@ -227,8 +227,8 @@
                         u.plan << 2 | u8::from(u.ask) << 1 | u8::from(u.short),
                     ]);
                     bytes.push((u.units * PARTS).ceil() as u8);
-                    bytes.extend_from_slice(&u.first.to_le_bytes());
-                    bytes.extend_from_slice(&u.width.to_le_bytes());
+                    bytes.extend_from_slice(&u.first_gateway.to_le_bytes());
+                    bytes.extend_from_slice(&u.gateway_span.to_le_bytes());
                 }
             }
             Body::News(to, news) => {
@@ -256,7 +256,7 @@
             return None;
         }
         let (born, seq, rows) = (word(2)?, half(bytes, 6), usize::from(bytes[8]));
-        let words = [bytes[9], bytes[10]];
+        let name_digests = [bytes[9], bytes[10]];
         let body_at = HEAD + samples * SAMPLE_BYTES;
         let samples = bytes
             .get(HEAD..body_at)?
@@ -280,15 +280,15 @@
                         let (total, level, plan, ask) =
                             (half(e, 5), e[7], e[8] >> 2, e[8] & 2 == 2);
                         let (short, units) = (e[8] & 1 == 1, f64::from(e[9]) / PARTS);
-                        let (first, width) = (half(e, 10), half(e, 12));
+                        let (first_gateway, gateway_span) = (half(e, 10), half(e, 12));
                         Use {
                             customer,
                             plan,
                             total,
                             open,
                             level,
-                            first,
-                            width,
+                            first_gateway,
+                            gateway_span,
                             ask,
                             units,
                             short,
@@ -319,7 +319,7 @@
         Some(Message {
             born,
             seq,
-            words,
+            name_digests,
             samples,
             body,
         })
--- a/crates/decision/src/gossip/tests.rs
+++ b/crates/decision/src/gossip/tests.rs
@@ -4,20 +4,20 @@
     gone_by, tag, wrap, Body, Fared, Message, News, Sample, Use, MOST, MOST_NEWS, MOST_SAMPLES,
     MOST_USES,
 };
-use crate::interface::CustomerId;
+use crate::ids::CustomerId;
 
 #[test]
 fn messages_survive_the_way() {
     let customer = CustomerId((1 << 33) - 7);
-    let (first, width) = (400, 219);
+    let (first_gateway, gateway_span) = (400, 219);
     let one = Use {
         customer,
         plan: 3,
         total: 65_000,
         open: 99,
         level: 200,
-        first,
-        width,
+        first_gateway,
+        gateway_span,
         ask: true,
         units: 1.25,
         short: true,
@@ -47,7 +47,7 @@
             let message = Message {
                 born: 77,
                 seq: 3,
-                words: [5, 250],
+                name_digests: [5, 250],
                 samples,
                 body: body.clone(),
             };
@@ -72,8 +72,8 @@
         total: 0x1234,
         open: 77,
         level: 201,
-        first: 0x0304,
-        width: 0x0506,
+        first_gateway: 0x0304,
+        gateway_span: 0x0506,
         ask: true,
         units: 2.3,
         short: false,
@@ -103,7 +103,7 @@
     Message {
         born: 0x0102_0304,
         seq: 0x0A0B,
-        words: [0xC1, 0xC2],
+        name_digests: [0xC1, 0xC2],
         samples,
         body,
     }
@@ -117,8 +117,8 @@
         total: u16::MAX,
         open: 127,
         level: 255,
-        first: u16::MAX,
-        width: u16::MAX,
+        first_gateway: u16::MAX,
+        gateway_span: u16::MAX,
         ask: false,
         units: 63.75,
         short: true,
@@ -129,8 +129,8 @@
         total: 0,
         open: 0,
         level: 0,
-        first: 0,
-        width: 0,
+        first_gateway: 0,
+        gateway_span: 0,
         ask: false,
         units: 0.0,
         short: false,
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,43 +1,52 @@
-//! Decides for an admission gateway of a service sold by plan: which requests to let in, which backend
-//! gets them, when to try again, what to tell the peers. It does no input or output and reads no clock: the
-//! host feeds [`Event`]s with the time and carries out the [`Action`]s that come back, in their order.
+//! Decides for an admission gateway of a service sold by plan: which requests to admit, which backend gets them, when to
+//! retry, what to tell the peers. It does no input or output and reads no clock: the host feeds [`Event`]s with the time and
+//! carries out the [`Action`]s that come back, in their order.
 //!
 //! One request, from its arrival to its answer:
 //!
 //! ```
-//! use wrenfork_decision::*;
+//! use wrenfork_decision::{
+//!     Action, BackendId, Class, Endpoint, EndpointListKind, Event, Gateway, Idempotency, Micros,
+//!     Outcome, Plan, Request, RequestId, Settings,
+//! };
 //!
 //! let plan = Plan {
-//!     rate: 10.0, burst: 20.0, open_cap: 0, ceiling_rate: 0.0, ceiling_burst: 0.0, ceiling_slack: 0.0,
-//!     price: 1.0, over_worth: 0.0, over_cost: 1.0,
+//!     rate: 10.0, burst: 20.0, max_in_flight: 0, ceiling_rate: 0.0, ceiling_burst: 0.0,
+//!     ceiling_slack: 0.0, weight_factor: 1.0, over_quota_weight: 0.0, over_quota_cost: 1.0,
 //! };
 //! let class = Class {
-//!     aim: 500_000, aim_stretch: 0.0, deadline: 2_000_000, worth: 1.0, late_worth: 0.0,
-//!     repeat: Repeat::Safe, stream: false,
+//!     latency_objective: 500_000, objective_stretch: 0.0, deadline: 2_000_000,
+//!     priority_weight: 1.0, late_weight: 0.0, idempotency: Idempotency::Idempotent,
+//!     streaming: false,
 //! };
 //! let settings = Settings {
-//!     gateways: 1, tick: 4_000, classes: vec![class], plans: vec![plan], ..Settings::default()
+//!     gateway_count: 1, tick: 4_000, classes: vec![class], plans: vec![plan],
+//!     ..Settings::default()
 //! };
 //! let start = 1_000_000;
 //! let mut gateway = Gateway::new(settings, 42, start);
 //! let mut actions = Vec::new();
 //!
 //! let backend = BackendId(7);
-//! let list = vec![Listed { backend, size: 1.0, ..Listed::default() }];
-//! gateway.handle(start, Event::Roster(RosterKind::Full, list), &mut actions);
+//! let list = vec![Endpoint { backend, weight: 1.0, ..Endpoint::default() }];
+//! let changed = Event::EndpointsChanged(EndpointListKind::Full, list);
+//! gateway.handle(start, changed, &mut actions);
 //! // The gateway asks to be woken; the host answers each `SetTimer` with an `Event::Timer` when it is due.
 //! assert!(matches!(actions[..], [Action::SetTimer { .. }]));
 //!
 //! actions.clear();
 //! let id = RequestId(1);
-//! let request = Request { id, deadline: start + 2_000_000, units: 1.0, width: 1.0, ..Request::default() };
+//! let request = Request {
+//!     id, deadline: start + 2_000_000, units: 1.0, gateway_span: 1.0, ..Request::default()
+//! };
 //! gateway.handle(start + 4_000, Event::Request(request), &mut actions);
-//! assert_eq!(actions, [Action::Send { id, backend, expires: 0, begin_by: Micros::MAX }]);
+//! let sent = Action::Send { id, backend, expires_at: 0, start_by: Micros::MAX };
+//! assert_eq!(actions, [sent]);
 //!
 //! actions.clear();
-//! let answer = Event::Settled {
-//!     id, attempt: 0, backend, outcome: Outcome::Ok, complete: true, took: 12_000,
-//!     metered: None, charged: None, report: None,
+//! let answer = Event::AttemptCompleted {
+//!     id, attempt: 0, backend, outcome: Outcome::Ok, complete: true, elapsed: 12_000,
+//!     metered_usage: None, charged_units: None, report: None,
 //! };
 //! gateway.handle(start + 16_000, answer, &mut actions);
 //! assert!(actions.is_empty(), "the answer went to the client; nothing is left to do");
@@ -46,16 +55,21 @@
 // Not done yet, see docs/ROADMAP.md.
 #![allow(clippy::needless_pass_by_value, clippy::too_many_lines)]
 
+mod action;
 mod control;
+mod event;
 mod gossip;
-mod interface;
+mod ids;
 mod pools;
+mod settings;
 mod state;
 
-pub use gossip::VERSION as PEERS;
-pub use interface::{
-    Action, Availability, BackendId, Class, CustomerId, Discovery, Event, GatewayNo, Group, Limits,
-    Listed, Micros, Outcome, Plan, Repeat, Report, Request, RequestId, RosterKind, Rules, Settings,
-    SizeMeaning, MOST_POOLS, MOST_TIERS,
+pub use action::{Action, LogEvent};
+pub use event::{Endpoint, EndpointListKind, EndpointState, Event, LoadReport, Outcome, Request};
+pub use gossip::VERSION as GOSSIP_VERSION;
+pub use ids::{BackendId, CustomerId, GatewayId, Micros, RequestId};
+pub use settings::{
+    BackendRules, Class, DiscoveryMode, Idempotency, KeyScope, Limits, Plan, Settings,
+    WeightMeaning, MAX_POOLS, MAX_ROUTE_POOLS,
 };
-pub use state::{Gateway, InUse};
+pub use state::{BackendStatus, Gateway, PlanUsage};
--- a/crates/decision/src/pools.rs
+++ b/crates/decision/src/pools.rs
@@ -12,7 +12,9 @@
 //!   they are worth.
 
 use crate::control::{ALERT_OFF, ALERT_ON, PRESSURE_TAU, SPILL};
-use crate::interface::{Listed, Micros, Repeat, Request, RequestId, MOST_TIERS};
+use crate::event::{Endpoint, Request};
+use crate::ids::{Micros, RequestId};
+use crate::settings::{Idempotency, MAX_ROUTE_POOLS};
 use crate::state::{decay, mix, Gateway, Open};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -162,35 +164,35 @@
 
 impl Gateway {
     /// A request's pools in their order, and how many of them are its own: what it falls back on comes behind these.
-    fn tiers(&self, req: &Request) -> ([u8; MOST_TIERS], usize, usize) {
+    fn route(&self, req: &Request) -> ([u8; MAX_ROUTE_POOLS], usize, usize) {
         let known = req
-            .tiers
+            .route
             .iter()
             .take_while(|p| **p != 0 && usize::from(**p) < self.pools.len())
             .count();
         // A request without a route has one pool, that of all backends.
         (
-            req.tiers,
+            req.route,
             known.max(1),
-            usize::from(req.own).clamp(1, known.max(1)),
+            usize::from(req.own_pools).clamp(1, known.max(1)),
         )
     }
 
     /// The first of a request's pools that takes it at all, with its place among them; where none does, the first.
     fn best(&self, o: &Open) -> (usize, usize) {
-        let (tiers, count, _) = self.tiers(&o.req);
+        let (route, count, _) = self.route(&o.req);
         if count == 1 {
-            return (0, usize::from(tiers[0]));
+            return (0, usize::from(route[0]));
         }
         let customer = mix(o.req.customer.0 ^ 0x5EED);
         let lot = mix(o.req.id.0 ^ 0x7121);
         let takes = |p: &u8| {
-            let once = o.class.repeat == Repeat::Once;
+            let once = o.class.idempotency == Idempotency::NotIdempotent;
             self.pools[usize::from(*p)].takes(customer, lot, once, self.now)
         };
-        let at = tiers[..count].iter().position(takes);
-        at.map_or((0, usize::from(tiers[0])), |at| {
-            (at, usize::from(tiers[at]))
+        let at = route[..count].iter().position(takes);
+        at.map_or((0, usize::from(route[0])), |at| {
+            (at, usize::from(route[at]))
         })
     }
 
@@ -201,21 +203,21 @@
 
     /// The pool in whose line a request waits: one of its own, for in another's line it would hold up that one's own.
     pub(crate) fn line_of(&self, o: &Open) -> usize {
-        let ((tiers, _, own), (at, best)) = (self.tiers(&o.req), self.best(o));
+        let ((route, _, own), (at, best)) = (self.route(&o.req), self.best(o));
         if at < own {
             best
         } else {
-            usize::from(tiers[0])
+            usize::from(route[0])
         }
     }
 
     /// The pools that would take a request now, best first: its best one within its bound, those behind with room to spare.
-    pub(crate) fn room(&self, o: &Open) -> [Option<usize>; MOST_TIERS] {
-        let (tiers, count, own) = self.tiers(&o.req);
+    pub(crate) fn room(&self, o: &Open) -> [Option<usize>; MAX_ROUTE_POOLS] {
+        let (route, count, own) = self.route(&o.req);
         let (first, _) = self.best(o);
-        let mut room = [None; MOST_TIERS];
+        let mut room = [None; MAX_ROUTE_POOLS];
         for at in first..count {
-            let number = usize::from(tiers[at]);
+            let number = usize::from(route[at]);
             let pool = &self.pools[number];
             let (out, limit) = (f64::from(pool.out), self.limit(number));
             let own_takes = || out < limit && (at == first || !pool.fails);
@@ -231,12 +233,12 @@
 
     /// Whether a request is a guest in a pool: it falls back on it.
     pub(crate) fn is_guest(&self, req: &Request, at: usize) -> bool {
-        let (tiers, count, own) = self.tiers(req);
-        own < count && tiers[..own].iter().all(|p| usize::from(*p) != at)
+        let (route, count, own) = self.route(req);
+        own < count && route[..own].iter().all(|p| usize::from(*p) != at)
     }
 
     /// The pools that a backend is of.
-    pub(crate) fn pools_of(&self, listed: &Listed) -> impl Iterator<Item = usize> {
+    pub(crate) fn pools_of(&self, listed: &Endpoint) -> impl Iterator<Item = usize> {
         let (set, count) = (listed.pools, self.pools.len());
         std::iter::once(0).chain((1..count).filter(move |n| set & 1 << (n - 1) != 0))
     }
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -1,12 +1,12 @@
 //! What a gateway remembers: plain records, and the arithmetic that they share. No decision and no tuned value
 //! lives here; what the records mean and when they change is in `control.rs`.
 
+use crate::action::Action;
+use crate::event::{Endpoint, Request};
 use crate::gossip::{incarnation, Body, Message, Sample};
-use crate::interface::{
-    Action, BackendId, Class, CustomerId, GatewayNo, Listed, Micros, Repeat, Request, RequestId,
-    Settings,
-};
+use crate::ids::{BackendId, CustomerId, GatewayId, Micros, RequestId};
 use crate::pools::Pool;
+use crate::settings::{Class, Idempotency, Settings};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -16,7 +16,7 @@
 
 #[derive(Serialize, Deserialize)]
 pub struct Attempt {
-    pub to: Listed,
+    pub to: Endpoint,
     pub sent: Micros,
     pub out: bool,
     pub cancelled: bool,
@@ -70,9 +70,9 @@
     }
 
     /// The latest moment at which a further attempt may begin: the repeats of a key that may have run are dropped for so long.
-    pub fn begin_by(&self) -> Micros {
-        match (self.class.repeat, self.may_have_run()) {
-            (Repeat::Keyed { window, .. }, Some(a)) => a.sent.saturating_add(window),
+    pub fn start_by(&self) -> Micros {
+        match (self.class.idempotency, self.may_have_run()) {
+            (Idempotency::WithKey { window, .. }, Some(a)) => a.sent.saturating_add(window),
             _ => Micros::MAX,
         }
     }
@@ -80,7 +80,7 @@
     /// How long an answer is worth something: the aim, or what the client waits if that is less.
     pub fn patience(&self) -> f64 {
         self.class
-            .aim
+            .latency_objective
             .min(self.req.deadline.saturating_sub(self.arrived)) as f64
     }
 }
@@ -108,7 +108,7 @@
     /// The two that hold most of the ceiling, this gateway's part of it, what it asked them for.
     pub pools: [u16; 2],
     pub part: f64,
-    pub first: u16,
+    pub first_gateway: u16,
     /// What is asked for: a request's units, and whether the ceiling lacks them, too.
     pub asks: f64,
     pub short: bool,
@@ -119,7 +119,7 @@
     pub granted: f64,
     pub rate: f64,
     pub open: u32,
-    pub width: f64,
+    pub gateway_span: f64,
     pub seen: Micros,
     /// The gateways that count this customer's use; whether this is one of them.
     pub homes: Vec<u16>,
@@ -164,8 +164,8 @@
 
 #[derive(Default, Serialize, Deserialize)]
 pub struct Backend {
-    pub listed: Listed,
-    pub size: f64,
+    pub listed: Endpoint,
+    pub weight: f64,
     pub ready: bool,
     pub out: u32,
     /// Mean answer time over what the class usually takes; 1 is normal.
@@ -318,19 +318,28 @@
 
 /// What customers on a plan use, as far as this gateway knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct InUse {
+pub struct PlanUsage {
     /// Customers that are known.
     pub customers: u64,
     /// The most that one of them has used of late, over all gateways, in units a second.
     pub rate: f64,
     /// The most attempts that one of them has out.
-    pub open: u32,
+    pub in_flight: u32,
+}
+
+/// How a backend stands with a gateway.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct BackendStatus {
+    /// It is listed as ready for work.
+    pub accepts_work: bool,
+    /// The places of the classes that it is ejected for.
+    pub ejected_for: Vec<usize>,
 }
 
 impl Gateway {
     /// What is used of each plan, in the order of the settings. Looks at every customer.
-    pub fn in_use(&self) -> Vec<InUse> {
-        let mut plans = vec![InUse::default(); self.s.plans.len()];
+    pub fn plan_usage(&self) -> Vec<PlanUsage> {
+        let mut plans = vec![PlanUsage::default(); self.s.plans.len()];
         for c in self.customers.values() {
             let Some(p) = plans.get_mut(c.plan) else {
                 continue;
@@ -338,13 +347,13 @@
             let faded = decay(c.filled, self.now, crate::control::RATE_TAU);
             p.customers += 1;
             p.rate = p.rate.max((c.rate + c.others) * faded);
-            p.open = p.open.max(c.open + c.others_open);
+            p.in_flight = p.in_flight.max(c.open + c.others_open);
         }
         plans
     }
 
     /// Whether a customer's quota, as far as it is known here, has room for so many units now.
-    pub fn inside(&self, customer: CustomerId, units: f64) -> bool {
+    pub fn within_quota(&self, customer: CustomerId, units: f64) -> bool {
         let beyond = |c: &Customer| {
             let has_quota = self.s.plans.get(c.plan).is_some_and(|p| p.rate > 0.0);
             has_quota && c.level + 1e-9 < units
@@ -353,21 +362,24 @@
     }
 
     /// Whether a backend takes new work, and the places of the classes that it is rested for.
-    pub fn takes_work(&self, id: BackendId) -> (bool, Vec<usize>) {
+    pub fn backend_status(&self, id: BackendId) -> BackendStatus {
         let Some(b) = self.backends.get(&id) else {
-            return (false, Vec::new());
+            return BackendStatus::default();
         };
         let rests = b
             .health
             .iter()
             .enumerate()
             .filter(|(_, h)| h.strikes > 0 && self.now < h.rest_until);
-        (b.ready, rests.map(|(class, _)| class).collect())
+        BackendStatus {
+            accepts_work: b.ready,
+            ejected_for: rests.map(|(class, _)| class).collect(),
+        }
     }
 
     /// How many backends take new work as any other: ready, not rested for a class, and not looked past in each choice, by
     /// themselves or with their zone.
-    pub fn in_rotation(&self) -> usize {
+    pub fn backends_in_rotation(&self) -> usize {
         let (now, doubted) = (self.now, crate::control::DOUBTED);
         let rests = |h: &Health| (h.strikes > 0 && now < h.rest_until) || h.doubt(now) > doubted;
         let zone = |b: &Backend| {
@@ -394,7 +406,7 @@
     /// An answer streams: the other attempts are called off, and this one is the client's.
     pub(crate) fn on_first_byte(&mut self, id: RequestId, attempt: u16, act: &mut Vec<Action>) {
         if let Some(o) = self.requests.get_mut(&id) {
-            o.call_off(Some(attempt), self.s.limits.cancel, act);
+            o.call_off(Some(attempt), self.s.limits.cancellation, act);
             o.streaming = true;
             // The backend's work is done: how fast the client reads must not keep others from a place.
             if let Some(a) = o
@@ -417,17 +429,17 @@
         p.sent = p.sent.wrapping_add(1);
         p.next = now + self.period;
         self.tells -= 1.0;
-        let (born, seq, words) = (incarnation(self.born), p.sent, self.s.words);
+        let (born, seq, name_digests) = (incarnation(self.born), p.sent, self.s.name_digests);
         let bytes = Message {
             born,
             seq,
-            words,
+            name_digests,
             samples,
             body,
         }
         .pack();
-        act.push(Action::Tell {
-            to: Some(GatewayNo(to)),
+        act.push(Action::SendToPeer {
+            to: Some(GatewayId(to)),
             bytes,
         });
     }
--- a/crates/decision/tests/decisions.rs
+++ b/crates/decision/tests/decisions.rs
@@ -8,8 +8,8 @@
 use rig::{failed, listed, plan, refused, sends, settings, Rig, S, T0};
 use std::collections::BTreeSet;
 use wrenfork_decision::{
-    Action, Availability, BackendId, Event, Gateway, GatewayNo, Listed, Micros, Outcome, Plan,
-    Repeat, Request, RequestId, RosterKind, Settings,
+    Action, BackendId, Endpoint, EndpointListKind, EndpointState, Event, Gateway, GatewayId,
+    Idempotency, Micros, Outcome, Plan, Request, RequestId, Settings,
 };
 
 #[test]
@@ -54,7 +54,7 @@
 fn an_unsafe_request_is_sent_again_on_proof_that_it_never_ran() {
     let mut rig = Rig::with(settings(), 4);
     let (id, actions) = rig.ask(2, 0, 1, 1.0);
-    let again = rig.settle(id, 0, sends(&actions)[0], Outcome::Full);
+    let again = rig.settle(id, 0, sends(&actions)[0], Outcome::Rejected);
     assert_eq!(sends(&again).len(), 1);
     let end = rig.settle(id, 1, sends(&again)[0], Outcome::Reset);
     assert!(
@@ -73,9 +73,9 @@
     assert_eq!(sends(&again)[0].0 % 2, first.0 % 2, "same cell");
 
     let mut s = settings();
-    s.classes[1].aim = 4 * S;
-    s.limits.second_copies = false;
-    s.limits.cancel = false;
+    s.classes[1].latency_objective = 4 * S;
+    s.limits.hedging = false;
+    s.limits.cancellation = false;
     let mut rig = Rig::with(s, 6);
     let (id, actions) = rig.ask(1, 0, 1, 1.0);
     rig.pass(2 * S);
@@ -90,13 +90,13 @@
 #[test]
 fn a_keyed_repeat_says_until_when_it_may_begin() {
     let mut rig = Rig::with(settings(), 6);
-    let Repeat::Keyed { window, .. } = settings().classes[1].repeat else {
+    let Idempotency::WithKey { window, .. } = settings().classes[1].idempotency else {
         panic!("class 1 is keyed")
     };
     let until = |actions: &[Action]| {
         let one = |a: &Action| {
-            if let Action::Send { begin_by, .. } = a {
-                Some(*begin_by)
+            if let Action::Send { start_by, .. } = a {
+                Some(*start_by)
             } else {
                 None
             }
@@ -124,11 +124,11 @@
     let mut rig = Rig::with(settings(), 6);
     let (id, actions) = rig.ask(1, 0, 1, 1.0);
     let first = sends(&actions)[0];
-    let gone: Vec<Listed> = (0..6)
+    let gone: Vec<Endpoint> = (0..6)
         .map(listed)
         .filter(|l| l.cell != (first.0 % 2) as u16)
         .collect();
-    rig.feed(Event::Roster(RosterKind::Full, gone));
+    rig.feed(Event::EndpointsChanged(EndpointListKind::Full, gone));
     let end = rig.settle(id, 0, first, Outcome::Reset);
     assert!(
         sends(&end).is_empty() && failed(&end),
@@ -139,19 +139,22 @@
 #[test]
 fn a_drained_backend_gets_nothing_new() {
     let mut rig = Rig::with(settings(), 2);
-    let drained = Listed {
-        availability: Availability::Draining,
+    let drained = Endpoint {
+        state: EndpointState::Draining,
         ..listed(0)
     };
-    rig.feed(Event::Roster(RosterKind::Delta, vec![drained]));
+    rig.feed(Event::EndpointsChanged(
+        EndpointListKind::Delta,
+        vec![drained],
+    ));
     for n in 0..20 {
         let (_, actions) = rig.ask(0, 0, n, 1.0);
         assert!(sends(&actions).iter().all(|b| *b == BackendId(1)));
     }
-    rig.feed(Event::Roster(
-        RosterKind::Delta,
-        vec![Listed {
-            availability: Availability::Gone,
+    rig.feed(Event::EndpointsChanged(
+        EndpointListKind::Delta,
+        vec![Endpoint {
+            state: EndpointState::Removed,
             ..listed(1)
         }],
     ));
@@ -171,16 +174,16 @@
     for me in 0..150 {
         let mut rig = Rig::with(
             Settings {
-                me: GatewayNo(me),
-                gateways: 150,
+                gateway_id: GatewayId(me),
+                gateway_count: 150,
                 ..settings()
             },
             1,
         );
-        rig.feed(Event::Roster(
-            RosterKind::Full,
-            vec![Listed {
-                started: T0,
+        rig.feed(Event::EndpointsChanged(
+            EndpointListKind::Full,
+            vec![Endpoint {
+                started_at: T0,
                 ..listed(0)
             }],
         ));
@@ -203,8 +206,8 @@
 fn silence_and_restarts_mint_no_ceiling() {
     for gateways in [3, 40, 200] {
         let settings = |me| Settings {
-            gateways,
-            me: GatewayNo(me),
+            gateway_count: gateways,
+            gateway_id: GatewayId(me),
             ..settings()
         };
         let total: usize = (0..gateways)
@@ -222,8 +225,8 @@
                     }
                     if second == 4 {
                         rig.gateway = Gateway::new(settings(me), 8, rig.now);
-                        rig.feed(Event::Roster(
-                            RosterKind::Cached,
+                        rig.feed(Event::EndpointsChanged(
+                            EndpointListKind::Cached,
                             (0..4).map(listed).collect(),
                         ));
                     }
@@ -244,11 +247,11 @@
     // Found by a day drawn to test the rules: a client's last try came with a few milliseconds left, was
     // held for want of a place, and the next wake-up was past its deadline.
     let mut rig = Rig::with(settings(), 1);
-    rig.feed(Event::Roster(RosterKind::Full, vec![]));
+    rig.feed(Event::EndpointsChanged(EndpointListKind::Full, vec![]));
     let base = Request {
         id: RequestId(1),
         units: 1.0,
-        width: 3.0,
+        gateway_span: 3.0,
         ..Request::default()
     };
     assert!(refused(&rig.feed(Event::Request(Request {
@@ -272,18 +275,18 @@
 #[test]
 fn what_a_stall_outlasted_is_answered_in_the_waking_turn() {
     let mut rig = Rig::with(settings(), 1);
-    rig.feed(Event::Roster(RosterKind::Full, vec![]));
+    rig.feed(Event::EndpointsChanged(EndpointListKind::Full, vec![]));
     rig.pass(S);
     let held = Request {
         id: RequestId(1),
         units: 1.0,
-        width: 3.0,
+        gateway_span: 3.0,
         deadline: rig.now + S,
         ..Request::default()
     };
     assert!(!refused(&rig.feed(Event::Request(held))));
     rig.now += S + 12_000;
-    assert!(refused(&rig.feed(Event::Withdrawn(RequestId(99)))));
+    assert!(refused(&rig.feed(Event::ClientDisconnected(RequestId(99)))));
 }
 
 /// A gateway that stood still reads all that came meanwhile before it judges anybody by its own pause.
@@ -293,10 +296,10 @@
     let (id, actions) = rig.ask(0, 0, 1, 1.0);
     assert_eq!(sends(&actions).len(), 1);
     rig.now += 2 * S;
-    let woken = rig.feed(Event::Withdrawn(RequestId(99)));
+    let woken = rig.feed(Event::ClientDisconnected(RequestId(99)));
     assert!(!woken.iter().any(|a| matches!(
         a,
-        Action::Cancel { .. } | Action::Refuse { .. } | Action::Send { .. }
+        Action::Cancel { .. } | Action::Reject { .. } | Action::Send { .. }
     )));
     rig.settle(id, 0, BackendId(0), Outcome::Ok);
     rig.pass(100_000);
@@ -358,7 +361,7 @@
     rigs: Vec<Rig>,
     carried: u64,
     /// How long an answer takes.
-    took: Micros,
+    elapsed: Micros,
 }
 
 impl Fleet {
@@ -366,8 +369,8 @@
         let rig = |me| {
             Rig::with(
                 Settings {
-                    gateways,
-                    me: GatewayNo(me),
+                    gateway_count: gateways,
+                    gateway_id: GatewayId(me),
                     ..settings()
                 },
                 6,
@@ -376,7 +379,7 @@
         Fleet {
             rigs: (0..gateways).map(rig).collect(),
             carried: 0,
-            took: 100_000,
+            elapsed: 100_000,
         }
     }
 
@@ -389,23 +392,23 @@
             let (to, event) = match action {
                 Action::Send { id, backend, .. } => {
                     sent += 1;
-                    let (outcome, took) = (Outcome::Ok, self.took);
+                    let (outcome, elapsed) = (Outcome::Ok, self.elapsed);
                     let (attempt, complete) = (0, true);
                     let (metered, charged, report) = (None, None, None);
-                    let event = Event::Settled {
+                    let event = Event::AttemptCompleted {
                         id,
                         attempt,
                         backend,
                         outcome,
                         complete,
-                        took,
-                        metered,
-                        charged,
+                        elapsed,
+                        metered_usage: metered,
+                        charged_units: charged,
                         report,
                     };
                     (at, event)
                 }
-                Action::Tell {
+                Action::SendToPeer {
                     to: Some(to),
                     bytes,
                 } => {
@@ -415,8 +418,8 @@
                     }
                     (
                         usize::from(to.0),
-                        Event::Peer {
-                            from: GatewayNo(at as u16),
+                        Event::PeerMessage {
+                            from: GatewayId(at as u16),
                             bytes,
                         },
                     )
@@ -430,8 +433,8 @@
     }
 
     /// One request at gateway `at`, and time for it.
-    fn ask(&mut self, at: usize, plan: u16, units: f64, width: f64, lossy: u64) -> usize {
-        let (_, actions) = self.rigs[at].ask_of(0, plan, 5, units, width);
+    fn ask(&mut self, at: usize, plan: u16, units: f64, gateway_span: f64, lossy: u64) -> usize {
+        let (_, actions) = self.rigs[at].ask_of(0, plan, 5, units, gateway_span);
         let mut sent = self.carry(at, actions, lossy);
         for n in 0..self.rigs.len() {
             let actions = self.rigs[n].pass(20_000);
@@ -453,15 +456,15 @@
             if restart && step == 150 {
                 for me in 0..60u16 {
                     let s = Settings {
-                        gateways: 60,
-                        me: GatewayNo(me),
+                        gateway_count: 60,
+                        gateway_id: GatewayId(me),
                         ..settings()
                     };
                     let rig = &mut fleet.rigs[usize::from(me)];
                     if me % 3 == 0 {
                         rig.gateway = Gateway::new(s, 9, rig.now);
-                        rig.feed(Event::Roster(
-                            RosterKind::Cached,
+                        rig.feed(Event::EndpointsChanged(
+                            EndpointListKind::Cached,
                             (0..6).map(listed).collect(),
                         ));
                     }
@@ -508,13 +511,13 @@
     let (mut reborn, s) = (
         0,
         Settings {
-            me: GatewayNo(2),
+            gateway_id: GatewayId(2),
             ..settings()
         },
     );
     fleet.rigs[2].gateway = Gateway::new(s, 9, fleet.rigs[2].now);
-    fleet.rigs[2].feed(Event::Roster(
-        RosterKind::Cached,
+    fleet.rigs[2].feed(Event::EndpointsChanged(
+        EndpointListKind::Cached,
         (0..6).map(listed).collect(),
     ));
     for _ in 0..8 {
@@ -588,7 +591,7 @@
     let (id, actions) = rig.ask(0, 3, 5, 1.0);
     assert_eq!(sends(&rig.ask(0, 3, 5, 1.0).1).len(), 1);
     assert!(refused(&rig.ask(0, 3, 5, 1.0).1));
-    rig.feed(Event::Withdrawn(id));
+    rig.feed(Event::ClientDisconnected(id));
     assert!(
         refused(&rig.ask(0, 3, 5, 1.0).1),
         "called off, yet still out"
@@ -601,17 +604,17 @@
 fn an_end_that_races_the_gateways_own_gets_no_second_answer() {
     let mut rig = Rig::with(settings(), 4);
     let (id, actions) = rig.ask(0, 0, 1, 1.0);
-    rig.feed(Event::Withdrawn(id));
+    rig.feed(Event::ClientDisconnected(id));
     let late = rig.settle(id, 0, sends(&actions)[0], Outcome::TimedOut);
     assert!(!refused(&late) && !failed(&late) && sends(&late).is_empty());
-    assert!(rig.feed(Event::Withdrawn(id)).is_empty());
+    assert!(rig.feed(Event::ClientDisconnected(id)).is_empty());
 }
 
 #[test]
 fn gossip_converges_through_loss_and_repeats() {
     let mut other = Rig::with(
         Settings {
-            me: GatewayNo(1),
+            gateway_id: GatewayId(1),
             ..settings()
         },
         4,
@@ -627,7 +630,7 @@
         .pass(300_000)
         .into_iter()
         .filter_map(|a| {
-            if let Action::Tell { bytes, .. } = a {
+            if let Action::SendToPeer { bytes, .. } = a {
                 Some(bytes)
             } else {
                 None
@@ -635,8 +638,8 @@
         })
         .collect();
     for bytes in told.iter().chain(told.iter().rev()) {
-        rig.feed(Event::Peer {
-            from: GatewayNo(1),
+        rig.feed(Event::PeerMessage {
+            from: GatewayId(1),
             bytes: bytes.clone(),
         });
     }
@@ -656,8 +659,8 @@
         vec![255; 19],
     ] {
         for from in [0, 1, 2, 900] {
-            let actions = rig.feed(Event::Peer {
-                from: GatewayNo(from),
+            let actions = rig.feed(Event::PeerMessage {
+                from: GatewayId(from),
                 bytes: bytes.clone(),
             });
             assert!(sends(&actions).is_empty());
@@ -667,7 +670,7 @@
         id: RequestId(500),
         deadline: T0 + S,
         units: 1.0,
-        width: 3.0,
+        gateway_span: 3.0,
         ..Request::default()
     };
     let odd = [
@@ -692,17 +695,17 @@
         let actions = rig.feed(Event::Request(req));
         let answers = actions
             .iter()
-            .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)));
+            .filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)));
         assert_eq!(answers.count(), 1);
         assert!(sends(&actions).is_empty());
     }
-    for width in [0.0, f64::NAN, -3.0, 1e30] {
+    for gateway_span in [0.0, f64::NAN, -3.0, 1e30] {
         rig.next += 1000;
         let id = RequestId(rig.next);
         rig.feed(Event::Request(Request {
             id,
-            width,
-            first: f64::NAN,
+            gateway_span,
+            first_gateway: f64::NAN,
             ..base
         }));
     }
@@ -722,15 +725,15 @@
         let slow = (100..300).contains(&step);
         let (id, actions) = rig.ask(0, 0, step, 1.0);
         if let Some(b) = sends(&actions).first() {
-            let event = Event::Settled {
+            let event = Event::AttemptCompleted {
                 id,
                 attempt: 0,
                 backend: *b,
                 outcome: Outcome::Ok,
                 complete: true,
-                took: if slow { 900_000 } else { 100_000 },
-                metered: None,
-                charged: None,
+                elapsed: if slow { 900_000 } else { 100_000 },
+                metered_usage: None,
+                charged_units: None,
                 report: None,
             };
             rig.feed(event);
@@ -746,13 +749,13 @@
     }
     let up = log
         .iter()
-        .find(|(_, l)| l.contains("rung 0 to 1"))
+        .find(|(_, l)| l.to_string().contains("rung 0 to 1"))
         .expect("an alert");
     assert!((100..300).contains(&up.0));
     let down = log
         .iter()
         .rev()
-        .find(|(_, l)| l.contains("rung 1 to 0"))
+        .find(|(_, l)| l.to_string().contains("rung 1 to 0"))
         .expect("the end of the alert");
     assert!(down.0 > 300);
 }
@@ -761,8 +764,8 @@
 fn backends_that_are_left_do_not_inherit_the_load_of_the_fallen() {
     let out = |left: u64| {
         let mut rig = Rig::with(settings(), 12);
-        rig.feed(Event::Roster(
-            RosterKind::Full,
+        rig.feed(Event::EndpointsChanged(
+            EndpointListKind::Full,
             (0..left).map(listed).collect(),
         ));
         (0..200)
@@ -791,7 +794,7 @@
             }
         }
         for action in rig.pass(100_000) {
-            if let Action::Tell { bytes, .. } = action {
+            if let Action::SendToPeer { bytes, .. } = action {
                 told.extend((0..100u8).filter(|n| bytes.windows(5).any(|w| w == [*n, 0, 0, 0, 0])));
             }
         }
@@ -808,7 +811,7 @@
 fn the_ladder_cuts_whole_customers_alike_at_all_gateways() {
     let verdicts = |me: u16| {
         let mut s = Settings {
-            me: GatewayNo(me),
+            gateway_id: GatewayId(me),
             ..settings()
         };
         s.plans = vec![plan(1e6, 1e6)];
@@ -816,8 +819,8 @@
         for step in 0..400u64 {
             let (id, actions) = rig.ask(0, 0, step % 40, 1.0);
             for backend in sends(&actions) {
-                let took = if step < 40 { 100_000 } else { 900_000 };
-                answer(&mut rig, id, backend, took);
+                let elapsed = if step < 40 { 100_000 } else { 900_000 };
+                answer(&mut rig, id, backend, elapsed);
             }
             rig.pass(20_000);
         }
@@ -871,12 +874,12 @@
 fn near(settings: Settings, backends: u64) -> Rig {
     let mut rig = Rig::with(settings, 0);
     let list = (0..backends)
-        .map(|n| Listed {
+        .map(|n| Endpoint {
             zone: 0,
             ..listed(n)
         })
         .collect();
-    rig.feed(Event::Roster(RosterKind::Full, list));
+    rig.feed(Event::EndpointsChanged(EndpointListKind::Full, list));
     rig
 }
 
@@ -885,7 +888,7 @@
 fn a_gateway_alone_uses_all_of_a_thousand_backends_evenly() {
     let mut rig = near(
         Settings {
-            gateways: 1,
+            gateway_count: 1,
             ..settings()
         },
         1_000,
@@ -903,8 +906,8 @@
     for me in 0..4 {
         let mut rig = near(
             Settings {
-                gateways: 4,
-                me: GatewayNo(me),
+                gateway_count: 4,
+                gateway_id: GatewayId(me),
                 ..settings()
             },
             100,
@@ -919,7 +922,7 @@
 fn a_backend_that_comes_in_place_of_another_starts_with_a_clean_record() {
     let mut rig = Rig::with(
         Settings {
-            gateways: 1,
+            gateway_count: 1,
             ..settings()
         },
         2,
@@ -936,30 +939,33 @@
         }
         rig.pass(20_000);
     }
-    let gone = Listed {
-        availability: Availability::Gone,
+    let gone = Endpoint {
+        state: EndpointState::Removed,
         ..listed(0)
     };
-    rig.feed(Event::Roster(RosterKind::Delta, vec![gone]));
-    rig.feed(Event::Roster(RosterKind::Delta, vec![listed(2)]));
+    rig.feed(Event::EndpointsChanged(EndpointListKind::Delta, vec![gone]));
+    rig.feed(Event::EndpointsChanged(
+        EndpointListKind::Delta,
+        vec![listed(2)],
+    ));
     let used = used(&mut rig, 200);
     assert!(!used.contains_key(&BackendId(0)), "it has gone");
     assert!(used.get(&BackendId(2)).is_some_and(|n| *n > 40), "{used:?}");
 }
 
 /// Settles an attempt after a time of its own.
-fn answer(rig: &mut Rig, id: RequestId, backend: BackendId, took: Micros) -> Vec<Action> {
+fn answer(rig: &mut Rig, id: RequestId, backend: BackendId, elapsed: Micros) -> Vec<Action> {
     let (attempt, outcome, complete) = (0, Outcome::Ok, true);
     let (metered, charged, report) = (None, None, None);
-    rig.feed(Event::Settled {
+    rig.feed(Event::AttemptCompleted {
         id,
         attempt,
         backend,
         outcome,
         complete,
-        took,
-        metered,
-        charged,
+        elapsed,
+        metered_usage: metered,
+        charged_units: charged,
         report,
     })
 }
@@ -976,7 +982,7 @@
 #[test]
 fn a_long_request_is_waited_for_and_a_dead_backend_is_not() {
     let mut s = settings();
-    s.limits.second_copies = false;
+    s.limits.hedging = false;
     let mut rig = Rig::with(s, 4);
     // Answers here take 100 ms: one that takes four times that is long, and nothing to act on.
     for n in 0..40 {
@@ -1016,9 +1022,9 @@
     let mut rig = Rig::with(settings(), 4);
     for n in 0..600u64 {
         let (id, actions) = rig.ask(0, 0, n % 50, 1.0);
-        let took = if n < 200 { 80_000 } else { 320_000 };
+        let elapsed = if n < 200 { 80_000 } else { 320_000 };
         for backend in sends(&actions) {
-            answer(&mut rig, id, backend, took);
+            answer(&mut rig, id, backend, elapsed);
         }
         assert!(
             !refused(&actions),
@@ -1031,11 +1037,11 @@
 /// What waits beyond the time that its answer takes is refused at once, not after it has waited.
 #[test]
 fn a_line_that_would_be_answered_late_is_closed_at_once() {
-    let waiting = |took: Micros| {
+    let waiting = |elapsed: Micros| {
         let mut rig = Rig::with(settings(), 3);
         for n in 0..60 {
             let (id, actions) = rig.ask(0, 0, n, 1.0);
-            answer(&mut rig, id, sends(&actions)[0], took);
+            answer(&mut rig, id, sends(&actions)[0], elapsed);
         }
         let asked: Vec<_> = (0..200).map(|n| rig.ask(0, 0, 1_000 + n, 1.0).1).collect();
         let sent = asked.iter().filter(|a| !sends(a).is_empty()).count();
@@ -1057,13 +1063,13 @@
 #[test]
 fn a_cap_counts_what_peers_likely_have_out_and_not_all_that_they_began() {
     let capped = Plan {
-        open_cap: 3,
+        max_in_flight: 3,
         ..plan(40.0, 80.0)
     };
     let rig = |me| {
         let s = Settings {
-            gateways: 3,
-            me: GatewayNo(me),
+            gateway_count: 3,
+            gateway_id: GatewayId(me),
             plans: vec![capped.clone(), plan(1e6, 1e6)],
             ..settings()
         };
@@ -1072,7 +1078,7 @@
     let mut fleet = Fleet {
         rigs: (0..3).map(rig).collect(),
         carried: 0,
-        took: 40_000,
+        elapsed: 40_000,
     };
     // The other gateway has had answers, of other customers.
     for n in 0..20 {
--- a/crates/decision/tests/deployments.rs
+++ b/crates/decision/tests/deployments.rs
@@ -11,9 +11,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use wrenfork_decision::{
-    Action, Availability, BackendId, Class, CustomerId, Event, Gateway, GatewayNo, Group, Limits,
-    Listed, Micros, Outcome, Plan, Repeat, Request, RequestId, RosterKind, Rules, Settings,
-    SizeMeaning,
+    Action, BackendId, BackendRules, Class, CustomerId, Endpoint, EndpointListKind, EndpointState,
+    Event, Gateway, GatewayId, Idempotency, KeyScope, Limits, Micros, Outcome, Plan, Request,
+    RequestId, Settings, WeightMeaning,
 };
 
 const T0: Micros = 500_000_000;
@@ -44,20 +44,20 @@
 
 fn plan() -> impl Strategy<Value = Plan> {
     (2.0..30.0f64, 1.5..4.0f64, 0u32..3, 0.0..3.0f64, 0.5..2.0f64).prop_map(
-        |(rate, burst, cap, over, price)| {
+        |(rate, burst, cap, over, weight_factor)| {
             let burst = (rate * burst).max(8.0);
             let factor = if over > 1.5 { over } else { 0.0 };
             Plan {
                 rate,
                 burst,
                 // No tighter than a few attempts: what a cap refuses is its own doing.
-                open_cap: if cap == 2 { 12 } else { 0 },
+                max_in_flight: if cap == 2 { 12 } else { 0 },
                 ceiling_rate: rate * factor,
                 ceiling_burst: burst * factor,
                 ceiling_slack: (burst * factor * 0.1).max(1.0),
-                price,
-                over_worth: 0.0,
-                over_cost: 1.0,
+                weight_factor,
+                over_quota_weight: 0.0,
+                over_quota_cost: 1.0,
             }
         },
     )
@@ -65,14 +65,14 @@
 
 fn class() -> impl Strategy<Value = (Class, Micros)> {
     let repeat = prop_oneof![
-        Just(Repeat::Safe),
-        Just(Repeat::Once),
-        Just(Repeat::Keyed {
-            group: Group::All,
+        Just(Idempotency::Idempotent),
+        Just(Idempotency::NotIdempotent),
+        Just(Idempotency::WithKey {
+            scope: KeyScope::All,
             window: 3 * S
         }),
-        Just(Repeat::Keyed {
-            group: Group::Cell,
+        Just(Idempotency::WithKey {
+            scope: KeyScope::Cell,
             window: 2 * S
         }),
     ];
@@ -80,13 +80,13 @@
         let aim = work * aims;
         let deadline = aim * patience / 10;
         let class = Class {
-            aim,
-            aim_stretch: 0.0,
+            latency_objective: aim,
+            objective_stretch: 0.0,
             deadline,
-            worth: 1.0,
-            late_worth: 0.0,
-            repeat,
-            stream: false,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            idempotency: repeat,
+            streaming: false,
         };
         (class, work)
     })
@@ -99,33 +99,33 @@
         20.0..90.0f64,
     )
         .prop_map(
-            |(max_attempts, (second_copies, cancel, probes, peers, retry_after), peer_in_per_s)| {
+            |(max_attempts, (hedging, cancel, probes, peers, retry_after), peer_messages_per_s)| {
                 Limits {
                     max_attempts,
-                    second_copies,
-                    cancel,
-                    probes,
+                    hedging,
+                    cancellation: cancel,
+                    health_checks: probes,
                     peers,
-                    peer_in_per_s,
+                    peer_messages_per_s,
                     retry_after,
                     max_retry_after: 2 * S,
-                    counter: probes,
-                    max_open: 20_000,
+                    shared_counter: probes,
+                    max_pending: 20_000,
                 }
             },
         )
 }
 
-fn rules() -> impl Strategy<Value = Rules> {
+fn rules() -> impl Strategy<Value = BackendRules> {
     (0.1..0.6f64, 4u64..20, 2.0..4.0f64, 5u64..20).prop_map(
-        |(cold_from, cold, fall_factor, fall)| Rules {
+        |(warm_up_from, cold, overload_factor, fall)| BackendRules {
             answer_slack: 16_000,
             drain_grace: 250_000,
-            cold_from,
-            cold_time: cold * S,
-            fall_factor,
-            fall_time: fall * 100_000,
-            must_ask: 10 * S,
+            warm_up_from,
+            warm_up_time: cold * S,
+            overload_factor,
+            overload_window: fall * 100_000,
+            max_poll_interval: 10 * S,
         },
     )
 }
@@ -155,18 +155,18 @@
         let (backends, cores, seed, runs_on, troubled, peer_delay) = rest;
         let (classes, work): (Vec<_>, Vec<_>) = classes.into_iter().unzip();
         let sizes = if sized {
-            SizeMeaning::Capacity
+            WeightMeaning::Capacity
         } else {
-            SizeMeaning::None
+            WeightMeaning::None
         };
         let settings = Settings {
-            gateways,
+            gateway_count: gateways,
             tick: tick * 1_000,
             classes,
             plans,
             limits,
             rules,
-            sizes,
+            weights: sizes,
             ..Settings::default()
         };
         let (load, usage) = if troubled { (0.9, 1.5) } else { (0.3, 0.2) };
@@ -282,9 +282,9 @@
 
 impl Play {
     fn new(w: World) -> Play {
-        let gateways = (0..w.settings.gateways).map(|n| {
+        let gateways = (0..w.settings.gateway_count).map(|n| {
             let settings = Settings {
-                me: GatewayNo(n),
+                gateway_id: GatewayId(n),
                 zone: (n % 2) as u8,
                 ..w.settings.clone()
             };
@@ -311,24 +311,24 @@
         };
         for g in 0..play.gateways.len() {
             let list = (0..play.w.backends).map(|n| play.listed(n, 0)).collect();
-            play.feed(g, Event::Roster(RosterKind::Cached, list));
+            play.feed(g, Event::EndpointsChanged(EndpointListKind::Cached, list));
         }
         play
     }
 
-    fn listed(&self, n: usize, started: Micros) -> Listed {
-        Listed {
+    fn listed(&self, n: usize, started_at: Micros) -> Endpoint {
+        Endpoint {
             backend: BackendId(n as u64),
             zone: (n % 2) as u8,
             cell: (n / 2) as u16,
-            availability: if self.machines[n].drained {
-                Availability::Draining
+            state: if self.machines[n].drained {
+                EndpointState::Draining
             } else {
-                Availability::Ready
+                EndpointState::Ready
             },
-            size: 1.0,
-            started,
-            ..Listed::default()
+            weight: 1.0,
+            started_at,
+            ..Endpoint::default()
         }
     }
 
@@ -350,9 +350,9 @@
         let (now, limits) = (self.now, self.w.settings.limits.clone());
         match action {
             Action::Send { id, backend, .. } => self.send(g, id, backend.0 as usize),
-            Action::Refuse { id, pause } => {
+            Action::Reject { id, retry_after } => {
                 assert!(
-                    pause
+                    retry_after
                         <= if limits.retry_after {
                             limits.max_retry_after
                         } else {
@@ -361,10 +361,10 @@
                 );
                 let a = &self.asked[&(g, id)];
                 let harmless = matches!(
-                    self.w.settings.classes[a.class].repeat,
-                    Repeat::Safe
-                        | Repeat::Keyed {
-                            group: Group::All,
+                    self.w.settings.classes[a.class].idempotency,
+                    Idempotency::Idempotent
+                        | Idempotency::WithKey {
+                            scope: KeyScope::All,
                             ..
                         }
                 );
@@ -376,12 +376,12 @@
             }
             Action::Fail(id) => self.end(g, id, false),
             Action::Cancel { id, attempt } => {
-                assert!(limits.cancel, "called off where that is not allowed");
+                assert!(limits.cancellation, "called off where that is not allowed");
                 self.called_off += u32::from(!self.asked[&(g, id)].answered);
                 self.give_up(g, id, attempt, Outcome::Cancelled);
             }
             Action::SetTimer { delay, .. } => self.at(delay, Ev::Timer(g)),
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 assert!(limits.peers && bytes.len() <= 256);
                 let all = 0..self.gateways.len();
                 for to in all.filter(|n| *n != g && to.is_none_or(|t| usize::from(t.0) == *n)) {
@@ -398,9 +398,16 @@
                     }
                 }
             }
-            Action::Probe(_) => assert!(limits.probes, "probed where that is not allowed"),
-            Action::Count { .. } => assert!(limits.counter, "counted where there is no counter"),
-            Action::CloseIdle(_) | Action::Watch(_) | Action::FetchRoster | Action::Log(_) => {}
+            Action::CheckHealth(_) => {
+                assert!(limits.health_checks, "probed where that is not allowed")
+            }
+            Action::AddToCounter { .. } => {
+                assert!(limits.shared_counter, "counted where there is no counter")
+            }
+            Action::CloseIdleConnections(_)
+            | Action::WatchEndpoints(_)
+            | Action::FetchEndpoints
+            | Action::Log(_) => {}
         }
         assert!(now >= T0);
     }
@@ -418,21 +425,21 @@
             !self.machines[backend].drained,
             "sent to a draining backend"
         );
-        assert!(s.limits.second_copies || out == 0, "two attempts at once");
+        assert!(s.limits.hedging || out == 0, "two attempts at once");
         assert!(
             (a.attempts.len() as u32) < s.limits.max_attempts,
             "more attempts than allowed"
         );
         let earlier = a.attempts.iter().find(|t| t.3);
-        match (s.classes[a.class].repeat, earlier) {
-            (Repeat::Once, Some(_)) => panic!("an unsafe request is sent again"),
-            (Repeat::Keyed { group, window }, Some(t)) => {
+        match (s.classes[a.class].idempotency, earlier) {
+            (Idempotency::NotIdempotent, Some(_)) => panic!("an unsafe request is sent again"),
+            (Idempotency::WithKey { scope, window }, Some(t)) => {
                 assert!(
                     now <= t.1 + window,
                     "a keyed request is sent after its window"
                 );
                 assert!(
-                    group == Group::All || t.0 / 2 == backend / 2,
+                    scope == KeyScope::All || t.0 / 2 == backend / 2,
                     "a keyed request leaves its cell"
                 );
             }
@@ -478,10 +485,10 @@
             let slow = (T0 + 2 * S..T0 + 4 * S).contains(&self.now);
             // Times that vary as much as their mean, as they do in service.
             let lot = -(1.0 - lot(&mut self.rng)).ln();
-            let took = self.w.work[class] as f64
+            let elapsed = self.w.work[class] as f64
                 * (0.1 + 0.9 * lot)
                 * if slow { self.w.slower } else { 1.0 };
-            self.at(took as Micros, Ev::Done { backend, life, of });
+            self.at(elapsed as Micros, Ev::Done { backend, life, of });
         }
     }
 
@@ -497,13 +504,13 @@
         if !std::mem::replace(&mut t.2, false) {
             return;
         }
-        let (backend, took) = (t.0, self.now - t.1);
+        let (backend, elapsed) = (t.0, self.now - t.1);
         if !self.w.runs_on {
             self.machines[backend]
                 .waiting
                 .retain(|w| *w != (g, id, attempt));
         }
-        self.settle(g, id, attempt, backend, outcome, took);
+        self.settle(g, id, attempt, backend, outcome, elapsed);
     }
 
     fn settle(
@@ -513,7 +520,7 @@
         attempt: u16,
         backend: usize,
         outcome: Outcome,
-        took: Micros,
+        elapsed: Micros,
     ) {
         let complete = outcome == Outcome::Ok || self.asked[&(g, id)].answered;
         let backend = BackendId(backend as u64);
@@ -521,15 +528,15 @@
         // In a turn of its own, as a host would tell it.
         self.feed(
             g,
-            Event::Settled {
+            Event::AttemptCompleted {
                 id,
                 attempt,
                 backend,
                 outcome,
                 complete,
-                took,
-                metered,
-                charged,
+                elapsed,
+                metered_usage: metered,
+                charged_units: charged,
                 report,
             },
         );
@@ -553,10 +560,10 @@
         let customer = (lot(&mut self.rng) * w.customers as f64) as u64;
         let class = (lot(&mut self.rng) * w.settings.classes.len() as f64) as usize;
         let plan = customer as usize % w.settings.plans.len();
-        let all = w.settings.gateways;
-        let width = all.min(2 + (customer % 2) as u16).max(1);
+        let all = w.settings.gateway_count;
+        let gateway_span = all.min(2 + (customer % 2) as u16).max(1);
         let first = (customer % u64::from(all)) as u16;
-        let g = (first + (lot(&mut self.rng) * f64::from(width)) as u16) % all;
+        let g = (first + (lot(&mut self.rng) * f64::from(gateway_span)) as u16) % all;
         let (g, id) = (usize::from(g), RequestId(self.next));
         self.next += 1;
         let c = &w.settings.classes[class];
@@ -577,7 +584,7 @@
         {
             return;
         }
-        let (first, width) = (f64::from(first), f64::from(width));
+        let (first, gateway_span) = (f64::from(first), f64::from(gateway_span));
         let req = Request {
             id,
             class: class as u8,
@@ -585,8 +592,8 @@
             customer: CustomerId(customer),
             deadline,
             units: 1.0,
-            width,
-            first,
+            gateway_span,
+            first_gateway: first,
             ..Request::default()
         };
         self.inside += 1;
@@ -639,7 +646,10 @@
         };
         let listed = self.listed(n, started);
         for g in 0..self.gateways.len() {
-            self.feed(g, Event::Roster(RosterKind::Delta, vec![listed]));
+            self.feed(
+                g,
+                Event::EndpointsChanged(EndpointListKind::Delta, vec![listed]),
+            );
         }
     }
 
@@ -677,8 +687,8 @@
                 Ev::Timer(g) => self.feed(g, Event::Timer(0)),
                 Ev::Peer { to, from, bytes } => self.feed(
                     to,
-                    Event::Peer {
-                        from: GatewayNo(from),
+                    Event::PeerMessage {
+                        from: GatewayId(from),
                         bytes,
                     },
                 ),
@@ -694,12 +704,12 @@
                     self.work(backend);
                     let t = &mut self.asked.get_mut(&(g, id)).expect("asked").attempts
                         [usize::from(attempt)];
-                    let (was_out, took) = (std::mem::replace(&mut t.2, false), self.now - t.1);
+                    let (was_out, elapsed) = (std::mem::replace(&mut t.2, false), self.now - t.1);
                     if was_out {
                         if !self.asked[&(g, id)].answered {
                             self.end(g, id, true);
                         }
-                        self.settle(g, id, attempt, backend, Outcome::Ok, took);
+                        self.settle(g, id, attempt, backend, Outcome::Ok, elapsed);
                     }
                 }
                 Ev::Deadline { gateway, id } => {
@@ -725,7 +735,7 @@
 
 /// Worlds with an idle fleet, where customers ask for a fifth of their quotas and gateways hear each other.
 fn calm(w: &World) -> bool {
-    !w.troubled && (w.settings.limits.peers || w.settings.gateways == 1)
+    !w.troubled && (w.settings.limits.peers || w.settings.gateway_count == 1)
 }
 
 fn runner(seed: u8, cases: u32) -> TestRunner {
--- a/crates/decision/tests/hostile.rs
+++ b/crates/decision/tests/hostile.rs
@@ -7,58 +7,63 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
 use wrenfork_decision::{
-    Action, Availability, BackendId, Class, CustomerId, Event, Gateway, GatewayNo, Group, Limits,
-    Listed, Micros, Outcome, Plan, Repeat, Report, Request, RequestId, RosterKind, Rules, Settings,
+    Action, BackendId, BackendRules, Class, CustomerId, Endpoint, EndpointListKind, EndpointState,
+    Event, Gateway, GatewayId, Idempotency, KeyScope, Limits, LoadReport, Micros, Outcome, Plan,
+    Request, RequestId, Settings,
 };
 
 const T0: Micros = 50_000_000;
 
 fn settings() -> Settings {
-    let class = |repeat| Class {
-        aim: 500_000,
-        aim_stretch: 0.0,
+    let class = |idempotency| Class {
+        latency_objective: 500_000,
+        objective_stretch: 0.0,
         deadline: 2_000_000,
-        worth: 1.0,
-        late_worth: 0.0,
-        repeat,
-        stream: false,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency,
+        streaming: false,
     };
     let plan = |ceiling_rate, ceiling_burst| Plan {
         rate: 20.0,
         burst: 40.0,
-        open_cap: 0,
+        max_in_flight: 0,
         ceiling_rate,
         ceiling_burst,
         ceiling_slack: 1.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        weight_factor: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 1.0,
     };
-    let keyed = Repeat::Keyed {
-        group: Group::Cell,
+    let keyed = Idempotency::WithKey {
+        scope: KeyScope::Cell,
         window: 1_000_000,
     };
     Settings {
-        gateways: 3,
+        gateway_count: 3,
         tick: 4_000,
-        classes: vec![class(Repeat::Safe), class(keyed), class(Repeat::Once)],
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(keyed),
+            class(Idempotency::NotIdempotent),
+        ],
         plans: vec![plan(0.0, 0.0), plan(30.0, 60.0)],
         limits: Limits {
             max_attempts: 3,
-            second_copies: false,
-            cancel: true,
+            hedging: false,
+            cancellation: true,
             peers: true,
-            peer_in_per_s: 50.0,
+            peer_messages_per_s: 50.0,
             retry_after: true,
             max_retry_after: 1_000_000,
             ..Limits::default()
         },
-        rules: Rules {
-            cold_from: 0.2,
-            cold_time: 5_000_000,
-            fall_factor: 3.0,
-            fall_time: 1_000_000,
-            ..Rules::default()
+        rules: BackendRules {
+            warm_up_from: 0.2,
+            warm_up_time: 5_000_000,
+            overload_factor: 3.0,
+            overload_window: 1_000_000,
+            ..BackendRules::default()
         },
         ..Settings::default()
     }
@@ -71,7 +76,7 @@
         plan: u16,
         customer: u64,
         units: f64,
-        width: f64,
+        gateway_span: f64,
         left: Micros,
     },
     Settle {
@@ -102,10 +107,10 @@
         Just(-3.0),
         Just(1e300)
     ];
-    let width = prop_oneof![Just(3.0), Just(2.0), Just(0.0), Just(f64::INFINITY)];
+    let gateway_span = prop_oneof![Just(3.0), Just(2.0), Just(0.0), Just(f64::INFINITY)];
     prop_oneof![
-        8 => (0u8..4, 0u16..3, 0u64..6, units, width, 0u64..2_000_000).prop_map(
-            |(class, plan, customer, units, width, left)| Step::Ask { class, plan, customer, units, width, left }
+        8 => (0u8..4, 0u16..3, 0u64..6, units, gateway_span, 0u64..2_000_000).prop_map(
+            |(class, plan, customer, units, gateway_span, left)| Step::Ask { class, plan, customer, units, gateway_span, left }
         ),
         8 => (0usize..50, 0usize..7, prop::bool::weighted(0.05)).prop_map(|(pick, outcome, unknown)| Step::Settle {
             pick,
@@ -164,7 +169,7 @@
                         *self.ceiling.entry(customer).or_insert(0.0) += units;
                     }
                 }
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     assert!(self.ended.insert(*id), "a second answer");
                     let unproved = self.unproved.get(id).copied().unwrap_or(0);
                     assert!(
@@ -173,7 +178,7 @@
                     );
                 }
                 Action::Fail(id) => assert!(self.ended.insert(*id), "a second answer"),
-                Action::Probe(_) | Action::Count { .. } => panic!("forbidden here"),
+                Action::CheckHealth(_) | Action::AddToCounter { .. } => panic!("forbidden here"),
                 _ => {}
             }
         }
@@ -194,7 +199,7 @@
     let outcomes = [
         Outcome::Ok,
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::ConnectFailed,
         Outcome::Reset,
         Outcome::TimedOut,
@@ -205,24 +210,24 @@
         gateway.handle(now, event, &mut actions);
         host.take(now, &actions);
     };
-    let listed = |n: u64, state: u8, started: Micros| Listed {
+    let listed = |n: u64, state: u8, started_at: Micros| Endpoint {
         backend: BackendId(n),
         zone: (n % 2) as u8,
         cell: (n % 2) as u16,
-        availability: [
-            Availability::Ready,
-            Availability::Draining,
-            Availability::Gone,
+        state: [
+            EndpointState::Ready,
+            EndpointState::Draining,
+            EndpointState::Removed,
         ][usize::from(state)],
-        size: 1.0,
-        started,
-        ..Listed::default()
+        weight: 1.0,
+        started_at,
+        ..Endpoint::default()
     };
     feed(
         &mut host,
         now,
-        Event::Roster(
-            RosterKind::Cached,
+        Event::EndpointsChanged(
+            EndpointListKind::Cached,
             (0..5).map(|n| listed(n, 0, 0)).collect(),
         ),
     );
@@ -233,7 +238,7 @@
                 plan,
                 customer,
                 units,
-                width,
+                gateway_span,
                 left,
             } => {
                 let id = RequestId(next);
@@ -250,7 +255,7 @@
                     customer,
                     deadline,
                     units,
-                    width,
+                    gateway_span,
                     ..Request::default()
                 };
                 feed(&mut host, now, Event::Request(req));
@@ -280,15 +285,15 @@
                 feed(
                     &mut host,
                     now,
-                    Event::Settled {
+                    Event::AttemptCompleted {
                         id,
                         attempt,
                         backend,
                         outcome,
                         complete,
-                        took: 50_000,
-                        metered: None,
-                        charged: None,
+                        elapsed: 50_000,
+                        metered_usage: None,
+                        charged_units: None,
                         report: None,
                     },
                 );
@@ -298,39 +303,39 @@
                 if id.0 < next {
                     host.ended.insert(id);
                 }
-                feed(&mut host, now, Event::Withdrawn(id));
+                feed(&mut host, now, Event::ClientDisconnected(id));
             }
             Step::Peer { from, bytes } => feed(
                 &mut host,
                 now,
-                Event::Peer {
-                    from: GatewayNo(from),
+                Event::PeerMessage {
+                    from: GatewayId(from),
                     bytes,
                 },
             ),
             Step::Roster { kind, states, cold } => {
                 let kind = [
-                    RosterKind::Delta,
-                    RosterKind::Full,
-                    RosterKind::Cached,
-                    RosterKind::Failed,
+                    EndpointListKind::Delta,
+                    EndpointListKind::Full,
+                    EndpointListKind::Cached,
+                    EndpointListKind::Failed,
                 ][usize::from(kind)];
                 let list: Vec<_> = (0..)
                     .zip(&states)
                     .map(|(n, s)| listed(n, *s, if cold { now } else { 0 }))
                     .collect();
-                if kind == RosterKind::Full || kind == RosterKind::Cached {
+                if kind == EndpointListKind::Full || kind == EndpointListKind::Cached {
                     host.shut = (0..6).map(BackendId).collect();
                 }
-                if kind != RosterKind::Failed {
+                if kind != EndpointListKind::Failed {
                     for l in &list {
                         host.shut.remove(&l.backend);
-                        if l.availability != Availability::Ready {
+                        if l.state != EndpointState::Ready {
                             host.shut.insert(l.backend);
                         }
                     }
                 }
-                feed(&mut host, now, Event::Roster(kind, list));
+                feed(&mut host, now, Event::EndpointsChanged(kind, list));
             }
             Step::Pass(ticks) => {
                 for _ in 0..ticks {
@@ -348,26 +353,26 @@
                         attempt: n as u16,
                     },
                 );
-                let report = Some(Report {
+                let report = Some(LoadReport {
                     queue: Some(f64::NAN),
-                    ..Report::default()
+                    ..LoadReport::default()
                 });
                 let (backend, outcome) = (BackendId(n), Outcome::Ok);
                 feed(
                     &mut host,
                     now,
-                    Event::Probed {
+                    Event::HealthChecked {
                         backend,
                         outcome,
-                        took: n,
+                        elapsed: n,
                         report,
                     },
                 );
                 feed(
                     &mut host,
                     now,
-                    Event::Counted {
-                        name: n,
+                    Event::CounterUpdated {
+                        counter: n,
                         outcome,
                         total: f64::NAN,
                     },
@@ -385,15 +390,15 @@
             feed(
                 &mut host,
                 now,
-                Event::Settled {
+                Event::AttemptCompleted {
                     id,
                     attempt,
                     backend,
                     outcome,
                     complete,
-                    took: 1,
-                    metered: None,
-                    charged: None,
+                    elapsed: 1,
+                    metered_usage: None,
+                    charged_units: None,
                     report: None,
                 },
             );
--- a/crates/decision/tests/pools.rs
+++ b/crates/decision/tests/pools.rs
@@ -9,21 +9,21 @@
 use rig::{listed, settings, Rig, S, T0};
 use std::collections::BTreeMap;
 use wrenfork_decision::{
-    Action, Availability, BackendId, CustomerId, Event, Gateway, Listed, Micros, Outcome, Request,
-    RequestId, RosterKind, Settings, MOST_TIERS,
+    Action, BackendId, CustomerId, Endpoint, EndpointListKind, EndpointState, Event, Gateway,
+    Micros, Outcome, Request, RequestId, Settings, MAX_ROUTE_POOLS,
 };
 
 /// One gateway with so many pools; nothing but pools decides where a request goes.
 fn with_pools(pools: u8) -> Settings {
     let mut s = settings();
-    (s.gateways, s.pools) = (1, pools);
+    (s.gateway_count, s.pool_count) = (1, pools);
     s.limits.peers = false;
     s
 }
 
 /// A backend of some pools.
-fn of(n: u64, pools: &[u8]) -> Listed {
-    Listed {
+fn of(n: u64, pools: &[u8]) -> Endpoint {
+    Endpoint {
         pools: pools.iter().fold(0, |set, p| set | 1 << (p - 1)),
         ..listed(n)
     }
@@ -31,7 +31,7 @@
 
 struct World {
     rig: Rig,
-    list: Vec<Listed>,
+    list: Vec<Endpoint>,
     /// What is out: the request, the attempt's number, where.
     out: Vec<(RequestId, u16, BackendId)>,
     counts: BTreeMap<RequestId, u16>,
@@ -39,13 +39,16 @@
 }
 
 impl World {
-    fn new(pools: u8, list: Vec<Listed>) -> World {
+    fn new(pools: u8, list: Vec<Endpoint>) -> World {
         let mut rig = Rig {
             gateway: Gateway::new(with_pools(pools), 7, T0),
             now: T0,
             next: 0,
         };
-        rig.feed(Event::Roster(RosterKind::Cached, list.clone()));
+        rig.feed(Event::EndpointsChanged(
+            EndpointListKind::Cached,
+            list.clone(),
+        ));
         rig.pass(S / 10);
         World {
             rig,
@@ -66,7 +69,7 @@
                     *n += 1;
                     to.push(backend);
                 }
-                Action::Refuse { .. } => self.refused += 1,
+                Action::Reject { .. } => self.refused += 1,
                 _ => {}
             }
         }
@@ -74,20 +77,20 @@
     }
 
     /// Asks for one of a class through pools, best first; where it was sent at once.
-    fn ask(&mut self, class: u8, tiers: &[u8], customer: u64) -> (RequestId, Option<BackendId>) {
+    fn ask(&mut self, class: u8, route: &[u8], customer: u64) -> (RequestId, Option<BackendId>) {
         let id = RequestId(self.rig.next);
         self.rig.next += 1;
-        let mut way = [0; MOST_TIERS];
-        way[..tiers.len()].copy_from_slice(tiers);
+        let mut way = [0; MAX_ROUTE_POOLS];
+        way[..route.len()].copy_from_slice(route);
         let req = Request {
             id,
             class,
             customer: CustomerId(customer),
             deadline: self.rig.now + 4 * S,
             units: 1.0,
-            width: 1.0,
-            tiers: way,
-            own: 1,
+            gateway_span: 1.0,
+            route: way,
+            own_pools: 1,
             ..Request::default()
         };
         let actions = self.rig.feed(Event::Request(req));
@@ -111,24 +114,25 @@
         self.note(actions);
     }
 
-    fn relist(&mut self, change: impl Fn(&mut Listed)) {
+    fn relist(&mut self, change: impl Fn(&mut Endpoint)) {
         self.list.iter_mut().for_each(change);
-        let actions = self
-            .rig
-            .feed(Event::Roster(RosterKind::Full, self.list.clone()));
+        let actions = self.rig.feed(Event::EndpointsChanged(
+            EndpointListKind::Full,
+            self.list.clone(),
+        ));
         self.note(actions);
     }
 
     /// Customers in turn, each asking once and answered at once: how many went to which pool's first backend group.
     fn spread(
         &mut self,
-        tiers: &[u8],
+        route: &[u8],
         customers: u64,
         first: impl Fn(BackendId) -> bool,
     ) -> (usize, usize) {
         let (mut to_first, mut others) = (0, 0);
         for customer in 0..customers {
-            let (_, to) = self.ask(0, tiers, 10_000 + customer);
+            let (_, to) = self.ask(0, route, 10_000 + customer);
             match to {
                 Some(b) if first(b) => to_first += 1,
                 Some(_) => others += 1,
@@ -164,10 +168,10 @@
         "without a route any will do: {one} {two}"
     );
     w.relist(|l| {
-        l.availability = if in_first(l.backend) {
-            Availability::Draining
+        l.state = if in_first(l.backend) {
+            EndpointState::Draining
         } else {
-            l.availability
+            l.state
         }
     });
     let (_, to) = w.ask(0, &[1], 1);
@@ -185,10 +189,10 @@
         assert!(w.ask(0, &[2], n).1.is_some());
     }
     w.relist(|l| {
-        l.availability = if in_first(l.backend) {
-            Availability::Draining
+        l.state = if in_first(l.backend) {
+            EndpointState::Draining
         } else {
-            l.availability
+            l.state
         }
     });
     for n in 0..40 {
@@ -216,12 +220,12 @@
 fn a_cold_fallback_takes_less() {
     let taken = |started| {
         let mut w = two_pools();
-        w.relist(|l| l.started = if in_first(l.backend) { 0 } else { started });
+        w.relist(|l| l.started_at = if in_first(l.backend) { 0 } else { started });
         w.relist(|l| {
-            l.availability = if in_first(l.backend) {
-                Availability::Gone
+            l.state = if in_first(l.backend) {
+                EndpointState::Removed
             } else {
-                l.availability
+                l.state
             }
         });
         for n in 0..60 {
@@ -241,10 +245,10 @@
     let gone = |w: &mut World, gone: bool| {
         w.relist(|l| {
             if in_first(l.backend) {
-                l.availability = if gone {
-                    Availability::Gone
+                l.state = if gone {
+                    EndpointState::Removed
                 } else {
-                    Availability::Ready
+                    EndpointState::Ready
                 };
             }
         });
@@ -309,15 +313,15 @@
         w.ask(0, &[1], n);
         while let Some(at) = w.out.iter().position(|o| in_first(o.2)) {
             let (id, attempt, backend) = w.out.swap_remove(at);
-            let actions = w.rig.feed(Event::Settled {
+            let actions = w.rig.feed(Event::AttemptCompleted {
                 id,
                 attempt,
                 backend,
                 outcome: Outcome::Ok,
                 complete: true,
-                took: 2 * S, // far too slow
-                metered: None,
-                charged: None,
+                elapsed: 2 * S, // far too slow
+                metered_usage: None,
+                charged_units: None,
                 report: None,
             });
             w.note(actions);
@@ -348,7 +352,7 @@
     assert!(w.settle(0, Outcome::Reset).is_empty() && !w.rig.gateway_owes(id));
     // Turned away unseen it never ran: it may go on.
     w.ask(2, &[1, 2], 2);
-    let next = w.settle(0, Outcome::Full);
+    let next = w.settle(0, Outcome::Rejected);
     assert_eq!(next.len(), 1, "it never ran");
     w.settle_all(|_| Outcome::Ok);
     // Keyed by cell: within the cell of the first, in whatever pool.
@@ -391,7 +395,7 @@
 /// With one pool that all backends are of, a module with pools does what one without them does, to the last action.
 #[test]
 fn one_pool_of_all_is_no_pool() {
-    let run = |pools: u8, tiers: [u8; MOST_TIERS]| {
+    let run = |pools: u8, route: [u8; MAX_ROUTE_POOLS]| {
         let mut rig = Rig {
             gateway: Gateway::new(with_pools(pools), 7, T0),
             now: T0,
@@ -400,7 +404,7 @@
         let list = (0..6)
             .map(|n| if pools > 0 { of(n, &[1]) } else { listed(n) })
             .collect();
-        let mut log = vec![rig.feed(Event::Roster(RosterKind::Cached, list))];
+        let mut log = vec![rig.feed(Event::EndpointsChanged(EndpointListKind::Cached, list))];
         let (mut out, mut counts) = (Vec::new(), BTreeMap::<RequestId, u16>::new());
         for n in 0..3_000u64 {
             let id = RequestId(n);
@@ -412,9 +416,9 @@
                 customer,
                 deadline,
                 units: 1.0,
-                width: 1.0,
-                tiers,
-                own: 1,
+                gateway_span: 1.0,
+                route,
+                own_pools: 1,
                 ..Request::default()
             };
             let mut actions = rig.feed(Event::Request(req));
@@ -457,7 +461,7 @@
             .collect();
         log
     };
-    let (without, with) = (run(0, [0; MOST_TIERS]), run(1, [1, 0, 0, 0]));
+    let (without, with) = (run(0, [0; MAX_ROUTE_POOLS]), run(1, [1, 0, 0, 0]));
     let sends = |log: &[Vec<Action>]| {
         log.iter()
             .flatten()
@@ -480,27 +484,27 @@
         let mut ran: BTreeMap<RequestId, bool> = BTreeMap::new();
         let mut class_of: BTreeMap<RequestId, u8> = BTreeMap::new();
         let mut checked: BTreeMap<RequestId, u16> = BTreeMap::new();
-        for (what, n, tiers, customer) in steps {
+        for (what, n, route, customer) in steps {
             match what {
                 0..=2 => {
-                    let (id, _) = w.ask(n % 3, &tiers, customer);
-                    may.insert(id, tiers);
+                    let (id, _) = w.ask(n % 3, &route, customer);
+                    may.insert(id, route);
                     class_of.insert(id, n % 3);
                 }
                 3 => w.pass(S / 10 * u64::from(n)),
                 4 => {
                     let at = usize::from(n) % 6;
                     let mut list = w.list.clone();
-                    list[at].availability = [Availability::Ready, Availability::Draining, Availability::Gone][customer as usize % 3];
+                    list[at].state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][customer as usize % 3];
                     list[at].pools = u64::from(n % 8);
-                    list[at].started = if customer == 8 { w.rig.now } else { 0 };
+                    list[at].started_at = if customer == 8 { w.rig.now } else { 0 };
                     w.list = list;
                     w.relist(|_| {});
                 }
                 _ if w.out.is_empty() => {}
                 _ => {
                     let at = usize::from(n) % w.out.len();
-                    let outcome = [Outcome::Ok, Outcome::Error, Outcome::Reset, Outcome::Full, Outcome::ConnectFailed][usize::from(what + n) % 5];
+                    let outcome = [Outcome::Ok, Outcome::Error, Outcome::Reset, Outcome::Rejected, Outcome::ConnectFailed][usize::from(what + n) % 5];
                     let id = w.out[at].0;
                     if !outcome.never_ran() {
                         ran.insert(id, true);
@@ -514,9 +518,9 @@
                 }
                 checked.insert(*id, attempt + 1);
                 let set = w.list[backend.0 as usize].pools;
-                let tiers = &may[id];
-                prop_assert!(tiers.iter().any(|p| set & 1 << (p - 1) != 0), "{id:?} went to {backend:?} of {set:b}, not {tiers:?}");
-                prop_assert!(w.list[backend.0 as usize].availability == Availability::Ready);
+                let route = &may[id];
+                prop_assert!(route.iter().any(|p| set & 1 << (p - 1) != 0), "{id:?} went to {backend:?} of {set:b}, not {route:?}");
+                prop_assert!(w.list[backend.0 as usize].state == EndpointState::Ready);
                 prop_assert!(class_of[id] != 2 || *attempt == 0 || !ran.contains_key(id), "{id:?} may run twice");
             }
         }
--- a/crates/decision/tests/rig/mod.rs
+++ b/crates/decision/tests/rig/mod.rs
@@ -2,22 +2,23 @@
 #![allow(dead_code)]
 
 use wrenfork_decision::{
-    Action, Availability, BackendId, Class, CustomerId, Event, Gateway, GatewayNo, Group, Limits,
-    Listed, Micros, Outcome, Plan, Repeat, Request, RequestId, RosterKind, Rules, Settings,
+    Action, BackendId, BackendRules, Class, CustomerId, Endpoint, EndpointListKind, EndpointState,
+    Event, Gateway, GatewayId, Idempotency, KeyScope, Limits, Micros, Outcome, Plan, Request,
+    RequestId, Settings,
 };
 
 pub const T0: Micros = 1_000_000_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(repeat: Repeat) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        aim: S,
-        aim_stretch: 0.0,
+        latency_objective: S,
+        objective_stretch: 0.0,
         deadline: 4 * S,
-        worth: 1.0,
-        late_worth: 0.0,
-        repeat,
-        stream: false,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency,
+        streaming: false,
     }
 }
 
@@ -25,20 +26,20 @@
     Plan {
         rate,
         burst,
-        open_cap: 0,
+        max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        weight_factor: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 1.0,
     }
 }
 
 /// Three gateways; classes: safe, keyed by cell for 2 s, once; plans: large, small, ceiling, capped.
 pub fn settings() -> Settings {
-    let keyed = Repeat::Keyed {
-        group: Group::Cell,
+    let keyed = Idempotency::WithKey {
+        scope: KeyScope::Cell,
         window: 2 * S,
     };
     let ceiling = Plan {
@@ -47,54 +48,58 @@
         ..plan(100.0, 100.0)
     };
     Settings {
-        gateways: 3,
-        me: GatewayNo(0),
+        gateway_count: 3,
+        gateway_id: GatewayId(0),
         zone: 0,
         tick: 4_000,
-        classes: vec![class(Repeat::Safe), class(keyed), class(Repeat::Once)],
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(keyed),
+            class(Idempotency::NotIdempotent),
+        ],
         plans: vec![
             plan(1e6, 1e6),
             plan(2.0, 6.0),
             ceiling,
             Plan {
-                open_cap: 2,
+                max_in_flight: 2,
                 ..plan(0.0, 0.0)
             },
         ],
         limits: Limits {
             max_attempts: 3,
-            second_copies: true,
-            cancel: true,
-            probes: false,
+            hedging: true,
+            cancellation: true,
+            health_checks: false,
             peers: true,
-            peer_in_per_s: 60.0,
+            peer_messages_per_s: 60.0,
             retry_after: true,
             max_retry_after: 2 * S,
-            counter: false,
-            max_open: 20_000,
+            shared_counter: false,
+            max_pending: 20_000,
         },
-        rules: Rules {
+        rules: BackendRules {
             answer_slack: 16_000,
             drain_grace: 250_000,
-            cold_from: 0.2,
-            cold_time: 10 * S,
-            fall_factor: 3.0,
-            fall_time: S,
-            must_ask: 10 * S,
+            warm_up_from: 0.2,
+            warm_up_time: 10 * S,
+            overload_factor: 3.0,
+            overload_window: S,
+            max_poll_interval: 10 * S,
         },
         ..Settings::default()
     }
 }
 
-pub fn listed(n: u64) -> Listed {
-    Listed {
+pub fn listed(n: u64) -> Endpoint {
+    Endpoint {
         backend: BackendId(n),
         zone: (n % 2) as u8,
         cell: (n % 2) as u16,
-        kind: 0,
-        availability: Availability::Ready,
-        size: 1.0,
-        started: 0,
+        machine_kind: 0,
+        state: EndpointState::Ready,
+        weight: 1.0,
+        started_at: 0,
         pools: 0,
     }
 }
@@ -112,8 +117,8 @@
             now: T0,
             next: 0,
         };
-        rig.feed(Event::Roster(
-            RosterKind::Cached,
+        rig.feed(Event::EndpointsChanged(
+            EndpointListKind::Cached,
             (0..backends).map(listed).collect(),
         ));
         rig
@@ -151,13 +156,13 @@
         plan: u16,
         customer: u64,
         units: f64,
-        width: f64,
+        gateway_span: f64,
     ) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
         let deadline = self.now + 4 * S;
         let customer = CustomerId(customer);
-        let first = if width == 6.0 { 15.0 } else { 0.0 };
+        let first = if gateway_span == 6.0 { 15.0 } else { 0.0 };
         let req = Request {
             id,
             class,
@@ -165,8 +170,8 @@
             customer,
             deadline,
             units,
-            width,
-            first,
+            gateway_span,
+            first_gateway: first,
             ..Request::default()
         };
         (id, self.feed(Event::Request(req)))
@@ -189,15 +194,15 @@
         backend: BackendId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.feed(Event::Settled {
+        self.feed(Event::AttemptCompleted {
             id,
             attempt,
             backend,
             outcome,
             complete: outcome == Outcome::Ok,
-            took: 100_000,
-            metered: None,
-            charged: None,
+            elapsed: 100_000,
+            metered_usage: None,
+            charged_units: None,
             report: None,
         })
     }
@@ -215,7 +220,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -5,13 +5,14 @@
 use proptest::prelude::{prop, prop_assert, proptest};
 use rig::{class, plan, sends, settings, Rig, S};
 use wrenfork_decision::{
-    Action, BackendId, Event, Gateway, GatewayNo, InUse, Outcome, Plan, Repeat, RequestId, Settings,
+    Action, BackendId, Event, Gateway, GatewayId, Idempotency, Outcome, Plan, PlanUsage, RequestId,
+    Settings,
 };
 
 /// One gateway, so that all of a quota is its own.
 fn alone() -> Settings {
     let mut s = settings();
-    s.gateways = 1;
+    s.gateway_count = 1;
     s.limits.peers = false;
     s
 }
@@ -19,7 +20,7 @@
 fn changed(s: &Settings, change: impl FnOnce(&mut Settings)) -> Event {
     let mut s = s.clone();
     change(&mut s);
-    Event::Settings(Box::new(s))
+    Event::SettingsChanged(Box::new(s))
 }
 
 /// How many of so many requests are sent at once, each answered.
@@ -111,7 +112,9 @@
         panic!("{actions:?}")
     };
     let backend = *backend;
-    rig.feed(changed(&s, |s| s.classes[2].repeat = Repeat::Safe));
+    rig.feed(changed(&s, |s| {
+        s.classes[2].idempotency = Idempotency::Idempotent
+    }));
     let actions = rig.settle(id, 0, backend, Outcome::Reset);
     assert_eq!(actions, [Action::Fail(id)], "it may have run");
     // One that comes now may run again.
@@ -144,7 +147,9 @@
             );
         }
     }
-    rig.feed(changed(&s, |s| s.classes.push(class(Repeat::Safe))));
+    rig.feed(changed(&s, |s| {
+        s.classes.push(class(Idempotency::Idempotent))
+    }));
     rig.pass(30 * S);
     let (_, actions) = rig.ask_of(3, 0, 8, 1.0, 1.0);
     assert!(
@@ -161,23 +166,26 @@
     rig.pass(S);
     let (_, actions) = rig.ask_of(0, 1, 7, 2.0, 1.0);
     assert!(matches!(actions[..], [Action::Send { .. }]));
-    let used = rig.gateway.in_use();
-    assert_eq!((used.len(), used[1].customers, used[1].open), (4, 1, 1));
-    assert!(used[1].rate > 0.0 && used[0] == InUse::default());
+    let used = rig.gateway.plan_usage();
+    assert_eq!(
+        (used.len(), used[1].customers, used[1].in_flight),
+        (4, 1, 1)
+    );
+    assert!(used[1].rate > 0.0 && used[0] == PlanUsage::default());
 }
 
 /// Many plans share the last number that a message has room for: a home must not take one of these for another.
 #[test]
 fn a_customer_on_a_plan_beyond_what_messages_name_is_counted_by_its_home() {
     let mut s = settings();
-    s.gateways = 2;
+    s.gateway_count = 2;
     s.plans = vec![plan(1e6, 1e6); 80];
     s.plans[70] = plan(2.0, 12.0);
     let mut rigs: Vec<Rig> = (0..2)
         .map(|me| {
             Rig::with(
                 Settings {
-                    me: GatewayNo(me),
+                    gateway_id: GatewayId(me),
                     ..s.clone()
                 },
                 4,
@@ -200,9 +208,9 @@
                         sent += 1;
                         rigs[me].settle(id, 0, backend, Outcome::Ok);
                     }
-                    Action::Tell { bytes, .. } => {
-                        let from = GatewayNo(me as u16);
-                        rigs[1 - me].feed(Event::Peer { from, bytes });
+                    Action::SendToPeer { bytes, .. } => {
+                        let from = GatewayId(me as u16);
+                        rigs[1 - me].feed(Event::PeerMessage { from, bytes });
                     }
                     _ => {}
                 }
@@ -230,7 +238,7 @@
                 out.push((id, *n, backend));
                 *n += 1;
             }
-            Action::Refuse { id, .. } | Action::Fail(id) => drop(owed.remove(&id)),
+            Action::Reject { id, .. } | Action::Fail(id) => drop(owed.remove(&id)),
             _ => {}
         }
     }
@@ -254,8 +262,8 @@
                     classes = class_no + 1;
                     plans = plan_no + 1;
                     let new = changed(&s, |s| {
-                        s.classes = vec![class(Repeat::Safe); usize::from(classes)];
-                        s.plans = vec![Plan { open_cap: u32::from(class_no), ..plan(figure, figure * 2.0) }; usize::from(plans)];
+                        s.classes = vec![class(Idempotency::Idempotent); usize::from(classes)];
+                        s.plans = vec![Plan { max_in_flight: u32::from(class_no), ..plan(figure, figure * 2.0) }; usize::from(plans)];
                         s.limits.max_attempts = 1 + u32::from(class_no);
                     });
                     rig.feed(new)
@@ -305,7 +313,7 @@
         let mut rig = Rig::with(with(before), 4);
         let (id, actions) = rig.ask(0, 0, 1, 1.0);
         let first = sends(&actions)[0];
-        rig.feed(Event::Settings(Box::new(with(after))));
+        rig.feed(Event::SettingsChanged(Box::new(with(after))));
         let actions = rig.settle(id, 0, first, Outcome::Error);
         assert_eq!(
             !sends(&actions).is_empty(),
@@ -392,14 +400,14 @@
 /// class's health here, and its use for that of another plan.
 #[test]
 fn a_peer_with_other_places_is_not_misread() {
-    let with = |me: u16, words: [u8; 2]| {
+    let with = |me: u16, name_digests: [u8; 2]| {
         let mut s = settings();
-        (s.gateways, s.me, s.words) = (60, GatewayNo(me), words); // many: samples pass, one home decides
+        (s.gateway_count, s.gateway_id, s.name_digests) = (60, GatewayId(me), name_digests); // many: samples pass, one home decides
         s
     };
     // What one that had errors tells its peers.
-    let told = |words: [u8; 2]| {
-        let mut rig = Rig::with(with(3, words), 4);
+    let told = |name_digests: [u8; 2]| {
+        let mut rig = Rig::with(with(3, name_digests), 4);
         let mut told = Vec::new();
         for n in 0..200u64 {
             let (_, mut actions) = rig.ask_of(0, 1, n, 1.0, 2.0);
@@ -412,25 +420,28 @@
             told.extend(actions);
         }
         let to_home = |a| match a {
-            Action::Tell {
-                to: Some(GatewayNo(0)),
+            Action::SendToPeer {
+                to: Some(GatewayId(0)),
                 bytes,
             } => Some(bytes),
             _ => None,
         };
         told.into_iter().filter_map(to_home)
     };
-    let heard = |words: [u8; 2]| {
+    let heard = |name_digests: [u8; 2]| {
         let mut rig = Rig::with(with(0, [1, 1]), 4);
-        let messages: Vec<Vec<u8>> = told(words).collect();
+        let messages: Vec<Vec<u8>> = told(name_digests).collect();
         assert!(messages.len() > 10, "{} messages", messages.len());
         for bytes in messages {
-            rig.feed(Event::Peer {
-                from: GatewayNo(3),
+            rig.feed(Event::PeerMessage {
+                from: GatewayId(3),
                 bytes,
             });
         }
-        (rig.gateway.in_rotation(), rig.gateway.in_use()[1].customers)
+        (
+            rig.gateway.backends_in_rotation(),
+            rig.gateway.plan_usage()[1].customers,
+        )
     };
     let (alike, customers) = heard([1, 1]);
     assert!(
@@ -448,7 +459,10 @@
 /// Guards against a class that comes back under its name with another effect and rests backends for what the old one met there.
 #[test]
 fn a_name_with_another_effect_is_another_class() {
-    for (effect, rested) in [(Repeat::Safe, true), (Repeat::Once, false)] {
+    for (effect, rested) in [
+        (Idempotency::Idempotent, true),
+        (Idempotency::NotIdempotent, false),
+    ] {
         let mut rig = Rig::with(settings(), 2);
         for n in 0..12 {
             let (id, actions) = rig.ask(0, 0, n, 1.0);
@@ -462,10 +476,10 @@
             }
         }
         assert!(
-            rig.gateway.in_rotation() < 2,
+            rig.gateway.backends_in_rotation() < 2,
             "nothing rests: the test shows nothing"
         );
-        rig.feed(changed(&settings(), |s| s.classes[0].repeat = effect));
-        assert_eq!(rig.gateway.in_rotation() < 2, rested, "{effect:?}");
+        rig.feed(changed(&settings(), |s| s.classes[0].idempotency = effect));
+        assert_eq!(rig.gateway.backends_in_rotation() < 2, rested, "{effect:?}");
     }
 }
--- a/crates/decision/tests/simulation/encoding.rs
+++ b/crates/decision/tests/simulation/encoding.rs
@@ -50,26 +50,26 @@
         Action::Send {
             id,
             backend,
-            expires,
-            begin_by,
-        } => (1, vec![id.0, backend.0, *expires, *begin_by], none()),
-        Action::Refuse { id, pause } => (2, vec![id.0, *pause], none()),
+            expires_at,
+            start_by,
+        } => (1, vec![id.0, backend.0, *expires_at, *start_by], none()),
+        Action::Reject { id, retry_after } => (2, vec![id.0, *retry_after], none()),
         Action::Fail(id) => (3, vec![id.0], none()),
         Action::Cancel { id, attempt } => (4, vec![id.0, u64::from(*attempt)], none()),
         Action::SetTimer { delay, token } => (5, vec![*delay, u64::from(*token)], none()),
-        Action::Tell { to, bytes } => {
+        Action::SendToPeer { to, bytes } => {
             let to = to.map_or(u64::MAX, |g| u64::from(g.0));
             (6, vec![to], bytes.clone())
         }
-        Action::Probe(backend) => (7, vec![backend.0], none()),
-        Action::CloseIdle(backend) => (8, vec![backend.0], none()),
-        Action::Watch(on) => (9, vec![u64::from(*on)], none()),
-        Action::FetchRoster => (10, Vec::new(), none()),
-        Action::Count {
-            name,
+        Action::CheckHealth(backend) => (7, vec![backend.0], none()),
+        Action::CloseIdleConnections(backend) => (8, vec![backend.0], none()),
+        Action::WatchEndpoints(on) => (9, vec![u64::from(*on)], none()),
+        Action::FetchEndpoints => (10, Vec::new(), none()),
+        Action::AddToCounter {
+            counter,
             delta,
             lifetime,
-        } => (11, vec![*name, delta.to_bits(), *lifetime], none()),
+        } => (11, vec![*counter, delta.to_bits(), *lifetime], none()),
         Action::Log(text) => (12, Vec::new(), text.to_string().into_bytes()),
     }
 }
--- a/crates/decision/tests/simulation/mod.rs
+++ b/crates/decision/tests/simulation/mod.rs
@@ -10,8 +10,8 @@
 use scenarios::{Scenario, MOOD_SPAN};
 use std::collections::{BTreeMap, VecDeque};
 use wrenfork_decision::{
-    Action, Availability, BackendId, CustomerId, Event, Gateway, GatewayNo, Listed, Micros,
-    Outcome, Report, Request, RequestId, RosterKind, MOST_TIERS,
+    Action, BackendId, CustomerId, Endpoint, EndpointListKind, EndpointState, Event, Gateway,
+    GatewayId, LoadReport, Micros, Outcome, Request, RequestId, MAX_ROUTE_POOLS,
 };
 
 pub const START: Micros = 1_000_000_000;
@@ -64,7 +64,7 @@
     pub now: Micros,
     hosts: Vec<Host>,
     messages: VecDeque<Message>,
-    list: Vec<Listed>,
+    list: Vec<Endpoint>,
     next_request: u64,
     random: u64,
     actions: Digest,
@@ -101,7 +101,7 @@
             let at = simulation.hosts.len() - 1;
             simulation.feed(
                 at,
-                Event::Roster(RosterKind::Cached, simulation.list.clone()),
+                Event::EndpointsChanged(EndpointListKind::Cached, simulation.list.clone()),
             );
         }
         simulation
@@ -109,7 +109,7 @@
 
     fn started(&self, number: u16, starts: u64) -> Gateway {
         let mut settings = self.scenario.settings.clone();
-        settings.me = GatewayNo(number);
+        settings.gateway_id = GatewayId(number);
         settings.zone = (number % 3) as u8;
         let seed = self.scenario.seed ^ u64::from(number) << 32 ^ starts;
         Gateway::new(settings, seed, self.now)
@@ -180,16 +180,16 @@
                     a.cancelled = true;
                 }
             }
-            Action::Tell { to, bytes } => self.post(at, to, bytes),
-            Action::Refuse { .. } => self.counts.rejections += 1,
+            Action::SendToPeer { to, bytes } => self.post(at, to, &bytes),
+            Action::Reject { .. } => self.counts.rejections += 1,
             Action::Fail(_) => self.counts.failures += 1,
-            Action::Watch(_) => self.counts.watches += 1,
+            Action::WatchEndpoints(_) => self.counts.watches += 1,
             Action::Log(_) => self.counts.logs += 1,
             _ => {}
         }
     }
 
-    fn post(&mut self, at: usize, to: Option<GatewayNo>, bytes: Vec<u8>) {
+    fn post(&mut self, at: usize, to: Option<GatewayId>, bytes: &[u8]) {
         self.counts.messages += 1;
         let from = self.hosts[at].number;
         let to = to.expect("the gateways send to one peer each").0;
@@ -199,7 +199,7 @@
             _ => 1,
         };
         for _ in 0..copies {
-            let bytes = bytes.clone();
+            let bytes = bytes.to_vec();
             self.messages.push_back(Message { from, to, bytes });
         }
     }
@@ -246,8 +246,8 @@
         );
         let draw = self.below(self.scenario.customers).max(1);
         let customer = self.below(draw); // a few come far more often than the rest
-        let (first, width) = self.scenario.spread(customer);
-        let (tiers, own) = self.route(customer);
+        let (first, gateway_span) = self.scenario.spread(customer);
+        let (route, own) = self.route(customer);
         let class = if self.one_in(400) {
             classes as u8 + 1
         } else {
@@ -277,10 +277,10 @@
             customer: CustomerId(customer * 7919),
             deadline,
             units,
-            width,
-            first,
-            tiers,
-            own,
+            gateway_span,
+            first_gateway: first,
+            route,
+            own_pools: own,
         };
         self.feed(at, Event::Request(request));
         if self.one_in(300) {
@@ -289,20 +289,20 @@
     }
 
     /// The pools of a customer's requests, best first, and how many of them are its own.
-    fn route(&mut self, customer: u64) -> ([u8; MOST_TIERS], u8) {
-        let pools = u64::from(self.scenario.settings.pools);
-        let mut tiers = [0; MOST_TIERS];
+    fn route(&mut self, customer: u64) -> ([u8; MAX_ROUTE_POOLS], u8) {
+        let pools = u64::from(self.scenario.settings.pool_count);
+        let mut route = [0; MAX_ROUTE_POOLS];
         if pools == 0 || customer % 5 == 4 {
-            return (tiers, u8::from(customer % 2 == 0));
+            return (route, u8::from(customer.is_multiple_of(2)));
         }
         let count = 1 + customer % 3;
-        for (place, tier) in tiers.iter_mut().take(count as usize).enumerate() {
+        for (place, tier) in route.iter_mut().take(count as usize).enumerate() {
             *tier = ((customer + place as u64) % pools + 1) as u8;
         }
         if self.one_in(200) {
-            tiers[1] = 60;
+            route[1] = 60;
         }
-        (tiers, 1 + (customer % 2) as u8)
+        (route, 1 + (customer % 2) as u8)
     }
 
     /// Ends an attempt: what its backend does depends on the backend and on the time.
@@ -328,15 +328,15 @@
             self.outcome(mood.bad)
         };
         let complete = outcome == Outcome::Ok || self.one_in(60);
-        let event = Event::Settled {
+        let event = Event::AttemptCompleted {
             id: a.id,
             attempt: a.number,
             backend,
             outcome,
             complete,
-            took: out,
-            metered: self.one_in(10).then_some(0.5),
-            charged: self.one_in(3).then_some(2.0),
+            elapsed: out,
+            metered_usage: self.one_in(10).then_some(0.5),
+            charged_units: self.one_in(3).then_some(2.0),
             report: self.report(),
         };
         self.feed(at, event);
@@ -351,18 +351,18 @@
             4 => Outcome::TimedOut,
             5..=6 => Outcome::ConnectFailed,
             7..=8 => Outcome::Reset,
-            9 => Outcome::Moot,
-            _ => Outcome::Full,
+            9 => Outcome::NotSent,
+            _ => Outcome::Rejected,
         }
     }
 
-    fn report(&mut self) -> Option<Report> {
+    fn report(&mut self) -> Option<LoadReport> {
         let queue = self.below(12) as f64;
-        self.one_in(3).then_some(Report {
+        self.one_in(3).then_some(LoadReport {
             in_flight: Some(2.0),
             queue: (queue > 2.0).then_some(queue),
-            util: Some(0.5),
-            ..Report::default()
+            utilization: Some(0.5),
+            ..LoadReport::default()
         })
     }
 
@@ -383,7 +383,7 @@
             .filter(|_| !newest)
             .unwrap_or(RequestId(self.next_request));
         let sender = self.hosts.iter().position(|h| h.sends.contains_key(&id));
-        self.feed(sender.unwrap_or(at), Event::Withdrawn(id));
+        self.feed(sender.unwrap_or(at), Event::ClientDisconnected(id));
     }
 
     /// Changes some lines of the endpoint list and gives the list to all gateways, in one of the forms.
@@ -394,45 +394,45 @@
         for _ in 0..1 + self.below(3) {
             let at = self.below(count) as usize;
             let state = match self.below(6) {
-                0 => Availability::Draining,
-                1 => Availability::Gone,
-                _ => Availability::Ready,
+                0 => EndpointState::Draining,
+                1 => EndpointState::Removed,
+                _ => EndpointState::Ready,
             };
             let restarted = self.one_in(2);
             let line = &mut self.list[at];
-            if restarted && line.availability != Availability::Ready {
-                line.started = now - 50_000;
+            if restarted && line.state != EndpointState::Ready {
+                line.started_at = now - 50_000;
             }
-            line.availability = state;
+            line.state = state;
             changed.push(*line);
         }
         // Now and then a pool loses all that it has.
-        if self.scenario.settings.pools > 0 && self.one_in(6) {
-            let bit = 1 << self.below(u64::from(self.scenario.settings.pools));
+        if self.scenario.settings.pool_count > 0 && self.one_in(6) {
+            let bit = 1 << self.below(u64::from(self.scenario.settings.pool_count));
             for line in self.list.iter_mut().filter(|l| l.pools & bit != 0) {
-                line.availability = Availability::Draining;
+                line.state = EndpointState::Draining;
                 changed.push(*line);
             }
         }
         let kind = match self.below(8) {
-            0 => RosterKind::Full,
-            1 => RosterKind::Cached,
-            2 => RosterKind::Failed,
-            _ => RosterKind::Delta,
+            0 => EndpointListKind::Full,
+            1 => EndpointListKind::Cached,
+            2 => EndpointListKind::Failed,
+            _ => EndpointListKind::Delta,
         };
         let list = match kind {
-            RosterKind::Delta => changed,
-            RosterKind::Failed => Vec::new(),
-            RosterKind::Full | RosterKind::Cached => {
+            EndpointListKind::Delta => changed,
+            EndpointListKind::Failed => Vec::new(),
+            EndpointListKind::Full | EndpointListKind::Cached => {
                 // Whole lists bring everybody back, or a run would wear the backends out.
                 for line in &mut self.list {
-                    line.availability = Availability::Ready;
+                    line.state = EndpointState::Ready;
                 }
                 self.list.clone()
             }
         };
         for at in 0..self.hosts.len() {
-            self.feed(at, Event::Roster(kind, list.clone()));
+            self.feed(at, Event::EndpointsChanged(kind, list.clone()));
         }
     }
 
@@ -449,13 +449,13 @@
             let Some(at) = self.hosts.iter().position(|h| h.number == to) else {
                 continue;
             };
-            let from = GatewayNo(from);
-            self.feed(at, Event::Peer { from, bytes });
+            let from = GatewayId(from);
+            self.feed(at, Event::PeerMessage { from, bytes });
         }
     }
 
     fn hostile_message(&mut self, at: usize) {
-        let from = GatewayNo(self.below(6) as u16);
+        let from = GatewayId(self.below(6) as u16);
         let mut bytes: Vec<u8> = (0..self.below(270))
             .map(|_| self.below(256) as u8)
             .collect();
@@ -464,22 +464,22 @@
             let at = self.below(bytes.len() as u64) as usize;
             bytes[at] ^= 1 << self.below(8);
         }
-        self.feed(at, Event::Peer { from, bytes });
+        self.feed(at, Event::PeerMessage { from, bytes });
     }
 
     fn probed_or_counted(&mut self, at: usize) {
         let backend = BackendId(self.below(self.scenario.backends));
         let outcome = self.outcome(500);
         let event = if self.one_in(2) {
-            Event::Probed {
+            Event::HealthChecked {
                 backend,
                 outcome,
-                took: 1_000,
+                elapsed: 1_000,
                 report: self.report(),
             }
         } else {
-            Event::Counted {
-                name: 7,
+            Event::CounterUpdated {
+                counter: 7,
                 outcome,
                 total: 3.0,
             }
@@ -500,21 +500,22 @@
     /// What the gateway shows to its operators counts as a decision, too.
     fn note_views(&mut self, at: usize) {
         let gateway = &self.hosts[at].gateway;
-        self.actions.note_number(gateway.in_rotation() as u64);
-        for used in gateway.in_use() {
+        self.actions
+            .note_number(gateway.backends_in_rotation() as u64);
+        for used in gateway.plan_usage() {
             self.actions.note_number(used.customers);
             self.actions
                 .note_number((used.rate * 1000.0).round() as u64);
-            self.actions.note_number(u64::from(used.open));
+            self.actions.note_number(u64::from(used.in_flight));
         }
         for customer in 0..self.scenario.customers {
-            let inside = gateway.inside(CustomerId(customer * 7919), 1.0);
+            let inside = gateway.within_quota(CustomerId(customer * 7919), 1.0);
             self.actions.note_number(u64::from(inside));
         }
         for backend in 0..self.scenario.backends {
-            let (ready, ejected) = gateway.takes_work(BackendId(backend));
-            self.actions.note_number(u64::from(ready));
-            self.actions.note_number(ejected.len() as u64);
+            let status = gateway.backend_status(BackendId(backend));
+            self.actions.note_number(u64::from(status.accepts_work));
+            self.actions.note_number(status.ejected_for.len() as u64);
         }
     }
 
@@ -529,14 +530,17 @@
             attempts: Vec::new(),
             sends: BTreeMap::new(),
         };
-        self.feed(at, Event::Roster(RosterKind::Full, self.list.clone()));
+        self.feed(
+            at,
+            Event::EndpointsChanged(EndpointListKind::Full, self.list.clone()),
+        );
     }
 
     /// Gives a gateway other settings: plans and classes that come, go and change their figures.
     fn change_settings(&mut self, at: usize) {
         let draw = self.below(4);
         let settings = self.scenario.changed_settings(draw);
-        self.feed(at, Event::Settings(Box::new(settings)));
+        self.feed(at, Event::SettingsChanged(Box::new(settings)));
     }
 }
 
--- a/crates/decision/tests/simulation/scenarios.rs
+++ b/crates/decision/tests/simulation/scenarios.rs
@@ -1,8 +1,8 @@
 //! The deployments of the seeded runs: quite different settings, and how their backends fare over time.
 
 use wrenfork_decision::{
-    Availability, BackendId, Class, Discovery, Group, Limits, Listed, Micros, Plan, Repeat, Rules,
-    Settings, SizeMeaning,
+    BackendId, BackendRules, Class, DiscoveryMode, Endpoint, EndpointState, Idempotency, KeyScope,
+    Limits, Micros, Plan, Settings, WeightMeaning,
 };
 
 const SECOND: Micros = 1_000_000;
@@ -31,24 +31,24 @@
 }
 
 impl Scenario {
-    pub fn endpoint(&self, n: u64) -> Listed {
-        let pools = u64::from(self.settings.pools);
+    pub fn endpoint(&self, n: u64) -> Endpoint {
+        let pools = u64::from(self.settings.pool_count);
         let in_pool = |p: &u64| n % pools == *p || (n + 1) % pools == *p;
-        Listed {
+        Endpoint {
             backend: BackendId(n),
             zone: (n % 3) as u8,
             cell: (n % 4) as u16,
-            kind: (n % 2) as u16,
-            availability: Availability::Ready,
-            size: 0.5 + (n % 4) as f64 / 2.0,
-            started: 0,
+            machine_kind: (n % 2) as u16,
+            state: EndpointState::Ready,
+            weight: 0.5 + (n % 4) as f64 / 2.0,
+            started_at: 0,
             pools: (0..pools).filter(in_pool).fold(0, |set, p| set | 1 << p),
         }
     }
 
     /// The first gateway of a customer and how many it has; for some a figure that means nothing.
     pub fn spread(&self, customer: u64) -> (f64, f64) {
-        let gateways = u64::from(self.settings.gateways.max(1));
+        let gateways = u64::from(self.settings.gateway_count.max(1));
         match customer % 11 {
             9 => (0.0, f64::NAN),
             10 => (1e6, 2.0),
@@ -57,10 +57,10 @@
     }
 
     pub fn mood(&self, backend: BackendId, now: Micros) -> Mood {
-        let objective = self.settings.classes[0].aim;
+        let objective = self.settings.classes[0].latency_objective;
         let calm = objective / 12;
         let phase = now / MOOD_SPAN % 6;
-        let hit = backend.0 % 5 == 0;
+        let hit = backend.0.is_multiple_of(5);
         match phase {
             1 => Mood {
                 least: objective * 3 / 4,
@@ -95,31 +95,36 @@
             0 => settings.plans.push(plan(3.0, 9.0)),
             1 => {
                 settings.plans.truncate(settings.plans.len().max(2) - 1);
-                settings.words = [settings.words[0], settings.words[1].wrapping_add(1)];
+                settings.name_digests = [
+                    settings.name_digests[0],
+                    settings.name_digests[1].wrapping_add(1),
+                ];
             }
             2 => {
                 for plan in &mut settings.plans {
                     plan.rate *= 0.5;
                     plan.burst *= 0.75;
                 }
-                settings.classes[0].repeat = Repeat::Once;
-                settings.limits.second_copies = !settings.limits.second_copies;
+                settings.classes[0].idempotency = Idempotency::NotIdempotent;
+                settings.limits.hedging = !settings.limits.hedging;
             }
-            _ => settings.classes.push(class(Repeat::Safe, 300_000)),
+            _ => settings
+                .classes
+                .push(class(Idempotency::Idempotent, 300_000)),
         }
         settings
     }
 }
 
-fn class(repeat: Repeat, aim: Micros) -> Class {
+fn class(idempotency: Idempotency, latency_objective: Micros) -> Class {
     Class {
-        aim,
-        aim_stretch: 0.0,
+        latency_objective,
+        objective_stretch: 0.0,
         deadline: 4 * SECOND,
-        worth: 1.0,
-        late_worth: 0.0,
-        repeat,
-        stream: false,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency,
+        streaming: false,
     }
 }
 
@@ -127,45 +132,45 @@
     Plan {
         rate,
         burst,
-        open_cap: 0,
+        max_in_flight: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
         ceiling_slack: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        weight_factor: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 1.0,
     }
 }
 
-fn keyed(group: Group) -> Repeat {
+fn keyed(scope: KeyScope) -> Idempotency {
     let window = 700_000;
-    Repeat::Keyed { group, window }
+    Idempotency::WithKey { scope, window }
 }
 
 fn limits() -> Limits {
     Limits {
         max_attempts: 3,
-        second_copies: true,
-        cancel: true,
-        probes: false,
+        hedging: true,
+        cancellation: true,
+        health_checks: false,
         peers: true,
-        peer_in_per_s: 60.0,
+        peer_messages_per_s: 60.0,
         retry_after: true,
         max_retry_after: 2 * SECOND,
-        counter: false,
-        max_open: 20_000,
+        shared_counter: false,
+        max_pending: 20_000,
     }
 }
 
-fn rules() -> Rules {
-    Rules {
+fn rules() -> BackendRules {
+    BackendRules {
         answer_slack: 16_000,
         drain_grace: 250_000,
-        cold_from: 0.2,
-        cold_time: 6 * SECOND,
-        fall_factor: 3.0,
-        fall_time: SECOND,
-        must_ask: 2 * SECOND,
+        warm_up_from: 0.2,
+        warm_up_time: 6 * SECOND,
+        overload_factor: 3.0,
+        overload_window: SECOND,
+        max_poll_interval: 2 * SECOND,
     }
 }
 
@@ -173,20 +178,20 @@
     let ceiling = Plan {
         ceiling_rate: 12.0,
         ceiling_burst: 24.0,
-        price: 3.0,
+        weight_factor: 3.0,
         ..plan(50.0, 50.0)
     };
     let capped = Plan {
-        open_cap: 3,
+        max_in_flight: 3,
         ..plan(0.0, 0.0)
     };
     let settings = Settings {
-        gateways: 3,
+        gateway_count: 3,
         tick: 4_000,
         classes: vec![
-            class(Repeat::Safe, 500_000),
-            class(keyed(Group::Cell), 800_000),
-            class(Repeat::Once, 500_000),
+            class(Idempotency::Idempotent, 500_000),
+            class(keyed(KeyScope::Cell), 800_000),
+            class(Idempotency::NotIdempotent, 500_000),
         ],
         plans: vec![plan(1e6, 1e6), plan(4.0, 12.0), ceiling, capped],
         limits: limits(),
@@ -207,15 +212,15 @@
 fn one_gateway() -> Scenario {
     let few = few_gateways();
     let mut settings = few.settings.clone();
-    settings.gateways = 1;
+    settings.gateway_count = 1;
     settings.limits.peers = false;
-    settings.limits.second_copies = false;
+    settings.limits.hedging = false;
     settings.limits.max_attempts = 5;
-    settings.discovery = Discovery::Ask;
-    settings.sizes = SizeMeaning::Capacity;
+    settings.discovery = DiscoveryMode::Poll;
+    settings.weights = WeightMeaning::Capacity;
     settings.classes = vec![
-        class(Repeat::Safe, 250_000),
-        class(keyed(Group::All), 400_000),
+        class(Idempotency::Idempotent, 250_000),
+        class(keyed(KeyScope::All), 400_000),
     ];
     Scenario {
         name: "one gateway that polls discovery",
@@ -231,10 +236,10 @@
 fn many_gateways() -> Scenario {
     let few = few_gateways();
     let mut settings = few.settings.clone();
-    settings.gateways = 100;
-    settings.limits.peer_in_per_s = 40.0;
-    settings.classes[1] = class(keyed(Group::Zone), 800_000);
-    settings.words = [4, 9];
+    settings.gateway_count = 100;
+    settings.limits.peer_messages_per_s = 40.0;
+    settings.classes[1] = class(keyed(KeyScope::Zone), 800_000);
+    settings.name_digests = [4, 9];
     Scenario {
         name: "a hundred gateways",
         settings,
@@ -249,9 +254,9 @@
 fn pools() -> Scenario {
     let few = few_gateways();
     let mut settings = few.settings.clone();
-    settings.pools = 4;
-    settings.gateways = 2;
-    settings.sizes = SizeMeaning::Capacity;
+    settings.pool_count = 4;
+    settings.gateway_count = 2;
+    settings.weights = WeightMeaning::Capacity;
     Scenario {
         name: "pools with fallback",
         settings,
@@ -268,14 +273,14 @@
     let mut settings = few.settings.clone();
     settings.post_paid = true;
     settings.meter_period = SECOND;
-    settings.limits.cancel = false;
+    settings.limits.cancellation = false;
     settings.limits.retry_after = false;
-    settings.gateways = 4;
+    settings.gateway_count = 4;
     settings.plans = vec![
         plan(30.0, 40.0),
         Plan {
-            open_cap: 2,
-            price: 2.0,
+            max_in_flight: 2,
+            weight_factor: 2.0,
             ..plan(10.0, 15.0)
         },
         Plan {
@@ -299,18 +304,18 @@
 fn many_gateways_with_pools() -> Scenario {
     let many = many_gateways();
     let mut settings = many.settings.clone();
-    settings.pools = 3;
-    settings.gateways = 60;
-    settings.limits.second_copies = false;
-    settings.rules.cold_time = 30 * SECOND;
-    settings.discovery = Discovery::Ask;
+    settings.pool_count = 3;
+    settings.gateway_count = 60;
+    settings.limits.hedging = false;
+    settings.rules.warm_up_time = 30 * SECOND;
+    settings.discovery = DiscoveryMode::Poll;
     // More plans than a message can name.
     settings.plans = (0..70)
         .map(|n| Plan {
-            price: f64::from(1 + n % 3),
+            weight_factor: f64::from(1 + n % 3),
             ceiling_rate: f64::from(n % 4) * 3.0,
             ceiling_burst: f64::from(n % 4) * 6.0,
-            open_cap: if n % 7 == 6 { 2 } else { 0 },
+            max_in_flight: if n % 7 == 6 { 2 } else { 0 },
             ..plan(6.0, 12.0)
         })
         .collect();
--- a/crates/decision/tests/size.rs
+++ b/crates/decision/tests/size.rs
@@ -4,12 +4,12 @@
 mod world;
 
 use world::{Plot, World, S};
-use wrenfork_decision::{Class, Limits, Plan, Repeat, Rules, Settings};
+use wrenfork_decision::{BackendRules, Class, Idempotency, Limits, Plan, Settings};
 
 /// Three plans: small with a quota, one with a ceiling beside it, and one without limits that matter.
 fn settings(gateways: u16) -> Settings {
     let plan = |rate, burst| Plan {
-        over_cost: 0.8,
+        over_quota_cost: 0.8,
         ..rig::plan(rate, burst)
     };
     let ceiling = Plan {
@@ -19,47 +19,47 @@
         ..plan(4.0, 8.0)
     };
     let class = Class {
-        aim: S / 2,
+        latency_objective: S / 2,
         deadline: 2 * S,
-        ..rig::class(Repeat::Safe)
+        ..rig::class(Idempotency::Idempotent)
     };
     Settings {
-        gateways,
+        gateway_count: gateways,
         tick: 4_000,
         classes: vec![class],
         plans: vec![plan(1.5, 8.0), ceiling, plan(1e4, 1e4)],
         limits: Limits {
             max_attempts: 3,
-            second_copies: true,
-            cancel: true,
+            hedging: true,
+            cancellation: true,
             peers: true,
-            peer_in_per_s: 40.0,
+            peer_messages_per_s: 40.0,
             retry_after: true,
             max_retry_after: 2 * S,
-            max_open: 20_000,
+            max_pending: 20_000,
             ..Limits::default()
         },
-        rules: Rules {
+        rules: BackendRules {
             answer_slack: 16_000,
             drain_grace: S,
-            cold_from: 0.3,
-            cold_time: 10 * S,
-            fall_factor: 4.0,
-            fall_time: S,
-            must_ask: 10 * S,
+            warm_up_from: 0.3,
+            warm_up_time: 10 * S,
+            overload_factor: 4.0,
+            overload_window: S,
+            max_poll_interval: 10 * S,
         },
         ..Settings::default()
     }
 }
 
 fn plot(gateways: u16, customers: Vec<(u16, f64)>) -> Plot {
-    let width = (gateways * 7 / 10).max(1);
+    let gateway_span = (gateways * 7 / 10).max(1);
     Plot {
         settings: settings(gateways),
         backends: 60,
         loss: 0.07,
         customers,
-        width,
+        gateway_span,
         work: S / 10,
         seed: 11,
     }
@@ -120,12 +120,12 @@
             // Three times what all can do once they are warm, each customer through a few gateways.
             let rate = 3.0 * 20.0 * (S / 10) as f64 / work as f64;
             let customers = vec![(2, rate / 4.0); backends as usize * 4];
-            let width = (gateways / 10).max(2);
+            let gateway_span = (gateways / 10).max(2);
             let plot = Plot {
                 backends,
                 loss,
                 work,
-                width,
+                gateway_span,
                 ..plot(gateways, customers)
             };
             let mut world = World::new(plot);
--- a/crates/decision/tests/stored/mod.rs
+++ b/crates/decision/tests/stored/mod.rs
@@ -5,12 +5,12 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use wrenfork_decision::{
-    BackendId, Class, CustomerId, Listed, Micros, Request, RequestId, Settings,
+    BackendId, Class, CustomerId, Endpoint, Micros, Request, RequestId, Settings,
 };
 
 #[derive(Serialize, Deserialize)]
 pub struct Attempt {
-    pub to: Listed,
+    pub to: Endpoint,
     pub sent: Micros,
     pub out: bool,
     pub cancelled: bool,
@@ -95,7 +95,7 @@
 
 #[derive(Serialize, Deserialize)]
 pub struct Backend {
-    pub listed: Listed,
+    pub listed: Endpoint,
     pub size: f64,
     pub ready: bool,
     pub out: u32,
@@ -198,14 +198,24 @@
     pub shares: u64,
 }
 
+/// A part of a state by name, and whether the state has it.
+pub type Part = (&'static str, bool);
+
 impl Stored {
     /// The parts that a state may have or not, by name, with whether it has them.
-    pub fn parts(&self) -> Vec<(&'static str, bool)> {
+    pub fn parts(&self) -> Vec<Part> {
+        let all = [
+            self.request_parts(),
+            self.customer_parts(),
+            self.backend_parts(),
+            self.pool_parts(),
+        ];
+        all.concat()
+    }
+
+    fn request_parts(&self) -> Vec<Part> {
         let requests = || self.requests.values();
         let attempts = || requests().flat_map(|r| &r.attempts);
-        let customers = || self.customers.values();
-        let backends = || self.backends.records.iter();
-        let health = || backends().flat_map(|b| &b.health);
         vec![
             ("settings changed", self.changed_at > 0),
             ("stall", self.woke > 0),
@@ -221,6 +231,12 @@
             ("request held", requests().any(|r| r.held)),
             ("request asks again", requests().any(|r| r.asks_again)),
             ("checks", self.checks.len() > 3),
+        ]
+    }
+
+    fn customer_parts(&self) -> Vec<Part> {
+        let customers = || self.customers.values();
+        vec![
             ("customer's heard", customers().any(|c| !c.heard.is_empty())),
             ("customer's homes", customers().any(|c| c.homes.len() > 1)),
             (
@@ -245,6 +261,13 @@
             ),
             ("due", !self.due.is_empty()),
             ("samples", !self.samples.is_empty()),
+        ]
+    }
+
+    fn backend_parts(&self) -> Vec<Part> {
+        let backends = || self.backends.records.iter();
+        let health = || backends().flat_map(|b| &b.health);
+        vec![
             ("free places", !self.backends.free.is_empty()),
             (
                 "backend ejected",
@@ -265,26 +288,23 @@
                 "zone's last silent one",
                 self.zones.values().any(|z| z.by.is_some()),
             ),
-            (
-                "pool's line",
-                self.pools.iter().any(|p| !p.waiting.is_empty()),
-            ),
-            ("pool's guests", self.pools.iter().any(|p| p.guests > 0)),
+            ("cold backends", self.cold_able > 0.0),
+        ]
+    }
+
+    fn pool_parts(&self) -> Vec<Part> {
+        let pools = || self.pools.iter();
+        vec![
+            ("pool's line", pools().any(|p| !p.waiting.is_empty())),
+            ("pool's guests", pools().any(|p| p.guests > 0)),
             (
                 "pool's rung",
-                self.pools.iter().any(|p| p.rung > 0 && p.rung_since > 0),
-            ),
-            (
-                "pool turned away",
-                self.pools.iter().any(|p| p.turned_away > 0.0),
+                pools().any(|p| p.rung > 0 && p.rung_since > 0),
             ),
-            ("pool fails", self.pools.iter().any(|p| p.fails)),
-            ("pool back", self.pools.iter().any(|p| p.back_at.is_some())),
-            (
-                "pool's limit cut",
-                self.pools.iter().any(|p| p.limit_at > 0),
-            ),
-            ("cold backends", self.cold_able > 0.0),
+            ("pool turned away", pools().any(|p| p.turned_away > 0.0)),
+            ("pool fails", pools().any(|p| p.fails)),
+            ("pool back", pools().any(|p| p.back_at.is_some())),
+            ("pool's limit cut", pools().any(|p| p.limit_at > 0)),
         ]
     }
 
