--- a/crates/decision/tests/world/mod.rs
+++ b/crates/decision/tests/world/mod.rs
@@ -5,8 +5,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use wrenfork_decision::{
-    Action, BackendId, CustomerId, Event, Gateway, GatewayNo, Listed, Micros, Outcome, Request,
-    RequestId, RosterKind, Settings,
+    Action, BackendId, CustomerId, Endpoint, EndpointListKind, Event, Gateway, GatewayId, Micros,
+    Outcome, Request, RequestId, Settings,
 };
 
 pub const T0: Micros = 1_000_000_000;
@@ -23,7 +23,7 @@
     /// Customers: their plan, and the units a second that each asks for, one unit at a time.
     pub customers: Vec<(u16, f64)>,
     /// Gateways in a row that a customer's requests come through.
-    pub width: u16,
+    pub gateway_span: u16,
     /// What a request takes on a core, on average.
     pub work: Micros,
     pub seed: u64,
@@ -35,7 +35,7 @@
     Told(usize, usize, Vec<u8>),
     Worked(usize, u64),
     Settled(usize, Event),
-    Listed(usize, RosterKind, Vec<Listed>),
+    Endpoint(usize, EndpointListKind, Vec<Endpoint>),
 }
 
 struct Job {
@@ -50,7 +50,7 @@
 /// A backend: two cores, a line, and a speed that a cold start cuts.
 #[derive(Default)]
 pub struct Server {
-    pub started: Micros,
+    pub started_at: Micros,
     /// Takes requests and answers none.
     pub silent: bool,
     line: VecDeque<Job>,
@@ -67,7 +67,7 @@
     /// Counts the starts of a gateway, so that what was meant for an earlier one is dropped.
     lives: Vec<u32>,
     pub servers: Vec<Server>,
-    pub list: Vec<Listed>,
+    pub list: Vec<Endpoint>,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, (u32, Happens)>,
     next: u64,
@@ -91,8 +91,11 @@
 
 impl World {
     pub fn new(plot: Plot) -> World {
-        let (gateways, customers) = (usize::from(plot.settings.gateways), plot.customers.len());
-        let list: Vec<Listed> = (0..plot.backends).map(listed).collect();
+        let (gateways, customers) = (
+            usize::from(plot.settings.gateway_count),
+            plot.customers.len(),
+        );
+        let list: Vec<Endpoint> = (0..plot.backends).map(listed).collect();
         let mut world = World {
             now: T0,
             gateways: (0..gateways).map(|_| None).collect(),
@@ -148,13 +151,13 @@
     pub fn start(&mut self, g: usize) {
         self.lives[g] += 1;
         let settings = Settings {
-            me: GatewayNo(g as u16),
+            gateway_id: GatewayId(g as u16),
             ..self.plot.settings.clone()
         };
         let seed = (self.draw() * 1e15) as u64;
         self.gateways[g] = Some(Gateway::new(settings, seed, self.now));
         let list = self.list.clone();
-        self.feed(g, Event::Roster(RosterKind::Cached, list));
+        self.feed(g, Event::EndpointsChanged(EndpointListKind::Cached, list));
     }
 
     /// Kills a gateway; all it held is gone.
@@ -167,18 +170,18 @@
     pub fn replace(&mut self, which: std::ops::Range<usize>) {
         for n in which.clone() {
             self.servers[n] = Server {
-                started: self.now,
+                started_at: self.now,
                 ..Server::default()
             };
-            self.list[n].started = self.now;
+            self.list[n].started_at = self.now;
         }
-        let news: Vec<Listed> = self.list[which].to_vec();
+        let news: Vec<Endpoint> = self.list[which].to_vec();
         for g in 0..self.gateways.len() {
             let late = (self.draw() * S as f64 / 2.0) as Micros;
             self.at(
                 late,
                 self.lives[g],
-                Happens::Listed(g, RosterKind::Delta, news.clone()),
+                Happens::Endpoint(g, EndpointListKind::Delta, news.clone()),
             );
         }
     }
@@ -202,11 +205,11 @@
             Happens::Ask(c) => self.ask(c),
             Happens::Wake(g) if self.lives[g] == life => self.feed(g, Event::Timer(0)),
             Happens::Settled(g, event) if self.lives[g] == life => self.feed(g, event),
-            Happens::Listed(g, kind, list) if self.lives[g] == life => {
-                self.feed(g, Event::Roster(kind, list))
+            Happens::Endpoint(g, kind, list) if self.lives[g] == life => {
+                self.feed(g, Event::EndpointsChanged(kind, list))
             }
             Happens::Told(from, to, bytes) => {
-                let (second, most) = (self.now / S, self.plot.settings.limits.peer_in_per_s);
+                let (second, most) = (self.now / S, self.plot.settings.limits.peer_messages_per_s);
                 let inbox = &mut self.inboxes[to];
                 if inbox.0 != second {
                     *inbox = (second, 0.0);
@@ -216,8 +219,8 @@
                     self.delivered += 1;
                     self.feed(
                         to,
-                        Event::Peer {
-                            from: GatewayNo(from as u16),
+                        Event::PeerMessage {
+                            from: GatewayId(from as u16),
                             bytes,
                         },
                     );
@@ -232,24 +235,28 @@
         let (plan, rate) = self.plot.customers[c];
         let next = self.pause(rate);
         self.at(next, 0, Happens::Ask(c));
-        let (count, width) = (self.gateways.len(), usize::from(self.plot.width));
+        let (count, gateway_span) = (self.gateways.len(), usize::from(self.plot.gateway_span));
         let first = (c * 37) % count;
-        let g = (first + (self.draw() * width as f64) as usize) % count;
+        let g = (first + (self.draw() * gateway_span as f64) as usize) % count;
         if self.gateways[g].is_none() {
             return;
         }
         let id = RequestId(self.next);
         let class = 0;
         let deadline = self.now + self.plot.settings.classes[class].deadline;
-        let (customer, width, first) = (CustomerId(1000 + c as u64), width as f64, first as f64);
+        let (customer, gateway_span, first) = (
+            CustomerId(1000 + c as u64),
+            gateway_span as f64,
+            first as f64,
+        );
         let req = Request {
             id,
             plan,
             customer,
             deadline,
             units: 1.0,
-            width,
-            first,
+            gateway_span,
+            first_gateway: first,
             ..Request::default()
         };
         self.asked += 1;
@@ -272,7 +279,7 @@
     fn carry_out(&mut self, g: usize, action: Action) {
         match action {
             Action::SetTimer { delay, .. } => self.at(delay, self.lives[g], Happens::Wake(g)),
-            Action::Tell {
+            Action::SendToPeer {
                 to: Some(to),
                 bytes,
             } => {
@@ -282,7 +289,7 @@
                     self.at(late, 0, Happens::Told(g, usize::from(to.0), bytes));
                 }
             }
-            Action::Refuse { .. } => self.refused += 1,
+            Action::Reject { .. } => self.refused += 1,
             Action::Fail(_) => self.failed += 1,
             Action::Send { id, backend, .. } => {
                 let attempt = self.attempts.entry((g, id)).or_insert(0);
@@ -329,12 +336,12 @@
 
     /// The share of its speed that a backend has by now.
     fn warmth(&self, n: usize) -> f64 {
-        let (rules, started) = (&self.plot.settings.rules, self.servers[n].started);
+        let (rules, started) = (&self.plot.settings.rules, self.servers[n].started_at);
         if started == 0 {
             return 1.0;
         }
-        let age = (self.now - started) as f64 / rules.cold_time as f64;
-        (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
+        let age = (self.now - started) as f64 / rules.warm_up_time as f64;
+        (rules.warm_up_from + (1.0 - rules.warm_up_from) * age).min(1.0)
     }
 
     fn work(&mut self, n: usize) {
@@ -360,11 +367,17 @@
         let job = self.servers[n].at_work.remove(at);
         let (g, life) = job.gateway;
         if !job.gone && !self.servers[n].silent && self.lives[g] == life {
-            let took = self.now - job.sent + 2 * WAY;
-            let event = settled(job.id, job.attempt, BackendId(n as u64), Outcome::Ok, took);
+            let elapsed = self.now - job.sent + 2 * WAY;
+            let event = settled(
+                job.id,
+                job.attempt,
+                BackendId(n as u64),
+                Outcome::Ok,
+                elapsed,
+            );
             let arrived = self.arrived.remove(&job.id);
             self.served += u64::from(arrived.is_some());
-            let aim = self.plot.settings.classes[0].aim;
+            let aim = self.plot.settings.classes[0].latency_objective;
             self.in_time += u64::from(arrived.is_some_and(|a| self.now - a <= aim));
             self.at(WAY, life, Happens::Settled(g, event));
         }
@@ -385,20 +398,20 @@
     /// may be sent in that span by the rules, at its warmth when the span began.
     pub fn fullest_cold_window(&self, n: usize) -> (usize, f64) {
         let (rules, server) = (&self.plot.settings.rules, &self.servers[n]);
-        let (span, mut fullest) = (rules.fall_time, (0, 1.0));
+        let (span, mut fullest) = (rules.overload_window, (0, 1.0));
         let mut most = f64::MIN;
         for (at, began) in server
             .came
             .iter()
             .enumerate()
-            .filter(|(_, t)| **t >= server.started)
+            .filter(|(_, t)| **t >= server.started_at)
         {
-            let age = (began - server.started) as f64 / rules.cold_time as f64;
+            let age = (began - server.started_at) as f64 / rules.warm_up_time as f64;
             if age >= 1.0 {
                 break;
             }
-            let warmth = rules.cold_from + (1.0 - rules.cold_from) * age;
-            let budget = rules.fall_factor * 2.0 * warmth * span as f64 / self.plot.work as f64;
+            let warmth = rules.warm_up_from + (1.0 - rules.warm_up_from) * age;
+            let budget = rules.overload_factor * 2.0 * warmth * span as f64 / self.plot.work as f64;
             let came = server.came[at..]
                 .iter()
                 .take_while(|t| **t < began + span)
@@ -429,30 +442,30 @@
     attempt: u16,
     backend: BackendId,
     outcome: Outcome,
-    took: Micros,
+    elapsed: Micros,
 ) -> Event {
     let complete = outcome == Outcome::Ok;
     let (metered, charged, report) = (None, None, None);
-    Event::Settled {
+    Event::AttemptCompleted {
         id,
         attempt,
         backend,
         outcome,
         complete,
-        took,
-        metered,
-        charged,
+        elapsed,
+        metered_usage: metered,
+        charged_units: charged,
         report,
     }
 }
 
-fn listed(n: u64) -> Listed {
+fn listed(n: u64) -> Endpoint {
     let (zone, cell) = ((n % 2) as u8, (n / 4) as u16);
-    Listed {
+    Endpoint {
         backend: BackendId(n),
         zone,
         cell,
-        size: 1.0,
-        ..Listed::default()
+        weight: 1.0,
+        ..Endpoint::default()
     }
 }
--- a/crates/ingress/src/backends.rs
+++ b/crates/ingress/src/backends.rs
@@ -10,7 +10,7 @@
 use std::io::{self, Read, Write};
 use std::os::fd::OwnedFd;
 use wrenfork_config::settings::note_field;
-use wrenfork_decision::{Availability, BackendId, Micros, Outcome, Report, RequestId};
+use wrenfork_decision::{BackendId, EndpointState, LoadReport, Micros, Outcome, RequestId};
 use wrenfork_happy_eyeballs::{Address, Book, Fared, Next, Race};
 use wrenfork_wire::call::Body;
 use wrenfork_wire::long::{Long, Whole};
@@ -117,7 +117,7 @@
     pub backend: BackendId,
     pub outcome: Outcome,
     pub began: Micros,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// With [`Outcome::Ok`]: the value's bytes as they came.
     pub value: Vec<u8>,
 }
@@ -288,7 +288,7 @@
 }
 
 /// The value's bytes if this is the answer to a request, else none.
-fn served(buf: &[u8], list: &[Element]) -> Option<(Vec<u8>, Option<Report>)> {
+fn served(buf: &[u8], list: &[Element]) -> Option<(Vec<u8>, Option<LoadReport>)> {
     let [value, _, load] = list else { return None };
     let report = (load.kind == Kind::Bulk)
         .then(|| report(&buf[load.text.clone()]))
@@ -297,8 +297,8 @@
 }
 
 /// A load report such as `inflight=7,util=0.61`; none if nothing in it is one.
-fn report(text: &[u8]) -> Option<Report> {
-    let mut report = Report::default();
+fn report(text: &[u8]) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
     for (name, value) in std::str::from_utf8(text)
         .ok()?
         .split(',')
@@ -310,11 +310,11 @@
             .filter(|v| v.is_finite() && *v >= 0.0);
         note_field(&mut report, name, value);
     }
-    (report != Report::default()).then_some(report)
+    (report != LoadReport::default()).then_some(report)
 }
 
 /// What an answer means; none if it is no answer to this work.
-fn judge(buf: &[u8], reply: &Reply, work: Work) -> Option<(Outcome, Vec<u8>, Option<Report>)> {
+fn judge(buf: &[u8], reply: &Reply, work: Work) -> Option<(Outcome, Vec<u8>, Option<LoadReport>)> {
     match (reply, work) {
         (Reply::Array(list), Work::Attempt(..)) => {
             served(buf, list).map(|(value, report)| (Outcome::Ok, value, report))
@@ -323,7 +323,7 @@
             let text = &buf[e.text.clone()];
             let first = text.split(|b| *b == b' ').next();
             let outcome = if first == Some(b"BUSY") {
-                Outcome::Full
+                Outcome::Rejected
             } else {
                 Outcome::Error
             };
@@ -475,7 +475,7 @@
         }
         for e in &roster.entries {
             let id = e.listed.backend;
-            if e.listed.availability == Availability::Gone {
+            if e.listed.state == EndpointState::Removed {
                 absent.push(id);
                 continue;
             }
@@ -486,10 +486,10 @@
                 .book
                 .update(e.places.clone());
             // What is idle at a place that it left, or that drains, is of no more use.
-            if moved || e.listed.availability == Availability::Draining {
+            if moved || e.listed.state == EndpointState::Draining {
                 self.close_idle(id);
             }
-            if e.listed.availability == Availability::Draining {
+            if e.listed.state == EndpointState::Draining {
                 self.call_off_unsent(id);
             }
         }
@@ -517,7 +517,7 @@
 
     /// Ends an attempt that is not written whole, and its connection.
     fn never_sent(&mut self, key: usize) {
-        self.end(key, Outcome::Moot, Vec::new(), None, Micros::MAX);
+        self.end(key, Outcome::NotSent, Vec::new(), None, Micros::MAX);
         self.remove(key);
     }
 
@@ -868,7 +868,7 @@
         key: usize,
         outcome: Outcome,
         value: Vec<u8>,
-        report: Option<Report>,
+        report: Option<LoadReport>,
         now: Micros,
     ) {
         let conn = &mut self.conns[key];
@@ -1179,7 +1179,7 @@
         };
         let judged = judge(&conn.buf, &reply, work);
         // An answer to half a command can only say that it was not let in.
-        let judged = judged.filter(|j| conn.sent() || j.0 == Outcome::Full);
+        let judged = judged.filter(|j| conn.sent() || j.0 == Outcome::Rejected);
         let broken = conn.broken();
         let alone = end == conn.buf.len();
         let clean = judged.is_some() && conn.sent() && alone;
--- a/crates/ingress/src/config.rs
+++ b/crates/ingress/src/config.rs
@@ -85,7 +85,7 @@
     let conf = enforced::join(fixed, &state.0)?;
     let mut settings = conf.settings()?;
     let (routes, _) = enforced::table(&state.0)?;
-    settings.pools = routes.pools.len() as u8;
+    settings.pool_count = routes.pools.len() as u8;
     if settings.tick == 0 {
         return Err("setting tick_us is 0".into());
     }
@@ -102,10 +102,10 @@
     }
     let classes: Vec<_> = names
         .into_iter()
-        .zip(settings.classes.iter().map(|c| c.repeat))
+        .zip(settings.classes.iter().map(|c| c.idempotency))
         .collect();
     let most_units = conf.number_or("family_info.most_units", f64::MAX)?;
-    let (plans, gateways) = (conf.names("contracts")?, u64::from(settings.gateways));
+    let (plans, gateways) = (conf.names("contracts")?, u64::from(settings.gateway_count));
     let identity = match state.0.get("sends") {
         Some(sends) => {
             let sends: Vec<&str> = sends.split(',').collect();
@@ -423,11 +423,11 @@
         };
         if peers
             .as_ref()
-            .is_some_and(|p| p.peers.len() != usize::from(settings.gateways))
+            .is_some_and(|p| p.peers.len() != usize::from(settings.gateway_count))
         {
             return Err("peers does not have one address for each of setting n_instances".into());
         }
-        let counter = if settings.limits.counter {
+        let counter = if settings.limits.shared_counter {
             Some((
                 address(text(json, "counter")?, "counter")?,
                 conf.micros("family_info.count_wait_us")?,
--- a/crates/ingress/src/counter.rs
+++ b/crates/ingress/src/counter.rs
@@ -98,7 +98,7 @@
         registry: &Registry,
     ) -> Option<Micros> {
         if self.calls.len() >= MOST_CALLS {
-            self.tell(name, Outcome::Full, 0.0);
+            self.tell(name, Outcome::Rejected, 0.0);
             return None;
         }
         if self.stream.is_none() && !self.connect(now, registry) {
@@ -107,7 +107,7 @@
         }
         let before = self.out.len();
         if !tally::put_call(&mut self.out, name, amount, life) {
-            self.tell(name, Outcome::Moot, 0.0);
+            self.tell(name, Outcome::NotSent, 0.0);
             return None;
         }
         self.put += (self.out.len() - before) as u64;
@@ -234,8 +234,8 @@
                     if !call.over {
                         let (outcome, total) = match answer {
                             Answer::Total(total) => (Outcome::Ok, total),
-                            Answer::Busy => (Outcome::Full, 0.0),
-                            Answer::Error => (Outcome::Moot, 0.0),
+                            Answer::Busy => (Outcome::Rejected, 0.0),
+                            Answer::Error => (Outcome::NotSent, 0.0),
                         };
                         self.tell(call.name, outcome, total);
                     }
@@ -372,8 +372,8 @@
             .unwrap();
         let want = [
             (1, Outcome::Ok, 7.5),
-            (2, Outcome::Full, 0.0),
-            (3, Outcome::Moot, 0.0),
+            (2, Outcome::Rejected, 0.0),
+            (3, Outcome::NotSent, 0.0),
         ];
         assert_eq!(line.ended(3), want);
     }
@@ -435,7 +435,7 @@
         assert_eq!(
             line.ended(5)
                 .iter()
-                .filter(|c| c.1 == Outcome::Full)
+                .filter(|c| c.1 == Outcome::Rejected)
                 .count(),
             5
         );
@@ -449,7 +449,7 @@
         line.call(1);
         assert_eq!(
             line.ended(1),
-            [(1, Outcome::Full, 0.0)],
+            [(1, Outcome::Rejected, 0.0)],
             "the line is as long as it was"
         );
         line.now += DEAD * WAIT;
--- a/crates/ingress/src/discovery.rs
+++ b/crates/ingress/src/discovery.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
-use wrenfork_decision::{Availability, BackendId, Listed, Micros};
+use wrenfork_decision::{BackendId, Endpoint, EndpointState, Micros};
 use wrenfork_happy_eyeballs::Address;
 
 /// How long one call waits for news. Short, since the silence of a call can only be told once this is over.
@@ -34,7 +34,7 @@
 
 /// A line of the list, with the addresses that the backend has for this ingress.
 pub struct Entry {
-    pub listed: Listed,
+    pub listed: Endpoint,
     pub places: Vec<Address>,
     /// What pools go by: its name, hall and model as discovery has them.
     pub named: [String; 3],
@@ -88,13 +88,13 @@
         let name = text("name").ok_or("endpoints has an entry without a name")?;
         let bad = |key: &str| format!("endpoints: {key} of {name} is missing or bad");
         let availability = match text("status").ok_or_else(|| bad("status"))? {
-            "up" => Availability::Ready,
-            "removed" => Availability::Gone,
-            _ => Availability::Draining, // a word of the future can hardly mean that it wants work
+            "up" => EndpointState::Ready,
+            "removed" => EndpointState::Removed,
+            _ => EndpointState::Draining, // a word of the future can hardly mean that it wants work
         };
         let mut places = match text("address").map(Address::read) {
             Some(Ok(place)) => vec![place],
-            None if availability == Availability::Gone => Vec::new(),
+            None if availability == EndpointState::Removed => Vec::new(),
             _ => return Err(bad("address")),
         };
         // The others that it has; a form of the future is no reason to do without those that are understood.
@@ -114,15 +114,15 @@
             .map_or(Some(0), Value::as_u64)
             .ok_or_else(|| bad("since_ms"))?;
         let group = json.get("group").and_then(Value::as_u64).unwrap_or(0);
-        let listed = Listed {
+        let listed = Endpoint {
             backend: backend_id(name),
             zone: u8::try_from(place(&sites.zones, "zone")).unwrap_or(u8::MAX),
             cell: u16::try_from(group).map_err(|_| bad("group"))?,
-            kind: u16::try_from(place(&sites.kinds, "type")).unwrap_or(u16::MAX),
-            availability,
-            size: json.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
+            machine_kind: u16::try_from(place(&sites.kinds, "type")).unwrap_or(u16::MAX),
+            state: availability,
+            weight: json.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
             // The host's clock counts from the same moment as Unix time: only the unit is another.
-            started: since.saturating_mul(1000),
+            started_at: since.saturating_mul(1000),
             pools: 0,
         };
         let named =
--- a/crates/ingress/src/discovery/tests.rs
+++ b/crates/ingress/src/discovery/tests.rs
@@ -1,7 +1,7 @@
 //! How answers of discovery are read.
 
 use super::{
-    read_answer, Answer, Availability, Micros, Sites, Token, Watch, NO_NEWS, PATIENCE, WAIT,
+    read_answer, Answer, EndpointState, Micros, Sites, Token, Watch, NO_NEWS, PATIENCE, WAIT,
 };
 use mio::{Events, Poll};
 use std::io::{Read, Write};
@@ -47,16 +47,16 @@
             panic!("not two entries")
         };
         assert_eq!(
-            (one.listed.zone, one.listed.kind, one.listed.cell),
+            (one.listed.zone, one.listed.machine_kind, one.listed.cell),
             (1, 1, 3)
         );
         assert_eq!(
-            (one.listed.started, one.listed.availability),
-            (7000, Availability::Draining)
+            (one.listed.started_at, one.listed.state),
+            (7000, EndpointState::Draining)
         );
         assert_eq!(
-            (&two.places[..], two.listed.availability),
-            (&[][..], Availability::Gone)
+            (&two.places[..], two.listed.state),
+            (&[][..], EndpointState::Removed)
         );
         for cut in 0..text.len() - 1 {
             let part = read_answer(&text.as_bytes()[..cut], false, &sites());
--- a/crates/ingress/src/ingress.rs
+++ b/crates/ingress/src/ingress.rs
@@ -39,7 +39,7 @@
 use wrenfork_control_plane::group::Inherited as Right;
 use wrenfork_control_plane::socket::{self, Socket};
 use wrenfork_decision::{
-    Action, BackendId, Discovery, Event, Gateway, Micros, Outcome, RequestId, RosterKind,
+    Action, BackendId, DiscoveryMode, EndpointListKind, Event, Gateway, Micros, Outcome, RequestId,
 };
 use wrenfork_handover::channel::{self, Caller, Heir};
 use wrenfork_handover::inherit;
@@ -127,15 +127,15 @@
     now: Micros,
 ) -> Event {
     let (backend, took) = (a.0, now.saturating_sub(a.1));
-    Event::Settled {
+    Event::AttemptCompleted {
         id,
         attempt,
         backend,
         outcome,
         complete,
-        took,
-        metered: None,
-        charged: None,
+        elapsed: took,
+        metered_usage: None,
+        charged_units: None,
         report: None,
     }
 }
@@ -292,7 +292,7 @@
         }
         tallies.enforce(&settings, &vocabulary);
         let requests = Requests::new(
-            settings.limits.max_open as usize,
+            settings.limits.max_pending as usize,
             config.memory / MEMORY_SHARE,
         );
         let mut timers = Timers::default();
@@ -304,7 +304,7 @@
             now,
             tick: settings.tick,
             most_attempts: settings.limits.max_attempts as usize,
-            asks_discovery: settings.discovery == Discovery::Ask,
+            asks_discovery: settings.discovery == DiscoveryMode::Poll,
             connect_timeout,
             budget,
             memory: config.memory,
@@ -350,7 +350,7 @@
         ingress.clients.gate = gate;
         match inherited {
             Some(inherited) => ingress.resume(inherited, descriptors),
-            None => ingress.take_roster(config.known, RosterKind::Cached),
+            None => ingress.take_roster(config.known, EndpointListKind::Cached),
         }
         ingress.pump();
         ingress.settle();
@@ -546,7 +546,7 @@
             avoided: self
                 .backends
                 .listed()
-                .saturating_sub(self.gateway.in_rotation()),
+                .saturating_sub(self.gateway.backends_in_rotation()),
         };
         self.ledger.telemetry(&now)
     }
@@ -751,7 +751,7 @@
         self.clients.ask(callers);
         self.most_attempts = settings.limits.max_attempts as usize;
         self.connect_timeout = connect_timeout;
-        self.requests.allow(settings.limits.max_open as usize);
+        self.requests.allow(settings.limits.max_pending as usize);
         self.backends.allow(connect_timeout, keepalive);
         self.shutdown.longest(
             settings
@@ -767,10 +767,12 @@
         if self.watch.address() != discovery {
             self.watch.move_to(discovery, self.now);
         }
-        self.events.push_back(Event::Settings(Box::new(settings)));
+        self.events
+            .push_back(Event::SettingsChanged(Box::new(settings)));
         // Which node is of which pool comes at once behind the pools.
         if let Some(list) = self.routing.change(routes) {
-            self.events.push_back(Event::Roster(RosterKind::Full, list));
+            self.events
+                .push_back(Event::EndpointsChanged(EndpointListKind::Full, list));
         }
         self.pump();
         old
@@ -783,7 +785,7 @@
         let taken = self.ledger.taken;
         let names = self.clients.words.plans.iter();
         let plans = names
-            .zip(self.gateway.in_use())
+            .zip(self.gateway.plan_usage())
             .filter(|(name, u)| !name.is_empty() && u.customers > 0);
         let plans = plans.map(|(name, u)| {
             (
@@ -791,16 +793,17 @@
                 PlanUsage {
                     customers: u.customers,
                     rate: u.rate,
-                    open_attempts: u.open,
+                    open_attempts: u.in_flight,
                 },
             )
         });
         let classes = &self.clients.words.classes;
         let nodes = self.routing.seen(|id| {
-            let (takes, rests) = self.gateway.takes_work(id);
+            let status = self.gateway.backend_status(id);
             (
-                takes,
-                rests
+                status.accepts_work,
+                status
+                    .ejected_for
                     .into_iter()
                     .filter_map(|k| classes.get(k))
                     .map(|c| c.0.clone())
@@ -828,25 +831,27 @@
         failed |= self.watch.wake(now, registry);
         for roster in came {
             let kind = if roster.whole {
-                RosterKind::Full
+                EndpointListKind::Full
             } else {
-                RosterKind::Delta
+                EndpointListKind::Delta
             };
             self.take_roster(roster, kind);
         }
         if failed && self.asks_discovery {
-            self.events
-                .push_back(Event::Roster(RosterKind::Failed, Vec::new()));
+            self.events.push_back(Event::EndpointsChanged(
+                EndpointListKind::Failed,
+                Vec::new(),
+            ));
         }
         self.pump();
     }
 
-    fn take_roster(&mut self, mut roster: Roster, kind: RosterKind) {
+    fn take_roster(&mut self, mut roster: Roster, kind: EndpointListKind) {
         self.routing.member(&mut roster);
         self.backends.update(&roster);
-        if kind != RosterKind::Delta || !roster.entries.is_empty() {
+        if kind != EndpointListKind::Delta || !roster.entries.is_empty() {
             let list = roster.entries.iter().map(|e| e.listed).collect();
-            self.events.push_back(Event::Roster(kind, list));
+            self.events.push_back(Event::EndpointsChanged(kind, list));
         }
     }
 
@@ -854,7 +859,7 @@
         let events = &mut self.events;
         if let Some(peers) = &mut self.peers {
             self.peers_more |=
-                peers.receive(|from, bytes| events.push_back(Event::Peer { from, bytes }));
+                peers.receive(|from, bytes| events.push_back(Event::PeerMessage { from, bytes }));
         }
         self.pump();
     }
@@ -909,7 +914,7 @@
                     if let Some(open) = self.requests.owing(id) {
                         open.over = true;
                         let passing = open.passing;
-                        self.events.push_back(Event::Withdrawn(id));
+                        self.events.push_back(Event::ClientDisconnected(id));
                         // Nobody reads on: the module calls nothing off that is the client's.
                         if let Some(attempt) = passing {
                             self.abandon(id, attempt, None, |_| Outcome::Cancelled);
@@ -973,10 +978,10 @@
                             Outcome::ConnectFailed
                         };
                         let took = self.now - began;
-                        self.events.push_back(Event::Probed {
+                        self.events.push_back(Event::HealthChecked {
                             backend,
                             outcome,
-                            took,
+                            elapsed: took,
                             report: None,
                         });
                     }
@@ -1085,7 +1090,7 @@
     fn overdue(&mut self, id: RequestId) {
         if self.requests.owing(id).is_some() {
             self.fail(id);
-            self.events.push_back(Event::Withdrawn(id));
+            self.events.push_back(Event::ClientDisconnected(id));
         }
     }
 
@@ -1117,8 +1122,8 @@
                                    name,
                                    outcome,
                                    total,
-                               }| Event::Counted {
-                    name,
+                               }| Event::CounterUpdated {
+                    counter: name,
                     outcome,
                     total,
                 };
@@ -1198,10 +1203,10 @@
         let (id, attempt) = match work {
             Work::Attempt(id, attempt) => (id, attempt),
             Work::Probe => {
-                return self.events.push_back(Event::Probed {
+                return self.events.push_back(Event::HealthChecked {
                     backend,
                     outcome,
-                    took,
+                    elapsed: took,
                     report,
                 })
             }
@@ -1226,15 +1231,15 @@
         }
         let complete = self.requests.get(id).is_none_or(|o| o.over);
         let (metered, charged) = (None, None);
-        self.events.push_back(Event::Settled {
+        self.events.push_back(Event::AttemptCompleted {
             id,
             attempt,
             backend,
             outcome,
             complete,
-            took,
-            metered,
-            charged,
+            elapsed: took,
+            metered_usage: metered,
+            charged_units: charged,
             report,
         });
         self.forget(id);
@@ -1298,7 +1303,7 @@
             let next = open.attempts.iter().position(unsent);
             if let Some(attempt) = next.and_then(|n| u16::try_from(n).ok()) {
                 // It comes back here, for the next one.
-                return self.abandon(id, attempt, None, |_| Outcome::Moot);
+                return self.abandon(id, attempt, None, |_| Outcome::NotSent);
             }
         }
         self.requests.forget(id, self.now);
@@ -1309,10 +1314,13 @@
             Action::Send {
                 id,
                 backend,
-                expires,
-                begin_by,
-            } => self.send(id, backend, expires, begin_by),
-            Action::Refuse { id, pause } => {
+                expires_at,
+                start_by,
+            } => self.send(id, backend, expires_at, start_by),
+            Action::Reject {
+                id,
+                retry_after: pause,
+            } => {
                 let mut text = [0; 40];
                 let mut rest = &mut text[..];
                 let _ = match pause {
@@ -1330,22 +1338,22 @@
                 self.timers
                     .set(self.now.saturating_add(delay), Due::Module(token));
             }
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 if let Some(peers) = &self.peers {
                     (0..V::COPIES).for_each(|_| peers.tell(to, &bytes));
                 }
             }
-            Action::Probe(backend) => self.probe(backend),
-            Action::CloseIdle(backend) => self.backends.close_idle(backend),
+            Action::CheckHealth(backend) => self.probe(backend),
+            Action::CloseIdleConnections(backend) => self.backends.close_idle(backend),
             // The watch is always on: a real ingress must keep one in any case.
-            Action::Watch(_) => {}
-            Action::FetchRoster => self.watch.fetch_whole(),
-            Action::Count {
-                name,
+            Action::WatchEndpoints(_) => {}
+            Action::FetchEndpoints => self.watch.fetch_whole(),
+            Action::AddToCounter {
+                counter: name,
                 delta,
                 lifetime,
             } => self.count(name, delta, lifetime),
-            Action::Log(text) => tracing::info!("{text}"),
+            Action::Log(event) => tracing::info!("{event}"),
         }
     }
 
@@ -1356,7 +1364,7 @@
                 id,
                 0,
                 (backend, self.now),
-                Outcome::Moot,
+                Outcome::NotSent,
                 true,
                 self.now,
             ));
@@ -1379,7 +1387,7 @@
                 id,
                 attempt,
                 (backend, self.now),
-                Outcome::Moot,
+                Outcome::NotSent,
                 open.over,
                 self.now,
             );
@@ -1449,10 +1457,10 @@
     fn probe(&mut self, backend: BackendId) {
         if !self.make_room(backend) {
             let (outcome, took) = (Outcome::ConnectFailed, 0);
-            return self.events.push_back(Event::Probed {
+            return self.events.push_back(Event::HealthChecked {
                 backend,
                 outcome,
-                took,
+                elapsed: took,
                 report: None,
             });
         }
@@ -1487,8 +1495,8 @@
             // There is none: nothing was added.
             None => {
                 let (outcome, total) = (Outcome::ConnectFailed, 0.0);
-                self.events.push_back(Event::Counted {
-                    name,
+                self.events.push_back(Event::CounterUpdated {
+                    counter: name,
                     outcome,
                     total,
                 });
--- a/crates/ingress/src/peers.rs
+++ b/crates/ingress/src/peers.rs
@@ -5,7 +5,7 @@
 use mio::{Interest, Registry, Token};
 use std::io;
 use std::os::fd::OwnedFd;
-use wrenfork_decision::GatewayNo;
+use wrenfork_decision::GatewayId;
 
 /// The most bytes of a message.
 const MOST: usize = 256;
@@ -87,7 +87,7 @@
     }
 
     /// Takes in what has come, from peers alone; true if more may be waiting.
-    pub fn receive(&mut self, mut take: impl FnMut(GatewayNo, Vec<u8>)) -> bool {
+    pub fn receive(&mut self, mut take: impl FnMut(GatewayId, Vec<u8>)) -> bool {
         let Some(socket) = &self.socket else {
             return false;
         };
@@ -100,7 +100,7 @@
                         .and_then(|i| u16::try_from(i).ok())
                         .filter(|_| n <= MOST)
                     {
-                        take(GatewayNo(no), buf[..n].to_vec());
+                        take(GatewayId(no), buf[..n].to_vec());
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return false,
@@ -112,7 +112,7 @@
     }
 
     /// Sends a message to one peer or to all; lost where it cannot go, as on the way.
-    pub fn tell(&self, to: Option<GatewayNo>, bytes: &[u8]) {
+    pub fn tell(&self, to: Option<GatewayId>, bytes: &[u8]) {
         let address = match to {
             Some(no) => self.known.peers.get(usize::from(no.0)),
             None => self.known.all.as_ref(),
--- a/crates/ingress/src/routing.rs
+++ b/crates/ingress/src/routing.rs
@@ -4,12 +4,12 @@
 use crate::discovery::Roster;
 use std::collections::HashMap;
 use wrenfork_commit::metrics::ObservedNode;
-use wrenfork_decision::{Availability, BackendId, Listed, Request};
+use wrenfork_decision::{BackendId, Endpoint, EndpointState, Request};
 use wrenfork_routes::{Table, Traits, Ways};
 
 /// A node as it was listed last.
 struct Node {
-    listed: Listed,
+    listed: Endpoint,
     named: [String; 3],
 }
 
@@ -42,7 +42,7 @@
             let Some(nodes) = &mut self.nodes else {
                 continue;
             };
-            if e.listed.availability == Availability::Gone {
+            if e.listed.state == EndpointState::Removed {
                 nodes.remove(&e.listed.backend);
             } else {
                 nodes.insert(
@@ -57,7 +57,7 @@
     }
 
     /// Takes other pools and routes; the whole list of nodes, with the pools that each is of now.
-    pub fn change(&mut self, table: Table) -> Option<Vec<Listed>> {
+    pub fn change(&mut self, table: Table) -> Option<Vec<Endpoint>> {
         if table == self.table {
             return None;
         }
@@ -91,11 +91,11 @@
         let way = self
             .ways
             .way(usize::from(request.class), request.customer.0);
-        (request.tiers, request.own) = (way.tiers, way.own);
+        (request.route, request.own_pools) = (way.tiers, way.own);
     }
 }
 
-fn pools(table: &Table, listed: &Listed, [name, hall, model]: &[String; 3]) -> u64 {
+fn pools(table: &Table, listed: &Endpoint, [name, hall, model]: &[String; 3]) -> u64 {
     table.member(&Traits {
         name,
         hall,
--- a/crates/ingress/src/tallies.rs
+++ b/crates/ingress/src/tallies.rs
@@ -25,8 +25,8 @@
     /// Other classes and plans from now on; `words` has their names so far.
     pub fn enforce(&mut self, settings: &Settings, words: &Vocabulary) {
         self.settle(words);
-        self.worths = settings.classes.iter().map(|c| c.worth).collect();
-        self.prices = settings.plans.iter().map(|p| p.price).collect();
+        self.worths = settings.classes.iter().map(|c| c.priority_weight).collect();
+        self.prices = settings.plans.iter().map(|p| p.weight_factor).collect();
     }
 
     fn settle(&mut self, words: &Vocabulary) {
@@ -43,7 +43,7 @@
         let end = match end {
             End::Served => tally::End::Served(now.saturating_sub(open.came())),
             // What is beyond its quota is nobody's loss.
-            End::Refused if !gateway.inside(request.customer, request.units) => return,
+            End::Refused if !gateway.within_quota(request.customer, request.units) => return,
             End::Refused => tally::End::Refused,
             End::Failed => tally::End::Failed,
         };
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::ops::Range;
 use std::sync::Arc;
-use wrenfork_decision::{CustomerId, Micros, Repeat, Request};
+use wrenfork_decision::{CustomerId, Idempotency, Micros, Request};
 
 /// The longest that a client may say it waits, in milliseconds.
 const MOST_WAIT_MS: u64 = 3_600_000;
@@ -17,7 +17,7 @@
 /// What the settings name: needed to read a request.
 pub struct Vocabulary {
     /// The classes, and whether each is safe or keyed.
-    pub classes: Vec<(String, Repeat)>,
+    pub classes: Vec<(String, Idempotency)>,
     /// The plans.
     pub plans: Vec<String>,
     /// The most units that a request takes.
@@ -234,12 +234,12 @@
         }
         let (wait, place) = wait.ok_or_else(|| missing("d"))?;
         let repeat = words.classes[class].1;
-        if post == (repeat == Repeat::Safe) {
+        if post == (repeat == Idempotency::Idempotent) {
             return Err(
                 "CALL.GET is for classes that are safe to repeat, CALL.POST for the others".into(),
             );
         }
-        if matches!(repeat, Repeat::Keyed { .. }) && !key.is_some_and(graphic) {
+        if matches!(repeat, Idempotency::WithKey { .. }) && !key.is_some_and(graphic) {
             return Err(missing("k"));
         }
         // What is out of range reaches neither the module, which keeps it in the customer's record, nor a backend.
@@ -263,8 +263,8 @@
             plan: u16::try_from(plan).map_err(|_| "the plan is unknown")?,
             customer: CustomerId(customer_id),
             units,
-            width: width as f64,
-            first: first as f64,
+            gateway_span: width as f64,
+            first_gateway: first as f64,
             ..Request::default()
         };
         let body = args.get(4).map_or(0, |b| b.len()).min(resp::MOST_VALUE);
@@ -344,18 +344,18 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{resp, Call, Repeat, Vocabulary};
-    use wrenfork_decision::Group;
+    use super::{resp, Call, Idempotency, Vocabulary};
+    use wrenfork_decision::KeyScope;
 
     fn words() -> Vocabulary {
-        let keyed = Repeat::Keyed {
-            group: Group::Cell,
+        let keyed = Idempotency::WithKey {
+            scope: KeyScope::Cell,
             window: 3_000_000,
         };
         let classes = vec![
-            ("quote".into(), Repeat::Safe),
+            ("quote".into(), Idempotency::Idempotent),
             ("save".into(), keyed),
-            ("refer".into(), Repeat::Once),
+            ("refer".into(), Idempotency::NotIdempotent),
         ];
         let plans = vec!["starter".into(), "business".into()];
         Vocabulary {
@@ -388,7 +388,7 @@
             (1, 1, 0xb4d6_5521, 480_000)
         );
         assert_eq!(call.id(), b"9b1f");
-        assert_eq!((r.units, r.width, r.first), (2.0, 3.0, 1.0));
+        assert_eq!((r.units, r.gateway_span, r.first_gateway), (2.0, 3.0, 1.0));
         let mut out = Vec::new();
         call.write(123_999, &mut out);
         let want = options.replace("480", "123");
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use std::collections::HashMap;
 use std::path::PathBuf;
-use wrenfork_decision::{Group, Repeat};
+use wrenfork_decision::{Idempotency, KeyScope};
 use wrenfork_wire::call::{Call, Identity, Vocabulary};
 use wrenfork_wire::long::Long;
 use wrenfork_wire::{resp, tally};
@@ -39,14 +39,14 @@
 }
 
 fn vocabulary() -> Vocabulary {
-    let keyed = Repeat::Keyed {
-        group: Group::Cell,
+    let keyed = Idempotency::WithKey {
+        scope: KeyScope::Cell,
         window: 3_000_000,
     };
     let classes = vec![
-        ("quote".into(), Repeat::Safe),
+        ("quote".into(), Idempotency::Idempotent),
         ("save".into(), keyed),
-        ("refer".into(), Repeat::Once),
+        ("refer".into(), Idempotency::NotIdempotent),
     ];
     Vocabulary {
         classes,
