--- a/crates/commit/src/coordinator.rs
+++ b/crates/commit/src/coordinator.rs
@@ -1,237 +1,272 @@
-//! The applier's side: two phases over all members of a change, and the recovery of one whose applier died.
+//! The coordinator of two-phase commit over the participants of a change, and the recovery of a change whose coordinator died
+//! (Gray, "Notes on Data Base Operating Systems", 1978; ballots as in Lamport's Paxos).
 //!
-//! Each applier has a ballot of its own, and an ingress lets only the one decide that prepared the change there or fenced it
-//! last. The first applier decides "make it" only once every member has promised, else "forget it". One that recovers
-//! fences every member with a higher ballot before it decides, so that nobody else decides there any more; then it finishes
-//! what one member has begun, and gives up what none has.
+//! Each coordinator has a ballot of its own. A participant takes a decision only from the ballot that prepared the change
+//! there, or fenced it last. The first coordinator commits once every participant has voted for the change, and aborts
+//! otherwise. One that recovers fences every participant with a higher ballot before it decides, so that nobody else can
+//! decide there any more; then it commits if one participant has committed, and aborts if none has.
 
-use crate::plan::Plan;
+use crate::plan::{Plan, Target};
 use crate::protocol::{Ballot, CommitRequest, CommitResponse, CommitStatus, PreparedVote};
+use crate::reason::MemberReason;
 use crate::state::{Digest, Generation, State};
 use std::sync::Arc;
 
-/// A member of a change, as its applier sees it.
+/// What a participant is asked to prepare.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct Preparation {
+    /// The vote that is asked for.
+    pub vote: PreparedVote,
+    /// What the participant is to enforce.
+    pub state: Arc<State>,
+}
+
+/// A participant, as its coordinator sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MemberProgress {
-    /// The ingress's name.
+    /// Name of the ingress.
     pub ingress: String,
-    /// Its promise and what it is to enforce; none where the applier recovers and has no plan.
-    pub prepare: Option<(PreparedVote, Arc<State>)>,
-    /// It has answered what this phase asks.
+    /// What it is asked to prepare; none in a recovery, which has no plan.
+    pub prepare: Option<Preparation>,
+    /// It has done what this phase asks for.
     pub answered: bool,
-    /// How it said last that the change stands there.
+    /// Last known status of the change there.
     pub status: Option<CommitStatus>,
 }
 
-/// Where an apply stands.
+impl MemberProgress {
+    fn new(ingress: String, prepare: Option<Preparation>) -> MemberProgress {
+        MemberProgress {
+            ingress,
+            prepare,
+            answered: false,
+            status: None,
+        }
+    }
+}
+
+/// A decision on a change.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub enum Decision {
+    /// The change is made.
+    Commit,
+    /// The change is discarded.
+    Abort,
+}
+
+impl Decision {
+    /// Status of the change at a participant that has carried out the decision.
+    fn status(self) -> CommitStatus {
+        match self {
+            Decision::Commit => CommitStatus::Committed,
+            Decision::Abort => CommitStatus::Aborted,
+        }
+    }
+}
+
+/// Phase of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum CommitPhase {
-    /// Members are asked for their promise.
+    /// Participants are asked for their votes.
     Preparing,
-    /// Members are fenced, and say how the change stands there.
+    /// Participants are fenced, and report the status of the change.
     Fencing,
-    /// It is decided: made or given up; members are told.
-    Deciding(bool),
-    /// Every member has made the switch, or every member has forgotten it.
-    Ended(bool),
-    /// Somebody else decides this change.
+    /// The change is decided, and participants are told.
+    Deciding(Decision),
+    /// Every participant has carried out the decision.
+    Ended(Decision),
+    /// Another coordinator decides this change.
     Superseded,
 }
 
-/// An apply, or the recovery of one.
+/// The coordinator of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Coordinator {
     /// The change.
     pub change: Digest,
     ballot: Ballot,
-    /// Its members.
+    /// Its participants.
     pub members: Vec<MemberProgress>,
-    /// Where it stands.
+    /// Phase of the change.
     pub phase: CommitPhase,
-    /// Why it was given up, by the member that said so.
-    pub rejections: Vec<(String, String)>,
+    /// Why participants rejected it.
+    pub rejections: Vec<MemberReason>,
 }
 
 impl Coordinator {
-    /// Begins to apply a plan. The ballot must be this applier's alone: the time is a good choice.
+    /// Creates a coordinator that applies a plan. The ballot must be its alone; the time is a good choice.
     pub fn new(plan: &Plan, ballot: Ballot) -> Coordinator {
         let change = plan.id();
         let names: Vec<String> = plan.targets.iter().map(|t| t.ingress.clone()).collect();
-        let members = plan.targets.iter().map(|t| {
-            let next = Generation {
-                number: plan.generation,
-                digest: t.wanted.clone(),
-            };
-            let promise = PreparedVote {
+        let progress = |target: &Target| {
+            let vote = PreparedVote {
                 change: change.clone(),
-                base: t.base.clone(),
-                next,
+                base: target.base.clone(),
+                next: Generation {
+                    number: plan.generation,
+                    digest: target.wanted.clone(),
+                },
                 author: plan.author.clone(),
                 members: names.clone(),
             };
-            let change = plan
-                .states
-                .get(&t.wanted)
-                .map(|wanted| (promise, wanted.clone()));
-            MemberProgress {
-                ingress: t.ingress.clone(),
-                prepare: change,
-                answered: false,
-                status: None,
-            }
-        });
-        let members = members.collect();
-        Coordinator {
-            change,
-            ballot,
-            members,
-            phase: CommitPhase::Preparing,
-            rejections: Vec::new(),
-        }
+            let state = plan.states.get(&target.wanted).cloned();
+            let prepare = state.map(|state| Preparation { vote, state });
+            MemberProgress::new(target.ingress.clone(), prepare)
+        };
+        let members = plan.targets.iter().map(progress).collect();
+        Coordinator::start(change, ballot, members, CommitPhase::Preparing)
     }
 
-    /// Begins to recover a change, with a ballot that is higher than that of all before it.
+    /// Creates a coordinator that recovers a change. The ballot must be higher than those of all coordinators before it.
     pub fn recover(change: Digest, members: Vec<String>, ballot: Ballot) -> Coordinator {
-        let member = |ingress| MemberProgress {
-            ingress,
-            prepare: None,
-            answered: false,
-            status: None,
-        };
-        let members = members.into_iter().map(member).collect();
+        let members = members
+            .into_iter()
+            .map(|ingress| MemberProgress::new(ingress, None))
+            .collect();
+        Coordinator::start(change, ballot, members, CommitPhase::Fencing)
+    }
+
+    fn start(
+        change: Digest,
+        ballot: Ballot,
+        members: Vec<MemberProgress>,
+        phase: CommitPhase,
+    ) -> Coordinator {
         Coordinator {
             change,
             ballot,
             members,
-            phase: CommitPhase::Fencing,
+            phase,
             rejections: Vec::new(),
         }
     }
 
-    /// What is to be asked of a member now; none where it has answered.
+    /// The request to send to a participant, by its index; none if there is nothing left to ask it in this phase.
     pub fn next_request(&self, member: usize) -> Option<CommitRequest> {
-        let m = self.members.get(member).filter(|m| !m.answered)?;
-        let (change, ballot) = (self.change.clone(), self.ballot);
+        let member = self.members.get(member).filter(|m| !m.answered)?;
+        let change = self.change.clone();
+        let ballot = self.ballot;
         match self.phase {
             CommitPhase::Preparing => {
-                let (promise, wanted) = m.prepare.clone()?;
+                let Preparation { vote, state } = member.prepare.clone()?;
                 Some(CommitRequest::Prepare {
-                    vote: promise,
+                    vote,
                     ballot,
-                    state: wanted,
+                    state,
                 })
             }
             CommitPhase::Fencing => Some(CommitRequest::Fence { change, ballot }),
-            CommitPhase::Deciding(commit) => Some(CommitRequest::Decide {
+            CommitPhase::Deciding(decision) => Some(CommitRequest::Decide {
                 change,
                 ballot,
-                commit,
+                commit: decision == Decision::Commit,
             }),
             CommitPhase::Ended(_) | CommitPhase::Superseded => None,
         }
     }
 
-    fn decide(&mut self, commit: bool) {
-        self.phase = CommitPhase::Deciding(commit);
-        let end = if commit {
-            CommitStatus::Committed
-        } else {
-            CommitStatus::Aborted
-        };
-        self.members
-            .iter_mut()
-            .for_each(|m| m.answered = m.status == Some(end));
-        self.all_answered();
+    fn decide(&mut self, decision: Decision) {
+        self.phase = CommitPhase::Deciding(decision);
+        for member in &mut self.members {
+            member.answered = member.status == Some(decision.status());
+        }
+        self.advance();
     }
 
-    fn all_answered(&mut self) {
+    /// Begins the next phase once every participant has answered.
+    fn advance(&mut self) {
         if !self.members.iter().all(|m| m.answered) {
             return;
         }
         match self.phase {
-            CommitPhase::Preparing => self.decide(true),
-            CommitPhase::Fencing => {
-                let made = self
-                    .members
-                    .iter()
-                    .any(|m| m.status == Some(CommitStatus::Committed));
-                self.decide(made);
-            }
-            CommitPhase::Deciding(commit) => self.phase = CommitPhase::Ended(commit),
+            CommitPhase::Preparing => self.decide(Decision::Commit),
+            CommitPhase::Fencing => self.decide(self.recovered_decision()),
+            CommitPhase::Deciding(decision) => self.phase = CommitPhase::Ended(decision),
             CommitPhase::Ended(_) | CommitPhase::Superseded => {}
         }
     }
 
-    /// Takes what came of the ask that a member was sent in this phase: its answer, or none where the connection broke or
-    /// nothing came in time, and it may have done what was asked.
-    pub fn handle_response(&mut self, member: usize, answer: Option<CommitResponse>) {
-        let Some(m) = self.members.get_mut(member) else {
+    fn recovered_decision(&self) -> Decision {
+        let committed = Some(CommitStatus::Committed);
+        if self.members.iter().any(|m| m.status == committed) {
+            Decision::Commit
+        } else {
+            Decision::Abort
+        }
+    }
+
+    /// Handles the outcome of a request of this phase: a participant's response, or none if the connection broke or the
+    /// request timed out, and the participant may have done what was asked.
+    pub fn handle_response(&mut self, member: usize, response: Option<CommitResponse>) {
+        if member >= self.members.len() {
             return;
-        };
-        let name = m.ingress.clone();
-        match (self.phase.clone(), answer) {
-            (CommitPhase::Preparing, Some(CommitResponse::Prepared)) => {
-                (m.answered, m.status) = (true, Some(CommitStatus::Prepared));
-                self.all_answered();
-            }
-            // It may have promised all the same: it is told to forget it, like all.
-            (CommitPhase::Preparing, None) => {
-                self.rejections.push((name, "it did not answer".into()));
-                self.decide(false);
+        }
+        match self.phase {
+            CommitPhase::Preparing => self.handle_vote(member, response),
+            CommitPhase::Fencing | CommitPhase::Deciding(_) => {
+                self.handle_status(member, response);
             }
-            (
-                CommitPhase::Preparing,
-                Some(
-                    CommitResponse::Rejected { reason: why }
-                    | CommitResponse::Unavailable { reason: why },
-                ),
-            ) => {
-                self.rejections.push((name, why));
-                self.decide(false);
+            CommitPhase::Ended(_) | CommitPhase::Superseded => {}
+        }
+    }
+
+    fn handle_vote(&mut self, member: usize, response: Option<CommitResponse>) {
+        match response {
+            Some(CommitResponse::Prepared) => {
+                self.record_status(member, CommitStatus::Prepared);
+                self.advance();
             }
-            (
-                CommitPhase::Fencing | CommitPhase::Deciding(_),
-                None | Some(CommitResponse::Unavailable { .. }),
-            ) => {} // asked again
-            (
-                CommitPhase::Fencing,
-                Some(CommitResponse::ChangeStatus {
-                    change,
-                    status: stand,
-                }),
-            ) if change == self.change => {
-                (m.answered, m.status) = (true, Some(stand));
-                self.all_answered();
+            // It may have voted all the same: like all others it is told to discard the change.
+            None => self.abort(member, "it did not answer".into()),
+            Some(CommitResponse::Rejected { reason } | CommitResponse::Unavailable { reason }) => {
+                self.abort(member, reason)
             }
-            (
-                CommitPhase::Deciding(commit),
-                Some(CommitResponse::ChangeStatus {
-                    change,
-                    status: stand,
-                }),
-            ) if change == self.change => {
-                m.status = Some(stand);
-                let as_decided = stand
-                    == if commit {
-                        CommitStatus::Committed
-                    } else {
-                        CommitStatus::Aborted
-                    };
-                if as_decided {
-                    m.answered = true;
-                    self.all_answered();
-                } else {
-                    self.phase = CommitPhase::Superseded;
-                }
+            Some(_) => {}
+        }
+    }
+
+    /// Handles a response to a fence or a decision. A participant that is unavailable is asked again.
+    fn handle_status(&mut self, member: usize, response: Option<CommitResponse>) {
+        match response {
+            Some(CommitResponse::ChangeStatus { change, status }) if change == self.change => {
+                self.handle_change_status(member, status);
             }
-            (
-                CommitPhase::Fencing | CommitPhase::Deciding(_),
-                Some(CommitResponse::Rejected { reason: why }),
-            ) => {
-                self.rejections.push((name, why));
+            Some(CommitResponse::Rejected { reason }) => {
+                self.record_rejection(member, reason);
                 self.phase = CommitPhase::Superseded;
             }
             _ => {}
         }
     }
+
+    fn handle_change_status(&mut self, member: usize, status: CommitStatus) {
+        match self.phase {
+            CommitPhase::Deciding(decision) if status != decision.status() => {
+                self.members[member].status = Some(status);
+                self.phase = CommitPhase::Superseded;
+            }
+            _ => {
+                self.record_status(member, status);
+                self.advance();
+            }
+        }
+    }
+
+    fn record_status(&mut self, member: usize, status: CommitStatus) {
+        let member = &mut self.members[member];
+        member.answered = true;
+        member.status = Some(status);
+    }
+
+    fn record_rejection(&mut self, member: usize, reason: String) {
+        self.rejections.push(MemberReason {
+            member: self.members[member].ingress.clone(),
+            reason,
+        });
+    }
+
+    fn abort(&mut self, member: usize, reason: String) {
+        self.record_rejection(member, reason);
+        self.decide(Decision::Abort);
+    }
 }
--- a/crates/commit/src/protocol.rs
+++ b/crates/commit/src/protocol.rs
@@ -8,6 +8,7 @@
 use crate::state::{Digest, Generation, State};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
+use thiserror::Error;
 
 /// Version of the protocol. Since version 2 members of a group exchange messages as well (`wrenfork-consensus`); the messages
 /// of version 1 are the same in version 2.
@@ -209,133 +210,39 @@
     text
 }
 
+/// Why a line is no message.
+#[derive(Debug, Error)]
+pub enum ProtocolError {
+    /// The line is no JSON object with a version.
+    #[error("no message of this protocol: {0}")]
+    NotAMessage(#[source] serde_json::Error),
+    /// The message has a version that is not understood.
+    #[error(
+        "the message is of version {0}, and versions {OLDEST_VERSION} to {VERSION} are spoken here"
+    )]
+    UnknownVersion(u32),
+    /// The message is none of those of its version.
+    #[error("not understood: {0}")]
+    NotUnderstood(#[source] serde_json::Error),
+}
+
+/// The version of a message, whatever else it is.
+#[derive(Deserialize)]
+struct MessageVersion {
+    v: u32,
+}
+
 /// Decodes a line.
 ///
 /// # Errors
 ///
 /// If the line has another version, or is no message of this protocol.
-pub fn decode_line<T: for<'a> Deserialize<'a>>(text: &str) -> Result<T, String> {
-    #[derive(Deserialize)]
-    struct Version {
-        v: u32,
-    }
-    let version: Version =
-        serde_json::from_str(text).map_err(|e| format!("no message of this protocol: {e}"))?;
+pub fn decode_line<T: for<'a> Deserialize<'a>>(text: &str) -> Result<T, ProtocolError> {
+    let version: MessageVersion = serde_json::from_str(text).map_err(ProtocolError::NotAMessage)?;
     if !(OLDEST_VERSION..=VERSION).contains(&version.v) {
-        let v = version.v;
-        return Err(format!(
-            "the message is of version {v}, and versions {OLDEST_VERSION} to {VERSION} are spoken here"
-        ));
+        return Err(ProtocolError::UnknownVersion(version.v));
     }
     let versioned: VersionedMessage<T> =
-        serde_json::from_str(text).map_err(|e| format!("not understood: {e}"))?;
+        serde_json::from_str(text).map_err(ProtocolError::NotUnderstood)?;
     Ok(versioned.message)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::{
-        decode_line, encode_line, Arc, AuditRecord, CommitRequest, CommitResponse, CommitStatus,
-        Digest, Generation, IngressMetrics, PreparedVote, State,
-    };
-
-    #[test]
-    fn messages_survive_the_way_and_what_is_none_is_told() {
-        let promise = PreparedVote {
-            change: Digest("ab".into()),
-            base: Generation {
-                number: 3,
-                digest: Digest("cd".into()),
-            },
-            next: Generation {
-                number: 4,
-                digest: Digest("ef".into()),
-            },
-            author: "ann \"the\" first\n".into(),
-            members: vec!["n0".into(), "n1".into()],
-        };
-        let wanted = Arc::new(State([("a.b".to_string(), "1".to_string())].into()));
-        let asks = [
-            CommitRequest::Status,
-            CommitRequest::Prepare {
-                vote: promise.clone(),
-                ballot: 5,
-                state: wanted.clone(),
-            },
-            CommitRequest::Fence {
-                change: Digest("ab".into()),
-                ballot: 7,
-            },
-            CommitRequest::Decide {
-                change: Digest("ab".into()),
-                ballot: 0,
-                commit: true,
-            },
-            CommitRequest::FetchGeneration { generation: 3 },
-            CommitRequest::History { limit: 7 },
-            CommitRequest::AppendRecord {
-                record: AuditRecord::default(),
-            },
-        ];
-        for ask in asks {
-            let text = encode_line(&ask);
-            assert_eq!(text.matches('\n').count(), 1, "one line: {text}");
-            assert_eq!(decode_line::<CommitRequest>(&text), Ok(ask));
-        }
-        let says = [
-            CommitResponse::Prepared,
-            CommitResponse::Rejected {
-                reason: "moved".into(),
-            },
-            CommitResponse::Unavailable {
-                reason: "the disk is full".into(),
-            },
-            CommitResponse::ChangeStatus {
-                change: Digest("ab".into()),
-                status: CommitStatus::Committed,
-            },
-            CommitResponse::Status {
-                ingress: "n0".into(),
-                generation: promise.base.clone(),
-                state: wanted.clone(),
-                prepared: Some(promise.clone()),
-                metrics: IngressMetrics::default(),
-            },
-            CommitResponse::PastGeneration {
-                generation: promise.base,
-                state: wanted,
-            },
-            CommitResponse::Records {
-                records: vec![AuditRecord {
-                    event: "made".into(),
-                    ..AuditRecord::default()
-                }],
-            },
-            CommitResponse::Recorded,
-        ];
-        for say in says {
-            assert_eq!(decode_line::<CommitResponse>(&encode_line(&say)), Ok(say));
-        }
-        assert!(decode_line::<CommitRequest>("{\"v\":3,\"ask\":\"status\"}")
-            .unwrap_err()
-            .contains("version 3"));
-        assert_eq!(
-            decode_line::<CommitRequest>("{\"v\":1,\"ask\":\"status\"}"),
-            Ok(CommitRequest::Status),
-            "an older applier"
-        );
-        assert!(
-            decode_line::<CommitRequest>("{\"v\":1,\"ask\":\"explode\"}")
-                .unwrap_err()
-                .contains("not understood")
-        );
-        assert!(
-            decode_line::<CommitRequest>("{\"v\":1,\"ask\":\"status\",\"later\":3}").is_ok(),
-            "a key of the future"
-        );
-        assert!(
-            decode_line::<CommitRequest>("garbage").is_err()
-                && decode_line::<CommitRequest>("").is_err()
-        );
-    }
-}
--- a/crates/commit/tests/golden.rs
+++ b/crates/commit/tests/golden.rs
@@ -9,10 +9,10 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use wrenfork_commit::metrics::{IngressMetrics, ObservedNode, PlanUsage};
-use wrenfork_commit::participant::ParticipantState;
-use wrenfork_commit::plan::{Danger, IngressSnapshot, Plan};
+use wrenfork_commit::participant::{EndedChange, Fence, ParticipantState, PreparedChange};
+use wrenfork_commit::plan::{Danger, IngressSnapshot, Plan, PlanHeader};
 use wrenfork_commit::protocol::{
-    self, AuditRecord, CommitRequest, CommitResponse, CommitStatus, PreparedVote,
+    self, AuditRecord, Ballot, CommitRequest, CommitResponse, CommitStatus, PreparedVote,
 };
 use wrenfork_commit::state::{differences, Difference, Digest, Generation, State};
 
@@ -48,7 +48,7 @@
     }
 }
 
-fn promise() -> PreparedVote {
+fn vote() -> PreparedVote {
     PreparedVote {
         change: Digest::of(b"change"),
         base: generation(3, "8"),
@@ -58,7 +58,7 @@
     }
 }
 
-fn figures() -> IngressMetrics {
+fn metrics() -> IngressMetrics {
     let used = PlanUsage {
         customers: 2,
         rate: 6.5,
@@ -93,12 +93,12 @@
     }
 }
 
-fn asks() -> Vec<CommitRequest> {
+fn requests() -> Vec<CommitRequest> {
     let change = Digest::of(b"change");
     vec![
         CommitRequest::Status,
         CommitRequest::Prepare {
-            vote: promise(),
+            vote: vote(),
             ballot: u64::MAX,
             state: state("4"),
         },
@@ -125,7 +125,7 @@
     ]
 }
 
-fn says() -> Vec<CommitResponse> {
+fn responses() -> Vec<CommitResponse> {
     let stands = [
         CommitStatus::Unknown,
         CommitStatus::Prepared,
@@ -144,7 +144,7 @@
         metrics: figures,
     };
     let mut says = vec![
-        status(Some(promise()), figures()),
+        status(Some(vote()), metrics()),
         status(None, IngressMetrics::default()),
         CommitResponse::Prepared,
         CommitResponse::Rejected {
@@ -166,16 +166,33 @@
     says
 }
 
-fn memories() -> Vec<ParticipantState> {
+fn ended(change: &[u8], committed: bool) -> EndedChange {
+    EndedChange {
+        change: Digest::of(change),
+        committed,
+    }
+}
+
+fn fence(change: &[u8], ballot: Ballot) -> Fence {
+    Fence {
+        change: Digest::of(change),
+        ballot,
+    }
+}
+
+fn participant_states() -> Vec<ParticipantState> {
     vec![
         ParticipantState::default(),
         ParticipantState::new(1, state("8")),
         ParticipantState {
             enforced: generation(3, "8"),
             state: state("8"),
-            prepared: Some((promise(), state("4"))),
-            ended: vec![(Digest::of(b"one"), true), (Digest::of(b"two"), false)],
-            fences: vec![(Digest::of(b"change"), 5), (Digest::of(b"other"), u64::MAX)],
+            prepared: Some(PreparedChange {
+                vote: vote(),
+                state: state("4"),
+            }),
+            ended: vec![ended(b"one", true), ended(b"two", false)],
+            fences: vec![fence(b"change", 5), fence(b"other", u64::MAX)],
         },
     ]
 }
@@ -202,7 +219,11 @@
         }],
     };
     let mut plan = Plan::make(
-        ("ann", 1_700_000_000_000_000, 600),
+        PlanHeader {
+            author: "ann".into(),
+            made_at: 1_700_000_000_000_000,
+            valid_for: 600,
+        },
         vec![seen("n0", 3, "8"), seen("n1", 5, "9")],
     )
     .unwrap();
@@ -263,17 +284,17 @@
 }
 
 fn files() -> Vec<(&'static str, String)> {
-    let asks: String = asks().iter().map(protocol::encode_line).collect();
-    let says: String = says().iter().map(protocol::encode_line).collect();
+    let asks: String = requests().iter().map(protocol::encode_line).collect();
+    let says: String = responses().iter().map(protocol::encode_line).collect();
     vec![
         ("asks-v1.jsonl", in_the_oldest(&asks)),
         ("asks-v2.jsonl", asks),
         ("says-v1.jsonl", in_the_oldest(&says)),
         ("says-v2.jsonl", says),
-        ("memory.jsonl", json(&memories())),
+        ("memory.jsonl", json(&participant_states())),
         (
             "figures.jsonl",
-            json(&[figures(), IngressMetrics::default()]),
+            json(&[metrics(), IngressMetrics::default()]),
         ),
         (
             "plans.jsonl",
@@ -320,10 +341,10 @@
 #[test]
 fn golden_lines_of_both_versions_are_read_and_written_again_to_the_same_bytes() {
     for name in ["asks-v1.jsonl", "asks-v2.jsonl"] {
-        assert_lines_round_trip(name, &asks());
+        assert_lines_round_trip(name, &requests());
     }
     for name in ["says-v1.jsonl", "says-v2.jsonl"] {
-        assert_lines_round_trip(name, &says());
+        assert_lines_round_trip(name, &responses());
     }
 }
 
@@ -342,8 +363,8 @@
 
 #[test]
 fn golden_records_are_read_and_written_again_to_the_same_bytes() {
-    assert_json_round_trips("memory.jsonl", &memories());
-    assert_json_round_trips("figures.jsonl", &[figures(), IngressMetrics::default()]);
+    assert_json_round_trips("memory.jsonl", &participant_states());
+    assert_json_round_trips("figures.jsonl", &[metrics(), IngressMetrics::default()]);
     assert_json_round_trips("differences.jsonl", &all_differences());
 }
 
--- a/crates/commit/tests/model.rs
+++ b/crates/commit/tests/model.rs
@@ -1,19 +1,19 @@
-//! The protocol by exhaustive search: two or three ingresses, two appliers, messages that are lost or late on either way, crashes
-//! of all of them at any point. The very participant and applier of the package are what is searched. Variants that are
-//! broken on purpose must be found out, or the search shows nothing.
-
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::needless_pass_by_value, clippy::too_many_lines)]
+//! Two-phase commit by exhaustive search: two or three ingresses, two coordinators, messages that are lost or delayed either
+//! way, and crashes of all of them at any point.
+//!
+//! The participant and coordinator of the package itself are searched. Variants that are broken on purpose must be found
+//! out, or the search shows nothing.
 
 use stateright::{Checker, Model, Property, Representative};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::OnceLock;
-use wrenfork_commit::coordinator::{CommitPhase, Coordinator};
-use wrenfork_commit::participant::{Participant, ParticipantState, Step};
-use wrenfork_commit::plan::{IngressSnapshot, Plan};
+use wrenfork_commit::coordinator::{CommitPhase, Coordinator, Decision};
+use wrenfork_commit::participant::{Participant, ParticipantState};
+use wrenfork_commit::plan::{IngressSnapshot, Plan, PlanHeader};
 use wrenfork_commit::protocol::{CommitRequest, CommitResponse, CommitStatus};
 use wrenfork_commit::state::{Digest, Generation, State};
+use wrenfork_commit::step::Step;
 
 /// Two where it must be quick; with three it takes 20 s on four cores:
 /// `WRENFORK_SEARCH=3 cargo test --release -p wrenfork-commit --test model -- --nocapture every`
@@ -31,15 +31,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Variant {
     Whole,
-    /// What is promised is kept in memory alone, and lost with a crash.
-    NoPromiseOnDisk,
+    /// The state of a participant is kept in memory alone, and lost with a crash.
+    NothingStored,
     /// A change is prepared whatever is enforced.
     NoGenerationCheck,
     /// Anybody may decide.
     NoFence,
 }
 
-/// What the second applier does.
+/// What the second coordinator does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Second {
     AppliesAnother,
@@ -55,35 +55,35 @@
     plans: [Digest; 2],
 }
 
-/// What is under way between an applier and an ingress: at most one message in either direction. What an applier asks now
-/// may arrive at any time; one that has ended may leave an ask under way.
+/// Messages in flight between a coordinator and an ingress: at most one message in either direction. A request of a coordinator
+/// may arrive at any time; one that has ended may leave a request in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Way {
+enum Channel {
     Idle,
-    Asked(CommitRequest),
-    Answered(CommitResponse),
+    Request(CommitRequest),
+    Response(CommitResponse),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Now {
     ingresses: Vec<Participant>,
-    appliers: Vec<Option<Coordinator>>,
-    ways: Vec<Vec<Way>>,
+    coordinators: Vec<Option<Coordinator>>,
+    channels: Vec<Vec<Channel>>,
     crashes: u8,
     /// By change: ingresses that said yes.
-    said_yes: BTreeMap<String, u8>,
+    voted: BTreeMap<String, u8>,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Do {
-    /// An ask arrives, and is carried out whole.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+enum Action {
+    /// A request arrives and is handled.
     Arrive(usize, usize),
-    /// An answer arrives.
+    /// A response arrives.
     Hear(usize, usize),
     /// An ingress ends before its write, or after it and before its answer; it comes back with what it wrote. To its
-    /// applier that is the same as an ask, or an answer, that is lost.
+    /// coordinator that is the same as a request, or a response, that is lost.
     Crash(usize, usize, bool),
-    /// An applier ends; what it asked may still arrive.
+    /// An coordinator ends; its requests may still arrive.
     End(usize),
 }
 
@@ -95,16 +95,16 @@
         order.sort_by_cached_key(|i| {
             let mut hash = DefaultHasher::new();
             self.ingresses[*i].state().hash(&mut hash);
-            self.ways.iter().for_each(|w| w[*i].hash(&mut hash));
+            self.channels.iter().for_each(|w| w[*i].hash(&mut hash));
             for member in self
-                .appliers
+                .coordinators
                 .iter()
                 .flatten()
                 .filter_map(|a| a.members.get(*i))
             {
                 (member.answered, member.status).hash(&mut hash);
             }
-            self.said_yes
+            self.voted
                 .iter()
                 .for_each(|(change, yes)| (change, yes >> i & 1).hash(&mut hash));
             hash.finish()
@@ -113,18 +113,18 @@
         for (to, from) in order.iter().enumerate() {
             like.ingresses[to] =
                 Participant::new(&format!("n{to}"), self.ingresses[*from].state().clone());
-            for (ways, its) in like.ways.iter_mut().zip(&self.ways) {
-                ways[to] = its[*from].clone();
+            for (channels, its) in like.channels.iter_mut().zip(&self.channels) {
+                channels[to] = its[*from].clone();
             }
-            for (applier, its) in like.appliers.iter_mut().zip(&self.appliers) {
-                let (Some(applier), Some(its)) = (applier, its) else {
+            for (coordinator, its) in like.coordinators.iter_mut().zip(&self.coordinators) {
+                let (Some(coordinator), Some(its)) = (coordinator, its) else {
                     continue;
                 };
-                applier.members[to] = its.members[*from].clone();
-                applier.members[to].ingress = format!("n{to}");
+                coordinator.members[to] = its.members[*from].clone();
+                coordinator.members[to].ingress = format!("n{to}");
             }
-            for (change, yes) in &mut like.said_yes {
-                *yes = *yes & !(1 << to) | (self.said_yes[change] >> from & 1) << to;
+            for (change, yes) in &mut like.voted {
+                *yes = *yes & !(1 << to) | (self.voted[change] >> from & 1) << to;
             }
         }
         like
@@ -164,145 +164,167 @@
             extra_dangers: Vec::new(),
         }
     };
-    Plan::make((author, 0, 1), (0..ingresses()).map(of).collect()).unwrap()
+    let header = PlanHeader {
+        author: author.into(),
+        made_at: 0,
+        valid_for: 1,
+    };
+    Plan::make(header, (0..ingresses()).map(of).collect()).unwrap()
 }
 
 impl World {
-    fn carry(&self, now: &mut Now, a: usize, i: usize, written: bool, answered: bool) {
-        let ask = match std::mem::replace(&mut now.ways[a][i], Way::Idle) {
-            Way::Asked(ask) => Some(ask),
-            _ => now.appliers[a].as_ref().and_then(|x| x.next_request(i)),
+    /// Delivers a request; `written` and `answered` say whether the ingress ends before its write or its response.
+    fn deliver(&self, now: &mut Now, a: usize, i: usize, written: bool, answered: bool) {
+        let in_flight = std::mem::replace(&mut now.channels[a][i], Channel::Idle);
+        let request = match in_flight {
+            Channel::Request(request) => Some(request),
+            _ => now.coordinators[a].as_ref().and_then(|c| c.next_request(i)),
         };
-        let Some(ask) = ask else { return };
-        let ask = match ask {
-            CommitRequest::Prepare {
-                vote: mut promise,
-                ballot,
-                state: wanted,
-            } if self.variant == Variant::NoGenerationCheck => {
-                promise.base = now.ingresses[i].state().enforced.clone();
-                promise.next.number = promise.base.number + 1;
+        let Some(request) = request else { return };
+        let request = self.altered(now, i, request);
+        let change = match &request {
+            CommitRequest::Prepare { vote, .. } => vote.change.0.clone(),
+            _ => String::new(),
+        };
+        let response = handle(&mut now.ingresses[i], request, written);
+        match response.filter(|_| answered) {
+            Some(response) => {
+                if response == CommitResponse::Prepared {
+                    *now.voted.entry(change).or_default() |= 1 << i;
+                }
+                now.channels[a][i] = Channel::Response(response);
+            }
+            None => lose(now, a, i),
+        }
+        if !(written && answered) && self.variant == Variant::NothingStored {
+            let state = now.ingresses[i].state().clone();
+            now.ingresses[i].persisted(ParticipantState {
+                prepared: None,
+                fences: vec![],
+                ended: vec![],
+                ..state
+            });
+        }
+    }
+
+    /// The request without the part of the protocol that the variant leaves out.
+    fn altered(&self, now: &Now, i: usize, request: CommitRequest) -> CommitRequest {
+        let state = now.ingresses[i].state();
+        match (self.variant, request) {
+            (
+                Variant::NoGenerationCheck,
                 CommitRequest::Prepare {
-                    vote: promise,
+                    mut vote,
+                    ballot,
+                    state: wanted,
+                },
+            ) => {
+                vote.base = state.enforced.clone();
+                vote.next.number = vote.base.number + 1;
+                CommitRequest::Prepare {
+                    vote,
                     ballot,
                     state: wanted,
                 }
             }
-            CommitRequest::Decide { change, commit, .. } if self.variant == Variant::NoFence => {
-                // With whatever number would be right.
-                let fences = &now.ingresses[i].state().fences;
-                let ballot = fences.iter().find(|f| f.0 == change).map_or(0, |f| f.1);
+            (Variant::NoFence, CommitRequest::Decide { change, commit, .. }) => {
+                // With whatever ballot would be right.
+                let fence = state.fences.iter().find(|f| f.change == change);
                 CommitRequest::Decide {
+                    ballot: fence.map_or(0, |f| f.ballot),
                     change,
-                    ballot,
                     commit,
                 }
             }
-            ask => ask,
-        };
-        let change = if let CommitRequest::Prepare { vote: promise, .. } = &ask {
-            promise.change.0.clone()
-        } else {
-            String::new()
-        };
-        let say = match now.ingresses[i].handle(ask, |_| Ok(())) {
-            Step::Respond(say) => Some(say),
-            Step::Persist {
-                state: memory,
-                response: then,
-                ..
-            } if written => {
-                now.ingresses[i].persisted(*memory);
-                Some(then)
-            }
-            Step::Persist { .. } => None,
-        };
-        // Why not is for people: nothing follows from it.
-        let say = say.map(|s| {
-            if matches!(s, CommitResponse::Rejected { .. }) {
-                CommitResponse::Rejected {
-                    reason: String::new(),
-                }
-            } else {
-                s
-            }
-        });
-        if let Some(say) = say.filter(|_| answered) {
-            if say == CommitResponse::Prepared {
-                *now.said_yes.entry(change).or_default() |= 1 << i;
-            }
-            now.ways[a][i] = Way::Answered(say);
-        } else {
-            self.lost(now, a, i);
-        }
-        if !(written && answered) && self.variant == Variant::NoPromiseOnDisk {
-            let m = now.ingresses[i].state().clone();
-            now.ingresses[i].persisted(ParticipantState {
-                prepared: None,
-                fences: vec![],
-                ended: vec![],
-                ..m
-            });
+            (_, request) => request,
         }
     }
 
-    fn act(&self, now: &mut Now, action: Do) -> Option<()> {
+    fn act(&self, now: &mut Now, action: Action) -> Option<()> {
         match action {
-            Do::Arrive(a, i) => self.carry(now, a, i, true, true),
-            Do::Hear(a, i) => {
-                let Way::Answered(say) = std::mem::replace(&mut now.ways[a][i], Way::Idle) else {
+            Action::Arrive(a, i) => self.deliver(now, a, i, true, true),
+            Action::Hear(a, i) => {
+                let Channel::Response(say) =
+                    std::mem::replace(&mut now.channels[a][i], Channel::Idle)
+                else {
                     return None;
                 };
-                if let Some(applier) = &mut now.appliers[a] {
-                    applier.handle_response(i, Some(say));
+                if let Some(coordinator) = &mut now.coordinators[a] {
+                    coordinator.handle_response(i, Some(say));
                 }
             }
-            Do::Crash(a, i, written) => {
+            Action::Crash(a, i, written) => {
                 now.crashes -= 1;
-                self.carry(now, a, i, written, false);
+                self.deliver(now, a, i, written, false);
             }
-            Do::End(a) => {
+            Action::End(a) => {
                 now.crashes -= 1;
-                let ended = now.appliers[a].take()?;
+                let ended = now.coordinators[a].take()?;
                 for i in 0..ingresses() {
-                    now.ways[a][i] = match ended.next_request(i) {
-                        Some(ask) if now.ways[a][i] == Way::Idle => Way::Asked(ask),
-                        _ => Way::Idle,
+                    now.channels[a][i] = match ended.next_request(i) {
+                        Some(ask) if now.channels[a][i] == Channel::Idle => Channel::Request(ask),
+                        _ => Channel::Idle,
                     };
                 }
             }
         }
         Some(())
     }
+}
 
-    fn lost(&self, now: &mut Now, a: usize, i: usize) {
-        now.ways[a][i] = Way::Idle;
-        if let Some(applier) = &mut now.appliers[a] {
-            applier.handle_response(i, None);
+/// Handles a request at an ingress; none if it ends before its write.
+fn handle(
+    ingress: &mut Participant,
+    request: CommitRequest,
+    written: bool,
+) -> Option<CommitResponse> {
+    let response = match ingress.handle(request, |_| Ok(())) {
+        Step::Respond(response) => response,
+        Step::Persist {
+            state, response, ..
+        } if written => {
+            ingress.persisted(*state);
+            response
         }
+        Step::Persist { .. } => return None,
+    };
+    // Reasons are for people: nothing follows from them.
+    Some(match response {
+        CommitResponse::Rejected { .. } => CommitResponse::Rejected {
+            reason: String::new(),
+        },
+        response => response,
+    })
+}
+
+/// A request or its response is lost.
+fn lose(now: &mut Now, a: usize, i: usize) {
+    now.channels[a][i] = Channel::Idle;
+    if let Some(coordinator) = &mut now.coordinators[a] {
+        coordinator.handle_response(i, None);
     }
 }
 
-fn stand(p: &Participant, change: &Digest) -> CommitStatus {
-    match p.handle(
+fn status(participant: &Participant, change: &Digest) -> CommitStatus {
+    match participant.handle(
         CommitRequest::Fence {
             change: change.clone(),
             ballot: u64::MAX,
         },
         |_| Ok(()),
     ) {
-        Step::Respond(CommitResponse::ChangeStatus { status: stand, .. })
+        Step::Respond(CommitResponse::ChangeStatus { status, .. })
         | Step::Persist {
-            response: CommitResponse::ChangeStatus { status: stand, .. },
+            response: CommitResponse::ChangeStatus { status, .. },
             ..
-        } => stand,
+        } => status,
         other => panic!("{other:?}"),
     }
 }
 
 impl Model for World {
     type State = Now;
-    type Action = Do;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<Now> {
         let first = Coordinator::new(&plan("ann", "new"), 1);
@@ -319,41 +341,41 @@
             ingresses: (0..ingresses())
                 .map(|n| Participant::new(&format!("n{n}"), memory()))
                 .collect(),
-            appliers: vec![Some(first), Some(second)],
-            ways: vec![vec![Way::Idle; ingresses()]; 2],
+            coordinators: vec![Some(first), Some(second)],
+            channels: vec![vec![Channel::Idle; ingresses()]; 2],
             crashes: self.crashes,
-            said_yes: BTreeMap::new(),
+            voted: BTreeMap::new(),
         }]
     }
 
-    fn actions(&self, now: &Now, actions: &mut Vec<Do>) {
-        for a in 0..now.appliers.len() {
+    fn actions(&self, now: &Now, actions: &mut Vec<Action>) {
+        for a in 0..now.coordinators.len() {
             for i in 0..ingresses() {
-                let asks = now.appliers[a]
+                let asks = now.coordinators[a]
                     .as_ref()
                     .is_some_and(|x| x.next_request(i).is_some());
-                let asks = asks || matches!(now.ways[a][i], Way::Asked(_));
-                if matches!(now.ways[a][i], Way::Answered(_)) {
-                    actions.push(Do::Hear(a, i));
+                let asks = asks || matches!(now.channels[a][i], Channel::Request(_));
+                if matches!(now.channels[a][i], Channel::Response(_)) {
+                    actions.push(Action::Hear(a, i));
                 } else if asks {
-                    actions.push(Do::Arrive(a, i));
+                    actions.push(Action::Arrive(a, i));
                     if now.crashes > 0 {
-                        actions.push(Do::Crash(a, i, false));
-                        actions.push(Do::Crash(a, i, true));
+                        actions.push(Action::Crash(a, i, false));
+                        actions.push(Action::Crash(a, i, true));
                     }
                 }
             }
-            if now.crashes > 0 && now.appliers[a].is_some() {
-                actions.push(Do::End(a));
+            if now.crashes > 0 && now.coordinators[a].is_some() {
+                actions.push(Action::End(a));
             }
         }
     }
 
-    fn next_state(&self, last: &Now, action: Do) -> Option<Now> {
+    fn next_state(&self, last: &Now, action: Action) -> Option<Now> {
         let mut now = last.clone();
         self.act(&mut now, action)?;
-        // Why an applier gave up is for people: nothing follows from it.
-        now.appliers
+        // Why a coordinator gave up is for people: nothing follows from it.
+        now.coordinators
             .iter_mut()
             .flatten()
             .for_each(|a| a.rejections.clear());
@@ -364,79 +386,87 @@
         vec![
             Property::always(
                 "no change is made at one ingress and given up at another",
-                |world: &World, now: &Now| {
-                    world.plans.iter().all(|p| {
-                        let stands: Vec<CommitStatus> =
-                            now.ingresses.iter().map(|i| stand(i, p)).collect();
-                        !(stands.contains(&CommitStatus::Committed)
-                            && stands.contains(&CommitStatus::Aborted))
-                    })
-                },
+                no_change_is_split,
             ),
             Property::always(
                 "what is enforced is one whole generation, alike under one number",
-                |_, now: &Now| {
-                    let mut by_number: BTreeMap<u64, &Digest> = BTreeMap::new();
-                    now.ingresses.iter().all(|i| {
-                        let m = i.state();
-                        let whole = known(&m.state) == &m.enforced.digest;
-                        whole
-                            && *by_number
-                                .entry(m.enforced.number)
-                                .or_insert(&m.enforced.digest)
-                                == &m.enforced.digest
-                    })
-                },
+                generations_are_whole,
             ),
             Property::always(
                 "a plan is made only on what it was made from",
-                |world: &World, now: &Now| {
-                    now.ingresses.iter().all(|i| {
-                        world
-                            .plans
-                            .iter()
-                            .filter(|p| stand(i, p) == CommitStatus::Committed)
-                            .count()
-                            < 2
-                    })
-                },
+                one_change_at_each_ingress,
             ),
-            Property::always("a promise is never lost", |world: &World, now: &Now| {
-                world.plans.iter().all(|p| {
-                    let yes = now.said_yes.get(&p.0).copied().unwrap_or(0);
-                    let known = |i: usize| stand(&now.ingresses[i], p) != CommitStatus::Unknown;
-                    (0..ingresses()).all(|i| yes & (1 << i) == 0 || known(i))
-                })
-            }),
+            Property::always("a promise is never lost", votes_are_kept),
             Property::always(
                 "an apply that says made is made everywhere",
-                |_, now: &Now| {
-                    now.appliers.iter().flatten().all(|a| match a.phase {
-                        CommitPhase::Ended(made) => now.ingresses.iter().all(|i| {
-                            let stand = stand(i, &a.change);
-                            if made {
-                                stand == CommitStatus::Committed
-                            } else {
-                                stand != CommitStatus::Committed && stand != CommitStatus::Prepared
-                            }
-                        }),
-                        _ => true,
-                    })
-                },
+                outcomes_are_true,
             ),
             Property::sometimes("a change is made", |_, now: &Now| {
                 now.ingresses.iter().all(|i| i.state().enforced.number > 1)
             }),
             Property::sometimes("a change is given up", |_, now: &Now| {
-                now.appliers
-                    .iter()
-                    .flatten()
-                    .any(|a| a.phase == CommitPhase::Ended(false))
+                let mut coordinators = now.coordinators.iter().flatten();
+                coordinators.any(|c| c.phase == CommitPhase::Ended(Decision::Abort))
             }),
         ]
     }
 }
 
+fn no_change_is_split(world: &World, now: &Now) -> bool {
+    world.plans.iter().all(|plan| {
+        let statuses: Vec<CommitStatus> = now.ingresses.iter().map(|i| status(i, plan)).collect();
+        !(statuses.contains(&CommitStatus::Committed) && statuses.contains(&CommitStatus::Aborted))
+    })
+}
+
+fn generations_are_whole(_: &World, now: &Now) -> bool {
+    let mut by_number: BTreeMap<u64, &Digest> = BTreeMap::new();
+    now.ingresses.iter().all(|ingress| {
+        let state = ingress.state();
+        let enforced = &state.enforced;
+        let whole = known(&state.state) == &enforced.digest;
+        let first = by_number.entry(enforced.number).or_insert(&enforced.digest);
+        whole && *first == &enforced.digest
+    })
+}
+
+fn one_change_at_each_ingress(world: &World, now: &Now) -> bool {
+    now.ingresses.iter().all(|ingress| {
+        let made = world
+            .plans
+            .iter()
+            .filter(|plan| status(ingress, plan) == CommitStatus::Committed);
+        made.count() < 2
+    })
+}
+
+fn votes_are_kept(world: &World, now: &Now) -> bool {
+    world.plans.iter().all(|plan| {
+        let voted = now.voted.get(&plan.0).copied().unwrap_or(0);
+        let known = |i: usize| status(&now.ingresses[i], plan) != CommitStatus::Unknown;
+        (0..ingresses()).all(|i| voted & (1 << i) == 0 || known(i))
+    })
+}
+
+fn outcomes_are_true(_: &World, now: &Now) -> bool {
+    let carried_out = |change: &Digest, decision: Decision| {
+        now.ingresses.iter().all(|ingress| {
+            let status = status(ingress, change);
+            match decision {
+                Decision::Commit => status == CommitStatus::Committed,
+                Decision::Abort => {
+                    status != CommitStatus::Committed && status != CommitStatus::Prepared
+                }
+            }
+        })
+    };
+    let mut coordinators = now.coordinators.iter().flatten();
+    coordinators.all(|coordinator| match coordinator.phase {
+        CommitPhase::Ended(decision) => carried_out(&coordinator.change, decision),
+        _ => true,
+    })
+}
+
 /// Searches all; the number of states, and the properties that a state was found against.
 fn search(variant: Variant, second: Second, crashes: u8) -> (usize, Vec<&'static str>) {
     let plans = [plan("ann", "new").id(), plan("bob", "other").id()];
@@ -490,7 +520,7 @@
 #[test]
 fn what_is_left_out_is_found_out() {
     for (variant, second) in [
-        (Variant::NoPromiseOnDisk, Second::Recovers),
+        (Variant::NothingStored, Second::Recovers),
         (Variant::NoGenerationCheck, Second::AppliesAnother),
         (Variant::NoFence, Second::Recovers),
     ] {
--- /dev/null
+++ b/crates/commit/tests/state.rs
@@ -0,0 +1,73 @@
+//! States: their canonical form and their differences.
+
+use wrenfork_commit::state::{differences, State};
+
+fn state(pairs: &[(&str, &str)]) -> State {
+    State(
+        pairs
+            .iter()
+            .map(|(k, v)| (k.to_string(), v.to_string()))
+            .collect(),
+    )
+}
+
+/// Guards against two states with one digest: values that look like the start of another line.
+#[test]
+fn no_two_states_share_a_canonical_form() {
+    let states = [
+        state(&[]),
+        state(&[("a", "1")]),
+        state(&[("a", "1\n1 1 b=2")]),
+        state(&[("a", "1"), ("b", "2")]),
+        state(&[("a=1", "")]),
+        state(&[("a", "=1")]),
+    ];
+    for (n, one) in states.iter().enumerate() {
+        for other in &states[n + 1..] {
+            assert_ne!(one.digest(), other.digest(), "{one:?} {other:?}");
+        }
+    }
+    assert_eq!(states[0].digest().0.len(), 64);
+}
+
+#[test]
+fn what_differs_is_told_key_by_key() {
+    let (old, new) = (
+        state(&[("a", "1"), ("b", "2"), ("c", "3")]),
+        state(&[("b", "2"), ("c", "4"), ("d", "5")]),
+    );
+    let found = differences(&old, &new);
+    let text: Vec<String> = found
+        .iter()
+        .map(|d| format!("{} {:?} {:?}", d.key, d.old, d.new))
+        .collect();
+    assert_eq!(
+        text,
+        [
+            r#"a Some("1") None"#,
+            r#"c Some("3") Some("4")"#,
+            r#"d None Some("5")"#
+        ]
+    );
+    assert_eq!(differences(&new, &new), []);
+}
+
+#[test]
+fn the_accounts_on_a_plan_that_changes_are_counted() {
+    let plan = |rate: &str| {
+        let pairs = [
+            ("contracts.0.name", "starter"),
+            ("contracts.0.quota_rate", rate),
+            ("accounts.1", "starter"),
+        ];
+        state(
+            &[
+                &pairs[..],
+                &[("accounts.2", "starter"), ("accounts.3", "business")],
+            ]
+            .concat(),
+        )
+    };
+    let found = differences(&plan("8"), &plan("4"));
+    assert_eq!((found.len(), found[0].accounts), (1, 2));
+}
--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -57,7 +57,7 @@
 }
 
 /// What comes of a message; with `switch` another decree stands.
-pub type Step = wrenfork_commit::participant::Step<PersistentState, GroupResponse>;
+pub type Step = wrenfork_commit::step::Step<PersistentState, GroupResponse>;
 
 /// A member's side.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/consensus/src/protocol.rs
+++ b/crates/consensus/src/protocol.rs
@@ -362,7 +362,7 @@
         ] {
             let line = protocol::encode_line(&ask);
             assert!(is_group_request(&line), "{line}");
-            assert_eq!(decode_line::<GroupRequest>(&line), Ok(ask));
+            assert_eq!(decode_line::<GroupRequest>(&line).unwrap(), ask);
         }
         assert!(
             !is_group_request(&protocol::encode_line(&protocol::CommitRequest::Status))
@@ -376,8 +376,8 @@
             GroupResponse::State { state: None },
         ] {
             assert_eq!(
-                decode_line::<GroupResponse>(&protocol::encode_line(&say)),
-                Ok(say)
+                decode_line::<GroupResponse>(&protocol::encode_line(&say)).unwrap(),
+                say
             );
         }
         assert!(ReplicaVersion {
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -47,7 +47,7 @@
 /// Names and values that a text form has to escape.
 const ODD: &str = "b \"quoted\"\n\\ \u{fc}\u{200b}";
 
-fn roster() -> Membership {
+fn membership() -> Membership {
     let seat = |name: &str, folder, kind, votes| Member {
         name: name.into(),
         replica: folder,
@@ -78,7 +78,7 @@
         2,
         Digest::of(b"change"),
         "ann \"the\" first\n",
-        roster(),
+        membership(),
         Policy::from_states(&states()),
     )
 }
@@ -120,11 +120,11 @@
     ]
 }
 
-fn decrees() -> Vec<GroupState> {
+fn group_states() -> Vec<GroupState> {
     let mut all = vec![GroupState::default(), base(), base().unchanged_successor()];
-    let smaller = roster().without_member("z").unwrap();
+    let smaller = membership().without_member("z").unwrap();
     all.push(base().with_membership("carl", smaller, BTreeMap::new()));
-    let larger = roster()
+    let larger = membership()
         .with_member(Member {
             name: "y".into(),
             replica: 5,
@@ -137,14 +137,18 @@
         larger,
         [("y".to_string(), state(&[("k", "2")]))].into(),
     ));
-    all.push(base().with_membership("", roster().with_vote(ODD, None).unwrap(), BTreeMap::new()));
+    all.push(base().with_membership(
+        "",
+        membership().with_vote(ODD, None).unwrap(),
+        BTreeMap::new(),
+    ));
     for phase in phases() {
         all.push(base().with_rollout("bob", rollout(phase)).unwrap());
     }
     all
 }
 
-fn decree() -> Arc<GroupState> {
+fn group_state() -> Arc<GroupState> {
     Arc::new(
         base()
             .with_rollout("bob", rollout(Phase::On { stage: 0 }))
@@ -152,18 +156,18 @@
     )
 }
 
-fn age() -> ReplicaVersion {
+fn replica_version() -> ReplicaVersion {
     ReplicaVersion {
         writes: 9,
         incarnation: 8,
     }
 }
 
-fn asks() -> Vec<GroupRequest> {
+fn requests() -> Vec<GroupRequest> {
     let renew = |number, ready| GroupRequest::Renew {
         from: ODD.into(),
         replica: 3,
-        replica_version: age(),
+        replica_version: replica_version(),
         version: number,
         accepted: ready,
     };
@@ -179,11 +183,11 @@
         GroupRequest::Prepare {
             version: 5,
             ballot: BALLOT,
-            candidate: Some(decree()),
+            candidate: Some(group_state()),
         },
         GroupRequest::Accept {
             ballot: BALLOT,
-            state: decree(),
+            state: group_state(),
         },
         GroupRequest::ProposerAlive {
             ballot: BALLOT,
@@ -197,7 +201,7 @@
         GroupRequest::Decided {
             version: 5,
             digest,
-            state: Some(decree()),
+            state: Some(group_state()),
         },
         GroupRequest::Learn,
         GroupRequest::Status,
@@ -237,7 +241,7 @@
     }
 }
 
-fn stand() -> GroupStatus {
+fn status() -> GroupStatus {
     GroupStatus {
         name: "a".into(),
         replica: 1,
@@ -246,7 +250,7 @@
         generation: 2,
         change: Digest::of(b"change"),
         digest: Digest::of(b"decree"),
-        membership: roster(),
+        membership: membership(),
         promised: BALLOT,
         pending: Some(Digest::of(b"next")),
         rollout: Some(Phase::Held { stage: 1 }),
@@ -258,7 +262,7 @@
     }
 }
 
-fn says() -> Vec<GroupResponse> {
+fn responses() -> Vec<GroupResponse> {
     let verdicts = [
         RenewalVerdict::Granted,
         RenewalVerdict::Pending,
@@ -274,7 +278,7 @@
         .map(|(n, verdict)| GroupResponse::Renewed {
             replica: 2,
             version: 4,
-            last_seen: (n > 0).then(age),
+            last_seen: (n > 0).then(replica_version),
             verdict,
         })
         .collect();
@@ -291,7 +295,7 @@
         },
         GroupResponse::Promised {
             replica: 2,
-            accepted: Some((BALLOT, decree())),
+            accepted: Some((BALLOT, group_state())),
             enforced: Some((4, state(&[("k", ODD)]))),
         },
         GroupResponse::Accepted { replica: 2 },
@@ -305,10 +309,10 @@
         GroupResponse::NeedState,
         GroupResponse::State { state: None },
         GroupResponse::State {
-            state: Some(decree()),
+            state: Some(group_state()),
         },
         GroupResponse::Status(Box::default()),
-        GroupResponse::Status(Box::new(stand())),
+        GroupResponse::Status(Box::new(status())),
         GroupResponse::Tallied(Box::default()),
         GroupResponse::Tallied(Box::new(tally())),
         GroupResponse::Acknowledged,
@@ -320,7 +324,7 @@
     says
 }
 
-fn memories() -> Vec<PersistentState> {
+fn persistent_states() -> Vec<PersistentState> {
     let whole = PersistentState {
         name: ODD.into(),
         replica: 3,
@@ -331,7 +335,7 @@
             round: 4,
             proposer: 1,
         },
-        accepted: Some((BALLOT, decree())),
+        accepted: Some((BALLOT, group_state())),
     };
     vec![
         PersistentState::new("a", 1),
@@ -351,15 +355,15 @@
     vec![
         (
             "asks.jsonl",
-            asks().iter().map(protocol::encode_line).collect(),
+            requests().iter().map(protocol::encode_line).collect(),
         ),
         (
             "says.jsonl",
-            says().iter().map(protocol::encode_line).collect(),
+            responses().iter().map(protocol::encode_line).collect(),
         ),
-        ("decrees.jsonl", json(&decrees())),
-        ("memory.jsonl", json(&memories())),
-        ("roster.jsonl", json(&[Membership::default(), roster()])),
+        ("decrees.jsonl", json(&group_states())),
+        ("memory.jsonl", json(&persistent_states())),
+        ("roster.jsonl", json(&[Membership::default(), membership()])),
     ]
 }
 
@@ -397,8 +401,8 @@
 
 #[test]
 fn golden_lines_are_read_and_written_again_to_the_same_bytes() {
-    assert_lines_round_trip("asks.jsonl", &asks());
-    assert_lines_round_trip("says.jsonl", &says());
+    assert_lines_round_trip("asks.jsonl", &requests());
+    assert_lines_round_trip("says.jsonl", &responses());
 }
 
 fn assert_json_round_trips<T>(name: &str, values: &[T])
@@ -416,9 +420,9 @@
 
 #[test]
 fn golden_records_are_read_and_written_again_to_the_same_bytes() {
-    assert_json_round_trips("decrees.jsonl", &decrees());
-    assert_json_round_trips("memory.jsonl", &memories());
-    assert_json_round_trips("roster.jsonl", &[Membership::default(), roster()]);
+    assert_json_round_trips("decrees.jsonl", &group_states());
+    assert_json_round_trips("memory.jsonl", &persistent_states());
+    assert_json_round_trips("roster.jsonl", &[Membership::default(), membership()]);
 }
 
 /// A digest is made over a text with the names of fields and types: a rename that reached it would part members of two
--- a/crates/control-plane/src/client.rs
+++ b/crates/control-plane/src/client.rs
@@ -45,5 +45,5 @@
     if !line.ends_with('\n') {
         return Err("it ended in the middle of its answer".into());
     }
-    protocol::decode_line(&line)
+    protocol::decode_line(&line).map_err(|e| e.to_string())
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -32,9 +32,11 @@
 use std::sync::{Arc, Mutex, PoisonError, TryLockError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use wrenfork_commit::metrics::IngressMetrics;
-use wrenfork_commit::participant::{Participant, Step};
+use wrenfork_commit::participant::Participant;
 use wrenfork_commit::protocol::{self, AuditRecord, CommitRequest, CommitResponse, CommitStatus};
+use wrenfork_commit::reason::NotEnforceable;
 use wrenfork_commit::state::State;
+use wrenfork_commit::step::Step;
 use wrenfork_consensus::acceptor::{Acceptor, PersistentState, Step as Turn};
 use wrenfork_consensus::group_state::GroupState;
 use wrenfork_consensus::membership::MemberRole;
@@ -262,12 +264,12 @@
                 return Ok(()); // cut off: nobody waits for an answer
             }
             if group_protocol::is_group_request(&line) {
-                let ask = protocol::decode_line::<GroupRequest>(&line);
+                let ask = protocol::decode_line::<GroupRequest>(&line).map_err(|e| e.to_string());
                 drop(line);
                 Self::serve_group(inner, shared, ask, stream)?;
                 continue;
             }
-            let ask = protocol::decode_line::<CommitRequest>(&line);
+            let ask = protocol::decode_line::<CommitRequest>(&line).map_err(|e| e.to_string());
             drop(line);
             let (say, faults, point) = {
                 let mut inner = inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -706,7 +708,9 @@
             ref other => self.record(other),
         };
         let enforcer = &self.enforcer;
-        match self.participant.handle(ask, |state| enforcer.check(state)) {
+        match self.participant.handle(ask, |state| {
+            enforcer.check(state).map_err(NotEnforceable::new)
+        }) {
             Step::Respond(CommitResponse::Status {
                 ingress,
                 generation,
@@ -781,7 +785,7 @@
 
     /// A record of an ask; who and what is filled in from the promise that it is about.
     fn record(&self, ask: &CommitRequest) -> Option<AuditRecord> {
-        let promised = self.participant.state().prepared.as_ref().map(|p| &p.0);
+        let promised = self.participant.state().prepared.as_ref().map(|p| &p.vote);
         let (change, promise) = match ask {
             CommitRequest::Prepare { vote: promise, .. } => (&promise.change, Some(promise)),
             CommitRequest::Decide { change, .. } | CommitRequest::Fence { change, .. } => {
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -59,9 +59,12 @@
         members: vec!["n0".into(), "n1".into()],
     };
     ParticipantState {
-        prepared: Some((promise, Arc::new(next))),
-        ended: vec![(Digest("aa".into()), true), (Digest("bb".into()), false)],
-        fences: vec![(Digest("cc".into()), 17)],
+        prepared: Some((promise, Arc::new(next)).into()),
+        ended: vec![
+            (Digest("aa".into()), true).into(),
+            (Digest("bb".into()), false).into(),
+        ],
+        fences: vec![(Digest("cc".into()), 17).into()],
         ..enforced
     }
 }
--- a/crates/ctl/src/change/apply.rs
+++ b/crates/ctl/src/change/apply.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use wrenfork_commit::coordinator::Coordinator;
 use wrenfork_commit::metrics::IngressMetrics;
-use wrenfork_commit::plan::{Plan, Target};
+use wrenfork_commit::plan::{Plan, PlanHeader, Target};
 use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_config::enforced::Pairs;
 use wrenfork_consensus::group_state::{GroupState, Policy};
@@ -450,7 +450,11 @@
         numbers,
     )?;
     let made = plan::make(
-        (&plan.author, micros(), plan.valid_for),
+        PlanHeader {
+            author: plan.author.clone(),
+            made_at: micros(),
+            valid_for: plan.valid_for,
+        },
         was,
         has,
         plan.groups.clone(),
--- a/crates/ctl/src/change/drive.rs
+++ b/crates/ctl/src/change/drive.rs
@@ -5,8 +5,9 @@
 use std::io::IsTerminal;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use wrenfork_commit::coordinator::{CommitPhase, Coordinator};
+use wrenfork_commit::coordinator::{CommitPhase, Coordinator, Decision};
 use wrenfork_commit::protocol::{CommitRequest, CommitResponse};
+use wrenfork_commit::reason::MemberReason;
 use wrenfork_control_plane::client;
 use wrenfork_control_plane::fault::Faults;
 
@@ -67,8 +68,8 @@
         let phase = match applier.phase {
             CommitPhase::Preparing => "promises",
             CommitPhase::Fencing => "asking how it stands",
-            CommitPhase::Deciding(true) => "switches",
-            CommitPhase::Deciding(false) => "giving up",
+            CommitPhase::Deciding(Decision::Commit) => "switches",
+            CommitPhase::Deciding(Decision::Abort) => "giving up",
             CommitPhase::Ended(_) | CommitPhase::Superseded => return,
         };
         let answered = applier.members.iter().filter(|m| m.answered).count();
@@ -102,12 +103,14 @@
         progress.tell(applier);
         let phase = applier.phase.clone();
         match phase {
-            CommitPhase::Ended(true) => {
+            CommitPhase::Ended(Decision::Commit) => {
                 return End::Made(first_switch.map_or(Duration::ZERO, |t: Instant| t.elapsed()))
             }
-            CommitPhase::Ended(false) => return End::GivenUp,
+            CommitPhase::Ended(Decision::Abort) => return End::GivenUp,
             CommitPhase::Superseded => return End::Overtaken,
-            CommitPhase::Deciding(true) => first_switch = first_switch.or(Some(Instant::now())),
+            CommitPhase::Deciding(Decision::Commit) => {
+                first_switch = first_switch.or(Some(Instant::now()))
+            }
             _ => {}
         }
         let mut asked = Vec::new();
@@ -171,7 +174,11 @@
 
 /// Tells people how a change ended.
 pub fn tell(end: &End, applier: &Coordinator) {
-    for (name, why) in &applier.rejections {
+    for MemberReason {
+        member: name,
+        reason: why,
+    } in &applier.rejections
+    {
         anstream::eprintln!("  {name}: {why}");
     }
     match end {
@@ -194,8 +201,10 @@
         ),
         End::Unfinished(left) => {
             let decided = match applier.phase {
-                CommitPhase::Deciding(true) => "it is made, and ",
-                CommitPhase::Deciding(false) => "it is given up and nothing has changed, but ",
+                CommitPhase::Deciding(Decision::Commit) => "it is made, and ",
+                CommitPhase::Deciding(Decision::Abort) => {
+                    "it is given up and nothing has changed, but "
+                }
                 _ => "",
             };
             anstream::eprintln!(
--- a/crates/ctl/src/change/plan.rs
+++ b/crates/ctl/src/change/plan.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use wrenfork_commit::metrics::{IngressMetrics, ObservedNode};
-use wrenfork_commit::plan::{Danger, IngressSnapshot, Plan};
+use wrenfork_commit::plan::{Danger, IngressSnapshot, Plan, PlanHeader};
 use wrenfork_commit::protocol::{AuditRecord, CommitRequest};
 use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_config::enforced::align;
@@ -231,7 +231,7 @@
 
 /// Makes a plan for ingresses, each to enforce what is wanted of it.
 pub fn make(
-    who: (&str, u64, u64),
+    header: PlanHeader,
     ingresses: Vec<Ingress>,
     has: Vec<Status>,
     groups: Vec<BTreeMap<String, String>>,
@@ -282,7 +282,7 @@
             usage: has.figures.plans,
         });
     }
-    Ok(Plan::make(who, seen).map(|plan| Plan { groups, ..plan }.restricted_to(|_| true)))
+    Ok(Plan::make(header, seen).map(|plan| Plan { groups, ..plan }.restricted_to(|_| true)))
 }
 
 /// Writes a plan's file: whole or not at all.
@@ -345,7 +345,11 @@
     let found = look(files)?;
     let author = author(options.author.as_deref());
     let plan = make(
-        (&author, micros(), options.good_for.as_secs()),
+        PlanHeader {
+            author: author.clone(),
+            made_at: micros(),
+            valid_for: options.good_for.as_secs(),
+        },
         found.ingresses,
         found.has,
         found.groups,
--- a/crates/ctl/src/change/rollback.rs
+++ b/crates/ctl/src/change/rollback.rs
@@ -5,6 +5,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
+use wrenfork_commit::plan::PlanHeader;
 
 #[derive(Args)]
 pub struct Options {
@@ -39,8 +40,12 @@
         options.generation
     })?;
     let author = author(options.author.as_deref());
-    let Some(made) = plan::make((&author, micros(), 3_600), wanted, found.has, found.groups)?
-    else {
+    let header = PlanHeader {
+        author: author.clone(),
+        made_at: micros(),
+        valid_for: 3_600,
+    };
+    let Some(made) = plan::make(header, wanted, found.has, found.groups)? else {
         println!(
             "nothing to do: generation {} is what is enforced",
             options.generation
--- a/crates/ctl/tests/judged.rs
+++ b/crates/ctl/tests/judged.rs
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use wrenfork_commit::coordinator::{CommitPhase, Coordinator};
-use wrenfork_commit::plan::{IngressSnapshot, Plan};
+use wrenfork_commit::coordinator::{CommitPhase, Coordinator, Decision};
+use wrenfork_commit::plan::{IngressSnapshot, Plan, PlanHeader};
 use wrenfork_commit::protocol::{CommitRequest, CommitResponse};
 use wrenfork_commit::state::{Generation, State};
 use wrenfork_control_plane::client;
@@ -99,7 +99,12 @@
             extra_dangers: Vec::new(),
         }
     });
-    let plan = Plan::make(("ann", 0, 1), seen.collect()).unwrap();
+    let header = PlanHeader {
+        author: "ann".into(),
+        made_at: 0,
+        valid_for: 1,
+    };
+    let plan = Plan::make(header, seen.collect()).unwrap();
     let mut applier = Coordinator::new(&plan, 1);
     while !matches!(
         applier.phase,
@@ -171,7 +176,7 @@
         )
         .unwrap_or_else(|e| panic!("{e}"));
         let (ended, now) = applier.join().unwrap();
-        assert_eq!(ended, CommitPhase::Ended(true));
+        assert_eq!(ended, CommitPhase::Ended(Decision::Commit));
         assert!(now.iter().all(|g| g.number == 2), "{now:?}");
         if report.verdict == Verdict::Late {
             continue;
--- a/crates/ingress/src/control.rs
+++ b/crates/ingress/src/control.rs
@@ -311,7 +311,7 @@
         digest = digest.short(),
         "control: enforcing"
     );
-    if let Some((promise, _)) = &memory.prepared {
+    if let Some(promise) = memory.prepared.as_ref().map(|p| &p.vote) {
         let (change, author) = (promise.change.short(), promise.author.as_str());
         tracing::warn!(
             change,
