--- a/crates/control-plane/src/client.rs
+++ b/crates/control-plane/src/client.rs
@@ -1,49 +1,89 @@
-//! The other end of a control socket: one ask and its answer, within a time. What is asked and said is the control protocol's
-//! or the group's.
+//! A client of control sockets: one request and its response, within a time. Which protocol it is, that of changes or that of
+//! groups, is the caller's choice.
 
 use serde::{Deserialize, Serialize};
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::os::unix::net::UnixStream;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 use wrenfork_commit::protocol;
 
-/// The longest answer: a state of some hundred thousand accounts.
-const MOST_ANSWER: u64 = 64 << 20;
+/// The most bytes of a response: a state of some hundred thousand accounts.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Asks and waits for the answer, `patience` for each step on the way.
+/// Why there is no response. What was requested may have been done all the same.
+#[derive(Debug, thiserror::Error)]
+pub enum ClientError {
+    /// Nothing came in time.
+    #[error("it does not answer")]
+    TimedOut,
+    /// The socket does not exist.
+    #[error("{}: there is no such socket", path.display())]
+    NoSuchSocket {
+        /// Where it was looked for.
+        path: PathBuf,
+    },
+    /// The socket exists, and no process listens there.
+    #[error("{}: nobody listens there", path.display())]
+    NotListening {
+        /// The socket's path.
+        path: PathBuf,
+    },
+    /// Another error of the system.
+    #[error("{}: {source}", path.display())]
+    Io {
+        /// The socket's path.
+        path: PathBuf,
+        /// The error.
+        source: io::Error,
+    },
+    /// The connection ended in the middle of the response.
+    #[error("it ended in the middle of its answer")]
+    Truncated,
+    /// The response is none of this protocol, or of another version.
+    #[error("{0}")]
+    InvalidResponse(String),
+}
+
+impl ClientError {
+    fn from_io(source: io::Error, path: &Path) -> ClientError {
+        let path = path.to_path_buf();
+        match source.kind() {
+            ErrorKind::WouldBlock | ErrorKind::TimedOut => ClientError::TimedOut,
+            ErrorKind::NotFound => ClientError::NoSuchSocket { path },
+            ErrorKind::ConnectionRefused => ClientError::NotListening { path },
+            _ => ClientError::Io { path, source },
+        }
+    }
+}
+
+/// Sends a request to the control socket at a path and waits for the response, `timeout` for each step on the way.
 ///
 /// # Errors
 ///
-/// In plain words, where nobody answers; what was asked may have been done all the same.
-pub fn ask<A: Serialize, S: for<'a> Deserialize<'a>>(
+/// See [`ClientError`].
+pub fn request<Q: Serialize, R: for<'a> Deserialize<'a>>(
     path: &Path,
-    ask: &A,
-    patience: Duration,
-) -> Result<S, String> {
-    let failed = |e: std::io::Error| match e.kind() {
-        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut => {
-            "it does not answer".to_string()
-        }
-        std::io::ErrorKind::NotFound => format!("{}: there is no such socket", path.display()),
-        std::io::ErrorKind::ConnectionRefused => {
-            format!("{}: nobody listens there", path.display())
-        }
-        _ => format!("{}: {e}", path.display()),
-    };
-    let stream = UnixStream::connect(path).map_err(failed)?;
-    stream.set_read_timeout(Some(patience)).map_err(failed)?;
-    stream.set_write_timeout(Some(patience)).map_err(failed)?;
-    (&stream)
-        .write_all(protocol::encode_line(ask).as_bytes())
-        .map_err(failed)?;
-    let mut line = String::new();
-    BufReader::new(&stream)
-        .take(MOST_ANSWER)
-        .read_line(&mut line)
-        .map_err(failed)?;
+    request: &Q,
+    timeout: Duration,
+) -> Result<R, ClientError> {
+    let line = exchange(path, &protocol::encode_line(request), timeout)
+        .map_err(|error| ClientError::from_io(error, path))?;
     if !line.ends_with('\n') {
-        return Err("it ended in the middle of its answer".into());
+        return Err(ClientError::Truncated);
     }
-    protocol::decode_line(&line).map_err(|e| e.to_string())
+    protocol::decode_line(&line).map_err(|error| ClientError::InvalidResponse(error.to_string()))
+}
+
+/// Writes a line and reads one.
+fn exchange(path: &Path, line: &str, timeout: Duration) -> io::Result<String> {
+    let mut stream = UnixStream::connect(path)?;
+    stream.set_read_timeout(Some(timeout))?;
+    stream.set_write_timeout(Some(timeout))?;
+    stream.write_all(line.as_bytes())?;
+    let mut response = String::new();
+    BufReader::new(&stream)
+        .take(MAX_RESPONSE_BYTES)
+        .read_line(&mut response)?;
+    Ok(response)
 }
--- a/crates/control-plane/src/clock.rs
+++ b/crates/control-plane/src/clock.rs
@@ -1,28 +1,29 @@
-//! The clock of leases: it counts from the machine's start, runs on while a process is stopped or the machine sleeps, and no
-//! setting of the system's time reaches it.
+//! The clock of leases. It counts from the machine's start, runs on while a process is stopped or the machine sleeps, and is not
+//! affected by changes of the system's time.
 
-use rustix::time::{clock_gettime, ClockId};
+use rustix::time::{clock_gettime, ClockId, Timespec};
 use std::time::Duration;
 
-/// The time since the machine's start.
+/// The time since the machine's start (`CLOCK_BOOTTIME`).
 pub fn now() -> Duration {
-    let t = clock_gettime(ClockId::Boottime);
-    Duration::new(t.tv_sec.unsigned_abs(), t.tv_nsec as u32)
+    duration(clock_gettime(ClockId::Boottime))
 }
 
-/// The processor time of this process so far.
-pub fn processor() -> Duration {
-    let t = clock_gettime(ClockId::ProcessCPUTime);
-    Duration::new(t.tv_sec.unsigned_abs(), t.tv_nsec as u32)
+/// The processor time that this process has used.
+pub fn cpu_time() -> Duration {
+    duration(clock_gettime(ClockId::ProcessCPUTime))
 }
 
-#[cfg(test)]
-mod tests {
-    use super::{now, Duration};
+fn duration(time: Timespec) -> Duration {
+    Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec as u32)
+}
+
+/// Whole microseconds of a duration.
+pub(crate) fn micros(time: Duration) -> u64 {
+    u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
+}
 
-    #[test]
-    fn it_goes_on_and_never_back() {
-        let first = now();
-        assert!(first > Duration::ZERO && now() >= first);
-    }
+/// Whole milliseconds of a duration.
+pub(crate) fn millis(time: Duration) -> u64 {
+    u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- /dev/null
+++ b/crates/control-plane/src/durable_state/tests.rs
@@ -0,0 +1,146 @@
+//! What a restart finds, and what is dropped.
+
+use super::rows::{MAX_AUDIT_RECORDS, MAX_GENERATIONS};
+use super::{DurableState, Update};
+use std::path::Path;
+use std::sync::Arc;
+use wrenfork_commit::participant::ParticipantState;
+use wrenfork_commit::protocol::AuditRecord;
+use wrenfork_commit::state::{Digest, State};
+use wrenfork_consensus::acceptor::PersistentState;
+use wrenfork_consensus::group_state::{GroupState, Policy};
+use wrenfork_consensus::membership::{Member as GroupMember, MemberRole, Membership};
+use wrenfork_consensus::protocol::Ballot;
+
+fn state(value: &str) -> State {
+    State([("quota".to_string(), value.to_string())].into())
+}
+
+fn memory(number: u64) -> ParticipantState {
+    ParticipantState::new(number, state(&number.to_string()))
+}
+
+fn open(folder: Option<&Path>) -> DurableState {
+    DurableState::open(folder, || memory(1)).unwrap()
+}
+
+fn reopen(folder: &Path) -> DurableState {
+    DurableState::open(Some(folder), || unreachable!("it is stored")).unwrap()
+}
+
+fn new_generation<'a>(memory: &'a ParticipantState, record: Option<&'a AuditRecord>) -> Update<'a> {
+    Update {
+        memory: Some(memory),
+        new_generation: true,
+        record,
+        ..Update::default()
+    }
+}
+
+fn record(what: &str, generation: u64) -> AuditRecord {
+    AuditRecord {
+        event: what.into(),
+        generation,
+        ..AuditRecord::default()
+    }
+}
+
+#[test]
+fn generations_and_records_survive_a_restart_and_stay_bounded() {
+    let folder = tempfile::tempdir().unwrap();
+    let mut durable = open(Some(folder.path()));
+    for number in 2..40 {
+        let made = record("made", number);
+        let memory = memory(number);
+        durable
+            .commit(&new_generation(&memory, Some(&made)))
+            .unwrap();
+    }
+    for _ in 0..MAX_AUDIT_RECORDS {
+        durable.append_record(&record("planned", 0)).unwrap();
+    }
+    durable.close();
+    assert!(durable.append_record(&AuditRecord::default()).is_err());
+    let default = ParticipantState::default();
+    assert!(durable.commit(&new_generation(&default, None)).is_err());
+    drop(durable);
+
+    let durable = reopen(folder.path());
+    assert_eq!(durable.memory().enforced.number, 39);
+    let stored = |number| durable.generation(number).unwrap();
+    assert_eq!(stored(39).unwrap().state, state("39").into());
+    let oldest = 39 - MAX_GENERATIONS as u64 + 1;
+    assert_eq!(stored(oldest).unwrap().state, state("24").into());
+    assert_eq!(stored(23), None);
+    assert_eq!(
+        durable.records(usize::MAX).unwrap().len(),
+        MAX_AUDIT_RECORDS
+    );
+    let last = durable.records(3).unwrap();
+    assert!(last.iter().all(|record| record.event == "planned"));
+}
+
+fn first_group_state() -> GroupState {
+    let seat = GroupMember {
+        name: "a".into(),
+        replica: 7,
+        role: MemberRole::Ingress,
+        votes: true,
+    };
+    let roster = Membership::new(1, 1_500, vec![seat]).unwrap();
+    let states = [("a".to_string(), Arc::new(state("1")))].into();
+    let policy = Policy::from_states(&states);
+    GroupState::new(1, 1, Digest::default(), "ann", roster, policy)
+}
+
+#[test]
+fn a_members_promises_survive_a_restart_and_old_group_states_are_dropped() {
+    let folder = tempfile::tempdir().unwrap();
+    let mut group_state = Arc::new(first_group_state());
+    let mut durable = open(Some(folder.path()));
+    assert_eq!(durable.member().unwrap(), None);
+    let mut member = PersistentState::new("a", 7);
+    for round in 2..6 {
+        let next = Arc::new(group_state.unchanged_successor());
+        let ballot = Ballot { round, proposer: 3 };
+        member = PersistentState {
+            group_state: Some(group_state),
+            accepted: Some((ballot, next.clone())),
+            promised: ballot,
+            writes: round,
+            ..member
+        };
+        let update = Update {
+            member: Some(&member),
+            ..Update::default()
+        };
+        durable.commit(&update).unwrap();
+        group_state = next;
+    }
+    let enforced = memory(4);
+    let update = Update {
+        member: Some(&member),
+        ..new_generation(&enforced, None)
+    };
+    durable.commit(&update).unwrap();
+    durable.close();
+    drop(durable);
+
+    let durable = reopen(folder.path());
+    assert_eq!(durable.member().unwrap(), Some(member));
+    assert_eq!(durable.memory(), &enforced);
+    let rows = durable.rows.as_ref().unwrap();
+    assert_eq!(rows.group_state_rows().len(), 2);
+}
+
+#[test]
+fn without_a_folder_the_last_generations_are_kept_in_memory() {
+    let mut durable = open(None);
+    for number in 2..10 {
+        let memory = memory(number);
+        durable.commit(&new_generation(&memory, None)).unwrap();
+    }
+    let last = durable.generation(9).unwrap().unwrap();
+    assert_eq!(last.state, state("9").into());
+    assert_eq!(durable.generation(5).unwrap(), None);
+}
--- a/crates/control-plane/src/socket.rs
+++ b/crates/control-plane/src/socket.rs
@@ -1,126 +1,165 @@
-//! A Unix socket that is its owner's alone from the first moment on. One that a crash left behind is taken over, a live one
-//! is not, and at the end it is removed only if it is still the same.
+//! A Unix socket that only its owner may use, from the first moment on. One that a crash left behind is replaced, a live one is
+//! not, and at the end the file is removed only if it is still the same.
 
 use rustix::fs::{flock, FlockOperation};
 use std::fs::{self, File, OpenOptions, Permissions};
-use std::io::ErrorKind;
+use std::io::{self, ErrorKind};
 use std::os::unix::fs::{FileTypeExt, MetadataExt, OpenOptionsExt, PermissionsExt};
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
+/// The mode of the lock file.
+const LOCK_MODE: u32 = 0o600;
+
+/// Why a socket can't be listened at.
+#[derive(Debug, thiserror::Error)]
+pub enum SocketError {
+    /// Another process listens at the path.
+    #[error("{}: another process listens there", path.display())]
+    InUse {
+        /// The path.
+        path: PathBuf,
+    },
+    /// The path names a file that is no socket.
+    #[error("{}: something that is no socket is there", path.display())]
+    NotASocket {
+        /// The path.
+        path: PathBuf,
+    },
+    /// The system refuses a step.
+    #[error("{}: {step}: {source}", path.display())]
+    Io {
+        /// The path.
+        path: PathBuf,
+        /// The step, in words.
+        step: &'static str,
+        /// The error.
+        source: io::Error,
+    },
+}
+
+/// A listener together with its file.
+#[derive(Debug)]
+pub struct BoundSocket {
+    /// Accepts connections.
+    pub listener: UnixListener,
+    /// The file, locked for as long as this exists.
+    pub file: SocketFile,
+}
+
+/// Which file it is, whatever its name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct FileId {
+    device: u64,
+    inode: u64,
+}
+
+impl FileId {
+    fn of(path: &Path) -> io::Result<FileId> {
+        let metadata = fs::symlink_metadata(path)?;
+        Ok(FileId {
+            device: metadata.dev(),
+            inode: metadata.ino(),
+        })
+    }
+}
+
 /// The file of a socket.
 #[derive(Debug)]
-pub struct Socket {
+pub struct SocketFile {
     path: PathBuf,
-    /// Device and number of the file that was made.
-    made: (u64, u64),
+    created: FileId,
     _lock: File,
 }
 
-fn beside(path: &Path, ending: &str) -> PathBuf {
-    let mut name = path.as_os_str().to_owned();
-    name.push(ending);
-    name.into()
+impl SocketFile {
+    /// Removes the file, unless another has taken its place.
+    pub fn remove(&self) {
+        if FileId::of(&self.path).is_ok_and(|found| found == self.created) {
+            let _ = fs::remove_file(&self.path);
+        }
+    }
 }
 
 /// Listens at a path, with a mode that holds before anybody can connect.
 ///
 /// # Errors
 ///
-/// Where another process listens there, something else than a socket is there, or the folder can't be written.
-pub fn listen(path: &Path, mode: u32) -> Result<(UnixListener, Socket), String> {
-    let failed = |what: &str, e: std::io::Error| format!("{}: {what}: {e}", path.display());
-    // Held for as long as the socket is: two that start at once must not both find the old one dead.
-    let mut options = OpenOptions::new();
-    options.write(true).create(true).truncate(false).mode(0o600);
-    let lock = options
-        .open(beside(path, ".lock"))
-        .map_err(|e| failed("cannot open its lock", e))?;
+/// See [`SocketError`].
+pub fn listen(path: &Path, mode: u32) -> Result<BoundSocket, SocketError> {
+    // Held for as long as the socket is: of two that start at once, not both may find the old one dead.
+    let lock = lock(path)?;
+    check_replaceable(path)?;
+    // Bound under another name, so that its mode is set before it has the one that others know.
+    let temporary = with_suffix(path, ".new");
+    remove_leftover(path, &temporary)?;
+    let failed = |step| move |source| io_error(path, step, source);
+    let listener = UnixListener::bind(&temporary).map_err(failed("cannot listen"))?;
+    fs::set_permissions(&temporary, Permissions::from_mode(mode))
+        .map_err(failed("cannot set its mode"))?;
+    let created = FileId::of(&temporary).map_err(failed("cannot look at it"))?;
+    fs::rename(&temporary, path).map_err(failed("cannot give it its name"))?;
+    let file = SocketFile {
+        path: path.into(),
+        created,
+        _lock: lock,
+    };
+    Ok(BoundSocket { listener, file })
+}
+
+fn io_error(path: &Path, step: &'static str, source: io::Error) -> SocketError {
+    SocketError::Io {
+        path: path.into(),
+        step,
+        source,
+    }
+}
+
+fn with_suffix(path: &Path, suffix: &str) -> PathBuf {
+    let mut name = path.as_os_str().to_owned();
+    name.push(suffix);
+    name.into()
+}
+
+fn lock(path: &Path) -> Result<File, SocketError> {
+    let lock = OpenOptions::new()
+        .write(true)
+        .create(true)
+        .truncate(false)
+        .mode(LOCK_MODE)
+        .open(with_suffix(path, ".lock"))
+        .map_err(|error| io_error(path, "cannot open its lock", error))?;
     flock(&lock, FlockOperation::NonBlockingLockExclusive)
-        .map_err(|_| format!("{}: another process listens there", path.display()))?;
+        .map_err(|_| SocketError::InUse { path: path.into() })?;
+    Ok(lock)
+}
+
+/// Checks that nothing is at the path but what a crash may have left.
+fn check_replaceable(path: &Path) -> Result<(), SocketError> {
     match fs::symlink_metadata(path) {
-        Err(e) if e.kind() == ErrorKind::NotFound => {}
-        Err(e) => return Err(failed("cannot look at it", e)),
+        Err(error) if error.kind() == ErrorKind::NotFound => return Ok(()),
+        Err(error) => return Err(io_error(path, "cannot look at it", error)),
         Ok(found) if !found.file_type().is_socket() => {
-            return Err(format!(
-                "{}: something that is no socket is there",
-                path.display()
-            ));
+            return Err(SocketError::NotASocket { path: path.into() });
         }
-        Ok(_) => match UnixStream::connect(path) {
-            Ok(_) => return Err(format!("{}: another process listens there", path.display())),
-            Err(e) if e.kind() == ErrorKind::ConnectionRefused => {} // left by a crash
-            Err(e) => return Err(failed("cannot tell whether somebody listens there", e)),
-        },
+        Ok(_) => {}
     }
-    // Made under another name: its mode is set before it has the one that others know.
-    let new = beside(path, ".new");
-    match fs::remove_file(&new) {
-        Err(e) if e.kind() != ErrorKind::NotFound => {
-            return Err(failed("cannot clear what a crash left", e))
+    match UnixStream::connect(path) {
+        Ok(_) => Err(SocketError::InUse { path: path.into() }),
+        // Left by a crash.
+        Err(error) if error.kind() == ErrorKind::ConnectionRefused => Ok(()),
+        Err(error) => {
+            let step = "cannot tell whether somebody listens there";
+            Err(io_error(path, step, error))
         }
-        _ => {}
     }
-    let listener = UnixListener::bind(&new).map_err(|e| failed("cannot listen", e))?;
-    fs::set_permissions(&new, Permissions::from_mode(mode))
-        .map_err(|e| failed("cannot set its mode", e))?;
-    let made = fs::symlink_metadata(&new).map_err(|e| failed("cannot look at it", e))?;
-    fs::rename(&new, path).map_err(|e| failed("cannot give it its name", e))?;
-    Ok((
-        listener,
-        Socket {
-            path: path.into(),
-            made: (made.dev(), made.ino()),
-            _lock: lock,
-        },
-    ))
 }
 
-impl Socket {
-    /// Removes the file, unless another has taken its place.
-    pub fn remove(&self) {
-        if fs::symlink_metadata(&self.path).is_ok_and(|m| (m.dev(), m.ino()) == self.made) {
-            let _ = fs::remove_file(&self.path);
+fn remove_leftover(path: &Path, temporary: &Path) -> Result<(), SocketError> {
+    match fs::remove_file(temporary) {
+        Err(error) if error.kind() != ErrorKind::NotFound => {
+            Err(io_error(path, "cannot clear what a crash left", error))
         }
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::{fs, listen, UnixStream};
-    use std::os::unix::fs::PermissionsExt;
-
-    #[test]
-    fn it_is_the_owners_alone_and_taken_over_after_a_crash_but_not_from_the_living() {
-        let folder = tempfile::tempdir().unwrap();
-        let path = folder.path().join("control");
-        let (listener, socket) = listen(&path, 0o600).unwrap();
-        assert_eq!(
-            fs::metadata(&path).unwrap().permissions().mode() & 0o777,
-            0o600
-        );
-        assert!(listen(&path, 0o600)
-            .unwrap_err()
-            .contains("another process"));
-        drop((listener, socket)); // as a crash: the file stays
-        assert!(path.exists());
-        let (_listener, socket) = listen(&path, 0o600).unwrap();
-        assert!(UnixStream::connect(&path).is_ok());
-        socket.remove();
-        assert!(!path.exists());
-    }
-
-    #[test]
-    fn what_is_anothers_stays() {
-        let folder = tempfile::tempdir().unwrap();
-        let path = folder.path().join("control");
-        fs::write(&path, "text").unwrap();
-        assert!(listen(&path, 0o600).unwrap_err().contains("no socket"));
-        fs::remove_file(&path).unwrap();
-        let (_listener, socket) = listen(&path, 0o600).unwrap();
-        fs::remove_file(&path).unwrap();
-        fs::write(&path, "another's").unwrap();
-        socket.remove();
-        assert_eq!(fs::read_to_string(&path).unwrap(), "another's");
+        _ => Ok(()),
     }
 }
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -14,11 +14,11 @@
 use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_consensus::acceptor::PersistentState;
 use wrenfork_consensus::group_state::{GroupState, Policy};
-use wrenfork_consensus::membership::{Member, MemberRole, Membership};
+use wrenfork_consensus::membership::{Member as GroupMember, MemberRole, Membership};
 use wrenfork_consensus::protocol::Ballot;
-use wrenfork_control_plane::group::Inherited;
-use wrenfork_control_plane::ledger::Ledger;
-use wrenfork_control_plane::{fault, CHANGED, ROLLOUT, RUNS};
+use wrenfork_control_plane::durable_state::{DurableState, Update};
+use wrenfork_control_plane::group::InheritedLease;
+use wrenfork_control_plane::{failpoints, PROGRAM_VARIABLE, REPLACEMENT_VARIABLE, ROLLOUT_RECORD};
 use wrenfork_rollout::record::{Phase, Record as RolloutRecord, Terms};
 use wrenfork_store::{Batch, RecordKind, Store};
 
@@ -70,7 +70,7 @@
 }
 
 fn decree() -> GroupState {
-    let seat = |name: &str, folder, kind, votes| Member {
+    let seat = |name: &str, folder, kind, votes| GroupMember {
         name: name.into(),
         replica: folder,
         role: kind,
@@ -171,14 +171,24 @@
     member: &PersistentState,
     records: &[AuditRecord; 3],
 ) {
-    let mut ledger = Ledger::open(Some(folder), || ParticipantState::new(1, first)).unwrap();
+    let mut durable = DurableState::open(Some(folder), || ParticipantState::new(1, first)).unwrap();
     let second = ParticipantState::new(2, second);
-    ledger.keep(&second, true, Some(&records[0])).unwrap();
-    ledger.note(&records[1]).unwrap();
-    ledger
-        .keep_member(member, Some(own), Some(&records[2]))
-        .unwrap();
-    ledger.close();
+    let enforces_second = Update {
+        memory: Some(&second),
+        new_generation: true,
+        record: Some(&records[0]),
+        ..Update::default()
+    };
+    durable.commit(&enforces_second).unwrap();
+    durable.append_record(&records[1]).unwrap();
+    let enforces_own = Update {
+        memory: Some(own),
+        new_generation: true,
+        member: Some(member),
+        record: Some(&records[2]),
+    };
+    durable.commit(&enforces_own).unwrap();
+    durable.close();
 }
 
 fn full_store() -> String {
@@ -197,11 +207,15 @@
 
 fn fresh_store() -> String {
     let folder = tempfile::tempdir().unwrap();
-    let mut ledger = Ledger::open(Some(folder.path()), empty_memory).unwrap();
+    let mut durable = DurableState::open(Some(folder.path()), empty_memory).unwrap();
     let member = PersistentState::new("n0", 7);
-    ledger.keep_member(&member, None, None).unwrap();
-    ledger.close();
-    drop(ledger);
+    let update = Update {
+        member: Some(&member),
+        ..Update::default()
+    };
+    durable.commit(&update).unwrap();
+    durable.close();
+    drop(durable);
     dump(folder.path())
 }
 
@@ -209,25 +223,30 @@
     ParticipantState::new(1, State::default())
 }
 
-fn inherited() -> [Inherited; 2] {
-    let leased = Inherited {
-        number: 300,
-        until: Some(Duration::new(70_000, 123_456_789)),
-        gate: 70_000_123_456,
+fn inherited() -> [InheritedLease; 2] {
+    let leased = InheritedLease {
+        group_version: 300,
+        expires_at: Some(Duration::new(70_000, 123_456_789)),
+        admission_deadline: 70_000_123_456,
     };
-    let alone = Inherited {
-        number: 0,
-        until: None,
-        gate: u64::MAX,
+    let alone = InheritedLease {
+        group_version: 0,
+        expires_at: None,
+        admission_deadline: u64::MAX,
     };
     [leased, alone]
 }
 
 /// The names by which others know something of this package: variables, and the points of the failure injection.
 fn names() -> String {
-    let mut names = vec![RUNS, CHANGED, ROLLOUT, fault::VARIABLE];
-    names.extend(fault::POINTS);
-    names.extend(fault::GROUP_POINTS);
+    let mut names = vec![
+        PROGRAM_VARIABLE,
+        REPLACEMENT_VARIABLE,
+        ROLLOUT_RECORD,
+        failpoints::VARIABLE,
+    ];
+    names.extend(failpoints::INGRESS_POINTS);
+    names.extend(failpoints::GROUP_POINTS);
     names.join("\n") + "\n"
 }
 
@@ -276,19 +295,19 @@
 #[test]
 fn the_golden_store_reads_back_and_is_written_again_the_same() {
     let folder = restored("full-store.txt");
-    let ledger = Ledger::open(Some(folder.path()), || unreachable!("it is kept")).unwrap();
-    assert_eq!(ledger.memory(), &memory());
-    assert_eq!(ledger.member().unwrap(), Some(member()));
-    let records = ledger.records(usize::MAX).unwrap();
+    let durable = DurableState::open(Some(folder.path()), || unreachable!("it is kept")).unwrap();
+    assert_eq!(durable.memory(), &memory());
+    assert_eq!(durable.member().unwrap(), Some(member()));
+    let records = durable.records(usize::MAX).unwrap();
     assert_eq!(records, own_records());
-    let past = |number| State::clone(&ledger.past(number).unwrap().unwrap().1);
+    let past = |number| State::clone(&durable.generation(number).unwrap().unwrap().state);
     let again = tempfile::tempdir().unwrap();
     write_all(
         again.path(),
         past(1),
         past(2),
-        ledger.memory(),
-        &ledger.member().unwrap().unwrap(),
+        durable.memory(),
+        &durable.member().unwrap().unwrap(),
         &records.try_into().unwrap(),
     );
     let golden = fs::read_to_string(path("full-store.txt")).unwrap();
@@ -298,10 +317,10 @@
 #[test]
 fn the_golden_store_of_a_fresh_member_reads_back() {
     let folder = restored("fresh-store.txt");
-    let ledger = Ledger::open(Some(folder.path()), || unreachable!("it is kept")).unwrap();
-    assert_eq!(ledger.memory(), &empty_memory());
+    let durable = DurableState::open(Some(folder.path()), || unreachable!("it is kept")).unwrap();
+    assert_eq!(durable.memory(), &empty_memory());
     assert_eq!(
-        ledger.member().unwrap(),
+        durable.member().unwrap(),
         Some(PersistentState::new("n0", 7))
     );
 }
@@ -309,7 +328,7 @@
 #[test]
 fn what_passes_to_the_next_process_reads_back_and_is_written_again_the_same() {
     let bytes = fs::read(path("inherited.postcard")).unwrap();
-    let read: [Inherited; 2] = postcard::from_bytes(&bytes).unwrap();
+    let read: [InheritedLease; 2] = postcard::from_bytes(&bytes).unwrap();
     assert_eq!(read, inherited());
     assert_eq!(postcard::to_stdvec(&read).unwrap(), bytes);
 }
--- a/crates/ctl/src/change/drive.rs
+++ b/crates/ctl/src/change/drive.rs
@@ -9,7 +9,7 @@
 use wrenfork_commit::protocol::{CommitRequest, CommitResponse};
 use wrenfork_commit::reason::MemberReason;
 use wrenfork_control_plane::client;
-use wrenfork_control_plane::fault::Faults;
+use wrenfork_control_plane::failpoints::Failpoints;
 
 /// Asks that are under way at once.
 const MOST_AT_ONCE: usize = 32;
@@ -28,7 +28,11 @@
         std::thread::scope(|scope| {
             let asked: Vec<_> = some
                 .iter()
-                .map(|(at, ask)| scope.spawn(move || client::ask(at, ask, patience)))
+                .map(|(at, ask)| {
+                    scope.spawn(move || {
+                        client::request(at, ask, patience).map_err(|error| error.to_string())
+                    })
+                })
                 .collect();
             for one in asked {
                 answers.push(one.join().unwrap_or_else(|_| Err("the ask ended".into())));
@@ -94,11 +98,11 @@
 
 /// Drives a change to its end; `at` has the control sockets of the members by name.
 pub fn drive(applier: &mut Coordinator, at: &BTreeMap<String, PathBuf>, patience: Duration) -> End {
-    let (faults, start) = (Faults::told(), Instant::now());
+    let (failpoints, start) = (Failpoints::from_env(), Instant::now());
     let mut progress = Progress::new();
     let mut first_switch = None;
     let mut why: BTreeMap<String, String> = BTreeMap::new();
-    faults.pass("apply", "begun");
+    failpoints.hit("apply", "begun");
     loop {
         progress.tell(applier);
         let phase = applier.phase.clone();
@@ -131,11 +135,11 @@
         }
         // One after the other where a test ends this process in between.
         let answers = asks
-            .chunks(if faults.any() { 1 } else { usize::MAX })
+            .chunks(if failpoints.is_set() { 1 } else { usize::MAX })
             .flat_map(|some| {
-                faults.pass("apply", "asking");
+                failpoints.hit("apply", "asking");
                 let answers = ask_all(some.to_vec(), PATIENCE);
-                faults.pass("apply", "answered");
+                failpoints.hit("apply", "answered");
                 answers
             });
         let answers: Vec<_> = answers.collect();
@@ -150,7 +154,7 @@
             }
         }
         if applier.phase != phase {
-            faults.pass("apply", "decided");
+            failpoints.hit("apply", "decided");
             continue;
         }
         let left: Vec<&str> = applier
--- a/crates/ctl/src/change/history.rs
+++ b/crates/ctl/src/change/history.rs
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, UNIX_EPOCH};
 use wrenfork_commit::protocol::{AuditRecord, CommitRequest, CommitResponse};
-use wrenfork_control_plane::ROLLOUT;
+use wrenfork_control_plane::ROLLOUT_RECORD;
 
 #[derive(Args)]
 pub struct Options {
@@ -65,7 +65,7 @@
     rows.sort_by_key(|(_, r)| r.at);
     if rollouts {
         let mut seen = BTreeSet::new();
-        rows.retain(|(_, r)| r.event.starts_with(ROLLOUT));
+        rows.retain(|(_, r)| r.event.starts_with(ROLLOUT_RECORD));
         rows.retain(|(_, r)| seen.insert((r.change.clone(), r.event.clone(), r.detail.clone())));
     }
     match options.format {
--- a/crates/ctl/src/group/decide.rs
+++ b/crates/ctl/src/group/decide.rs
@@ -10,7 +10,8 @@
 use wrenfork_consensus::membership::Member;
 use wrenfork_consensus::proposer::{ProposalGoal, ProposalOutcome, ProposalPhase, Proposer};
 use wrenfork_consensus::protocol::Ballot;
-use wrenfork_control_plane::{clock, drive::drive};
+use wrenfork_control_plane::clock;
+use wrenfork_control_plane::proposal::run_proposal;
 
 /// The longest pause before another try, where somebody else proposes as well.
 const LONGEST_PAUSE: Duration = Duration::from_millis(400);
@@ -112,7 +113,7 @@
         };
         let mut proposer = Proposer::new(base.clone(), aim, ballot, clock::now());
         let left = patience.saturating_sub(start.elapsed());
-        match drive(&mut proposer, at, left, |p| progress(&mut step, p)) {
+        match run_proposal(&mut proposer, at, left, |p| progress(&mut step, p)) {
             ProposalOutcome::Committed => {
                 let Some(decree) = proposer.value().cloned() else {
                     return Outcome::Unfinished;
--- a/crates/ctl/src/group/look.rs
+++ b/crates/ctl/src/group/look.rs
@@ -45,7 +45,8 @@
         let sender = sender.clone();
         let ask = move || {
             let answer: Result<GroupResponse, String> =
-                client::ask(&path, &GroupRequest::Status, PATIENCE);
+                client::request(&path, &GroupRequest::Status, PATIENCE)
+                    .map_err(|error| error.to_string());
             let _ = sender.send((name, answer)); // nobody waits any more
         };
         std::thread::Builder::new()
@@ -88,7 +89,7 @@
     };
     let decree = match newest.version {
         0 => None,
-        _ => match client::ask(&at[&newest.name], &GroupRequest::Learn, PATIENCE) {
+        _ => match client::request(&at[&newest.name], &GroupRequest::Learn, PATIENCE) {
             Ok(GroupResponse::State { state: decree }) => decree,
             Ok(_) => return Err(format!("{}: it answers something else", newest.name)),
             Err(why) => return Err(format!("{}: {why}", newest.name)),
--- a/crates/ctl/src/group/roster.rs
+++ b/crates/ctl/src/group/roster.rs
@@ -96,7 +96,9 @@
 
     /// The folder that a member has.
     fn folder(&self, member: &Member) -> Result<ReplicaId, ExitCode> {
-        match client::ask(&member.control, &GroupRequest::Status, PATIENCE) {
+        match client::request(&member.control, &GroupRequest::Status, PATIENCE)
+            .map_err(|error| error.to_string())
+        {
             Ok(GroupResponse::Status(stand)) if stand.name == member.name => Ok(stand.replica),
             Ok(GroupResponse::Status(stand)) => Err(failed(format!(
                 "{}: {} answers at its socket",
--- a/crates/ctl/src/group/witness.rs
+++ b/crates/ctl/src/group/witness.rs
@@ -12,9 +12,9 @@
 use wrenfork_commit::state::State;
 use wrenfork_config::group::group;
 use wrenfork_config::set::Set;
-use wrenfork_control_plane::group::{Alone, Membership};
-use wrenfork_control_plane::ledger::Ledger;
-use wrenfork_control_plane::{socket, Enforcer, Keeper};
+use wrenfork_control_plane::durable_state::DurableState;
+use wrenfork_control_plane::group::{GroupConfig, WithoutLease};
+use wrenfork_control_plane::{socket, ControlServer, DataPlane, DataPlaneError, ServerConfig};
 use wrenfork_rollout::tally::Tally;
 
 /// The most bytes of a message: a decree has the whole policy, some hundred thousand accounts at most.
@@ -39,12 +39,12 @@
 /// It enforces nothing.
 struct Witness;
 
-impl Enforcer for Witness {
-    fn check(&self, _: &State) -> Result<(), String> {
+impl DataPlane for Witness {
+    fn check(&self, _: &State) -> Result<(), DataPlaneError> {
         Ok(())
     }
 
-    fn switch(&self, _: &State) -> Result<(), String> {
+    fn activate(&self, _: &State) -> Result<(), DataPlaneError> {
         Ok(())
     }
 
@@ -127,25 +127,27 @@
         .ok_or("it has no folder: --state DIR")?;
     let mut signals =
         Signals::new([SIGTERM, SIGINT]).map_err(|e| format!("cannot take signals: {e}"))?;
-    let ledger = Ledger::open(Some(&folder), || ParticipantState::new(1, State::default()))?;
-    let listening = socket::listen(&own.control, 0o600).map_err(|why| format!("control: {why}"))?;
+    let durable = DurableState::open(Some(&folder), || ParticipantState::new(1, State::default()))
+        .map_err(|error| format!("state: {error}"))?;
+    let socket = socket::listen(&own.control, 0o600).map_err(|why| format!("control: {why}"))?;
     let links = told.links(&own.name);
-    let membership = Membership {
-        charter: told.charter(),
-        links,
-        alone: Alone::Refuse,
-        inherited: None,
+    let group = GroupConfig {
+        initial_members: told.charter(),
+        control_sockets: links,
+        without_lease: WithoutLease::Reject,
+        inherited_lease: None,
     };
-    let keeper = Keeper::start(
-        &own.name,
-        listening,
-        ledger,
-        Witness,
-        MOST,
-        Some(membership),
-    )?;
+    let server = ControlServer::start(ServerConfig {
+        name: own.name.clone(),
+        socket,
+        durable,
+        data_plane: Witness,
+        max_message_bytes: MOST,
+        group: Some(group),
+    })
+    .map_err(|error| error.to_string())?;
     eprintln!("{} keeps promises at {}", own.name, own.control.display());
     let _ = signals.forever().next();
-    keeper.close();
+    server.close();
     Ok(())
 }
--- a/crates/ctl/src/rollout/make.rs
+++ b/crates/ctl/src/rollout/make.rs
@@ -26,7 +26,9 @@
 pub fn tallies(at: &Sockets, names: &[String]) -> BTreeMap<String, Result<Tally, String>> {
     let ask = |name: &String| match at.get(name) {
         None => Err("nothing says where its socket is".to_string()),
-        Some(path) => match client::ask(path, &GroupRequest::Tally, PATIENCE)? {
+        Some(path) => match client::request(path, &GroupRequest::Tally, PATIENCE)
+            .map_err(|error| error.to_string())?
+        {
             GroupResponse::Tallied(tally) => Ok(*tally),
             GroupResponse::Rejected { reason: why } => Err(why),
             _ => Err("it answers something else".into()),
--- a/crates/ctl/src/tend/mod.rs
+++ b/crates/ctl/src/tend/mod.rs
@@ -22,7 +22,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_compatibility::Program;
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse, GroupStatus};
-use wrenfork_control_plane::{client, clock, CHANGED, RUNS};
+use wrenfork_control_plane::{client, clock, PROGRAM_VARIABLE, REPLACEMENT_VARIABLE};
 use wrenfork_handover::channel;
 use wrenfork_supervisor::{Action, Event, Memory, Seen, Tend, Which};
 
@@ -262,7 +262,7 @@
                     reason: why,
                 };
                 if let Err(why) =
-                    client::ask::<_, GroupResponse>(&self.told.control, &unfit, PATIENCE)
+                    client::request::<_, GroupResponse>(&self.told.control, &unfit, PATIENCE)
                 {
                     log(&format!("the ingress could not be told: {why}"));
                 }
@@ -282,10 +282,10 @@
         let mut command = Command::new(path);
         command.args(&self.told.arguments).stdin(Stdio::null());
         command.env("LB_PASSED_SOCKET", self.listener.as_raw_fd().to_string());
-        command.env(RUNS, program.to_string());
+        command.env(PROGRAM_VARIABLE, program.to_string());
         match changed {
-            true => command.env(CHANGED, "1"),
-            false => command.env_remove(CHANGED),
+            true => command.env(REPLACEMENT_VARIABLE, "1"),
+            false => command.env_remove(REPLACEMENT_VARIABLE),
         };
         if let Some(to) = &self.told.log {
             let open = OpenOptions::new().create(true).append(true).open(to);
@@ -333,7 +333,7 @@
 
 /// How the ingress stands, as it says itself.
 fn asked(told: &Told) -> Option<GroupStatus> {
-    match client::ask(&told.control, &GroupRequest::Status, PATIENCE) {
+    match client::request(&told.control, &GroupRequest::Status, PATIENCE) {
         Ok(GroupResponse::Status(stand)) => Some(*stand),
         // It belongs to no group, which wants nothing then.
         Ok(GroupResponse::Rejected { .. }) => Some(GroupStatus {
--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_commit::protocol::{CommitRequest, CommitResponse};
 use wrenfork_commit::state::Generation;
-use wrenfork_control_plane::{client, fault};
+use wrenfork_control_plane::{client, failpoints};
 use wrenfork_testbed::small::{
     command, list, place, serve, served, until, Act, Backend, Client, Ingress, LONG,
 };
@@ -128,7 +128,7 @@
         let fault = if fault.is_empty() {
             String::new()
         } else {
-            format!("{}={fault} ", fault::VARIABLE)
+            format!("{}={fault} ", failpoints::VARIABLE)
         };
         let line = format!(
             "{fault}exec '{}' --app {folder}/files/desk.toml --fleet {folder}/elsewhere/fleet.json --sidecar d{n}",
@@ -164,7 +164,7 @@
     }
 
     fn status(&self, n: usize) -> (Generation, bool) {
-        match client::ask(&self.control(n), &CommitRequest::Status, LONG) {
+        match client::request(&self.control(n), &CommitRequest::Status, LONG) {
             Ok(CommitResponse::Status {
                 generation,
                 state,
@@ -358,7 +358,10 @@
 fn an_ingress_that_dies_at_any_step_leaves_whole_generations() {
     let mut site = Site::started(THREE);
     let mut made = 0;
-    for point in fault::POINTS.iter().filter(|p| !p.starts_with("fence")) {
+    for point in failpoints::INGRESS_POINTS
+        .iter()
+        .filter(|p| !p.starts_with("fence"))
+    {
         let was = site.agree();
         drop(site.ingresses[1].take());
         site.start(1, point);
@@ -409,7 +412,7 @@
         site.plan("change.plan");
         let output = site
             .wrenctl(&["apply", "change.plan", "--yes", "--patience", "5s"])
-            .env(fault::VARIABLE, &point)
+            .env(failpoints::VARIABLE, &point)
             .output()
             .unwrap();
         assert_eq!(
@@ -465,7 +468,7 @@
         site.plan("change.plan");
         let _ = site
             .wrenctl(&["apply", "change.plan", "--yes", "--patience", "300ms"])
-            .env(fault::VARIABLE, applier)
+            .env(failpoints::VARIABLE, applier)
             .output()
             .unwrap();
         // It may live on where the applier died first.
@@ -534,7 +537,7 @@
     site.plan("change.plan");
     let mut apply = site.wrenctl(&["apply", "change.plan", "--yes", "--patience", "1s"]);
     // Stopped in the middle: all have promised, and one can't be told.
-    apply.env(fault::VARIABLE, "apply.decided:1");
+    apply.env(failpoints::VARIABLE, "apply.decided:1");
     assert_eq!(apply.output().unwrap().status.code(), None);
     site.ingresses[2].as_ref().unwrap().signal("STOP");
     let output = site.run(&["apply", "--resume", "change.plan", "--patience", "100ms"]);
@@ -649,7 +652,7 @@
     let at = site.control(0);
     let Ok(CommitResponse::Status {
         generation, state, ..
-    }) = client::ask(&at, &CommitRequest::Status, LONG)
+    }) = client::request(&at, &CommitRequest::Status, LONG)
     else {
         panic!()
     };
@@ -666,7 +669,7 @@
         author: "ann".into(),
         members: vec!["desk/d0".into()],
     };
-    let said = client::ask(
+    let said = client::request(
         &at,
         &CommitRequest::Prepare {
             vote: promise,
--- a/crates/ctl/tests/group/main.rs
+++ b/crates/ctl/tests/group/main.rs
@@ -14,7 +14,7 @@
 use std::process::Output;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_control_plane::fault;
+use wrenfork_control_plane::failpoints;
 use wrenfork_testbed::judge::policy::judge;
 use wrenfork_testbed::links::Fault;
 use wrenfork_testbed::small::{command, signal, stopped, Client};
@@ -164,7 +164,7 @@
             }
             Some(step) => {
                 let child = apply
-                    .env(fault::VARIABLE, format!("{step}:stop"))
+                    .env(failpoints::VARIABLE, format!("{step}:stop"))
                     .spawn()
                     .unwrap();
                 group.wait("the applier is frozen", || stopped(child.id()));
@@ -209,7 +209,7 @@
 fn a_member_that_dies_at_any_step_takes_up_what_the_others_made() {
     let mut group = Group::started(three());
     let load = group.load();
-    for point in fault::GROUP_POINTS {
+    for point in failpoints::GROUP_POINTS {
         group.kill(1);
         group.spawn(1, point);
         group.ready(1);
@@ -250,7 +250,7 @@
         says(&group.plan("ann", policy), 2, &["away: desk/d2"]);
         let output = group
             .wrenctl(&["apply", "ann.plan", "--yes"])
-            .env(fault::VARIABLE, &point)
+            .env(failpoints::VARIABLE, &point)
             .output()
             .unwrap();
         let ended = output.status.code();
@@ -585,7 +585,7 @@
                 .set("ann", "d2", (!reached).then_some(Fault::Dropped));
             let mut apply = group.wrenctl(&["apply", "ann.plan", "--yes"]);
             let mut apply = apply
-                .env(fault::VARIABLE, "apply.decided:1:stop")
+                .env(failpoints::VARIABLE, "apply.decided:1:stop")
                 .spawn()
                 .unwrap();
             group.wait("the applier is frozen", || stopped(apply.id()));
--- a/crates/ctl/tests/group/site.rs
+++ b/crates/ctl/tests/group/site.rs
@@ -10,7 +10,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse, GroupStatus};
-use wrenfork_control_plane::{client, fault};
+use wrenfork_control_plane::{client, failpoints};
 use wrenfork_handover::channel;
 use wrenfork_testbed::judge::policy::{judge, Answer, Change, Said};
 use wrenfork_testbed::links::Links;
@@ -366,7 +366,7 @@
         let fault = if fault.is_empty() {
             String::new()
         } else {
-            format!("{}={fault} ", fault::VARIABLE)
+            format!("{}={fault} ", failpoints::VARIABLE)
         };
         if n < self.at.len() && !self.layout.versions.is_empty() {
             assert!(fault.is_empty());
@@ -459,7 +459,7 @@
     }
 
     pub fn stand(&self, n: usize) -> Option<GroupStatus> {
-        match client::ask(&self.control(n), &GroupRequest::Status, LONG) {
+        match client::request(&self.control(n), &GroupRequest::Status, LONG) {
             Ok(GroupResponse::Status(stand)) => Some(*stand),
             _ => None,
         }
--- a/crates/ctl/tests/judged.rs
+++ b/crates/ctl/tests/judged.rs
@@ -64,7 +64,7 @@
 "#;
 
 fn status(at: &Path) -> (String, Generation, Arc<State>) {
-    match client::ask(at, &CommitRequest::Status, WAIT) {
+    match client::request(at, &CommitRequest::Status, WAIT) {
         Ok(CommitResponse::Status {
             ingress,
             generation,
@@ -112,8 +112,10 @@
     ) {
         for (n, target) in plan.targets.iter().enumerate() {
             if let Some(ask) = applier.next_request(n) {
-                applier
-                    .handle_response(n, client::ask(Path::new(&target.control), &ask, WAIT).ok());
+                applier.handle_response(
+                    n,
+                    client::request(Path::new(&target.control), &ask, WAIT).ok(),
+                );
             }
         }
     }
--- a/crates/ingress/src/config.rs
+++ b/crates/ingress/src/config.rs
@@ -11,7 +11,7 @@
 use wrenfork_config::operator::Operator;
 use wrenfork_config::set::Set;
 use wrenfork_config::{enforced, group};
-use wrenfork_control_plane::group::{Alone, Membership};
+use wrenfork_control_plane::group::{GroupConfig, WithoutLease};
 use wrenfork_decision::{Micros, Settings};
 use wrenfork_routes::Table;
 use wrenfork_wire::call::{Identity, Vocabulary};
@@ -73,7 +73,7 @@
     /// The sockets of the others that enforce the same.
     pub others: Vec<PathBuf>,
     /// The group that it belongs to, if any.
-    pub membership: Option<Membership>,
+    pub membership: Option<GroupConfig>,
 }
 
 /// What a state means here; `fixed` is what no change changes.
@@ -378,15 +378,15 @@
             socket: own.and_then(|s| path(&s.control)),
             state: own.and_then(|s| path(&s.state)),
             others: others.filter_map(|s| path(&s.control)).collect(),
-            membership: group::group(app).map(|g| Membership {
-                charter: g.charter(),
-                links: g.links(&enforced::called(app, name)),
-                alone: if g.as_known {
-                    Alone::AsKnown
+            membership: group::group(app).map(|g| GroupConfig {
+                initial_members: g.charter(),
+                control_sockets: g.links(&enforced::called(app, name)),
+                without_lease: if g.as_known {
+                    WithoutLease::ServeLastKnown
                 } else {
-                    Alone::Refuse
+                    WithoutLease::Reject
                 },
-                inherited: None,
+                inherited_lease: None,
             }),
         };
         Ok(config)
--- a/crates/ingress/src/control.rs
+++ b/crates/ingress/src/control.rs
@@ -13,9 +13,12 @@
 use wrenfork_commit::protocol::{AuditRecord, CommitRequest, CommitResponse};
 use wrenfork_commit::state::{Generation, State};
 use wrenfork_config::enforced::Told;
-use wrenfork_control_plane::group::Inherited;
-use wrenfork_control_plane::ledger::Ledger;
-use wrenfork_control_plane::{client, clock, socket, Enforcer, Keeper, CHANGED, RUNS};
+use wrenfork_control_plane::durable_state::DurableState;
+use wrenfork_control_plane::group::InheritedLease;
+use wrenfork_control_plane::{
+    client, clock, socket, ControlServer, DataPlane, DataPlaneError, ServerConfig,
+    PROGRAM_VARIABLE, REPLACEMENT_VARIABLE,
+};
 use wrenfork_rollout::tally::Tally;
 use wrenfork_wire::call::Vocabulary;
 
@@ -41,7 +44,7 @@
 /// The loop's end.
 pub struct Port {
     orders: Receiver<Order>,
-    keeper: Keeper<Loop>,
+    server: ControlServer<Loop>,
 }
 
 impl Port {
@@ -52,10 +55,10 @@
 
     /// What stands before requests.
     pub fn gate(&self) -> Gate {
-        Gate::of(self.keeper.gate())
+        Gate::of(self.server.lease_guard())
     }
 
-    /// Passes the control side on with all else, see [`Keeper::hand_over`].
+    /// Passes the control side on with all else, see [`ControlServer::hand_over`].
     ///
     /// # Errors
     ///
@@ -63,14 +66,16 @@
     pub fn hand_over<T>(
         &self,
         mut meanwhile: impl FnMut(Vec<Order>),
-        give: impl FnOnce(Option<Inherited>) -> Result<T, String>,
+        give: impl FnOnce(Option<InheritedLease>) -> Result<T, String>,
     ) -> Result<T, String> {
-        self.keeper.hand_over(|| meanwhile(self.orders()), give)
+        self.server
+            .hand_over(|| meanwhile(self.orders()), give)
+            .map_err(|error| error.to_string())
     }
 
     /// Ends the control side.
     pub fn close(self) {
-        self.keeper.close();
+        self.server.close();
     }
 }
 
@@ -108,17 +113,20 @@
     }
 }
 
-impl Enforcer for Loop {
-    fn check(&self, state: &State) -> Result<(), String> {
-        compile(&self.fixed, state).map(|_| ())
+impl DataPlane for Loop {
+    fn check(&self, state: &State) -> Result<(), DataPlaneError> {
+        compile(&self.fixed, state)
+            .map(|_| ())
+            .map_err(DataPlaneError::InvalidState)
     }
 
-    fn switch(&self, state: &State) -> Result<(), String> {
-        let enforced = compile(&self.fixed, state)?;
+    fn activate(&self, state: &State) -> Result<(), DataPlaneError> {
+        let enforced = compile(&self.fixed, state).map_err(DataPlaneError::InvalidState)?;
         // What was in its place comes back, to be dropped here: of 100,000 accounts that takes the loop some milliseconds.
         let state = Box::new(state.clone());
         self.order(|done| Order::Switch(Box::new(enforced), state, done))
             .map(drop)
+            .map_err(DataPlaneError::Unavailable)
     }
 
     fn figures(&self) -> IngressMetrics {
@@ -128,19 +136,19 @@
     fn tally(&self) -> Tally {
         let counted = self.order(Order::Tally).unwrap_or_default();
         Tally {
-            program: self.runs().unwrap_or_default(),
-            changed: told(CHANGED).is_some(),
+            program: self.running_program().unwrap_or_default(),
+            changed: told(REPLACEMENT_VARIABLE).is_some(),
             life: self.life,
             age_ms: self.began.elapsed().as_millis() as u64,
             hall: self.hall().unwrap_or_default().to_string(),
-            cpu_us: clock::processor().as_micros() as u64,
+            cpu_us: clock::cpu_time().as_micros() as u64,
             memory_kb: resident_kb(),
             ..counted
         }
     }
 
-    fn runs(&self) -> Option<String> {
-        told(RUNS)
+    fn running_program(&self) -> Option<String> {
+        told(PROGRAM_VARIABLE)
     }
 
     fn log(&self, record: &AuditRecord) {
@@ -188,7 +196,7 @@
 pub struct Kept {
     control: Control,
     fixed: Vec<(String, String)>,
-    ledger: Ledger,
+    durable: DurableState,
     most: usize,
 }
 
@@ -223,7 +231,7 @@
 pub fn follow(
     config: &Config,
     told: &Told,
-    right: Option<Inherited>,
+    right: Option<InheritedLease>,
     registry: &Registry,
     token: Token,
 ) -> Result<Coming, String> {
@@ -234,17 +242,18 @@
     let (sender, coming) = channel();
     let waker = Arc::new(waker);
     if let Some(membership) = &mut control.membership {
-        membership.inherited = right;
+        membership.inherited_lease = right;
     }
     let begin = move || {
         let (mut pause, mut told) = (AGAIN.0, false);
         loop {
             let first = || ParticipantState::new(1, state.clone());
-            let ledger = Ledger::open(control.state.as_deref(), first);
-            let kept = ledger.map(|ledger| Kept {
+            let durable = DurableState::open(control.state.as_deref(), first)
+                .map_err(|error| format!("state: {error}"));
+            let kept = durable.map(|durable| Kept {
                 control: control.clone(),
                 fixed: fixed.clone(),
-                ledger,
+                durable,
                 most,
             });
             match kept.and_then(|kept| kept.resume(&state, waker.clone())) {
@@ -292,8 +301,9 @@
             first(&control, &own)
         }
     };
-    let ledger = Ledger::open(control.state.as_deref(), first)?;
-    let memory = ledger.memory();
+    let durable = DurableState::open(control.state.as_deref(), first)
+        .map_err(|error| format!("state: {error}"))?;
+    let memory = durable.memory();
     let Generation { number, digest } = &memory.enforced;
     if *memory.state != own {
         tracing::warn!(
@@ -323,7 +333,7 @@
     Ok(Some(Kept {
         control,
         fixed: config.told.fixed.clone(),
-        ledger,
+        durable,
         most,
     }))
 }
@@ -348,7 +358,7 @@
 }
 
 fn status(at: &Path) -> Option<(Generation, Arc<State>)> {
-    match client::ask(at, &CommitRequest::Status, OTHERS) {
+    match client::request(at, &CommitRequest::Status, OTHERS) {
         Ok(CommitResponse::Status {
             generation, state, ..
         }) if state.digest() == generation.digest => Some((generation, state)),
@@ -375,7 +385,7 @@
     ) -> Result<Option<(Port, Option<Stands>)>, String> {
         // What is written is enforced before anything else is done: both had been when the other process handed over. Where a
         // folder was put in another's place meanwhile, what is kept there stands.
-        let kept = self.ledger.memory().state.clone();
+        let kept = self.durable.memory().state.clone();
         let stands = if *kept == *state {
             None
         } else {
@@ -404,15 +414,16 @@
             life,
             began,
         };
-        let keeper = Keeper::start(
-            &self.control.name,
+        let server = ControlServer::start(ServerConfig {
+            name: self.control.name.clone(),
             socket,
-            self.ledger,
-            served,
-            self.most,
-            self.control.membership,
-        )?;
+            durable: self.durable,
+            data_plane: served,
+            max_message_bytes: self.most,
+            group: self.control.membership,
+        })
+        .map_err(|error| error.to_string())?;
         tracing::info!("control: listening at {}", path.display());
-        Ok(Some(Port { orders, keeper }))
+        Ok(Some(Port { orders, server }))
     }
 }
--- a/crates/ingress/src/ingress.rs
+++ b/crates/ingress/src/ingress.rs
@@ -36,8 +36,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use wrenfork_commit::metrics::{IngressMetrics, PlanUsage};
-use wrenfork_control_plane::group::Inherited as Right;
-use wrenfork_control_plane::socket::{self, Socket};
+use wrenfork_control_plane::group::InheritedLease as Right;
+use wrenfork_control_plane::socket::{self, SocketFile};
 use wrenfork_decision::{
     Action, BackendId, DiscoveryMode, EndpointListKind, Event, Gateway, Micros, Outcome, RequestId,
 };
@@ -94,7 +94,7 @@
     reload: Reload,
     routing: Routing,
     /// The file of the clients' socket, where it is one.
-    socket: Option<Socket>,
+    socket: Option<SocketFile>,
     control: Option<Port>,
     /// The control side that is still to come, behind another process.
     coming: Option<Coming>,
@@ -183,14 +183,14 @@
                 (Listener::Tcp(bound), None)
             }
             Listen::Unix(path, mode, users) => {
-                let (bound, socket) =
-                    socket::listen(path, *mode).map_err(|why| format!("listen: {why}"))?;
+                let bound = socket::listen(path, *mode).map_err(|why| format!("listen: {why}"))?;
                 bound
+                    .listener
                     .set_nonblocking(true)
                     .map_err(|e| failed("listen: cannot be polled", e))?;
                 (
-                    Listener::unix(UnixListener::from_std(bound), users.clone()),
-                    Some(socket),
+                    Listener::unix(UnixListener::from_std(bound.listener), users.clone()),
+                    Some(bound.file),
                 )
             }
         };
@@ -232,11 +232,11 @@
             )?);
             // A member whose right did not come lets nothing in before it has one.
             let none = Right {
-                number: 0,
-                until: None,
-                gate: 0,
+                group_version: 0,
+                expires_at: None,
+                admission_deadline: 0,
             };
-            gate = Gate::of(membership.map(|m| right.unwrap_or(none).gate(m)));
+            gate = Gate::of(membership.map(|m| right.unwrap_or(none).lease_guard(m)));
         }
         let (inherited, enforced, descriptors) = match taken {
             Some(Taken {
@@ -280,7 +280,9 @@
             .map(|c| c.deadline)
             .max()
             .unwrap_or(0);
-        let grouped = membership.map_or(0, |m| wrenfork_control_plane::descriptors(m.links.len()));
+        let grouped = membership.map_or(0, |m| {
+            wrenfork_control_plane::max_descriptors(m.control_sockets.len())
+        });
         let budget = Budget::new(config.sockets, config.management.is_some(), grouped)?;
         let management = management::open(config.management, registry, MANAGEMENT, |key| {
             Token(CALLERS + key)
--- a/crates/ingress/src/takeover.rs
+++ b/crates/ingress/src/takeover.rs
@@ -15,8 +15,8 @@
 use std::path::Path;
 use wrenfork_commit::state::State;
 use wrenfork_config::enforced::Told;
-use wrenfork_control_plane::group::Inherited as Right;
-use wrenfork_control_plane::socket::{self, Socket};
+use wrenfork_control_plane::group::InheritedLease as Right;
+use wrenfork_control_plane::socket::{self, SocketFile};
 use wrenfork_decision::{Gateway, Micros};
 use wrenfork_handover::channel::{Ancestor, Caller};
 
@@ -159,7 +159,7 @@
 /// The offer to the next process.
 pub struct Offer {
     listener: UnixListener,
-    socket: Socket,
+    socket: SocketFile,
 }
 
 impl Offer {
@@ -169,15 +169,19 @@
     ///
     /// Where another process of this ingress still does, or the folder can't be used.
     pub fn open(path: &Path, registry: &Registry, token: Token) -> Result<Offer, String> {
-        let (listener, socket) = socket::listen(path, 0o600)?;
-        listener
+        let bound = socket::listen(path, 0o600).map_err(|error| error.to_string())?;
+        bound
+            .listener
             .set_nonblocking(true)
             .map_err(|e| format!("{}: {e}", path.display()))?;
-        let mut listener = UnixListener::from_std(listener);
+        let mut listener = UnixListener::from_std(bound.listener);
         registry
             .register(&mut listener, token, Interest::READABLE)
             .map_err(|e| format!("{}: {e}", path.display()))?;
-        Ok(Offer { listener, socket })
+        Ok(Offer {
+            listener,
+            socket: bound.file,
+        })
     }
 
     /// Whoever asks next.
--- a/crates/ingress/src/takeover/tests.rs
+++ b/crates/ingress/src/takeover/tests.rs
@@ -20,9 +20,9 @@
 use wrenfork_wire::resp;
 
 const RIGHT: Right = Right {
-    number: 7,
-    until: Some(Duration::from_micros(12_345_678)),
-    gate: 99,
+    group_version: 7,
+    expires_at: Some(Duration::from_micros(12_345_678)),
+    admission_deadline: 99,
 };
 
 fn file(layout: u32) -> String {
