--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -7,7 +7,7 @@
 use crate::values::{show_rate, show_time, Listener};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
-use wrenfork_happy_eyeballs::{Address, MOST_ADDRESSES};
+use wrenfork_happy_eyeballs::{Address, MAX_ADDRESSES};
 use wrenfork_identity::trust::Doubt;
 use wrenfork_routes::{Fault, PoolNo, Table, Traits, MOST_POOLS, MOST_TIERS};
 
@@ -770,9 +770,9 @@
             let wrong = Diagnostic::new(Code::AddressTwice, f.at(span), message);
             found.push(wrong.with(f.at(&first.name.span), "the first one"));
         }
-        if node.addresses.len() >= MOST_ADDRESSES {
+        if node.addresses.len() >= MAX_ADDRESSES {
             let message = format!(
-                "node \"{}\" has more addresses than the {MOST_ADDRESSES} that are tried",
+                "node \"{}\" has more addresses than the {MAX_ADDRESSES} that are tried",
                 node.name.value
             );
             found.push(f.wrong(Code::TooMany, &node.name, message));
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -763,7 +763,10 @@
                 "removed" => Status::Removed,
                 other => return Err(format!("{}: the status \"{other}\" is unknown", l.name)),
             };
-            let place = |text: &String| Address::read(text).map_err(|e| format!("{}: {e}", l.name));
+            let place = |text: &String| {
+                text.parse::<Address>()
+                    .map_err(|e| format!("{}: {e}", l.name))
+            };
             let address = place(&l.address)?;
             let more = l.addresses.iter().map(|a| {
                 Ok(At {
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -10,7 +10,7 @@
 use std::ops::Range;
 use toml::de::{DeInteger, DeTable, DeValue};
 use toml::Spanned;
-use wrenfork_happy_eyeballs::Address;
+use wrenfork_happy_eyeballs::{Address, AddressError};
 
 /// A value with its place.
 #[derive(Clone, Debug, PartialEq)]
@@ -379,7 +379,9 @@
             Kind::Moment => (Code::BadMoment, values::moment(text).map(Value::Whole)),
             Kind::NodeAddress => (
                 Code::BadAddress,
-                Address::read(text).map(Value::NodeAddress),
+                text.parse()
+                    .map(Value::NodeAddress)
+                    .map_err(|error: AddressError| error.to_string()),
             ),
             Kind::Listener => (
                 Code::BadAddress,
@@ -564,12 +566,14 @@
         let list = self.list(field, "a list of addresses", value, span)?;
         let mut places = Vec::new();
         for one in list {
-            match one.get_ref().as_str().map(Address::read) {
+            match one.get_ref().as_str().map(str::parse::<Address>) {
                 Some(Ok(place)) => places.push(At {
                     value: place,
                     span: one.span(),
                 }),
-                Some(Err(why)) => drop(self.wrong(Code::BadAddress, one.span(), why)),
+                Some(Err(error)) => {
+                    self.wrong(Code::BadAddress, one.span(), error.to_string());
+                }
                 None => self.type_told(
                     field,
                     "a list of addresses in quotes",
--- a/crates/ctl/src/tend/file.rs
+++ b/crates/ctl/src/tend/file.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_compatibility::{FormatVersions, Program};
 use wrenfork_config::values::time;
-use wrenfork_supervisor::{Catalog, Terms};
+use wrenfork_supervisor::{ProgramCatalog, RestartPolicy};
 
 /// The only version of the form so far.
 const VERSION: u32 = 1;
@@ -65,7 +65,7 @@
     /// Where its standard error goes; to this process's without it.
     pub log: Option<PathBuf>,
     /// What is asked of the keeper.
-    pub terms: Terms,
+    pub terms: RestartPolicy,
     /// The programs.
     pub programs: Programs,
 }
@@ -83,19 +83,19 @@
             .map(Duration::from_micros)
             .map_err(|why| format!("{key}: {why}")),
     };
-    let usual = Terms::default();
-    let terms = Terms {
-        pause: span(&form.pause, "pause", usual.pause)?,
-        longest: span(&form.longest_pause, "longest_pause", usual.longest)?,
-        patience: span(&form.patience, "patience", usual.patience)?,
-        prove: span(&form.prove, "prove", usual.prove)?,
-        tries: form.tries.unwrap_or(usual.tries),
-        cold: form.cold,
+    let usual = RestartPolicy::default();
+    let terms = RestartPolicy {
+        initial_backoff: span(&form.pause, "pause", usual.initial_backoff)?,
+        max_backoff: span(&form.longest_pause, "longest_pause", usual.max_backoff)?,
+        timeout: span(&form.patience, "patience", usual.timeout)?,
+        probation: span(&form.prove, "prove", usual.probation)?,
+        max_crashes: form.tries.unwrap_or(usual.max_crashes),
+        allow_cold_restart: form.cold,
     };
-    if terms.tries == 0 || terms.pause.is_zero() || terms.patience.is_zero() {
+    if terms.max_crashes == 0 || terms.initial_backoff.is_zero() || terms.timeout.is_zero() {
         return Err("tries, pause and patience are above 0".into());
     }
-    if terms.longest < terms.pause {
+    if terms.max_backoff < terms.initial_backoff {
         return Err("longest_pause is as long as pause at the least".into());
     }
     let mut list = Vec::new();
@@ -280,12 +280,12 @@
     }
 }
 
-impl Catalog for Programs {
-    fn has(&self, program: &Program) -> bool {
+impl ProgramCatalog for Programs {
+    fn contains(&self, program: &Program) -> bool {
         self.path(program).is_ok()
     }
 
-    fn hands_over(&self, old: &Program, new: &Program) -> bool {
+    fn can_take_over(&self, old: &Program, new: &Program) -> bool {
         match (self.speaks(old), self.speaks(new)) {
             (Some(old), Some(new)) => wrenfork_compatibility::check_compatibility(&old, &new)
                 .degraded
@@ -297,15 +297,15 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{digest, parse, Program, Programs, RefCell, Terms};
-    use wrenfork_supervisor::Catalog;
+    use super::{digest, parse, Program, Programs, RefCell, RestartPolicy};
+    use wrenfork_supervisor::ProgramCatalog;
 
     const GOOD: &str = include_str!("../../../../deploy/tend.toml");
 
     #[test]
     fn the_file_that_ships_is_good_and_what_is_wrong_with_one_is_told() {
         let told = parse(GOOD).unwrap();
-        assert_eq!(told.terms, Terms::default());
+        assert_eq!(told.terms, RestartPolicy::default());
         assert_eq!(told.programs.first().name, "r-12");
         // Its files are not there.
         assert_eq!(told.programs.wrong().len(), 2);
@@ -349,9 +349,9 @@
             said: RefCell::default(),
             looked: RefCell::default(),
         };
-        assert!(programs.has(&program) && programs.wrong().is_empty());
+        assert!(programs.contains(&program) && programs.wrong().is_empty());
         // It is no program: it says nothing, and so can't take over from anything.
-        assert!(!programs.hands_over(&program, &program));
+        assert!(!programs.can_take_over(&program, &program));
         std::fs::write(&path, "another").unwrap();
         assert!(programs
             .path(&program)
--- a/crates/ctl/src/tend/mod.rs
+++ b/crates/ctl/src/tend/mod.rs
@@ -23,8 +23,11 @@
 use wrenfork_compatibility::Program;
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse, GroupStatus};
 use wrenfork_control_plane::{client, clock, PROGRAM_VARIABLE, REPLACEMENT_VARIABLE};
-use wrenfork_handover::channel;
-use wrenfork_supervisor::{Action, Event, Memory, Seen, Tend, Which};
+use wrenfork_handover::listener::{self, BorrowedListener};
+use wrenfork_handover::socket_path;
+use wrenfork_supervisor::{
+    Action, Event, Observation, PersistentState, ProcessSlot, StopMode, Supervisor, WantedProgram,
+};
 
 /// Between two looks at the ingress and its processes.
 const EVERY: Duration = Duration::from_millis(100);
@@ -85,10 +88,10 @@
 }
 
 /// What is remembered in a folder.
-fn remembered(folder: &Path) -> Result<Memory, String> {
+fn remembered(folder: &Path) -> Result<PersistentState, String> {
     let path = folder.join(MEMORY);
     match fs::read_to_string(&path) {
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(Memory::default()),
+        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(PersistentState::default()),
         Err(e) => Err(format!("{}: {e}", path.display())),
         Ok(text) => serde_json::from_str(&text).map_err(|e| {
             format!(
@@ -100,7 +103,7 @@
 }
 
 /// Writes it, whole or not at all; it is on the disk once this has returned.
-fn remember(folder: &Path, memory: &Memory) -> Result<(), String> {
+fn remember(folder: &Path, memory: &PersistentState) -> Result<(), String> {
     let told = |e: std::io::Error| format!("{}: {e}", folder.display());
     let text = serde_json::to_vec_pretty(memory).map_err(|e| e.to_string())?;
     let mut new = tempfile::NamedTempFile::new_in(folder).map_err(told)?;
@@ -114,7 +117,7 @@
 
 struct Keeper {
     told: Told,
-    tend: Tend,
+    supervisor: Supervisor,
     listener: TcpListener,
     serving: Option<Process>,
     next: Option<Process>,
@@ -137,7 +140,7 @@
         flock(&lock, FlockOperation::NonBlockingLockExclusive)
             .map_err(|_| format!("{}: another keeper has the folder", told.state.display()))?;
         let memory = remembered(&told.state)?;
-        let mut tend = Tend::new(
+        let mut supervisor = Supervisor::new(
             told.terms.clone(),
             memory,
             told.programs.first().clone(),
@@ -151,13 +154,13 @@
                     "{} serves already, as process {}",
                     program.name, process.id
                 ));
-                tend.step(clock::now(), Event::Found(program), &told.programs);
+                supervisor.step(clock::now(), Event::Adopted(program), &told.programs);
                 break (listener, Some(process));
             }
             match TcpListener::bind(told.listen) {
                 Ok(listener) => break (listener, None),
                 // One that an earlier keeper has just started, or that is just taking over, can't be found yet.
-                Err(e) if begun.elapsed() > told.terms.patience => {
+                Err(e) if begun.elapsed() > told.terms.timeout => {
                     return Err(format!("listen: cannot listen at {}: {e}", told.listen));
                 }
                 Err(_) => std::thread::sleep(EVERY),
@@ -167,7 +170,7 @@
         fcntl_setfd(&listener, FdFlags::empty()).map_err(|e| format!("listen: {e}"))?;
         Ok(Keeper {
             told,
-            tend,
+            supervisor,
             listener,
             serving,
             next: None,
@@ -179,7 +182,10 @@
     fn turn(&mut self) -> Result<(), String> {
         if let Some(how) = self.next.as_mut().and_then(Process::ended) {
             self.next = None;
-            self.step(Event::Ended(Which::Next, how));
+            self.step(Event::Exited {
+                slot: ProcessSlot::Successor,
+                reason: how,
+            });
         }
         if let Some(how) = self.serving.as_mut().and_then(Process::ended) {
             let changing = self.next.is_some();
@@ -187,41 +193,52 @@
             match running(&self.told).filter(|_| !changing) {
                 // An earlier keeper had started another one, that has taken over since.
                 Some((_, process)) => {
-                    let program = serves(&self.told).unwrap_or_else(|| self.tend.program().clone());
+                    let program =
+                        serves(&self.told).unwrap_or_else(|| self.supervisor.program().clone());
                     self.serving = Some(process);
-                    self.step(Event::Found(program));
+                    self.step(Event::Adopted(program));
                 }
-                None => self.step(Event::Ended(Which::Serving, how)),
+                None => self.step(Event::Exited {
+                    slot: ProcessSlot::Serving,
+                    reason: how,
+                }),
             }
         }
         let seen = match asked(&self.told) {
-            None => Seen::Silent,
+            None => Observation::NoAnswer,
             Some(GroupStatus {
                 running_program: runs,
                 wanted_program: wants,
                 may_upgrade: turn,
                 rollout,
                 ..
-            }) => Seen::Says {
-                runs: runs.and_then(|text| Program::parse(&text).ok()),
-                wanted: wants.and_then(|text| Some((Program::parse(&text).ok()?, turn))),
+            }) => Observation::Status {
+                running: runs.and_then(|text| Program::parse(&text).ok()),
+                wanted: wants.and_then(|text| {
+                    Some(WantedProgram {
+                        program: Program::parse(&text).ok()?,
+                        may_change: turn,
+                    })
+                }),
                 settled: rollout.is_none_or(|phase| phase.ended()),
             },
         };
-        self.step(Event::Looked(seen));
+        self.step(Event::Polled(seen));
         Ok(())
     }
 
     /// Takes what happened, and does what comes of it. What is to be remembered is on the disk first.
     fn step(&mut self, event: Event) {
-        let (before, looked) = (self.tend.clone(), matches!(event, Event::Looked(_)));
-        let actions = self.tend.step(clock::now(), event, &self.told.programs);
-        if self.tend.memory() != before.memory() {
-            if let Err(why) = remember(&self.told.state, self.tend.memory()) {
+        let (before, looked) = (self.supervisor.clone(), matches!(event, Event::Polled(_)));
+        let actions = self
+            .supervisor
+            .step(clock::now(), event, &self.told.programs);
+        if self.supervisor.persistent_state() != before.persistent_state() {
+            if let Err(why) = remember(&self.told.state, self.supervisor.persistent_state()) {
                 log(&format!("cannot remember: {why}"));
                 if looked {
                     // Nothing has happened, and it is tried again at the next look.
-                    self.tend = before;
+                    self.supervisor = before;
                     return;
                 }
             }
@@ -236,27 +253,27 @@
             Action::Log(line) => log(&line),
             Action::Start {
                 program,
-                beside,
-                changed,
-            } => {
-                let which = if beside { Which::Next } else { Which::Serving };
-                match self.start(&program, changed) {
-                    Ok(process) => {
-                        log(&format!(
-                            "{} started as process {}",
-                            program.name, process.id
-                        ));
-                        *self.place(which) = Some(process);
-                    }
-                    Err(why) => self.step(Event::Ended(which, why)),
+                slot,
+                replaces,
+            } => match self.start(&program, replaces) {
+                Ok(process) => {
+                    log(&format!(
+                        "{} started as process {}",
+                        program.name, process.id
+                    ));
+                    *self.place(slot) = Some(process);
                 }
-            }
-            Action::Stop(which, at_once) => {
-                if let Some(process) = self.place(which) {
-                    process.end(at_once);
+                Err(reason) => self.step(Event::Exited { slot, reason }),
+            },
+            Action::Stop { slot, mode } => {
+                if let Some(process) = self.place(slot) {
+                    process.end(mode == StopMode::Kill);
                 }
             }
-            Action::Tell(program, why) => {
+            Action::ReportUnfit {
+                program,
+                reason: why,
+            } => {
                 let unfit = GroupRequest::ProgramUnfit {
                     program: program.to_string(),
                     reason: why,
@@ -270,10 +287,10 @@
         }
     }
 
-    fn place(&mut self, which: Which) -> &mut Option<Process> {
-        match which {
-            Which::Serving => &mut self.serving,
-            Which::Next => &mut self.next,
+    fn place(&mut self, slot: ProcessSlot) -> &mut Option<Process> {
+        match slot {
+            ProcessSlot::Serving => &mut self.serving,
+            ProcessSlot::Successor => &mut self.next,
         }
     }
 
@@ -308,7 +325,7 @@
         {
             process.end(false);
             while process.ended().is_none() {
-                if begun.elapsed() > self.told.terms.patience {
+                if begun.elapsed() > self.told.terms.timeout {
                     process.end(true);
                 }
                 std::thread::sleep(EVERY / 10);
@@ -320,10 +337,14 @@
 
 /// The process that serves, with the clients' socket, if there is one.
 fn running(told: &Told) -> Option<(TcpListener, Process)> {
-    let (listener, id) = channel::borrow(&channel::path(told.listen))
-        .ok()
-        .flatten()?;
-    Some((TcpListener::from(listener), Process::found(id).ok()?))
+    let BorrowedListener {
+        listener,
+        process_id,
+    } = listener::borrow(&socket_path(told.listen)).ok().flatten()?;
+    Some((
+        TcpListener::from(listener),
+        Process::found(process_id).ok()?,
+    ))
 }
 
 /// The program that serves, where it says so.
--- a/crates/ctl/tests/group/site.rs
+++ b/crates/ctl/tests/group/site.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse, GroupStatus};
 use wrenfork_control_plane::{client, failpoints};
-use wrenfork_handover::channel;
+use wrenfork_handover::listener;
 use wrenfork_testbed::judge::policy::{judge, Answer, Change, Said};
 use wrenfork_testbed::links::Links;
 use wrenfork_testbed::small::{command, list, place, signal, Act, Backend, Client, Ingress, LONG};
@@ -571,7 +571,10 @@
     /// The process of an ingress that is kept.
     pub fn process(&self, n: usize) -> Option<u32> {
         let path = self.path(&format!("wrenfork-{}.next", self.at[n]));
-        channel::borrow(&path).ok().flatten().map(|(_, id)| id)
+        listener::borrow(&path)
+            .ok()
+            .flatten()
+            .map(|lent| lent.process_id)
     }
 
     /// What an ingress runs, as it says itself.
--- a/crates/handover/tests/golden.rs
+++ b/crates/handover/tests/golden.rs
@@ -10,7 +10,9 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 use std::thread;
-use wrenfork_handover::channel::{borrow, Ancestor, Caller};
+use wrenfork_handover::caller::Caller;
+use wrenfork_handover::listener::borrow;
+use wrenfork_handover::predecessor::Predecessor;
 
 const LAYOUTS: std::ops::RangeInclusive<u32> = 5..=7;
 const MOST: usize = 64;
@@ -60,16 +62,16 @@
 /// What the process that serves says to a successor that writes `hello`, and then, where it gives its state, `word`.
 fn said_by_the_old_process(hello: &[u8], word: &'static [u8]) -> Vec<u8> {
     let (ours, theirs) = UnixStream::pair().unwrap();
-    let old = thread::spawn(move || match Caller::hear(theirs, LAYOUTS) {
-        Ok(Caller::Next(mut successor, _)) => {
+    let old = thread::spawn(move || match Caller::accept(theirs, LAYOUTS) {
+        Ok(Caller::Successor { mut successor, .. }) => {
             let descriptors: Vec<OwnedFd> = (0..3)
                 .map(|_| UnixStream::pair().unwrap().0.into())
                 .collect();
-            if successor.give(STATE).is_ok() {
-                successor.pass(descriptors).unwrap();
+            if successor.hand_over(STATE).is_ok() {
+                successor.send_descriptors(descriptors).unwrap();
             }
         }
-        Ok(Caller::Keeper(lender)) => {
+        Ok(Caller::Supervisor(lender)) => {
             let (listener, _other) = UnixStream::pair().unwrap();
             lender.lend(listener.as_fd()).unwrap();
         }
@@ -85,11 +87,12 @@
 /// What a new process says to one that serves and answers its hello with `answer`; it takes the state, or declines it.
 fn said_by_the_new_process(answer: Vec<u8>, declines: bool) -> Vec<u8> {
     with_server(answer, move |socket| {
-        if let Ok(Some((mut predecessor, _, _))) = Ancestor::ask(socket, LAYOUTS, MOST) {
+        if let Ok(Some(offered)) = Predecessor::request_state(socket, LAYOUTS, MOST) {
+            let mut predecessor = offered.predecessor;
             if declines {
                 predecessor.decline("it is of another site");
             } else {
-                predecessor.take().unwrap();
+                predecessor.take_over().unwrap();
             }
         }
     })
@@ -192,10 +195,10 @@
     // The last byte is that of the descriptors' message, which this client does not read.
     let taken = state[..state.len() - 1].to_vec();
     let came = with_server(taken, |socket| {
-        let (mut predecessor, layout, bytes) =
-            Ancestor::ask(socket, LAYOUTS, MOST).unwrap().unwrap();
-        assert_eq!((layout, &bytes[..]), (7, STATE));
-        predecessor.take().unwrap();
+        let offered = Predecessor::request_state(socket, LAYOUTS, MOST);
+        let mut offered = offered.unwrap().unwrap();
+        assert_eq!((offered.layout, &offered.state[..]), (7, STATE));
+        offered.predecessor.take_over().unwrap();
     });
     assert_eq!(came, golden["new.hello-ready"]);
 
@@ -205,8 +208,8 @@
     let (ours, theirs) = UnixStream::pair().unwrap();
     (&ours).write_all(&golden["new.borrows"]).unwrap();
     assert!(matches!(
-        Caller::hear(theirs, LAYOUTS),
-        Ok(Caller::Keeper(_))
+        Caller::accept(theirs, LAYOUTS),
+        Ok(Caller::Supervisor(_))
     ));
 }
 
--- a/crates/happy-eyeballs/tests/golden.rs
+++ b/crates/happy-eyeballs/tests/golden.rs
@@ -5,7 +5,7 @@
 
 use std::fs;
 use std::path::PathBuf;
-use wrenfork_happy_eyeballs::{Address, Book, Fared};
+use wrenfork_happy_eyeballs::{Address, AddressList, AddressOutcome};
 
 fn path(name: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "tests", "golden", name]
@@ -15,18 +15,18 @@
 
 fn addresses() -> Vec<Address> {
     ["127.0.0.1:9", "[2001:db8::1]:443", "unix:/run/node"]
-        .map(|text| Address::read(text).unwrap())
+        .map(|text| text.parse().unwrap())
         .into()
 }
 
-fn book() -> Book {
-    let places = addresses();
-    let mut book = Book::default();
-    book.update(places.clone());
-    book.note(&places[0], Fared::Unreached, 5_000);
-    book.note(&places[2], Fared::Silent, 6_000);
-    book.note(&places[2], Fared::Silent, 7_000);
-    book
+fn list() -> AddressList {
+    let addresses = addresses();
+    let mut list = AddressList::default();
+    list.update(addresses.clone());
+    list.record(&addresses[0], AddressOutcome::Unreachable, 5_000);
+    list.record(&addresses[2], AddressOutcome::TimedOut, 6_000);
+    list.record(&addresses[2], AddressOutcome::TimedOut, 7_000);
+    list
 }
 
 fn files() -> Vec<(&'static str, Vec<u8>)> {
@@ -35,8 +35,8 @@
             "addresses.postcard",
             postcard::to_stdvec(&addresses()).unwrap(),
         ),
-        ("book.postcard", postcard::to_stdvec(&book()).unwrap()),
-        ("book.json", serde_json::to_vec(&book()).unwrap()),
+        ("book.postcard", postcard::to_stdvec(&list()).unwrap()),
+        ("book.json", serde_json::to_vec(&list()).unwrap()),
     ]
 }
 
@@ -55,12 +55,12 @@
     assert_eq!(postcard::to_stdvec(&read).unwrap(), bytes);
 
     let bytes = fs::read(path("book.postcard")).unwrap();
-    let read: Book = postcard::from_bytes(&bytes).unwrap();
-    assert_eq!(read.order(5_000), book().order(5_000));
+    let read: AddressList = postcard::from_bytes(&bytes).unwrap();
+    assert_eq!(read.ordered(5_000), list().ordered(5_000));
     assert_eq!(postcard::to_stdvec(&read).unwrap(), bytes);
 
     let text = fs::read(path("book.json")).unwrap();
-    let read: Book = serde_json::from_slice(&text).unwrap();
+    let read: AddressList = serde_json::from_slice(&text).unwrap();
     assert_eq!(serde_json::to_vec(&read).unwrap(), text);
 }
 
--- a/crates/ingress/src/backends.rs
+++ b/crates/ingress/src/backends.rs
@@ -11,7 +11,7 @@
 use std::os::fd::OwnedFd;
 use wrenfork_config::settings::note_field;
 use wrenfork_decision::{BackendId, EndpointState, LoadReport, Micros, Outcome, RequestId};
-use wrenfork_happy_eyeballs::{Address, Book, Fared, Next, Race};
+use wrenfork_happy_eyeballs::{Address, AddressList, AddressOutcome, ConnectionRace, NextConnect};
 use wrenfork_wire::call::Body;
 use wrenfork_wire::long::{Long, Whole};
 use wrenfork_wire::resp::{self, Element, Kind, Reply};
@@ -161,7 +161,7 @@
 
 /// A race of connects, kept with the connection that has the work.
 struct Racing {
-    race: Race,
+    race: ConnectionRace,
     /// Those that come up beside this one.
     beside: Vec<Link>,
     /// This one's own connect has failed.
@@ -255,7 +255,7 @@
 
 #[derive(Clone, Default, Serialize, Deserialize)]
 struct Pool {
-    book: Book,
+    book: AddressList,
     /// The connections with no work, the newest last.
     idle: Vec<usize>,
     surplus: Surplus,
@@ -621,9 +621,9 @@
         if let Some(place) = book.only().cloned() {
             return self.dial(registry, backend, place, now);
         }
-        let mut race = Race::new(book.order(now), self.connect_within, now);
+        let mut race = ConnectionRace::new(book.ordered(now), self.connect_within, now);
         // One that can't even be begun, such as an address of a family that this machine has no way to, costs no time.
-        while let Next::Begin(place) = race.next(now) {
+        while let NextConnect::Start(place) = race.next(now) {
             if let Some(key) = self.dial(registry, backend, place.clone(), now) {
                 self.conns[key].race = Some(Box::new(Racing {
                     race,
@@ -632,8 +632,8 @@
                 }));
                 return Some(key);
             }
-            self.note(backend, &place, Fared::Unreached, now);
-            race.failed(now);
+            self.note(backend, &place, AddressOutcome::Unreachable, now);
+            race.attempt_failed(now);
         }
         None
     }
@@ -680,9 +680,9 @@
         Some(key)
     }
 
-    fn note(&mut self, backend: BackendId, place: &Address, fared: Fared, now: Micros) {
+    fn note(&mut self, backend: BackendId, place: &Address, outcome: AddressOutcome, now: Micros) {
         if let Some(pool) = self.pools.get_mut(&backend) {
-            pool.book.note(place, fared, now);
+            pool.book.record(place, outcome, now);
         }
     }
 
@@ -694,7 +694,7 @@
 
     /// When the next address of a connection's race is due.
     pub fn race_due(&self, link: Link) -> Option<Micros> {
-        self.alive(link)?.race.as_ref()?.race.due()
+        self.alive(link)?.race.as_ref()?.race.next_due()
     }
 
     /// Whether something has happened in a race that [`Backends::race`] must be called for.
@@ -729,7 +729,8 @@
                 return None;
             }
             match racing.race.next(now) {
-                Next::Begin(place) => match self.dial(registry, backend, place.clone(), now) {
+                NextConnect::Start(place) => match self.dial(registry, backend, place.clone(), now)
+                {
                     Some(key) => {
                         let conn = &mut self.conns[key];
                         conn.work = Some(Work::Race(link));
@@ -740,12 +741,12 @@
                         self.conns[link.key].race.as_mut()?.beside.push(one);
                     }
                     None => {
-                        self.note(backend, &place, Fared::Unreached, now);
-                        self.conns[link.key].race.as_mut()?.race.failed(now);
+                        self.note(backend, &place, AddressOutcome::Unreachable, now);
+                        self.conns[link.key].race.as_mut()?.race.attempt_failed(now);
                     }
                 },
-                Next::Wait(until) => return Some(until),
-                Next::Nothing => break,
+                NextConnect::WaitUntil(until) => return Some(until),
+                NextConnect::Exhausted => break,
             }
         }
         // Nothing more to try, and nothing under way: it can't be reached.
@@ -774,7 +775,7 @@
         let overtaken = std::mem::replace(&mut conn.place, won.place);
         conn.stream = stream;
         // It began first and is not up yet: next time it comes behind the others.
-        self.note(backend, &overtaken, Fared::Unreached, now);
+        self.note(backend, &overtaken, AddressOutcome::Unreachable, now);
         self.settled(link.key);
         self.write_up(link.key, now);
     }
@@ -799,16 +800,16 @@
         let (backend, place, serial) = (conn.backend, conn.place.clone(), conn.serial);
         if let Some(racing) = &mut conn.race {
             if !std::mem::replace(&mut racing.failed, true) {
-                racing.race.failed(now);
+                racing.race.attempt_failed(now);
                 self.races.push(Link { key, serial });
-                self.note(backend, &place, Fared::Unreached, now);
+                self.note(backend, &place, AddressOutcome::Unreachable, now);
             }
             return true;
         }
         if let Some(Work::Race(of)) = conn.work {
-            self.note(backend, &place, Fared::Unreached, now);
+            self.note(backend, &place, AddressOutcome::Unreachable, now);
             if let Some(racing) = self.conns.get_mut(of.key).and_then(|c| c.race.as_mut()) {
-                racing.race.failed(now);
+                racing.race.attempt_failed(now);
                 self.races.push(of);
             }
         }
@@ -823,7 +824,7 @@
         // It took the request, and not a word came in time: the node's other addresses come before this one from now on.
         if let Some(now) = overdue.filter(|_| sent && conn.connected && conn.buf.is_empty()) {
             let (backend, place) = (conn.backend, conn.place.clone());
-            self.note(backend, &place, Fared::Silent, now);
+            self.note(backend, &place, AddressOutcome::TimedOut, now);
         }
         self.remove(link.key);
         Some(sent)
@@ -836,7 +837,7 @@
                 return self.never_sent(link.key);
             }
             let (backend, place) = (conn.backend, conn.place.clone());
-            self.note(backend, &place, Fared::Unreached, now);
+            self.note(backend, &place, AddressOutcome::Unreachable, now);
             self.end(
                 link.key,
                 Outcome::ConnectFailed,
@@ -1205,10 +1206,11 @@
         let pool = self
             .pools
             .get_mut(&conn.backend)
-            .filter(|p| p.book.has(&conn.place));
+            .filter(|p| p.book.contains(&conn.place));
         let Some(pool) = pool else { return false };
         if pool.book.only().is_none() {
-            pool.book.note(&conn.place, Fared::Well, now);
+            pool.book
+                .record(&conn.place, AddressOutcome::Responded, now);
         }
         pool.surplus.answers += 1.0;
         pool.surplus.seen += f64::from(u8::from(!alone));
--- a/crates/ingress/src/backends/tests.rs
+++ b/crates/ingress/src/backends/tests.rs
@@ -3,7 +3,7 @@
 use super::{Conn, Link, Pool, Saved, Staleness, Surplus, Work};
 use std::sync::Arc;
 use wrenfork_decision::{BackendId, RequestId};
-use wrenfork_happy_eyeballs::{Address, Book};
+use wrenfork_happy_eyeballs::{Address, AddressList};
 use wrenfork_wire::long::Long;
 
 pub(crate) const LINK: Link = Link { key: 3, serial: 52 };
@@ -49,7 +49,7 @@
         connected: false,
         ..conn(53, Some(Work::Probe))
     };
-    let mut book = Book::default();
+    let mut book = AddressList::default();
     book.update(vec![
         Address::Tcp("127.0.0.1:7100".parse().unwrap()),
         Address::Unix(Arc::from("/run/backend.sock")),
--- a/crates/ingress/src/discovery.rs
+++ b/crates/ingress/src/discovery.rs
@@ -92,7 +92,7 @@
             "removed" => EndpointState::Removed,
             _ => EndpointState::Draining, // a word of the future can hardly mean that it wants work
         };
-        let mut places = match text("address").map(Address::read) {
+        let mut places = match text("address").map(str::parse::<Address>) {
             Some(Ok(place)) => vec![place],
             None if availability == EndpointState::Removed => Vec::new(),
             _ => return Err(bad("address")),
@@ -103,7 +103,7 @@
             .and_then(Value::as_array)
             .into_iter()
             .flatten();
-        places.extend(more.filter_map(|a| Address::read(a.as_str()?).ok()));
+        places.extend(more.filter_map(|a| a.as_str()?.parse().ok()));
         let place = |list: &[String], key: &str| {
             text(key)
                 .and_then(|t| list.iter().position(|n| n == t))
--- a/crates/ingress/src/ingress.rs
+++ b/crates/ingress/src/ingress.rs
@@ -41,8 +41,10 @@
 use wrenfork_decision::{
     Action, BackendId, DiscoveryMode, EndpointListKind, Event, Gateway, Micros, Outcome, RequestId,
 };
-use wrenfork_handover::channel::{self, Caller, Heir};
-use wrenfork_handover::inherit;
+use wrenfork_handover::caller::Caller;
+use wrenfork_handover::listener;
+use wrenfork_handover::socket_path;
+use wrenfork_handover::successor::Successor;
 use wrenfork_wire::call::{Call, Vocabulary};
 use wrenfork_wire::resp;
 
@@ -169,7 +171,7 @@
                 let passed = config
                     .passed
                     .as_ref()
-                    .map(|number| inherit::listener(number, *at));
+                    .map(|number| listener::take_passed(number, *at));
                 let bound = match passed {
                     Some(Ok(passed)) => Ok(TcpListener::from_std(passed)),
                     Some(Err(why)) => {
@@ -204,7 +206,7 @@
         let keeps = !controlled || config.control.state.is_some();
         let passed = config.passed.is_some() && config.enforced.callers.is_none() && keeps;
         let next = match &config.listen {
-            Listen::Tcp(at) => passed.then(|| channel::path(*at)),
+            Listen::Tcp(at) => passed.then(|| socket_path(*at)),
             Listen::Unix(..) => None,
         };
         let taken = next
@@ -585,8 +587,8 @@
         while let Some(caller) = self.offer.as_ref().and_then(Offer::next::<V>) {
             let began = self.clock.now();
             let given = match caller {
-                Ok(Caller::Next(heir, layout)) => self.give(heir, layout),
-                Ok(Caller::Keeper(lender)) => {
+                Ok(Caller::Successor { successor, layout }) => self.give(successor, layout),
+                Ok(Caller::Supervisor(lender)) => {
                     if let Some(Err(why)) = self
                         .clients
                         .listening()
@@ -598,8 +600,8 @@
                 }
                 Err(why) => Err(why),
             };
-            let mut heir = match given {
-                Ok(heir) => heir,
+            let mut successor = match given {
+                Ok(successor) => successor,
                 Err(why) => {
                     tracing::warn!("handover: {why}; going on as before");
                     continue;
@@ -614,7 +616,7 @@
             descriptors.extend(self.clients.take_descriptors());
             descriptors.extend(self.backends.take_descriptors());
             let count = descriptors.len();
-            if let Err(why) = heir.pass(descriptors) {
+            if let Err(why) = successor.send_descriptors(descriptors) {
                 tracing::error!("handover: {why}: what had not passed is lost");
             }
             let took = self.clock.now().saturating_sub(began);
@@ -629,7 +631,7 @@
     }
 
     /// Gives all away, with the control side where there is one. With an error it is this process's as before.
-    fn give(&mut self, mut heir: Heir, layout: u32) -> Result<Heir, String> {
+    fn give(&mut self, mut successor: Successor, layout: u32) -> Result<Successor, String> {
         // One that was told to stop ends by itself, and the next one begins anew.
         if self.shutdown.begun() {
             return Err("told to stop".into());
@@ -643,7 +645,10 @@
         let Some(control) = self.control.take() else {
             self.take_incoming();
             let bytes = takeover::bytes::<V>(layout, &self.given(), None)?;
-            return heir.give(&bytes).map(|()| heir);
+            return successor
+                .hand_over(&bytes)
+                .map(|()| successor)
+                .map_err(|error| error.to_string());
         };
         let ingress = std::cell::RefCell::new(self);
         let given = control.hand_over(
@@ -652,13 +657,15 @@
                 let mut this = ingress.borrow_mut();
                 this.take_incoming();
                 let bytes = takeover::bytes::<V>(layout, &this.given(), right)?;
-                heir.give(&bytes)
+                successor
+                    .hand_over(&bytes)
+                    .map_err(|error| error.to_string())
             },
         );
         if given.is_err() {
             ingress.into_inner().control = Some(control);
         }
-        given.map(|()| heir)
+        given.map(|()| successor)
     }
 
     fn given(&self) -> Given<'_> {
--- a/crates/ingress/src/takeover.rs
+++ b/crates/ingress/src/takeover.rs
@@ -18,7 +18,8 @@
 use wrenfork_control_plane::group::InheritedLease as Right;
 use wrenfork_control_plane::socket::{self, SocketFile};
 use wrenfork_decision::{Gateway, Micros};
-use wrenfork_handover::channel::{Ancestor, Caller};
+use wrenfork_handover::caller::Caller;
+use wrenfork_handover::predecessor::{OfferedState, Predecessor};
 
 /// The number of the state's form. It grows with every change of what is kept in it, here or in the module: a process of
 /// another form must not read it wrongly. What a form has more than the one before stands behind all of that, so that a
@@ -109,8 +110,14 @@
 }
 
 fn try_ask<F: Form>(path: &Path, memory: usize) -> Result<Option<Taken>, String> {
-    let asked = Ancestor::ask(path, OLDEST..=F::LAYOUT, memory / MEMORY_SHARE)?;
-    let Some((mut ancestor, layout, bytes)) = asked else {
+    let offered = Predecessor::request_state(path, OLDEST..=F::LAYOUT, memory / MEMORY_SHARE)
+        .map_err(|error| error.to_string())?;
+    let Some(OfferedState {
+        mut predecessor,
+        layout,
+        state: bytes,
+    }) = offered
+    else {
         return Ok(None);
     };
     // All that may fail comes before it is this process's.
@@ -122,14 +129,14 @@
     let (state, right, enforced) = match read {
         Ok(read) => read,
         Err(why) => {
-            ancestor.decline(&why);
+            predecessor.decline(&why);
             return Err(why);
         }
     };
     drop(bytes);
-    ancestor.take()?;
+    predecessor.take_over().map_err(|error| error.to_string())?;
     let count = usize::from(state.peers) + state.clients.len() + state.backends.len();
-    let descriptors = ancestor.receive(count);
+    let descriptors = predecessor.receive_descriptors(count);
     if descriptors.len() < count {
         tracing::warn!(
             "handover: {} of {count} connections did not come; they are lost",
@@ -187,10 +194,9 @@
     /// Whoever asks next.
     pub fn next<F: Form>(&self) -> Option<Result<Caller, String>> {
         let (stream, _) = self.listener.accept().ok()?;
-        Some(Caller::hear(
-            UnixStream::from(OwnedFd::from(stream)),
-            OLDEST..=F::LAYOUT,
-        ))
+        let stream = UnixStream::from(OwnedFd::from(stream));
+        let caller = Caller::accept(stream, OLDEST..=F::LAYOUT);
+        Some(caller.map_err(|error| error.to_string()))
     }
 
     /// The ingress ends, with nobody behind it.
--- a/crates/supervisor/tests/golden.rs
+++ b/crates/supervisor/tests/golden.rs
@@ -5,7 +5,7 @@
 use std::fs;
 use std::path::PathBuf;
 use wrenfork_compatibility::Program;
-use wrenfork_supervisor::Memory;
+use wrenfork_supervisor::PersistentState;
 
 fn path(name: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "tests", "golden", name]
@@ -20,13 +20,16 @@
     })
 }
 
-fn memories() -> [(&'static str, Memory); 2] {
-    let full = Memory {
+fn memories() -> [(&'static str, PersistentState); 2] {
+    let full = PersistentState {
         wanted: program(1),
         proven: program(2),
         failed: program(3),
     };
-    [("full.json", full), ("empty.json", Memory::default())]
+    [
+        ("full.json", full),
+        ("empty.json", PersistentState::default()),
+    ]
 }
 
 #[test]
@@ -41,7 +44,7 @@
 fn every_golden_file_reads_back_and_is_written_again_the_same() {
     for (name, memory) in memories() {
         let text = fs::read(path(name)).unwrap();
-        let read: Memory = serde_json::from_slice(&text).unwrap();
+        let read: PersistentState = serde_json::from_slice(&text).unwrap();
         assert_eq!(read, memory, "{name}");
         assert_eq!(serde_json::to_vec_pretty(&read).unwrap(), text, "{name}");
     }
@@ -50,7 +53,7 @@
 #[test]
 fn a_file_with_an_unknown_field_is_rejected() {
     let text = r#"{"wanted": null, "proven": null, "failed": null, "other": 1}"#;
-    assert!(serde_json::from_str::<Memory>(text).is_err());
+    assert!(serde_json::from_str::<PersistentState>(text).is_err());
 }
 
 #[test]
