--- /dev/null
+++ b/crates/control-plane/tests/golden.rs
@@ -0,0 +1,342 @@
+//! What an ingress keeps on its disk, byte for byte: what is enforced and promised, the generations before, what a member of a
+//! group has promised and accepted, and the audit log; and what passes to the next process of an ingress.
+//!
+//! The files in `golden/` are written by hand alone: `cargo test -p wrenfork-control-plane --test golden -- --ignored`.
+
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::time::Duration;
+use wrenfork_commit::participant::ParticipantState;
+use wrenfork_commit::protocol::{AuditRecord, PreparedVote};
+use wrenfork_commit::state::{Digest, Generation, State};
+use wrenfork_consensus::acceptor::PersistentState;
+use wrenfork_consensus::group_state::{GroupState, Policy};
+use wrenfork_consensus::membership::{Member as GroupMember, MemberRole, Membership};
+use wrenfork_consensus::protocol::Ballot;
+use wrenfork_control_plane::durable_state::{DurableState, Update};
+use wrenfork_control_plane::group::InheritedLease;
+use wrenfork_control_plane::{failpoints, PROGRAM_VARIABLE, REPLACEMENT_VARIABLE, ROLLOUT_RECORD};
+use wrenfork_rollout::record::{Phase, Record as RolloutRecord, Terms};
+use wrenfork_store::{Batch, RecordKind, Store};
+
+fn path(name: &str) -> PathBuf {
+    [env!("CARGO_MANIFEST_DIR"), "tests", "golden", name]
+        .iter()
+        .collect()
+}
+
+fn state(value: &str) -> State {
+    let pairs = [("quota", value), ("text", "a \"quoted\" line\n")];
+    State(pairs.map(|(k, v)| (k.to_string(), v.to_string())).into())
+}
+
+fn record(what: &str, generation: u64) -> AuditRecord {
+    AuditRecord {
+        at: 1_700_000_000 + generation,
+        event: what.into(),
+        author: "ann \"the first\"".into(),
+        change: Digest("0123abcd".into()),
+        generation,
+        detail: format!("because of {generation}"),
+    }
+}
+
+/// What is enforced, with a promise, changes that have ended and fences.
+fn memory() -> ParticipantState {
+    let enforced = ParticipantState::new(3, state("3"));
+    let next = state("4");
+    let promise = PreparedVote {
+        change: Digest("feed".into()),
+        base: enforced.enforced.clone(),
+        next: Generation {
+            number: 4,
+            digest: next.digest(),
+        },
+        author: "bob".into(),
+        members: vec!["n0".into(), "n1".into()],
+    };
+    ParticipantState {
+        prepared: Some((promise, Arc::new(next)).into()),
+        ended: vec![
+            (Digest("aa".into()), true).into(),
+            (Digest("bb".into()), false).into(),
+        ],
+        fences: vec![(Digest("cc".into()), 17).into()],
+        ..enforced
+    }
+}
+
+fn decree() -> GroupState {
+    let seat = |name: &str, folder, kind, votes| GroupMember {
+        name: name.into(),
+        replica: folder,
+        role: kind,
+        votes,
+    };
+    let seats = vec![
+        seat("n0", 7, MemberRole::Ingress, true),
+        seat("n1", 8, MemberRole::Ingress, false),
+        seat("w0", 9, MemberRole::Witness, true),
+    ];
+    let roster = Membership::new(2, 1_500, seats).unwrap();
+    let states: BTreeMap<String, Arc<State>> = [("n0", "3"), ("n1", "5")]
+        .map(|(name, value)| (name.to_string(), Arc::new(state(value))))
+        .into();
+    GroupState::new(
+        4,
+        3,
+        Digest("feed".into()),
+        "ann",
+        roster,
+        Policy::from_states(&states),
+    )
+}
+
+fn rolled(decree: &GroupState) -> GroupState {
+    let change = [(
+        "quota".to_string(),
+        (Some("3".to_string()), Some("6".to_string())),
+    )];
+    let rollout = RolloutRecord {
+        id: Digest("fade".into()),
+        author: "carol".into(),
+        terms: Terms::default(),
+        stages: vec![vec!["n0".into()], vec!["n1".into()]],
+        changes: vec![change.into()],
+        of: [("n0".to_string(), 0)].into(),
+        phase: Phase::On { stage: 0 },
+        why: "its first stage".into(),
+    };
+    decree.with_rollout("carol", rollout).unwrap()
+}
+
+fn member() -> PersistentState {
+    let decree = decree();
+    let accepted = Arc::new(rolled(&decree));
+    PersistentState {
+        name: "n0".into(),
+        replica: 7,
+        writes: 12,
+        group_state: Some(Arc::new(decree)),
+        accepted_in: None,
+        promised: Ballot {
+            round: 5,
+            proposer: 6,
+        },
+        accepted: Some((
+            Ballot {
+                round: 5,
+                proposer: 3,
+            },
+            accepted,
+        )),
+    }
+}
+
+fn own_records() -> [AuditRecord; 3] {
+    [
+        record("made", 2),
+        record("planned", 3),
+        record("promised", 4),
+    ]
+}
+
+/// All that is in a folder's store: kind, name and record, a line each.
+fn dump(folder: &Path) -> String {
+    let store = Store::open(folder).unwrap();
+    let mut text = String::new();
+    for (kind, label) in [
+        (RecordKind::Control, "control"),
+        (RecordKind::Audit, "audit"),
+    ] {
+        let mut names = store.names(kind).unwrap();
+        names.sort();
+        for name in names {
+            let bytes = store.get(kind, &name).unwrap().unwrap();
+            let _ = writeln!(text, "{label} {name} {}", String::from_utf8(bytes).unwrap());
+        }
+    }
+    text
+}
+
+/// Writes a whole life: the first generation, a second one, a record alone, and a member's memory with a third one.
+fn write_all(
+    folder: &Path,
+    first: State,
+    second: State,
+    own: &ParticipantState,
+    member: &PersistentState,
+    records: &[AuditRecord; 3],
+) {
+    let mut durable = DurableState::open(Some(folder), || ParticipantState::new(1, first)).unwrap();
+    let second = ParticipantState::new(2, second);
+    let enforces_second = Update {
+        memory: Some(&second),
+        new_generation: true,
+        record: Some(&records[0]),
+        ..Update::default()
+    };
+    durable.commit(&enforces_second).unwrap();
+    durable.append_record(&records[1]).unwrap();
+    let enforces_own = Update {
+        memory: Some(own),
+        new_generation: true,
+        member: Some(member),
+        record: Some(&records[2]),
+    };
+    durable.commit(&enforces_own).unwrap();
+    durable.close();
+}
+
+fn full_store() -> String {
+    let folder = tempfile::tempdir().unwrap();
+    let (first, second) = (state("1"), state("2"));
+    write_all(
+        folder.path(),
+        first,
+        second,
+        &memory(),
+        &member(),
+        &own_records(),
+    );
+    dump(folder.path())
+}
+
+fn fresh_store() -> String {
+    let folder = tempfile::tempdir().unwrap();
+    let mut durable = DurableState::open(Some(folder.path()), empty_memory).unwrap();
+    let member = PersistentState::new("n0", 7);
+    let update = Update {
+        member: Some(&member),
+        ..Update::default()
+    };
+    durable.commit(&update).unwrap();
+    durable.close();
+    drop(durable);
+    dump(folder.path())
+}
+
+fn empty_memory() -> ParticipantState {
+    ParticipantState::new(1, State::default())
+}
+
+fn inherited() -> [InheritedLease; 2] {
+    let leased = InheritedLease {
+        group_version: 300,
+        expires_at: Some(Duration::new(70_000, 123_456_789)),
+        admission_deadline: 70_000_123_456,
+    };
+    let alone = InheritedLease {
+        group_version: 0,
+        expires_at: None,
+        admission_deadline: u64::MAX,
+    };
+    [leased, alone]
+}
+
+/// The names by which others know something of this package: variables, and the points of the failure injection.
+fn names() -> String {
+    let mut names = vec![
+        PROGRAM_VARIABLE,
+        REPLACEMENT_VARIABLE,
+        ROLLOUT_RECORD,
+        failpoints::VARIABLE,
+    ];
+    names.extend(failpoints::INGRESS_POINTS);
+    names.extend(failpoints::GROUP_POINTS);
+    names.join("\n") + "\n"
+}
+
+fn files() -> Vec<(&'static str, Vec<u8>)> {
+    vec![
+        ("full-store.txt", full_store().into()),
+        ("fresh-store.txt", fresh_store().into()),
+        (
+            "inherited.postcard",
+            postcard::to_stdvec(&inherited()).unwrap(),
+        ),
+        ("inherited.json", serde_json::to_vec(&inherited()).unwrap()),
+        ("names.txt", names().into()),
+    ]
+}
+
+/// A folder whose store has what a golden file says.
+fn restored(name: &str) -> tempfile::TempDir {
+    let folder = tempfile::tempdir().unwrap();
+    let store = Store::open(folder.path()).unwrap();
+    let text = fs::read_to_string(path(name)).unwrap();
+    let mut batch = Batch::new();
+    for line in text.lines() {
+        let mut parts = line.splitn(3, ' ');
+        let kind = match parts.next() {
+            Some("control") => RecordKind::Control,
+            _ => RecordKind::Audit,
+        };
+        let (name, record) = (parts.next().unwrap(), parts.next().unwrap());
+        batch = batch.put(kind, name, record);
+    }
+    store.commit(&batch).unwrap();
+    folder
+}
+
+#[test]
+fn every_form_is_written_as_in_its_golden_file() {
+    for (name, bytes) in files() {
+        let golden = fs::read(path(name)).unwrap();
+        let text = String::from_utf8_lossy(&bytes);
+        assert_eq!(text, String::from_utf8_lossy(&golden), "{name}");
+        assert_eq!(bytes, golden, "{name}");
+    }
+}
+
+#[test]
+fn the_golden_store_reads_back_and_is_written_again_the_same() {
+    let folder = restored("full-store.txt");
+    let durable = DurableState::open(Some(folder.path()), || unreachable!("it is kept")).unwrap();
+    assert_eq!(durable.memory(), &memory());
+    assert_eq!(durable.member().unwrap(), Some(member()));
+    let records = durable.records(usize::MAX).unwrap();
+    assert_eq!(records, own_records());
+    let past = |number| State::clone(&durable.generation(number).unwrap().unwrap().state);
+    let again = tempfile::tempdir().unwrap();
+    write_all(
+        again.path(),
+        past(1),
+        past(2),
+        durable.memory(),
+        &durable.member().unwrap().unwrap(),
+        &records.try_into().unwrap(),
+    );
+    let golden = fs::read_to_string(path("full-store.txt")).unwrap();
+    assert_eq!(dump(again.path()), golden);
+}
+
+#[test]
+fn the_golden_store_of_a_fresh_member_reads_back() {
+    let folder = restored("fresh-store.txt");
+    let durable = DurableState::open(Some(folder.path()), || unreachable!("it is kept")).unwrap();
+    assert_eq!(durable.memory(), &empty_memory());
+    assert_eq!(
+        durable.member().unwrap(),
+        Some(PersistentState::new("n0", 7))
+    );
+}
+
+#[test]
+fn what_passes_to_the_next_process_reads_back_and_is_written_again_the_same() {
+    let bytes = fs::read(path("inherited.postcard")).unwrap();
+    let read: [InheritedLease; 2] = postcard::from_bytes(&bytes).unwrap();
+    assert_eq!(read, inherited());
+    assert_eq!(postcard::to_stdvec(&read).unwrap(), bytes);
+}
+
+#[test]
+#[ignore = "writes the golden files: run by hand, before a form is changed on purpose"]
+fn write_the_golden_files() {
+    for (name, bytes) in files() {
+        fs::write(path(name), bytes).unwrap();
+    }
+}
--- a/crates/ctl/src/change/drive.rs
+++ b/crates/ctl/src/change/drive.rs
@@ -5,10 +5,11 @@
 use std::io::IsTerminal;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use wrenfork_commit::applier::{Applier, Phase};
-use wrenfork_commit::protocol::{Ask, Say};
+use wrenfork_commit::coordinator::{CommitPhase, Coordinator, Decision};
+use wrenfork_commit::protocol::{CommitRequest, CommitResponse};
+use wrenfork_commit::reason::MemberReason;
 use wrenfork_control_plane::client;
-use wrenfork_control_plane::fault::Faults;
+use wrenfork_control_plane::failpoints::Failpoints;
 
 /// Asks that are under way at once.
 const MOST_AT_ONCE: usize = 32;
@@ -18,13 +19,20 @@
 const AGAIN: Duration = Duration::from_millis(200);
 
 /// Asks many at once; their answers, in the same order.
-pub fn ask_all(asks: Vec<(PathBuf, Ask)>, patience: Duration) -> Vec<Result<Say, String>> {
+pub fn ask_all(
+    asks: Vec<(PathBuf, CommitRequest)>,
+    patience: Duration,
+) -> Vec<Result<CommitResponse, String>> {
     let mut answers = Vec::with_capacity(asks.len());
     for some in asks.chunks(MOST_AT_ONCE) {
         std::thread::scope(|scope| {
             let asked: Vec<_> = some
                 .iter()
-                .map(|(at, ask)| scope.spawn(move || client::ask(at, ask, patience)))
+                .map(|(at, ask)| {
+                    scope.spawn(move || {
+                        client::request(at, ask, patience).map_err(|error| error.to_string())
+                    })
+                })
                 .collect();
             for one in asked {
                 answers.push(one.join().unwrap_or_else(|_| Err("the ask ended".into())));
@@ -60,13 +68,13 @@
         Progress { bar, phase: "" }
     }
 
-    fn tell(&mut self, applier: &Applier) {
+    fn tell(&mut self, applier: &Coordinator) {
         let phase = match applier.phase {
-            Phase::Preparing => "promises",
-            Phase::Fencing => "asking how it stands",
-            Phase::Deciding(true) => "switches",
-            Phase::Deciding(false) => "giving up",
-            Phase::Ended(_) | Phase::Overtaken => return,
+            CommitPhase::Preparing => "promises",
+            CommitPhase::Fencing => "asking how it stands",
+            CommitPhase::Deciding(Decision::Commit) => "switches",
+            CommitPhase::Deciding(Decision::Abort) => "giving up",
+            CommitPhase::Ended(_) | CommitPhase::Superseded => return,
         };
         let answered = applier.members.iter().filter(|m| m.answered).count();
         if let Some(bar) = &self.bar {
@@ -89,28 +97,30 @@
 }
 
 /// Drives a change to its end; `at` has the control sockets of the members by name.
-pub fn drive(applier: &mut Applier, at: &BTreeMap<String, PathBuf>, patience: Duration) -> End {
-    let (faults, start) = (Faults::told(), Instant::now());
+pub fn drive(applier: &mut Coordinator, at: &BTreeMap<String, PathBuf>, patience: Duration) -> End {
+    let (failpoints, start) = (Failpoints::from_env(), Instant::now());
     let mut progress = Progress::new();
     let mut first_switch = None;
     let mut why: BTreeMap<String, String> = BTreeMap::new();
-    faults.pass("apply", "begun");
+    failpoints.hit("apply", "begun");
     loop {
         progress.tell(applier);
         let phase = applier.phase.clone();
         match phase {
-            Phase::Ended(true) => {
+            CommitPhase::Ended(Decision::Commit) => {
                 return End::Made(first_switch.map_or(Duration::ZERO, |t: Instant| t.elapsed()))
             }
-            Phase::Ended(false) => return End::GivenUp,
-            Phase::Overtaken => return End::Overtaken,
-            Phase::Deciding(true) => first_switch = first_switch.or(Some(Instant::now())),
+            CommitPhase::Ended(Decision::Abort) => return End::GivenUp,
+            CommitPhase::Superseded => return End::Overtaken,
+            CommitPhase::Deciding(Decision::Commit) => {
+                first_switch = first_switch.or(Some(Instant::now()))
+            }
             _ => {}
         }
         let mut asked = Vec::new();
         let mut asks = Vec::new();
         for member in 0..applier.members.len() {
-            let Some(ask) = applier.ask(member) else {
+            let Some(ask) = applier.next_request(member) else {
                 continue;
             };
             let Some(path) = at.get(&applier.members[member].ingress) else {
@@ -125,26 +135,26 @@
         }
         // One after the other where a test ends this process in between.
         let answers = asks
-            .chunks(if faults.any() { 1 } else { usize::MAX })
+            .chunks(if failpoints.is_set() { 1 } else { usize::MAX })
             .flat_map(|some| {
-                faults.pass("apply", "asking");
+                failpoints.hit("apply", "asking");
                 let answers = ask_all(some.to_vec(), PATIENCE);
-                faults.pass("apply", "answered");
+                failpoints.hit("apply", "answered");
                 answers
             });
         let answers: Vec<_> = answers.collect();
         let mut silent = asked.is_empty();
         for (member, answer) in asked.into_iter().zip(answers) {
-            if let Err(what) | Ok(Say::Unable { why: what }) = &answer {
+            if let Err(what) | Ok(CommitResponse::Unavailable { reason: what }) = &answer {
                 silent = true;
                 why.insert(applier.members[member].ingress.clone(), what.clone());
             }
             if applier.phase == phase {
-                applier.heard(member, answer.ok());
+                applier.handle_response(member, answer.ok());
             }
         }
         if applier.phase != phase {
-            faults.pass("apply", "decided");
+            failpoints.hit("apply", "decided");
             continue;
         }
         let left: Vec<&str> = applier
@@ -167,8 +177,12 @@
 }
 
 /// Tells people how a change ended.
-pub fn tell(end: &End, applier: &Applier) {
-    for (name, why) in &applier.refused {
+pub fn tell(end: &End, applier: &Coordinator) {
+    for MemberReason {
+        member: name,
+        reason: why,
+    } in &applier.rejections
+    {
         anstream::eprintln!("  {name}: {why}");
     }
     match end {
@@ -191,8 +205,10 @@
         ),
         End::Unfinished(left) => {
             let decided = match applier.phase {
-                Phase::Deciding(true) => "it is made, and ",
-                Phase::Deciding(false) => "it is given up and nothing has changed, but ",
+                CommitPhase::Deciding(Decision::Commit) => "it is made, and ",
+                CommitPhase::Deciding(Decision::Abort) => {
+                    "it is given up and nothing has changed, but "
+                }
                 _ => "",
             };
             anstream::eprintln!(
--- /dev/null
+++ b/crates/happy-eyeballs/tests/golden.rs
@@ -0,0 +1,73 @@
+//! What is known of a node's addresses, byte for byte in the positional form in which it passes from one process of an
+//! ingress to the next.
+//!
+//! The files in `golden/` are written by hand alone: `cargo test -p wrenfork-happy-eyeballs --test golden -- --ignored`.
+
+use std::fs;
+use std::path::PathBuf;
+use wrenfork_happy_eyeballs::{Address, AddressList, AddressOutcome};
+
+fn path(name: &str) -> PathBuf {
+    [env!("CARGO_MANIFEST_DIR"), "tests", "golden", name]
+        .iter()
+        .collect()
+}
+
+fn addresses() -> Vec<Address> {
+    ["127.0.0.1:9", "[2001:db8::1]:443", "unix:/run/node"]
+        .map(|text| text.parse().unwrap())
+        .into()
+}
+
+fn list() -> AddressList {
+    let addresses = addresses();
+    let mut list = AddressList::default();
+    list.update(addresses.clone());
+    list.record(&addresses[0], AddressOutcome::Unreachable, 5_000);
+    list.record(&addresses[2], AddressOutcome::TimedOut, 6_000);
+    list.record(&addresses[2], AddressOutcome::TimedOut, 7_000);
+    list
+}
+
+fn files() -> Vec<(&'static str, Vec<u8>)> {
+    vec![
+        (
+            "addresses.postcard",
+            postcard::to_stdvec(&addresses()).unwrap(),
+        ),
+        ("book.postcard", postcard::to_stdvec(&list()).unwrap()),
+        ("book.json", serde_json::to_vec(&list()).unwrap()),
+    ]
+}
+
+#[test]
+fn every_form_is_written_as_in_its_golden_file() {
+    for (name, bytes) in files() {
+        assert_eq!(bytes, fs::read(path(name)).unwrap(), "{name}");
+    }
+}
+
+#[test]
+fn every_golden_file_reads_back_and_is_written_again_the_same() {
+    let bytes = fs::read(path("addresses.postcard")).unwrap();
+    let read: Vec<Address> = postcard::from_bytes(&bytes).unwrap();
+    assert_eq!(read, addresses());
+    assert_eq!(postcard::to_stdvec(&read).unwrap(), bytes);
+
+    let bytes = fs::read(path("book.postcard")).unwrap();
+    let read: AddressList = postcard::from_bytes(&bytes).unwrap();
+    assert_eq!(read.ordered(5_000), list().ordered(5_000));
+    assert_eq!(postcard::to_stdvec(&read).unwrap(), bytes);
+
+    let text = fs::read(path("book.json")).unwrap();
+    let read: AddressList = serde_json::from_slice(&text).unwrap();
+    assert_eq!(serde_json::to_vec(&read).unwrap(), text);
+}
+
+#[test]
+#[ignore = "writes the golden files: run by hand, before a form is changed on purpose"]
+fn write_the_golden_files() {
+    for (name, bytes) in files() {
+        fs::write(path(name), bytes).unwrap();
+    }
+}
--- a/crates/ingress/src/ingress.rs
+++ b/crates/ingress/src/ingress.rs
@@ -35,14 +35,16 @@
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
 use std::time::Duration;
-use wrenfork_commit::figures::{Figures, PlanUse};
-use wrenfork_control_plane::group::Inherited as Right;
-use wrenfork_control_plane::socket::{self, Socket};
+use wrenfork_commit::metrics::{IngressMetrics, PlanUsage};
+use wrenfork_control_plane::group::InheritedLease as Right;
+use wrenfork_control_plane::socket::{self, SocketFile};
 use wrenfork_decision::{
-    Action, BackendId, Discovery, Event, Gateway, Micros, Outcome, RequestId, RosterKind,
+    Action, BackendId, DiscoveryMode, EndpointListKind, Event, Gateway, Micros, Outcome, RequestId,
 };
-use wrenfork_handover::channel::{self, Caller, Heir};
-use wrenfork_handover::inherit;
+use wrenfork_handover::caller::Caller;
+use wrenfork_handover::listener;
+use wrenfork_handover::socket_path;
+use wrenfork_handover::successor::Successor;
 use wrenfork_wire::call::{Call, Vocabulary};
 use wrenfork_wire::resp;
 
@@ -94,7 +96,7 @@
     reload: Reload,
     routing: Routing,
     /// The file of the clients' socket, where it is one.
-    socket: Option<Socket>,
+    socket: Option<SocketFile>,
     control: Option<Port>,
     /// The control side that is still to come, behind another process.
     coming: Option<Coming>,
@@ -127,15 +129,15 @@
     now: Micros,
 ) -> Event {
     let (backend, took) = (a.0, now.saturating_sub(a.1));
-    Event::Settled {
+    Event::AttemptCompleted {
         id,
         attempt,
         backend,
         outcome,
         complete,
-        took,
-        metered: None,
-        charged: None,
+        elapsed: took,
+        metered_usage: None,
+        charged_units: None,
         report: None,
     }
 }
@@ -169,7 +171,7 @@
                 let passed = config
                     .passed
                     .as_ref()
-                    .map(|number| inherit::listener(number, *at));
+                    .map(|number| listener::take_passed(number, *at));
                 let bound = match passed {
                     Some(Ok(passed)) => Ok(TcpListener::from_std(passed)),
                     Some(Err(why)) => {
@@ -183,14 +185,14 @@
                 (Listener::Tcp(bound), None)
             }
             Listen::Unix(path, mode, users) => {
-                let (bound, socket) =
-                    socket::listen(path, *mode).map_err(|why| format!("listen: {why}"))?;
+                let bound = socket::listen(path, *mode).map_err(|why| format!("listen: {why}"))?;
                 bound
+                    .listener
                     .set_nonblocking(true)
                     .map_err(|e| failed("listen: cannot be polled", e))?;
                 (
-                    Listener::unix(UnixListener::from_std(bound), users.clone()),
-                    Some(socket),
+                    Listener::unix(UnixListener::from_std(bound.listener), users.clone()),
+                    Some(bound.file),
                 )
             }
         };
@@ -204,7 +206,7 @@
         let keeps = !controlled || config.control.state.is_some();
         let passed = config.passed.is_some() && config.enforced.callers.is_none() && keeps;
         let next = match &config.listen {
-            Listen::Tcp(at) => passed.then(|| channel::path(*at)),
+            Listen::Tcp(at) => passed.then(|| socket_path(*at)),
             Listen::Unix(..) => None,
         };
         let taken = next
@@ -232,11 +234,11 @@
             )?);
             // A member whose right did not come lets nothing in before it has one.
             let none = Right {
-                number: 0,
-                until: None,
-                gate: 0,
+                group_version: 0,
+                expires_at: None,
+                admission_deadline: 0,
             };
-            gate = Gate::of(membership.map(|m| right.unwrap_or(none).gate(m)));
+            gate = Gate::of(membership.map(|m| right.unwrap_or(none).lease_guard(m)));
         }
         let (inherited, enforced, descriptors) = match taken {
             Some(Taken {
@@ -280,7 +282,9 @@
             .map(|c| c.deadline)
             .max()
             .unwrap_or(0);
-        let grouped = membership.map_or(0, |m| wrenfork_control_plane::descriptors(m.links.len()));
+        let grouped = membership.map_or(0, |m| {
+            wrenfork_control_plane::max_descriptors(m.control_sockets.len())
+        });
         let budget = Budget::new(config.sockets, config.management.is_some(), grouped)?;
         let management = management::open(config.management, registry, MANAGEMENT, |key| {
             Token(CALLERS + key)
@@ -292,7 +296,7 @@
         }
         tallies.enforce(&settings, &vocabulary);
         let requests = Requests::new(
-            settings.limits.max_open as usize,
+            settings.limits.max_pending as usize,
             config.memory / MEMORY_SHARE,
         );
         let mut timers = Timers::default();
@@ -304,7 +308,7 @@
             now,
             tick: settings.tick,
             most_attempts: settings.limits.max_attempts as usize,
-            asks_discovery: settings.discovery == Discovery::Ask,
+            asks_discovery: settings.discovery == DiscoveryMode::Poll,
             connect_timeout,
             budget,
             memory: config.memory,
@@ -350,7 +354,7 @@
         ingress.clients.gate = gate;
         match inherited {
             Some(inherited) => ingress.resume(inherited, descriptors),
-            None => ingress.take_roster(config.known, RosterKind::Cached),
+            None => ingress.take_roster(config.known, EndpointListKind::Cached),
         }
         ingress.pump();
         ingress.settle();
@@ -546,7 +550,7 @@
             avoided: self
                 .backends
                 .listed()
-                .saturating_sub(self.gateway.in_rotation()),
+                .saturating_sub(self.gateway.backends_in_rotation()),
         };
         self.ledger.telemetry(&now)
     }
@@ -583,8 +587,8 @@
         while let Some(caller) = self.offer.as_ref().and_then(Offer::next::<V>) {
             let began = self.clock.now();
             let given = match caller {
-                Ok(Caller::Next(heir, layout)) => self.give(heir, layout),
-                Ok(Caller::Keeper(lender)) => {
+                Ok(Caller::Successor { successor, layout }) => self.give(successor, layout),
+                Ok(Caller::Supervisor(lender)) => {
                     if let Some(Err(why)) = self
                         .clients
                         .listening()
@@ -596,8 +600,8 @@
                 }
                 Err(why) => Err(why),
             };
-            let mut heir = match given {
-                Ok(heir) => heir,
+            let mut successor = match given {
+                Ok(successor) => successor,
                 Err(why) => {
                     tracing::warn!("handover: {why}; going on as before");
                     continue;
@@ -612,7 +616,7 @@
             descriptors.extend(self.clients.take_descriptors());
             descriptors.extend(self.backends.take_descriptors());
             let count = descriptors.len();
-            if let Err(why) = heir.pass(descriptors) {
+            if let Err(why) = successor.send_descriptors(descriptors) {
                 tracing::error!("handover: {why}: what had not passed is lost");
             }
             let took = self.clock.now().saturating_sub(began);
@@ -627,7 +631,7 @@
     }
 
     /// Gives all away, with the control side where there is one. With an error it is this process's as before.
-    fn give(&mut self, mut heir: Heir, layout: u32) -> Result<Heir, String> {
+    fn give(&mut self, mut successor: Successor, layout: u32) -> Result<Successor, String> {
         // One that was told to stop ends by itself, and the next one begins anew.
         if self.shutdown.begun() {
             return Err("told to stop".into());
@@ -641,7 +645,10 @@
         let Some(control) = self.control.take() else {
             self.take_incoming();
             let bytes = takeover::bytes::<V>(layout, &self.given(), None)?;
-            return heir.give(&bytes).map(|()| heir);
+            return successor
+                .hand_over(&bytes)
+                .map(|()| successor)
+                .map_err(|error| error.to_string());
         };
         let ingress = std::cell::RefCell::new(self);
         let given = control.hand_over(
@@ -650,13 +657,15 @@
                 let mut this = ingress.borrow_mut();
                 this.take_incoming();
                 let bytes = takeover::bytes::<V>(layout, &this.given(), right)?;
-                heir.give(&bytes)
+                successor
+                    .hand_over(&bytes)
+                    .map_err(|error| error.to_string())
             },
         );
         if given.is_err() {
             ingress.into_inner().control = Some(control);
         }
-        given.map(|()| heir)
+        given.map(|()| successor)
     }
 
     fn given(&self) -> Given<'_> {
@@ -751,7 +760,7 @@
         self.clients.ask(callers);
         self.most_attempts = settings.limits.max_attempts as usize;
         self.connect_timeout = connect_timeout;
-        self.requests.allow(settings.limits.max_open as usize);
+        self.requests.allow(settings.limits.max_pending as usize);
         self.backends.allow(connect_timeout, keepalive);
         self.shutdown.longest(
             settings
@@ -767,50 +776,53 @@
         if self.watch.address() != discovery {
             self.watch.move_to(discovery, self.now);
         }
-        self.events.push_back(Event::Settings(Box::new(settings)));
+        self.events
+            .push_back(Event::SettingsChanged(Box::new(settings)));
         // Which node is of which pool comes at once behind the pools.
         if let Some(list) = self.routing.change(routes) {
-            self.events.push_back(Event::Roster(RosterKind::Full, list));
+            self.events
+                .push_back(Event::EndpointsChanged(EndpointListKind::Full, list));
         }
         self.pump();
         old
     }
 
-    fn figures(&self) -> Figures {
+    fn figures(&self) -> IngressMetrics {
         let ended = |end| self.ledger.all(end);
         let (served, refused, failed) =
             (ended(End::Served), ended(End::Refused), ended(End::Failed));
         let taken = self.ledger.taken;
         let names = self.clients.words.plans.iter();
         let plans = names
-            .zip(self.gateway.in_use())
+            .zip(self.gateway.plan_usage())
             .filter(|(name, u)| !name.is_empty() && u.customers > 0);
         let plans = plans.map(|(name, u)| {
             (
                 name.clone(),
-                PlanUse {
+                PlanUsage {
                     customers: u.customers,
                     rate: u.rate,
-                    open: u.open,
+                    open_attempts: u.in_flight,
                 },
             )
         });
         let classes = &self.clients.words.classes;
         let nodes = self.routing.seen(|id| {
-            let (takes, rests) = self.gateway.takes_work(id);
+            let status = self.gateway.backend_status(id);
             (
-                takes,
-                rests
+                status.accepts_work,
+                status
+                    .ejected_for
                     .into_iter()
                     .filter_map(|k| classes.get(k))
                     .map(|c| c.0.clone())
                     .collect(),
             )
         });
-        Figures {
-            taken,
+        IngressMetrics {
+            received: taken,
             served,
-            refused,
+            rejected: refused,
             failed,
             plans: plans.collect(),
             nodes,
@@ -828,25 +840,27 @@
         failed |= self.watch.wake(now, registry);
         for roster in came {
             let kind = if roster.whole {
-                RosterKind::Full
+                EndpointListKind::Full
             } else {
-                RosterKind::Delta
+                EndpointListKind::Delta
             };
             self.take_roster(roster, kind);
         }
         if failed && self.asks_discovery {
-            self.events
-                .push_back(Event::Roster(RosterKind::Failed, Vec::new()));
+            self.events.push_back(Event::EndpointsChanged(
+                EndpointListKind::Failed,
+                Vec::new(),
+            ));
         }
         self.pump();
     }
 
-    fn take_roster(&mut self, mut roster: Roster, kind: RosterKind) {
+    fn take_roster(&mut self, mut roster: Roster, kind: EndpointListKind) {
         self.routing.member(&mut roster);
         self.backends.update(&roster);
-        if kind != RosterKind::Delta || !roster.entries.is_empty() {
+        if kind != EndpointListKind::Delta || !roster.entries.is_empty() {
             let list = roster.entries.iter().map(|e| e.listed).collect();
-            self.events.push_back(Event::Roster(kind, list));
+            self.events.push_back(Event::EndpointsChanged(kind, list));
         }
     }
 
@@ -854,7 +868,7 @@
         let events = &mut self.events;
         if let Some(peers) = &mut self.peers {
             self.peers_more |=
-                peers.receive(|from, bytes| events.push_back(Event::Peer { from, bytes }));
+                peers.receive(|from, bytes| events.push_back(Event::PeerMessage { from, bytes }));
         }
         self.pump();
     }
@@ -909,7 +923,7 @@
                     if let Some(open) = self.requests.owing(id) {
                         open.over = true;
                         let passing = open.passing;
-                        self.events.push_back(Event::Withdrawn(id));
+                        self.events.push_back(Event::ClientDisconnected(id));
                         // Nobody reads on: the module calls nothing off that is the client's.
                         if let Some(attempt) = passing {
                             self.abandon(id, attempt, None, |_| Outcome::Cancelled);
@@ -973,10 +987,10 @@
                             Outcome::ConnectFailed
                         };
                         let took = self.now - began;
-                        self.events.push_back(Event::Probed {
+                        self.events.push_back(Event::HealthChecked {
                             backend,
                             outcome,
-                            took,
+                            elapsed: took,
                             report: None,
                         });
                     }
@@ -1085,7 +1099,7 @@
     fn overdue(&mut self, id: RequestId) {
         if self.requests.owing(id).is_some() {
             self.fail(id);
-            self.events.push_back(Event::Withdrawn(id));
+            self.events.push_back(Event::ClientDisconnected(id));
         }
     }
 
@@ -1117,8 +1131,8 @@
                                    name,
                                    outcome,
                                    total,
-                               }| Event::Counted {
-                    name,
+                               }| Event::CounterUpdated {
+                    counter: name,
                     outcome,
                     total,
                 };
@@ -1198,10 +1212,10 @@
         let (id, attempt) = match work {
             Work::Attempt(id, attempt) => (id, attempt),
             Work::Probe => {
-                return self.events.push_back(Event::Probed {
+                return self.events.push_back(Event::HealthChecked {
                     backend,
                     outcome,
-                    took,
+                    elapsed: took,
                     report,
                 })
             }
@@ -1226,15 +1240,15 @@
         }
         let complete = self.requests.get(id).is_none_or(|o| o.over);
         let (metered, charged) = (None, None);
-        self.events.push_back(Event::Settled {
+        self.events.push_back(Event::AttemptCompleted {
             id,
             attempt,
             backend,
             outcome,
             complete,
-            took,
-            metered,
-            charged,
+            elapsed: took,
+            metered_usage: metered,
+            charged_units: charged,
             report,
         });
         self.forget(id);
@@ -1298,7 +1312,7 @@
             let next = open.attempts.iter().position(unsent);
             if let Some(attempt) = next.and_then(|n| u16::try_from(n).ok()) {
                 // It comes back here, for the next one.
-                return self.abandon(id, attempt, None, |_| Outcome::Moot);
+                return self.abandon(id, attempt, None, |_| Outcome::NotSent);
             }
         }
         self.requests.forget(id, self.now);
@@ -1309,10 +1323,13 @@
             Action::Send {
                 id,
                 backend,
-                expires,
-                begin_by,
-            } => self.send(id, backend, expires, begin_by),
-            Action::Refuse { id, pause } => {
+                expires_at,
+                start_by,
+            } => self.send(id, backend, expires_at, start_by),
+            Action::Reject {
+                id,
+                retry_after: pause,
+            } => {
                 let mut text = [0; 40];
                 let mut rest = &mut text[..];
                 let _ = match pause {
@@ -1330,22 +1347,22 @@
                 self.timers
                     .set(self.now.saturating_add(delay), Due::Module(token));
             }
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 if let Some(peers) = &self.peers {
                     (0..V::COPIES).for_each(|_| peers.tell(to, &bytes));
                 }
             }
-            Action::Probe(backend) => self.probe(backend),
-            Action::CloseIdle(backend) => self.backends.close_idle(backend),
+            Action::CheckHealth(backend) => self.probe(backend),
+            Action::CloseIdleConnections(backend) => self.backends.close_idle(backend),
             // The watch is always on: a real ingress must keep one in any case.
-            Action::Watch(_) => {}
-            Action::FetchRoster => self.watch.fetch_whole(),
-            Action::Count {
-                name,
+            Action::WatchEndpoints(_) => {}
+            Action::FetchEndpoints => self.watch.fetch_whole(),
+            Action::AddToCounter {
+                counter: name,
                 delta,
                 lifetime,
             } => self.count(name, delta, lifetime),
-            Action::Log(text) => tracing::info!("{text}"),
+            Action::Log(event) => tracing::info!("{event}"),
         }
     }
 
@@ -1356,7 +1373,7 @@
                 id,
                 0,
                 (backend, self.now),
-                Outcome::Moot,
+                Outcome::NotSent,
                 true,
                 self.now,
             ));
@@ -1379,7 +1396,7 @@
                 id,
                 attempt,
                 (backend, self.now),
-                Outcome::Moot,
+                Outcome::NotSent,
                 open.over,
                 self.now,
             );
@@ -1449,10 +1466,10 @@
     fn probe(&mut self, backend: BackendId) {
         if !self.make_room(backend) {
             let (outcome, took) = (Outcome::ConnectFailed, 0);
-            return self.events.push_back(Event::Probed {
+            return self.events.push_back(Event::HealthChecked {
                 backend,
                 outcome,
-                took,
+                elapsed: took,
                 report: None,
             });
         }
@@ -1487,8 +1504,8 @@
             // There is none: nothing was added.
             None => {
                 let (outcome, total) = (Outcome::ConnectFailed, 0.0);
-                self.events.push_back(Event::Counted {
-                    name,
+                self.events.push_back(Event::CounterUpdated {
+                    counter: name,
                     outcome,
                     total,
                 });
--- a/crates/ingress/src/takeover.rs
+++ b/crates/ingress/src/takeover.rs
@@ -15,10 +15,11 @@
 use std::path::Path;
 use wrenfork_commit::state::State;
 use wrenfork_config::enforced::Told;
-use wrenfork_control_plane::group::Inherited as Right;
-use wrenfork_control_plane::socket::{self, Socket};
+use wrenfork_control_plane::group::InheritedLease as Right;
+use wrenfork_control_plane::socket::{self, SocketFile};
 use wrenfork_decision::{Gateway, Micros};
-use wrenfork_handover::channel::{Ancestor, Caller};
+use wrenfork_handover::caller::Caller;
+use wrenfork_handover::predecessor::{OfferedState, Predecessor};
 
 /// The number of the state's form. It grows with every change of what is kept in it, here or in the module: a process of
 /// another form must not read it wrongly. What a form has more than the one before stands behind all of that, so that a
@@ -109,8 +110,14 @@
 }
 
 fn try_ask<F: Form>(path: &Path, memory: usize) -> Result<Option<Taken>, String> {
-    let asked = Ancestor::ask(path, OLDEST..=F::LAYOUT, memory / MEMORY_SHARE)?;
-    let Some((mut ancestor, layout, bytes)) = asked else {
+    let offered = Predecessor::request_state(path, OLDEST..=F::LAYOUT, memory / MEMORY_SHARE)
+        .map_err(|error| error.to_string())?;
+    let Some(OfferedState {
+        mut predecessor,
+        layout,
+        state: bytes,
+    }) = offered
+    else {
         return Ok(None);
     };
     // All that may fail comes before it is this process's.
@@ -122,14 +129,14 @@
     let (state, right, enforced) = match read {
         Ok(read) => read,
         Err(why) => {
-            ancestor.decline(&why);
+            predecessor.decline(&why);
             return Err(why);
         }
     };
     drop(bytes);
-    ancestor.take()?;
+    predecessor.take_over().map_err(|error| error.to_string())?;
     let count = usize::from(state.peers) + state.clients.len() + state.backends.len();
-    let descriptors = ancestor.receive(count);
+    let descriptors = predecessor.receive_descriptors(count);
     if descriptors.len() < count {
         tracing::warn!(
             "handover: {} of {count} connections did not come; they are lost",
@@ -159,7 +166,7 @@
 /// The offer to the next process.
 pub struct Offer {
     listener: UnixListener,
-    socket: Socket,
+    socket: SocketFile,
 }
 
 impl Offer {
@@ -169,24 +176,27 @@
     ///
     /// Where another process of this ingress still does, or the folder can't be used.
     pub fn open(path: &Path, registry: &Registry, token: Token) -> Result<Offer, String> {
-        let (listener, socket) = socket::listen(path, 0o600)?;
-        listener
+        let bound = socket::listen(path, 0o600).map_err(|error| error.to_string())?;
+        bound
+            .listener
             .set_nonblocking(true)
             .map_err(|e| format!("{}: {e}", path.display()))?;
-        let mut listener = UnixListener::from_std(listener);
+        let mut listener = UnixListener::from_std(bound.listener);
         registry
             .register(&mut listener, token, Interest::READABLE)
             .map_err(|e| format!("{}: {e}", path.display()))?;
-        Ok(Offer { listener, socket })
+        Ok(Offer {
+            listener,
+            socket: bound.file,
+        })
     }
 
     /// Whoever asks next.
     pub fn next<F: Form>(&self) -> Option<Result<Caller, String>> {
         let (stream, _) = self.listener.accept().ok()?;
-        Some(Caller::hear(
-            UnixStream::from(OwnedFd::from(stream)),
-            OLDEST..=F::LAYOUT,
-        ))
+        let stream = UnixStream::from(OwnedFd::from(stream));
+        let caller = Caller::accept(stream, OLDEST..=F::LAYOUT);
+        Some(caller.map_err(|error| error.to_string()))
     }
 
     /// The ingress ends, with nobody behind it.
@@ -215,3 +225,6 @@
     F::write(layout, &mut bytes);
     Ok(bytes)
 }
+
+#[cfg(test)]
+mod tests;
