--- a/crates/ingress/examples/odd.rs
+++ b/crates/ingress/examples/odd.rs
@@ -16,7 +16,7 @@
 use std::process::ExitCode;
 use std::thread;
 use std::time::Duration;
-use wrenfork::{Form, FormatVersions, Variant};
+use wrenfork::{ExtensionError, FormatVersions, HandoverFormat, Variant};
 
 /// What is odd.
 #[derive(Default)]
@@ -30,17 +30,19 @@
 /// Form 6, as a later version might have it: a mark behind all else.
 const MARK: &[u8] = b"odd";
 
-fn write(layout: u32, state: &mut Vec<u8>) {
+fn write_extension(layout: u32, state: &mut Vec<u8>) {
     if layout >= 6 {
         state.extend_from_slice(MARK);
     }
 }
 
-fn read(layout: u32, rest: &[u8]) -> Result<(), String> {
+fn read_extension(layout: u32, extension: &[u8]) -> Result<(), ExtensionError> {
     let wanted: &[u8] = if layout >= 6 { MARK } else { &[] };
-    (rest == wanted)
-        .then_some(())
-        .ok_or_else(|| "the mark is missing".to_string())
+    if extension == wanted {
+        Ok(())
+    } else {
+        Err(ExtensionError("the mark is missing"))
+    }
 }
 
 impl Odd {
@@ -112,40 +114,40 @@
     ($name:ident, $layout:expr, $copies:expr) => {
         struct $name(Odd);
 
-        impl Form for $name {
+        impl HandoverFormat for $name {
             const LAYOUT: u32 = $layout;
 
-            fn write(layout: u32, state: &mut Vec<u8>) {
-                write(layout, state);
+            fn write_extension(layout: u32, state: &mut Vec<u8>) {
+                write_extension(layout, state);
             }
 
-            fn read(layout: u32, rest: &[u8]) -> Result<(), String> {
-                read(layout, rest)
+            fn read_extension(layout: u32, extension: &[u8]) -> Result<(), ExtensionError> {
+                read_extension(layout, extension)
             }
         }
 
         impl Variant for $name {
             const VERSION: &'static str = "odd";
-            const COPIES: usize = $copies;
-            const SPOILS: bool = true;
+            const MESSAGE_COPIES: usize = $copies;
+            const FAILS_SERVED: bool = true;
 
-            fn speaks(&self) -> FormatVersions {
-                let mut speaks = wrenfork::speaks(Self::VERSION, Self::LAYOUT);
+            fn format_versions(&self) -> FormatVersions {
+                let mut versions = wrenfork::format_versions(Self::VERSION, Self::LAYOUT);
                 if self.0.is("stranger") {
                     for form in [
-                        &mut speaks.peers,
-                        &mut speaks.control,
-                        &mut speaks.group_states,
+                        &mut versions.peers,
+                        &mut versions.control,
+                        &mut versions.group_states,
                     ] {
                         form.newest += 1;
                     }
-                    speaks.store.newest += 1;
-                    (speaks.handover.oldest, speaks.handover.newest) = (7, 7);
+                    versions.store.newest += 1;
+                    (versions.handover.oldest, versions.handover.newest) = (7, 7);
                 }
-                speaks
+                versions
             }
 
-            fn begin(&mut self) {
+            fn start(&mut self) {
                 self.0.begun();
             }
 
@@ -153,7 +155,7 @@
                 self.0.turned();
             }
 
-            fn spoils(&mut self, class: &str, _plan: &str, open: usize) -> bool {
+            fn fails_served(&mut self, class: &str, _plan: &str, open: usize) -> bool {
                 self.0.spoils(class, open)
             }
         }
--- /dev/null
+++ b/crates/ingress/src/backend/tests.rs
@@ -0,0 +1,82 @@
+//! Connections to backends as a handover passes them, with every field and variant in use.
+
+use super::activity::{Activity, ConnectionHandle};
+use super::connection::Connection;
+use super::handover::SavedBackends;
+use super::pool::Pool;
+use super::staleness::Staleness;
+use super::unsolicited::UnsolicitedBytes;
+use std::sync::Arc;
+use wrenfork_decision::{BackendId, RequestId};
+use wrenfork_happy_eyeballs::{Address, AddressList};
+use wrenfork_wire::call::Body;
+use wrenfork_wire::long::LongAnswer;
+
+const BACKEND: BackendId = BackendId(0xabcd);
+
+pub(crate) const HANDLE: ConnectionHandle = ConnectionHandle { key: 3, serial: 52 };
+
+fn tcp() -> Address {
+    Address::Tcp("127.0.0.1:7100".parse().unwrap())
+}
+
+fn unix() -> Address {
+    Address::Unix(Arc::from("/run/backend.sock"))
+}
+
+fn connection(serial: u64, activity: Option<Activity>) -> Connection<()> {
+    Connection {
+        established: true,
+        activity,
+        answer_since: 1_000_011,
+        ..Connection::new((), serial, BACKEND, tcp(), 1_000_010)
+    }
+}
+
+/// Connections that are idle, in use with a long body and a long answer, and in a health check.
+pub(crate) fn sample() -> SavedBackends<Connection<()>> {
+    let begun = LongAnswer::begin(b"*3\r\n$70000\r\nabc").unwrap();
+    let attempt = Connection {
+        idle_before: Some(1_000_012),
+        out: b"*5\r\n$9\r\nCALL.POST\r\n".to_vec(),
+        body: Some(Body::new(b"0123456789".to_vec(), 2..9)),
+        written: 21,
+        buf: b"$70000\r\nabc".to_vec(),
+        long: Some(begun.answer),
+        paused: true,
+        ..connection(52, Some(Activity::Attempt(RequestId(41), 1)))
+    };
+    let health_check = Connection {
+        address: unix(),
+        established: false,
+        ..connection(53, Some(Activity::HealthCheck))
+    };
+    let mut addresses = AddressList::default();
+    addresses.update(vec![tcp(), unix()]);
+    let pool = Pool {
+        addresses,
+        idle: vec![1],
+        unsolicited: UnsolicitedBytes {
+            answers: 8.5,
+            seen: 1.25,
+        },
+    };
+    let mut staleness = Staleness::default();
+    staleness.record(3_000, false);
+    staleness.record(900_000, true);
+    SavedBackends {
+        connections: vec![(1, connection(51, None)), (3, attempt), (4, health_check)],
+        pools: vec![(BACKEND, pool)],
+        serial: 54,
+        staleness,
+    }
+}
+
+/// Each kind of activity, in its order.
+pub(crate) fn activities() -> Vec<Activity> {
+    vec![
+        Activity::Attempt(RequestId(9), 2),
+        Activity::HealthCheck,
+        Activity::RaceCandidate(HANDLE),
+    ]
+}
--- /dev/null
+++ b/crates/ingress/src/config/active.rs
@@ -0,0 +1,162 @@
+//! The part of a configuration that may change while the ingress serves, compiled from pairs.
+
+use super::error::ConfigError;
+use super::json::address;
+use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
+use wrenfork_commit::state::State;
+use wrenfork_config::callers::{self, Callers};
+use wrenfork_config::enforced::{self, Pairs};
+use wrenfork_config::settings::Conf;
+use wrenfork_config::values;
+use wrenfork_decision::{Micros, Settings};
+use wrenfork_routes::Table;
+use wrenfork_wire::call::{ClassDefinition, Identity, Vocabulary};
+
+/// Settings that no change changes, as pairs of key and value.
+pub type FixedPairs = Vec<(String, String)>;
+
+/// The configuration that is enforced: all that a change may change.
+pub struct ActiveConfig {
+    /// The settings of the decision module.
+    pub settings: Settings,
+    /// The names by which requests are parsed.
+    pub vocabulary: Vocabulary,
+    /// Pools and routes.
+    pub routes: Table,
+    /// Who may send requests; none where nobody is authenticated.
+    pub callers: Option<Callers>,
+    /// The address of discovery.
+    pub discovery: SocketAddr,
+    /// How long a connection to a backend may take to be established.
+    pub connect_timeout: Micros,
+    /// How long backends keep an idle connection.
+    pub keepalive: Micros,
+}
+
+impl ActiveConfig {
+    /// The longest deadline of a class.
+    pub fn longest_deadline(&self) -> Micros {
+        longest_deadline(&self.settings)
+    }
+}
+
+/// The longest deadline of a class.
+pub fn longest_deadline(settings: &Settings) -> Micros {
+    let deadlines = settings.classes.iter().map(|class| class.deadline);
+    deadlines.max().unwrap_or(0)
+}
+
+/// Compiles a state for this ingress; `fixed` is what no change changes.
+///
+/// # Errors
+///
+/// Names the key that is unknown, missing or invalid.
+pub fn compile(fixed: &[(String, String)], state: &State) -> Result<ActiveConfig, ConfigError> {
+    let conf = enforced::join(fixed, &state.0).map_err(ConfigError::setting)?;
+    let mut settings = conf.settings().map_err(ConfigError::setting)?;
+    let (routes, _) = enforced::table(&state.0).map_err(ConfigError::setting)?;
+    settings.pool_count = routes.pools.len() as u8;
+    if settings.tick == 0 {
+        return Err(ConfigError::Zero("tick_us"));
+    }
+    let vocabulary = vocabulary(&conf, &state.0, &settings)?;
+    let class_names: Vec<String> = vocabulary.classes.iter().map(|c| c.name.clone()).collect();
+    let discovery = state.0.get("discovery");
+    let discovery = discovery.ok_or(ConfigError::Missing("discovery"))?;
+    let micros = |key: &str| conf.micros(key).map_err(ConfigError::setting);
+    let connect_timeout = micros("limits.connect_timeout_us")?;
+    let keepalive = micros("limits.keepalive_us")?;
+    let callers = callers::read(&state.0, &class_names).map_err(ConfigError::setting)?;
+    Ok(ActiveConfig {
+        vocabulary: Vocabulary {
+            authenticates: callers.is_some(),
+            ..vocabulary
+        },
+        settings,
+        routes,
+        callers,
+        discovery: address(discovery, "discovery")?,
+        connect_timeout,
+        keepalive,
+    })
+}
+
+/// The names of classes and plans, and the accounts of a sidecar's application.
+fn vocabulary(conf: &Conf, state: &Pairs, settings: &Settings) -> Result<Vocabulary, ConfigError> {
+    let class_names = conf.names("grades").map_err(ConfigError::setting)?;
+    let plans = conf.names("contracts").map_err(ConfigError::setting)?;
+    reject_duplicates("grades", &class_names)?;
+    reject_duplicates("contracts", &plans)?;
+    let idempotencies = settings.classes.iter().map(|class| class.idempotency);
+    let classes: Vec<ClassDefinition> = class_names
+        .into_iter()
+        .zip(idempotencies)
+        .map(|(name, idempotency)| ClassDefinition { name, idempotency })
+        .collect();
+    let max_units = conf.number_or("family_info.most_units", f64::MAX);
+    let max_units = max_units.map_err(ConfigError::setting)?;
+    let identity = match state.get("sends") {
+        Some(sends) => Some(identity(sends, state, &classes, &plans)?),
+        None => None,
+    };
+    Ok(Vocabulary {
+        classes,
+        plans,
+        max_units,
+        gateways: u64::from(settings.gateway_count),
+        identity,
+        authenticates: false,
+    })
+}
+
+fn reject_duplicates(list: &'static str, names: &[String]) -> Result<(), ConfigError> {
+    let mut seen = HashSet::new();
+    for (index, name) in names.iter().enumerate() {
+        if !name.is_empty() && !seen.insert(name) {
+            return Err(ConfigError::DuplicateName {
+                list,
+                index,
+                name: name.clone(),
+            });
+        }
+    }
+    Ok(())
+}
+
+/// The accounts of a sidecar's application, and the classes that it sends.
+fn identity(
+    sends: &str,
+    state: &Pairs,
+    classes: &[ClassDefinition],
+    plans: &[String],
+) -> Result<Identity, ConfigError> {
+    let sends: Vec<&str> = sends.split(',').collect();
+    // A quota of its own, behind `~`, is this program's matter: backends know the plan.
+    let plan_at_backends = |plan: &String| plan.split('~').next().unwrap_or(plan).to_string();
+    let may_send = |c: &ClassDefinition| !c.name.is_empty() && sends.contains(&c.name.as_str());
+    Ok(Identity {
+        accounts: accounts(state, plans)?,
+        plans_at_backends: plans.iter().map(plan_at_backends).collect(),
+        may_send: classes.iter().map(may_send).collect(),
+    })
+}
+
+/// The index of the plan of each account.
+fn accounts(state: &Pairs, plans: &[String]) -> Result<HashMap<u64, u16>, ConfigError> {
+    let indices: HashMap<&str, u16> = plans.iter().map(String::as_str).zip(0..).collect();
+    let mut accounts = HashMap::new();
+    for (key, plan) in state {
+        let Some(id) = key.strip_prefix("accounts.") else {
+            continue;
+        };
+        let account = values::account(id).map_err(ConfigError::setting)?;
+        let index = indices.get(plan.as_str()).filter(|_| !plan.is_empty());
+        let index = index.ok_or_else(|| ConfigError::UnknownPlan {
+            account,
+            plan: plan.clone(),
+        })?;
+        accounts.insert(account, *index);
+    }
+    Ok(accounts)
+}
--- /dev/null
+++ b/crates/ingress/src/config/sidecar.rs
@@ -0,0 +1,96 @@
+//! The files of a sidecar.
+
+use super::error::ConfigError;
+use super::source::SidecarFiles;
+use super::{Config, ControlConfig};
+use std::hash::{BuildHasher, RandomState};
+use std::path::{Path, PathBuf};
+use wrenfork_config::model::Application;
+use wrenfork_config::reader::At;
+use wrenfork_config::set::Set;
+use wrenfork_config::{enforced, group};
+use wrenfork_control_plane::group::{GroupConfig, WithoutLease};
+
+impl Config {
+    /// Reads a sidecar's files. Files that are refused are told line by line.
+    pub(super) fn read_sidecar(files: &SidecarFiles) -> Result<Config, ConfigError> {
+        let set = Set::read(paths(files));
+        if set.refused() {
+            return Err(ConfigError::SidecarFiles(findings(&set)));
+        }
+        let apps = set.applications();
+        let (Some(site), [app]) = (set.site(), &apps[..]) else {
+            let path = files.app.display().to_string();
+            return Err(ConfigError::NotAnApplication(path));
+        };
+        let (site, app) = (site.content, app.content);
+        let name = sidecar_name(files, app)?;
+        let fleet = set.fleet().map(|fleet| fleet.content);
+        let (json, pairs) =
+            enforced::sidecar(app, site, fleet, name).map_err(ConfigError::setting)?;
+        let mut config = Config::from_json(&json, pairs, |_| None)?;
+        config.platform_only = false;
+        config.seed = RandomState::new().hash_one(name);
+        config.control = control(app, name);
+        Ok(config)
+    }
+}
+
+/// The files, the site's first.
+fn paths(files: &SidecarFiles) -> impl Iterator<Item = PathBuf> {
+    let site = files.site.clone().unwrap_or_else(|| {
+        let folder = files.app.parent().unwrap_or(Path::new(""));
+        folder.join("site.toml")
+    });
+    [site, files.app.clone()]
+        .into_iter()
+        .chain(files.fleet.clone())
+}
+
+/// A line for each finding that refuses the files.
+fn findings(set: &Set) -> String {
+    let refusing = set.found.iter().filter(|d| d.refused());
+    let lines: Vec<String> = refusing.map(|d| d.line(&set.sources)).collect();
+    lines.join("\n")
+}
+
+/// The name of the sidecar that this ingress is.
+fn sidecar_name<'a>(
+    files: &'a SidecarFiles,
+    app: &'a Application,
+) -> Result<&'a String, ConfigError> {
+    match (&files.sidecar, &app.sidecars[..]) {
+        (Some(name), _) => Ok(name),
+        (None, [only]) => Ok(&only.name.value),
+        (None, _) => Err(ConfigError::SidecarNotNamed),
+    }
+}
+
+/// The control port of a sidecar.
+fn control(app: &Application, name: &str) -> ControlConfig {
+    let path = |p: &Option<At<String>>| p.as_ref().map(|p| PathBuf::from(&p.value));
+    let own = app.sidecars.iter().find(|s| s.name.value == *name);
+    let others = app.sidecars.iter().filter(|s| s.name.value != *name);
+    ControlConfig {
+        name: enforced::called(app, name),
+        socket: own.and_then(|s| path(&s.control)),
+        state: own.and_then(|s| path(&s.state)),
+        others: others.filter_map(|s| path(&s.control)).collect(),
+        membership: membership(app, name),
+    }
+}
+
+/// The group that a sidecar belongs to, if any.
+fn membership(app: &Application, name: &str) -> Option<GroupConfig> {
+    let group = group::group(app)?;
+    Some(GroupConfig {
+        initial_members: group.charter(),
+        control_sockets: group.links(&enforced::called(app, name)),
+        without_lease: if group.as_known {
+            WithoutLease::ServeLastKnown
+        } else {
+            WithoutLease::Reject
+        },
+        inherited_lease: None,
+    })
+}
--- /dev/null
+++ b/crates/ingress/src/control/port.rs
@@ -0,0 +1,67 @@
+//! The event loop's end of the control port: commands that the control threads send, taken between two turns.
+
+use super::event_loop_handle::EventLoopHandle;
+use crate::admission::AdmissionGuard;
+use crate::config::ActiveConfig;
+use std::sync::mpsc::{Receiver, SyncSender};
+use wrenfork_commit::metrics::IngressMetrics;
+use wrenfork_commit::state::State;
+use wrenfork_control_plane::group::InheritedLease;
+use wrenfork_control_plane::{ControlServer, HandoverError};
+use wrenfork_rollout::tally::Tally;
+use wrenfork_wire::call::Vocabulary;
+
+/// A configuration that is to be enforced: as text pairs, and compiled for this ingress.
+pub struct NewConfig {
+    /// The pairs, which pass to the next process.
+    pub state: Box<State>,
+    /// The same, compiled.
+    pub compiled: Box<ActiveConfig>,
+}
+
+/// A command of a control thread to the event loop, with the channel for its answer.
+pub enum ControlCommand {
+    /// Enforce a configuration from now on. The vocabulary that it replaces comes back.
+    Apply(NewConfig, SyncSender<Vocabulary>),
+    /// LoadReport the usage figures that a planned change is judged by.
+    ReportFigures(SyncSender<IngressMetrics>),
+    /// LoadReport the counts that a staged rollout compares.
+    ReportCohortMetrics(SyncSender<Tally>),
+}
+
+/// The event loop's end of the control port.
+pub struct ControlPort {
+    pub(super) commands: Receiver<ControlCommand>,
+    pub(super) server: ControlServer<EventLoopHandle>,
+}
+
+impl ControlPort {
+    /// The commands that have arrived, without waiting for one.
+    pub fn commands(&self) -> Vec<ControlCommand> {
+        self.commands.try_iter().collect()
+    }
+
+    /// The guard that admits requests while this member's lease holds.
+    pub fn admission_guard(&self) -> AdmissionGuard {
+        AdmissionGuard::new(self.server.lease_guard())
+    }
+
+    /// Hands the control port over with all else, see [`ControlServer::hand_over`]. `meanwhile` carries commands out that
+    /// arrive while one is under way.
+    ///
+    /// # Errors
+    ///
+    /// Where `give` fails or a change is under way for too long: this process serves on as before.
+    pub fn hand_over<T, E>(
+        &self,
+        mut meanwhile: impl FnMut(Vec<ControlCommand>),
+        give: impl FnOnce(Option<InheritedLease>) -> Result<T, E>,
+    ) -> Result<T, HandoverError<E>> {
+        self.server.hand_over(|| meanwhile(self.commands()), give)
+    }
+
+    /// Closes the socket and the state folder.
+    pub fn close(self) {
+        self.server.close();
+    }
+}
--- a/crates/ingress/src/backoff/tests.rs
+++ b/crates/ingress/src/discovery/backoff/tests.rs
@@ -1,6 +1,7 @@
 //! The pauses by themselves, and a crowd of callers that keep to them.
 
-use super::{Backoff, Failure, Micros, LONGEST};
+use super::{Backoff, Failure, MAX_BACKOFF};
+use wrenfork_decision::Micros;
 
 /// So many callers start at once at a service that takes so many calls a second; a call that is turned away costs it half of
 /// one, and it turns away what would wait for more than two seconds. Gives how many are not served in 30 s, and all calls.
@@ -23,7 +24,7 @@
             } else {
                 (backlog, *due) = (
                     backlog + 0.5,
-                    Some(now + backoffs[n].pause(Failure::TurnedAway)),
+                    Some(now + backoffs[n].delay(Failure::Rejected)),
                 );
             }
         }
@@ -57,10 +58,10 @@
             let failure = if (seed + n) % 3 == 0 {
                 Failure::Broken
             } else {
-                Failure::TurnedAway
+                Failure::Rejected
             };
-            let pause = backoff.pause(failure);
-            assert!(pause <= LONGEST, "{pause} us after call {n}");
+            let pause = backoff.delay(failure);
+            assert!(pause <= MAX_BACKOFF, "{pause} us after call {n}");
         }
     }
 }
@@ -68,11 +69,11 @@
 #[test]
 fn a_service_that_is_gone_is_called_again_within_a_second_and_a_half() {
     let mut backoff = Backoff::new(7);
-    let pauses: Vec<Micros> = (0..40).map(|_| backoff.pause(Failure::Broken)).collect();
+    let pauses: Vec<Micros> = (0..40).map(|_| backoff.delay(Failure::Broken)).collect();
     assert!(
         pauses[0] <= 75_000 && pauses.iter().all(|p| (25_000..=1_500_000).contains(p)),
         "{pauses:?}"
     );
     backoff.reset();
-    assert!(backoff.pause(Failure::Broken) <= 75_000);
+    assert!(backoff.delay(Failure::Broken) <= 75_000);
 }
--- a/crates/ingress/src/discovery/tests.rs
+++ b/crates/ingress/src/discovery/tests.rs
@@ -1,17 +1,18 @@
 //! How answers of discovery are read.
 
-use super::{
-    read_answer, Answer, EndpointState, Micros, Sites, Token, Watch, NO_NEWS, PATIENCE, WAIT,
-};
-use mio::{Events, Poll};
+use super::client::{EMPTY_PAUSE, POLL_WAIT, TIMEOUT};
+use super::http::{read_response, Response};
+use super::{DiscoveryClient, LocationNames};
+use mio::{Events, Poll, Token};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::time::Duration;
+use wrenfork_decision::{EndpointState, Micros};
 
-fn sites() -> Sites {
-    Sites {
+fn location_names() -> LocationNames {
+    LocationNames {
         zones: vec!["a".into(), "b".into()],
-        kinds: vec!["m1".into(), "m2".into()],
+        machine_types: vec!["m1".into(), "m2".into()],
     }
 }
 
@@ -39,11 +40,13 @@
         (chunked, false),
         (format!("HTTP/1.0 200 OK\r\n\r\n{LIST}"), true),
     ] {
-        let Answer::Whole(roster, goes_on) = read_answer(text.as_bytes(), ended, &sites()) else {
+        let Response::Complete { list, keep_alive } =
+            read_response(text.as_bytes(), ended, &location_names())
+        else {
             panic!("not read: {text}")
         };
-        assert_eq!((roster.index, roster.whole, goes_on), (43, false, !ended));
-        let [one, two] = &roster.entries[..] else {
+        assert_eq!((list.index, list.is_full, keep_alive), (43, false, !ended));
+        let [one, two] = &list.endpoints[..] else {
             panic!("not two entries")
         };
         assert_eq!(
@@ -55,12 +58,12 @@
             (7000, EndpointState::Draining)
         );
         assert_eq!(
-            (&two.places[..], two.listed.state),
+            (&two.addresses[..], two.listed.state),
             (&[][..], EndpointState::Removed)
         );
         for cut in 0..text.len() - 1 {
-            let part = read_answer(&text.as_bytes()[..cut], false, &sites());
-            assert!(matches!(part, Answer::Partial), "cut at {cut}: {text}");
+            let part = read_response(&text.as_bytes()[..cut], false, &location_names());
+            assert!(matches!(part, Response::Partial), "cut at {cut}: {text}");
         }
     }
 }
@@ -77,8 +80,8 @@
     ] {
         assert!(
             matches!(
-                read_answer(bad.as_bytes(), false, &sites()),
-                Answer::Bad(..)
+                read_response(bad.as_bytes(), false, &location_names()),
+                Response::Invalid(..)
             ),
             "{bad}"
         );
@@ -87,17 +90,17 @@
 
 /// What a watch took in until `enough` of its state, with the clock standing at `now`; whether it failed meanwhile.
 fn hears(
-    watch: &mut Watch,
+    watch: &mut DiscoveryClient,
     poll: &mut Poll,
     now: Micros,
-    enough: impl Fn(&Watch) -> bool,
+    enough: impl Fn(&DiscoveryClient) -> bool,
 ) -> (Vec<u64>, bool) {
     let (mut events, mut came, mut failed) = (Events::with_capacity(8), Vec::new(), false);
     while !enough(watch) {
         poll.poll(&mut events, Some(Duration::from_secs(20)))
             .unwrap();
         assert!(!events.is_empty(), "nothing comes any more");
-        failed |= watch.ready(now, poll.registry(), &mut |roster| came.push(roster.index));
+        failed |= watch.ready(now, poll.registry(), &mut |list| came.push(list.index));
     }
     (came, failed)
 }
@@ -108,7 +111,13 @@
 fn what_comes_between_two_calls_spoils_nothing() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut poll = Poll::new().unwrap();
-    let mut watch = Watch::new(listener.local_addr().unwrap(), sites(), 1, Token(1), 7);
+    let mut watch = DiscoveryClient::new(
+        listener.local_addr().unwrap(),
+        location_names(),
+        1,
+        Token(1),
+        7,
+    );
     let accept = || {
         let (mut stream, _) = listener.accept().unwrap();
         let (mut head, mut chunk) = (Vec::new(), [0; 1024]);
@@ -133,7 +142,7 @@
     // At once and with nothing: the next call waits a little, and meanwhile there comes what nobody asked for.
     first(&answer(1, ""));
     assert_eq!(
-        hears(&mut watch, &mut poll, 0, |w| w.called.is_none()),
+        hears(&mut watch, &mut poll, 0, |w| w.requested_at.is_none()),
         (vec![1], false)
     );
     first("HTTP/1.1 200 OK\r\nContent-Len");
@@ -142,15 +151,15 @@
         (vec![], false)
     );
     assert!(
-        watch.wake_at <= NO_NEWS,
+        watch.wake_at <= EMPTY_PAUSE,
         "the next call comes when it would have come"
     );
-    assert!(!watch.wake(NO_NEWS, poll.registry()));
+    assert!(!watch.wake(EMPTY_PAUSE, poll.registry()));
     let mut second = accept();
     second(&answer(2, r#"{"name":"s-2","status":"removed"}"#));
     assert_eq!(
-        hears(&mut watch, &mut poll, NO_NEWS, |w| w.index == Some(2)
-            || w.called.is_none()),
+        hears(&mut watch, &mut poll, EMPTY_PAUSE, |w| w.index == Some(2)
+            || w.requested_at.is_none()),
         (vec![2], false)
     );
 }
@@ -164,7 +173,13 @@
         TcpListener::bind("127.0.0.1:0").unwrap(),
     );
     let mut poll = Poll::new().unwrap();
-    let mut watch = Watch::new(listener.local_addr().unwrap(), sites(), 7, Token(1), 7);
+    let mut watch = DiscoveryClient::new(
+        listener.local_addr().unwrap(),
+        location_names(),
+        7,
+        Token(1),
+        7,
+    );
     watch.move_to(next.local_addr().unwrap(), 0);
     for answered in [true, false] {
         let from = watch.wake_at;
@@ -172,7 +187,7 @@
         let (mut stream, _) = next.accept().unwrap();
         hears(&mut watch, &mut poll, from, |w| w.out.is_empty());
         assert!(
-            !watch.wake(from + WAIT + PATIENCE - 1, poll.registry()),
+            !watch.wake(from + POLL_WAIT + TIMEOUT - 1, poll.registry()),
             "it is given up"
         );
         if answered {
@@ -183,15 +198,15 @@
                 body.len()
             )
             .unwrap();
-            let heard = |w: &Watch| w.index == Some(1);
+            let heard = |w: &DiscoveryClient| w.index == Some(1);
             assert_eq!(
-                hears(&mut watch, &mut poll, from + WAIT + PATIENCE - 1, heard),
+                hears(&mut watch, &mut poll, from + POLL_WAIT + TIMEOUT - 1, heard),
                 (vec![1], false)
             );
-            watch.move_to(next.local_addr().unwrap(), from + WAIT + PATIENCE);
+            watch.move_to(next.local_addr().unwrap(), from + POLL_WAIT + TIMEOUT);
         } else {
             assert!(
-                watch.wake(from + WAIT + PATIENCE, poll.registry()),
+                watch.wake(from + POLL_WAIT + TIMEOUT, poll.registry()),
                 "it waits for ever"
             );
         }
--- /dev/null
+++ b/crates/ingress/src/ingress/builder.rs
@@ -0,0 +1,352 @@
+//! The start of an ingress, in steps: listeners, the process before or the durable state, then all that serves.
+
+use super::handover::SuccessorListener;
+use super::listener::{self, BoundListener};
+use super::tokens::{
+    backend_token, client_token, operator_token, CONTROL, COUNTER, DISCOVERY, LISTENER, MANAGEMENT,
+    PEERS, SIGNALS,
+};
+use super::{Ingress, Limits, UnfinishedWork, MEMORY_SHARE, SWEEP_INTERVAL};
+use crate::admission::AdmissionGuard;
+use crate::backend::Backends;
+use crate::client::Clients;
+use crate::clock::Clock;
+use crate::cohort_metrics::CohortMetrics;
+use crate::config::{ActiveConfig, Callers, Config, ConfigSource, ListenAddress, PeerAddresses};
+use crate::control::{self, ControlPort, PendingControlServer};
+use crate::counter::CounterClient;
+use crate::descriptor_budget::{DescriptorBudget, ReservedDescriptors};
+use crate::discovery::DiscoveryClient;
+use crate::error::IngressError;
+use crate::management::ManagementServer;
+use crate::peers::PeerSocket;
+use crate::reload::ConfigReloader;
+use crate::reload_status::ReloadStatusFile;
+use crate::request_metrics::RequestMetrics;
+use crate::requests::OpenRequests;
+use crate::routing::Routing;
+use crate::shutdown::Shutdown;
+use crate::stream::Listener;
+use crate::takeover::{take_over, InheritedState, TakenOver};
+use crate::timers::{Due, Timers};
+use crate::variant::Variant;
+use mio::{Interest, Poll, Registry};
+use signal_hook_mio::v1_0::Signals;
+use std::collections::VecDeque;
+use std::os::fd::OwnedFd;
+use std::path::PathBuf;
+use wrenfork_control_plane::group::InheritedLease;
+use wrenfork_decision::{DiscoveryMode, EndpointListKind, Gateway, Micros};
+use wrenfork_handover::socket_path;
+use wrenfork_wire::call::Vocabulary;
+
+/// The lease of a member that came without one: it admits nothing before it has one.
+const NO_LEASE: InheritedLease = InheritedLease {
+    group_version: 0,
+    expires_at: None,
+    admission_deadline: 0,
+};
+
+/// Makes an [`Ingress`].
+pub struct IngressBuilder<V> {
+    variant: V,
+    config: Config,
+    poll: Poll,
+    signals: Signals,
+    bound: BoundListener,
+}
+
+/// The control port at a start.
+#[derive(Default)]
+struct ControlStart {
+    port: Option<ControlPort>,
+    pending: Option<PendingControlServer>,
+    admission: AdmissionGuard,
+}
+
+/// What is opened at a start besides the clients' listener.
+struct Opened {
+    peers: Option<PeerSocket>,
+    management: Option<ManagementServer>,
+    budget: DescriptorBudget,
+    clock: Clock,
+}
+
+/// What came from the process before.
+struct Inheritance {
+    state: InheritedState,
+    /// The sockets that are not taken yet, in the state's order.
+    descriptors: std::vec::IntoIter<OwnedFd>,
+}
+
+impl<V: Variant> IngressBuilder<V> {
+    /// Binds the address for clients. From here on clients may connect; they are served once [`Ingress::run`] runs.
+    ///
+    /// # Errors
+    ///
+    /// Where the address can't be bound.
+    pub fn new(variant: V, config: Config, mut signals: Signals) -> Result<Self, IngressError> {
+        let poll = Poll::new().map_err(IngressError::Poll)?;
+        let mut bound = listener::bind(&config)?;
+        let registry = poll.registry();
+        registry
+            .register(&mut bound.listener, LISTENER, Interest::READABLE)
+            .and_then(|()| registry.register(&mut signals, SIGNALS, Interest::READABLE))
+            .map_err(IngressError::Poll)?;
+        Ok(IngressBuilder {
+            variant,
+            config,
+            poll,
+            signals,
+            bound,
+        })
+    }
+
+    /// Takes over from the process before, if there is one, and opens all else.
+    ///
+    /// # Errors
+    ///
+    /// Where the durable state, an address or the descriptors can't be had.
+    pub fn build(
+        mut self,
+        source: ConfigSource,
+        status: ReloadStatusFile,
+    ) -> Result<Ingress<V>, IngressError> {
+        let path = self.handover_path();
+        let memory = self.config.memory;
+        let taken = path
+            .as_deref()
+            .and_then(|path| take_over::<V>(path, memory));
+        let control = self.open_control(taken.as_ref())?;
+        let reloader = ConfigReloader::new(source, &self.config, status);
+        let mut inheritance = taken.map(|taken| self.inherit(taken));
+        let opened = self.open_sockets(inheritance.as_mut(), path.is_some())?;
+        let listen = self.config.listen.clone();
+        let known = std::mem::take(&mut self.config.known_endpoints);
+        let mut ingress = self.assemble(opened, control, reloader, path, known.index);
+        match inheritance {
+            Some(inheritance) => ingress.resume(inheritance.state, inheritance.descriptors),
+            None => ingress.take_endpoints(known, EndpointListKind::Cached),
+        }
+        ingress.pump();
+        ingress.occupy_free_addresses();
+        tracing::info!("listening at {listen}");
+        Ok(ingress)
+    }
+
+    /// Where the next process finds this one, if it may come while this one serves: where the platform holds the listener, and
+    /// another process of this ingress may be serving at this moment. What callers have proved does not pass to another process,
+    /// nor does what is stored in memory alone of what was applied.
+    fn handover_path(&self) -> Option<PathBuf> {
+        let config = &self.config;
+        let stores_state = !config.has_control_port() || config.control.state.is_some();
+        let may_pass =
+            config.inherited_listener.is_some() && config.active.callers.is_none() && stores_state;
+        match &config.listen {
+            ListenAddress::Tcp(address) => may_pass.then(|| socket_path(*address)),
+            ListenAddress::Unix { .. } => None,
+        }
+    }
+
+    /// Opens the control port, or has it opened once the process before has let go of it.
+    fn open_control(&mut self, taken: Option<&TakenOver>) -> Result<ControlStart, IngressError> {
+        let registry = self.poll.registry();
+        let Some(taken) = taken else {
+            let restored = control::restore(&mut self.config)?;
+            let port = restored
+                .map(|restored| restored.serve(registry, CONTROL))
+                .transpose()?
+                .flatten();
+            let admission = port.as_ref().map(ControlPort::admission_guard);
+            return Ok(ControlStart {
+                admission: admission.unwrap_or_default(),
+                port,
+                pending: None,
+            });
+        };
+        if !self.config.has_control_port() {
+            return Ok(ControlStart::default());
+        }
+        let handed_over = &taken.state.source_pairs;
+        let pending =
+            PendingControlServer::start(&self.config, handed_over, taken.lease, registry, CONTROL)?;
+        let membership = self.config.control.membership.as_ref();
+        let lease = taken.lease.unwrap_or(NO_LEASE);
+        Ok(ControlStart {
+            port: None,
+            pending: Some(pending),
+            admission: AdmissionGuard::new(membership.map(|m| lease.lease_guard(m))),
+        })
+    }
+
+    /// What the process before enforced is enforced, in place of the files.
+    fn inherit(&mut self, taken: TakenOver) -> Inheritance {
+        self.config.active = taken.active;
+        Inheritance {
+            state: taken.state,
+            descriptors: taken.descriptors.into_iter(),
+        }
+    }
+
+    /// Opens the sockets to peers and operators, where there are to be any, and divides the descriptors that are left.
+    fn open_sockets(
+        &mut self,
+        inheritance: Option<&mut Inheritance>,
+        may_wait: bool,
+    ) -> Result<Opened, IngressError> {
+        let registry = self.poll.registry();
+        let mut peer_descriptor = None;
+        let mut clocks = None;
+        if let Some(inheritance) = inheritance {
+            clocks = Some(inheritance.state.clocks);
+            if inheritance.state.has_peer_socket {
+                peer_descriptor = inheritance.descriptors.next();
+            }
+        }
+        let addresses = self.config.peers.take();
+        let peers = addresses
+            .map(|addresses| open_peers(addresses, peer_descriptor, registry, may_wait))
+            .transpose()?;
+        let clock = clocks.map_or_else(Clock::new, Clock::resume);
+        let budget = DescriptorBudget::new(self.config.max_descriptors, self.reserved())?;
+        let management = self
+            .config
+            .management
+            .map(|address| ManagementServer::bind(address, registry, MANAGEMENT, operator_token));
+        Ok(Opened {
+            peers,
+            management: management.transpose()?,
+            budget,
+            clock,
+        })
+    }
+
+    fn reserved(&self) -> ReservedDescriptors {
+        let membership = self.config.control.membership.as_ref();
+        let members = membership.map(|membership| membership.control_sockets.len());
+        ReservedDescriptors {
+            management: self.config.management.is_some(),
+            group: members.map_or(0, wrenfork_control_plane::max_descriptors),
+        }
+    }
+
+    fn assemble(
+        self,
+        opened: Opened,
+        control: ControlStart,
+        reloader: ConfigReloader,
+        handover_path: Option<PathBuf>,
+        endpoints_index: u64,
+    ) -> Ingress<V> {
+        let config = self.config;
+        let now = opened.clock.now();
+        let may_change_pools = !config.platform_only || config.has_control_port();
+        let counter = config
+            .counter
+            .map(|counter| CounterClient::new(counter.address, counter.timeout, COUNTER));
+        let discovery = DiscoveryClient::new(
+            config.active.discovery,
+            config.location_names,
+            endpoints_index,
+            DISCOVERY,
+            config.seed,
+        );
+        let active = config.active;
+        let memory = config.memory / MEMORY_SHARE;
+        let max_open = active.settings.limits.max_pending as usize;
+        let in_group = config.control.membership.is_some();
+        Ingress {
+            variant: self.variant,
+            poll: self.poll,
+            clock: opened.clock,
+            now,
+            limits: Limits::new(&active, config.memory),
+            budget: opened.budget,
+            metrics: RequestMetrics::new(active.vocabulary.class_names()),
+            cohort_metrics: cohort_metrics(&active, in_group),
+            shutdown: Shutdown::new(active.longest_deadline()),
+            gateway: Gateway::new(active.settings, config.seed, now),
+            events: VecDeque::new(),
+            actions: Vec::new(),
+            clients: open_clients(
+                self.bound.listener,
+                active.vocabulary,
+                active.callers,
+                memory,
+                control.admission,
+            ),
+            backends: Backends::new(active.connect_timeout, active.keepalive, backend_token),
+            discovery,
+            reloader,
+            routing: Routing::new(active.routes, may_change_pools),
+            socket: self.bound.socket,
+            control: control.port,
+            pending_control: control.pending,
+            management: opened.management,
+            peers: opened.peers,
+            counter,
+            signals: self.signals,
+            requests: OpenRequests::new(max_open, memory),
+            timers: initial_timers(now),
+            unfinished: UnfinishedWork::default(),
+            successor: SuccessorListener::new(handover_path),
+        }
+    }
+}
+
+impl Limits {
+    fn new(active: &ActiveConfig, memory: usize) -> Limits {
+        let settings = &active.settings;
+        Limits {
+            tick: settings.tick,
+            max_attempts: settings.limits.max_attempts as usize,
+            polls_discovery: settings.discovery == DiscoveryMode::Poll,
+            connect_timeout: active.connect_timeout,
+            memory,
+        }
+    }
+}
+
+/// Opens the socket to the peers; where it `may_wait`, an address that another process has is bound later.
+fn open_peers(
+    addresses: PeerAddresses,
+    descriptor: Option<OwnedFd>,
+    registry: &Registry,
+    may_wait: bool,
+) -> Result<PeerSocket, IngressError> {
+    let address = addresses.listen;
+    let opened = match descriptor {
+        Some(descriptor) => PeerSocket::from_descriptor(addresses, descriptor, registry, PEERS),
+        None => PeerSocket::bind(addresses, registry, PEERS, may_wait),
+    };
+    opened.map_err(|source| IngressError::PeerListen { address, source })
+}
+
+fn open_clients(
+    listener: Listener,
+    vocabulary: Vocabulary,
+    callers: Option<Callers>,
+    memory: usize,
+    admission: AdmissionGuard,
+) -> Clients {
+    let mut clients = Clients::new(listener, vocabulary, memory, client_token);
+    clients.set_callers(callers);
+    clients.admission = admission;
+    clients
+}
+
+/// Counts for staged rollouts, where there may be any.
+fn cohort_metrics(active: &ActiveConfig, in_group: bool) -> CohortMetrics {
+    let mut metrics = CohortMetrics::default();
+    if in_group {
+        metrics.start();
+    }
+    metrics.set_weights(&active.settings, &active.vocabulary);
+    metrics
+}
+
+fn initial_timers(now: Micros) -> Timers {
+    let mut timers = Timers::default();
+    timers.set(now + SWEEP_INTERVAL, Due::Sweep);
+    timers
+}
--- /dev/null
+++ b/crates/ingress/src/ingress/configuration.rs
@@ -0,0 +1,138 @@
+//! Changes of the configuration, through the control port and at SIGHUP.
+
+use super::Ingress;
+use crate::config::ActiveConfig;
+use crate::control::{ControlCommand, ControlPort, NewConfig, PendingControlServer};
+use crate::reload::Reload;
+use crate::request_metrics::RequestEnd;
+use crate::routing::EndpointWork;
+use crate::timers::Due;
+use crate::variant::Variant;
+use std::collections::BTreeMap;
+use wrenfork_commit::metrics::{IngressMetrics, PlanUsage};
+use wrenfork_decision::{BackendId, EndpointListKind, Event};
+use wrenfork_wire::call::Vocabulary;
+
+impl<V: Variant> Ingress<V> {
+    /// Takes what the control threads ask for, between two turns.
+    pub(super) fn take_control_commands(&mut self) {
+        let pending = self.pending_control.as_ref();
+        if let Some(ready) = pending.and_then(PendingControlServer::take) {
+            self.pending_control = None;
+            self.clients.admission = ready.port.admission_guard();
+            self.control = Some(ready.port);
+            if let Some(stored) = ready.stored {
+                drop(self.apply_state(stored));
+            }
+        }
+        let commands = self.control.as_ref().map(ControlPort::commands);
+        self.execute_commands(commands.unwrap_or_default());
+    }
+
+    pub(super) fn execute_commands(&mut self, commands: Vec<ControlCommand>) {
+        for command in commands {
+            // Whoever asked may have given up: the answer is lost then, and nothing else.
+            match command {
+                ControlCommand::Apply(config, done) => {
+                    let replaced = self.apply_state(config);
+                    let _ = done.send(replaced);
+                }
+                ControlCommand::ReportFigures(done) => drop(done.send(self.figures())),
+                ControlCommand::ReportCohortMetrics(done) => {
+                    let report = self.cohort_metrics.report(&self.clients.vocabulary);
+                    let _ = done.send(report);
+                }
+            }
+        }
+    }
+
+    fn apply_state(&mut self, config: NewConfig) -> Vocabulary {
+        self.reloader.set_enforced(config.state.0);
+        self.apply(*config.compiled)
+    }
+
+    /// Enforces another configuration: requests that are open end under the one in which they came. Gives the vocabulary that is
+    /// replaced.
+    pub(super) fn apply(&mut self, active: ActiveConfig) -> Vocabulary {
+        let longest_deadline = active.longest_deadline();
+        let settings = active.settings;
+        self.clients.set_callers(active.callers);
+        self.limits.max_attempts = settings.limits.max_attempts as usize;
+        self.limits.connect_timeout = active.connect_timeout;
+        self.requests
+            .set_max_open(settings.limits.max_pending as usize);
+        self.backends
+            .set_timeouts(active.connect_timeout, active.keepalive);
+        self.shutdown.allow_deadline(longest_deadline);
+        self.cohort_metrics
+            .set_weights(&settings, &self.clients.vocabulary);
+        let replaced = std::mem::replace(&mut self.clients.vocabulary, active.vocabulary);
+        self.metrics
+            .set_classes(self.clients.vocabulary.class_names());
+        if self.discovery.address() != active.discovery {
+            self.discovery.move_to(active.discovery, self.now);
+        }
+        self.events
+            .push_back(Event::SettingsChanged(Box::new(settings)));
+        // Which endpoint is of which pool comes at once behind the pools.
+        if let Some(endpoints) = self.routing.set_table(active.routes) {
+            let event = Event::EndpointsChanged(EndpointListKind::Full, endpoints);
+            self.events.push_back(event);
+        }
+        self.pump();
+        replaced
+    }
+
+    /// Reads the configuration again and enforces it, or tries that again later.
+    pub(super) fn reload(&mut self) {
+        match self.reloader.read(self.now) {
+            Reload::Apply(active) => drop(self.apply(*active)),
+            Reload::RetryAt(at) => self.timers.set(at, Due::Reload),
+            Reload::Nothing => {}
+        }
+        let counts = self.reloader.counts();
+        self.metrics.config_accepted = counts.accepted;
+        self.metrics.config_refused = counts.refused;
+    }
+
+    /// The usage figures that a planned change is judged by.
+    fn figures(&self) -> IngressMetrics {
+        IngressMetrics {
+            received: self.metrics.admitted,
+            served: self.metrics.total(RequestEnd::Served),
+            rejected: self.metrics.total(RequestEnd::Rejected),
+            failed: self.metrics.total(RequestEnd::Failed),
+            plans: self.plan_usage(),
+            nodes: self.routing.endpoints(|id| self.endpoint_work(id)),
+        }
+    }
+
+    /// The use of each plan that has customers.
+    fn plan_usage(&self) -> BTreeMap<String, PlanUsage> {
+        let names = self.clients.vocabulary.plans.iter();
+        let plans = names.zip(self.gateway.plan_usage());
+        let used = plans.filter(|(name, usage)| !name.is_empty() && usage.customers > 0);
+        let usage = used.map(|(name, usage)| {
+            let plan = PlanUsage {
+                customers: usage.customers,
+                rate: usage.rate,
+                open_attempts: usage.in_flight,
+            };
+            (name.clone(), plan)
+        });
+        usage.collect()
+    }
+
+    fn endpoint_work(&self, id: BackendId) -> EndpointWork {
+        let status = self.gateway.backend_status(id);
+        let classes = &self.clients.vocabulary.classes;
+        let names = status
+            .ejected_for
+            .into_iter()
+            .filter_map(|class| classes.get(class));
+        EndpointWork {
+            takes_work: status.accepts_work,
+            ejected_for: names.map(|class| class.name.clone()).collect(),
+        }
+    }
+}
--- a/crates/ingress/src/logging.rs
+++ b/crates/ingress/src/logging.rs
@@ -5,9 +5,9 @@
 use std::io::IsTerminal;
 use tracing::level_filters::LevelFilter;
 
-/// The form of the log's lines.
+/// The format of the log's lines.
 #[derive(Clone, Copy, Default, ValueEnum)]
-pub enum Form {
+pub enum LogFormat {
     /// For people: words, and `key=value`
     #[default]
     Text,
@@ -17,7 +17,7 @@
 
 /// What is logged.
 #[derive(Clone, Copy, Default, ValueEnum)]
-pub enum Level {
+pub enum LogLevel {
     /// What ends or refuses something
     Error,
     /// And what goes wrong
@@ -29,13 +29,13 @@
     Debug,
 }
 
-/// Starts the log.
-pub fn start(form: Form, level: Level) {
+/// Starts writing the log; what is logged before is lost.
+pub fn start(format: LogFormat, level: LogLevel) {
     let level = match level {
-        Level::Error => LevelFilter::ERROR,
-        Level::Warn => LevelFilter::WARN,
-        Level::Info => LevelFilter::INFO,
-        Level::Debug => LevelFilter::DEBUG,
+        LogLevel::Error => LevelFilter::ERROR,
+        LogLevel::Warn => LevelFilter::WARN,
+        LogLevel::Info => LevelFilter::INFO,
+        LogLevel::Debug => LevelFilter::DEBUG,
     };
     let colours = std::io::stderr().is_terminal()
         && std::env::var_os("NO_COLOR").is_none_or(|v| v.is_empty());
@@ -45,8 +45,8 @@
         .with_ansi(colours)
         .with_max_level(level)
         .log_internal_errors(false);
-    match form {
-        Form::Text => log.init(),
-        Form::Json => log.json().flatten_event(true).init(),
+    match format {
+        LogFormat::Text => log.init(),
+        LogFormat::Json => log.json().flatten_event(true).init(),
     }
 }
--- a/crates/ingress/src/peers.rs
+++ b/crates/ingress/src/peers.rs
@@ -8,33 +8,33 @@
 use wrenfork_decision::GatewayId;
 
 /// The most bytes of a message.
-const MOST: usize = 256;
-/// The most datagrams read in one turn, so that a flood of them cannot keep the loop from its other work.
-const MOST_A_TURN: usize = 64;
+const MAX_MESSAGE: usize = 256;
+/// The most datagrams read in one turn, so that a flood of them cannot keep the event loop from its other work.
+const READS_PER_TURN: usize = 64;
 
 /// The socket to the peers.
-pub struct Peers {
+pub struct PeerSocket {
     /// None while another process of this ingress has the address.
     socket: Option<UdpSocket>,
-    known: PeerAddresses,
+    addresses: PeerAddresses,
 }
 
-impl Peers {
+impl PeerSocket {
     /// Binds the socket and registers it. Where it `may_wait`, an address that is still taken is bound later.
     pub fn bind(
-        known: PeerAddresses,
+        addresses: PeerAddresses,
         registry: &Registry,
         token: Token,
         may_wait: bool,
     ) -> io::Result<Self> {
-        let mut peers = Peers {
+        let mut peers = PeerSocket {
             socket: None,
-            known,
+            addresses,
         };
-        match peers.bind_again(registry, token) {
+        match peers.bind_if_unbound(registry, token) {
             Err(e) if may_wait && e.kind() == io::ErrorKind::AddrInUse => {
                 tracing::warn!(
-                    "peer_listen: another process has it; peers are not heard until that has ended"
+                    "peer_listen: another process has it, peers are not received until that has ended"
                 );
             }
             bound => bound?,
@@ -43,9 +43,9 @@
     }
 
     /// Binds the socket if there is none.
-    pub fn bind_again(&mut self, registry: &Registry, token: Token) -> io::Result<()> {
+    pub fn bind_if_unbound(&mut self, registry: &Registry, token: Token) -> io::Result<()> {
         if self.socket.is_none() {
-            self.adopt(UdpSocket::bind(self.known.listen)?, registry, token)?;
+            self.adopt(UdpSocket::bind(self.addresses.listen)?, registry, token)?;
         }
         Ok(())
     }
@@ -62,22 +62,22 @@
     }
 
     /// With the socket that another process had.
-    pub fn passed(
-        known: PeerAddresses,
+    pub fn from_descriptor(
+        addresses: PeerAddresses,
         descriptor: OwnedFd,
         registry: &Registry,
         token: Token,
     ) -> io::Result<Self> {
-        let mut peers = Peers {
+        let mut peers = PeerSocket {
             socket: None,
-            known,
+            addresses,
         };
         peers.adopt(UdpSocket::from_std(descriptor.into()), registry, token)?;
         Ok(peers)
     }
 
     /// Whether there is a socket.
-    pub fn bound(&self) -> bool {
+    pub fn is_bound(&self) -> bool {
         self.socket.is_some()
     }
 
@@ -86,19 +86,19 @@
         self.socket.map(OwnedFd::from)
     }
 
-    /// Takes in what has come, from peers alone; true if more may be waiting.
+    /// Receives the messages that have come, from peers alone; true if more may be waiting.
     pub fn receive(&mut self, mut take: impl FnMut(GatewayId, Vec<u8>)) -> bool {
         let Some(socket) = &self.socket else {
             return false;
         };
-        let mut buf = [0; MOST + 1]; // one more than allowed: a longer datagram shows as such
-        for _ in 0..MOST_A_TURN {
+        let mut buf = [0; MAX_MESSAGE + 1]; // one more than allowed: a longer datagram shows as such
+        for _ in 0..READS_PER_TURN {
             match socket.recv_from(&mut buf) {
                 Ok((n, from)) => {
-                    let sender = self.known.peers.iter().position(|p| *p == from);
+                    let sender = self.addresses.peers.iter().position(|p| *p == from);
                     if let Some(no) = sender
                         .and_then(|i| u16::try_from(i).ok())
-                        .filter(|_| n <= MOST)
+                        .filter(|_| n <= MAX_MESSAGE)
                     {
                         take(GatewayId(no), buf[..n].to_vec());
                     }
@@ -112,13 +112,13 @@
     }
 
     /// Sends a message to one peer or to all; lost where it cannot go, as on the way.
-    pub fn tell(&self, to: Option<GatewayId>, bytes: &[u8]) {
+    pub fn send(&self, to: Option<GatewayId>, bytes: &[u8]) {
         let address = match to {
-            Some(no) => self.known.peers.get(usize::from(no.0)),
-            None => self.known.all.as_ref(),
+            Some(gateway) => self.addresses.peers.get(usize::from(gateway.0)),
+            None => self.addresses.all.as_ref(),
         };
         if let (Some(address), Some(socket)) =
-            (address.filter(|_| bytes.len() <= MOST), &self.socket)
+            (address.filter(|_| bytes.len() <= MAX_MESSAGE), &self.socket)
         {
             let _ = socket.send_to(bytes, *address);
         }
--- a/crates/ingress/src/reload.rs
+++ b/crates/ingress/src/reload.rs
@@ -1,205 +1,269 @@
-//! Reading the configuration anew when told to, while serving: all that may change is taken, whole or not at all, through the
-//! same switch as a change that is applied. A file has one verdict; one that ends before its time may be half written, and is
-//! looked at again.
+//! Reading the configuration anew at SIGHUP, while serving: all that may change is taken, or nothing, through the same path as a
+//! change that is applied. A file has one verdict; one that ends before its time may be half written, and is read again.
 
-use crate::config::{compile, Config, Enforced, Listen, Told};
-use crate::status::{Outcome, Status};
+use crate::config::{compile, ActiveConfig, Config, ConfigError, ConfigSource, ListenAddress};
+use crate::error::BoxError;
+use crate::reload_status::{ReloadOutcome, ReloadStatusFile};
 use wrenfork_commit::state::State;
-use wrenfork_config::enforced::{self, align, Pairs};
+use wrenfork_config::enforced::{align, Pairs, Told};
 use wrenfork_decision::Micros;
 
-/// The first pause before a file that could not be read is read again, and the longest: it may be half written.
-const PAUSES: (Micros, Micros) = (50_000, 2_000_000);
-
-/// The file, and how reading it goes.
-pub struct Reload {
-    told: Told,
-    /// What was told at the start, with what is enforced now.
-    has: enforced::Told,
-    /// Where it listens, its descriptors, its memory.
-    place: (Listen, usize, usize),
-    peers: bool,
-    /// The pause before the next try; none while no reading is due.
-    pause: Option<Micros>,
-    next: Micros,
+/// The backoff before a file that could not be read is read again, the first and the longest: it may be half written.
+const FIRST_BACKOFF: Micros = 50_000;
+const MAX_BACKOFF: Micros = 2_000_000;
+/// The list of machine types follows from the pools and the endpoints that are known; nothing is decided by it.
+const DERIVED_KEY: &str = "skus";
+
+/// Why new files are refused that are good by themselves.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    /// The files are refused.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The new state does not fit to the one enforced.
+    #[error("{0}")]
+    Align(#[source] BoxError),
+    /// A setting that no change changes is another one.
+    #[error("{0} is fixed from the start on, and takes a restart")]
+    FixedSetting(String),
+    /// The address or a limit is another one.
+    #[error("listen, memory and descriptors are fixed from the start on, and take a restart")]
+    FixedLimits,
+    /// Peers address plans and classes by their indices.
+    #[error(
+        "plans or classes have moved, which several ingresses must do together: wrenctl apply"
+    )]
+    MovedIndices,
+}
+
+/// How many files were taken and refused.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ReloadCounts {
+    /// Files that are enforced, or were.
+    pub accepted: u64,
+    /// Files that were refused.
+    pub refused: u64,
+}
+
+/// What a reading came to.
+pub enum Reload {
+    /// A configuration to be enforced.
+    Apply(Box<ActiveConfig>),
+    /// The files are to be read again at this time.
+    RetryAt(Micros),
+    /// Nothing is to be done: no reading is due, or another one would find the same.
+    Nothing,
+}
+
+/// What no change changes besides settings.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct FixedLimits {
+    listen: ListenAddress,
+    max_descriptors: usize,
+    memory: usize,
+}
+
+impl FixedLimits {
+    fn of(config: &Config) -> FixedLimits {
+        FixedLimits {
+            listen: config.listen.clone(),
+            max_descriptors: config.max_descriptors,
+            memory: config.memory,
+        }
+    }
+}
+
+/// Reads the configuration anew, and knows what is enforced.
+pub struct ConfigReloader {
+    source: ConfigSource,
+    /// What was configured at the start, with what is enforced now.
+    enforced: Told,
+    limits: FixedLimits,
+    has_peers: bool,
+    /// The backoff before the next reading; none while none is due.
+    backoff: Option<Micros>,
+    retry_at: Micros,
+    /// The reading that is due has failed before.
     failed: bool,
-    status: Status,
-    /// Files taken and turned down.
-    verdicts: (u64, u64),
+    status: ReloadStatusFile,
+    counts: ReloadCounts,
 }
 
-impl Reload {
+impl ConfigReloader {
     /// Nothing is to be read yet.
-    pub fn new(told: Told, config: &Config, status: Status) -> Self {
-        let (has, peers) = (config.told.clone(), config.peers.is_some());
-        let place = (config.listen.clone(), config.sockets, config.memory);
-        Reload {
-            told,
-            has,
-            place,
-            peers,
-            pause: None,
-            next: 0,
+    pub fn new(source: ConfigSource, config: &Config, status: ReloadStatusFile) -> Self {
+        ConfigReloader {
+            source,
+            enforced: config.source_pairs.clone(),
+            limits: FixedLimits::of(config),
+            has_peers: config.peers.is_some(),
+            backoff: None,
+            retry_at: 0,
             failed: false,
             status,
-            verdicts: (0, 0),
+            counts: ReloadCounts::default(),
         }
     }
 
     /// What is enforced and passes to the next process.
-    pub fn told(&self) -> &enforced::Told {
-        &self.has
+    pub fn enforced(&self) -> &Told {
+        &self.enforced
     }
 
-    /// This is what stands: it was applied, whatever the files say.
-    pub fn stands(&mut self, state: Pairs) {
-        self.has.state = state;
+    /// A change was applied: this is enforced, whatever the files say.
+    pub fn set_enforced(&mut self, state: Pairs) {
+        self.enforced.state = state;
     }
 
-    /// Goes on with what another process enforced; what the files say by now, if that is something else and `by_files` is what
-    /// decides.
-    pub fn resume(&mut self, has: enforced::Told, by_files: bool) -> Option<Box<Enforced>> {
-        self.has = has;
-        if !by_files {
+    /// Goes on with what another process enforced; gives what the files say by now, if that is something else and the files
+    /// decide, as they do without a control port.
+    pub fn resume(&mut self, enforced: Told, files_decide: bool) -> Option<Box<ActiveConfig>> {
+        self.enforced = enforced;
+        if !files_decide {
             return None;
         }
-        let read = self.told.read(|_| None).and_then(|config| {
-            let wanted = config.told.state;
-            let same = align(&[&self.has.state], &wanted)? == self.has.state;
-            if same {
-                Ok(None)
-            } else {
-                self.enforce(wanted).map(Some)
-            }
-        });
-        match read {
-            Ok(enforced) => enforced.map(Box::new),
-            Err(why) => {
-                tracing::warn!("handover: {why}; enforcing what the other process did");
+        match self.read_if_changed() {
+            Ok(active) => active.map(Box::new),
+            Err(error) => {
+                tracing::warn!(%error, "handover: files refused, enforcing what the other process did");
                 None
             }
         }
     }
 
-    /// The file is to be read, now and until that succeeds.
-    pub fn asked(&mut self) {
-        (self.pause, self.next, self.failed) = (Some(PAUSES.0), 0, false);
+    fn read_if_changed(&mut self) -> Result<Option<ActiveConfig>, ReloadError> {
+        let wanted = self.source.read(|_| None)?.source_pairs.state;
+        if self.aligned(&wanted)? == self.enforced.state {
+            return Ok(None);
+        }
+        self.enforce(&wanted).map(Some)
+    }
+
+    /// A wanted state with the indices that classes and plans have in the one enforced.
+    fn aligned(&self, wanted: &Pairs) -> Result<Pairs, ReloadError> {
+        align(&[&self.enforced.state], wanted).map_err(|e| ReloadError::Align(e.into()))
     }
 
-    /// What this ingress enforces is not a matter of its files any more.
+    /// The files are to be read, now and until that succeeds.
+    pub fn request(&mut self) {
+        self.backoff = Some(FIRST_BACKOFF);
+        self.retry_at = 0;
+        self.failed = false;
+    }
+
+    /// Refuses to read the files, since they do not decide what is enforced.
     pub fn refuse(&mut self, why: &str) {
         tracing::warn!("reload: refused: {why}");
-        self.status.say(Outcome::Refused, why);
+        self.status.record(ReloadOutcome::Refused, why);
     }
 
-    /// How many files were taken, and how many turned down, each once.
-    pub fn verdicts(&self) -> (u64, u64) {
-        self.verdicts
+    /// How many files were taken, and how many refused, each once.
+    pub fn counts(&self) -> ReloadCounts {
+        self.counts
     }
 
     /// The process ends.
-    pub fn end(&self) {
-        self.status.end();
+    pub fn close(&self) {
+        self.status.remove();
     }
 
-    /// Reads the file, whose address of discovery comes before that of the environment. With an error comes the
-    /// time to try again; none where nothing is due, as when a later signal's reading has succeeded meanwhile, or where
-    /// another try would find the same.
-    pub fn read(&mut self, now: Micros) -> Result<Box<Enforced>, Option<Micros>> {
-        let Some(pause) = self.pause.filter(|_| now >= self.next) else {
-            return Err(None);
+    /// Reads the files, if that is due; a later signal's reading may have succeeded meanwhile.
+    pub fn read(&mut self, now: Micros) -> Reload {
+        let Some(backoff) = self.backoff.filter(|_| now >= self.retry_at) else {
+            return Reload::Nothing;
         };
-        let config = match self.told.read(|_| None) {
+        let config = match self.source.read(|_| None) {
             Ok(config) => config,
-            Err(why) => {
-                let again = self.told.may_be_half_written(&why);
-                if !std::mem::replace(&mut self.failed, true) {
-                    let then = if again {
-                        "; going on as before, and trying again"
-                    } else {
-                        "; going on as before"
-                    };
-                    tracing::warn!("reload: {why}{then}");
-                    self.verdicts.1 += 1;
-                    self.status.say(
-                        if again {
-                            Outcome::Waiting
-                        } else {
-                            Outcome::Refused
-                        },
-                        &why,
-                    );
-                }
-                (self.next, self.pause) = (now + pause, again.then_some((pause * 2).min(PAUSES.1)));
-                return Err(again.then_some(self.next));
-            }
+            Err(error) => return self.unreadable(&error, backoff, now),
         };
-        self.pause = None;
-        // It is told once the loop enforces it, which it does before it looks at anything else.
-        let whole = self
-            .unmoved(&config)
-            .and_then(|()| self.enforce(config.told.state));
-        match whole {
-            Ok(enforced) => {
-                self.verdicts.0 += 1;
-                self.status.say(Outcome::Taken, "");
-                Ok(Box::new(enforced))
+        self.backoff = None;
+        let checked = self.check_fixed(&config);
+        // It is reported once the event loop enforces it, which it does before it looks at anything else.
+        match checked.and_then(|()| self.enforce(&config.source_pairs.state)) {
+            Ok(active) => {
+                self.counts.accepted += 1;
+                self.status.record(ReloadOutcome::Applied, "");
+                Reload::Apply(Box::new(active))
             }
-            Err(why) => {
-                tracing::warn!("reload: refused: {why}; going on as before");
-                self.verdicts.1 += 1;
-                self.status.say(Outcome::Refused, &why);
-                Err(None)
+            Err(error) => {
+                tracing::warn!("reload: refused: {error}; going on as before");
+                self.counts.refused += 1;
+                self.status
+                    .record(ReloadOutcome::Refused, &error.to_string());
+                Reload::Nothing
             }
         }
     }
 
+    /// The files can't be read. The first failure of a reading is reported.
+    fn unreadable(&mut self, error: &ConfigError, backoff: Micros, now: Micros) -> Reload {
+        let retry = self.source.may_be_half_written(error);
+        if !std::mem::replace(&mut self.failed, true) {
+            let (outcome, next) = if retry {
+                (
+                    ReloadOutcome::Retrying,
+                    "going on as before, and trying again",
+                )
+            } else {
+                (ReloadOutcome::Refused, "going on as before")
+            };
+            tracing::warn!("reload: {error}; {next}");
+            self.counts.refused += 1;
+            self.status.record(outcome, &error.to_string());
+        }
+        self.retry_at = now + backoff;
+        self.backoff = retry.then_some((backoff * 2).min(MAX_BACKOFF));
+        if retry {
+            Reload::RetryAt(self.retry_at)
+        } else {
+            Reload::Nothing
+        }
+    }
+
     /// Whether new files change nothing that is fixed from the start on. The platform's says besides how it stands at the
-    /// moment, such as the kinds of machines that there are: what is fixed is not taken from it, and no reason to refuse it.
-    fn unmoved(&self, config: &Config) -> Result<(), String> {
-        if matches!(self.told, Told::Platform(..)) {
+    /// moment, such as the machine types that there are: what is fixed is not taken from it, and no reason to refuse it.
+    fn check_fixed(&self, config: &Config) -> Result<(), ReloadError> {
+        if matches!(self.source, ConfigSource::Platform { .. }) {
             return Ok(());
         }
-        let (old, new) = (&self.has.fixed, &config.told.fixed);
-        // The list of models follows from the pools and the nodes that are known; nothing is decided by it.
-        let other =
-            |pair: &&(String, String)| pair.0 != "skus" && old.contains(pair) != new.contains(pair);
-        let other = old.iter().chain(new).find(other);
-        if let Some((key, _)) = other {
-            return Err(format!(
-                "{key} is fixed from the start on, and takes a restart"
-            ));
+        let (old, new) = (&self.enforced.fixed, &config.source_pairs.fixed);
+        let changed = old
+            .iter()
+            .chain(new)
+            .find(|pair| pair.0 != DERIVED_KEY && old.contains(pair) != new.contains(pair));
+        if let Some((key, _)) = changed {
+            return Err(ReloadError::FixedSetting(key.clone()));
         }
-        if self.place != (config.listen.clone(), config.sockets, config.memory) {
-            return Err(
-                "listen, memory and descriptors are fixed from the start on, and take a restart"
-                    .into(),
-            );
+        if self.limits != FixedLimits::of(config) {
+            return Err(ReloadError::FixedLimits);
         }
         Ok(())
     }
 
-    /// All that may change, from new files.
-    fn enforce(&mut self, wanted: Pairs) -> Result<Enforced, String> {
-        let state = align(&[&self.has.state], &wanted)?;
-        // Peers name plans by their places. Each of them would find places of its own; pools are each one's own matter.
-        let told = |key: &&String| key.starts_with("contracts.") || key.starts_with("grades.");
-        let moved = |a: &Pairs, b: &Pairs| {
-            a.iter()
-                .any(|(key, value)| told(&key) && b.get(key) != Some(value))
-        };
-        // The platform tells all ingresses at once.
-        let together = matches!(self.told, Told::Platform(..));
-        if self.peers && !together && (moved(&state, &wanted) || moved(&wanted, &state)) {
-            return Err(
-                "plans or classes have moved, which several ingresses must do together: wrenctl apply".into(),
-            );
+    /// Compiles all that may change, from new files.
+    fn enforce(&mut self, wanted: &Pairs) -> Result<ActiveConfig, ReloadError> {
+        let state = self.aligned(wanted)?;
+        // The platform configures all ingresses at once.
+        let all_at_once = matches!(self.source, ConfigSource::Platform { .. });
+        if self.has_peers && !all_at_once && moves_indices(&state, wanted) {
+            return Err(ReloadError::MovedIndices);
         }
         let state = State(state);
-        let enforced = compile(&self.has.fixed, &state)?;
-        let discovery = enforced.discovery;
+        let active = compile(&self.enforced.fixed, &state)?;
+        let discovery = active.discovery;
         tracing::info!(digest = state.digest().short(), %discovery, "reload: enforcing the new files");
-        self.has.state = state.0;
-        Ok(enforced)
+        self.enforced.state = state.0;
+        Ok(active)
     }
 }
+
+/// Whether a state has other indices of classes or plans than the files have. Peers address these by their indices, and each of
+/// them would find indices of its own; pools are each one's own matter.
+fn moves_indices(aligned: &Pairs, wanted: &Pairs) -> bool {
+    let shared = |key: &str| key.starts_with("contracts.") || key.starts_with("grades.");
+    let differs = |a: &Pairs, b: &Pairs| {
+        a.iter()
+            .any(|(key, value)| shared(key) && b.get(key) != Some(value))
+    };
+    differs(aligned, wanted) || differs(wanted, aligned)
+}
--- a/crates/ingress/src/requests/tests.rs
+++ b/crates/ingress/src/requests/tests.rs
@@ -1,44 +1,44 @@
 //! Open requests as a handover passes them.
 
-use super::{Attempt, Open, Requests};
-use crate::backends::tests::LINK;
-use crate::clients::tests::ORIGIN;
+use super::{Attempt, OpenRequest, OpenRequests};
+use crate::backend::tests::HANDLE;
+use crate::client::tests::ORIGIN;
 use siphasher::sip::SipHasher13;
 use wrenfork_decision::{BackendId, RequestId};
 use wrenfork_wire::call::Call;
 
 /// One request with two attempts, and the id of one that ended.
-pub(crate) fn sample(call: Call) -> Requests {
-    let over = Attempt {
+pub(crate) fn sample(call: Call) -> OpenRequests {
+    let ended = Attempt {
         backend: BackendId(0xabcc),
-        began: 1_000_020,
-        link: None,
-        took: None,
+        started_at: 1_000_020,
+        connection: None,
+        first_byte_after: None,
     };
-    let passing = Attempt {
+    let streaming = Attempt {
         backend: BackendId(0xabcd),
-        began: 1_000_021,
-        link: Some(LINK),
-        took: Some(17),
+        started_at: 1_000_021,
+        connection: Some(HANDLE),
+        first_byte_after: Some(17),
     };
-    let open = Open {
+    let open = OpenRequest {
         call,
-        name: 0x1234_5678,
+        id_hash: 0x1234_5678,
         origin: ORIGIN,
         deadline: 1_900_000,
-        overdue: 1_990_000,
-        attempts: vec![over, passing],
-        most: 3,
-        passing: Some(1),
-        over: true,
+        client_deadline: 1_990_000,
+        attempts: vec![ended, streaming],
+        max_attempts: 3,
+        streaming: Some(1),
+        complete: true,
     };
-    Requests {
+    OpenRequests {
         open: [(RequestId(41), open)].into(),
-        names: [0x1234_5678].into(),
+        id_hashes: [0x1234_5678].into(),
         ended: [(1_000_022, 0x9abc)].into(),
         hasher: SipHasher13::new_with_keys(1, 2),
-        held: 345,
-        memory: 1 << 20,
-        most: 20_000,
+        memory_used: 345,
+        max_memory: 1 << 20,
+        max_open: 20_000,
     }
 }
--- a/crates/ingress/src/routing.rs
+++ b/crates/ingress/src/routing.rs
@@ -1,105 +1,118 @@
-//! Which pools the nodes that discovery lists are of, and which of them a request may go to. What a route means stands in
-//! `wrenfork-routes`; which node takes a request is the decision module's.
+//! Pools and routes: which pools the endpoints that discovery lists are of, and which of them a request may go to. What a route
+//! means stands in `wrenfork-routes`; which endpoint serves a request is the decision module's.
 
-use crate::discovery::Roster;
+use crate::discovery::{EndpointLabels, EndpointList};
 use std::collections::HashMap;
 use wrenfork_commit::metrics::ObservedNode;
 use wrenfork_decision::{BackendId, Endpoint, EndpointState, Request};
 use wrenfork_routes::{Table, Traits, Ways};
 
-/// A node as it was listed last.
-struct Node {
+/// An endpoint as it was listed last.
+struct KnownEndpoint {
     listed: Endpoint,
-    named: [String; 3],
+    labels: EndpointLabels,
+}
+
+/// What the decision module does with an endpoint.
+pub struct EndpointWork {
+    /// Whether it takes any work.
+    pub takes_work: bool,
+    /// The names of the classes for which it is ejected.
+    pub ejected_for: Vec<String>,
 }
 
 /// The pools and routes that are enforced.
 pub struct Routing {
     table: Table,
     ways: Ways,
-    /// Kept only where pools may change: then all nodes are looked at again.
-    nodes: Option<HashMap<BackendId, Node>>,
+    /// Known only where pools may change: then all endpoints are assigned again.
+    endpoints: Option<HashMap<BackendId, KnownEndpoint>>,
 }
 
 impl Routing {
     /// For these pools and routes; `may_change` where others may come.
     pub fn new(table: Table, may_change: bool) -> Routing {
-        let ways = Ways::of(&table);
         Routing {
+            ways: Ways::of(&table),
             table,
-            ways,
-            nodes: may_change.then(HashMap::new),
+            endpoints: may_change.then(HashMap::new),
         }
     }
 
-    /// Says of each node that is listed which pools it is of.
-    pub fn member(&mut self, roster: &mut Roster) {
-        if let Some(nodes) = self.nodes.as_mut().filter(|_| roster.whole) {
-            nodes.clear();
+    /// Assigns each endpoint of a list to its pools.
+    pub fn assign_pools(&mut self, list: &mut EndpointList) {
+        if let Some(known) = self.endpoints.as_mut().filter(|_| list.is_full) {
+            known.clear();
         }
-        for e in &mut roster.entries {
-            e.listed.pools = pools(&self.table, &e.listed, &e.named);
-            let Some(nodes) = &mut self.nodes else {
+        for endpoint in &mut list.endpoints {
+            let listed = &mut endpoint.listed;
+            listed.pools = pools_of(&self.table, listed, &endpoint.labels);
+            let Some(known) = &mut self.endpoints else {
                 continue;
             };
-            if e.listed.state == EndpointState::Removed {
-                nodes.remove(&e.listed.backend);
-            } else {
-                nodes.insert(
-                    e.listed.backend,
-                    Node {
-                        listed: e.listed,
-                        named: e.named.clone(),
-                    },
-                );
+            if listed.state == EndpointState::Removed {
+                known.remove(&listed.backend);
+                continue;
             }
+            let labels = endpoint.labels.clone();
+            let listed = *listed;
+            known.insert(listed.backend, KnownEndpoint { listed, labels });
         }
     }
 
-    /// Takes other pools and routes; the whole list of nodes, with the pools that each is of now.
-    pub fn change(&mut self, table: Table) -> Option<Vec<Endpoint>> {
+    /// Takes other pools and routes; gives the full endpoint list with the pools that each is of now, if it has to be reported.
+    pub fn set_table(&mut self, table: Table) -> Option<Vec<Endpoint>> {
         if table == self.table {
             return None;
         }
-        (self.ways, self.table) = (Ways::of(&table), table);
-        let nodes = self.nodes.as_mut()?.values_mut().map(|node| {
-            node.listed.pools = pools(&self.table, &node.listed, &node.named);
-            node.listed
+        self.ways = Ways::of(&table);
+        self.table = table;
+        let known = self.endpoints.as_mut()?.values_mut();
+        let listed = known.map(|endpoint| {
+            endpoint.listed.pools = pools_of(&self.table, &endpoint.listed, &endpoint.labels);
+            endpoint.listed
         });
-        Some(nodes.collect())
+        Some(listed.collect())
     }
 
-    /// The nodes that are listed, for whoever plans a change; `work` says whether one takes work and for which classes it
-    /// rests. None where pools can't change.
-    pub fn seen(&self, work: impl Fn(BackendId) -> (bool, Vec<String>)) -> Vec<ObservedNode> {
-        let nodes = self.nodes.iter().flatten().map(|(id, node)| {
-            let ([name, hall, model], (takes, rests)) = (node.named.clone(), work(*id));
+    /// The endpoints that are listed, for whoever plans a change. None where pools can't change.
+    pub fn endpoints(&self, work: impl Fn(BackendId) -> EndpointWork) -> Vec<ObservedNode> {
+        let known = self.endpoints.iter().flatten();
+        let seen = known.map(|(id, endpoint)| {
+            let EndpointLabels {
+                name,
+                zone,
+                machine_type,
+            } = endpoint.labels.clone();
+            let work = work(*id);
             ObservedNode {
                 name,
-                zone_group: hall,
-                model,
-                group: u64::from(node.listed.cell),
-                accepting: takes,
-                ejected_for: rests,
+                zone_group: zone,
+                model: machine_type,
+                group: u64::from(endpoint.listed.cell),
+                accepting: work.takes_work,
+                ejected_for: work.ejected_for,
             }
         });
-        nodes.collect()
+        seen.collect()
     }
 
-    /// Gives a request its way.
+    /// Gives a request the pools that it may go to.
     pub fn route(&self, request: &mut Request) {
         let way = self
             .ways
             .way(usize::from(request.class), request.customer.0);
-        (request.route, request.own_pools) = (way.tiers, way.own);
+        request.route = way.tiers;
+        request.own_pools = way.own;
     }
 }
 
-fn pools(table: &Table, listed: &Endpoint, [name, hall, model]: &[String; 3]) -> u64 {
+/// The pools that an endpoint is of, a bit for each.
+fn pools_of(table: &Table, listed: &Endpoint, labels: &EndpointLabels) -> u64 {
     table.member(&Traits {
-        name,
-        hall,
-        model,
+        name: &labels.name,
+        hall: &labels.zone,
+        model: &labels.machine_type,
         group: u64::from(listed.cell),
     })
 }
--- a/crates/ingress/src/stream.rs
+++ b/crates/ingress/src/stream.rs
@@ -1,34 +1,36 @@
-//! Where clients come from and where backends are: TCP or a Unix socket. Both are read, written and polled alike.
+//! Connections of clients and to backends: over TCP or a Unix socket. Both are read, written and polled alike.
 
 use mio::event::Source;
 use mio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
 use rustix::net::sockopt::socket_peercred;
 use std::cell::Cell;
-use std::io::{self, Read, Write};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::Shutdown;
 use std::os::fd::OwnedFd;
 use wrenfork_happy_eyeballs::Address;
-use wrenfork_identity::sources;
+use wrenfork_identity::sources::Source as ClientSource;
 
-/// A listener.
+/// A listener for clients.
 pub enum Listener {
+    /// Over TCP.
     Tcp(TcpListener),
-    Unix(UnixListener, Gate),
+    /// At a Unix socket, for certain users.
+    Unix(UnixListener, PeerCredentialFilter),
 }
 
-/// Who may connect to a Unix socket.
+/// Which users may connect to a Unix socket.
 #[derive(Default)]
-pub struct Gate {
+pub struct PeerCredentialFilter {
     /// Users by their numbers; whoever the socket's mode lets in where none are named.
     users: Vec<u32>,
-    /// How many were turned away.
-    refused: Cell<u64>,
+    /// How many connections were rejected.
+    rejected: Cell<u64>,
 }
 
-impl Gate {
+impl PeerCredentialFilter {
     /// Whether the process behind a connection is one of these users', as the kernel says.
-    fn lets(&self, stream: &UnixStream) -> bool {
+    fn allows(&self, stream: &UnixStream) -> bool {
         if self.users.is_empty() {
             return true;
         }
@@ -36,12 +38,12 @@
         if user.is_ok_and(|user| self.users.contains(&user)) {
             return true;
         }
-        let refused = self.refused.get() + 1;
-        self.refused.set(refused);
+        let rejected = self.rejected.get() + 1;
+        self.rejected.set(rejected);
         // Whoever goes on trying must not fill the log.
-        if refused.is_power_of_two() {
-            let user = user.map_or("an unknown user".into(), |user| format!("user {user}"));
-            tracing::warn!(refused, "listen: {user} may not connect");
+        if rejected.is_power_of_two() {
+            let user = user.map_or("unknown".into(), |user| user.to_string());
+            tracing::warn!(rejected, user, "listen: this user may not connect");
         }
         false
     }
@@ -49,23 +51,37 @@
 
 /// A client's connection, or one to a backend.
 pub enum Stream {
+    /// Over TCP.
     Tcp(TcpStream),
+    /// At a Unix socket.
     Unix(UnixStream),
 }
 
+/// Whether a socket is not connected yet or has nothing to do: it will show as ready.
+pub fn is_not_ready(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        ErrorKind::WouldBlock | ErrorKind::NotConnected
+    )
+}
+
 impl Listener {
     /// A Unix socket for these users; for whoever its mode lets in where none are named.
     pub fn unix(listener: UnixListener, users: Vec<u32>) -> Listener {
         Listener::Unix(
             listener,
-            Gate {
+            PeerCredentialFilter {
                 users,
-                refused: Cell::new(0),
+                rejected: Cell::new(0),
             },
         )
     }
 
-    /// Takes a connection in; one that may not connect is closed, with an error that says so.
+    /// Accepts a connection.
+    ///
+    /// # Errors
+    ///
+    /// Where none waits, or one that may not connect was closed ([`ErrorKind::PermissionDenied`]).
     pub fn accept(&self) -> io::Result<Stream> {
         match self {
             Listener::Tcp(listener) => {
@@ -73,22 +89,24 @@
                 let _ = stream.set_nodelay(true); // an answer is one write: there is nothing to wait for
                 Ok(Stream::Tcp(stream))
             }
-            Listener::Unix(listener, gate) => {
+            Listener::Unix(listener, filter) => {
                 let (stream, _) = listener.accept()?;
-                gate.lets(&stream)
-                    .then_some(Stream::Unix(stream))
-                    .ok_or(io::ErrorKind::PermissionDenied.into())
+                if filter.allows(&stream) {
+                    Ok(Stream::Unix(stream))
+                } else {
+                    Err(ErrorKind::PermissionDenied.into())
+                }
             }
         }
     }
 }
 
 impl Stream {
-    /// Begins to connect to a place.
-    pub fn connect(place: &Address) -> io::Result<Stream> {
-        match place {
-            Address::Tcp(at) => {
-                let stream = TcpStream::connect(*at)?;
+    /// Begins to connect to an address.
+    pub fn connect(address: &Address) -> io::Result<Stream> {
+        match address {
+            Address::Tcp(address) => {
+                let stream = TcpStream::connect(*address)?;
                 // Without it the second of two small writes would wait for the first one's acknowledgement.
                 let _ = stream.set_nodelay(true);
                 Ok(Stream::Tcp(stream))
@@ -106,40 +124,41 @@
     }
 
     /// A connection over TCP that another process had.
-    pub fn passed(descriptor: OwnedFd) -> Stream {
+    pub fn from_tcp_descriptor(descriptor: OwnedFd) -> Stream {
         Stream::Tcp(TcpStream::from_std(descriptor.into()))
     }
 
-    /// A connection to a place that another process had.
-    pub fn passed_to(place: &Address, descriptor: OwnedFd) -> Stream {
-        match place {
-            Address::Tcp(_) => Stream::passed(descriptor),
+    /// A connection to an address that another process had.
+    pub fn from_descriptor(address: &Address, descriptor: OwnedFd) -> Stream {
+        match address {
+            Address::Tcp(_) => Stream::from_tcp_descriptor(descriptor),
             Address::Unix(_) => Stream::Unix(UnixStream::from_std(descriptor.into())),
         }
     }
 
-    /// Whether the connection has come up.
-    pub fn up(&self) -> bool {
+    /// Whether the connection is established.
+    pub fn is_connected(&self) -> bool {
         match self {
             Stream::Tcp(stream) => stream.peer_addr().is_ok(),
             Stream::Unix(stream) => stream.peer_addr().is_ok(),
         }
     }
 
-    /// Where a client's connection comes from.
-    pub fn source(&self) -> sources::Source {
+    /// Where a client's connection comes from, by which failed authentications are limited.
+    pub fn client_source(&self) -> ClientSource {
         match self {
-            Stream::Tcp(stream) => stream
-                .peer_addr()
-                .map_or(sources::Source::Unknown, |at| sources::Source::of(at.ip())),
-            Stream::Unix(stream) => socket_peercred(stream)
-                .map_or(sources::Source::Unknown, |peer| {
-                    sources::Source::User(peer.uid.as_raw())
-                }),
+            Stream::Tcp(stream) => match stream.peer_addr() {
+                Ok(address) => ClientSource::of(address.ip()),
+                Err(_) => ClientSource::Unknown,
+            },
+            Stream::Unix(stream) => match socket_peercred(stream) {
+                Ok(peer) => ClientSource::User(peer.uid.as_raw()),
+                Err(_) => ClientSource::Unknown,
+            },
         }
     }
 
-    /// Ends one direction or both.
+    /// Shuts one direction down, or both.
     pub fn shutdown(&self, how: Shutdown) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => stream.shutdown(how),
@@ -170,31 +189,32 @@
     }
 }
 
-macro_rules! polled {
+/// Has a type polled as the socket that it holds.
+macro_rules! impl_source {
     ($($kind:ident),*) => {$(
         impl Source for $kind {
             fn register(&mut self, registry: &Registry, token: Token, interests: Interest) -> io::Result<()> {
                 match self {
-                    $kind::Tcp(one) => one.register(registry, token, interests),
-                    $kind::Unix(one, ..) => one.register(registry, token, interests),
+                    $kind::Tcp(socket) => socket.register(registry, token, interests),
+                    $kind::Unix(socket, ..) => socket.register(registry, token, interests),
                 }
             }
 
             fn reregister(&mut self, registry: &Registry, token: Token, interests: Interest) -> io::Result<()> {
                 match self {
-                    $kind::Tcp(one) => one.reregister(registry, token, interests),
-                    $kind::Unix(one, ..) => one.reregister(registry, token, interests),
+                    $kind::Tcp(socket) => socket.reregister(registry, token, interests),
+                    $kind::Unix(socket, ..) => socket.reregister(registry, token, interests),
                 }
             }
 
             fn deregister(&mut self, registry: &Registry) -> io::Result<()> {
                 match self {
-                    $kind::Tcp(one) => one.deregister(registry),
-                    $kind::Unix(one, ..) => one.deregister(registry),
+                    $kind::Tcp(socket) => socket.deregister(registry),
+                    $kind::Unix(socket, ..) => socket.deregister(registry),
                 }
             }
         }
     )*};
 }
 
-polled!(Listener, Stream);
+impl_source!(Listener, Stream);
--- a/crates/ingress/src/takeover/tests.rs
+++ b/crates/ingress/src/takeover/tests.rs
@@ -1,13 +1,15 @@
 //! The state of a handover, byte by byte.
 
-use super::{bytes, read, Given, Inherited, Right, LAYOUT, OLDEST};
-use crate::backends::Backends;
-use crate::clients::Clients;
+use super::state::{decode, encode, InheritedState, OutgoingState, LAYOUT, OLDEST_LAYOUT};
+use crate::backend::{Activity, Backends};
+use crate::client::Clients;
+use crate::clock::ClockReading;
 use crate::config::compile;
+use crate::discovery::DiscoveryPosition;
 use crate::stream::Listener;
 use crate::tests::{assert_golden, golden_file};
 use crate::variant::Shipped;
-use crate::{backends, clients, requests, timers};
+use crate::{backend, client, requests, timers};
 use mio::net::UnixListener;
 use mio::{Poll, Token};
 use std::os::fd::OwnedFd;
@@ -15,11 +17,12 @@
 use std::time::Duration;
 use wrenfork_commit::state::State;
 use wrenfork_config::enforced::split;
+use wrenfork_control_plane::group::InheritedLease;
 use wrenfork_decision::Gateway;
 use wrenfork_wire::call::Call;
 use wrenfork_wire::resp;
 
-const RIGHT: Right = Right {
+const LEASE: InheritedLease = InheritedLease {
     group_version: 7,
     expires_at: Some(Duration::from_micros(12_345_678)),
     admission_deadline: 99,
@@ -30,12 +33,13 @@
 }
 
 /// A state with every field and variant that a handover has in use.
-fn sample() -> Inherited {
+fn sample() -> InheritedState {
     let json = serde_json::from_slice(&golden_file("platform.json")).unwrap();
-    let mut told = split(&json).unwrap();
-    told.state
+    let mut pairs = split(&json).unwrap();
+    pairs
+        .state
         .insert("discovery".into(), "127.0.0.1:7001".into());
-    let enforced = compile(&told.fixed, &State(told.state.clone())).unwrap();
+    let enforced = compile(&pairs.fixed, &State(pairs.state.clone())).unwrap();
     let (mut command, mut args) = (Vec::new(), Vec::new());
     resp::put_array(&mut command, 4);
     for part in [
@@ -50,22 +54,28 @@
     let call = Call::read(&command, &args, &enforced.vocabulary)
         .unwrap()
         .unwrap_or_else(|_| panic!("the sample is a call"));
-    Inherited {
-        told,
-        clocks: (1_000_040, 1_000_041),
+    InheritedState {
+        source_pairs: pairs,
+        clocks: ClockReading {
+            ingress: 1_000_040,
+            system: 1_000_041,
+        },
         now: 1_000_042,
         gateway: Gateway::new(enforced.settings, 7, 1_000_000),
         requests: requests::tests::sample(call),
         timers: timers::tests::sample(),
-        watch: ("127.0.0.1:7001".parse().unwrap(), Some(4)),
-        peers: true,
-        clients: clients::tests::sample(),
-        backends: backends::tests::sample(),
+        discovery: DiscoveryPosition {
+            address: "127.0.0.1:7001".parse().unwrap(),
+            index: Some(4),
+        },
+        has_peer_socket: true,
+        clients: client::tests::sample(),
+        backends: backend::tests::sample(),
     }
 }
 
 /// Takes a state over, and writes it down for the next process.
-fn write(state: Inherited, layout: u32, right: Option<Right>) -> Vec<u8> {
+fn write(state: InheritedState, layout: u32, lease: Option<InheritedLease>) -> Vec<u8> {
     let folder = tempfile::tempdir().unwrap();
     let poll = Poll::new().unwrap();
     let mut sockets = std::iter::repeat_with(|| {
@@ -74,51 +84,55 @@
         one.set_nonblocking(true).unwrap();
         OwnedFd::from(one)
     });
-    let enforced = compile(&state.told.fixed, &State(state.told.state.clone())).unwrap();
+    let enforced = compile(
+        &state.source_pairs.fixed,
+        &State(state.source_pairs.state.clone()),
+    )
+    .unwrap();
     let listener = UnixListener::bind(folder.path().join("listener")).unwrap();
     let listener = Listener::unix(listener, Vec::new());
     let mut clients = Clients::new(listener, enforced.vocabulary, 1 << 20, Token);
     clients.resume(state.clients, &mut sockets, poll.registry());
     let mut backends = Backends::new(1, 1, |key| Token(1_000 + key));
     backends.resume(state.backends, &mut sockets, poll.registry());
-    let given = Given {
-        told: &state.told,
+    let outgoing = OutgoingState {
+        source_pairs: &state.source_pairs,
         clocks: state.clocks,
         now: state.now,
         gateway: &state.gateway,
         requests: &state.requests,
         timers: &state.timers,
-        watch: state.watch,
-        peers: state.peers,
+        discovery: state.discovery,
+        has_peer_socket: state.has_peer_socket,
         clients: clients.save(),
         backends: backends.save(),
     };
-    bytes::<Shipped>(layout, &given, right).unwrap()
+    encode::<Shipped>(layout, &outgoing, lease).unwrap()
 }
 
 #[test]
 fn a_state_is_written_as_the_golden_files_have_it() {
-    assert_golden(&file(LAYOUT), &write(sample(), LAYOUT, Some(RIGHT)));
+    assert_golden(&file(LAYOUT), &write(sample(), LAYOUT, Some(LEASE)));
     assert_golden("handover-5-without-lease.bin", &write(sample(), 5, None));
-    assert_golden(&file(OLDEST), &write(sample(), OLDEST, None));
+    assert_golden(&file(OLDEST_LAYOUT), &write(sample(), OLDEST_LAYOUT, None));
 }
 
 #[test]
 fn a_state_that_is_read_is_written_to_the_same_bytes() {
-    for layout in OLDEST..=LAYOUT {
+    for layout in OLDEST_LAYOUT..=LAYOUT {
         let golden = golden_file(&file(layout));
-        let (state, right) = read::<Shipped>(layout, &golden).unwrap();
-        assert_eq!(right, (layout >= 5).then_some(RIGHT));
-        assert!(write(state, layout, right) == golden, "layout {layout}");
+        let (state, lease) = decode::<Shipped>(layout, &golden).unwrap();
+        assert_eq!(lease, (layout >= 5).then_some(LEASE));
+        assert!(write(state, layout, lease) == golden, "layout {layout}");
     }
 }
 
 #[test]
 fn what_a_connection_is_busy_with_keeps_its_form() {
-    let works = postcard::to_stdvec(&backends::tests::works()).unwrap();
-    assert_golden("handover-works.bin", &works);
-    let read: Vec<backends::Work> = postcard::from_bytes(&works).unwrap();
-    assert_eq!(read, backends::tests::works());
+    let written = postcard::to_stdvec(&backend::tests::activities()).unwrap();
+    assert_golden("handover-works.bin", &written);
+    let read: Vec<Activity> = postcard::from_bytes(&written).unwrap();
+    assert_eq!(read, backend::tests::activities());
 }
 
 /// Each byte that is cut off the end is missed.
@@ -126,6 +140,6 @@
 fn a_state_that_is_cut_short_is_not_read() {
     let golden = golden_file(&file(LAYOUT));
     for cut in 1..64 {
-        assert!(read::<Shipped>(LAYOUT, &golden[..golden.len() - cut]).is_err());
+        assert!(decode::<Shipped>(LAYOUT, &golden[..golden.len() - cut]).is_err());
     }
 }
--- a/crates/ingress/src/tests/golden.rs
+++ b/crates/ingress/src/tests/golden.rs
@@ -1,32 +1,36 @@
 //! Byte-by-byte comparisons of texts that operators and other programs read.
 
 use super::assert_golden;
-use crate::ledger::{End, Ledger, Now};
-use crate::status::{Outcome, Status};
-use crate::takeover::Form;
+use crate::arguments::Arguments;
+use crate::format_versions::format_versions;
+use crate::reload_status::{ReloadOutcome, ReloadStatusFile};
+use crate::request_metrics::{Gauges, RequestEnd, RequestMetrics};
+use crate::takeover::HandoverFormat;
 use crate::variant::{Shipped, Variant};
 use clap::CommandFactory;
 
 #[test]
 fn telemetry_has_its_names_and_form() {
-    let mut ledger = Ledger::new(["quote", "", "save"]);
+    let mut metrics = RequestMetrics::new(["quote", "", "save"]);
     for (place, end, count) in [
-        (0, End::Served, 5),
-        (0, End::Refused, 4),
-        (0, End::Failed, 3),
-        (2, End::Served, 2),
-        (2, End::Failed, 1),
+        (0, RequestEnd::Served, 5),
+        (0, RequestEnd::Rejected, 4),
+        (0, RequestEnd::Failed, 3),
+        (2, RequestEnd::Served, 2),
+        (2, RequestEnd::Failed, 1),
     ] {
-        (0..count).for_each(|_| ledger.ended(place, end));
+        (0..count).for_each(|_| metrics.record(place, end));
     }
-    (ledger.taken, ledger.accepted, ledger.invalid) = (17, 6, 7);
-    let now = Now {
+    metrics.admitted = 17;
+    metrics.config_accepted = 6;
+    metrics.config_refused = 7;
+    let gauges = Gauges {
         relayed: 11,
-        open: 12,
-        listed: 13,
-        avoided: 14,
+        open_requests: 12,
+        endpoints: 13,
+        out_of_rotation: 14,
     };
-    assert_golden("telemetry.txt", ledger.telemetry(&now).as_bytes());
+    assert_golden("telemetry.txt", metrics.telemetry(&gauges).as_bytes());
 }
 
 #[test]
@@ -39,32 +43,35 @@
         all += &text.replace(&std::process::id().to_string(), "PROCESS");
         all.push('\n');
     };
-    let mut status = Status::begin(Some(path.clone())).unwrap();
+    let mut status = ReloadStatusFile::create(Some(path.clone())).unwrap();
     read();
     for (outcome, why) in [
-        (Outcome::Taken, ""),
-        (Outcome::Refused, "listen: \"x\" is no address"),
-        (Outcome::Waiting, "the file is no JSON, it is cut off"),
-        (Outcome::Started, ""),
+        (ReloadOutcome::Applied, ""),
+        (ReloadOutcome::Refused, "listen: \"x\" is no address"),
+        (
+            ReloadOutcome::Retrying,
+            "the file is no JSON, it is cut off",
+        ),
+        (ReloadOutcome::Started, ""),
     ] {
-        status.say(outcome, why);
+        status.record(outcome, why);
         read();
     }
-    status.end();
+    status.remove();
     assert!(!path.exists());
     assert_golden("status.txt", all.as_bytes());
 }
 
 #[test]
 fn speaks_prints_its_formats() {
-    let text = serde_json::to_string(&crate::speaks("0.0.0", Shipped::LAYOUT)).unwrap();
+    let text = serde_json::to_string(&format_versions("0.0.0", Shipped::LAYOUT)).unwrap();
     assert_golden("speaks.json", text.as_bytes());
-    let own = serde_json::to_string(&Shipped.speaks()).unwrap();
+    let own = serde_json::to_string(&Shipped.format_versions()).unwrap();
     assert_eq!(own, text.replace("0.0.0", env!("CARGO_PKG_VERSION")));
 }
 
 #[test]
 fn the_help_text_stays() {
-    let help = crate::Arguments::command().render_long_help().to_string();
+    let help = Arguments::command().render_long_help().to_string();
     assert_golden("help.txt", help.as_bytes());
 }
--- a/crates/ingress/src/timers.rs
+++ b/crates/ingress/src/timers.rs
@@ -1,38 +1,43 @@
-//! What falls due, and when.
+//! The timers of the event loop: what falls due, and when.
 
-use crate::backends::Link;
+use crate::backend::ConnectionHandle;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use wrenfork_decision::{BackendId, Micros, RequestId};
 
-/// What falls due at a time.
+#[cfg(test)]
+pub(crate) mod tests;
+
+/// What falls due at a time. The order is the order of timers that fall due together, and part of a handover's layout.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Due {
-    /// The module's.
+    /// A timer of the decision module, with its token.
     Module(u32),
-    /// An attempt is given up before its request's time is over.
-    Expire(RequestId, u16),
-    /// The module's time for a request is over: what is out of it is given up.
-    Deadline(RequestId),
-    /// A client's time is over.
-    Overdue(RequestId),
-    /// A connection should be up.
-    Connect(Link),
-    /// The next address of a node is tried.
-    Race(Link),
-    /// A probe is given up.
-    Probe(Link, BackendId, Micros),
-    /// A call of the count service is over.
-    Count,
+    /// An attempt, by its number, is given up before its request's deadline.
+    AttemptTimeout(RequestId, u16),
+    /// The module's deadline of a request: its attempts are given up.
+    RequestDeadline(RequestId),
+    /// The client's deadline of a request.
+    ClientDeadline(RequestId),
+    /// A connection to a backend should be established.
+    ConnectTimeout(ConnectionHandle),
+    /// The next address of a backend is tried beside the first (RFC 8305).
+    NextAddress(ConnectionHandle),
+    /// A health check, begun at this time, is given up.
+    HealthCheckTimeout(ConnectionHandle, BackendId, Micros),
+    /// A call of the count service is given up.
+    CountTimeout,
+    /// Connections are looked at that have been idle for long.
     Sweep,
+    /// Accepting is tried again.
     Accept,
     /// The configuration is to be read again.
     Reload,
-    /// The time of accepting while stopping is over.
-    Close,
-    /// The time of answering while stopping is over.
-    Last,
+    /// The time of accepting during a graceful shutdown is over.
+    StopAccepting,
+    /// The time of answering during a graceful shutdown is over.
+    FailOpenRequests,
 }
 
 /// The timers that are set.
@@ -45,20 +50,17 @@
         self.0.push(Reverse((at, due)));
     }
 
-    /// When the next one falls due.
+    /// When the next one falls due; [`Micros::MAX`] where none is set.
     pub fn next(&self) -> Micros {
-        self.0.peek().map_or(Micros::MAX, |t| t.0 .0)
+        self.0.peek().map_or(Micros::MAX, |timer| timer.0 .0)
     }
 
     /// Takes all that is due by now: what is set while these are carried out comes in a later turn.
     pub fn take(&mut self, now: Micros) -> Vec<Due> {
         let mut due = Vec::new();
         while self.next() <= now {
-            due.extend(self.0.pop().map(|t| t.0 .1));
+            due.extend(self.0.pop().map(|timer| timer.0 .1));
         }
         due
     }
 }
-
-#[cfg(test)]
-pub(crate) mod tests;
--- a/crates/ingress/src/timers/tests.rs
+++ b/crates/ingress/src/timers/tests.rs
@@ -1,7 +1,7 @@
 //! Timers as a handover passes them.
 
 use super::{Due, Timers};
-use crate::backends::tests::LINK;
+use crate::backend::tests::HANDLE;
 use wrenfork_decision::{BackendId, RequestId};
 
 /// Each kind of timer, in its order.
@@ -9,18 +9,18 @@
     let mut timers = Timers::default();
     let all = [
         Due::Module(7),
-        Due::Expire(RequestId(41), 1),
-        Due::Deadline(RequestId(41)),
-        Due::Overdue(RequestId(41)),
-        Due::Connect(LINK),
-        Due::Race(LINK),
-        Due::Probe(LINK, BackendId(0xabcd), 1_000_030),
-        Due::Count,
+        Due::AttemptTimeout(RequestId(41), 1),
+        Due::RequestDeadline(RequestId(41)),
+        Due::ClientDeadline(RequestId(41)),
+        Due::ConnectTimeout(HANDLE),
+        Due::NextAddress(HANDLE),
+        Due::HealthCheckTimeout(HANDLE, BackendId(0xabcd), 1_000_030),
+        Due::CountTimeout,
         Due::Sweep,
         Due::Accept,
         Due::Reload,
-        Due::Close,
-        Due::Last,
+        Due::StopAccepting,
+        Due::FailOpenRequests,
     ];
     (2_000_000..)
         .zip(all)
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! The protocols of an ingress: bytes in, values out. No sockets and no clock.
-
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::missing_errors_doc, clippy::too_many_lines)]
+//!
+//! [`resp`] is the codec of RESP2. [`call`] reads the requests of clients and writes them for backends, [`long`] takes answers that
+//! are streamed, [`tally`] is the protocol of the count service.
 
 pub mod call;
 pub mod long;
--- a/crates/wire/src/long/tests.rs
+++ b/crates/wire/src/long/tests.rs
@@ -1,6 +1,7 @@
 //! Answers that pass on as they come, cut anywhere.
 
-use super::{Long, Malformed, Whole};
+use super::{AnswerEnd, LongAnswer};
+use crate::resp::Malformed;
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest, ProptestConfig};
 
 fn answer(length: usize, rest: &str) -> Vec<u8> {
@@ -11,14 +12,15 @@
 }
 
 /// All that passes on, and how it ends, if it comes in these pieces.
-fn pieces(bytes: &[u8], cuts: &[usize]) -> (Vec<u8>, Result<Option<Whole>, Malformed>) {
-    let (mut long, at) = Long::begin(bytes).unwrap();
+fn pieces(bytes: &[u8], cuts: &[usize]) -> (Vec<u8>, Result<Option<AnswerEnd>, Malformed>) {
+    let begun = LongAnswer::begin(bytes).unwrap();
+    let (mut long, at) = (begun.answer, begun.head);
     let (mut out, mut from) = (Vec::new(), at);
     let mut ends: Vec<usize> = cuts.iter().map(|c| at + c % (bytes.len() - at)).collect();
     ends.sort_unstable();
     ends.push(bytes.len());
     for end in ends {
-        let whole = long.whole(&bytes[from..end]);
+        let whole = long.is_complete(&bytes[from..end]);
         let fed = long.feed(&bytes[from..end], &mut out);
         assert_eq!(
             whole,
@@ -47,7 +49,7 @@
         let (out, ended) = pieces(&bytes, &cuts);
         prop_assert_eq!(&out[..], &bytes[4..bytes.len() - REST.len() + 2]);
         let report = Some(b"util=0.25".to_vec());
-        prop_assert_eq!(ended, Ok(Some(Whole { report, alone: true })));
+        prop_assert_eq!(ended, Ok(Some(AnswerEnd { report, nothing_behind: true })));
     }
 
     /// Guards against a value that seems whole though its answer is spoilt or cut off, wherever.
@@ -71,8 +73,8 @@
 
     #[test]
     fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), more in prop::collection::vec(any::<u8>(), 0..6000)) {
-        let _ = Long::begin(&bytes);
-        let (mut long, _) = Long::begin(b"*3\r\n$65537\r\n").unwrap();
+        let _ = LongAnswer::begin(&bytes);
+        let mut long = LongAnswer::begin(b"*3\r\n$65537\r\n").unwrap().answer;
         let mut out = Vec::new();
         let _ = long.feed(&[0; 65_537], &mut out);
         let _ = long.feed(&more, &mut out);
@@ -93,7 +95,7 @@
         "*3\r\n$700",
         "",
     ] {
-        assert!(Long::begin(other.as_bytes()).is_none(), "{other:?}");
+        assert!(LongAnswer::begin(other.as_bytes()).is_none(), "{other:?}");
     }
-    assert!(Long::begin(b"*3\r\n$4194304\r\n").is_some());
+    assert!(LongAnswer::begin(b"*3\r\n$4194304\r\n").is_some());
 }
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -5,8 +5,8 @@
 use std::collections::HashMap;
 use std::path::PathBuf;
 use wrenfork_decision::{Idempotency, KeyScope};
-use wrenfork_wire::call::{Call, Identity, Vocabulary};
-use wrenfork_wire::long::Long;
+use wrenfork_wire::call::{Call, ClassDefinition, Identity, Vocabulary};
+use wrenfork_wire::long::LongAnswer;
 use wrenfork_wire::{resp, tally};
 
 fn path(name: &str) -> PathBuf {
@@ -43,18 +43,22 @@
         scope: KeyScope::Cell,
         window: 3_000_000,
     };
+    let class = |name: &str, idempotency| ClassDefinition {
+        name: name.into(),
+        idempotency,
+    };
     let classes = vec![
-        ("quote".into(), Idempotency::Idempotent),
-        ("save".into(), keyed),
-        ("refer".into(), Idempotency::NotIdempotent),
+        class("quote", Idempotency::Idempotent),
+        class("save", keyed),
+        class("refer", Idempotency::NotIdempotent),
     ];
     Vocabulary {
         classes,
         plans: vec!["starter".into(), "business".into(), "business~2".into()],
-        most_units: 4.0,
+        max_units: 4.0,
         gateways: 4,
         identity: None,
-        asks: false,
+        authenticates: false,
     }
 }
 
@@ -70,7 +74,7 @@
     resp::command(&buf, &mut args).unwrap().unwrap();
     let long = args
         .get(resp::BODY)
-        .is_some_and(|body| body.len() > resp::MOST_VALUE);
+        .is_some_and(|body| body.len() > resp::MAX_VALUE);
     let call = if long {
         Call::read_long(buf, &args, words)
     } else {
@@ -86,14 +90,14 @@
 fn calls() -> Vec<(&'static str, Call)> {
     let words = vocabulary();
     let quote = b"c=quote,t=starter,d=99,units=1,spread=1,first=0";
-    let long = vec![b'x'; resp::MOST_VALUE + 1];
+    let long = vec![b'x'; resp::MAX_VALUE + 1];
     let own = Vocabulary {
         identity: Some(Identity {
             accounts: HashMap::from([(0xb4d6_5521, 2)]),
-            known: vec!["starter".into(), "business".into(), "business".into()],
-            sends: vec![true, true, false],
+            plans_at_backends: vec!["starter".into(), "business".into(), "business".into()],
+            may_send: vec![true, true, false],
         }),
-        asks: true,
+        authenticates: true,
         ..vocabulary()
     };
     let claimed = b"c=save,t=starter,d=480,k=5c0f,auth=secret,units=1,spread=2,first=1";
@@ -134,13 +138,14 @@
 
 #[test]
 fn a_long_answer_is_stored_as_the_golden_file_has_it() {
-    let (mut long, at) = Long::begin(b"*3\r\n$65537\r\nabc").unwrap();
+    let begun = LongAnswer::begin(b"*3\r\n$65537\r\nabc").unwrap();
+    assert_eq!(begun.head, 4);
+    let mut long = begun.answer;
     assert_stored("long-begun.bin", &long);
     let mut out = Vec::new();
     let value = [b"$65537\r\n".to_vec(), vec![b'x'; 65_537]].concat();
     assert_eq!(long.feed(&value, &mut out), Ok(None));
     assert_eq!(long.feed(b"\r\n*-1\r\n$3\r\nut", &mut out), Ok(None));
-    assert_eq!(at, 4);
     assert_stored("long-rest.bin", &long);
 }
 
@@ -157,36 +162,39 @@
     assert_golden("counts.txt", &out);
 }
 
+/// The options of a good command.
+const GOOD: &str = "c=save,t=business,d=480,k=5c0f,units=2,spread=3,first=1";
+/// Changes of it, each of which is refused by one vocabulary or both.
+const CHANGES: [(&str, &str); 24] = [
+    ("c=save,", ""),
+    ("c=save", "c=other"),
+    ("c=save", "c=quote"),
+    ("t=business,", ""),
+    ("t=business", "t=gold"),
+    ("d=480,", ""),
+    ("d=480", "d=-1"),
+    ("d=480", "d=3600001"),
+    ("k=5c0f,", ""),
+    ("k=5c0f", "k=a b"),
+    ("units=2,", ""),
+    ("units=2", "units=nan"),
+    ("units=2", "units=0"),
+    ("units=2", "units=4.1"),
+    ("spread=3,", ""),
+    ("spread=3", "spread=x"),
+    ("spread=3", "spread=0"),
+    ("spread=3", "spread=5"),
+    (",first=1", ""),
+    (",first=1", ",first"),
+    ("first=1", "first=4"),
+    ("first=1", "first=-1"),
+    ("units=2", "units=2,units=3"),
+    ("k=5c0f", "k=1,k=2,auth=a,auth=b"),
+];
+
 /// Why a command is refused is told to clients.
 #[test]
 fn refusals_have_their_texts() {
-    let good = "c=save,t=business,d=480,k=5c0f,units=2,spread=3,first=1";
-    let changes = [
-        ("c=save,", ""),
-        ("c=save", "c=other"),
-        ("c=save", "c=quote"),
-        ("t=business,", ""),
-        ("t=business", "t=gold"),
-        ("d=480,", ""),
-        ("d=480", "d=-1"),
-        ("d=480", "d=3600001"),
-        ("k=5c0f,", ""),
-        ("k=5c0f", "k=a b"),
-        ("units=2,", ""),
-        ("units=2", "units=nan"),
-        ("units=2", "units=0"),
-        ("units=2", "units=4.1"),
-        ("spread=3,", ""),
-        ("spread=3", "spread=x"),
-        ("spread=3", "spread=0"),
-        ("spread=3", "spread=5"),
-        (",first=1", ""),
-        (",first=1", ",first"),
-        ("first=1", "first=4"),
-        ("first=1", "first=-1"),
-        ("units=2", "units=2,units=3"),
-        ("k=5c0f", "k=1,k=2,auth=a,auth=b"),
-    ];
     let mut all = String::new();
     let mut refuse = |parts: &[&[u8]], words: &Vocabulary| {
         let (buf, mut args) = (command(parts), Vec::new());
@@ -201,21 +209,21 @@
     let own = Vocabulary {
         identity: Some(Identity {
             accounts: HashMap::from([(0xb4d6_5521, 1)]),
-            known: vec!["starter".into(), "business".into()],
-            sends: vec![true, false, false],
+            plans_at_backends: vec!["starter".into(), "business".into()],
+            may_send: vec![true, false, false],
         }),
-        asks: true,
+        authenticates: true,
         ..vocabulary()
     };
     for words in [&vocabulary(), &own] {
-        for (from, to) in changes {
-            let options = good.replace(from, to);
+        for (from, to) in CHANGES {
+            let options = GOOD.replace(from, to);
             refuse(
                 &[b"CALL.POST", CUSTOMER, b"9b1f", options.as_bytes(), b"BODY"],
                 words,
             );
         }
-        let options = good.as_bytes();
+        let options = GOOD.as_bytes();
         refuse(&[b"CALL.PUT", CUSTOMER, b"9b1f", options, b"BODY"], words);
         refuse(&[b"CALL.POST", CUSTOMER, b"9b1f", options], words);
         refuse(&[b"CALL.GET", CUSTOMER, b"9b1f", options], words);
