--- a/crates/ingress/tests/accepted.rs
+++ b/crates/ingress/tests/accepted.rs
@@ -1,9 +1,6 @@
 //! What the checker accepts, the ingress runs: files drawn at random within the form are checked, and where they are taken
 //! the built sidecar must start from them, answer, and end well.
 
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::too_many_lines)]
-
 use proptest::prelude::{any, prop, Strategy};
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngSeed};
@@ -50,34 +47,33 @@
     routes: Vec<(usize, usize, Trial)>,
 }
 
-fn drawn() -> impl Strategy<Value = Drawn> {
-    let class = (0usize..3, 1u64..3_000, 1u64..9_000, 0u32..9, 1u32..7);
-    let class = class.prop_map(|(effect, wanted_ms, deadline_ms, worth, units)| Class {
+fn class() -> impl Strategy<Value = Class> {
+    let fields = (0usize..3, 1u64..3_000, 1u64..9_000, 0u32..9, 1u32..7);
+    fields.prop_map(|(effect, wanted_ms, deadline_ms, worth, units)| Class {
         effect,
         wanted_ms,
         deadline_ms,
         worth,
         units,
-    });
-    let plan = (
-        1u32..5_000,
-        0usize..3,
-        1u32..200,
-        prop::option::of(1u32..20_000),
-    );
-    let plan = plan.prop_map(|(quota, per, burst, ceiling)| Plan {
+    })
+}
+
+fn plan() -> impl Strategy<Value = Plan> {
+    let ceiling = prop::option::of(1u32..20_000);
+    let fields = (1u32..5_000, 0usize..3, 1u32..200, ceiling);
+    fields.prop_map(|(quota, per, burst, ceiling)| Plan {
         quota,
         per,
         burst,
         ceiling,
-    });
+    })
+}
+
+fn drawn() -> impl Strategy<Value = Drawn> {
     let near = prop::collection::vec((0usize..6, prop::collection::vec(0usize..6, 1..5)), 0..2);
-    let site = (
-        1usize..6,
-        near,
-        prop::collection::vec(class, 1..6),
-        prop::collection::vec(plan, 1..4),
-    );
+    let classes = prop::collection::vec(class(), 1..6);
+    let plans = prop::collection::vec(plan(), 1..4);
+    let site = (1usize..6, near, classes, plans);
     let limits = (
         1u8..6,
         any::<bool>(),
@@ -92,16 +88,14 @@
         prop::option::of(0u16..9),
         prop::option::of(0usize..5),
     );
-    let route = (
-        0usize..6,
-        0usize..5,
-        prop::option::of((0usize..5, 0u32..=100)),
-    );
+    let trial = prop::option::of((0usize..5, 0u32..=100));
+    let route = (0usize..6, 0usize..5, trial);
+    let account = (0usize..4, prop::option::of(1u32..100));
     let app = (
         0usize..6,
         16u32..256,
         64u32..1_024,
-        prop::collection::vec((0usize..4, prop::option::of(1u32..100)), 1..8),
+        prop::collection::vec(account, 1..8),
         prop::collection::vec(pool, 0..5),
         prop::collection::vec(route, 0..4),
     );
@@ -218,7 +212,7 @@
 
 /// Guards against a file that is accepted and then not run, and against draws that are nearly all refused and show nothing.
 #[test]
-fn what_the_checker_accepts_the_sidecar_runs() {
+fn files_that_the_checker_accepts_run() {
     let seed = RngSeed::Fixed(19);
     let config = Config {
         rng_seed: seed,
--- a/crates/ingress/tests/addresses.rs
+++ b/crates/ingress/tests/addresses.rs
@@ -214,7 +214,7 @@
 /// Guards against a wait for an address that takes no connection and refuses none: the next one is tried meanwhile, and the
 /// request goes to the one that is up first, once.
 #[test]
-fn an_address_that_does_not_come_up_is_overtaken_by_the_next() {
+fn an_address_that_does_not_connect_is_overtaken_by_the_next() {
     use socket2::{Domain, Socket, Type};
     let backend = Backend::start(serve);
     // Its queue is full, and nobody takes anything out of it: whoever connects hears nothing.
@@ -243,7 +243,7 @@
 
 /// Guards against a request that may have reached a node over one address and is sent again over another.
 #[test]
-fn what_a_silent_address_has_taken_is_not_sent_over_another_unless_it_may_run_twice() {
+fn a_request_taken_by_a_silent_address_is_retried_over_another_only_if_idempotent() {
     let backend = Backend::start(serve);
     let (silent, heard) = silent_door();
     let site = Site::new(&[silent.to_string(), backend.at.to_string()]);
--- a/crates/ingress/tests/crowds.rs
+++ b/crates/ingress/tests/crowds.rs
@@ -1,8 +1,5 @@
 //! Crowds that connect and idle or stop half way, by the ingress's sockets: who makes room for whom.
 
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::too_many_lines)]
-
 use std::thread;
 use std::time::Duration;
 use wrenfork_testbed::small::{call, serve, served, until, Act, Backend, Client, Setup};
@@ -24,9 +21,14 @@
     ended
 }
 
+/// How many of these connections have been closed.
+fn closed(clients: &[Client]) -> usize {
+    clients.iter().filter(|c| has_ended(c)).count()
+}
+
 /// Guards against a crowd that keeps out whoever has something to ask, and against room made at the cost of those that ask.
 #[test]
-fn those_that_never_spoke_go_first_then_halves_of_commands_and_last_those_that_were_served() {
+fn silent_clients_are_evicted_first_then_partial_commands_then_idle_ones() {
     let backend = Backend::start(serve);
     let ingress = setup(&backend, 96).start();
     let mut served: Vec<Client> = (0..8).map(|_| ingress.client()).collect();
@@ -59,20 +61,9 @@
             ask(format!("b{n}"));
         }
     }
-    assert!(
-        silent.iter().filter(|c| has_ended(c)).count() > 80,
-        "the silent ones make room"
-    );
-    assert_eq!(
-        halves.iter().filter(|c| has_ended(c)).count(),
-        0,
-        "a half command makes room before the silent"
-    );
-    assert_eq!(
-        served.iter().filter(|c| has_ended(c)).count(),
-        0,
-        "one that was served makes room before the silent"
-    );
+    assert!(closed(&silent) > 80, "the silent ones make room");
+    assert_eq!(closed(&halves), 0, "partial before silent");
+    assert_eq!(closed(&served), 0, "served before silent");
     // Now halves of commands alone: the oldest of them go, and those that were served stay.
     let mut more: Vec<Client> = Vec::new();
     for n in 6..100 {
@@ -82,11 +73,7 @@
         }
     }
     until("the oldest half goes", || has_ended(&halves[0]));
-    assert_eq!(
-        served.iter().filter(|c| has_ended(c)).count(),
-        0,
-        "one that was served makes room before halves"
-    );
+    assert_eq!(closed(&served), 0, "served before partial");
     for (n, client) in served.iter_mut().enumerate() {
         assert_eq!(
             client.ask(&call("refer", &format!("t{n}"), 900)),
@@ -123,7 +110,7 @@
 
 /// Guards against an end that waits for a crowd.
 #[test]
-fn told_to_stop_under_a_crowd_it_answers_and_ends() {
+fn on_sigterm_under_a_crowd_requests_are_answered_and_the_process_exits() {
     let backend = Backend::start(|args| Act::Later(Duration::from_millis(200), served(args)));
     let mut ingress = setup(&backend, 128).start();
     let crowd: Vec<Client> = (0..200).map(|_| ingress.client()).collect();
--- a/crates/ingress/tests/told.rs
+++ b/crates/ingress/tests/discovery_delay.rs
@@ -34,7 +34,7 @@
 
 /// Guards against pauses that outlast it: the fourth refusal in a row was followed by one of up to 12 s.
 #[test]
-fn a_change_behind_calls_that_were_turned_away() {
+fn a_change_is_reported_in_time_behind_rejected_polls() {
     let (one, discovery) = (Backend::start(serve), Discovery::start());
     discovery.overbooked(true);
     let _ingress = setup(&[&one], &discovery).start();
@@ -47,7 +47,7 @@
 
 /// A watch that falls silent and stays open.
 #[test]
-fn a_change_behind_a_watch_that_fell_silent() {
+fn a_change_is_reported_in_time_behind_a_silent_watch() {
     let (one, discovery) = (Backend::start(serve), Discovery::start());
     let _ingress = setup(&[&one], &discovery).start();
     let before = calls(&discovery);
@@ -59,7 +59,7 @@
 /// A service that is down, and one that is silent, for longer than the first pauses last; either is back at a moment at which the
 /// ingress may just have failed.
 #[test]
-fn a_change_behind_a_service_that_was_down_or_silent() {
+fn a_change_is_reported_in_time_behind_a_service_that_was_down_or_silent() {
     for (what, fail) in [
         (
             "a service that was down",
@@ -82,7 +82,7 @@
 
 /// Connections that don't come up, until they do.
 #[test]
-fn a_change_behind_connects_that_stayed_silent() {
+fn a_change_is_reported_in_time_behind_silent_connects() {
     let (one, jammed) = (Backend::start(serve), Jammed::start());
     let mut setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&one]);
     setup.discovery = Some(jammed.at);
@@ -95,7 +95,7 @@
 /// Guards against idle clients that leave no descriptor for the new watch, nor for a backend: more of them than there are
 /// descriptors come while discovery is down, by the platform's limit and by a lower one of the system's.
 #[test]
-fn a_change_behind_a_crowd_that_came_while_discovery_was_down() {
+fn a_change_is_reported_in_time_behind_a_crowd_of_retries() {
     for (sockets, ulimit) in [(96, 96), (1024, 64)] {
         let (one, two, discovery) = (
             Backend::start(serve),
@@ -139,7 +139,7 @@
 /// Guards against a list that is thrown away with its connection: it has come whole, and been told, when a reset comes right behind
 /// it. Nothing can be asked any more, so what drains would go on being sent to.
 #[test]
-fn a_list_that_came_whole_before_a_reset_is_heard() {
+fn a_list_that_was_complete_before_a_reset_is_applied() {
     let (drains, stays) = (Backend::start(serve), Backend::start(serve));
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&drains, &stays]);
--- a/crates/ingress/tests/endings.rs
+++ b/crates/ingress/tests/endings.rs
@@ -84,7 +84,7 @@
 /// Guards against an attempt that begins after its client has left, where attempts are not called off: one that is not written
 /// has not begun, and is dropped.
 #[test]
-fn what_is_not_written_when_its_client_leaves_is_never_written() {
+fn an_unsent_request_whose_client_disconnected_is_never_written() {
     let jammed = Jammed::start();
     let mut setup = with(
         patient(&[]),
@@ -109,7 +109,7 @@
 
 /// Guards against a turn that writes what came up while the ingress stood still before it sees who has left meanwhile.
 #[test]
-fn behind_a_standstill_those_who_left_are_seen_before_anything_is_sent() {
+fn after_a_stall_disconnected_clients_are_seen_before_anything_is_sent() {
     let jammed = Jammed::start();
     let mut setup = patient(&[]);
     setup.known = vec![jammed.entry("s-0", "up")];
@@ -132,7 +132,7 @@
 /// Guards against an end that is not seen since the connection is not read: its line of answers is full, and what it asked for
 /// goes on being sent for nobody.
 #[test]
-fn a_client_that_leaves_behind_a_full_line_of_requests_is_gone() {
+fn a_client_that_disconnects_behind_a_full_pipeline_is_noticed() {
     let open = Arc::new(AtomicBool::new(false));
     let told = open.clone();
     let backend = Backend::start(move |args| {
@@ -197,7 +197,7 @@
 /// Guards against requests that are dropped behind the first one where a connection was taken in beyond the descriptors, only to be
 /// told so: what is read has an answer, also what was asked in the same moment.
 #[test]
-fn beyond_the_descriptors_all_that_is_asked_at_once_is_refused() {
+fn beyond_the_descriptors_a_whole_pipeline_is_rejected() {
     let backend = Backend::start(serve);
     let setup = Setup {
         sockets: 64,
@@ -226,7 +226,7 @@
 
 /// Guards against a command that tells its backend more time than its client has left: it was made out when the connect began.
 #[test]
-fn an_attempt_whose_connection_came_up_late_tells_what_is_left_by_then() {
+fn an_attempt_that_connects_late_sends_the_time_left_by_then() {
     let jammed = Jammed::start();
     let mut setup = patient(&[]);
     setup.known = vec![jammed.entry("s-0", "up")];
@@ -256,7 +256,7 @@
 /// Guards against half a line that comes while a connection rests, or after it has rested: read as the head of the next answer,
 /// it would spoil that one.
 #[test]
-fn half_a_line_behind_an_answer_spoils_nothing() {
+fn a_partial_line_behind_an_answer_spoils_no_other_request() {
     for pause in [Duration::from_micros(300), Duration::from_millis(5)] {
         let backend = Backend::start(move |args| {
             let whole = served(args);
@@ -286,7 +286,7 @@
 
 /// Guards against a connection that comes up after its backend was told to drain, and against waiting for it.
 #[test]
-fn what_is_not_written_when_a_drain_is_told_goes_elsewhere() {
+fn an_unsent_request_is_retried_elsewhere_when_its_backend_drains() {
     let (jammed, other, discovery) = (Jammed::start(), Backend::start(serve), Discovery::start());
     let mut setup = patient(&[]);
     setup.known = vec![jammed.entry("s-0", "up")];
@@ -350,7 +350,7 @@
 /// Guards against an answer that is lost on its way: closed over a request that crosses the close, the connection would be reset,
 /// and what its client has not taken in yet be gone.
 #[test]
-fn an_answer_on_its_way_outlives_a_request_that_crosses_the_end() {
+fn an_answer_in_flight_survives_a_request_that_crosses_the_shutdown() {
     let (backend, value) = with_a_long_value();
     let mut ingress = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]).start();
     let mut client = with_an_answer_on_its_way(&ingress, &backend);
@@ -362,7 +362,7 @@
 
 /// Guards against the same where an ingress that goes on serving ends an idle connection: of 120 descriptors a sixth may be idle.
 #[test]
-fn an_answer_on_its_way_outlives_a_request_that_crosses_an_eviction() {
+fn an_answer_in_flight_survives_a_request_that_crosses_an_eviction() {
     let (backend, value) = with_a_long_value();
     let setup = Setup {
         sockets: 120,
@@ -392,7 +392,7 @@
 /// Guards against an exit over what has been read and not answered: requests behind a full line of answers are taken up as the
 /// line is answered, and that is at the last moment here.
 #[test]
-fn what_was_read_behind_a_full_line_is_answered_before_the_end() {
+fn requests_read_behind_a_full_pipeline_are_answered_before_the_exit() {
     let backend = Backend::start(|_| Act::Silent);
     let mut ingress = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]).start();
     let mut client = ingress.client();
@@ -416,7 +416,7 @@
 
 /// Guards against a half-close that keeps the ingress from its end: a client that never closes is left after a second.
 #[test]
-fn clients_that_never_close_do_not_hold_up_the_end() {
+fn clients_that_never_close_do_not_delay_the_exit() {
     let backend = Backend::start(serve);
     let mut ingress = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]).start();
     let mut clients: Vec<Client> = (0..20).map(|_| ingress.client()).collect();
--- a/crates/ingress/tests/upgrade.rs
+++ b/crates/ingress/tests/handover.rs
@@ -1,9 +1,6 @@
 //! A new version under load: processes of one ingress after each other on one listening socket that the test holds, as a
 //! platform would. A connection that a client keeps must never end, and each request has one answer and one effect.
 
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::too_many_lines)]
-
 use std::collections::{HashMap, HashSet};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -197,6 +194,66 @@
     }
 }
 
+/// Clients that ask all the time, and what they saw.
+#[derive(Clone)]
+struct Load {
+    at: SocketAddr,
+    stop: Arc<AtomicBool>,
+    asked: Arc<AtomicUsize>,
+    served_ids: Arc<Mutex<HashSet<String>>>,
+    answered_at: Arc<Mutex<Vec<Instant>>>,
+}
+
+impl Load {
+    /// Asks for two requests at once, over and over, as the client with this number.
+    fn run(&self, number: usize) {
+        let mut client = Client::connect(self.at);
+        for n in 0.. {
+            if self.stop.load(Ordering::SeqCst) {
+                return;
+            }
+            if number % 4 == 3 {
+                client = Client::connect(self.at); // and new ones come all the time
+            }
+            let ids = [0, 1].map(|i| format!("c{number}-{n}-{i}"));
+            client.send(&ids.clone().map(|id| call("refer", &id, 2500)).concat());
+            for id in ids {
+                self.note(&client.answer(), id);
+            }
+        }
+    }
+
+    fn note(&self, answer: &str, id: String) {
+        self.asked.fetch_add(1, Ordering::SeqCst);
+        self.answered_at.lock().unwrap().push(Instant::now());
+        if answer == format!("value of {id}") {
+            self.served_ids.lock().unwrap().insert(id);
+        } else {
+            assert!(answer.starts_with("-BUSY"), "{id}: {answer:?}");
+        }
+    }
+}
+
+/// The longest time between two answers.
+fn longest_pause(answered_at: &[Instant]) -> Duration {
+    let pauses = answered_at.windows(2);
+    pauses
+        .map(|w| w[1].saturating_duration_since(w[0]))
+        .max()
+        .unwrap()
+}
+
+/// How often the backends were given each request, by its id.
+fn attempts_by_id(backends: &[Backend]) -> HashMap<String, usize> {
+    let mut attempts = HashMap::new();
+    for backend in backends {
+        for command in backend.seen.commands.lock().unwrap().iter() {
+            *attempts.entry(command[2].clone()).or_default() += 1;
+        }
+    }
+    attempts
+}
+
 /// Guards against connections that are closed or left unread, answers that go missing and effects that come twice, over two
 /// upgrades on end under load, with the limits half of them would break.
 #[test]
@@ -211,36 +268,18 @@
     );
     let served_ids = Arc::new(Mutex::new(HashSet::new()));
     let answered_at: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let clients: Vec<_> = (0..12)
-        .map(|c| {
-            let (stop, asked, served_ids, at) =
-                (stop.clone(), asked.clone(), served_ids.clone(), platform.at);
-            let answered_at = answered_at.clone();
-            thread::spawn(move || {
-                let mut client = Client::connect(at);
-                for n in 0.. {
-                    if stop.load(Ordering::SeqCst) {
-                        return;
-                    }
-                    if c % 4 == 3 {
-                        client = Client::connect(at); // and new ones come all the time
-                    }
-                    let ids = [0, 1].map(|i| format!("c{c}-{n}-{i}"));
-                    client.send(&ids.clone().map(|id| call("refer", &id, 2500)).concat());
-                    for id in ids {
-                        let answer = client.answer();
-                        asked.fetch_add(1, Ordering::SeqCst);
-                        answered_at.lock().unwrap().push(Instant::now());
-                        if answer == format!("value of {id}") {
-                            served_ids.lock().unwrap().insert(id);
-                        } else {
-                            assert!(answer.starts_with("-BUSY"), "{id}: {answer:?}");
-                        }
-                    }
-                }
-            })
-        })
-        .collect();
+    let load = Load {
+        at: platform.at,
+        stop: stop.clone(),
+        asked: asked.clone(),
+        served_ids: served_ids.clone(),
+        answered_at: answered_at.clone(),
+    };
+    let client = |number| {
+        let load = load.clone();
+        thread::spawn(move || load.run(number))
+    };
+    let clients: Vec<_> = (0..12).map(client).collect();
     until("there is load", || asked.load(Ordering::SeqCst) > 200);
     let seen = Sampler::start(first.child.id());
     let mut second = platform.run("3<&0");
@@ -261,27 +300,13 @@
     stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
     // For the page of measurements (--nocapture); whoever counts on a time fails on a busy machine.
-    let at = answered_at.lock().unwrap();
-    let pause = at
-        .windows(2)
-        .map(|w| w[1].saturating_duration_since(w[0]))
-        .max()
-        .unwrap();
+    let pause = longest_pause(&answered_at.lock().unwrap());
     println!(
         "both processes: {memory} KiB resident, {descriptors} descriptors; longest pause {pause:?}"
     );
     assert!(descriptors < 1024 && memory < 192 * 1024);
     // What backends have had: each unsafe request once, and each that was served.
-    let mut had: HashMap<String, usize> = HashMap::new();
-    for backend in &backends {
-        backend
-            .seen
-            .commands
-            .lock()
-            .unwrap()
-            .iter()
-            .for_each(|c| *had.entry(c[2].clone()).or_default() += 1);
-    }
+    let had = attempts_by_id(&backends);
     assert!(had.values().all(|n| *n == 1), "an effect came twice");
     let served_ids = served_ids.lock().unwrap();
     assert!(served_ids.iter().all(|id| had.contains_key(id)) && served_ids.len() > 300);
@@ -290,7 +315,7 @@
 
 /// Guards against what was under way at the moment of the change: requests out, halves of commands, answers unread, quotas.
 #[test]
-fn what_is_under_way_goes_on_where_it_was() {
+fn requests_in_flight_continue_in_the_next_process() {
     let held = Arc::new(AtomicUsize::new(0));
     let holding = held.clone();
     let backend = Backend::start(move |args| match &args[2][..1] {
@@ -350,7 +375,7 @@
 /// Guards against a key's window that ends with the process that knew it: a repeat whose connection is still coming up passes on,
 /// and is not written by the next process a second later, when its key is forgotten. What may begin anew is begun anew.
 #[test]
-fn what_is_not_written_at_a_handover_begins_anew_or_not_at_all() {
+fn requests_unsent_at_a_handover_begin_anew_or_not_at_all() {
     for (class, answer) in [("save", "-ERR failed"), ("refer", "value of u1")] {
         let (hang, jammed) = (Arc::new(AtomicBool::new(false)), Jammed::start());
         let told = hang.clone();
@@ -391,22 +416,25 @@
     }
 }
 
+/// The value of a request, three MiB of its id.
+fn long_value(id: &str) -> String {
+    id.bytes().cycle().take(3 << 20).map(char::from).collect()
+}
+
+/// A backend that gives half of a long value, and the rest when told to go on.
+fn half_way_until(go: Arc<AtomicBool>) -> Backend {
+    Backend::start(move |args| {
+        let text = long_value(&args[2]);
+        let bytes = format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes();
+        Act::Until(bytes.len() / 2, go.clone(), bytes)
+    })
+}
+
 /// Guards against a long answer that ends with the process that had begun to pass it on.
 #[test]
-fn a_long_answer_goes_on_in_the_next_process() {
-    let value = |id: &str| -> String { id.bytes().cycle().take(3 << 20).map(char::from).collect() };
+fn a_streamed_answer_continues_in_the_next_process() {
     let go = Arc::new(AtomicBool::new(false));
-    let told = go.clone();
-    let act = move |args: &[String]| {
-        let text = value(&args[2]);
-        let bytes = format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes();
-        Act::Until(bytes.len() / 2, told.clone(), bytes)
-    };
-    let act = Arc::new(act);
-    let backends = [(); 4].map(|()| {
-        let act = act.clone();
-        Backend::start(move |args| act(args))
-    });
+    let backends = [(); 4].map(|()| half_way_until(go.clone()));
     let platform = Platform::new(&backends.each_ref());
     let count = || backends.iter().map(Backend::count).sum::<usize>();
     let mut first = platform.start();
@@ -443,7 +471,7 @@
     first.ended();
     go.store(true, Ordering::SeqCst);
     sender.send(&asked[600_000..]);
-    assert!(sender.answer() == value("n0"));
+    assert!(sender.answer() == long_value("n0"));
     let whole = |b: &Backend| {
         b.seen
             .commands
@@ -456,7 +484,7 @@
     for (n, client) in clients.iter_mut().enumerate() {
         for id in ids(n) {
             assert!(
-                client.answer() == value(&id),
+                client.answer() == long_value(&id),
                 "{id} is not what its backend gave"
             );
         }
@@ -471,7 +499,7 @@
 
 /// Guards against a drain that was told to the old process and not to the new, whose configuration holds an older list.
 #[test]
-fn what_drains_stays_drained_and_what_was_retuned_stays_so() {
+fn drains_and_changed_settings_survive_a_handover() {
     let (one, two, discovery) = (
         Backend::start(serve),
         Backend::start(serve),
@@ -520,7 +548,7 @@
 
 /// Guards against whoever asks and does not go on: the old process must serve as if nothing had been.
 #[test]
-fn a_next_process_that_fails_changes_nothing() {
+fn a_successor_that_fails_changes_nothing() {
     let backend = Backend::start(serve);
     let platform = Platform::new(&[&backend]);
     let mut process = platform.start();
@@ -575,7 +603,7 @@
 
 /// Guards against a start that waits for an old process that is frozen or dead; the one after it finds the way again.
 #[test]
-fn beside_a_frozen_or_dead_process_the_next_one_begins_anew() {
+fn beside_a_frozen_or_dead_process_the_successor_begins_anew() {
     let backend = Backend::start(serve);
     let platform = Platform::new(&[&backend]);
     let mut frozen = platform.start();
@@ -608,7 +636,7 @@
 
 /// Guards against signals in the midst: told to stop, a process is no way for the next one, which begins anew.
 #[test]
-fn a_process_that_was_told_to_stop_hands_nothing_over_and_answers_all() {
+fn a_process_that_shuts_down_hands_nothing_over_and_answers_all() {
     let backend = Backend::start(|args| Act::Later(Duration::from_millis(300), served(args)));
     let platform = Platform::new(&[&backend]);
     let mut first = platform.start();
@@ -632,7 +660,7 @@
 
 /// Guards against a descriptor that is taken for what it is not.
 #[test]
-fn a_bad_descriptor_is_told_and_the_address_bound() {
+fn an_invalid_descriptor_is_logged_and_the_address_bound() {
     let backend = Backend::start(serve);
     for (redirect, why) in [
         ("3</dev/null", "descriptor 3"),
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -1,9 +1,6 @@
 //! Callers of the built sidecar: who proves nothing, too little or something forged is turned away with the reason, whoever
 //! proves enough is served, also while keys change.
 
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::too_many_lines)]
-
 use ed25519_dalek::SigningKey;
 use std::fs;
 use std::net::{SocketAddr, TcpStream};
@@ -133,13 +130,9 @@
     ])
 }
 
-/// Guards against a caller that is taken for another one, and a token that reaches a backend or the log.
-#[test]
-fn who_proves_too_little_is_turned_away_with_the_reason_and_no_token_goes_on() {
-    let backend = Backend::start(serve);
-    let mut site = Site::new(&backend, &listed("one", 1, ""));
-    let good = token(|_| (), 1);
-    for (what, forged, code) in [
+/// What proves too little, with the code of its refusal.
+fn insufficient() -> [(&'static str, String, &'static str); 10] {
+    [
         ("nothing", String::new(), "I100"),
         ("no token", "letmein".into(), "I101"),
         ("a JWT", "eyJhbGciOiJub25lIn0.e30.".into(), "I102"),
@@ -174,7 +167,46 @@
             token(|c| c.tenant = "nobody".into(), 1),
             "I201",
         ),
-    ] {
+    ]
+}
+
+/// A request's own token counts for it alone, and may say less than the tenant has.
+fn assert_tokens_of_requests_count_alone(client: &mut Client) {
+    let (all, narrow) = (
+        token(|c| c.tenant = "all".into(), 1),
+        token(|c| c.accounts = Some(vec![7]), 1),
+    );
+    // An account that is new here has what its ceiling has let through since the start, which is little at first.
+    let mut asked = 0;
+    until("the other account is served", || {
+        asked += 1;
+        let answer = client.ask(&quote(OTHER, &format!("r6-{asked}"), &all));
+        assert!(
+            answer.starts_with("value of r6-") || answer.starts_with("-BUSY"),
+            "{answer}"
+        );
+        answer.starts_with("value")
+    });
+    assert!(client
+        .ask(&quote(OWN, "r7", &narrow))
+        .starts_with("-DENIED I202"));
+    assert_eq!(client.ask(&quote(OWN, "r8", "")), "value of r8");
+    // One that fails to be somebody else is nobody.
+    assert!(client
+        .ask(&command(&["AUTH", "letmein"]))
+        .starts_with("-DENIED I101"));
+    assert!(client
+        .ask(&quote(OWN, "r9", ""))
+        .starts_with("-DENIED I100"));
+}
+
+/// Guards against a caller that is taken for another one, and a token that reaches a backend or the log.
+#[test]
+fn callers_without_rights_are_denied_with_the_reason_and_no_token_is_forwarded() {
+    let backend = Backend::start(serve);
+    let mut site = Site::new(&backend, &listed("one", 1, ""));
+    let good = token(|_| (), 1);
+    for (what, forged, code) in insufficient() {
         let denied = |answer: &str| answer.starts_with(&format!("-DENIED {code}:"));
         let answer = site.client().ask(&quote(OWN, "r1", &forged));
         assert!(denied(&answer), "{what}, with a request: {answer}");
@@ -204,33 +236,7 @@
         client.ask(&save("r5")).starts_with("-DENIED I203"),
         "a class that it may not send"
     );
-    // A request's own token counts for it alone, and may say less than the tenant has.
-    let (all, narrow) = (
-        token(|c| c.tenant = "all".into(), 1),
-        token(|c| c.accounts = Some(vec![7]), 1),
-    );
-    // An account that is new here has what its ceiling has let through since the start, which is little at first.
-    let mut asked = 0;
-    until("the other account is served", || {
-        asked += 1;
-        let answer = client.ask(&quote(OTHER, &format!("r6-{asked}"), &all));
-        assert!(
-            answer.starts_with("value of r6-") || answer.starts_with("-BUSY"),
-            "{answer}"
-        );
-        answer.starts_with("value")
-    });
-    assert!(client
-        .ask(&quote(OWN, "r7", &narrow))
-        .starts_with("-DENIED I202"));
-    assert_eq!(client.ask(&quote(OWN, "r8", "")), "value of r8");
-    // One that fails to be somebody else is nobody.
-    assert!(client
-        .ask(&command(&["AUTH", "letmein"]))
-        .starts_with("-DENIED I101"));
-    assert!(client
-        .ask(&quote(OWN, "r9", ""))
-        .starts_with("-DENIED I100"));
+    assert_tokens_of_requests_count_alone(&mut client);
     let seen = format!("{:?}", backend.seen.commands.lock().unwrap());
     assert_eq!(backend.count(), 3);
     assert!(
@@ -249,7 +255,7 @@
 /// Guards against a key that is still taken behind its withdrawal, a request that was taken and is lost with it, and an honest
 /// caller that fails in between.
 #[test]
-fn a_key_is_changed_while_requests_run_and_only_what_it_signed_ends() {
+fn a_key_rotation_ends_only_what_the_old_key_signed() {
     // Slow for the one that is to be out alone: if all were, the ladder would cut callers by a lot that is drawn with the time.
     let backend = Backend::start(|args| match &args[2][..] {
         "k2" => Act::Later(Duration::from_millis(300), served(args)),
@@ -306,7 +312,7 @@
 
 /// Guards against a flood of forged tokens that has each one's signature checked, and that shuts out who was here before.
 #[test]
-fn a_flood_of_forged_tokens_is_not_looked_at_for_long_and_known_callers_go_on() {
+fn a_flood_of_forged_tokens_is_limited_and_known_callers_are_served() {
     let backend = Backend::start(serve);
     let site = Site::new(&backend, &listed("one", 1, ""));
     let good = token(|_| (), 1);
--- a/crates/ingress/tests/long.rs
+++ b/crates/ingress/tests/long.rs
@@ -56,7 +56,7 @@
 
 /// Guards against values that are kept whole: 32 of 4 MiB at once, to readers that take nothing for a while, in 24 MiB.
 #[test]
-fn many_of_the_longest_pass_through_a_small_memory() {
+fn many_of_the_longest_answers_stream_through_a_small_memory() {
     let backend = Backend::start(|args| Act::Say(long(args, LONGEST)));
     let others = [(); 3].map(|()| Backend::start(|args| Act::Say(long(args, LONGEST))));
     let small = Backend::start(serve);
@@ -84,7 +84,7 @@
 
 /// Guards against a slow reader, or a value behind others, that keeps anybody else from being served or changes the order.
 #[test]
-fn a_slow_reader_holds_up_nobody_and_answers_keep_their_order() {
+fn a_slow_reader_delays_no_other_client_and_answers_stay_in_order() {
     let backend = Backend::start(|args| match &args[2][..1] {
         "l" => Act::Say(long(args, 1 << 20)),
         "s" => Act::Later(Duration::from_millis(400), served(args)),
@@ -121,7 +121,7 @@
 
 /// Guards against a deadline, or a second copy, that ends an answer which comes slowly but comes.
 #[test]
-fn once_begun_only_a_standstill_ends_it() {
+fn a_streamed_answer_ends_early_only_when_it_stalls() {
     let backend = Backend::start(|args| {
         let bytes = long(args, 300_000);
         Act::Parts(
@@ -140,7 +140,7 @@
 
 /// Guards against half a value that seems whole, and a second try of what the client has begun to read.
 #[test]
-fn what_breaks_in_the_middle_ends_the_clients_connection() {
+fn an_answer_that_breaks_in_the_middle_closes_the_clients_connection() {
     let (cut, id) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(0)));
     let at = cut.clone();
     let backend = Backend::start(move |args| {
@@ -210,7 +210,7 @@
 
 /// Guards against an answer that breaks in the middle and takes with it what others on its connection are owed.
 #[test]
-fn what_breaks_in_the_middle_takes_no_other_answer_with_it() {
+fn an_answer_that_breaks_in_the_middle_loses_no_other_answer() {
     let backend = breaking();
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
@@ -245,7 +245,7 @@
 /// Guards against a request that is read behind an answer which passes on as it comes: if that breaks, its connection ends, and
 /// whatever came of the request would be lost. Unread, it is one that its client sends again.
 #[test]
-fn nothing_is_read_behind_an_answer_that_passes_on() {
+fn nothing_is_read_behind_a_streamed_answer() {
     let backend = breaking();
     let ingress = setup(&[&backend]).start();
     let begun = |client: &Client| client.0.peek(&mut [0]).is_ok_and(|n| n > 0);
@@ -267,7 +267,7 @@
 
 /// Guards against a backend that goes on for a client that has left, and against one that stands still for ever.
 #[test]
-fn a_client_that_leaves_and_a_backend_that_stands_still_are_given_up() {
+fn streaming_ends_when_the_client_disconnects_or_the_backend_stalls() {
     let backend = Backend::start(|args| {
         if args[2] == "still" {
             return Act::Parts(100_000, Duration::from_secs(60), long(args, 200_000));
@@ -328,7 +328,7 @@
 
 /// Guards against bodies that fill the memory: a dozen of 4 MiB at once, in pieces, where there is room for one or two.
 #[test]
-fn long_bodies_wait_for_the_memory_that_they_take_and_come_whole() {
+fn long_bodies_wait_for_memory_and_arrive_complete() {
     let backend = Backend::start(serve);
     let mut setup = setup(&[&backend]);
     setup.memory_mb = 24;
@@ -367,7 +367,7 @@
 
 /// Guards against a body that is repeated in part, or not at all where its class allows it; lengths round the border.
 #[test]
-fn a_long_body_is_repeated_whole() {
+fn a_long_body_is_retried_completely() {
     // It turns two away, no more: where it turned all away the ladder would cut customers by a lot drawn with the time.
     let turned = AtomicUsize::new(0);
     let bad = Backend::start(move |args| match turned.fetch_add(1, Ordering::SeqCst) {
@@ -411,7 +411,7 @@
 
 /// Guards against a body that nobody has room for, or that never comes, and holds up the others for ever.
 #[test]
-fn a_body_too_long_or_too_late_is_told_so() {
+fn a_body_too_long_or_too_late_is_refused() {
     let backend = Backend::start(serve);
     let mut small = setup(&[&backend]);
     small.memory_mb = 16; // a quarter of it is less than the longest and its head
--- a/crates/ingress/tests/management.rs
+++ b/crates/ingress/tests/management.rs
@@ -1,8 +1,5 @@
 //! The operators' address by its sockets, and settings that change while requests are open: the built binary between stand-ins.
 
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::too_many_lines)]
-
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -30,7 +27,7 @@
 
 /// Guards against figures that are guessed beside what happened: each is held against what clients and backends counted.
 #[test]
-fn the_figures_are_what_clients_and_backends_counted() {
+fn telemetry_matches_what_clients_and_backends_counted() {
     let held = Arc::new(AtomicUsize::new(0));
     let holding = held.clone();
     let backend = Backend::start(move |args| match &args[2][..1] {
@@ -99,7 +96,7 @@
 
 /// Guards against a backend that counts as used while nothing is sent to it.
 #[test]
-fn what_drains_is_listed_and_out_of_rotation() {
+fn a_draining_backend_is_listed_and_out_of_rotation() {
     let (one, two, discovery) = (
         Backend::start(serve),
         Backend::start(serve),
@@ -124,7 +121,7 @@
 // ---- Calls ----
 
 #[test]
-fn a_bad_line_is_told_why_and_a_good_one_needs_no_end_of_the_other() {
+fn an_invalid_line_is_refused_and_a_good_one_needs_no_end_of_input() {
     let backend = Backend::start(serve);
     let (setup, at) = setup(&[&backend]);
     let mut ingress = setup.start();
@@ -161,7 +158,7 @@
 
 /// Guards against callers that say nothing, or go on and on, for whom another call or a client has to wait.
 #[test]
-fn callers_without_end_keep_out_neither_calls_nor_clients() {
+fn endless_connections_of_operators_keep_out_neither_operators_nor_clients() {
     let backend = Backend::start(serve);
     let (mut setup, at) = setup(&[&backend]);
     setup.sockets = 64;
@@ -190,7 +187,7 @@
 
 /// Guards against a caller that ends its sending behind its line, as many tools do, and has no answer for it.
 #[test]
-fn a_caller_that_has_ended_its_sending_has_its_answer() {
+fn an_operator_that_half_closed_gets_its_answer() {
     let backend = Backend::start(serve);
     let (setup, at) = setup(&[&backend]);
     let _ingress = setup.start();
@@ -205,7 +202,7 @@
 }
 
 #[test]
-fn without_a_list_it_is_not_ready() {
+fn without_endpoints_it_is_not_ready() {
     let (setup, at) = setup(&[]);
     let _ingress = setup.start();
     assert!(ask(at, "readyz\n").starts_with("-ERR no backend"));
@@ -229,7 +226,7 @@
 
 /// Guards against requests that change their rules while they are open, and against classes that mix with others' places.
 #[test]
-fn classes_come_and_go_and_open_requests_keep_their_rules() {
+fn classes_change_and_open_requests_keep_their_settings() {
     let held = Arc::new(AtomicUsize::new(0));
     let holding = held.clone();
     // The first attempt at what begins with an h is held, then fails; a second one is served.
@@ -283,9 +280,70 @@
     assert_eq!(other.count(), 0);
 }
 
+/// What is wrong in a file: a part of a good one, what stands there instead, and what the log has to name.
+const BROKEN: [(&str, &str, &str); 17] = [
+    (
+        r#""give_up_us":1000000"#,
+        r#""give_up_us":0"#,
+        "grades.0.give_up_us",
+    ),
+    (
+        r#""give_up_us":1000000"#,
+        r#""give_up_us":-5"#,
+        "grades.0.give_up_us",
+    ),
+    (
+        r#""give_up_us":1000000"#,
+        r#""give_up_us":"soon""#,
+        "grades.0.give_up_us",
+    ),
+    (
+        r#""give_up_us":1000000"#,
+        r#""give_up_us":1e300"#,
+        "grades.0.give_up_us",
+    ),
+    (
+        r#""give_up_us":1000000"#,
+        r#""give_up_us":null"#,
+        "grades.0.give_up_us",
+    ),
+    (r#""give_up_us":1000000,"#, "", "grades.0.give_up_us"),
+    (
+        r#""most_tries":3"#,
+        r#""most_tries":0"#,
+        "limits.most_tries",
+    ),
+    (
+        r#""most_tries":3"#,
+        r#""most_tries":-1"#,
+        "limits.most_tries",
+    ),
+    (
+        r#""most_tries":3"#,
+        r#""most_tries":2.5"#,
+        "limits.most_tries",
+    ),
+    (
+        r#""most_tries":3"#,
+        r#""most_tries":4294967295"#,
+        "limits.most_tries",
+    ),
+    (r#""most_tries":3,"#, "", "limits.most_tries"),
+    (
+        r#""effect":"once""#,
+        r#""effect":"sometimes""#,
+        "grades.2.effect",
+    ),
+    (r#""name":"save""#, r#""name":"quote""#, "quote"),
+    (r#""name":"quote","#, "", "grades.0.name"),
+    (r#""settings":"#, r#""setting":"#, "settings is missing"),
+    (r#""grades":["#, r#""grades":[7,"#, "grades"),
+    (r#""known":"#, r#""known_":"#, "known is missing"),
+];
+
 /// Guards against a slip that stops the service: of a broken file nothing is taken, it counts once, and the log names its place.
 #[test]
-fn of_a_broken_file_nothing_is_taken() {
+fn a_broken_file_changes_nothing() {
     let (one, two) = (Backend::start(serve), Backend::start(serve));
     let (mut setup, at) = setup(&[&one]);
     let trap = Discovery::start();
@@ -294,67 +352,9 @@
     let good = setup.config(ingress.at);
     setup.discovery = Some(trap.at); // what would be taken of a broken file
     let told = setup.config(ingress.at);
-    let mut broken: Vec<(String, &str)> = [
-        (
-            r#""give_up_us":1000000"#,
-            r#""give_up_us":0"#,
-            "grades.0.give_up_us",
-        ),
-        (
-            r#""give_up_us":1000000"#,
-            r#""give_up_us":-5"#,
-            "grades.0.give_up_us",
-        ),
-        (
-            r#""give_up_us":1000000"#,
-            r#""give_up_us":"soon""#,
-            "grades.0.give_up_us",
-        ),
-        (
-            r#""give_up_us":1000000"#,
-            r#""give_up_us":1e300"#,
-            "grades.0.give_up_us",
-        ),
-        (
-            r#""give_up_us":1000000"#,
-            r#""give_up_us":null"#,
-            "grades.0.give_up_us",
-        ),
-        (r#""give_up_us":1000000,"#, "", "grades.0.give_up_us"),
-        (
-            r#""most_tries":3"#,
-            r#""most_tries":0"#,
-            "limits.most_tries",
-        ),
-        (
-            r#""most_tries":3"#,
-            r#""most_tries":-1"#,
-            "limits.most_tries",
-        ),
-        (
-            r#""most_tries":3"#,
-            r#""most_tries":2.5"#,
-            "limits.most_tries",
-        ),
-        (
-            r#""most_tries":3"#,
-            r#""most_tries":4294967295"#,
-            "limits.most_tries",
-        ),
-        (r#""most_tries":3,"#, "", "limits.most_tries"),
-        (
-            r#""effect":"once""#,
-            r#""effect":"sometimes""#,
-            "grades.2.effect",
-        ),
-        (r#""name":"save""#, r#""name":"quote""#, "quote"),
-        (r#""name":"quote","#, "", "grades.0.name"),
-        (r#""settings":"#, r#""setting":"#, "settings is missing"),
-        (r#""grades":["#, r#""grades":[7,"#, "grades"),
-        (r#""known":"#, r#""known_":"#, "known is missing"),
-    ]
-    .map(|(from, to, why)| (told.replace(from, to), why))
-    .to_vec();
+    let mut broken: Vec<(String, &str)> = BROKEN
+        .map(|(from, to, why)| (told.replace(from, to), why))
+        .to_vec();
     broken.extend([
         (String::new(), "cut off"),
         ("[]".into(), "settings is missing"),
@@ -384,7 +384,11 @@
     ingress.signal("TERM");
     drop(client);
     assert_eq!(ingress.exit().code(), Some(0));
-    let log = ingress.log();
+    assert_each_is_named(&ingress.log(), &broken);
+}
+
+/// Whether the log has a line for each refused file, with what is wrong in it.
+fn assert_each_is_named(log: &str, broken: &[(String, &str)]) {
     let lines: Vec<&str> = log
         .lines()
         .filter(|l| l.contains("reload: ") && l.contains("WARN"))
@@ -397,7 +401,7 @@
 
 /// Guards against an answer that waits for a turn that is busy: thousands of requests at once, and calls among them.
 #[test]
-fn calls_are_answered_while_thousands_of_requests_come() {
+fn operators_are_answered_under_load() {
     let backend = Backend::start(serve);
     let (setup, at) = setup(&[&backend]);
     let ingress = setup.start();
--- a/crates/ingress/tests/pools.rs
+++ b/crates/ingress/tests/pools.rs
@@ -173,7 +173,7 @@
 /// A pool that dies whole, under load, with one to fall back on that is warm or has just started: what falls back pushes nobody
 /// over and takes little from those whose pool it is; without a fallback more is lost, so the fallback carries something.
 #[test]
-fn a_pool_that_is_lost_falls_back_without_harm_to_the_other() {
+fn a_lost_pool_falls_back_without_harm_to_the_other() {
     let cold = WORLD.replace("model = \"small-2c\"", "model = \"small-2c\"\ncold = true");
     let lost = "[[at]]\nat = \"2s\"\nwhat = \"die\"\nbackend = [0, 1, 2, 3]\ndown = \"4s\"\n";
     let (warm, cold, without) = (
@@ -196,7 +196,7 @@
 /// Referrals whose answers are cut off in their first pool are not sent on into the next one; quotes are. A pool that
 /// drains whole in one second and one that comes and goes each second.
 #[test]
-fn what_may_have_run_stays_in_its_pool_and_pools_that_drain_or_flap_break_no_rule() {
+fn requests_that_may_have_run_stay_in_their_pool_while_pools_drain_or_flap() {
     let routes = pools(FALLBACK).replace(
         "class = \"referral\"\npool = \"b\"",
         "class = \"referral\"\npool = \"a\"",
@@ -220,7 +220,7 @@
 /// A trial pool of one node that falls silent, in a pool that shares nodes with another; and a file that takes the route
 /// under load away, read at SIGHUP by every ingress.
 #[test]
-fn a_silent_trial_and_a_route_that_goes_under_load_break_no_rule() {
+fn a_silent_trial_and_a_removed_route_break_no_rule_under_load() {
     let trial = "trial = \"t\"\nshare = 0.2\n";
     let routes = pools(FALLBACK).replace(
         "class = \"quote\"\npool = \"a\"\n",
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -40,7 +40,7 @@
 /// Guards against a start that waits for discovery, or for others that do: it turns all of them away, and they are ready by the
 /// list that they were given.
 #[test]
-fn nine_in_ten_of_a_hundred_that_restart_at_once_are_ready_in_time() {
+fn nine_in_ten_of_a_hundred_simultaneous_restarts_are_ready_in_time() {
     let (backend, discovery) = (Backend::start(serve), Discovery::start());
     discovery.overbooked(true);
     let setup = Setup {
--- a/crates/ingress/tests/scenarios.rs
+++ b/crates/ingress/tests/scenarios.rs
@@ -71,7 +71,7 @@
 /// Guards against links of a scenario that fail in words alone: members that hear of no other turn requests away once their
 /// leases have run out, and serve again.
 #[test]
-fn a_group_cut_apart_turns_requests_away_and_serves_again() {
+fn a_partitioned_group_rejects_requests_and_serves_again() {
     let calm = include_str!("../../testbed/scenarios/calm.toml");
     let grouped = calm.replacen(
         "count = 3\n",
--- a/crates/ingress/tests/sidecar.rs
+++ b/crates/ingress/tests/sidecar.rs
@@ -1,8 +1,5 @@
 //! The sidecar: the built ingress that runs from an application's files.
 
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::too_many_lines)]
-
 use std::fs;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -71,7 +68,7 @@
 
 /// Guards against a request that spends another's plan, or more than its share, by saying so.
 #[test]
-fn what_a_request_claims_of_plan_and_spread_counts_for_nothing() {
+fn claims_of_plan_and_spread_are_ignored() {
     let (at, backend) = (place(), Backend::start(serve));
     let folder = Folder::new(&app(at), &[&backend]);
     let ingress = folder.start(at, "");
@@ -116,7 +113,7 @@
 }
 
 #[test]
-fn another_account_and_a_class_that_may_not_be_sent_are_turned_away() {
+fn foreign_accounts_and_classes_not_allowed_are_refused() {
     let (at, backend) = (place(), Backend::start(serve));
     let folder = Folder::new(&app(at), &[&backend]);
     let ingress = folder.start(at, "");
@@ -149,7 +146,7 @@
 
 /// Guards against a sidecar that runs from a file that the check refuses, or does not say what is wrong with it.
 #[test]
-fn a_refused_file_starts_nothing_and_all_that_is_wrong_is_said() {
+fn a_refused_file_starts_nothing_and_reports_all_errors() {
     let at = place();
     let folder = Folder::new(
         &app(at)
@@ -218,6 +215,32 @@
     format!("{}{model}{}", &entry[..at], &entry[end..])
 }
 
+/// A folder with an application whose starter plan has this quota.
+fn with_quota(app: &str, quota: &str, burst: u32) -> Folder {
+    let plan = "plan = \"starter\"";
+    let limits = format!("{plan}\nquota = \"{quota}\"\nburst = {burst}");
+    Folder::new(&app.replace(plan, &limits), &[])
+}
+
+/// Has the first list and discovery tell of these nodes.
+fn publish(folder: &Folder, discovery: &Discovery, entries: &[String]) {
+    folder.write("fleet.json", &list(1, true, entries));
+    for entry in entries {
+        discovery.change(entry.clone());
+    }
+}
+
+/// A request of a class, which only quotes have no key and body for.
+fn call_of_class(class: &str, id: &str) -> Vec<u8> {
+    let options = |key: &str| format!("c={class},t=starter,d=900{key},units=1,spread=1,first=0");
+    let account = "00000000000004d3";
+    if class == "quote" {
+        command(&["CALL.GET", account, id, &options("")])
+    } else {
+        command(&["CALL.POST", account, id, &options(",k=00ff"), "BODY"])
+    }
+}
+
 /// Guards against a route that is checked and then ignored: two classes in two pools, and the fallback of one.
 #[test]
 fn requests_go_to_the_pools_of_their_routes_and_fall_back_when_these_drain() {
@@ -232,44 +255,19 @@
         + "\n[[pool]]\nname = \"fast\"\nmodels = [\"std-3c\"]\nfallback = \"slow\"\n"
         + "\n[[pool]]\nname = \"slow\"\nmodels = [\"small-2c\"]\n"
         + "\n[[route]]\nclass = \"quote\"\npool = \"fast\"\n\n[[route]]\nclass = \"save-scenario\"\npool = \"slow\"\n";
-    let folder = Folder::new(
-        &text.replace(
-            "plan = \"starter\"",
-            "plan = \"starter\"\nquota = \"9/s\"\nburst = 60",
-        ),
-        &[],
-    );
-    let nodes = [
-        (&fast, "s-fast", "std-3c"),
-        (&slow, "s-slow", "small-2c"),
-        (&other, "s-other", "old-1c"),
+    let folder = with_quota(&text, "9/s", 60);
+    let entries = [
+        entry_of(&fast, "s-fast", "std-3c", "up"),
+        entry_of(&slow, "s-slow", "small-2c", "up"),
+        entry_of(&other, "s-other", "old-1c", "up"),
     ];
-    let entries: Vec<String> = nodes
-        .iter()
-        .map(|(b, name, model)| entry_of(b, name, model, "up"))
-        .collect();
-    folder.write("fleet.json", &list(1, true, &entries));
-    for entry in entries {
-        discovery.change(entry);
-    }
+    publish(&folder, &discovery, &entries);
     let ingress = folder.start(at, "");
     let mut client = ingress.client();
     let mut next = 0;
     let mut ask = |class: &str| {
         next += 1;
-        let (verb, key) = if class == "quote" {
-            ("CALL.GET", "")
-        } else {
-            ("CALL.POST", ",k=00ff")
-        };
-        let options = format!("c={class},t=starter,d=900{key},units=1,spread=1,first=0");
-        let id = format!("p{next}");
-        let parts = [verb, "00000000000004d3", &id, &options, "BODY"];
-        client.ask(&command(if verb == "CALL.GET" {
-            &parts[..4]
-        } else {
-            &parts
-        }))
+        client.ask(&call_of_class(class, &format!("p{next}")))
     };
     until("the nodes are known", || {
         ask("quote").starts_with("value") && ask("save-scenario").starts_with("value")
@@ -298,9 +296,17 @@
     );
 }
 
+/// What the log has of the files that are refused, and of the one that is taken.
+const RELOADS: [&str; 4] = [
+    "stater",
+    "enforcing the new files",
+    "listen, memory",
+    "tick_us is fixed",
+];
+
 /// Guards against a new file of which only a part is taken, or none, or which ends what is under way.
 #[test]
-fn a_new_file_is_taken_whole_on_sighup_or_refused_whole() {
+fn on_sighup_a_new_file_is_applied_completely_or_not_at_all() {
     let (at, backend) = (
         place(),
         Backend::start(|args| Act::Later(std::time::Duration::from_millis(300), served(args))),
@@ -314,11 +320,8 @@
         command(&["CALL.GET", account, &format!("s{}", asked.get()), options])
     };
     let (mut client, mut open) = (ingress.client(), ingress.client());
-    let knows = |client: &mut Client, account: &str| {
-        !client
-            .ask(&bytes(account))
-            .contains("not this application's")
-    };
+    let unknown = "not this application's";
+    let knows = |client: &mut Client, account: &str| !client.ask(&bytes(account)).contains(unknown);
     let (old, new) = ("00000000000004d3", "00000000000004d5");
     assert!(knows(&mut client, old) && !knows(&mut client, new));
     // A request is under way while its account goes and another comes.
@@ -346,21 +349,15 @@
         assert!(knows(&mut client, new), "it went on as before");
     }
     let good_site = good("site.toml");
-    folder.write(
-        "site.toml",
-        &good_site.replace("[limits]", "[limits]\ntick = \"8ms\""),
-    );
+    let other_tick = good_site.replace("[limits]", "[limits]\ntick = \"8ms\"");
+    folder.write("site.toml", &other_tick);
     folder.write("app.toml", &app(at));
     ingress.signal("HUP");
     std::thread::sleep(std::time::Duration::from_millis(150));
     assert!(knows(&mut client, new), "the tick takes a restart");
     folder.write("site.toml", &good_site);
-    folder.write(
-        "app.toml",
-        &app(at)
-            .replace(old, new)
-            .replace("[\"quote\", \"save-scenario\"]", "[\"save-scenario\"]"),
-    );
+    let fewer_classes = app(at).replace("[\"quote\", \"save-scenario\"]", "[\"save-scenario\"]");
+    folder.write("app.toml", &fewer_classes.replace(old, new));
     ingress.signal("HUP");
     until("quotes may not be sent any more", || {
         client.ask(&bytes(new)).contains("may not send")
@@ -368,19 +365,14 @@
     ingress.signal("TERM");
     assert!(ingress.exit().success());
     let log = ingress.log();
-    for part in [
-        "stater",
-        "enforcing the new files",
-        "listen, memory",
-        "tick_us is fixed",
-    ] {
+    for part in RELOADS {
         assert!(log.contains(part), "{part} is not in:\n{log}");
     }
 }
 
 /// A Unix socket is its owner's from the first moment, serves as TCP does, and is gone at the end.
 #[test]
-fn a_unix_socket_serves_and_is_removed_at_the_end() {
+fn a_unix_socket_serves_and_is_removed_at_exit() {
     use std::io::{Read, Write};
     use std::os::unix::fs::PermissionsExt;
     use std::os::unix::net::UnixStream;
@@ -427,7 +419,7 @@
 /// Guards against a list of users that is checked and then ignored: whoever is not on it is let go at once, and those who are
 /// are served.
 #[test]
-fn a_socket_serves_the_users_on_its_list_and_nobody_else() {
+fn a_unix_socket_serves_only_the_users_on_its_list() {
     use std::io::{Read, Write};
     use std::os::unix::net::UnixStream;
     let own = rustix::process::getuid().as_raw();
@@ -477,7 +469,7 @@
 /// Guards against halls that are all alike to a class without a route: it stays in its own hall, goes to the nearest one
 /// that has somebody when its own drains, and comes back.
 #[test]
-fn a_class_without_a_route_stays_in_its_hall_and_goes_to_the_nearest_other() {
+fn a_class_without_a_route_prefers_its_own_zone_then_the_nearest() {
     let (at, home, next, far) = (
         place(),
         Backend::start(serve),
@@ -486,13 +478,7 @@
     );
     let discovery = Discovery::start();
     let text = app(at).replace("127.0.0.1:8500", &discovery.at.to_string());
-    let folder = Folder::new(
-        &text.replace(
-            "plan = \"starter\"",
-            "plan = \"starter\"\nquota = \"90/s\"\nburst = 600",
-        ),
-        &[],
-    );
+    let folder = with_quota(&text, "90/s", 600);
     let site = good("site.toml").replace("\"hall-b\"]", "\"hall-b\", \"hall-c\"]");
     folder.write(
         "site.toml",
@@ -506,10 +492,7 @@
         node(&next, "s-2", "hall-c", "up"),
         node(&far, "s-3", "hall-b", "up"),
     ];
-    folder.write("fleet.json", &list(1, true, &entries));
-    for entry in entries {
-        discovery.change(entry);
-    }
+    publish(&folder, &discovery, &entries);
     let ingress = folder.start(at, "");
     let mut client = ingress.client();
     let mut asked = 0;
