--- a/crates/ingress/src/ingress/builder.rs
+++ b/crates/ingress/src/ingress/builder.rs
@@ -130,7 +130,7 @@
         }
         ingress.pump();
         ingress.occupy_free_addresses();
-        tracing::info!("listening at {listen}");
+        tracing::info!(address = %listen, "listening");
         Ok(ingress)
     }
 
--- a/crates/ingress/src/management.rs
+++ b/crates/ingress/src/management.rs
@@ -59,7 +59,7 @@
         });
         let listener =
             bound.map_err(|source| IngressError::ManagementListen { address, source })?;
-        tracing::info!("management at {address}");
+        tracing::info!(%address, "management: listening");
         Ok(ManagementServer {
             listener,
             connections: Default::default(),
