--- a/crates/ingress/src/ingress/builder.rs
+++ b/crates/ingress/src/ingress/builder.rs
@@ -12,7 +12,9 @@
 use crate::client::Clients;
 use crate::clock::Clock;
 use crate::cohort_metrics::CohortMetrics;
-use crate::config::{ActiveConfig, Callers, Config, ConfigSource, ListenAddress, PeerAddresses};
+use crate::config::{
+    ActiveConfig, Callers, Config, ConfigSource, CounterConfig, ListenAddress, PeerAddresses,
+};
 use crate::control::{self, ControlPort, PendingControlServer};
 use crate::counter::CounterClient;
 use crate::descriptor_budget::{DescriptorBudget, ReservedDescriptors};
@@ -241,9 +243,7 @@
         let config = self.config;
         let now = opened.clock.now();
         let may_change_pools = !config.platform_only || config.has_control_port();
-        let counter = config
-            .counter
-            .map(|counter| CounterClient::new(counter.address, counter.timeout, COUNTER));
+        let counter = config.counter.map(open_counter);
         let discovery = DiscoveryClient::new(
             config.active.discovery,
             config.location_names,
@@ -335,6 +335,10 @@
     clients
 }
 
+fn open_counter(counter: CounterConfig) -> CounterClient {
+    CounterClient::new(counter.address, counter.timeout, COUNTER)
+}
+
 /// Counts for staged rollouts, where there may be any.
 fn cohort_metrics(active: &ActiveConfig, in_group: bool) -> CohortMetrics {
     let mut metrics = CohortMetrics::default();
--- a/crates/ingress/tests/handover.rs
+++ b/crates/ingress/tests/handover/main.rs
@@ -1,259 +1,20 @@
 //! A new version under load: processes of one ingress after each other on one listening socket that the test holds, as a
 //! platform would. A connection that a client keeps must never end, and each request has one answer and one effect.
 
-use std::collections::{HashMap, HashSet};
+mod support;
+
+use std::collections::HashSet;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
-use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
-use std::sync::atomic::{AtomicBool, AtomicU32, AtomicUsize, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
+use support::{attempts_by_id, half_way_until, long_value, longest_pause, Load, Platform, Sampler};
 use wrenfork_testbed::small::{
     call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Jammed,
-    Setup, LONG,
 };
 
-/// The platform: the clients' socket, the folder that all processes share, and the configuration.
-struct Platform {
-    listener: TcpListener,
-    at: SocketAddr,
-    folder: tempfile::TempDir,
-    setup: Setup,
-}
-
-/// A process of the ingress.
-struct Process {
-    child: Child,
-    management: SocketAddr,
-}
-
-impl Platform {
-    fn new(backends: &[&Backend]) -> Platform {
-        let listener = TcpListener::bind((place().ip(), 0)).unwrap();
-        let at = listener.local_addr().unwrap();
-        let setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends);
-        Platform {
-            listener,
-            at,
-            folder: tempfile::tempdir().unwrap(),
-            setup,
-        }
-    }
-
-    fn channel(&self) -> PathBuf {
-        self.folder
-            .path()
-            .join(format!("wrenfork-{}.next", self.at))
-    }
-
-    /// Starts `run` once more; the descriptor is passed as 3 unless another redirection is wanted.
-    fn run(&self, redirect: &str) -> Process {
-        let (file, management) = (self.folder.path().join("config.json"), place());
-        std::fs::write(&file, self.setup.config(self.at)).unwrap();
-        let mut command = Command::new("/bin/sh");
-        command.args([
-            "-c",
-            &format!("exec {redirect} </dev/null; exec '{}'", self.setup.program),
-        ]);
-        command
-            .env("LB_CONFIG", &file)
-            .env("LB_MANAGEMENT", management.to_string());
-        command
-            .env("LB_PASSED_SOCKET", "3")
-            .env("TMPDIR", self.folder.path());
-        command.env_remove("LB_LISTEN").env_remove("LB_DISCOVERY");
-        command.stdin(Stdio::from(OwnedFd::from(
-            self.listener.try_clone().unwrap(),
-        )));
-        Process {
-            child: command.stderr(Stdio::piped()).spawn().unwrap(),
-            management,
-        }
-    }
-
-    /// Starts a process and waits until it says yes.
-    fn start(&self) -> Process {
-        let process = self.run("3<&0");
-        until("it says yes", || process.ask("readyz").starts_with("+OK"));
-        process
-    }
-}
-
-impl Process {
-    fn ask(&self, call: &str) -> String {
-        let mut text = String::new();
-        if let Ok(mut stream) = TcpStream::connect(self.management) {
-            stream.set_read_timeout(Some(LONG)).unwrap();
-            let _ = stream.write_all(format!("{call}\n").as_bytes());
-            let _ = stream.read_to_string(&mut text);
-        }
-        text
-    }
-
-    fn figure(&self, name: &str) -> u64 {
-        let text = self.ask("telemetry");
-        let line = text
-            .lines()
-            .find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
-        line.unwrap_or_else(|| panic!("no {name} in {text}"))
-            .parse()
-            .unwrap()
-    }
-
-    fn signal(&self, name: &str) {
-        let line = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("/bin/sh")
-            .args(["-c", &line])
-            .status()
-            .unwrap()
-            .success());
-    }
-
-    /// Waits for its end, which must be a good one; its log.
-    fn ended(&mut self) -> String {
-        let mut status = None;
-        until("the process ends", || {
-            status = self.child.try_wait().unwrap();
-            status.is_some()
-        });
-        assert_eq!(status.unwrap().code(), Some(0));
-        let mut text = String::new();
-        self.child
-            .stderr
-            .take()
-            .unwrap()
-            .read_to_string(&mut text)
-            .unwrap();
-        text
-    }
-}
-
-/// Looks at two processes together, for the most that they hold at one moment.
-struct Sampler {
-    second: Arc<AtomicU32>,
-    stop: Arc<AtomicBool>,
-    looking: thread::JoinHandle<(usize, usize)>,
-}
-
-impl Sampler {
-    fn start(first: u32) -> Sampler {
-        let (second, stop) = (
-            Arc::new(AtomicU32::new(0)),
-            Arc::new(AtomicBool::new(false)),
-        );
-        let (other, end) = (second.clone(), stop.clone());
-        let looking = thread::spawn(move || {
-            let mut most = (0, 0);
-            while !end.load(Ordering::SeqCst) {
-                let now = [first, other.load(Ordering::SeqCst)].map(|id| {
-                    let status =
-                        std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
-                    let line = status
-                        .lines()
-                        .find_map(|l| l.strip_prefix("VmRSS:"))
-                        .unwrap_or("0 kB");
-                    let held =
-                        std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
-                    (
-                        line.trim()
-                            .trim_end_matches(" kB")
-                            .parse::<usize>()
-                            .unwrap(),
-                        held,
-                    )
-                });
-                most = (
-                    most.0.max(now[0].0 + now[1].0),
-                    most.1.max(now[0].1 + now[1].1),
-                );
-            }
-            most
-        });
-        Sampler {
-            second,
-            stop,
-            looking,
-        }
-    }
-
-    /// The most KiB resident, and the most descriptors.
-    fn stop(self) -> (usize, usize) {
-        self.stop.store(true, Ordering::SeqCst);
-        self.looking.join().unwrap()
-    }
-}
-
-impl Drop for Process {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
-/// Clients that ask all the time, and what they saw.
-#[derive(Clone)]
-struct Load {
-    at: SocketAddr,
-    stop: Arc<AtomicBool>,
-    asked: Arc<AtomicUsize>,
-    served_ids: Arc<Mutex<HashSet<String>>>,
-    answered_at: Arc<Mutex<Vec<Instant>>>,
-}
-
-impl Load {
-    /// Asks for two requests at once, over and over, as the client with this number.
-    fn run(&self, number: usize) {
-        let mut client = Client::connect(self.at);
-        for n in 0.. {
-            if self.stop.load(Ordering::SeqCst) {
-                return;
-            }
-            if number % 4 == 3 {
-                client = Client::connect(self.at); // and new ones come all the time
-            }
-            let ids = [0, 1].map(|i| format!("c{number}-{n}-{i}"));
-            client.send(&ids.clone().map(|id| call("refer", &id, 2500)).concat());
-            for id in ids {
-                self.note(&client.answer(), id);
-            }
-        }
-    }
-
-    fn note(&self, answer: &str, id: String) {
-        self.asked.fetch_add(1, Ordering::SeqCst);
-        self.answered_at.lock().unwrap().push(Instant::now());
-        if answer == format!("value of {id}") {
-            self.served_ids.lock().unwrap().insert(id);
-        } else {
-            assert!(answer.starts_with("-BUSY"), "{id}: {answer:?}");
-        }
-    }
-}
-
-/// The longest time between two answers.
-fn longest_pause(answered_at: &[Instant]) -> Duration {
-    let pauses = answered_at.windows(2);
-    pauses
-        .map(|w| w[1].saturating_duration_since(w[0]))
-        .max()
-        .unwrap()
-}
-
-/// How often the backends were given each request, by its id.
-fn attempts_by_id(backends: &[Backend]) -> HashMap<String, usize> {
-    let mut attempts = HashMap::new();
-    for backend in backends {
-        for command in backend.seen.commands.lock().unwrap().iter() {
-            *attempts.entry(command[2].clone()).or_default() += 1;
-        }
-    }
-    attempts
-}
-
 /// Guards against connections that are closed or left unread, answers that go missing and effects that come twice, over two
 /// upgrades on end under load, with the limits half of them would break.
 #[test]
@@ -416,20 +177,6 @@
     }
 }
 
-/// The value of a request, three MiB of its id.
-fn long_value(id: &str) -> String {
-    id.bytes().cycle().take(3 << 20).map(char::from).collect()
-}
-
-/// A backend that gives half of a long value, and the rest when told to go on.
-fn half_way_until(go: Arc<AtomicBool>) -> Backend {
-    Backend::start(move |args| {
-        let text = long_value(&args[2]);
-        let bytes = format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes();
-        Act::Until(bytes.len() / 2, go.clone(), bytes)
-    })
-}
-
 /// Guards against a long answer that ends with the process that had begun to pass it on.
 #[test]
 fn a_streamed_answer_continues_in_the_next_process() {
@@ -449,12 +196,8 @@
     };
     for (n, client) in clients.iter_mut().enumerate() {
         let before = count();
-        client.send(
-            &ids(n)
-                .iter()
-                .flat_map(|id| call("refer", id, 8000))
-                .collect::<Vec<u8>>(),
-        );
+        let calls = ids(n).into_iter().flat_map(|id| call("refer", &id, 8000));
+        client.send(&calls.collect::<Vec<u8>>());
         until("all of them are with a backend", || {
             count() == before + ids(n).len()
         });
--- a/crates/ingress/tests/management.rs
+++ b/crates/ingress/tests/management.rs
@@ -25,6 +25,17 @@
 
 // ---- Figures ----
 
+const CLASSES: [&str; 3] = ["quote", "save", "refer"];
+
+/// How an answer counts: as served, rejected or failed.
+fn end_of(answer: &str) -> usize {
+    if answer.starts_with("value") {
+        0
+    } else {
+        1 + usize::from(!answer.starts_with("-BUSY"))
+    }
+}
+
 /// Guards against figures that are guessed beside what happened: each is held against what clients and backends counted.
 #[test]
 fn telemetry_matches_what_clients_and_backends_counted() {
@@ -56,22 +67,14 @@
         } else {
             call(class, &id, 900)
         };
-        let answer = client.ask(&asked);
-        let end = if answer.starts_with("value") {
-            0
-        } else {
-            1 + usize::from(!answer.starts_with("-BUSY"))
-        };
-        saw[["quote", "save", "refer"]
-            .iter()
-            .position(|c| *c == class)
-            .unwrap()][end] += 1;
+        let place = CLASSES.iter().position(|c| *c == class).unwrap();
+        saw[place][end_of(&client.ask(&asked))] += 1;
     }
     // An id that is not new is answered here, and counts as failed.
     assert!(client.ask(&call("save", "b37", 900)).starts_with("-ERR"));
     saw[1][2] += 1;
     assert!(saw[0][1] > 0 && saw[2][2] > 0, "{saw:?}");
-    let had = [ended(at, "quote"), ended(at, "save"), ended(at, "refer")];
+    let had = CLASSES.map(|class| ended(at, class));
     assert_eq!(had, saw);
     assert_eq!(figure(at, "ingress.relayed"), backend.count() as u64);
     assert_eq!(
--- a/crates/ingress/tests/sidecar.rs
+++ b/crates/ingress/tests/sidecar.rs
@@ -362,6 +362,11 @@
     until("quotes may not be sent any more", || {
         client.ask(&bytes(new)).contains("may not send")
     });
+    assert_reloads_are_logged(&mut ingress);
+}
+
+/// Ends the ingress; its log has each of [`RELOADS`].
+fn assert_reloads_are_logged(ingress: &mut Ingress) {
     ingress.signal("TERM");
     assert!(ingress.exit().success());
     let log = ingress.log();
