--- a/crates/ingress/src/backend/response.rs
+++ b/crates/ingress/src/backend/response.rs
@@ -39,7 +39,7 @@
     let has_report = load.kind == Kind::Bulk;
     Some(Response {
         outcome: Outcome::Ok,
-        value: buf[value.whole.clone()].to_vec(),
+        value: buf[value.span.clone()].to_vec(),
         report: has_report
             .then(|| parse_report(&buf[load.text.clone()]))
             .flatten(),
--- a/crates/testbed/src/bin/wrenfork-relay.rs
+++ b/crates/testbed/src/bin/wrenfork-relay.rs
@@ -204,7 +204,7 @@
             Reply::One(e) => Some(e),
             Reply::Array(list) => list.first(),
         };
-        let text = first.map_or(Vec::new(), |e| conn.inbox[e.whole.clone()].to_vec());
+        let text = first.map_or(Vec::new(), |e| conn.inbox[e.span.clone()].to_vec());
         conn.inbox.drain(..n);
         let client = conn.other.take();
         if let Some(backend) = conn.backend {
--- a/crates/wire/src/long.rs
+++ b/crates/wire/src/long.rs
@@ -120,7 +120,7 @@
             let Some(element) = resp::element(&self.rest, at, MAX_REST)? else {
                 return Ok(None);
             };
-            at = element.whole.end;
+            at = element.span.end;
             last = Some(element);
         }
         let text = |e: Element| self.rest[e.text].to_vec();
--- a/crates/wire/src/resp.rs
+++ b/crates/wire/src/resp.rs
@@ -1,4 +1,4 @@
-//! A strict and bounded RESP2 codec. It looks at what has come so far and says: not whole yet, whole, or
+//! A strict and bounded RESP2 codec. It looks at what has come so far and says: incomplete, complete or
 //! malformed. Lengths are checked as soon as they are announced, so nothing is awaited that would be turned
 //! down anyway, and a body is skipped by its length: looking again at a part costs next to nothing.
 //!
@@ -52,15 +52,15 @@
     Null,
 }
 
-/// An element of an answer: its text, and the whole of it with its head and end.
+/// An element of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Element {
     /// Its kind.
     pub kind: Kind,
     /// Where its text is.
     pub text: Range<usize>,
-    /// Where the whole of it is.
-    pub whole: Range<usize>,
+    /// Where it is, with its head and end.
+    pub span: Range<usize>,
 }
 
 /// A backend's answer.
@@ -227,7 +227,7 @@
         return Ok(Some(Element {
             kind,
             text,
-            whole: at..end,
+            span: at..end,
         }));
     }
     let Some((n, start)) = head(buf, at, max)? else {
@@ -237,7 +237,7 @@
         return Ok(Some(Element {
             kind: Kind::Null,
             text: start..start,
-            whole: at..start,
+            span: at..start,
         }));
     };
     if *mark == b'*' {
@@ -249,7 +249,7 @@
     Ok(Some(Element {
         kind,
         text: start..start + n,
-        whole: at..end,
+        span: at..end,
     }))
 }
 
@@ -261,7 +261,7 @@
 pub fn reply(buf: &[u8]) -> Parsed<(Reply, usize)> {
     if buf.first() != Some(&b'*') {
         return Ok(element(buf, 0, MAX_VALUE)?.map(|e| {
-            let end = e.whole.end;
+            let end = e.span.end;
             (Reply::One(e), end)
         }));
     }
@@ -273,7 +273,7 @@
             Reply::One(Element {
                 kind: Kind::Null,
                 text: at..at,
-                whole: 0..at,
+                span: 0..at,
             }),
             at,
         )));
@@ -283,7 +283,7 @@
         let Some(e) = element(buf, at, MAX_VALUE.min(left))? else {
             return Ok(None);
         };
-        at = e.whole.end;
+        at = e.span.end;
         left = left.saturating_sub(e.text.len());
         list.push(e);
     }
--- a/crates/wire/src/resp/tests.rs
+++ b/crates/wire/src/resp/tests.rs
@@ -61,7 +61,7 @@
         panic!("not an array")
     };
     assert_eq!(end, whole.len());
-    assert_eq!(&whole[list[0].whole.clone()], b"$2\r\nhi\r\n");
+    assert_eq!(&whole[list[0].span.clone()], b"$2\r\nhi\r\n");
     assert_eq!(
         (list[1].kind, &whole[list[2].text.clone()]),
         (Kind::Null, &b"util=0.61"[..])
