--- a/crates/ingress/src/control/event_loop_handle.rs
+++ b/crates/ingress/src/control/event_loop_handle.rs
@@ -13,7 +13,7 @@
 use wrenfork_control_plane::{
     clock, DataPlane, DataPlaneError, PROGRAM_VARIABLE, REPLACEMENT_VARIABLE,
 };
-use wrenfork_rollout::tally::Tally;
+use wrenfork_rollout::MemberMetrics;
 
 /// How long the event loop may take to its next turn before a command counts as lost: far longer than any turn.
 const TURN_TIMEOUT: Duration = Duration::from_secs(30);
@@ -81,16 +81,16 @@
         self.call(ControlCommand::ReportFigures).unwrap_or_default()
     }
 
-    fn tally(&self) -> Tally {
+    fn member_metrics(&self) -> MemberMetrics {
         let counted = self
             .call(ControlCommand::ReportCohortMetrics)
             .unwrap_or_default();
-        Tally {
+        MemberMetrics {
             program: self.running_program().unwrap_or_default(),
-            changed: environment_variable(REPLACEMENT_VARIABLE).is_some(),
-            life: self.incarnation,
-            age_ms: self.started_at.elapsed().as_millis() as u64,
-            hall: self.zone().unwrap_or_default().to_string(),
+            is_replacement: environment_variable(REPLACEMENT_VARIABLE).is_some(),
+            incarnation: self.incarnation,
+            uptime_ms: self.started_at.elapsed().as_millis() as u64,
+            zone_group: self.zone().unwrap_or_default().to_string(),
             cpu_us: clock::cpu_time().as_micros() as u64,
             memory_kb: resident_kilobytes(),
             ..counted
--- a/crates/ingress/src/control/port.rs
+++ b/crates/ingress/src/control/port.rs
@@ -8,7 +8,7 @@
 use wrenfork_commit::state::State;
 use wrenfork_control_plane::group::InheritedLease;
 use wrenfork_control_plane::{ControlServer, HandoverError};
-use wrenfork_rollout::tally::Tally;
+use wrenfork_rollout::MemberMetrics;
 use wrenfork_wire::call::Vocabulary;
 
 /// A configuration that is to be enforced: as text pairs, and compiled for this ingress.
@@ -26,7 +26,7 @@
     /// LoadReport the usage figures that a planned change is judged by.
     ReportFigures(SyncSender<IngressMetrics>),
     /// LoadReport the counts that a staged rollout compares.
-    ReportCohortMetrics(SyncSender<Tally>),
+    ReportCohortMetrics(SyncSender<MemberMetrics>),
 }
 
 /// The event loop's end of the control port.
