--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -1,436 +1,358 @@
-//! A member's side of a decision. All that it must not forget is one [`PersistentState`], written as a whole before anything is said
-//! that rests on it.
+//! The acceptor of a member: the voter's side of single-decree Paxos (Lamport, "Paxos Made Simple", 2001), and the learner of
+//! decided group states.
+//!
+//! All a member must not forget is one [`PersistentState`], which is stored as a whole before any response that rests on it.
 
-use crate::group_state::GroupState;
+use crate::eligibility::VoteWithheld;
+use crate::group_state::{GroupState, GroupStateError};
 use crate::membership::{Membership, ReplicaId};
-use crate::protocol::{Ballot, GroupRequest, GroupResponse, GroupStatus};
+use crate::protocol::{
+    AcceptedState, Ballot, EnforcedState, GroupRequest, GroupResponse, GroupStatus,
+};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
+use thiserror::Error;
+use wrenfork_commit::reason::NotEnforceable;
 use wrenfork_commit::state::{Digest, State};
+use wrenfork_commit::step;
 
-/// What a member must not forget.
+/// What a member stores.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PersistentState {
-    /// Whose it is.
+    /// Name of the member.
     pub name: String,
-    /// Drawn when it was made.
+    /// The replica this is.
     #[serde(rename = "folder")]
     pub replica: ReplicaId,
     /// How often it was written.
     pub writes: u64,
-    /// What stands; none before the group has been formed.
+    /// The group state in force; none before the group is formed.
     #[serde(rename = "decree")]
     pub group_state: Option<Arc<GroupState>>,
-    /// The ballot from which it made the switch to that, where it had taken it up before.
+    /// Ballot in which the group state in force had been accepted here before it was decided, if it had.
     #[serde(rename = "from", default)]
     pub accepted_in: Option<Ballot>,
-    /// The highest ballot for the next decree that it takes part in.
+    /// Highest ballot for the next version that was promised.
     pub promised: Ballot,
-    /// The next decree, taken up but not decided yet as far as is known here.
-    pub accepted: Option<(Ballot, Arc<GroupState>)>,
+    /// The next version, accepted and not known to be decided.
+    pub accepted: Option<AcceptedState>,
 }
 
 impl PersistentState {
-    /// Of a member that knows nothing yet; the folder's number must be drawn by chance.
-    pub fn new(name: &str, folder: ReplicaId) -> PersistentState {
+    /// State of a member that knows nothing yet. The replica must be drawn at random.
+    pub fn new(name: &str, replica: ReplicaId) -> PersistentState {
         PersistentState {
             name: name.into(),
-            replica: folder,
+            replica,
             ..PersistentState::default()
         }
     }
 
-    /// The number of the decree that stands; 0 where none does.
+    /// Version of the group state in force; 0 if there is none.
     pub fn version(&self) -> u64 {
-        self.group_state.as_ref().map_or(0, |d| d.version)
+        self.group_state.as_ref().map_or(0, |state| state.version)
     }
 
-    /// The same under another folder's number: none of its votes counts any more, what it knows stays.
-    pub fn with_new_replica(&self, folder: ReplicaId) -> PersistentState {
-        let memory = PersistentState::new(&self.name, folder);
+    /// The same knowledge under another replica: none of the member's votes counts any more.
+    pub fn with_new_replica(&self, replica: ReplicaId) -> PersistentState {
         PersistentState {
             group_state: self.group_state.clone(),
             writes: self.writes + 1,
-            ..memory
+            ..PersistentState::new(&self.name, replica)
         }
     }
 }
 
-/// What comes of a message; with `switch` another decree stands.
-pub type Step = wrenfork_commit::step::Step<PersistentState, GroupResponse>;
+/// Outcome of a request; one that `applies` puts another group state in force.
+pub type Step = step::Step<PersistentState, GroupResponse>;
 
-/// A member's side.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Acceptor {
-    memory: PersistentState,
-    /// What it enforces while no decree stands, with its generation; none for a witness.
-    own: Option<(u64, Arc<State>)>,
+/// Why a member rejects a request.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum Rejection {
+    /// The request is not the acceptor's to answer.
+    #[error("this is not asked for here")]
+    NotAnAcceptorRequest,
+    /// The decided state is another one than the request says.
+    #[error("the decree is not the one that it is said to be")]
+    StateMismatch,
+    /// The state is invalid, or can't follow the one in force.
+    #[error(transparent)]
+    GroupState(#[from] GroupStateError),
+    /// The member could not enforce the state.
+    #[error(transparent)]
+    NotEnforceable(#[from] NotEnforceable),
 }
 
-fn no(why: impl Into<String>) -> Step {
-    Step::Respond(GroupResponse::Rejected { reason: why.into() })
+/// The acceptor of a member.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Acceptor {
+    state: PersistentState,
+    /// What the member enforces while there is no group state; none for a witness.
+    enforced: Option<EnforcedState>,
 }
 
 impl Acceptor {
-    /// One that remembers this.
-    pub fn new(memory: PersistentState, own: Option<(u64, Arc<State>)>) -> Acceptor {
-        Acceptor { memory, own }
+    /// Creates an acceptor from its stored state.
+    pub fn new(state: PersistentState, enforced: Option<EnforcedState>) -> Acceptor {
+        Acceptor { state, enforced }
     }
 
-    /// What it remembers.
+    /// What is stored.
     pub fn state(&self) -> &PersistentState {
-        &self.memory
-    }
-
-    /// What a step wanted remembered is written.
-    pub fn persisted(&mut self, memory: PersistentState) {
-        self.memory = memory;
-    }
-
-    fn next(&self) -> u64 {
-        self.memory.version() + 1
+        &self.state
     }
 
-    fn moved(&self) -> Step {
-        let digest = self
-            .memory
-            .group_state
-            .as_ref()
-            .map_or_else(Digest::default, |d| d.digest.clone());
-        Step::Respond(GroupResponse::OtherVersion {
-            version: self.memory.version(),
-            digest,
-        })
+    /// Notes that the state of a [`Step::Persist`] has been stored.
+    pub fn persisted(&mut self, state: PersistentState) {
+        self.state = state;
     }
 
-    /// Takes a message. `sure` says whether this member may vote, and if not, why; `check` whether a state could be enforced
-    /// here. Renewals are [`crate::lease::Standing`]'s.
+    /// Handles a request other than a renewal, which [`crate::lease::LeaseManager`] handles.
+    ///
+    /// `eligibility` says whether the member's vote counts, and `check` whether a state could be enforced here.
     pub fn handle(
         &self,
-        ask: GroupRequest,
-        sure: Result<(), String>,
-        check: impl FnOnce(&State) -> Result<(), String>,
+        request: GroupRequest,
+        eligibility: Result<(), VoteWithheld>,
+        check: impl FnOnce(&State) -> Result<(), NotEnforceable>,
     ) -> Step {
-        let m = &self.memory;
-        match ask {
-            GroupRequest::Renew { .. }
+        let step = match request {
+            GroupRequest::Renew(_)
             | GroupRequest::Tally
             | GroupRequest::UpgradeTurn { .. }
-            | GroupRequest::ProgramUnfit { .. } => no("this is not asked for here"),
-            GroupRequest::Learn => Step::Respond(GroupResponse::State {
-                state: m.group_state.clone(),
-            }),
+            | GroupRequest::ProgramUnfit { .. } => Err(Rejection::NotAnAcceptorRequest),
+            GroupRequest::Learn => Ok(Step::Respond(GroupResponse::State {
+                state: self.state.group_state.clone(),
+            })),
             GroupRequest::Status => {
-                Step::Respond(GroupResponse::Status(Box::new(self.status(sure.err()))))
-            }
-            GroupRequest::ProposerAlive { .. } => {
-                Step::Respond(GroupResponse::Accepted { replica: m.replica })
+                let status = self.status(eligibility.err());
+                Ok(Step::Respond(GroupResponse::Status(Box::new(status))))
             }
+            GroupRequest::ProposerAlive { .. } => Ok(Step::Respond(GroupResponse::Accepted {
+                replica: self.state.replica,
+            })),
             GroupRequest::Prepare {
-                version: number,
+                version,
                 ballot,
-                candidate: trial,
+                candidate,
             } => {
-                if number != self.next() {
-                    return self.moved();
-                }
-                if ballot < m.promised {
-                    return Step::Respond(GroupResponse::HigherBallot { ballot: m.promised });
-                }
-                if let Some(why) = trial.as_ref().and_then(|t| self.could(t, check).err()) {
-                    return no(why);
-                }
-                // A member without a vote says whether it could; nothing is counted.
-                if sure.is_err() && m.group_state.is_some() {
-                    return Step::Respond(GroupResponse::Promised {
-                        replica: 0,
-                        accepted: None,
-                        enforced: None,
-                    });
-                }
-                let own = self.own.clone().filter(|_| m.group_state.is_none());
-                let then = GroupResponse::Promised {
-                    replica: m.replica,
-                    accepted: m.accepted.clone(),
-                    enforced: own,
-                };
-                if ballot == m.promised {
-                    return Step::Respond(then);
-                }
-                self.write(
-                    PersistentState {
-                        promised: ballot,
-                        ..m.clone()
-                    },
-                    then,
-                    false,
-                )
+                let candidate = candidate.as_deref();
+                self.prepare(version, ballot, candidate, eligibility.is_ok(), check)
             }
-            GroupRequest::Accept {
-                ballot,
-                state: decree,
-            } => {
-                if decree.version != self.next() {
-                    return self.moved();
-                }
-                if ballot < m.promised {
-                    return Step::Respond(GroupResponse::HigherBallot { ballot: m.promised });
-                }
-                let folder = if sure.is_ok() || m.group_state.is_none() {
-                    m.replica
-                } else {
-                    0
-                };
-                let then = GroupResponse::Accepted { replica: folder };
-                if m.accepted
-                    .as_ref()
-                    .is_some_and(|a| a.0 == ballot && a.1 == decree)
-                {
-                    return Step::Respond(then);
-                }
-                if let Err(why) = self.could(&decree, check) {
-                    return no(why);
-                }
-                let accepted = Some((ballot, decree));
-                self.write(
-                    PersistentState {
-                        promised: ballot,
-                        accepted,
-                        ..m.clone()
-                    },
-                    then,
-                    false,
-                )
+            GroupRequest::Accept { ballot, state } => {
+                let accepted = AcceptedState { ballot, state };
+                self.accept(accepted, eligibility.is_ok(), check)
             }
             GroupRequest::Decided {
-                version: number,
+                version,
                 digest,
-                state: decree,
-            } => self.decided(number, &digest, decree, check),
+                state,
+            } => self.decided(version, &digest, state, check),
+        };
+        step.unwrap_or_else(|rejection| {
+            Step::Respond(GroupResponse::Rejected {
+                reason: rejection.to_string(),
+            })
+        })
+    }
+
+    /// The response to a proposer that is late: it proposes another version than the next one, or in a lower ballot.
+    fn outdated(&self, version: u64, ballot: Ballot) -> Option<GroupResponse> {
+        let state = &self.state;
+        if version != state.version() + 1 {
+            let digest = state.group_state.as_ref().map(|s| s.digest.clone());
+            return Some(GroupResponse::OtherVersion {
+                version: state.version(),
+                digest: digest.unwrap_or_default(),
+            });
+        }
+        (ballot < state.promised).then_some(GroupResponse::HigherBallot {
+            ballot: state.promised,
+        })
+    }
+
+    /// Phase 1b: promises to take part in no lower ballot, and reports what was accepted before.
+    fn prepare(
+        &self,
+        version: u64,
+        ballot: Ballot,
+        candidate: Option<&GroupState>,
+        eligible: bool,
+        check: impl FnOnce(&State) -> Result<(), NotEnforceable>,
+    ) -> Result<Step, Rejection> {
+        let state = &self.state;
+        if let Some(response) = self.outdated(version, ballot) {
+            return Ok(Step::Respond(response));
+        }
+        if let Some(candidate) = candidate {
+            self.check_candidate(candidate, check)?;
+        }
+        // A member without a vote says that it could enforce the candidate; the response counts for nothing else.
+        if !eligible && state.group_state.is_some() {
+            return Ok(Step::Respond(GroupResponse::Promised {
+                replica: 0,
+                accepted: None,
+                enforced: None,
+            }));
+        }
+        let response = GroupResponse::Promised {
+            replica: state.replica,
+            accepted: state.accepted.clone(),
+            enforced: match state.group_state {
+                None => self.enforced.clone(),
+                Some(_) => None,
+            },
+        };
+        if ballot == state.promised {
+            return Ok(Step::Respond(response));
+        }
+        let promised = PersistentState {
+            promised: ballot,
+            ..state.clone()
+        };
+        Ok(persist(promised, response, false))
+    }
+
+    /// Phase 2b: accepts a state, unless a higher ballot has been promised.
+    fn accept(
+        &self,
+        accepted: AcceptedState,
+        eligible: bool,
+        check: impl FnOnce(&State) -> Result<(), NotEnforceable>,
+    ) -> Result<Step, Rejection> {
+        let state = &self.state;
+        let version = accepted.state.version;
+        if let Some(response) = self.outdated(version, accepted.ballot) {
+            return Ok(Step::Respond(response));
         }
+        let counts = eligible || state.group_state.is_none();
+        let response = GroupResponse::Accepted {
+            replica: if counts { state.replica } else { 0 },
+        };
+        if state.accepted.as_ref() == Some(&accepted) {
+            return Ok(Step::Respond(response));
+        }
+        self.check_candidate(&accepted.state, check)?;
+        let accepting = PersistentState {
+            promised: accepted.ballot,
+            accepted: Some(accepted),
+            ..state.clone()
+        };
+        Ok(persist(accepting, response, false))
     }
 
+    /// Puts a decided state in force.
     fn decided(
         &self,
-        number: u64,
+        version: u64,
         digest: &Digest,
-        decree: Option<Arc<GroupState>>,
-        check: impl FnOnce(&State) -> Result<(), String>,
-    ) -> Step {
-        let m = &self.memory;
-        let then = |number, from| GroupResponse::Decided {
-            replica: m.replica,
-            version: number,
-            accepted_in: from,
-        };
-        if number <= m.version() {
-            // It may have learnt it from another member a moment before: that changes nothing about whom it has heeded.
-            let same = m.group_state.as_ref().is_some_and(|d| d.digest == *digest);
-            return Step::Respond(then(m.version(), m.accepted_in.filter(|_| same)));
+        sent: Option<Arc<GroupState>>,
+        check: impl FnOnce(&State) -> Result<(), NotEnforceable>,
+    ) -> Result<Step, Rejection> {
+        let state = &self.state;
+        if version <= state.version() {
+            return Ok(Step::Respond(self.already_decided(digest)));
         }
-        let known = m
+        let accepted = state
             .accepted
             .as_ref()
-            .filter(|(_, d)| d.version == number && d.digest == *digest);
-        let from = known.map(|a| a.0);
-        let Some(decree) = known.map(|a| a.1.clone()).or(decree) else {
-            return Step::Respond(GroupResponse::NeedState);
+            .filter(|a| a.state.version == version && a.state.digest == *digest);
+        let accepted_in = accepted.map(|a| a.ballot);
+        let Some(decided) = accepted.map(|a| a.state.clone()).or(sent) else {
+            return Ok(Step::Respond(GroupResponse::NeedState));
         };
-        if decree.version != number || decree.digest != *digest {
-            return no("the decree is not the one that it is said to be");
-        }
-        let check = decree
-            .check()
-            .and_then(|()| self.enforceable(&decree, check));
-        if let Err(why) = check {
-            return no(why);
+        if decided.version != version || decided.digest != *digest {
+            return Err(Rejection::StateMismatch);
         }
-        let (folder, writes) = (m.replica, m.writes);
-        let memory = PersistentState {
-            replica: folder,
-            writes,
-            group_state: Some(decree),
-            accepted_in: from,
-            ..PersistentState::new(&m.name, folder)
+        decided.check()?;
+        self.check_enforceable(&decided, check)?;
+        let learnt = PersistentState {
+            writes: state.writes,
+            group_state: Some(decided),
+            accepted_in,
+            ..PersistentState::new(&state.name, state.replica)
         };
-        self.write(memory, then(number, from), true)
+        let response = GroupResponse::Decided {
+            replica: state.replica,
+            version,
+            accepted_in,
+        };
+        Ok(persist(learnt, response, true))
     }
 
-    fn write(&self, memory: PersistentState, then: GroupResponse, switch: bool) -> Step {
-        let memory = Box::new(PersistentState {
-            writes: memory.writes + 1,
-            ..memory
-        });
-        Step::Persist {
-            state: memory,
-            response: then,
-            applies: switch,
+    /// The response if the version is in force, or older than the one that is.
+    ///
+    /// The member may have learnt it from another one before its proposer says so; that does not change in which ballot it
+    /// had accepted it.
+    fn already_decided(&self, digest: &Digest) -> GroupResponse {
+        let state = &self.state;
+        let in_force = state.group_state.as_ref();
+        let same = in_force.is_some_and(|s| s.digest == *digest);
+        GroupResponse::Decided {
+            replica: state.replica,
+            version: state.version(),
+            accepted_in: if same { state.accepted_in } else { None },
         }
     }
 
-    fn enforceable(
+    /// Whether a state could follow the one in force, and be enforced here.
+    fn check_candidate(
         &self,
-        decree: &GroupState,
-        check: impl FnOnce(&State) -> Result<(), String>,
-    ) -> Result<(), String> {
-        decree
-            .policy
-            .state_for(&self.memory.name)
-            .map_or(Ok(()), |state| check(&state))
+        candidate: &GroupState,
+        check: impl FnOnce(&State) -> Result<(), NotEnforceable>,
+    ) -> Result<(), Rejection> {
+        candidate.check()?;
+        if let Some(in_force) = &self.state.group_state {
+            in_force.check_successor(candidate)?;
+        }
+        self.check_enforceable(candidate, check)
     }
 
-    /// Whether a decree could follow the one that stands, and be enforced here.
-    fn could(
+    fn check_enforceable(
         &self,
-        decree: &GroupState,
-        check: impl FnOnce(&State) -> Result<(), String>,
-    ) -> Result<(), String> {
-        decree.check()?;
-        if let Some(stands) = &self.memory.group_state {
-            if decree.generation < stands.generation {
-                return Err(format!(
-                    "generation {} was enforced already",
-                    decree.generation
-                ));
-            }
-            if decree.generation == stands.generation && !decree.enforces_same_as(stands) {
-                return Err(format!(
-                    "two policies under generation {}",
-                    decree.generation
-                ));
-            }
-            stands.check_rollout_step(decree)?;
-            if !stands.membership.majorities_overlap(&decree.membership) {
-                return Err(
-                    "more than one vote would change at once: majorities would not overlap".into(),
-                );
-            }
-            if decree.membership.lease_ms != stands.membership.lease_ms {
-                return Err("the length of the lease stays as the group was formed with".into());
-            }
+        candidate: &GroupState,
+        check: impl FnOnce(&State) -> Result<(), NotEnforceable>,
+    ) -> Result<(), Rejection> {
+        match candidate.policy.state_for(&self.state.name) {
+            Some(state) => Ok(check(&state)?),
+            None => Ok(()),
         }
-        self.enforceable(decree, check)
     }
 
-    /// How it stands.
-    pub fn status(&self, unsure: Option<String>) -> GroupStatus {
-        let m = &self.memory;
-        let decree = m.group_state.as_deref();
-        GroupStatus {
-            name: m.name.clone(),
-            replica: m.replica,
-            role: decree
-                .and_then(|d| d.membership.member(&m.name))
-                .map(|s| s.role),
-            version: m.version(),
-            generation: decree.map_or(0, |d| d.generation),
-            change: decree.map_or_else(Digest::default, |d| d.change.clone()),
-            digest: decree.map_or_else(Digest::default, |d| d.digest.clone()),
-            membership: decree.map_or_else(Membership::default, |d| d.membership.clone()),
-            promised: m.promised,
-            pending: m.accepted.as_ref().map(|a| a.1.digest.clone()),
-            rollout: decree
-                .and_then(|d| d.rollout.as_ref())
-                .map(|r| r.phase.clone()),
-            lease_ms: None,
-            vote_withheld: unsure,
-            running_program: None,
-            wanted_program: None,
-            may_upgrade: false,
+    /// Status of the member, as far as its stored state says.
+    pub fn status(&self, vote_withheld: Option<VoteWithheld>) -> GroupStatus {
+        let state = &self.state;
+        let mut status = GroupStatus {
+            name: state.name.clone(),
+            replica: state.replica,
+            version: state.version(),
+            promised: state.promised,
+            pending: state.accepted.as_ref().map(|a| a.state.digest.clone()),
+            vote_withheld: vote_withheld.map(|why| why.to_string()),
+            ..GroupStatus::default()
+        };
+        if let Some(in_force) = state.group_state.as_deref() {
+            let rollout = in_force.rollout.as_ref();
+            status.role = in_force.membership.member(&state.name).map(|m| m.role);
+            status.generation = in_force.generation;
+            status.change = in_force.change.clone();
+            status.digest = in_force.digest.clone();
+            status.membership = Membership::clone(&in_force.membership);
+            status.rollout = rollout.map(|record| record.phase.clone());
         }
+        status
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::{
-        Acceptor, Arc, Ballot, Digest, GroupRequest, GroupResponse, GroupState, Membership,
-        PersistentState, Step,
-    };
-    use crate::group_state::Policy;
-    use crate::membership::{Member, MemberRole};
-
-    fn written(acceptor: &mut Acceptor, ask: GroupRequest) -> GroupResponse {
-        match acceptor.handle(ask, Ok(()), |_| Ok(())) {
-            Step::Persist {
-                state: memory,
-                response: then,
-                ..
-            } => {
-                acceptor.persisted(*memory);
-                then
-            }
-            Step::Respond(say) => say,
-        }
-    }
-
-    /// Guards against a change that waits for leases twice: a member that has taken it up may learn from another one that it is
-    /// decided, before whoever proposed it says so; it has heeded nobody else all the same.
-    #[test]
-    fn one_that_learnt_it_elsewhere_still_says_from_which_ballot_it_made_the_switch() {
-        let seat = Member {
-            name: "a".into(),
-            replica: 1,
-            role: MemberRole::Ingress,
-            votes: true,
-        };
-        let roster = Membership::new(1, 1_500, vec![seat]).unwrap();
-        let first = Arc::new(GroupState::new(
-            1,
-            1,
-            Digest::default(),
-            "",
-            roster,
-            Policy::default(),
-        ));
-        let next = Arc::new(first.unchanged_successor());
-        let memory = PersistentState {
-            group_state: Some(first),
-            ..PersistentState::new("a", 1)
-        };
-        let mut acceptor = Acceptor::new(memory, None);
-        let ballot = Ballot {
-            round: 3,
-            proposer: 7,
-        };
-        assert_eq!(
-            written(
-                &mut acceptor,
-                GroupRequest::Accept {
-                    ballot,
-                    state: next.clone()
-                }
-            ),
-            GroupResponse::Accepted { replica: 1 }
-        );
-        let told = |decree| GroupRequest::Decided {
-            version: 2,
-            digest: next.digest.clone(),
-            state: decree,
-        };
-        let from = |say| match say {
-            GroupResponse::Decided {
-                version: 2,
-                accepted_in: from,
-                ..
-            } => from,
-            other => panic!("{other:?}"),
-        };
-        assert_eq!(
-            from(written(&mut acceptor, told(Some(next.clone())))),
-            Some(ballot),
-            "by another member"
-        );
-        assert_eq!(
-            from(written(&mut acceptor, told(None))),
-            Some(ballot),
-            "by whoever proposed it"
-        );
-        let other = GroupRequest::Decided {
-            version: 2,
-            digest: Digest::of(b"another"),
-            state: None,
-        };
-        assert_eq!(from(written(&mut acceptor, other)), None);
+/// Stores a state, with one write more, before the response is sent.
+fn persist(state: PersistentState, response: GroupResponse, applies: bool) -> Step {
+    let state = Box::new(PersistentState {
+        writes: state.writes + 1,
+        ..state
+    });
+    Step::Persist {
+        state,
+        response,
+        applies,
     }
 }
--- a/crates/consensus/src/group_state.rs
+++ b/crates/consensus/src/group_state.rs
@@ -1,59 +1,60 @@
-//! What stands in a group.
+//! The value a group decides on: its members and what each of them enforces.
+//!
+//! Versions are decided one after the other, each by single-decree Paxos among the voters of its predecessor. A group state
+//! is complete, so a member that missed any number of versions needs only the latest.
 
-use crate::membership::{Member, MemberRole, Membership};
+use crate::membership::{Member, MemberRole, Membership, MembershipError};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
+use std::hash::{Hash, Hasher};
 use std::sync::Arc;
+use thiserror::Error;
 use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_rollout::record::{self, Record};
 
-/// The number of the form of what a group decides. 2 has rollouts, which a member that knows 1 alone refuses.
+/// Version of the stored and sent form of a group state. Version 2 has rollouts, which a member that knows only version 1
+/// rejects.
 pub const VERSION: u32 = 2;
 
-/// What each member is to enforce: what is the same for all once, and what is a member's own.
+/// What each member is to enforce: what all have in common once, and the rest by member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Policy {
-    /// What all have.
+    /// Keys with the same value at every member.
     #[serde(rename = "common")]
     pub shared: State,
-    /// What a member has besides, by its name.
+    /// The remaining keys, by name of the member.
     #[serde(rename = "own")]
     pub per_member: BTreeMap<String, State>,
 }
 
 impl Policy {
-    /// Of what each member is to enforce.
+    /// Builds a policy from the state of each member.
     pub fn from_states(states: &BTreeMap<String, Arc<State>>) -> Policy {
-        let mut all = states.values();
-        let mut common = all.next().map_or_else(State::default, |s| State::clone(s));
-        for one in all {
-            common.0.retain(|key, value| one.0.get(key) == Some(value));
-        }
-        let rest = |s: &State| {
-            let own = s.0.iter().filter(|(key, _)| !common.0.contains_key(*key));
-            State(own.map(|(k, v)| (k.clone(), v.clone())).collect())
+        let shared = shared_state(states);
+        let without_shared = |state: &State| {
+            let rest = state
+                .0
+                .iter()
+                .filter(|(key, _)| !shared.0.contains_key(*key));
+            State(rest.map(|(k, v)| (k.clone(), v.clone())).collect())
         };
-        let own = states
+        let per_member = states
             .iter()
-            .map(|(name, s)| (name.clone(), rest(s)))
+            .map(|(name, state)| (name.clone(), without_shared(state)))
             .collect();
-        Policy {
-            shared: common,
-            per_member: own,
-        }
+        Policy { shared, per_member }
     }
 
-    /// What a member is to enforce; none where nothing is said of it.
+    /// The whole state a member is to enforce; none if the policy does not name it.
     pub fn state_for(&self, name: &str) -> Option<State> {
         let own = self.per_member.get(name)?;
         let mut state = self.shared.clone();
-        state
-            .0
-            .extend(own.0.iter().map(|(k, v)| (k.clone(), v.clone())));
+        let own = own.0.iter().map(|(k, v)| (k.clone(), v.clone()));
+        state.0.extend(own);
         Some(state)
     }
 
-    /// Over all of it.
+    /// Digest of the whole policy.
     pub fn digest(&self) -> Digest {
         let mut text = self.shared.canonical();
         for (name, own) in &self.per_member {
@@ -62,33 +63,94 @@
         }
         Digest::of(text.as_bytes())
     }
+
+    /// The policy without members that have left.
+    fn restricted_to(&self, membership: &Membership) -> Policy {
+        let mut policy = self.clone();
+        policy
+            .per_member
+            .retain(|name, _| membership.member(name).is_some());
+        policy
+    }
+}
+
+/// Keys with the same value in all states.
+fn shared_state(states: &BTreeMap<String, Arc<State>>) -> State {
+    let mut states = states.values();
+    let Some(first) = states.next() else {
+        return State::default();
+    };
+    let mut shared = State::clone(first);
+    for state in states {
+        shared
+            .0
+            .retain(|key, value| state.0.get(key) == Some(value));
+    }
+    shared
 }
 
-/// One decision: who belongs to the group from now on, and what they enforce. It says all, so that whoever missed any number
-/// of them needs the last one alone. Two are the same if their digests are.
+/// Why a group state is invalid, or can't follow the one in force.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum GroupStateError {
+    /// Its membership is invalid.
+    #[error(transparent)]
+    Membership(#[from] MembershipError),
+    /// Its content does not have the digest it carries.
+    #[error("decree {version} does not have its own digest")]
+    DigestMismatch {
+        /// Its version.
+        version: u64,
+    },
+    /// Its generation is older than the one in force.
+    #[error("generation {0} was enforced already")]
+    GenerationOutdated(u64),
+    /// It has the generation in force, with another policy.
+    #[error("two policies under generation {0}")]
+    GenerationReused(u64),
+    /// Its membership is more than one vote away from the one in force.
+    #[error("more than one vote would change at once: majorities would not overlap")]
+    MajoritiesDisjoint,
+    /// Its leases have another length.
+    #[error("the length of the lease stays as the group was formed with")]
+    LeaseChanged,
+    /// Its policy is not the one its rollout step makes.
+    #[error("it is not what its rollout says")]
+    RolloutMismatch,
+    /// A member would join during a rollout.
+    #[error("{0} comes in once the rollout that is under way has ended")]
+    JoinDuringRollout(String),
+    /// The policy would change outside of the rollout in progress.
+    #[error("a rollout is under way: it says what is enforced")]
+    ChangeDuringRollout,
+    /// Its rollout is invalid, or not a step that may follow.
+    #[error("{0}")]
+    Rollout(String),
+}
+
+/// One version of a group's state. Two are equal if their digests are.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct GroupState {
-    /// Its number; the first is 1.
+    /// Its version; the first is 1.
     #[serde(rename = "number")]
     pub version: u64,
-    /// The generation that is enforced under it.
+    /// Number of the generation enforced under it.
     pub generation: u64,
-    /// The change that it makes: a plan's identity; empty where it changes no policy.
+    /// The change that made it: the identity of a plan, or empty if the policy did not change.
     pub change: Digest,
     /// Who made it.
     pub author: String,
-    /// Who belongs to the group.
+    /// The members of the group.
     #[serde(rename = "roster")]
     pub membership: Membership,
     /// What they enforce.
     pub policy: Arc<Policy>,
-    /// The digest of that.
+    /// Digest of the policy.
     #[serde(rename = "enforced")]
     pub policy_digest: Digest,
-    /// The rollout that it is a step of, or that was the last one.
+    /// The rollout it is a step of, or else the last one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rollout: Option<Arc<Record>>,
-    /// What tells this decree from every other: the digest of all before.
+    /// Digest of all fields before.
     pub digest: Digest,
 }
 
@@ -100,40 +162,38 @@
 
 impl Eq for GroupState {}
 
-impl std::hash::Hash for GroupState {
-    fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
+impl Hash for GroupState {
+    fn hash<H: Hasher>(&self, state: &mut H) {
         self.digest.hash(state);
     }
 }
 
 impl GroupState {
-    /// A decree over a policy.
+    /// Creates a group state without a rollout.
     pub fn new(
-        number: u64,
+        version: u64,
         generation: u64,
         change: Digest,
         author: &str,
-        roster: Membership,
+        membership: Membership,
         policy: Policy,
     ) -> GroupState {
-        let (author, policy, enforced) = (author.into(), Arc::new(policy), Digest::default());
-        let (rollout, digest) = (None, Digest::default());
-        GroupState {
-            version: number,
+        let state = GroupState {
+            version,
             generation,
             change,
-            author,
-            membership: roster,
-            policy,
-            policy_digest: enforced,
-            rollout,
-            digest,
-        }
-        .sealed()
+            author: author.into(),
+            membership,
+            policy: Arc::new(policy),
+            policy_digest: Digest::default(),
+            rollout: None,
+            digest: Digest::default(),
+        };
+        state.with_digests()
     }
 
-    /// With its digests.
-    fn sealed(mut self) -> GroupState {
+    /// Computes the digests anew.
+    fn with_digests(mut self) -> GroupState {
         self.policy_digest = self.policy.digest();
         self.digest = self.own_digest();
         self
@@ -161,153 +221,208 @@
         Digest::of(text.as_bytes())
     }
 
-    /// The next decree, that changes nothing: it ends what was left undecided.
+    /// The next version, which changes nothing: it resolves a version that was left undecided.
     pub fn unchanged_successor(&self) -> GroupState {
-        let (number, change) = (self.version + 1, Digest::default());
-        GroupState {
-            version: number,
-            change,
+        let next = GroupState {
+            version: self.version + 1,
+            change: Digest::default(),
             author: String::new(),
             ..self.clone()
-        }
-        .sealed()
+        };
+        next.with_digests()
     }
 
-    /// The next decree, with another roster, and what members that are new enforce; all others go on with what they have.
+    /// The next version, with another membership and the states of new members. The other members keep theirs.
     pub fn with_membership(
         &self,
         author: &str,
-        roster: Membership,
-        new: BTreeMap<String, Arc<State>>,
+        membership: Membership,
+        joining: BTreeMap<String, Arc<State>>,
     ) -> GroupState {
-        let stays = |name: &&String| roster.member(name).is_some() && !new.contains_key(*name);
-        let stay = self.policy.per_member.keys().filter(stays);
-        let stay =
-            stay.filter_map(|name| Some((name.clone(), Arc::new(self.policy.state_for(name)?))));
-        let policy = match new.is_empty() {
-            // Nobody's part has to be found out anew.
-            true => {
-                let mut policy = Policy::clone(&self.policy);
-                policy
-                    .per_member
-                    .retain(|name, _| roster.member(name).is_some());
-                policy
-            }
-            false => Policy::from_states(&stay.chain(new.clone()).collect()),
+        let policy = if joining.is_empty() {
+            // What is shared stays the same, so the policy need not be built anew.
+            self.policy.restricted_to(&membership)
+        } else {
+            Policy::from_states(&self.states_with(&membership, joining))
         };
-        let (number, change, policy) = (self.version + 1, Digest::default(), Arc::new(policy));
-        GroupState {
-            version: number,
-            change,
+        let next = GroupState {
+            version: self.version + 1,
+            change: Digest::default(),
             author: author.into(),
-            membership: roster,
-            policy,
+            membership,
+            policy: Arc::new(policy),
             ..self.clone()
+        };
+        next.with_digests()
+    }
+
+    /// The states of the members that stay, and of those that join.
+    fn states_with(
+        &self,
+        membership: &Membership,
+        joining: BTreeMap<String, Arc<State>>,
+    ) -> BTreeMap<String, Arc<State>> {
+        let mut states = joining;
+        for name in self.policy.per_member.keys() {
+            if membership.member(name).is_none() || states.contains_key(name) {
+                continue;
+            }
+            if let Some(state) = self.policy.state_for(name) {
+                states.insert(name.clone(), Arc::new(state));
+            }
         }
-        .sealed()
+        states
     }
 
-    /// The next decree, that a rollout begins with or goes on by: each member enforces the side that its stage has.
+    /// The next version, which begins a rollout or takes its next step: each member enforces what its stage does.
     ///
     /// # Errors
     ///
-    /// Where a member enforces neither.
-    pub fn with_rollout(&self, author: &str, record: Record) -> Result<GroupState, String> {
-        let new = record.new_at();
-        // Most members enforce the same before and after: each such state is made once.
-        type Same<'a> = (&'a State, Option<&'a usize>, bool);
-        let mut made: Vec<(Same, Arc<State>)> = Vec::new();
+    /// If a member enforces neither the old nor the new state of the rollout.
+    pub fn with_rollout(
+        &self,
+        author: &str,
+        record: Record,
+    ) -> Result<GroupState, GroupStateError> {
+        let policy = Policy::from_states(&self.states_under(&record)?);
+        let changed = policy.digest() != self.policy_digest;
+        let next = GroupState {
+            version: self.version + 1,
+            generation: self.generation + u64::from(changed),
+            change: record.id.clone(),
+            author: author.into(),
+            policy: Arc::new(policy),
+            rollout: Some(Arc::new(record)),
+            ..self.clone()
+        };
+        Ok(next.with_digests())
+    }
+
+    /// The state of each member under a rollout step.
+    fn states_under(
+        &self,
+        record: &Record,
+    ) -> Result<BTreeMap<String, Arc<State>>, GroupStateError> {
+        let with_new: BTreeSet<&str> = record.new_at();
+        // Most members enforce the same before and after: each such state is built once.
+        let mut built: Vec<BuiltState> = Vec::new();
         let mut states = BTreeMap::new();
         for (name, own) in &self.policy.per_member {
-            let same = (own, record.of.get(name), new.contains(name.as_str()));
-            let known = made.iter().find(|m| m.0 == same).map(|m| m.1.clone());
+            let change = record.of.get(name).copied();
+            let new = with_new.contains(name.as_str());
+            let known = built.iter().find(|b| b.is_for(own, change, new));
             let state = match known {
-                Some(state) => state,
+                Some(known) => known.state.clone(),
                 None => {
-                    let now = self.policy.state_for(name).unwrap_or_default();
-                    let state = Arc::new(record.state(name, &now, same.2)?);
-                    made.push((same, state.clone()));
+                    let current = self.policy.state_for(name).unwrap_or_default();
+                    let state = record.state(name, &current, new);
+                    let state = state.map_err(|e| GroupStateError::Rollout(e.to_string()))?;
+                    let state = Arc::new(state);
+                    built.push(BuiltState {
+                        own,
+                        change,
+                        new,
+                        state: state.clone(),
+                    });
                     state
                 }
             };
             states.insert(name.clone(), state);
         }
-        let policy = Policy::from_states(&states);
-        let generation = self.generation + u64::from(policy.digest() != self.policy_digest);
-        let (number, change, policy) = (self.version + 1, record.id.clone(), Arc::new(policy));
-        let (author, rollout) = (author.into(), Some(Arc::new(record)));
-        Ok(GroupState {
-            version: number,
-            generation,
-            change,
-            author,
-            policy,
-            rollout,
-            ..self.clone()
-        }
-        .sealed())
+        Ok(states)
     }
 
-    /// Whether another may follow as far as rollouts go: one at a time, each step as it must be, and nothing else changes what
-    /// members enforce meanwhile.
+    /// Whether `next` may follow, as far as rollouts are concerned: one rollout at a time, only its own steps, and no other
+    /// change of the policy meanwhile.
     ///
     /// # Errors
     ///
-    /// Why not, in words.
-    pub fn check_rollout_step(&self, next: &GroupState) -> Result<(), String> {
-        let (was, is) = (self.rollout.as_deref(), next.rollout.as_deref());
-        record::follows(was, is)?;
-        match is {
-            Some(is) if was != Some(is) => {
-                let wanted = self.with_rollout(&next.author, is.clone())?;
-                (wanted == *next)
-                    .then_some(())
-                    .ok_or_else(|| "it is not what its rollout says".into())
-            }
-            Some(is) if !is.phase.ended() => {
-                let comes = next
-                    .policy
-                    .per_member
-                    .keys()
-                    .find(|name| !self.policy.per_member.contains_key(*name));
-                if let Some(name) = comes {
-                    return Err(format!(
-                        "{name} comes in once the rollout that is under way has ended"
-                    ));
-                }
-                let same = next.generation == self.generation && next.enforces_same_as(self);
-                same.then_some(())
-                    .ok_or_else(|| "a rollout is under way: it says what is enforced".into())
-            }
+    /// Which of these rules it breaks.
+    pub fn check_rollout_step(&self, next: &GroupState) -> Result<(), GroupStateError> {
+        let before = self.rollout.as_deref();
+        let after = next.rollout.as_deref();
+        record::follows(before, after).map_err(|e| GroupStateError::Rollout(e.to_string()))?;
+        match after {
+            Some(step) if before != Some(step) => self.check_step_policy(step, next),
+            Some(active) if !active.phase.ended() => self.check_unchanged_policy(next),
             _ => Ok(()),
         }
     }
 
-    /// Whether whoever is a member under both enforces the same under both.
+    fn check_step_policy(&self, step: &Record, next: &GroupState) -> Result<(), GroupStateError> {
+        let expected = self.with_rollout(&next.author, step.clone())?;
+        if expected == *next {
+            Ok(())
+        } else {
+            Err(GroupStateError::RolloutMismatch)
+        }
+    }
+
+    fn check_unchanged_policy(&self, next: &GroupState) -> Result<(), GroupStateError> {
+        let before = &self.policy.per_member;
+        let mut names = next.policy.per_member.keys();
+        if let Some(name) = names.find(|name| !before.contains_key(*name)) {
+            return Err(GroupStateError::JoinDuringRollout(name.clone()));
+        }
+        if next.generation == self.generation && next.enforces_same_as(self) {
+            Ok(())
+        } else {
+            Err(GroupStateError::ChangeDuringRollout)
+        }
+    }
+
+    /// Whether every member of both enforces the same under both.
     pub fn enforces_same_as(&self, other: &GroupState) -> bool {
-        let (a, b) = (&self.policy, &other.policy);
-        let same = |name: &String| match a.shared == b.shared {
-            true => a.per_member.get(name) == b.per_member.get(name),
-            false => a.state_for(name) == b.state_for(name),
-        };
-        a.per_member
+        let ours = &self.policy;
+        let theirs = &other.policy;
+        let shared_alike = ours.shared == theirs.shared;
+        let mut common = ours
+            .per_member
             .keys()
-            .filter(|name| b.per_member.contains_key(*name))
-            .all(same)
+            .filter(|name| theirs.per_member.contains_key(*name));
+        common.all(|name| {
+            if shared_alike {
+                ours.per_member.get(name) == theirs.per_member.get(name)
+            } else {
+                ours.state_for(name) == theirs.state_for(name)
+            }
+        })
     }
 
-    /// Whether it is what it says that it is.
+    /// Validates a group state that came from elsewhere.
     ///
     /// # Errors
     ///
-    /// With what is wrong.
-    pub fn check(&self) -> Result<(), String> {
-        self.membership.check().map_err(|e| e.to_string())?;
+    /// If its membership is invalid, or its content does not have the digests it carries.
+    pub fn check(&self) -> Result<(), GroupStateError> {
+        self.membership.check()?;
         if self.policy.digest() != self.policy_digest || self.own_digest() != self.digest {
-            return Err(format!(
-                "decree {} does not have its own digest",
-                self.version
-            ));
+            return Err(GroupStateError::DigestMismatch {
+                version: self.version,
+            });
+        }
+        Ok(())
+    }
+
+    /// Whether a group state may follow this one.
+    ///
+    /// # Errors
+    ///
+    /// If its generation is older or reused, its rollout is no valid step, its majorities don't overlap with those of this
+    /// one, or its leases have another length.
+    pub fn check_successor(&self, next: &GroupState) -> Result<(), GroupStateError> {
+        if next.generation < self.generation {
+            return Err(GroupStateError::GenerationOutdated(next.generation));
+        }
+        if next.generation == self.generation && !next.enforces_same_as(self) {
+            return Err(GroupStateError::GenerationReused(next.generation));
+        }
+        self.check_rollout_step(next)?;
+        if !self.membership.majorities_overlap(&next.membership) {
+            return Err(GroupStateError::MajoritiesDisjoint);
+        }
+        if next.membership.lease_ms != self.membership.lease_ms {
+            return Err(GroupStateError::LeaseChanged);
         }
         Ok(())
     }
@@ -315,13 +430,25 @@
     /// What a member enforces under it, with its generation; none for a witness.
     pub fn enforced_by(&self, name: &str) -> Option<(Generation, State)> {
         let state = self.policy.state_for(name)?;
-        Some((
-            Generation {
-                number: self.generation,
-                digest: state.digest(),
-            },
-            state,
-        ))
+        let generation = Generation {
+            number: self.generation,
+            digest: state.digest(),
+        };
+        Some((generation, state))
+    }
+}
+
+/// A state built for a rollout step, and what it was built from.
+struct BuiltState<'a> {
+    own: &'a State,
+    change: Option<usize>,
+    new: bool,
+    state: Arc<State>,
+}
+
+impl BuiltState<'_> {
+    fn is_for(&self, own: &State, change: Option<usize>, new: bool) -> bool {
+        self.own == own && self.change == change && self.new == new
     }
 }
 
@@ -351,110 +478,3 @@
     };
     format!("Seat {{ name: {name:?}, folder: {replica}, kind: {role}, votes: {votes} }}")
 }
-
-#[cfg(test)]
-mod tests {
-    use super::{Arc, BTreeMap, Digest, GroupState, Membership, Policy, State};
-
-    fn state(pairs: &[(&str, &str)]) -> Arc<State> {
-        Arc::new(State(
-            pairs
-                .iter()
-                .map(|(k, v)| (k.to_string(), v.to_string()))
-                .collect(),
-        ))
-    }
-
-    #[test]
-    fn a_new_member_brings_its_own_part_and_changes_nobody_elses() {
-        let all = |names: &[&str]| -> BTreeMap<String, Arc<State>> {
-            names
-                .iter()
-                .map(|n| (n.to_string(), state(&[("k", "1"), ("at", n)])))
-                .collect()
-        };
-        let seat = |name: &str| crate::membership::Member {
-            name: name.into(),
-            replica: 1,
-            role: crate::membership::MemberRole::Ingress,
-            votes: true,
-        };
-        let roster = |names: &[&str]| {
-            Membership::new(1, 1_500, names.iter().map(|n| seat(n)).collect()).unwrap()
-        };
-        // One member alone has everything in common with itself.
-        let one = GroupState::new(
-            1,
-            4,
-            Digest::default(),
-            "",
-            roster(&["a"]),
-            Policy::from_states(&all(&["a"])),
-        );
-        let two = one.with_membership("ann", roster(&["a", "b"]), all(&["b"]));
-        assert_eq!((two.version, two.generation, two.check()), (2, 4, Ok(())));
-        assert!(two.enforces_same_as(&one) && one.enforces_same_as(&two));
-        assert_eq!(
-            two.enforced_by("b").unwrap().1,
-            *state(&[("k", "1"), ("at", "b")])
-        );
-        let without = two.with_membership("ann", roster(&["b"]), BTreeMap::new());
-        assert!(without.enforced_by("a").is_none() && without.enforces_same_as(&two));
-        assert!(!GroupState::new(
-            3,
-            4,
-            Digest::default(),
-            "",
-            roster(&["b"]),
-            Policy::from_states(&all(&["b", "c"]))
-        )
-        .with_membership(
-            "",
-            roster(&["b"]),
-            [("b".to_string(), state(&[("k", "2")]))].into()
-        )
-        .enforces_same_as(&two));
-    }
-
-    #[test]
-    fn each_member_gets_back_what_it_was_to_enforce_and_what_is_common_stands_once() {
-        let states: BTreeMap<String, Arc<State>> = [
-            ("a".to_string(), state(&[("k", "1"), ("discovery", "x")])),
-            (
-                "b".to_string(),
-                state(&[("k", "1"), ("discovery", "y"), ("more", "2")]),
-            ),
-        ]
-        .into();
-        let policy = Policy::from_states(&states);
-        assert_eq!(policy.shared, *state(&[("k", "1")]));
-        for (name, wanted) in &states {
-            assert_eq!(policy.state_for(name).as_ref(), Some(&**wanted));
-        }
-        assert_eq!(policy.state_for("c"), None);
-        let mut other = policy.clone();
-        other
-            .per_member
-            .get_mut("a")
-            .unwrap()
-            .0
-            .insert("discovery".into(), "z".into());
-        assert_ne!(policy.digest(), other.digest());
-        let decree = GroupState::new(
-            3,
-            2,
-            Digest::of(b"change"),
-            "ann",
-            Membership::default(),
-            policy,
-        );
-        let altered = GroupState {
-            policy: Arc::new(other),
-            ..decree.clone()
-        };
-        assert!(altered.check().is_err());
-        assert_ne!(decree.digest, decree.unchanged_successor().digest);
-        let text = serde_json::to_string(&decree).unwrap();
-        assert_eq!(serde_json::from_str::<GroupState>(&text).unwrap(), decree);
-    }
-}
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,629 +1,568 @@
-//! The right to serve, and the member's quick side: what it grants others and what they grant it. None of this waits for a
-//! disk: a member that hashes a large change, or whose disk is slow, still renews and grants.
+//! Leases: the right of a member to serve under the group state in force (Gray and Cheriton, "Leases: An Efficient
+//! Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989).
 //!
-//! Why nobody serves under decree `n` once `n + 1` is enforced somewhere and the wait is over: a lease needs grants of a
-//! majority of `n`'s voters, and is counted by its holder from the moment it *asked*. Deciding `n + 1` needs a majority as
-//! well, and each of that has stopped granting `n` before it said that it has taken `n + 1` up itself, but to those of whom
-//! the proposer has told it that they have. The two majorities share a voter. So every other lease was asked for before that
-//! voter said so, and has run out [`crate::membership::Roster::surely_out`] after the proposer has heard the last of its majority;
-//! and those that it let go on it waits for by name.
+//! A member serves while a majority of voters has lately granted it a lease under the group state in force. Neither granting
+//! nor renewing waits for a disk, so a member that hashes a large change, or whose disk is slow, still does both.
+//!
+//! Why nobody serves under version `n` once `n + 1` is enforced somewhere and the proposer's wait is over: a lease needs
+//! grants of a majority of the voters of `n`, and is counted by its holder from the moment it *sent* its request. Deciding
+//! `n + 1` needs a majority as well, and each of those voters has stopped granting `n` before it said that it accepted
+//! `n + 1`, except to members the proposer has named as having accepted it too. The two majorities share a voter. So every
+//! other lease was requested before that voter responded, and has expired [`Membership::lease_expiry_bound`] after the
+//! proposer heard from the last of its majority. For the members it has named, the proposer waits by name.
 
 use crate::acceptor::PersistentState;
+use crate::eligibility::VoteWithheld;
 use crate::group_state::GroupState;
 use crate::membership::{MemberRole, Membership, ReplicaId};
-use crate::protocol::{Ballot, GroupRequest, GroupResponse, RenewalVerdict, ReplicaVersion};
+use crate::protocol::{Ballot, RenewalRequest, RenewalResponse, RenewalVerdict, ReplicaVersion};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 use std::time::Duration;
 use wrenfork_commit::state::Digest;
 
-/// Renewals in the time of a lease: one may be lost, and one late, before it runs out.
-const RENEWALS: u32 = 3;
+/// Renewals in the length of a lease: one may be lost and one late before the lease expires.
+const RENEWALS_PER_LEASE: u32 = 3;
+/// Odd multiplier that spreads the bits of a random number (the golden ratio as a 64-bit fraction; Knuth, TAOCP 3, 6.4).
+const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Bits of a random fraction.
+const FRACTION_BITS: u32 = 10;
 
-/// What was granted to one name last: to which folder, and until when it may surely be in use.
+/// The last lease granted to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GrantedLease {
-    folder: ReplicaId,
-    until: Duration,
+    replica: ReplicaId,
+    /// When it has expired by any clock.
+    expires: Duration,
+}
+
+/// The last version of a member's replica, as the member reported it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct SeenReplica {
+    replica: ReplicaId,
+    version: ReplicaVersion,
 }
 
-/// A decree that was taken up and is not decided yet.
+/// A group state that has been accepted and is not known to be decided.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PreparedState {
     digest: Digest,
-    /// In whose ballot, and who is known to that one to have taken it up.
+    /// Ballot in which it was accepted.
     ballot: Ballot,
-    ready: Vec<String>,
-    /// When its proposer was heard of last.
-    heard: Duration,
-    /// How long after that it counts as gone.
-    patience: Duration,
+    /// Members the proposer of that ballot has named as having accepted it.
+    accepted_by: Vec<String>,
+    /// When its proposer was last heard from.
+    last_heartbeat: Duration,
+    /// Time after the last heartbeat when the proposer counts as failed.
+    timeout: Duration,
 }
 
 impl PreparedState {
-    /// Whether a member may go on under the decree before. That it says itself that it is ready is not enough: whoever
-    /// proposes would not wait for it, and would not miss it, if its answer was lost.
-    fn lets(&self, from: &str, ready: Option<&Digest>) -> bool {
-        ready == Some(&self.digest) && self.ready.iter().any(|name| name == from)
+    /// Whether a member may keep its lease under the version before.
+    ///
+    /// That the member itself says so is not enough: its response to the proposer may be lost, and the proposer would neither
+    /// wait for it nor count it as missing.
+    fn permits(&self, request: &RenewalRequest) -> bool {
+        request.accepted.as_ref() == Some(&self.digest) && self.accepted_by.contains(&request.from)
     }
 }
 
-/// A member's quick side.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct LeaseManager {
-    name: String,
-    folder: ReplicaId,
-    age: ReplicaVersion,
-    decree: Option<Arc<GroupState>>,
-    pending: Option<PreparedState>,
-    /// What others told of themselves when they asked.
-    seen: BTreeMap<String, (ReplicaId, ReplicaVersion)>,
-    given: BTreeMap<String, GrantedLease>,
-    /// By voter: when the ask was sent that it granted last.
-    grants: BTreeMap<String, Duration>,
-    /// Until when this member may serve.
-    until: Option<Duration>,
-    /// Voters that have said since the start that this folder is no older copy of what they have seen.
-    vouched: BTreeMap<String, ReplicaId>,
-    /// How far voters have been told of this folder's writes, so that an older copy of it is known for one.
-    told: BTreeMap<String, u64>,
-    /// Before the group is formed: its names as the file has them, and who said when that it isn't.
-    charter: Membership,
-    unformed: BTreeMap<String, Duration>,
-    /// How often this member has tried to settle what is pending.
-    tries: u32,
-}
-
-/// What came of an answer to a renewal.
+/// What a member has to do after a response to a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RenewalResult {
-    /// Nothing else is to be done.
+    /// Nothing.
     Handled,
-    /// Its decree is newer: it is to be asked for it.
+    /// Fetch the voter's group state, which is newer.
     FetchState,
-    /// It does not know what stands: it is to be told.
+    /// Send its own group state to the voter, which has an older one.
     SendState,
-    /// The folder is an older copy: its votes don't count any more.
+    /// Take another replica: this one is an older copy, and its votes don't count.
     StaleReplica,
 }
 
+/// A renewal request as it was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SentRenewal {
+    /// When it was sent, by the member's clock.
+    pub at: Duration,
+    /// Number of writes of the replica that it reported, if it did.
+    pub writes: Option<u64>,
+}
+
+/// The leases of a member: those it grants to others, and its own.
+///
+/// Times are durations since any fixed moment, by a clock that never jumps and keeps running while the machine is suspended.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct LeaseManager {
+    name: String,
+    replica: ReplicaId,
+    replica_version: ReplicaVersion,
+    group_state: Option<Arc<GroupState>>,
+    prepared: Option<PreparedState>,
+    /// By member: what it reported of its replica last.
+    seen: BTreeMap<String, SeenReplica>,
+    /// By member: the lease granted to it last.
+    granted: BTreeMap<String, GrantedLease>,
+    /// By voter: when the request was sent that it granted last.
+    grants: BTreeMap<String, Duration>,
+    /// When this member's own lease expires.
+    lease_deadline: Option<Duration>,
+    /// Voters that have confirmed since the start that this replica is no older copy, by the replica they confirmed with.
+    confirmed_by: BTreeMap<String, ReplicaId>,
+    /// By voter: the number of writes of this replica it has been told of.
+    reported_writes: BTreeMap<String, u64>,
+    /// The members as configured, which form the group.
+    charter: Membership,
+    /// By member: when the request was sent that it answered with [`RenewalVerdict::NoGroup`] last.
+    without_group: BTreeMap<String, Duration>,
+    /// How often this member has tried to resolve the prepared state.
+    recovery_attempts: u32,
+}
+
 impl LeaseManager {
-    /// Of a member that remembers this, at a start.
+    /// Creates the lease manager of a member at the start of its process.
+    ///
+    /// `charter` is the membership the group is formed with, and `incarnation` a random number.
     pub fn new(
         name: &str,
-        memory: &PersistentState,
+        state: &PersistentState,
         charter: Membership,
-        life: u64,
+        incarnation: u64,
         now: Duration,
     ) -> LeaseManager {
-        let mut standing = LeaseManager {
+        let mut manager = LeaseManager {
             name: name.into(),
-            folder: memory.replica,
-            age: ReplicaVersion {
-                writes: memory.writes,
-                incarnation: life,
+            replica: state.replica,
+            replica_version: ReplicaVersion {
+                writes: state.writes,
+                incarnation,
             },
-            decree: None,
-            pending: None,
+            group_state: None,
+            prepared: None,
             seen: BTreeMap::new(),
-            given: BTreeMap::new(),
+            granted: BTreeMap::new(),
             grants: BTreeMap::new(),
-            until: None,
-            vouched: BTreeMap::new(),
-            told: BTreeMap::new(),
+            lease_deadline: None,
+            confirmed_by: BTreeMap::new(),
+            reported_writes: BTreeMap::new(),
             charter,
-            unformed: BTreeMap::new(),
-            tries: 0,
+            without_group: BTreeMap::new(),
+            recovery_attempts: 0,
         };
-        standing.apply_state(memory, now);
-        standing
-    }
-
-    /// Goes on with the lease under decree `number` that the process before had when it handed all over to this one. Its holder
-    /// is the same member with the same clock, and it has not been asked for anew: the argument above holds as it stands.
-    pub fn inherit_lease(&mut self, number: u64, until: Duration) {
-        let serves = self
-            .membership()
-            .and_then(|r| r.member(&self.name))
-            .is_some_and(|s| s.role == MemberRole::Ingress);
-        if serves && number == self.number() {
-            self.until = Some(self.until.map_or(until, |u| u.max(until)));
+        manager.apply_state(state, now);
+        manager
+    }
+
+    /// Continues the lease under `version` of the process that handed over to this one.
+    ///
+    /// The holder is the same member with the same clock, and the lease is not extended, so that it stays valid.
+    pub fn inherit_lease(&mut self, version: u64, deadline: Duration) {
+        if self.serves() && version == self.version() {
+            self.extend_lease(deadline);
         }
     }
 
-    /// The roster that stands.
+    /// The membership of the group state in force.
     pub fn membership(&self) -> Option<&Membership> {
-        self.decree.as_ref().map(|d| &d.membership)
+        self.group_state.as_ref().map(|state| &state.membership)
     }
 
-    /// The decree that stands.
+    /// The group state in force.
     pub fn group_state(&self) -> Option<&Arc<GroupState>> {
-        self.decree.as_ref()
+        self.group_state.as_ref()
     }
 
-    fn number(&self) -> u64 {
-        self.decree.as_ref().map_or(0, |d| d.version)
+    fn version(&self) -> u64 {
+        self.group_state.as_ref().map_or(0, |state| state.version)
     }
 
     fn lease(&self) -> Duration {
         self.membership().unwrap_or(&self.charter).lease()
     }
 
-    /// A part of a time, drawn by chance but the same each time it is asked for: members that begin at one moment must not
-    /// all settle at one moment.
-    fn drawn(&self, below: Duration) -> Duration {
-        let mixed = (self.life() ^ u64::from(self.tries) << 32 ^ self.number())
-            .wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        below * (mixed >> 54) as u32 / (1 << 10)
+    /// Whether the group state in force has this member as an ingress.
+    fn serves(&self) -> bool {
+        self.membership()
+            .and_then(|membership| membership.member(&self.name))
+            .is_some_and(|member| member.role == MemberRole::Ingress)
     }
 
-    fn life(&self) -> u64 {
-        self.age.incarnation
+    fn extend_lease(&mut self, deadline: Duration) {
+        self.lease_deadline = self.lease_deadline.max(Some(deadline));
     }
 
-    /// A decree is about to be taken up: from now on nobody else is told that the one before stands. To be called *before*
-    /// that is written, and so before it is said.
+    /// Follows the stored state: after it was written, or after a write failed.
+    pub fn apply_state(&mut self, state: &PersistentState, now: Duration) {
+        self.replica = state.replica;
+        self.replica_version.writes = state.writes;
+        if self.version() != state.version() {
+            self.group_state = state.group_state.clone();
+            let membership = self.membership();
+            if membership.is_some_and(|m| m.member(&self.name).is_none()) {
+                self.lease_deadline = None; // no longer a member
+            }
+        }
+        match &state.accepted {
+            None => {
+                self.prepared = None;
+                self.recovery_attempts = 0;
+            }
+            Some(accepted) => {
+                let digest = &accepted.state.digest;
+                if !self.has_prepared(accepted.ballot, digest) {
+                    self.block_grants(accepted.ballot, digest, now);
+                }
+            }
+        }
+    }
+
+    fn has_prepared(&self, ballot: Ballot, digest: &Digest) -> bool {
+        let prepared = self.prepared.as_ref();
+        prepared.is_some_and(|p| p.digest == *digest && p.ballot == ballot)
+    }
+
+    /// Stops granting leases under the group state in force, because another one is about to be accepted.
+    ///
+    /// To be called *before* the accepted state is stored, and so before the response to its proposer.
     pub fn block_grants(&mut self, ballot: Ballot, digest: &Digest, now: Duration) {
-        if let Some(p) = self
-            .pending
-            .as_mut()
-            .filter(|p| p.digest == *digest && p.ballot == ballot)
-        {
-            p.heard = now;
+        if self.has_prepared(ballot, digest) {
+            self.record_heartbeat(now);
             return;
         }
-        let half = self.lease() / 2;
-        let (patience, ready) = (half + self.drawn(half), Vec::new());
-        self.pending = Some(PreparedState {
+        self.prepared = Some(PreparedState {
             digest: digest.clone(),
             ballot,
-            ready,
-            heard: now,
-            patience,
+            accepted_by: Vec::new(),
+            last_heartbeat: now,
+            timeout: self.proposer_timeout(),
         });
     }
 
-    /// What the memory says now: after a write, or after one that failed.
-    pub fn apply_state(&mut self, memory: &PersistentState, now: Duration) {
-        (self.folder, self.age.writes) = (memory.replica, memory.writes);
-        if self.number() != memory.version() {
-            self.decree = memory.group_state.clone();
-            if self
-                .membership()
-                .is_some_and(|r| r.member(&self.name).is_none())
-            {
-                self.until = None; // no member any more
-            }
-        }
-        match &memory.accepted {
-            None => (self.pending, self.tries) = (None, 0),
-            Some((ballot, next)) => {
-                if self
-                    .pending
-                    .as_ref()
-                    .is_none_or(|p| p.digest != next.digest || p.ballot != *ballot)
-                {
-                    self.block_grants(*ballot, &next.digest, now);
-                }
-            }
+    fn record_heartbeat(&mut self, now: Duration) {
+        if let Some(prepared) = &mut self.prepared {
+            prepared.last_heartbeat = now;
         }
     }
 
-    /// Whoever proposes what is taken up here is still at work, and knows of these members that they have taken it up.
-    pub fn proposer_alive(&mut self, ballot: Ballot, ready: &[String], now: Duration) {
-        if let Some(p) = self.pending.as_mut().filter(|p| p.ballot == ballot) {
-            (p.heard, p.ready) = (now, ready.to_vec());
+    /// Handles a heartbeat of a proposer, which names the members that have accepted its state.
+    pub fn proposer_alive(&mut self, ballot: Ballot, accepted_by: &[String], now: Duration) {
+        let prepared = self.prepared.as_mut();
+        if let Some(prepared) = prepared.filter(|p| p.ballot == ballot) {
+            prepared.last_heartbeat = now;
+            prepared.accepted_by = accepted_by.to_vec();
         }
     }
 
-    /// When what was taken up here is to be settled, if nothing more is heard of it.
+    /// Half a lease, and a random part of another half: members that begin at the same moment must not all recover at the
+    /// same moment.
+    fn proposer_timeout(&self) -> Duration {
+        let half = self.lease() / 2;
+        let attempt = u64::from(self.recovery_attempts) << 32;
+        let seed = self.replica_version.incarnation ^ attempt ^ self.version();
+        let fraction = seed.wrapping_mul(HASH_MULTIPLIER) >> (u64::BITS - FRACTION_BITS);
+        half + half * fraction as u32 / (1 << FRACTION_BITS)
+    }
+
+    /// When this member is to resolve the accepted state, if its proposer is not heard from before.
     pub fn recovery_deadline(&self) -> Option<Duration> {
-        self.pending.as_ref().map(|p| p.heard + p.patience)
+        let prepared = self.prepared.as_ref()?;
+        Some(prepared.last_heartbeat + prepared.timeout)
     }
 
-    /// Somebody else settles it, or it went wrong: later again.
+    /// Postpones the recovery: another member is at it, or an attempt has failed.
     pub fn postpone_recovery(&mut self, now: Duration) {
-        self.tries += 1;
-        if let Some(p) = self.pending.take() {
-            self.block_grants(p.ballot, &p.digest, now);
+        self.recovery_attempts += 1;
+        if let Some(prepared) = self.prepared.take() {
+            self.block_grants(prepared.ballot, &prepared.digest, now);
         }
     }
 
-    /// Answers a renewal.
-    pub fn handle_renewal(
-        &mut self,
-        from: &str,
-        folder: ReplicaId,
-        age: ReplicaVersion,
-        number: u64,
-        ready: Option<&Digest>,
-        now: Duration,
-    ) -> GroupResponse {
-        let seat = self.membership().and_then(|r| r.member(from)).cloned();
-        let seen = self.seen.get(from).filter(|s| s.0 == folder).map(|s| s.1);
-        // A stranger is not remembered: names are bounded by the roster's.
-        if seat.is_some() && seen.is_none_or(|s| !age.is_older_copy_of(&s)) {
-            self.seen.insert(from.into(), (folder, age));
+    /// Handles a renewal request of a member.
+    pub fn handle_renewal(&mut self, request: &RenewalRequest, now: Duration) -> RenewalResponse {
+        let last_seen = self.last_seen(request);
+        // Only members are recorded, which bounds the maps.
+        let member = self.membership().and_then(|m| m.member(&request.from));
+        let is_member = member.is_some();
+        if is_member {
+            self.record_replica(request, last_seen);
         }
-        let until = now
-            + self
-                .membership()
-                .map_or(Duration::ZERO, Membership::lease_expiry_bound);
-        let twin = self
-            .given
-            .get(from)
-            .is_some_and(|g| g.folder != folder && g.until > now);
-        let verdict = match (&self.decree, seat) {
-            (None, _) if number == 0 => RenewalVerdict::NoGroup,
-            (None, _) => RenewalVerdict::Ahead,
-            (Some(own), _) if number < own.version => RenewalVerdict::Behind,
-            (Some(own), _) if number > own.version => RenewalVerdict::Ahead,
-            (_, None) => RenewalVerdict::UnknownMember,
-            _ if self.pending.as_ref().is_some_and(|p| !p.lets(from, ready)) => {
-                RenewalVerdict::Pending
-            }
-            _ if twin => RenewalVerdict::DuplicateMember,
-            _ => {
-                self.given
-                    .insert(from.into(), GrantedLease { folder, until });
-                RenewalVerdict::Granted
-            }
-        };
-        GroupResponse::Renewed {
-            replica: self.folder,
-            version: self.number(),
-            last_seen: seen,
+        let verdict = self.verdict(request, is_member, now);
+        if verdict == RenewalVerdict::Granted {
+            let expires = now + self.granted_lease_bound();
+            let granted = GrantedLease {
+                replica: request.replica,
+                expires,
+            };
+            self.granted.insert(request.from.clone(), granted);
+        }
+        RenewalResponse {
+            replica: self.replica,
+            version: self.version(),
+            last_seen,
             verdict,
         }
     }
 
-    /// The ask that renews this member's lease.
-    pub fn renewal_request(&self) -> GroupRequest {
-        GroupRequest::Renew {
+    fn last_seen(&self, request: &RenewalRequest) -> Option<ReplicaVersion> {
+        let seen = self.seen.get(&request.from)?;
+        (seen.replica == request.replica).then_some(seen.version)
+    }
+
+    fn record_replica(&mut self, request: &RenewalRequest, last_seen: Option<ReplicaVersion>) {
+        let version = request.replica_version;
+        if last_seen.is_some_and(|seen| version.is_older_copy_of(&seen)) {
+            return;
+        }
+        let seen = SeenReplica {
+            replica: request.replica,
+            version,
+        };
+        self.seen.insert(request.from.clone(), seen);
+    }
+
+    fn granted_lease_bound(&self) -> Duration {
+        self.membership()
+            .map_or(Duration::ZERO, Membership::lease_expiry_bound)
+    }
+
+    fn verdict(&self, request: &RenewalRequest, is_member: bool, now: Duration) -> RenewalVerdict {
+        let Some(in_force) = &self.group_state else {
+            return if request.version == 0 {
+                RenewalVerdict::NoGroup
+            } else {
+                RenewalVerdict::Ahead
+            };
+        };
+        if request.version < in_force.version {
+            return RenewalVerdict::Behind;
+        }
+        if request.version > in_force.version {
+            return RenewalVerdict::Ahead;
+        }
+        if !is_member {
+            return RenewalVerdict::UnknownMember;
+        }
+        if self.prepared.as_ref().is_some_and(|p| !p.permits(request)) {
+            return RenewalVerdict::Pending;
+        }
+        let other_process = self
+            .granted
+            .get(&request.from)
+            .is_some_and(|g| g.replica != request.replica && g.expires > now);
+        if other_process {
+            return RenewalVerdict::DuplicateMember;
+        }
+        RenewalVerdict::Granted
+    }
+
+    /// The request that renews this member's lease.
+    pub fn renewal_request(&self) -> RenewalRequest {
+        RenewalRequest {
             from: self.name.clone(),
-            replica: self.folder,
-            replica_version: self.age,
-            version: self.number(),
-            accepted: self.pending.as_ref().map(|p| p.digest.clone()),
+            replica: self.replica,
+            replica_version: self.replica_version,
+            version: self.version(),
+            accepted: self.prepared.as_ref().map(|p| p.digest.clone()),
         }
     }
 
-    /// How long after the last renewal the next one is due.
+    /// Time between two renewals.
     pub fn renewal_interval(&self) -> Duration {
-        self.lease() / RENEWALS
+        self.lease() / RENEWALS_PER_LEASE
+    }
+
+    /// Names of the members to send renewal requests to.
+    ///
+    /// While the lease is safe, these are as many voters as make a majority, those first that have granted lately, and those
+    /// that have not been told of the last write of this replica. Else they are all voters, or before the group is formed all
+    /// members of the charter. That a newer group state is in force is learnt as well, since any majority shares a voter with
+    /// the one that decided it.
+    pub fn renewal_targets(&self, now: Duration) -> Vec<String> {
+        let Some(membership) = self.membership() else {
+            return self.other_founders().map(String::from).collect();
+        };
+        let mut others = self.other_voters(membership);
+        if self.lease_is_safe(membership, now) {
+            others.sort_by_key(|name| self.preference(membership, name, now));
+            let votes = membership.counts_vote(&self.name, self.replica);
+            let needed = membership.majority().saturating_sub(usize::from(votes));
+            let mut position = 0;
+            others.retain(|name| {
+                position += 1;
+                position <= needed || votes && self.lacks_last_write(name)
+            });
+        }
+        others.into_iter().map(String::from).collect()
+    }
+
+    fn other_voters<'a>(&self, membership: &'a Membership) -> Vec<&'a str> {
+        let voters = membership.voters().map(|member| member.name.as_str());
+        voters.filter(|name| *name != self.name).collect()
+    }
+
+    fn other_founders(&self) -> impl Iterator<Item = &str> {
+        let founders = self.charter.members.iter().map(|m| m.name.as_str());
+        founders.filter(|name| *name != self.name)
+    }
+
+    /// Whether a majority is enough to renew from: more than half of the lease is left, or none is needed.
+    fn lease_is_safe(&self, membership: &Membership, now: Duration) -> bool {
+        let member = membership.member(&self.name);
+        let witness = member.is_some_and(|m| m.role == MemberRole::Witness);
+        let half = membership.lease() / 2;
+        let fresh = self.lease_deadline.is_some_and(|at| at > now + half);
+        (witness || fresh) && self.prepared.is_none() && self.check_vote_eligibility().is_ok()
     }
 
-    /// Where a voter stands in this member's own order of them.
-    fn place_of(&self, name: &str) -> u64 {
+    /// Sorts voters that granted within the last lease before the others, each in an order of this member's own, so that many
+    /// members don't all send to the same few voters.
+    fn preference(&self, membership: &Membership, name: &str, now: Duration) -> (bool, u64) {
+        let last_grant = self.grants.get(name);
+        let granted_lately = last_grant.is_some_and(|at| *at + membership.lease() > now);
         let mut hasher = DefaultHasher::new();
         (&self.name, name).hash(&mut hasher);
-        hasher.finish()
+        (!granted_lately, hasher.finish())
     }
 
-    /// Whom to ask: as many voters as are enough, those first that answered lately, in an order of its own, so that many
-    /// members don't all ask the same few; and those that have not been told of this folder's last write; all of them once the lease is in doubt. That another decree stands is heard by this as well:
-    /// any majority shares a voter with the one that decided.
-    pub fn renewal_targets(&self, now: Duration) -> Vec<String> {
-        let Some(roster) = self.membership() else {
-            let others = self.charter.members.iter().filter(|s| s.name != self.name);
-            return others.map(|s| s.name.clone()).collect();
-        };
-        let others = roster.voters().filter(|s| s.name != self.name);
-        let mut names: Vec<&str> = others.map(|s| s.name.as_str()).collect();
-        let witness = roster
-            .member(&self.name)
-            .is_some_and(|s| s.role == MemberRole::Witness);
-        let safe = witness
-            || self
-                .until
-                .is_some_and(|until| until > now + roster.lease() / 2);
-        if safe && self.pending.is_none() && self.check_vote_eligibility().is_ok() {
-            let lately = |name: &str| {
-                self.grants
-                    .get(name)
-                    .is_some_and(|at| *at + roster.lease() > now)
-            };
-            names.sort_by_key(|name| (!lately(name), self.place_of(name)));
-            let own = usize::from(roster.counts_vote(&self.name, self.folder));
-            let enough = roster.majority().saturating_sub(own);
-            let untold = |name: &str| self.told.get(name).is_none_or(|w| *w < self.age.writes);
-            let votes = roster.counts_vote(&self.name, self.folder);
-            let all = names.into_iter().enumerate();
-            names = all
-                .filter(|(n, name)| *n < enough || votes && untold(name))
-                .map(|(_, name)| name)
-                .collect();
-        }
-        names.into_iter().map(String::from).collect()
+    fn lacks_last_write(&self, voter: &str) -> bool {
+        let reported = self.reported_writes.get(voter);
+        reported.is_none_or(|writes| *writes < self.replica_version.writes)
     }
 
-    /// Whether this member is to form the group: it is the first by name, and all others said within a lease that there is
-    /// none yet.
+    /// Whether this member is to form the group: it is the first by name, and all others have said within the last lease that
+    /// there is no group.
     pub fn can_form_group(&self, now: Duration) -> bool {
-        let lately = |name: &str| {
-            self.unformed
-                .get(name)
-                .is_some_and(|at| *at + self.charter.lease() > now)
-        };
-        let seats = &self.charter.members;
-        self.decree.is_none()
-            && self.pending.is_none()
-            && seats.first().is_some_and(|s| s.name == self.name)
-            && seats.iter().skip(1).all(|s| lately(&s.name))
+        let first = self.charter.members.first();
+        self.group_state.is_none()
+            && self.prepared.is_none()
+            && first.is_some_and(|member| member.name == self.name)
+            && self
+                .other_founders()
+                .all(|name| self.says_no_group(name, now))
     }
 
-    /// Of the charter, those that have not said so: the group can't be formed without them.
+    /// Members of the charter that have not said within the last lease that there is no group, while there is none: the group
+    /// can't be formed without them.
     pub fn missing_founders(&self, now: Duration) -> Vec<&str> {
-        let lately = |name: &str| {
-            self.unformed
-                .get(name)
-                .is_some_and(|at| *at + self.charter.lease() > now)
-        };
-        let others = self
-            .charter
-            .members
-            .iter()
-            .map(|s| s.name.as_str())
-            .filter(|n| *n != self.name);
-        others
-            .filter(|n| self.decree.is_none() && !lately(n))
+        if self.group_state.is_some() {
+            return Vec::new();
+        }
+        self.other_founders()
+            .filter(|name| !self.says_no_group(name, now))
             .collect()
     }
 
-    /// This member's own vote for itself: the same rules as for any other.
+    fn says_no_group(&self, name: &str, now: Duration) -> bool {
+        let last = self.without_group.get(name);
+        last.is_some_and(|at| *at + self.charter.lease() > now)
+    }
+
+    /// Grants this member's own lease by its own vote, by the same rules as for any other.
     pub fn renew_from_self(&mut self, now: Duration) {
-        let GroupRequest::Renew {
-            replica: folder,
-            replica_version: age,
-            version: number,
-            accepted: ready,
-            ..
-        } = self.renewal_request()
-        else {
-            return;
+        let request = self.renewal_request();
+        let response = self.handle_renewal(&request, now);
+        let sent = SentRenewal {
+            at: now,
+            writes: None,
         };
-        let name = self.name.clone();
-        let say = self.handle_renewal(&name, folder, age, number, ready.as_ref(), now);
-        self.handle_response(&name, (now, None), &say, now);
+        self.handle_response(&request.from, sent, &response, now);
     }
 
-    /// Takes an answer to a renewal that was sent at a moment, and told of so many writes.
+    /// Handles a voter's response to a renewal request.
     pub fn handle_response(
         &mut self,
         from: &str,
-        (sent, told): (Duration, Option<u64>),
-        say: &GroupResponse,
+        sent: SentRenewal,
+        response: &RenewalResponse,
         now: Duration,
     ) -> RenewalResult {
-        let GroupResponse::Renewed {
-            replica: folder,
-            version: number,
-            last_seen: seen,
-            verdict,
-        } = say
-        else {
-            return RenewalResult::Handled;
-        };
-        if seen.is_some_and(|seen| self.age.is_older_copy_of(&seen)) {
+        let last_seen = response.last_seen;
+        if last_seen.is_some_and(|seen| self.replica_version.is_older_copy_of(&seen)) {
             return RenewalResult::StaleReplica;
         }
-        self.vouched.insert(from.into(), *folder);
-        if let Some(told) = told {
-            self.told.insert(from.into(), told);
+        self.confirmed_by.insert(from.into(), response.replica);
+        if let Some(writes) = sent.writes {
+            self.reported_writes.insert(from.into(), writes);
         }
-        match verdict {
-            RenewalVerdict::Granted => {
-                let counts = self
-                    .membership()
-                    .is_some_and(|r| r.counts_vote(from, *folder));
-                if counts && *number == self.number() {
-                    let last = self.grants.entry(from.into()).or_default();
-                    *last = sent.max(*last);
-                    self.count(now);
-                }
-                RenewalResult::Handled
-            }
-            RenewalVerdict::Behind => RenewalResult::FetchState,
-            RenewalVerdict::Ahead => RenewalResult::SendState,
+        match response.verdict {
+            RenewalVerdict::Granted => self.record_grant(from, sent.at, response, now),
+            RenewalVerdict::Behind => return RenewalResult::FetchState,
+            RenewalVerdict::Ahead => return RenewalResult::SendState,
             RenewalVerdict::NoGroup => {
-                self.unformed.insert(from.into(), sent);
-                RenewalResult::Handled
+                self.without_group.insert(from.into(), sent.at);
             }
-            _ => RenewalResult::Handled,
+            RenewalVerdict::Pending
+            | RenewalVerdict::UnknownMember
+            | RenewalVerdict::DuplicateMember => {}
         }
+        RenewalResult::Handled
     }
 
-    /// The lease that the grants make: the latest moment at which a majority was asked, and the lease from there on.
-    fn count(&mut self, now: Duration) {
-        let Some(roster) = self.decree.as_ref().map(|d| &d.membership) else {
+    fn record_grant(
+        &mut self,
+        from: &str,
+        sent_at: Duration,
+        response: &RenewalResponse,
+        now: Duration,
+    ) {
+        let membership = self.membership();
+        let counts = membership.is_some_and(|m| m.counts_vote(from, response.replica));
+        if !counts || response.version != self.version() {
             return;
-        };
-        if roster
-            .member(&self.name)
-            .is_none_or(|s| s.role == MemberRole::Witness)
-        {
+        }
+        let last = self.grants.entry(from.into()).or_default();
+        *last = sent_at.max(*last);
+        self.renew_lease(now);
+    }
+
+    /// Extends the lease as far as the grants allow: it counts from the latest moment by which a majority had been asked.
+    fn renew_lease(&mut self, now: Duration) {
+        if !self.serves() {
             return;
         }
-        let mut asked: Vec<Duration> = roster
-            .voters()
-            .filter_map(|s| self.grants.get(&s.name).copied())
+        let Some(membership) = self.membership() else {
+            return;
+        };
+        let voters = membership.voters();
+        let mut asked: Vec<Duration> = voters
+            .filter_map(|voter| self.grants.get(&voter.name).copied())
             .collect();
         asked.sort_unstable_by(|a, b| b.cmp(a));
-        if let Some(oldest) = asked.get(roster.majority() - 1) {
-            let until = *oldest + roster.lease();
-            if until > now {
-                self.until = Some(self.until.map_or(until, |u| u.max(until)));
-            }
+        let Some(oldest) = asked.get(membership.majority() - 1) else {
+            return;
+        };
+        let deadline = *oldest + membership.lease();
+        if deadline > now {
+            self.extend_lease(deadline);
         }
     }
 
-    /// Until when this member may serve; none where it may not, or no longer.
+    /// When this member's lease expires; none if it has none.
     pub fn lease_deadline(&self) -> Option<Duration> {
-        self.until
+        self.lease_deadline
     }
 
-    /// Whether this member may vote: a majority of the voters, itself among them, has answered it since it started, and
-    /// none of them has seen a newer folder of it.
+    /// Whether this member's vote counts: a majority of the voters, with itself, has confirmed since its start that its
+    /// replica is no older copy.
     ///
     /// # Errors
     ///
-    /// Why it may not.
-    pub fn check_vote_eligibility(&self) -> Result<(), String> {
-        let Some(roster) = self.membership() else {
+    /// Why its vote does not count.
+    pub fn check_vote_eligibility(&self) -> Result<(), VoteWithheld> {
+        let Some(membership) = self.membership() else {
             return Ok(());
         };
-        if !roster.counts_vote(&self.name, self.folder) {
-            return Err("its folder is not the one that the roster counts".into());
+        if !membership.counts_vote(&self.name, self.replica) {
+            return Err(VoteWithheld::OtherReplica);
         }
-        let others = roster.voters().filter(|s| s.name != self.name);
-        let vouched = others
-            .filter(|s| self.vouched.get(&s.name) == Some(&s.replica))
-            .count()
-            + 1;
-        if vouched < roster.majority() {
-            return Err(
-                "too few others have answered since it started to know that its folder is no old copy".into(),
-            );
+        let others = membership.voters().filter(|voter| voter.name != self.name);
+        let confirmed = others
+            .filter(|voter| self.confirmed_by.get(&voter.name) == Some(&voter.replica))
+            .count();
+        if confirmed + 1 < membership.majority() {
+            return Err(VoteWithheld::TooFewConfirmations);
         }
         Ok(())
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::{
-        Arc, Ballot, Digest, Duration, GroupResponse, GroupState, LeaseManager, MemberRole,
-        Membership, PersistentState, RenewalVerdict, ReplicaVersion,
-    };
-    use crate::group_state::Policy;
-    use crate::membership::Member;
-
-    fn roster() -> Membership {
-        let seat = |(n, name): (usize, &str)| {
-            let (folder, kind) = (n as u64 + 1, MemberRole::Ingress);
-            Member {
-                name: name.into(),
-                replica: folder,
-                role: kind,
-                votes: true,
-            }
-        };
-        Membership::new(
-            1,
-            1_500,
-            ["a", "b", "c"].into_iter().enumerate().map(seat).collect(),
-        )
-        .unwrap()
-    }
-
-    /// Guards against a lease that outlives its decree, its end, or its holder's seat by way of a handover.
-    #[test]
-    fn a_lease_passes_to_the_next_process_under_the_same_decree_alone() {
-        let decree = Arc::new(GroupState::new(
-            4,
-            1,
-            Digest::default(),
-            "",
-            roster(),
-            Policy::default(),
-        ));
-        let begun = |name: &str| {
-            let memory = PersistentState {
-                group_state: Some(decree.clone()),
-                ..PersistentState::new(name, 1)
-            };
-            LeaseManager::new(
-                name,
-                &memory,
-                Membership::default(),
-                1,
-                Duration::from_secs(9),
-            )
-        };
-        let (until, mut next) = (Duration::from_secs(10), begun("a"));
-        next.inherit_lease(3, until);
-        assert_eq!(next.lease_deadline(), None, "another decree stands by now");
-        next.inherit_lease(4, until);
-        next.inherit_lease(4, Duration::from_secs(8));
-        assert_eq!(next.lease_deadline(), Some(until));
-        let mut stranger = begun("z");
-        stranger.inherit_lease(4, until);
-        assert_eq!(stranger.lease_deadline(), None);
-        assert!(
-            next.check_vote_eligibility().is_err(),
-            "it votes once others have answered it, as after any start"
-        );
-    }
-
-    /// Guards against a member that goes on under the old decree though the proposer never heard that it is ready, or heard
-    /// it in another ballot, and so neither waits for it nor misses it.
-    #[test]
-    fn only_whom_the_proposer_of_that_ballot_names_goes_on_while_something_is_taken_up() {
-        let decree = Arc::new(GroupState::new(
-            1,
-            1,
-            Digest::default(),
-            "",
-            roster(),
-            Policy::default(),
-        ));
-        let memory = PersistentState {
-            group_state: Some(decree.clone()),
-            ..PersistentState::new("a", 1)
-        };
-        let (now, ballot) = (
-            Duration::from_secs(9),
-            Ballot {
-                round: 1,
-                proposer: 7,
-            },
-        );
-        let mut voter = LeaseManager::new("a", &memory, Membership::default(), 1, now);
-        let next = decree.unchanged_successor().digest;
-        let asked = |voter: &mut LeaseManager, ready: Option<&Digest>| match voter.handle_renewal(
-            "c",
-            3,
-            ReplicaVersion {
-                writes: 1,
-                incarnation: 3,
-            },
-            1,
-            ready,
-            now,
-        ) {
-            GroupResponse::Renewed { verdict, .. } => verdict,
-            other => panic!("{other:?}"),
-        };
-        assert_eq!(asked(&mut voter, None), RenewalVerdict::Granted);
-        voter.block_grants(ballot, &next, now);
-        assert_eq!(
-            asked(&mut voter, Some(&next)),
-            RenewalVerdict::Pending,
-            "its own word is not enough"
-        );
-        let higher = Ballot {
-            round: 2,
-            proposer: 8,
-        };
-        voter.proposer_alive(higher, &["c".into()], now);
-        assert_eq!(
-            asked(&mut voter, Some(&next)),
-            RenewalVerdict::Pending,
-            "another ballot's word is none here"
-        );
-        voter.proposer_alive(ballot, &["b".into(), "c".into()], now);
-        assert_eq!(asked(&mut voter, Some(&next)), RenewalVerdict::Granted);
-        assert_eq!(
-            asked(&mut voter, None),
-            RenewalVerdict::Pending,
-            "one that has not taken it up"
-        );
-        voter.block_grants(higher, &next, now);
-        assert_eq!(
-            asked(&mut voter, Some(&next)),
-            RenewalVerdict::Pending,
-            "the next proposer has heard nothing yet"
-        );
-    }
-}
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,20 +1,24 @@
-//! A group of ingresses that enforces one policy, everywhere or nowhere, while some of its members are down, cut off or
-//! frozen. No I/O and no clock: time is told as a [`std::time::Duration`] since any moment, by a clock that runs on through
-//! a freeze and never jumps.
+//! Consensus within a group of ingresses on its membership and policy, and the leases its members serve under.
 //!
-//! - [`membership`]: who belongs to the group, who votes, and how many votes are enough.
-//! - [`group_state`]: what stands in the group: one numbered decision after the other, each with the whole roster and the whole
-//!   policy. Decision `n` is made by a majority of the roster of decision `n - 1`, as Paxos decides one value.
-//! - [`acceptor`]: a member's side of that, all of it one [`acceptor::PersistentState`] that is written before anything is said.
-//! - [`proposer`]: whoever wants something decided, or settles what another left half decided.
-//! - [`lease`]: the right to serve. A member lets requests in only while a majority has lately said that its decree still
-//!   stands; a majority that has taken up the next one says so to nobody who hasn't.
+//! A change holds at every member or at none, also while members are down, unreachable or suspended. The package has no I/O
+//! and no clock: times are [`std::time::Duration`]s since any fixed moment, by a clock that never jumps and keeps running
+//! while the machine is suspended.
+//!
+//! - [`membership`]: the members, who votes, and how many votes make a quorum.
+//! - [`group_state`]: the value decided on. Version `n` is complete, and decided by a majority of the voters of version
+//!   `n - 1`, by single-decree Paxos.
+//! - [`acceptor`]: a member's side of a decision; its [`acceptor::PersistentState`] is stored before any response that rests
+//!   on it.
+//! - [`proposer`]: the proposer of a version, also one that recovers a version left undecided by another proposer.
+//! - [`lease`]: the leases. A majority that has accepted the next version renews leases under its predecessor only for
+//!   members that have accepted it as well.
+//! - [`eligibility`]: why a member's vote does not count.
 //! - [`protocol`]: the messages.
-
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::needless_pass_by_value, clippy::too_many_lines)]
+//!
+//! `docs/design/0011-roster.md` describes the protocol and its alternatives.
 
 pub mod acceptor;
+pub mod eligibility;
 pub mod group_state;
 pub mod lease;
 pub mod membership;
--- a/crates/consensus/src/protocol.rs
+++ b/crates/consensus/src/protocol.rs
@@ -51,27 +51,75 @@
     }
 }
 
+/// A group state that a member has accepted, written as an array of both.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(from = "(Ballot, Arc<GroupState>)", into = "(Ballot, Arc<GroupState>)")]
+pub struct AcceptedState {
+    /// Ballot in which it was accepted.
+    pub ballot: Ballot,
+    /// The state.
+    pub state: Arc<GroupState>,
+}
+
+impl From<(Ballot, Arc<GroupState>)> for AcceptedState {
+    fn from((ballot, state): (Ballot, Arc<GroupState>)) -> AcceptedState {
+        AcceptedState { ballot, state }
+    }
+}
+
+impl From<AcceptedState> for (Ballot, Arc<GroupState>) {
+    fn from(accepted: AcceptedState) -> (Ballot, Arc<GroupState>) {
+        (accepted.ballot, accepted.state)
+    }
+}
+
+/// What a member enforces before its group is formed, written as an array of both.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(from = "(u64, Arc<State>)", into = "(u64, Arc<State>)")]
+pub struct EnforcedState {
+    /// Number of its generation.
+    pub generation: u64,
+    /// The state.
+    pub state: Arc<State>,
+}
+
+impl From<(u64, Arc<State>)> for EnforcedState {
+    fn from((generation, state): (u64, Arc<State>)) -> EnforcedState {
+        EnforcedState { generation, state }
+    }
+}
+
+impl From<EnforcedState> for (u64, Arc<State>) {
+    fn from(enforced: EnforcedState) -> (u64, Arc<State>) {
+        (enforced.generation, enforced.state)
+    }
+}
+
+/// A request for a lease, which counts from the moment the request was sent.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct RenewalRequest {
+    /// Name of the sender.
+    pub from: String,
+    /// Replica of the sender.
+    #[serde(rename = "folder")]
+    pub replica: ReplicaId,
+    /// Version of that replica.
+    #[serde(rename = "age")]
+    pub replica_version: ReplicaVersion,
+    /// Version of the group state the sender serves under; 0 if it knows none.
+    #[serde(rename = "number")]
+    pub version: u64,
+    /// Digest of the next group state, if the sender has accepted it.
+    #[serde(rename = "ready")]
+    pub accepted: Option<Digest>,
+}
+
 /// A request to a member of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "group", rename_all = "kebab-case")]
 pub enum GroupRequest {
-    /// Renews the sender's lease, which counts from the moment the request was sent.
-    Renew {
-        /// Name of the sender.
-        from: String,
-        /// Replica of the sender.
-        #[serde(rename = "folder")]
-        replica: ReplicaId,
-        /// Version of that replica.
-        #[serde(rename = "age")]
-        replica_version: ReplicaVersion,
-        /// Version of the group state the sender serves under; 0 if it knows none.
-        #[serde(rename = "number")]
-        version: u64,
-        /// Digest of the next group state, if the sender has accepted it.
-        #[serde(rename = "ready")]
-        accepted: Option<Digest>,
-    },
+    /// Renews the sender's lease.
+    Renew(RenewalRequest),
     /// Phase 1a of Paxos: take part in deciding `version`, and in no lower ballot from now on.
     #[serde(rename = "promise")]
     Prepare {
@@ -162,34 +210,38 @@
     DuplicateMember,
 }
 
+/// The response of a voter to a [`RenewalRequest`].
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct RenewalResponse {
+    /// Replica of the voter.
+    #[serde(rename = "folder")]
+    pub replica: ReplicaId,
+    /// Version of the group state in force at the voter.
+    #[serde(rename = "number")]
+    pub version: u64,
+    /// Last version of the requester's replica seen before this request.
+    #[serde(rename = "seen")]
+    pub last_seen: Option<ReplicaVersion>,
+    /// Whether the lease is granted.
+    pub verdict: RenewalVerdict,
+}
+
 /// A member's response.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "kebab-case")]
 pub enum GroupResponse {
     /// To [`GroupRequest::Renew`].
-    Renewed {
-        /// Replica of the responder.
-        #[serde(rename = "folder")]
-        replica: ReplicaId,
-        /// Version of the group state in force at the responder.
-        #[serde(rename = "number")]
-        version: u64,
-        /// Last version of the requester's replica seen before this request.
-        #[serde(rename = "seen")]
-        last_seen: Option<ReplicaVersion>,
-        /// Whether the lease is granted.
-        verdict: RenewalVerdict,
-    },
+    Renewed(RenewalResponse),
     /// Phase 1b of Paxos: the member takes part in the ballot.
     Promised {
         /// Replica of the responder; 0 if its vote does not count.
         #[serde(rename = "folder")]
         replica: ReplicaId,
         /// What it has accepted in a lower ballot.
-        accepted: Option<(Ballot, Arc<GroupState>)>,
-        /// What it enforces, with its generation, while there is no group state.
+        accepted: Option<AcceptedState>,
+        /// What it enforces while there is no group state.
         #[serde(rename = "own")]
-        enforced: Option<(u64, Arc<State>)>,
+        enforced: Option<EnforcedState>,
     },
     /// Phase 2b of Paxos: the member has accepted the state.
     Accepted {
@@ -311,98 +363,3 @@
     head.windows(GROUP_KEY.len())
         .any(|window| window == GROUP_KEY)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::{
-        is_group_request, Arc, Ballot, Digest, GroupRequest, GroupResponse, GroupState,
-        ReplicaVersion,
-    };
-    use wrenfork_commit::protocol::{self, decode_line};
-
-    #[test]
-    fn asks_of_a_group_are_told_from_the_others_and_survive_the_way() {
-        let renew = GroupRequest::Renew {
-            from: "a".into(),
-            replica: 3,
-            replica_version: ReplicaVersion {
-                writes: 1,
-                incarnation: 2,
-            },
-            version: 9,
-            accepted: None,
-        };
-        let promise = GroupRequest::Prepare {
-            version: 2,
-            ballot: Ballot {
-                round: u64::MAX,
-                proposer: 7,
-            },
-            candidate: None,
-        };
-        let decree = Arc::new(GroupState::default());
-        let accept = GroupRequest::Accept {
-            ballot: Ballot::default(),
-            state: decree.clone(),
-        };
-        let decided = GroupRequest::Decided {
-            version: 1,
-            digest: Digest::default(),
-            state: Some(decree),
-        };
-        for ask in [
-            renew,
-            promise,
-            accept,
-            decided,
-            GroupRequest::Learn,
-            GroupRequest::Status,
-            GroupRequest::Tally,
-            GroupRequest::UpgradeTurn { version: 4 },
-        ] {
-            let line = protocol::encode_line(&ask);
-            assert!(is_group_request(&line), "{line}");
-            assert_eq!(decode_line::<GroupRequest>(&line).unwrap(), ask);
-        }
-        assert!(
-            !is_group_request(&protocol::encode_line(&protocol::CommitRequest::Status))
-                && !is_group_request("")
-                && !is_group_request("{")
-        );
-        for say in [
-            GroupResponse::NeedState,
-            GroupResponse::Status(Box::default()),
-            GroupResponse::Tallied(Box::default()),
-            GroupResponse::State { state: None },
-        ] {
-            assert_eq!(
-                decode_line::<GroupResponse>(&protocol::encode_line(&say)).unwrap(),
-                say
-            );
-        }
-        assert!(ReplicaVersion {
-            writes: 4,
-            incarnation: 1
-        }
-        .is_older_copy_of(&ReplicaVersion {
-            writes: 5,
-            incarnation: 1
-        }));
-        assert!(ReplicaVersion {
-            writes: 5,
-            incarnation: 1
-        }
-        .is_older_copy_of(&ReplicaVersion {
-            writes: 5,
-            incarnation: 2
-        }));
-        assert!(!ReplicaVersion {
-            writes: 6,
-            incarnation: 1
-        }
-        .is_older_copy_of(&ReplicaVersion {
-            writes: 5,
-            incarnation: 2
-        }));
-    }
-}
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -15,7 +15,8 @@
 use wrenfork_consensus::group_state::{GroupState, Policy};
 use wrenfork_consensus::membership::{Member, MemberRole, Membership};
 use wrenfork_consensus::protocol::{
-    Ballot, GroupRequest, GroupResponse, GroupStatus, RenewalVerdict, ReplicaVersion,
+    AcceptedState, Ballot, EnforcedState, GroupRequest, GroupResponse, GroupStatus, RenewalRequest,
+    RenewalResponse, RenewalVerdict, ReplicaVersion,
 };
 use wrenfork_rollout::record::{self, Phase, Record, Terms};
 use wrenfork_rollout::tally::{self, Tally};
@@ -163,13 +164,22 @@
     }
 }
 
+fn accepted() -> AcceptedState {
+    AcceptedState {
+        ballot: BALLOT,
+        state: group_state(),
+    }
+}
+
 fn requests() -> Vec<GroupRequest> {
-    let renew = |number, ready| GroupRequest::Renew {
-        from: ODD.into(),
-        replica: 3,
-        replica_version: replica_version(),
-        version: number,
-        accepted: ready,
+    let renew = |version, accepted| {
+        GroupRequest::Renew(RenewalRequest {
+            from: ODD.into(),
+            replica: 3,
+            replica_version: replica_version(),
+            version,
+            accepted,
+        })
     };
     let digest = Digest::of(b"decree");
     vec![
@@ -262,7 +272,7 @@
     }
 }
 
-fn responses() -> Vec<GroupResponse> {
+fn renewal_responses() -> Vec<GroupResponse> {
     let verdicts = [
         RenewalVerdict::Granted,
         RenewalVerdict::Pending,
@@ -272,22 +282,28 @@
         RenewalVerdict::NoGroup,
         RenewalVerdict::DuplicateMember,
     ];
-    let mut says: Vec<GroupResponse> = verdicts
+    verdicts
         .into_iter()
         .enumerate()
-        .map(|(n, verdict)| GroupResponse::Renewed {
-            replica: 2,
-            version: 4,
-            last_seen: (n > 0).then(replica_version),
-            verdict,
+        .map(|(n, verdict)| {
+            GroupResponse::Renewed(RenewalResponse {
+                replica: 2,
+                version: 4,
+                last_seen: (n > 0).then(replica_version),
+                verdict,
+            })
         })
-        .collect();
+        .collect()
+}
+
+fn responses() -> Vec<GroupResponse> {
+    let mut responses = renewal_responses();
     let decided = |from| GroupResponse::Decided {
         replica: 2,
         version: 5,
         accepted_in: from,
     };
-    says.extend([
+    responses.extend([
         GroupResponse::Promised {
             replica: 2,
             accepted: None,
@@ -295,8 +311,11 @@
         },
         GroupResponse::Promised {
             replica: 2,
-            accepted: Some((BALLOT, group_state())),
-            enforced: Some((4, state(&[("k", ODD)]))),
+            accepted: Some(accepted()),
+            enforced: Some(EnforcedState {
+                generation: 4,
+                state: state(&[("k", ODD)]),
+            }),
         },
         GroupResponse::Accepted { replica: 2 },
         GroupResponse::HigherBallot { ballot: BALLOT },
@@ -321,7 +340,7 @@
             reason: "the disk is full".into(),
         },
     ]);
-    says
+    responses
 }
 
 fn persistent_states() -> Vec<PersistentState> {
@@ -335,7 +354,7 @@
             round: 4,
             proposer: 1,
         },
-        accepted: Some((BALLOT, group_state())),
+        accepted: Some(accepted()),
     };
     vec![
         PersistentState::new("a", 1),
--- /dev/null
+++ b/crates/consensus/tests/group_state.rs
@@ -0,0 +1,109 @@
+//! Group states: policies, and what may follow.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use wrenfork_commit::state::{Digest, State};
+use wrenfork_consensus::group_state::{GroupState, Policy};
+use wrenfork_consensus::membership::{Member, MemberRole, Membership};
+
+fn state(pairs: &[(&str, &str)]) -> Arc<State> {
+    Arc::new(State(
+        pairs
+            .iter()
+            .map(|(k, v)| (k.to_string(), v.to_string()))
+            .collect(),
+    ))
+}
+
+#[test]
+fn a_new_member_brings_its_own_part_and_changes_nobody_elses() {
+    let all = |names: &[&str]| -> BTreeMap<String, Arc<State>> {
+        names
+            .iter()
+            .map(|n| (n.to_string(), state(&[("k", "1"), ("at", n)])))
+            .collect()
+    };
+    let seat = |name: &str| Member {
+        name: name.into(),
+        replica: 1,
+        role: MemberRole::Ingress,
+        votes: true,
+    };
+    let roster = |names: &[&str]| {
+        Membership::new(1, 1_500, names.iter().map(|n| seat(n)).collect()).unwrap()
+    };
+    // One member alone has everything in common with itself.
+    let one = GroupState::new(
+        1,
+        4,
+        Digest::default(),
+        "",
+        roster(&["a"]),
+        Policy::from_states(&all(&["a"])),
+    );
+    let two = one.with_membership("ann", roster(&["a", "b"]), all(&["b"]));
+    assert_eq!((two.version, two.generation, two.check()), (2, 4, Ok(())));
+    assert!(two.enforces_same_as(&one) && one.enforces_same_as(&two));
+    assert_eq!(
+        two.enforced_by("b").unwrap().1,
+        *state(&[("k", "1"), ("at", "b")])
+    );
+    let without = two.with_membership("ann", roster(&["b"]), BTreeMap::new());
+    assert!(without.enforced_by("a").is_none() && without.enforces_same_as(&two));
+    assert!(!GroupState::new(
+        3,
+        4,
+        Digest::default(),
+        "",
+        roster(&["b"]),
+        Policy::from_states(&all(&["b", "c"]))
+    )
+    .with_membership(
+        "",
+        roster(&["b"]),
+        [("b".to_string(), state(&[("k", "2")]))].into()
+    )
+    .enforces_same_as(&two));
+}
+
+#[test]
+fn each_member_gets_back_what_it_was_to_enforce_and_what_is_common_stands_once() {
+    let states: BTreeMap<String, Arc<State>> = [
+        ("a".to_string(), state(&[("k", "1"), ("discovery", "x")])),
+        (
+            "b".to_string(),
+            state(&[("k", "1"), ("discovery", "y"), ("more", "2")]),
+        ),
+    ]
+    .into();
+    let policy = Policy::from_states(&states);
+    assert_eq!(policy.shared, *state(&[("k", "1")]));
+    for (name, wanted) in &states {
+        assert_eq!(policy.state_for(name).as_ref(), Some(&**wanted));
+    }
+    assert_eq!(policy.state_for("c"), None);
+    let mut other = policy.clone();
+    other
+        .per_member
+        .get_mut("a")
+        .unwrap()
+        .0
+        .insert("discovery".into(), "z".into());
+    assert_ne!(policy.digest(), other.digest());
+    let decree = GroupState::new(
+        3,
+        2,
+        Digest::of(b"change"),
+        "ann",
+        Membership::default(),
+        policy,
+    );
+    let altered = GroupState {
+        policy: Arc::new(other),
+        ..decree.clone()
+    };
+    assert!(altered.check().is_err());
+    assert_ne!(decree.digest, decree.unchanged_successor().digest);
+    let text = serde_json::to_string(&decree).unwrap();
+    assert_eq!(serde_json::from_str::<GroupState>(&text).unwrap(), decree);
+}
--- a/crates/control-plane/src/consensus_requests.rs
+++ b/crates/control-plane/src/consensus_requests.rs
@@ -9,6 +9,7 @@
 use std::sync::Arc;
 use wrenfork_commit::participant::ParticipantState;
 use wrenfork_commit::protocol::AuditRecord;
+use wrenfork_commit::reason::NotEnforceable;
 use wrenfork_consensus::acceptor::{PersistentState, Step};
 use wrenfork_consensus::group_state::GroupState;
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse, GroupStatus};
@@ -119,7 +120,10 @@
         let proposed = update_lease_before(member, &request);
         let may_vote = member.lease.manager().check_vote_eligibility();
         let data_plane = &self.data_plane;
-        let check = |state: &_| data_plane.check(state).map_err(|error| error.to_string());
+        let check = |state: &_| {
+            let result = data_plane.check(state);
+            result.map_err(|error| NotEnforceable::new(error.to_string()))
+        };
         match member.acceptor.handle(request, may_vote, check) {
             Step::Respond(response) => self.complete_group(response),
             Step::Persist {
@@ -278,7 +282,7 @@
             accepted_by,
         } => {
             let accepted = member.acceptor.state().accepted.as_ref();
-            if accepted.is_some_and(|(of, _)| of == ballot) {
+            if accepted.is_some_and(|accepted| accepted.ballot == *ballot) {
                 manager.proposer_alive(*ballot, accepted_by, now);
             }
             None
--- a/crates/control-plane/src/durable_state/rows.rs
+++ b/crates/control-plane/src/durable_state/rows.rs
@@ -11,7 +11,7 @@
 use wrenfork_consensus::acceptor::PersistentState;
 use wrenfork_consensus::group_state::GroupState;
 use wrenfork_consensus::membership::ReplicaId;
-use wrenfork_consensus::protocol::Ballot;
+use wrenfork_consensus::protocol::{AcceptedState, Ballot};
 use wrenfork_store::{Batch, RecordKind, Store};
 
 /// Records of the audit log that are kept.
@@ -148,7 +148,10 @@
         };
         let stored: StoredMember = serde_json::from_slice(&text)?;
         let accepted = match &stored.accepted {
-            Some(StoredProposal(ballot, digest)) => Some((*ballot, self.group_state(digest)?)),
+            Some(StoredProposal(ballot, digest)) => Some(AcceptedState {
+                ballot: *ballot,
+                state: self.group_state(digest)?,
+            }),
             None => None,
         };
         let standing = stored.decree.as_ref();
@@ -196,14 +199,14 @@
                 .as_ref()
                 .map(|state| state.digest.clone()),
             promised: member.promised,
-            accepted: accepted.map(|(ballot, s)| StoredProposal(*ballot, s.digest.clone())),
+            accepted: accepted.map(|a| StoredProposal(a.ballot, a.state.digest.clone())),
         };
         let batch = batch.put(
             RecordKind::Control,
             MEMBER_ROW,
             serde_json::to_vec(&stored)?,
         );
-        let proposed = accepted.map(|(_, state)| state);
+        let proposed = accepted.map(|a| &a.state);
         let needed: Vec<&Arc<GroupState>> = member.group_state.iter().chain(proposed).collect();
         self.put_group_states(batch, &needed)
     }
--- a/crates/control-plane/src/durable_state/tests.rs
+++ b/crates/control-plane/src/durable_state/tests.rs
@@ -10,7 +10,7 @@
 use wrenfork_consensus::acceptor::PersistentState;
 use wrenfork_consensus::group_state::{GroupState, Policy};
 use wrenfork_consensus::membership::{Member as GroupMember, MemberRole, Membership};
-use wrenfork_consensus::protocol::Ballot;
+use wrenfork_consensus::protocol::{AcceptedState, Ballot};
 
 fn state(value: &str) -> State {
     State([("quota".to_string(), value.to_string())].into())
@@ -105,7 +105,10 @@
         let ballot = Ballot { round, proposer: 3 };
         member = PersistentState {
             group_state: Some(group_state),
-            accepted: Some((ballot, next.clone())),
+            accepted: Some(AcceptedState {
+                ballot,
+                state: next.clone(),
+            }),
             promised: ballot,
             writes: round,
             ..member
--- a/crates/control-plane/src/lease_renewer.rs
+++ b/crates/control-plane/src/lease_renewer.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use wrenfork_commit::protocol::AuditRecord;
 use wrenfork_consensus::group_state::GroupState;
-use wrenfork_consensus::lease::RenewalResult;
+use wrenfork_consensus::lease::{RenewalResult, SentRenewal};
 use wrenfork_consensus::proposer::{ProposalGoal, ProposalOutcome, Proposer};
 use wrenfork_consensus::protocol::{Ballot, GroupRequest, GroupResponse};
 
@@ -181,7 +181,7 @@
         self.lease.publish(&manager, now);
         Look {
             now,
-            renewal: manager.renewal_request(),
+            renewal: GroupRequest::Renew(manager.renewal_request()),
             recipients,
             interval: manager.renewal_interval(),
             settle_at: manager.recovery_deadline(),
@@ -337,17 +337,19 @@
         response: &Response,
         state: Option<&Arc<GroupState>>,
     ) {
-        let GroupRequest::Renew {
-            replica_version, ..
-        } = &response.request
+        let (GroupRequest::Renew(request), GroupResponse::Renewed(renewed)) =
+            (&response.request, &response.response)
         else {
             return;
         };
         let now = clock::now();
         let verdict = {
             let mut manager = self.lease.manager();
-            let sent = (response.sent_at, Some(replica_version.writes));
-            let verdict = manager.handle_response(&link.name, sent, &response.response, now);
+            let sent = SentRenewal {
+                at: response.sent_at,
+                writes: Some(request.replica_version.writes),
+            };
+            let verdict = manager.handle_response(&link.name, sent, renewed, now);
             self.lease.publish(&manager, now);
             verdict
         };
--- a/crates/control-plane/src/proposal.rs
+++ b/crates/control-plane/src/proposal.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::time::Duration;
-use wrenfork_consensus::proposer::{ProposalOutcome, ProposalPhase, Proposer};
+use wrenfork_consensus::proposer::{ProposalOutcome, ProposalPhase, Proposer, RequestFailed};
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse};
 
 /// How long one request may take: a member checks and writes some megabytes, and its disk may be slow.
@@ -81,7 +81,9 @@
             match self.control_sockets.get(&self.names[member]) {
                 Some(path) => self.send(member, &request, path, now),
                 None => {
-                    let why = Err("nothing says where its socket is".to_string());
+                    let why = Err(RequestFailed {
+                        reason: "nothing says where its socket is".into(),
+                    });
                     self.proposer.handle_response(member, &request, why, now);
                 }
             }
@@ -101,7 +103,9 @@
             });
         };
         if spawn_messenger("group", work).is_err() {
-            let why = Err("no thread could be started".to_string());
+            let why = Err(RequestFailed {
+                reason: "no thread could be started".into(),
+            });
             self.proposer.handle_response(member, request, why, now);
         }
     }
@@ -115,7 +119,9 @@
         match responses.recv_timeout(due.clamp(MIN_WAIT, MAX_WAIT)) {
             Ok(done) => {
                 let before = self.proposer.phase.clone();
-                let result = done.result.map_err(|error| error.to_string());
+                let result = done.result.map_err(|error| RequestFailed {
+                    reason: error.to_string(),
+                });
                 self.proposer
                     .handle_response(done.member, &done.request, result, clock::now());
                 self.failpoints.hit(FAILPOINT, "answered");
--- a/crates/control-plane/src/rollout_controller.rs
+++ b/crates/control-plane/src/rollout_controller.rs
@@ -247,12 +247,12 @@
             ProposalOutcome::Rejected(members) => {
                 let reasons: Vec<String> = members
                     .into_iter()
-                    .map(|(name, why)| format!("{name}: {why}"))
+                    .map(|member| format!("{}: {}", member.member, member.reason))
                     .collect();
                 self.log(&what, &format!("refused: {}", reasons.join("; ")));
             }
             // Somebody else was first, or the members settle it; either way it shows in what stands.
-            ProposalOutcome::NoQuorum(..)
+            ProposalOutcome::NoQuorum { .. }
             | ProposalOutcome::Superseded(_)
             | ProposalOutcome::TimedOut => {}
         }
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -21,6 +21,7 @@
 use wrenfork_commit::participant::Participant;
 use wrenfork_consensus::acceptor::{Acceptor, PersistentState};
 use wrenfork_consensus::membership::MemberRole;
+use wrenfork_consensus::protocol::EnforcedState;
 
 /// Connections that are served at once, besides one for each other member of the group.
 const MAX_CONNECTIONS: usize = 8;
@@ -222,7 +223,10 @@
     let member = group.initial_members.member(name);
     let serves = member.is_none_or(|member| member.role == MemberRole::Ingress);
     let enforced = durable.memory();
-    let own = serves.then(|| (enforced.enforced.number, enforced.state.clone()));
+    let own = serves.then(|| EnforcedState {
+        generation: enforced.enforced.number,
+        state: enforced.state.clone(),
+    });
     let NewLease { lease, wake_up } = SharedLease::start(name, &memory, group)?;
     let version_at_start = memory.version();
     let member = GroupMember {
--- a/crates/control-plane/src/shared_lease.rs
+++ b/crates/control-plane/src/shared_lease.rs
@@ -146,14 +146,7 @@
 
     /// Answers another member's renewal.
     pub fn renew(&self, request: &GroupRequest) -> GroupResponse {
-        let GroupRequest::Renew {
-            from,
-            replica,
-            replica_version,
-            version,
-            accepted,
-        } = request
-        else {
+        let GroupRequest::Renew(renewal) = request else {
             return GroupResponse::Rejected {
                 reason: "this is no renewal".into(),
             };
@@ -164,14 +157,7 @@
                 reason: "it is stopping".into(),
             };
         }
-        manager.handle_renewal(
-            from,
-            *replica,
-            *replica_version,
-            *version,
-            accepted.as_ref(),
-            clock::now(),
-        )
+        GroupResponse::Renewed(manager.handle_renewal(renewal, clock::now()))
     }
 
     /// The lease as it stands now, for the next process of this member.
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -15,7 +15,7 @@
 use wrenfork_consensus::acceptor::PersistentState;
 use wrenfork_consensus::group_state::{GroupState, Policy};
 use wrenfork_consensus::membership::{Member as GroupMember, MemberRole, Membership};
-use wrenfork_consensus::protocol::Ballot;
+use wrenfork_consensus::protocol::{AcceptedState, Ballot};
 use wrenfork_control_plane::durable_state::{DurableState, Update};
 use wrenfork_control_plane::group::InheritedLease;
 use wrenfork_control_plane::{failpoints, PROGRAM_VARIABLE, REPLACEMENT_VARIABLE, ROLLOUT_RECORD};
@@ -126,13 +126,13 @@
             round: 5,
             proposer: 6,
         },
-        accepted: Some((
-            Ballot {
+        accepted: Some(AcceptedState {
+            ballot: Ballot {
                 round: 5,
                 proposer: 3,
             },
-            accepted,
-        )),
+            state: accepted,
+        }),
     }
 }
 
--- a/crates/ctl/src/group/decide.rs
+++ b/crates/ctl/src/group/decide.rs
@@ -118,20 +118,22 @@
                 let Some(decree) = proposer.value().cloned() else {
                     return Outcome::Unfinished;
                 };
-                return Outcome::Made(decree, proposer.unresponsive(), start.elapsed());
+                let away = proposer.unresponsive().into_iter();
+                let away = away.map(|m| (m.member, m.reason)).collect();
+                return Outcome::Made(decree, away, start.elapsed());
             }
             ProposalOutcome::Rejected(all) => {
                 let all: Vec<String> = all
                     .into_iter()
-                    .map(|(name, why)| format!("{name}: {why}"))
+                    .map(|m| format!("{}: {}", m.member, m.reason))
                     .collect();
                 return Outcome::Refused(all.join("; "));
             }
-            ProposalOutcome::NoQuorum(votes, needed) => {
+            ProposalOutcome::NoQuorum { votes, needed } => {
                 let away: Vec<String> = proposer
                     .unresponsive()
                     .into_iter()
-                    .map(|(name, why)| format!("{name} ({why})"))
+                    .map(|m| format!("{} ({})", m.member, m.reason))
                     .collect();
                 return Outcome::Refused(format!(
                     "too few members vote: {votes}, and {needed} are enough; without an answer: {}",
--- a/crates/ctl/src/rollout/make.rs
+++ b/crates/ctl/src/rollout/make.rs
@@ -133,10 +133,16 @@
     }
     meant(begin.yes)?;
     let wanted = |stands: &GroupState| {
-        stands.with_rollout(&part.author, record(part, stands, begin, &halls)?)
+        stands
+            .with_rollout(&part.author, record(part, stands, begin, &halls)?)
+            .map_err(|e| e.to_string())
     };
     let wanted = |stands: &GroupState| {
-        wanted(stands).and_then(|next| stands.check_rollout_step(&next).map(|()| next))
+        let next = wanted(stands)?;
+        stands
+            .check_rollout_step(&next)
+            .map_err(|e| e.to_string())?;
+        Ok(next)
     };
     Ok(end(
         "stage 1",
@@ -245,7 +251,9 @@
         } else {
             next.why.clone()
         };
-        stands.with_rollout(&author, Record { why, ..next })
+        stands
+            .with_rollout(&author, Record { why, ..next })
+            .map_err(|e| e.to_string())
     };
     Ok(end(
         what,
