--- a/crates/decision/examples/choice.rs
+++ b/crates/decision/examples/choice.rs
@@ -1,5 +1,6 @@
-//! What a request costs in the decision module by nodes and pools: it is taken, sent, answered and settled, with nothing
-//! around it. All sizes in one run, in turn, so that what the machine does besides falls on all of them.
+//! What a request costs in the decision module by nodes and pools: it is taken, sent, answered and
+//! settled, with nothing around it. All sizes in one run, in turn, so that what the machine does
+//! besides falls on all of them.
 //!
 //!     cargo run --release -p wrenfork-decision --example choice
 //!
--- a/crates/decision/src/action.rs
+++ b/crates/decision/src/action.rs
@@ -14,8 +14,8 @@
         backend: BackendId,
         /// When to give the attempt up.
         expires_at: Micros,
-        /// The latest moment at which it may begin. What is not written completely by then, since its connection came up late,
-        /// is not sent: it never ran.
+        /// The latest moment at which it may begin. What is not written completely by then, since
+        /// its connection came up late, is not sent: it never ran.
         start_by: Micros,
     },
     /// Final answer: rejected, trying again is harmless; `retry_after` 0 gives no advice.
--- a/crates/decision/src/event.rs
+++ b/crates/decision/src/event.rs
@@ -117,7 +117,8 @@
     pub gateway_span: f64,
     /// The first of these, counted round.
     pub first_gateway: f64,
-    /// The pools that it may go to, best first, as numbers from 1; 0 ends them, and all 0 is every backend.
+    /// The pools that it may go to, best first, as numbers from 1; 0 ends them, and all 0 is every
+    /// backend.
     pub route: [u8; MAX_ROUTE_POOLS],
     /// How many of these are its own, rather than what it falls back on; at least one is.
     pub own_pools: u8,
@@ -160,8 +161,9 @@
     },
     /// The client left; no answer is owed.
     ClientDisconnected(RequestId),
-    /// Other classes, plans, limits and backend rules from now on; all else of them is as it was. A place in a list stays its
-    /// class's or plan's; one that is no longer there is in no request that comes.
+    /// Other classes, plans, limits and backend rules from now on; all else of them is as it was. A
+    /// place in a list stays its class's or plan's; one that is no longer there is in no request
+    /// that comes.
     SettingsChanged(Box<Settings>),
     /// A timer came due.
     Timer(u32),
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,6 +1,7 @@
-//! Decides for an admission gateway of a service sold by plan: which requests to admit, which backend gets them, when to
-//! retry, what to tell the peers. It does no input or output and reads no clock: the host feeds [`Event`]s with the time and
-//! carries out the [`Action`]s that come back, in their order.
+//! Decides for an admission gateway of a service sold by plan: which requests to admit, which
+//! backend gets them, when to retry, what to tell the peers. It does no input or output and reads
+//! no clock: the host feeds [`Event`]s with the time and carries out the [`Action`]s that come
+//! back, in their order.
 //!
 //! One request, from its arrival to its answer:
 //!
@@ -31,7 +32,8 @@
 //! let list = vec![Endpoint { backend, weight: 1.0, ..Endpoint::default() }];
 //! let changed = Event::EndpointsChanged(EndpointListKind::Full, list);
 //! gateway.handle(start, changed, &mut actions);
-//! // The gateway asks to be woken; the host answers each `SetTimer` with an `Event::Timer` when it is due.
+//! // The gateway asks to be woken; the host answers each `SetTimer` with an `Event::Timer`
+//! // when it is due.
 //! assert!(matches!(actions[..], [Action::SetTimer { .. }]));
 //!
 //! actions.clear();
@@ -52,24 +54,33 @@
 //! assert!(actions.is_empty(), "the answer went to the client; nothing is left to do");
 //! ```
 
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::needless_pass_by_value, clippy::too_many_lines)]
-
 mod action;
-mod control;
+mod backends;
+mod concurrency_limit;
+mod customers;
 mod event;
+mod gateway;
 mod gossip;
+mod hedging;
 mod ids;
+mod latency;
+mod load_balancing;
+mod load_shedding;
+mod numeric;
+mod outlier_ejection;
 mod pools;
+mod queueing;
+mod requests;
+mod retry;
 mod settings;
-mod state;
+mod slow_start;
 
 pub use action::{Action, LogEvent};
 pub use event::{Endpoint, EndpointListKind, EndpointState, Event, LoadReport, Outcome, Request};
-pub use gossip::VERSION as GOSSIP_VERSION;
+pub use gateway::{BackendStatus, Gateway, PlanUsage};
+pub use gossip::codec::VERSION as GOSSIP_VERSION;
 pub use ids::{BackendId, CustomerId, GatewayId, Micros, RequestId};
 pub use settings::{
     BackendRules, Class, DiscoveryMode, Idempotency, KeyScope, Limits, Plan, Settings,
     WeightMeaning, MAX_POOLS, MAX_ROUTE_POOLS,
 };
-pub use state::{BackendStatus, Gateway, PlanUsage};
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of a gateway: the classes and plans that it serves, what the deployment permits, and how its backends and
-//! its peers behave.
+//! The settings of a gateway: the classes and plans that it serves, what the deployment permits,
+//! and how its backends and its peers behave.
 
 use crate::ids::{GatewayId, Micros};
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,8 @@
 pub enum Idempotency {
     /// Always.
     Idempotent,
-    /// Inside a group of backends, for `window` after the send of the first attempt that may have run.
+    /// Inside a group of backends, for `window` after the send of the first attempt that may have
+    /// run.
     WithKey {
         /// The backends that know the key.
         scope: KeyScope,
@@ -174,7 +175,7 @@
     pub post_paid: bool,
     /// How many pools of backends there are, up to [`MAX_POOLS`]; numbered from 1.
     pub pool_count: u8,
-    /// Digests of the names of the classes and of the plans in their order: gateways whose settings differ for a while do not
-    /// take a place in one list for what it means in another.
+    /// Digests of the names of the classes and of the plans in their order: gateways whose settings
+    /// differ for a while do not take a place in one list for what it means in another.
     pub name_digests: [u8; 2],
 }
--- a/crates/decision/tests/decisions.rs
+++ b/crates/decision/tests/decisions.rs
@@ -86,7 +86,8 @@
     );
 }
 
-/// A host whose connection comes up late has to know until when the repeat may begin; a first attempt may begin at any time.
+/// A host whose connection comes up late has to know until when the repeat may begin; a first
+/// attempt may begin at any time.
 #[test]
 fn a_keyed_repeat_says_until_when_it_may_begin() {
     let mut rig = Rig::with(settings(), 6);
@@ -244,8 +245,8 @@
 
 #[test]
 fn a_request_with_next_to_no_time_left_is_answered_at_once() {
-    // Found by a day drawn to test the rules: a client's last try came with a few milliseconds left, was
-    // held for want of a place, and the next wake-up was past its deadline.
+    // Found by a day drawn to test the rules: a client's last try came with a few milliseconds
+    // left, was held for want of a place, and the next wake-up was past its deadline.
     let mut rig = Rig::with(settings(), 1);
     rig.feed(Event::EndpointsChanged(EndpointListKind::Full, vec![]));
     let base = Request {
@@ -270,8 +271,9 @@
     );
 }
 
-/// Found by a hunt on days whose gateways stand still: what was held when a stall began was past its deadline
-/// when it ended, and the next wake-up was too late by 12 ms. It is answered with the first event after a stall.
+/// Found by a hunt on days whose gateways stand still: what was held when a stall began was past
+/// its deadline when it ended, and the next wake-up was too late by 12 ms. It is answered with the
+/// first event after a stall.
 #[test]
 fn what_a_stall_outlasted_is_answered_in_the_waking_turn() {
     let mut rig = Rig::with(settings(), 1);
@@ -289,7 +291,8 @@
     assert!(refused(&rig.feed(Event::ClientDisconnected(RequestId(99)))));
 }
 
-/// A gateway that stood still reads all that came meanwhile before it judges anybody by its own pause.
+/// A gateway that stood still reads all that came meanwhile before it judges anybody by its own
+/// pause.
 #[test]
 fn waking_from_a_stall_rests_no_backend() {
     let mut rig = Rig::with(settings(), 1);
@@ -383,8 +386,8 @@
         }
     }
 
-    /// Carries out what gateway `from` asked for; answers come at once. Returns how many were sent on. Every
-    /// `lossy`th message is lost, unless that is 0.
+    /// Carries out what gateway `from` asked for; answers come at once. Returns how many were sent
+    /// on. Every `lossy`th message is lost, unless that is 0.
     fn carry(&mut self, from: usize, actions: Vec<Action>, lossy: u64) -> usize {
         let mut sent = 0;
         let mut queue: Vec<(usize, Action)> = actions.into_iter().map(|a| (from, a)).collect();
@@ -444,8 +447,8 @@
     }
 }
 
-/// A customer's quota holds over many gateways, each of which sees a request now and then: none of them could
-/// know alone. Lost messages cost little; a home that restarts is told again.
+/// A customer's quota holds over many gateways, each of which sees a request now and then: none of
+/// them could know alone. Lost messages cost little; a home that restarts is told again.
 #[test]
 fn a_quota_holds_over_many_gateways() {
     for (lossy, restart) in [(0, false), (12, false), (0, true)] {
@@ -471,7 +474,8 @@
                 }
             }
         }
-        // 6 s at 2 units a second, and a burst of 6, half of which the first seconds may leave unused.
+        // 6 s at 2 units a second, and a burst of 6, half of which the first seconds may leave
+        // unused.
         assert!(
             (10.0..=26.0).contains(&used),
             "{used} units with one message in {lossy} lost"
@@ -484,7 +488,8 @@
     }
 }
 
-/// How many of ten requests for a unit each, of a customer seen for the first time, gateway 2 of three lets in.
+/// How many of ten requests for a unit each, of a customer seen for the first time, gateway 2 of
+/// three lets in.
 fn first_come(fleet: &mut Fleet, customer: u64) -> usize {
     let mut sent = 0;
     for _ in 0..10 {
@@ -494,8 +499,9 @@
     sent
 }
 
-/// Guards against stores that begin nearly empty when a whole fleet starts (0.95 of what was refused at the quota with
-/// a hundred gateways was inside it), and against one that restarts alone and fills each store anew.
+/// Guards against stores that begin nearly empty when a whole fleet starts (0.95 of what was
+/// refused at the quota with a hundred gateways was inside it), and against one that restarts alone
+/// and fills each store anew.
 #[test]
 fn stores_begin_full_and_an_older_gateway_knows_better() {
     let mut fleet = Fleet::new(3);
@@ -529,14 +535,15 @@
     );
 }
 
-/// The same with a customer whose requests come in through sixty gateways, each of which sees hardly any.
+/// The same with a customer whose requests come in through sixty gateways, each of which sees
+/// hardly any.
 #[test]
 fn a_customer_of_many_gateways_has_its_burst_from_the_start() {
     for lossy in [0, 14, 3] {
         let mut fleet = Fleet::new(100);
         let sent: usize = (0..12).map(|n| fleet.ask(n * 7, 1, 1.0, 60.0, lossy)).sum();
-        // A burst of 6, and two a second for a quarter of a second; with a third of all messages lost there is one more
-        // at each gateway that hears nobody.
+        // A burst of 6, and two a second for a quarter of a second; with a third of all messages
+        // lost there is one more at each gateway that hears nobody.
         let most = if lossy == 3 { 10 } else { 8 };
         assert!(
             (4..=most).contains(&sent),
@@ -545,8 +552,9 @@
     }
 }
 
-/// Guards against taking all that a gateway ever let through for new because it was silent on the customer for a
-/// while: on long days customers move between gateways, and each move emptied their store.
+/// Guards against taking all that a gateway ever let through for new because it was silent on the
+/// customer for a while: on long days customers move between gateways, and each move emptied their
+/// store.
 #[test]
 fn a_customer_that_comes_back_to_a_gateway_is_not_charged_for_all_its_past() {
     let mut fleet = Fleet::new(3);
@@ -643,7 +651,8 @@
             bytes: bytes.clone(),
         });
     }
-    // 6 units less 0.5 here and 5 there: a request of 3 finds no room, though this gateway sent half a unit.
+    // 6 units less 0.5 here and 5 there: a request of 3 finds no room, though this gateway sent
+    // half a unit.
     assert!(refused(&rig.ask(0, 1, 9, 3.0).1));
 }
 
@@ -836,8 +845,8 @@
     );
 }
 
-/// Whom a full bound turns away is drawn by customer and epoch, not by who comes last: a retry of the unlucky
-/// gets the same answer at every gateway.
+/// Whom a full bound turns away is drawn by customer and epoch, not by who comes last: a retry of
+/// the unlucky gets the same answer at every gateway.
 #[test]
 fn a_full_bound_turns_the_same_customers_away() {
     let mut rig = Rig::with(settings(), 12);
@@ -899,7 +908,8 @@
     assert!(most <= 60, "20 each are fair, one got {most}");
 }
 
-/// Guards against gateways that keep to 32 of the backends each: four of them left a fifth of a hundred unused.
+/// Guards against gateways that keep to 32 of the backends each: four of them left a fifth of a
+/// hundred unused.
 #[test]
 fn a_few_gateways_together_leave_no_backend_out() {
     let mut seen = BTreeSet::new();
@@ -917,7 +927,8 @@
     assert_eq!(seen.len(), 100);
 }
 
-/// A backend that leaves gives its place up: the next to come must not inherit what was known of it.
+/// A backend that leaves gives its place up: the next to come must not inherit what was known of
+/// it.
 #[test]
 fn a_backend_that_comes_in_place_of_another_starts_with_a_clean_record() {
     let mut rig = Rig::with(
@@ -977,8 +988,9 @@
         .count()
 }
 
-/// Guards against calling long requests off for a third of their aim's silence: where cancelled work runs on, the
-/// program doubled its own load with that and then shed for it. And against keeping to a backend that is dead.
+/// Guards against calling long requests off for a third of their aim's silence: where cancelled
+/// work runs on, the program doubled its own load with that and then shed for it. And against
+/// keeping to a backend that is dead.
 #[test]
 fn a_long_request_is_waited_for_and_a_dead_backend_is_not() {
     let mut s = settings();
@@ -999,7 +1011,8 @@
         "it is at work"
     );
     answer(&mut rig, id, backend, 440_000);
-    // Four out at a backend that says nothing: each of the next tenths of a second should have brought four answers.
+    // Four out at a backend that says nothing: each of the next tenths of a second should have
+    // brought four answers.
     let mut out = Vec::new();
     for n in 0..16 {
         let (id, actions) = rig.ask(0, 0, n, 1.0);
@@ -1015,8 +1028,8 @@
     );
 }
 
-/// Guards against cutting what is out, and then whole customers, because a dependency makes all backends twice as
-/// slow: nothing is gained by that as long as answers come in time.
+/// Guards against cutting what is out, and then whole customers, because a dependency makes all
+/// backends twice as slow: nothing is gained by that as long as answers come in time.
 #[test]
 fn backends_that_are_all_slower_are_not_shed_for_while_answers_are_in_time() {
     let mut rig = Rig::with(settings(), 4);
@@ -1058,8 +1071,8 @@
     );
 }
 
-/// Guards against taking all that peers began in half a second for still out: with answers of a tenth of that a customer
-/// under half of its cap was refused wherever it came next.
+/// Guards against taking all that peers began in half a second for still out: with answers of a
+/// tenth of that a customer under half of its cap was refused wherever it came next.
 #[test]
 fn a_cap_counts_what_peers_likely_have_out_and_not_all_that_they_began() {
     let capped = Plan {
--- a/crates/decision/tests/deployments.rs
+++ b/crates/decision/tests/deployments.rs
@@ -1,6 +1,7 @@
-//! Random legal deployments: settings are drawn, not only events. Gateways of a drawn number and backends of a drawn
-//! kind live a few seconds in a small world of their own; no rule may break on any of them, and where the world is calm
-//! next to nothing that is inside a quota may be refused. What only the first deployment's figures justified would show.
+//! Random legal deployments: settings are drawn, not only events. Gateways of a drawn number and
+//! backends of a drawn kind live a few seconds in a small world of their own; no rule may break on
+//! any of them, and where the world is calm next to nothing that is inside a quota may be refused.
+//! What only the first deployment's figures justified would show.
 
 // Not done yet, see docs/ROADMAP.md.
 #![allow(clippy::too_many_lines)]
@@ -569,7 +570,8 @@
         let c = &w.settings.classes[class];
         let deadline = self.now + c.deadline;
         let p = &w.settings.plans[plan];
-        // Beyond its share a customer of a calm world asks nothing: what is refused then is the gateways' doing.
+        // Beyond its share a customer of a calm world asks nothing: what is refused then is the
+        // gateways' doing.
         let calm = !w.troubled;
         let most = if calm { p.rate * w.usage } else { f64::MAX };
         if take(
@@ -733,7 +735,8 @@
     }
 }
 
-/// Worlds with an idle fleet, where customers ask for a fifth of their quotas and gateways hear each other.
+/// Worlds with an idle fleet, where customers ask for a fifth of their quotas and gateways hear
+/// each other.
 fn calm(w: &World) -> bool {
     !w.troubled && (w.settings.limits.peers || w.settings.gateway_count == 1)
 }
@@ -758,7 +761,8 @@
             let quiet = calm(&w) && w.slower == 1.0;
             let p = Play::new(w).run(6 * S);
             if quiet && p.inside > 60 {
-                // Each may have an unlucky customer; what it must not do is shed a world that is idle.
+                // Each may have an unlucky customer; what it must not do is shed a world that is
+                // idle.
                 let lost = f64::from(p.lost) / f64::from(p.inside);
                 prop_assert!(lost <= 0.15, "{lost} of {} were not served", p.inside);
             }
@@ -768,8 +772,9 @@
         .unwrap();
 }
 
-/// Guards against what only one deployment's figures justify: an attempt called off, or sent twice, because its answer
-/// takes longer than one site's would; and customers turned away because all backends are slower for a while.
+/// Guards against what only one deployment's figures justify: an attempt called off, or sent twice,
+/// because its answer takes longer than one site's would; and customers turned away because all
+/// backends are slower for a while.
 #[test]
 fn calm_deployments_lose_next_to_nothing_and_do_no_work_twice() {
     let mut runner = runner(12, 1);
--- a/crates/decision/tests/digest.rs
+++ b/crates/decision/tests/digest.rs
@@ -1,7 +1,9 @@
-//! No decision moves unseen: seeded runs of quite different deployments, and the digests of all their actions and of
-//! the states that they stored. A change that means to move a decision changes the constants here and says why.
+//! No decision moves unseen: seeded runs of quite different deployments, and the digests of all
+//! their actions and of the states that they stored. A change that means to move a decision changes
+//! the constants here and says why.
 //!
-//! The digests of the stored states hold to the last bit of each float, as `exp` gives it on a machine with FMA.
+//! The digests of the stored states hold to the last bit of each float, as `exp` gives it on a
+//! machine with FMA.
 
 mod simulation;
 
--- a/crates/decision/tests/golden.rs
+++ b/crates/decision/tests/golden.rs
@@ -1,6 +1,8 @@
-//! The stored state of a gateway, byte by byte: it is positional, and the next build reads what this one wrote.
+//! The stored state of a gateway, byte by byte: it is positional, and the next build reads what
+//! this one wrote.
 //!
-//! `tests/golden/` has states that a build wrote in the middle of seeded runs. They are written anew only by hand:
+//! `tests/golden/` has states that a build wrote in the middle of seeded runs. They are written
+//! anew only by hand:
 //!
 //!     WRITE_GOLDEN=1 cargo test -p wrenfork-decision --test golden -- --ignored
 
@@ -14,7 +16,8 @@
 use stored::Stored;
 use wrenfork_decision::Gateway;
 
-/// The states: the file, the scenario's place, the steps of its run, and the place of the gateway in it.
+/// The states: the file, the scenario's place, the steps of its run, and the place of the gateway
+/// in it.
 const STATES: [(&str, usize, usize, usize); 3] = [
     ("few-gateways.state", 0, 9_580, 0),
     ("pools.state", 3, 8_300, 0),
@@ -41,7 +44,8 @@
     run.stored(gateway)
 }
 
-/// Two fields that change places go unseen when a state is only read and written back: so the run must give the bytes.
+/// Two fields that change places go unseen when a state is only read and written back: so the run
+/// must give the bytes.
 #[test]
 fn a_seeded_run_stores_the_golden_state() {
     for state in STATES {
--- a/crates/decision/tests/hostile.rs
+++ b/crates/decision/tests/hostile.rs
@@ -182,7 +182,8 @@
                 _ => {}
             }
         }
-        // A third of the ceiling is this gateway's, from nothing at its start; widths of 2 allow a half.
+        // A third of the ceiling is this gateway's, from nothing at its start; widths of 2 allow a
+        // half.
         let life = (now - T0) as f64 / 1e6;
         for used in self.ceiling.values() {
             assert!(
--- a/crates/decision/tests/pools.rs
+++ b/crates/decision/tests/pools.rs
@@ -123,7 +123,8 @@
         self.note(actions);
     }
 
-    /// Customers in turn, each asking once and answered at once: how many went to which pool's first backend group.
+    /// Customers in turn, each asking once and answered at once: how many went to which pool's
+    /// first backend group.
     fn spread(
         &mut self,
         route: &[u8],
@@ -180,11 +181,13 @@
     assert_eq!(w.refused, 1, "told, and sent nowhere else");
 }
 
-/// A pool whose every node starts to drain at once: its requests go on in the next one, as far as that has room to spare.
+/// A pool whose every node starts to drain at once: its requests go on in the next one, as far as
+/// that has room to spare.
 #[test]
 fn a_pool_that_drains_falls_back_and_does_not_push_the_next_one_over() {
     let mut w = two_pools();
-    // The second pool's own work takes half of what it may have out: four backends, four places each.
+    // The second pool's own work takes half of what it may have out: four backends, four places
+    // each.
     for n in 0..8 {
         assert!(w.ask(0, &[2], n).1.is_some());
     }
@@ -266,7 +269,8 @@
     assert_eq!(w.spread(&[1, 2], 100, in_first), (100, 0), "it stayed");
 }
 
-/// A pool that fails as a whole sheds onto the next, is tried by a trickle, and is found out when it works again.
+/// A pool that fails as a whole sheds onto the next, is tried by a trickle, and is found out when
+/// it works again.
 #[test]
 fn a_pool_that_fails_is_passed_over_tried_and_taken_back() {
     let mut w = two_pools();
@@ -372,7 +376,8 @@
     w.settle_all(|_| Outcome::Ok);
 }
 
-/// A node that moves from one pool to another while a request is out on it: the request ends, and the places are right.
+/// A node that moves from one pool to another while a request is out on it: the request ends, and
+/// the places are right.
 #[test]
 fn a_backend_that_changes_pools_under_a_request_leaves_no_place_taken() {
     let mut w = two_pools();
@@ -392,7 +397,8 @@
     );
 }
 
-/// With one pool that all backends are of, a module with pools does what one without them does, to the last action.
+/// With one pool that all backends are of, a module with pools does what one without them does, to
+/// the last action.
 #[test]
 fn one_pool_of_all_is_no_pool() {
     let run = |pools: u8, route: [u8; MAX_ROUTE_POOLS]| {
@@ -473,8 +479,8 @@
 }
 
 proptest! {
-    /// Any lists, routes and failures: no request is sent outside its pools, each ends, and none that may have run and
-    /// must not runs again.
+    /// Any lists, routes and failures: no request is sent outside its pools, each ends, and none
+    /// that may have run and must not runs again.
     #[test]
     fn any_lists_routes_and_failures_keep_requests_in_their_pools(
         steps in prop::collection::vec((0u8..8, 0u8..16, prop::collection::vec(1u8..4, 1..4), 0u64..9), 1..150)
--- a/crates/decision/tests/rig/mod.rs
+++ b/crates/decision/tests/rig/mod.rs
@@ -36,7 +36,8 @@
     }
 }
 
-/// Three gateways; classes: safe, keyed by cell for 2 s, once; plans: large, small, ceiling, capped.
+/// Three gateways; classes: safe, keyed by cell for 2 s, once; plans: large, small, ceiling,
+/// capped.
 pub fn settings() -> Settings {
     let keyed = Idempotency::WithKey {
         scope: KeyScope::Cell,
@@ -177,7 +178,8 @@
         (id, self.feed(Event::Request(req)))
     }
 
-    /// Whether a request is still known: told once more under the same id, one that is gone is refused as too late.
+    /// Whether a request is still known: told once more under the same id, one that is gone is
+    /// refused as too late.
     pub fn gateway_owes(&mut self, id: RequestId) -> bool {
         let req = Request {
             id,
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -1,4 +1,5 @@
-//! New settings in service: stores carry over, what is open ends as it began, places outlive their names.
+//! New settings in service: stores carry over, what is open ends as it began, places outlive their
+//! names.
 
 mod rig;
 
@@ -101,7 +102,8 @@
     assert_eq!(passes(&mut rig, 1, 7, 10), 4);
 }
 
-/// Guards against a referral that runs twice because its class became safe to repeat while it was under way.
+/// Guards against a referral that runs twice because its class became safe to repeat while it was
+/// under way.
 #[test]
 fn a_request_ends_under_the_class_as_it_was_when_it_came() {
     let s = alone();
@@ -174,7 +176,8 @@
     assert!(used[1].rate > 0.0 && used[0] == PlanUsage::default());
 }
 
-/// Many plans share the last number that a message has room for: a home must not take one of these for another.
+/// Many plans share the last number that a message has room for: a home must not take one of these
+/// for another.
 #[test]
 fn a_customer_on_a_plan_beyond_what_messages_name_is_counted_by_its_home() {
     let mut s = settings();
@@ -217,7 +220,8 @@
             }
         }
     }
-    // Four seconds at 2 a second and a burst of 12, once; two gateways that count alone would let 24 more through.
+    // Four seconds at 2 a second and a burst of 12, once; two gateways that count alone would let
+    // 24 more through.
     assert!(
         (10..=24).contains(&sent),
         "{sent} sent of 20 that the quota holds"
@@ -245,7 +249,8 @@
 }
 
 proptest! {
-    /// Any changes between any requests: nobody panics, each request ends, and none that may not runs twice.
+    /// Any changes between any requests: nobody panics, each request ends, and none that may not
+    /// runs twice.
     #[test]
     fn any_sequence_of_settings_leaves_no_request_open(
         steps in prop::collection::vec((0u8..6, 0u8..5, 0u16..6, 0.0f64..50.0), 1..120)
@@ -287,7 +292,8 @@
             };
             note(actions, &mut out, &mut owed, &mut counts);
         }
-        // What is still out comes back, what is sent for it as well; then time runs out for what waits.
+        // What is still out comes back, what is sent for it as well; then time runs out for what
+        // waits.
         for _ in 0..100 {
             while let Some((id, attempt, backend)) = out.pop() {
                 owed.remove(&id);
@@ -323,7 +329,8 @@
     }
 }
 
-/// Guards against slow readers of long answers that hold the places of a fleet which has nothing to do.
+/// Guards against slow readers of long answers that hold the places of a fleet which has nothing to
+/// do.
 #[test]
 fn an_answer_that_has_begun_holds_no_place() {
     let mut rig = Rig::with(settings(), 1);
@@ -345,7 +352,8 @@
     );
 }
 
-/// Guards against a record that is lost, or read as another, on the way to the next process: both must decide alike.
+/// Guards against a record that is lost, or read as another, on the way to the next process: both
+/// must decide alike.
 #[test]
 fn a_gateway_that_was_written_down_and_read_decides_as_the_one_before() {
     let mut rig = Rig::with(settings(), 6);
@@ -396,8 +404,8 @@
     }
 }
 
-/// Guards against a peer whose lists have other places, as after a restart: what it tells of a place would be taken for another
-/// class's health here, and its use for that of another plan.
+/// Guards against a peer whose lists have other places, as after a restart: what it tells of a
+/// place would be taken for another class's health here, and its use for that of another plan.
 #[test]
 fn a_peer_with_other_places_is_not_misread() {
     let with = |me: u16, name_digests: [u8; 2]| {
@@ -456,7 +464,8 @@
     assert_eq!(heard([1, 2]), (alike, 0), "another plan's use counts");
 }
 
-/// Guards against a class that comes back under its name with another effect and rests backends for what the old one met there.
+/// Guards against a class that comes back under its name with another effect and rests backends for
+/// what the old one met there.
 #[test]
 fn a_name_with_another_effect_is_another_class() {
     for (effect, rested) in [
--- a/crates/decision/tests/simulation/encoding.rs
+++ b/crates/decision/tests/simulation/encoding.rs
@@ -1,5 +1,5 @@
-//! The actions as bytes of a form of their own, so that a name that changes in the program moves no digest, and the
-//! digest over them.
+//! The actions as bytes of a form of their own, so that a name that changes in the program moves no
+//! digest, and the digest over them.
 
 use wrenfork_decision::{Action, Micros};
 
--- a/crates/decision/tests/simulation/mod.rs
+++ b/crates/decision/tests/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! A seeded run of several gateways: every kind of event with every outcome, messages between the gateways that are
-//! lost, doubled or late, restarts, restored state, a clock that stands still, settings and endpoint lists that change.
-//! The run is the same each time, so that a digest of all actions shows whether a change moved a decision.
+//! A seeded run of several gateways: every kind of event with every outcome, messages between the
+//! gateways that are lost, doubled or late, restarts, restored state, a clock that stands still,
+//! settings and endpoint lists that change. The run is the same each time, so that a digest of all
+//! actions shows whether a change moved a decision.
 #![allow(dead_code)]
 
 mod encoding;
@@ -386,7 +387,8 @@
         self.feed(sender.unwrap_or(at), Event::ClientDisconnected(id));
     }
 
-    /// Changes some lines of the endpoint list and gives the list to all gateways, in one of the forms.
+    /// Changes some lines of the endpoint list and gives the list to all gateways, in one of the
+    /// forms.
     fn change_list(&mut self) {
         let now = self.now;
         let count = self.list.len() as u64;
--- a/crates/decision/tests/simulation/scenarios.rs
+++ b/crates/decision/tests/simulation/scenarios.rs
@@ -1,4 +1,5 @@
-//! The deployments of the seeded runs: quite different settings, and how their backends fare over time.
+//! The deployments of the seeded runs: quite different settings, and how their backends fare over
+//! time.
 
 use wrenfork_decision::{
     BackendId, BackendRules, Class, DiscoveryMode, Endpoint, EndpointState, Idempotency, KeyScope,
--- a/crates/decision/tests/size.rs
+++ b/crates/decision/tests/size.rs
@@ -1,4 +1,5 @@
-//! A hundred gateways and sixty backends: what each does that is harmless alone and harmful when a hundred do it.
+//! A hundred gateways and sixty backends: what each does that is harmless alone and harmful when a
+//! hundred do it.
 
 mod rig;
 mod world;
@@ -6,7 +7,8 @@
 use world::{Plot, World, S};
 use wrenfork_decision::{BackendRules, Class, Idempotency, Limits, Plan, Settings};
 
-/// Three plans: small with a quota, one with a ceiling beside it, and one without limits that matter.
+/// Three plans: small with a quota, one with a ceiling beside it, and one without limits that
+/// matter.
 fn settings(gateways: u16) -> Settings {
     let plan = |rate, burst| Plan {
         over_quota_cost: 0.8,
@@ -65,8 +67,9 @@
     }
 }
 
-/// Guards against cold backends that nobody uses: a hundred gateways drew for each of them who might send it one, so
-/// seldom that 32 cold ones of 60 had a tenth of the load, and the warm ones jammed.
+/// Guards against cold backends that nobody uses: a hundred gateways drew for each of them who
+/// might send it one, so seldom that 32 cold ones of 60 had a tenth of the load, and the warm ones
+/// jammed.
 #[test]
 fn cold_backends_carry_their_part_and_none_is_pushed_over() {
     let mut world = World::new(plot(100, vec![(2, 10.0); 60]));
@@ -86,12 +89,14 @@
         (0..28).map(|n| within(&n)).sum::<usize>(),
         (28..60).map(|n| within(&n)).sum::<usize>(),
     );
-    // At a third to two thirds of a warm one's speed: 32 of them are worth about half as much as the 28.
+    // At a third to two thirds of a warm one's speed: 32 of them are worth about half as much as
+    // the 28.
     assert!(
         cold * 4 > warm,
         "{cold} to 32 cold ones, {warm} to 28 warm ones"
     );
-    // Two cores at 0.3 of their speed do 6 a second of what takes 100 ms; four times that for a second is too much.
+    // Two cores at 0.3 of their speed do 6 a second of what takes 100 ms; four times that for a
+    // second is too much.
     let most = (28..60).map(|n| world.most_within(n, S)).max().unwrap_or(0);
     assert!(most < 24, "{most} within a second at one cold backend");
     assert!(
@@ -101,13 +106,15 @@
     );
 }
 
-/// Guards against gateways that each keep to their part of a cold backend's budget and pass it together: by chance, since each has
-/// a floor, by uneven traffic, by what peers' messages do not tell, or by those that join and leave. Of the budget N only twice
-/// its root and 2 are put down to chance.
+/// Guards against gateways that each keep to their part of a cold backend's budget and pass it
+/// together: by chance, since each has a floor, by uneven traffic, by what peers' messages do not
+/// tell, or by those that join and leave. Of the budget N only twice its root and 2 are put down to
+/// chance.
 #[test]
 fn the_sum_of_what_cold_backends_get_keeps_to_their_budget_at_any_size() {
     let mut seen = Vec::new();
-    // With more gateways than places each may still have one out: the bound on what is out does not keep a budget there.
+    // With more gateways than places each may still have one out: the bound on what is out does not
+    // keep a budget there.
     for (gateways, backends) in [
         (3u16, 12u64),
         (10, 12),
@@ -130,7 +137,8 @@
             };
             let mut world = World::new(plot);
             world.run(2 * S);
-            // All but a sixth: those that are warm cannot take the place of the others, and the cold ones are pressed.
+            // All but a sixth: those that are warm cannot take the place of the others, and the
+            // cold ones are pressed.
             let cold = 0..(backends as usize * 5 / 6);
             world.replace(cold.clone());
             world.run(S);
@@ -168,13 +176,15 @@
             of.2
         );
     }
-    // They are pressed, or the bound would hold for want of trying: without a budget 26 of 17.8 came.
+    // They are pressed, or the bound would hold for want of trying: without a budget 26 of 17.8
+    // came.
     assert!(fullest.0 > 0.5, "{fullest:?}");
 }
 
-/// Guards against refusing what a ceiling has no room for this instant: where a fleet starts, ceilings count from nothing
-/// and fill at twice the quota, so that in its first second half of their customers' requests were refused.
-/// And against a ceiling passed, whatever is lost, and with half of the gateways restarted at once.
+/// Guards against refusing what a ceiling has no room for this instant: where a fleet starts,
+/// ceilings count from nothing and fill at twice the quota, so that in its first second half of
+/// their customers' requests were refused. And against a ceiling passed, whatever is lost, and with
+/// half of the gateways restarted at once.
 #[test]
 fn ceilings_fill_while_requests_wait_and_hold_through_loss_and_restarts() {
     for (loss, least) in [(0.07, 0.55), (0.3, 0.4)] {
@@ -210,9 +220,10 @@
     }
 }
 
-/// Guards against messages that outgrow the inboxes as a fleet grows: an ingress sent six for a request, whatever its
-/// peers took in, and a third of them were lost at the start. Stated beforehand: no more than 34 a second from each at
-/// any size, of 40 that each takes in, and with one in fourteen lost on the way at most one in ten besides.
+/// Guards against messages that outgrow the inboxes as a fleet grows: an ingress sent six for a
+/// request, whatever its peers took in, and a third of them were lost at the start. Stated
+/// beforehand: no more than 34 a second from each at any size, of 40 that each takes in, and with
+/// one in fourteen lost on the way at most one in ten besides.
 #[test]
 fn messages_stay_flat_as_the_fleet_grows() {
     for gateways in [3u16, 10, 30, 100] {
@@ -229,8 +240,9 @@
     }
 }
 
-/// Guards against a bound on what is out that leaves a gateway two or three places, though chance alone brings it more
-/// now and then: a quarter of the requests were refused while hardly anything was pressed.
+/// Guards against a bound on what is out that leaves a gateway two or three places, though chance
+/// alone brings it more now and then: a quarter of the requests were refused while hardly anything
+/// was pressed.
 #[test]
 fn a_calm_fleet_refuses_nobody_for_want_of_a_place() {
     let mut world = World::new(plot(100, vec![(2, 10.0); 60]));
@@ -239,8 +251,8 @@
     assert!(share > 0.97, "{share} in time");
 }
 
-/// Guards against a zone that is gone without a word: each gateway learned of each backend by itself, and what was out
-/// there held the places that the others were free to fill.
+/// Guards against a zone that is gone without a word: each gateway learned of each backend by
+/// itself, and what was out there held the places that the others were free to fill.
 #[test]
 fn a_silent_zone_is_found_out_together() {
     let mut world = World::new(plot(100, vec![(2, 6.0); 60]));
@@ -264,9 +276,9 @@
     assert!(share > 0.8, "{share} in time with half of the backends");
 }
 
-/// Guards against connections that grow with the fleet: each gateway sent to 32 of 60 backends, and a hundred of them
-/// held half of all connections there could be, used once in some seconds each. Few for each, yet even over the
-/// backends, and most of them the same ones after a release.
+/// Guards against connections that grow with the fleet: each gateway sent to 32 of 60 backends, and
+/// a hundred of them held half of all connections there could be, used once in some seconds each.
+/// Few for each, yet even over the backends, and most of them the same ones after a release.
 #[test]
 fn each_gateway_keeps_to_a_few_backends_and_all_are_kept_to() {
     let mut world = World::new(plot(100, vec![(2, 10.0); 60]));
@@ -296,8 +308,9 @@
     );
 }
 
-/// Guards against customers far inside their quotas that are refused where a message is lost: the word of the home that
-/// was asked second did not count, and what others might use ate the one request that a gateway passes by itself.
+/// Guards against customers far inside their quotas that are refused where a message is lost: the
+/// word of the home that was asked second did not count, and what others might use ate the one
+/// request that a gateway passes by itself.
 #[test]
 fn calm_customers_are_served_though_messages_are_lost() {
     let mut world = World::new(plot(100, vec![(0, 0.5); 1600]));
@@ -309,7 +322,8 @@
     );
 }
 
-/// Guards against messages to peers that a site does not allow: a home that was not asked passed for a silent one.
+/// Guards against messages to peers that a site does not allow: a home that was not asked passed
+/// for a silent one.
 #[test]
 fn without_peers_nobody_is_told_and_requests_are_served() {
     let mut plot = plot(100, vec![(2, 5.0); 60]);
@@ -321,7 +335,8 @@
     assert!(share > 0.95, "{share} in time");
 }
 
-/// The table of `docs/measurements/fleet-size.md`. It asserts nothing: times differ from machine to machine.
+/// The table of `docs/measurements/fleet-size.md`. It asserts nothing: times differ from machine to
+/// machine.
 #[test]
 #[ignore = "a measurement; run with --ignored --nocapture"]
 fn table_by_size() {
--- a/crates/decision/tests/stored/mod.rs
+++ b/crates/decision/tests/stored/mod.rs
@@ -1,5 +1,6 @@
-//! The layout of a gateway's stored state, field by field as it is written: a second, independent description that
-//! shows which parts of a golden state are filled, and that the bytes mean what they always did.
+//! The layout of a gateway's stored state, field by field as it is written: a second, independent
+//! description that shows which parts of a golden state are filled, and that the bytes mean what
+//! they always did.
 #![allow(dead_code)]
 
 use serde::{Deserialize, Serialize};
@@ -8,7 +9,7 @@
     BackendId, Class, CustomerId, Endpoint, Micros, Request, RequestId, Settings,
 };
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub struct Attempt {
     pub to: Endpoint,
     pub sent: Micros,
@@ -20,7 +21,7 @@
     pub void: bool,
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub struct Open {
     pub request: Request,
     pub class: Class,
@@ -33,7 +34,7 @@
     pub asks_again: bool,
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub struct Heard {
     pub total: u16,
     pub promised: f64,
@@ -42,7 +43,7 @@
     pub open: u8,
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub struct Customer {
     pub plan: usize,
     pub level: f64,
@@ -72,7 +73,7 @@
     pub held: Vec<RequestId>,
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub struct Peer {
     pub born: u32,
     pub seq: u16,
@@ -83,7 +84,7 @@
     pub outbox: BTreeMap<CustomerId, (u8, bool)>,
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub struct Health {
     pub errors: f64,
     pub at: Micros,
@@ -93,7 +94,7 @@
     pub by: Option<BackendId>,
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub struct Backend {
     pub listed: Endpoint,
     pub size: f64,
@@ -107,14 +108,14 @@
     pub cold_sends: Vec<Micros>,
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub struct Backends {
     pub places: BTreeMap<BackendId, usize>,
     pub records: Vec<Backend>,
     pub free: Vec<usize>,
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub struct Usual {
     pub recent: f64,
     pub calm: f64,
@@ -123,21 +124,21 @@
     pub at: Micros,
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub enum Fared {
     Answered(f64),
     Failed,
     Silent,
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub struct Sample {
     pub tag: u32,
     pub class: u8,
     pub fared: Fared,
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub struct Pool {
     pub order: Vec<usize>,
     pub ready_size: f64,
@@ -163,7 +164,7 @@
     pub known: bool,
 }
 
-#[derive(Serialize, Deserialize)]
+#[derive(Debug, Serialize, Deserialize)]
 pub struct Stored {
     pub settings: Settings,
     pub rng: u64,
--- a/crates/decision/tests/world/mod.rs
+++ b/crates/decision/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet at size in simulated time: real gateways, modelled backends, messages that are late, lost or beyond an inbox.
-//! Everything is drawn from one seed, so that a run is the same each time.
+//! A fleet at size in simulated time: real gateways, modelled backends, messages that are late,
+//! lost or beyond an inbox. Everything is drawn from one seed, so that a run is the same each time.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -384,7 +384,8 @@
         self.work(n);
     }
 
-    /// The most units beyond what the plan gives over any span of a customer: its burst, and its rate from then on.
+    /// The most units beyond what the plan gives over any span of a customer: its burst, and its
+    /// rate from then on.
     pub fn beyond(&self, customer: usize, rate: f64, burst: f64) -> f64 {
         let (mut level, mut last, mut worst) = (burst, T0, 0.0f64);
         for at in &self.passed[customer] {
@@ -394,8 +395,9 @@
         worst
     }
 
-    /// The window since a backend's start in which it got most beside its budget: what came, and the budget N, which is what it
-    /// may be sent in that span by the rules, at its warmth when the span began.
+    /// The window since a backend's start in which it got most beside its budget: what came, and
+    /// the budget N, which is what it may be sent in that span by the rules, at its warmth when the
+    /// span began.
     pub fn fullest_cold_window(&self, n: usize) -> (usize, f64) {
         let (rules, server) = (&self.plot.settings.rules, &self.servers[n]);
         let (span, mut fullest) = (rules.overload_window, (0, 1.0));
