--- a/crates/adapter/src/wire/tests.rs
+++ b/crates/adapter/src/wire/tests.rs
@@ -17,10 +17,13 @@
     }
 }
 
-#[test]
-fn every_action_has_its_code_and_its_fields_in_place() {
+/// The bytes of a record at their places.
+type Places = Vec<(usize, u8)>;
+
+/// Every action with its code, and some of its record's bytes by their places.
+fn coded_actions() -> Vec<(u8, Action, Places)> {
     let (id, backend) = (RequestId(0x0a_0b0c), BackendId(0x0605_0403_0201));
-    let actions = [
+    vec![
         (
             10,
             Action::Send {
@@ -84,11 +87,20 @@
             },
             vec![(3, 8), (9, 0x80), (10, 0x40), (11, 6)],
         ),
-    ];
+    ]
+}
+
+fn reply_frame(actions: &[(u8, Action, Places)]) -> Vec<u8> {
     let mut reply = Reply::new(5);
     let list: Vec<Action> = actions.iter().map(|a| a.1.clone()).collect();
     reply.push(3, &list);
-    let frame = reply.finish();
+    reply.finish()
+}
+
+#[test]
+fn every_action_has_its_code_and_its_fields_in_place() {
+    let actions = coded_actions();
+    let frame = reply_frame(&actions);
     assert_eq!(u32_at(&frame, 0) as usize, actions.len());
     assert_eq!(u32_at(&frame, 4) as usize, frame.len());
     assert_eq!(
@@ -201,3 +213,23 @@
         "{counted}"
     );
 }
+
+/// The reply frame with every action, in hexadecimal.
+const GOLDEN_REPLY: &str = include_str!("../../tests/golden/reply.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+#[test]
+fn a_reply_with_every_action_has_the_golden_bytes() {
+    assert_eq!(hex(&reply_frame(&coded_actions())), GOLDEN_REPLY.trim());
+}
+
+#[test]
+#[ignore = "writes the golden file, by hand and with WRITE_GOLDEN=1 only"]
+fn write_the_golden_reply() {
+    assert_eq!(std::env::var("WRITE_GOLDEN").as_deref(), Ok("1"));
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/reply.txt");
+    std::fs::write(path, hex(&reply_frame(&coded_actions())) + "\n").unwrap();
+}
