--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,97 +1,133 @@
-//! The adapter between the simulator's wire and the decision module. Translation only.
-
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::too_many_lines)]
+//! The adapter between the simulator's wire and the decision module, many instances in one process.
+//! Translation only.
 
+mod error;
 mod wire;
 
+use error::AdapterError;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
+use wire::{Batch, Decoded, FieldFault, FrameError, Record, Reply};
 use wrenfork_config::settings::Conf;
 use wrenfork_decision::{Action, Event, Gateway, Settings};
 
-fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, String> {
-    let mut frame = vec![0u8; wire::EVENT_HEADER];
-    let mut got = 0;
-    while got < frame.len() {
-        match input.read(&mut frame[got..]) {
-            Ok(0) if got == 0 => return Ok(None),
-            Ok(0) => return Err(format!("input ended after {got} bytes of a batch header")),
-            Ok(n) => got += n,
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(format!("cannot read a batch header: {e}")),
-        }
-    }
+/// Reads a frame; none at the end of the input.
+fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
+    let Some(mut frame) = read_header(input)? else {
+        return Ok(None);
+    };
     let size = wire::frame_size(&frame)?;
-    let body = (size - wire::EVENT_HEADER) as u64;
+    let expected = (size - wire::EVENT_HEADER_BYTES) as u64;
     // Read by what comes, not by what the header claims, so a false length cannot claim memory.
     let read = input
-        .take(body)
+        .take(expected)
         .read_to_end(&mut frame)
-        .map_err(|e| format!("cannot read a batch: {e}"))?;
-    if (read as u64) < body {
-        return Err(format!(
-            "input ended inside a batch: {read} of {body} bytes after its header"
-        ));
+        .map_err(AdapterError::ReadBatch)? as u64;
+    if read < expected {
+        return Err(AdapterError::CutBatch { read, expected });
     }
     Ok(Some(frame))
 }
 
-/// The settings, and the names of the values in a load report.
-fn parse(text: &str) -> Result<(Settings, Vec<String>), String> {
-    let conf = Conf::from_lines(text)?;
-    Ok((conf.settings()?, conf.report_fields()?))
+/// Reads the header of a frame; none at the end of the input.
+fn read_header(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
+    let mut header = vec![0u8; wire::EVENT_HEADER_BYTES];
+    let mut read = 0;
+    while read < header.len() {
+        match input.read(&mut header[read..]) {
+            Ok(0) if read == 0 => return Ok(None),
+            Ok(0) => return Err(AdapterError::CutHeader { read }),
+            Ok(n) => read += n,
+            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+            Err(e) => return Err(AdapterError::ReadHeader(e)),
+        }
+    }
+    Ok(Some(header))
 }
 
-fn run() -> Result<(), String> {
-    let mut input = io::stdin().lock();
-    let mut output = io::stdout().lock();
-    let mut gateways: BTreeMap<u16, Gateway> = BTreeMap::new();
-    let mut actions: Vec<Action> = Vec::new();
-    let mut fields: BTreeMap<u16, Vec<String>> = BTreeMap::new();
-    while let Some(frame) = read_frame(&mut input)? {
-        let batch = wire::Batch::parse(&frame)?;
-        let mut reply = wire::Reply::new(batch.number);
+/// What an instance is started with.
+struct StartSettings {
+    settings: Settings,
+    /// The names of the values in a load report.
+    report_fields: Vec<String>,
+}
+
+impl StartSettings {
+    fn parse(text: &str) -> Result<StartSettings, FieldFault> {
+        let conf = Conf::from_lines(text).map_err(FieldFault::Settings)?;
+        Ok(StartSettings {
+            settings: conf.settings().map_err(FieldFault::Settings)?,
+            report_fields: conf.report_fields().map_err(FieldFault::Settings)?,
+        })
+    }
+}
+
+/// The instances that run, by their numbers on the wire.
+#[derive(Default)]
+struct Instances {
+    gateways: BTreeMap<u16, Gateway>,
+    report_fields: BTreeMap<u16, Vec<String>>,
+    actions: Vec<Action>,
+}
+
+impl Instances {
+    /// Plays a batch; the reply to it.
+    fn play(&mut self, batch: &Batch) -> Result<Reply, FrameError> {
+        let mut reply = Reply::new(batch.number);
         for index in 0..batch.count {
             let record = batch.record(index);
-            let event = match record.decode(&fields)? {
-                None => continue,
-                Some(wire::Decoded::Start {
+            match record.decode(&self.report_fields)? {
+                None => {}
+                Some(Decoded::Start {
                     instance,
                     seed,
                     conf,
                 }) => {
-                    let (settings, names) = parse(conf).map_err(|e| record.error("conf", &e))?;
-                    fields.insert(instance, names);
-                    gateways.insert(instance, Gateway::new(settings, seed, batch.clock));
-                    continue;
+                    let start = StartSettings::parse(conf).map_err(|e| record.error("conf", e))?;
+                    let gateway = Gateway::new(start.settings, seed, batch.clock);
+                    self.report_fields.insert(instance, start.report_fields);
+                    self.gateways.insert(instance, gateway);
                 }
-                Some(wire::Decoded::Stop { instance }) => {
-                    gateways.remove(&instance);
-                    continue;
+                Some(Decoded::Stop { instance }) => {
+                    self.gateways.remove(&instance);
                 }
-                Some(wire::Decoded::Event { instance, event }) => (instance, event),
-            };
-            let (instance, event): (u16, Event) = event;
-            match gateways.get_mut(&instance) {
-                Some(gateway) => {
-                    actions.clear();
-                    gateway.handle(batch.clock, event, &mut actions);
-                    reply.push(instance, &actions);
+                Some(Decoded::Event { instance, event }) => {
+                    self.feed(instance, event, batch.clock, &record, &mut reply);
                 }
-                None => eprintln!(
-                    "{}",
-                    record.error("ingress", "no such instance is running; ignored")
-                ),
             }
         }
-        output
-            .write_all(&reply.finish())
-            .map_err(|e| format!("cannot write a reply: {e}"))?;
-        output
-            .flush()
-            .map_err(|e| format!("cannot write a reply: {e}"))?;
+        Ok(reply)
+    }
+
+    /// Feeds an event to an instance, and puts its actions into the reply.
+    fn feed(
+        &mut self,
+        instance: u16,
+        event: Event,
+        clock: u64,
+        record: &Record,
+        reply: &mut Reply,
+    ) {
+        let Some(gateway) = self.gateways.get_mut(&instance) else {
+            eprintln!("{}", record.error("ingress", FieldFault::NotRunning));
+            return;
+        };
+        self.actions.clear();
+        gateway.handle(clock, event, &mut self.actions);
+        reply.push(instance, &self.actions);
+    }
+}
+
+fn run() -> Result<(), AdapterError> {
+    let mut input = io::stdin().lock();
+    let mut output = io::stdout().lock();
+    let mut instances = Instances::default();
+    while let Some(frame) = read_frame(&mut input)? {
+        let batch = Batch::parse(&frame)?;
+        let reply = instances.play(&batch)?.finish();
+        output.write_all(&reply).map_err(AdapterError::WriteReply)?;
+        output.flush().map_err(AdapterError::WriteReply)?;
     }
     Ok(())
 }
@@ -99,8 +135,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("wrenfork-adapter: {message}");
+        Err(error) => {
+            eprintln!("wrenfork-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/adapter/src/wire/tests.rs
+++ b/crates/adapter/src/wire/tests.rs
@@ -1,10 +1,11 @@
 //! The frames to the byte.
 
-use super::{
-    u16_at, u32_at, Action, BTreeMap, BackendId, Decoded, GatewayId, Record, Reply, RequestId,
-    ACTION, EVENT, REPLY_HEADER,
-};
-use wrenfork_decision::LogEvent;
+use super::bytes::{u16_at, u32_at};
+use super::record::RECORD_BYTES;
+use super::reply::{ACTION_BYTES, REPLY_HEADER_BYTES};
+use super::{Decoded, Record, Reply};
+use std::collections::BTreeMap;
+use wrenfork_decision::{Action, BackendId, GatewayId, LogEvent, RequestId};
 
 fn level_change() -> LogEvent {
     LogEvent::LoadSheddingLevelChanged {
@@ -20,8 +21,8 @@
 /// The bytes of a record at their places.
 type Places = Vec<(usize, u8)>;
 
-/// Every action with its code, and some of its record's bytes by their places.
-fn coded_actions() -> Vec<(u8, Action, Places)> {
+/// What concerns a request or a backend.
+fn request_actions() -> Vec<(u8, Action, Places)> {
     let (id, backend) = (RequestId(0x0a_0b0c), BackendId(0x0605_0403_0201));
     vec![
         (
@@ -59,6 +60,11 @@
             Action::CloseIdleConnections(backend),
             vec![(3, 1), (8, 6)],
         ),
+    ]
+}
+
+fn other_actions() -> Vec<(u8, Action, Places)> {
+    vec![
         (
             80,
             Action::SendToPeer {
@@ -90,6 +96,13 @@
     ]
 }
 
+/// Every action with its code, and some of its record's bytes by their places.
+fn coded_actions() -> Vec<(u8, Action, Places)> {
+    let mut all = request_actions();
+    all.extend(other_actions());
+    all
+}
+
 fn reply_frame(actions: &[(u8, Action, Places)]) -> Vec<u8> {
     let mut reply = Reply::new(5);
     let list: Vec<Action> = actions.iter().map(|a| a.1.clone()).collect();
@@ -104,11 +117,11 @@
     assert_eq!(u32_at(&frame, 0) as usize, actions.len());
     assert_eq!(u32_at(&frame, 4) as usize, frame.len());
     assert_eq!(
-        &frame[REPLY_HEADER + ACTION * actions.len()..],
+        &frame[REPLY_HEADER_BYTES + ACTION_BYTES * actions.len()..],
         b"\x08\x09\x07ladder: rung 0 to 1, pressure 1.25, limit 8, out 10"
     );
     for (n, (code, action, fields)) in actions.iter().enumerate() {
-        let record = &frame[REPLY_HEADER + ACTION * n..][..ACTION];
+        let record = &frame[REPLY_HEADER_BYTES + ACTION_BYTES * n..][..ACTION_BYTES];
         assert_eq!((record[0], u16_at(record, 1)), (*code, 3), "{action:?}");
         for (at, value) in fields {
             assert_eq!(record[*at], *value, "{action:?} at {at}");
@@ -116,31 +129,35 @@
     }
 }
 
+/// A record of instance 1 with these bytes at their places.
+fn record(code: u8, parts: &[(usize, &[u8])]) -> [u8; RECORD_BYTES] {
+    let mut body = [0; RECORD_BYTES];
+    body[0] = code;
+    body[1] = 1;
+    for (at, bytes) in parts {
+        body[*at..*at + bytes.len()].copy_from_slice(bytes);
+    }
+    body
+}
+
+/// The event that a record is decoded to, as text.
+fn event_of(body: [u8; RECORD_BYTES]) -> String {
+    let fields = BTreeMap::from([(1, vec!["depth".to_string()])]);
+    match Record::new(1, 0, &body, &[4, 5, 6]).decode(&fields) {
+        Ok(Some(Decoded::Event { instance: 1, event })) => format!("{event:?}"),
+        _ => panic!("not an event of instance 1"),
+    }
+}
+
+fn has_parts(text: &str, parts: &[&str]) {
+    for part in parts {
+        assert!(text.contains(part), "{part} in {text}");
+    }
+}
+
 #[test]
-fn events_are_read_from_their_places() {
-    let read = |body: [u8; EVENT]| {
-        let fields = BTreeMap::from([(1, vec!["depth".to_string()])]);
-        let record = Record {
-            batch: 1,
-            index: 0,
-            body: &body,
-            tail: &[4, 5, 6],
-        };
-        match record.decode(&fields) {
-            Ok(Some(Decoded::Event { instance: 1, event })) => format!("{event:?}"),
-            _ => panic!("not an event of instance 1"),
-        }
-    };
-    let body = |code: u8, parts: &[(usize, &[u8])]| {
-        let mut b = [0; EVENT];
-        (b[0], b[1]) = (code, 1);
-        parts
-            .iter()
-            .for_each(|(at, bytes)| b[*at..*at + bytes.len()].copy_from_slice(bytes));
-        b
-    };
-    let float = |x: f32| x.to_le_bytes();
-    let call = body(
+fn a_request_is_read_from_its_places() {
+    let text = event_of(record(
         10,
         &[
             (3, &[9]),
@@ -148,20 +165,22 @@
             (12, &[3]),
             (14, &[4]),
             (22, &[5]),
-            (30, &float(2.0)),
-            (34, &float(3.0)),
+            (30, &2.0f32.to_le_bytes()),
+            (34, &3.0f32.to_le_bytes()),
+        ],
+    ));
+    has_parts(
+        &text,
+        &[
+            "RequestId(9), class: 2, plan: 3, customer: CustomerId(4), deadline: 5",
+            "units: 2.0, gateway_span: 3.0, first_gateway: 0.0",
         ],
     );
-    let text = read(call);
-    assert!(
-        text.contains("RequestId(9), class: 2, plan: 3, customer: CustomerId(4), deadline: 5"),
-        "{text}"
-    );
-    assert!(
-        text.contains("units: 2.0, gateway_span: 3.0, first_gateway: 0.0"),
-        "{text}"
-    );
-    let settled = body(
+}
+
+#[test]
+fn the_end_of_an_attempt_is_read_from_its_places() {
+    let text = event_of(record(
         20,
         &[
             (3, &[9]),
@@ -173,45 +192,37 @@
             (22, &[8]),
             (28, &[3]),
             (30, &[1]),
-            (31, &float(6.0)),
+            (31, &6.0f32.to_le_bytes()),
+        ],
+    ));
+    has_parts(
+        &text,
+        &[
+            "attempt: 2",
+            "BackendId(8)",
+            "Ok",
+            "complete: true",
+            "elapsed: 7",
+            "metered_usage: Some(0.5)",
+            "queue: Some(6.0)",
         ],
     );
-    let text = read(settled);
-    for part in [
-        "attempt: 2",
-        "BackendId(8)",
-        "Ok",
-        "complete: true",
-        "elapsed: 7",
-        "metered_usage: Some(0.5)",
-        "queue: Some(6.0)",
-    ] {
-        assert!(text.contains(part), "{part} in {text}");
-    }
-    assert_eq!(
-        read(body(90, &[(3, &[6])])),
-        "ClientDisconnected(RequestId(6))"
-    );
-    assert_eq!(read(body(70, &[(3, &[6])])), "Timer(6)");
-    assert_eq!(
-        read(body(100, &[(3, &[6]), (11, &[2])])),
-        "FirstByte { id: RequestId(6), attempt: 2 }"
-    );
-    let peer = body(80, &[(3, &[2]), (5, &[1]), (9, &[2])]);
-    assert_eq!(
-        read(peer),
-        "PeerMessage { from: GatewayId(2), bytes: [5, 6] }"
-    );
-    let probed = read(body(30, &[(3, &[8]), (9, &[0x99, 1]), (11, &[7])]));
-    assert!(
-        probed.contains("NotSent") && probed.contains("elapsed: 7"),
-        "{probed}"
-    );
-    let counted = read(body(40, &[(3, &[5]), (11, &[200]), (13, &float(38.0))]));
-    assert!(
-        counted.contains("counter: 5") && counted.contains("38.0"),
-        "{counted}"
-    );
+}
+
+#[test]
+fn short_events_are_read_from_their_places() {
+    let left = event_of(record(90, &[(3, &[6])]));
+    assert_eq!(left, "ClientDisconnected(RequestId(6))");
+    assert_eq!(event_of(record(70, &[(3, &[6])])), "Timer(6)");
+    let begun = event_of(record(100, &[(3, &[6]), (11, &[2])]));
+    assert_eq!(begun, "FirstByte { id: RequestId(6), attempt: 2 }");
+    let peer = event_of(record(80, &[(3, &[2]), (5, &[1]), (9, &[2])]));
+    assert_eq!(peer, "PeerMessage { from: GatewayId(2), bytes: [5, 6] }");
+    let checked = event_of(record(30, &[(3, &[8]), (9, &[0x99, 1]), (11, &[7])]));
+    has_parts(&checked, &["NotSent", "elapsed: 7"]);
+    let total = 38.0f32.to_le_bytes();
+    let counted = event_of(record(40, &[(3, &[5]), (11, &[200]), (13, &total)]));
+    has_parts(&counted, &["counter: 5", "38.0"]);
 }
 
 /// The reply frame with every action, in hexadecimal.
