--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -9,7 +9,7 @@
 use std::ops::Range;
 use wrenfork_happy_eyeballs::{Address, MAX_ADDRESSES};
 use wrenfork_identity::trust::Doubt;
-use wrenfork_routes::{Fault, PoolNo, Table, Traits, MOST_POOLS, MOST_TIERS};
+use wrenfork_routes::{NodeLabels, PoolId, Table, TableError, MAX_POOLS, MAX_TIERS};
 
 /// The least that an ingress works with.
 const LEAST_MEMORY: u64 = 16 << 20;
@@ -544,12 +544,12 @@
     app.pools.iter().map(|p| p.name.value.as_str())
 }
 
-fn number(pools: &[Pool], name: &str) -> Option<PoolNo> {
+fn number(pools: &[Pool], name: &str) -> Option<PoolId> {
     pools
         .iter()
         .position(|p| p.name.value == name)
         .and_then(|n| u8::try_from(n).ok())
-        .map(PoolNo)
+        .map(PoolId)
 }
 
 /// The pools and routes as [`wrenfork_routes`] has them, the routes in the order of the site's classes. What leads
@@ -566,14 +566,14 @@
             .as_ref()
             .zip(route.share.as_ref())
             .and_then(|(pool, share)| {
-                Some(wrenfork_routes::Trial {
+                Some(wrenfork_routes::Canary {
                     pool: number(own, &pool.value)?,
-                    share: share.value,
+                    fraction: share.value,
                 })
             });
         Some(wrenfork_routes::Route {
             pool: number(own, &route.pool.as_ref()?.value)?,
-            trial,
+            canary: trial,
         })
     });
     Table {
@@ -624,23 +624,23 @@
             found.push(a.wrong(Code::UnusedPool, &pool.name, message));
         }
     }
-    if !site.near.is_empty() && app.pools.len() + MOST_TIERS > MOST_POOLS {
+    if !site.near.is_empty() && app.pools.len() + MAX_TIERS > MAX_POOLS {
         let message = format!(
-            "there are {} pools, and the nearness of halls takes {MOST_TIERS} more",
+            "there are {} pools, and the nearness of halls takes {MAX_TIERS} more",
             app.pools.len()
         );
         let wrong = a.wrong(
             Code::TooMany,
-            &app.pools[MOST_POOLS - MOST_TIERS].name,
+            &app.pools[MAX_POOLS - MAX_TIERS].name,
             message,
         );
         found.push(wrong.help("64 pools are the most"));
     }
-    for fault in table(&app.pools, &app.routes, site).faults() {
-        let Fault::Circle(circle) = fault else {
+    for fault in table(&app.pools, &app.routes, site).errors() {
+        let TableError::FallbackCycle(circle) = fault else {
             continue;
         };
-        let of = |p: &PoolNo| &app.pools[usize::from(p.0)];
+        let of = |p: &PoolId| &app.pools[usize::from(p.0)];
         let mut names: Vec<&str> = circle.iter().map(|p| of(p).name.value.as_str()).collect();
         names.push(names[0]);
         let message = format!("pools fall back in a circle: {}", names.join(", then "));
@@ -704,12 +704,12 @@
         }
         if let Some(pool) = &route.pool {
             let order = number(&app.pools, &pool.value)
-                .and_then(|p| table(&app.pools, &app.routes, site).order(p).ok())
+                .and_then(|p| table(&app.pools, &app.routes, site).fallback_order(p).ok())
                 .unwrap_or_default();
             let count = order.len() + usize::from(route.trial.is_some());
-            if count > MOST_TIERS {
+            if count > MAX_TIERS {
                 let message = format!(
-                    "class \"{}\" goes over {count} pools, and {MOST_TIERS} is the most",
+                    "class \"{}\" goes over {count} pools, and {MAX_TIERS} is the most",
                     class.value
                 );
                 found.push(a.wrong(Code::LongRoute, pool, message));
@@ -717,7 +717,7 @@
         }
         if let (Some(pool), Some(trial)) = (&route.pool, &route.trial) {
             let order = number(&app.pools, &pool.value)
-                .and_then(|p| table(&app.pools, &app.routes, site).order(p).ok())
+                .and_then(|p| table(&app.pools, &app.routes, site).fallback_order(p).ok())
                 .unwrap_or_default();
             if number(&app.pools, &trial.value).is_some_and(|t| order.contains(&t)) {
                 let message = format!(
@@ -733,12 +733,12 @@
     }
 }
 
-fn traits(node: &Node) -> Traits<'_> {
-    Traits {
+fn traits(node: &Node) -> NodeLabels<'_> {
+    NodeLabels {
         name: &node.name.value,
-        hall: &node.hall.value,
-        model: &node.model,
-        group: node.group,
+        zone_group: &node.hall.value,
+        machine_type: &node.model,
+        cell: node.group,
     }
 }
 
@@ -814,7 +814,7 @@
         let members: Vec<&Node> = fleet
             .nodes
             .iter()
-            .filter(|n| pool.selector.takes(&traits(n)))
+            .filter(|n| pool.selector.matches(&traits(n)))
             .collect();
         if members.is_empty() {
             let message = format!("no node is of pool \"{}\"", pool.name.value);
@@ -832,7 +832,7 @@
         .nodes
         .iter()
         .filter(|n| n.status == Status::Up)
-        .map(|n| (table.member(&traits(n)), n))
+        .map(|n| (table.pools_of(&traits(n)), n))
         .collect();
     let promised: f64 = quotas(app, s.content).map(|(_, q)| q).sum();
     for route in &app.routes {
@@ -860,7 +860,9 @@
         .pool
         .as_ref()
         .and_then(|p| number(&a.content.pools, &p.value));
-    let order = first.and_then(|p| table.order(p).ok()).unwrap_or_default();
+    let order = first
+        .and_then(|p| table.fallback_order(p).ok())
+        .unwrap_or_default();
     let trial = route
         .trial
         .as_ref()
--- a/crates/config/src/enforced.rs
+++ b/crates/config/src/enforced.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
 use wrenfork_rollout::PROGRAM_KEY;
-use wrenfork_routes::{Pool, PoolNo, Route, Selector, Table, Trial};
+use wrenfork_routes::{Canary, Pool, PoolId, Route, Selector, Table};
 
 /// Keys with their values.
 pub type Pairs = BTreeMap<String, String>;
@@ -198,11 +198,11 @@
     }
     state.insert("pools.count".into(), pools.len().to_string());
     for (n, pool) in pools.iter().enumerate() {
-        let groups: Vec<String> = pool.selector.groups.iter().map(u64::to_string).collect();
+        let groups: Vec<String> = pool.selector.cells.iter().map(u64::to_string).collect();
         let fields = [
             ("name", pool.name.value.clone()),
-            ("halls", pool.selector.halls.join(",")),
-            ("models", pool.selector.models.join(",")),
+            ("halls", pool.selector.zone_groups.join(",")),
+            ("models", pool.selector.machine_types.join(",")),
             ("groups", groups.join(",")),
             ("nodes", pool.selector.nodes.join(",")),
             (
@@ -238,7 +238,7 @@
     let number = |name: &str| {
         let at = pool_names.iter().position(|n| !n.is_empty() && n == name);
         at.and_then(|n| u8::try_from(n).ok())
-            .map(PoolNo)
+            .map(PoolId)
             .ok_or_else(|| format!("there is no pool {name}"))
     };
     let field = |list: &str, at: &str, key: &str| {
@@ -259,9 +259,9 @@
             .collect();
         let groups: Result<Vec<u64>, String> = groups;
         let selector = Selector {
-            halls: words(n, "halls"),
-            models: words(n, "models"),
-            groups: groups?,
+            zone_groups: words(n, "halls"),
+            machine_types: words(n, "models"),
+            cells: groups?,
             nodes: words(n, "nodes"),
         };
         let fallback = field("pools", &n.to_string(), "fallback").filter(|_| !name.is_empty());
@@ -282,20 +282,20 @@
             (Some(trial), Some(share)) => {
                 let share = share.parse().ok().filter(|s: &f64| (0.0..=1.0).contains(s));
                 let share = share.ok_or_else(|| format!("routes.{class}.share is no share"))?;
-                Some(Trial {
+                Some(Canary {
                     pool: number(trial)?,
-                    share,
+                    fraction: share,
                 })
             }
             _ => None,
         };
         table.routes.push(Some(Route {
             pool: number(pool)?,
-            trial,
+            canary: trial,
         }));
     }
-    match table.faults().first() {
-        Some(fault) => Err(format!("the pools can't be used: {fault:?}")),
+    match table.errors().first() {
+        Some(error) => Err(format!("the pools can't be used: {error}")),
         None => Ok((table, pool_names)),
     }
 }
@@ -425,7 +425,7 @@
         let count = from.last_key_value().map_or(0, |(place, _)| place + 1);
         let most = match list {
             "grades" => MOST_CLASSES,
-            "pools" => wrenfork_routes::MOST_POOLS,
+            "pools" => wrenfork_routes::MAX_POOLS,
             _ => MOST_PLANS,
         };
         if count > most {
--- a/crates/config/src/locality.rs
+++ b/crates/config/src/locality.rs
@@ -4,7 +4,7 @@
 
 use crate::model::{Application, Pool, Route, Sidecar, Site};
 use crate::reader::At;
-use wrenfork_routes::{Selector, MOST_TIERS};
+use wrenfork_routes::{Selector, MAX_TIERS};
 
 /// How the pool of a hall is called: no pool of a file can have such a name.
 fn called(hall: &str) -> String {
@@ -21,8 +21,8 @@
     let named = std::iter::once(home).chain(near.others.iter().map(|h| h.value.as_str()));
     let mut named: Vec<&str> = named.filter(known).collect();
     let all = site.halls.len();
-    if named.len() < all || named.len() > MOST_TIERS {
-        named.truncate(MOST_TIERS - 1);
+    if named.len() < all || named.len() > MAX_TIERS {
+        named.truncate(MAX_TIERS - 1);
     }
     let rest = site
         .halls
@@ -66,7 +66,7 @@
     let mut local: Vec<Pool> = Vec::with_capacity(order.len());
     for (n, (name, halls)) in order.iter().enumerate() {
         let selector = Selector {
-            halls: halls.clone(),
+            zone_groups: halls.clone(),
             ..Selector::default()
         };
         let fallback = order.get(n + 1).map(|next| here(&next.0));
@@ -82,7 +82,7 @@
     let place = |p: &Pool| {
         site.halls
             .iter()
-            .position(|h| p.selector.halls[0] == h.value)
+            .position(|h| p.selector.zone_groups[0] == h.value)
     };
     local.sort_by_key(|p| (p.name.value == OTHERS, place(p)));
     pools.extend(local);
@@ -148,7 +148,11 @@
                 .fallback
                 .as_ref()
                 .map_or(String::new(), |f| f.value.clone());
-            (p.name.value.clone(), p.selector.halls.join(","), fallback)
+            (
+                p.name.value.clone(),
+                p.selector.zone_groups.join(","),
+                fallback,
+            )
         };
         pools[1..].iter().map(shown).collect()
     }
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -586,9 +586,9 @@
     let nodes = or(f.names("nodes"), Vec::new());
     let texts = |list: &[At<String>]| list.iter().map(|n| n.value.clone()).collect();
     let selector = Selector {
-        halls: texts(&halls),
-        models: texts(&or(f.names("models"), Vec::new())),
-        groups: or(f.wholes("groups"), Vec::new())
+        zone_groups: texts(&halls),
+        machine_types: texts(&or(f.names("models"), Vec::new())),
+        cells: or(f.wholes("groups"), Vec::new())
             .iter()
             .map(|g| g.value)
             .collect(),
--- a/crates/config/src/reach.rs
+++ b/crates/config/src/reach.rs
@@ -3,13 +3,13 @@
 
 use crate::enforced::{names, table, Pairs};
 use std::collections::BTreeMap;
-use wrenfork_routes::{PoolNo, Traits};
+use wrenfork_routes::{NodeLabels, PoolId};
 
 /// A node as an ingress sees it now.
 #[derive(Clone, Copy, Debug)]
 pub struct Node<'a> {
     /// What pools go by.
-    pub traits: Traits<'a>,
+    pub traits: NodeLabels<'a>,
     /// It is up and does not drain.
     pub takes: bool,
     /// The classes that it is rested for, since it failed.
@@ -44,14 +44,16 @@
                 }],
             );
         };
-        let order = table.order(route.pool).unwrap_or_else(|_| vec![route.pool]);
-        let stop = |no: PoolNo| {
+        let order = table
+            .fallback_order(route.pool)
+            .unwrap_or_else(|_| vec![route.pool]);
+        let stop = |no: PoolId| {
             let at = usize::from(no.0);
             let of = |n: &&Node| {
                 table
                     .pools
                     .get(at)
-                    .is_some_and(|p| p.selector.takes(&n.traits))
+                    .is_some_and(|p| p.selector.matches(&n.traits))
             };
             let healthy = nodes.iter().filter(of).filter(able).count();
             Stop {
@@ -99,7 +101,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{stranded, Node, Pairs, Traits};
+    use super::{stranded, Node, NodeLabels, Pairs};
 
     fn state(pools: &[(&str, &str, &str)], pool: Option<&str>) -> Pairs {
         let mut s = Pairs::from([
@@ -119,11 +121,11 @@
 
     fn node<'a>(name: &'a str, takes: bool, rests: &'a [String]) -> Node<'a> {
         Node {
-            traits: Traits {
+            traits: NodeLabels {
                 name,
-                hall: "h",
-                model: "m",
-                group: 1,
+                zone_group: "h",
+                machine_type: "m",
+                cell: 1,
             },
             takes,
             rests,
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -188,7 +188,7 @@
     models.extend(
         app.pools
             .iter()
-            .flat_map(|p| p.selector.models.iter().map(String::as_str)),
+            .flat_map(|p| p.selector.machine_types.iter().map(String::as_str)),
     );
     models.sort_unstable();
     models.dedup();
--- a/crates/ctl/src/change/plan.rs
+++ b/crates/ctl/src/change/plan.rs
@@ -20,7 +20,7 @@
 use wrenfork_config::enforced::align;
 use wrenfork_config::reach::{stranded, Node};
 use wrenfork_consensus::group_state::GroupState;
-use wrenfork_routes::Traits;
+use wrenfork_routes::NodeLabels;
 
 #[derive(Args)]
 pub struct Options {
@@ -218,11 +218,11 @@
         ejected_for: rests,
     } = seen;
     Node {
-        traits: Traits {
+        traits: NodeLabels {
             name,
-            hall,
-            model,
-            group: *group,
+            zone_group: hall,
+            machine_type: model,
+            cell: *group,
         },
         takes: *takes,
         rests,
--- a/crates/ctl/src/route/mod.rs
+++ b/crates/ctl/src/route/mod.rs
@@ -13,7 +13,7 @@
 use wrenfork_config::locality::ways;
 use wrenfork_config::model::{Fleet, Node, Pool, Status};
 use wrenfork_config::set::Set;
-use wrenfork_routes::Traits;
+use wrenfork_routes::NodeLabels;
 
 /// What could not be done or read.
 const FAILED: u8 = 2;
@@ -69,11 +69,11 @@
     let all = fleet.map_or(&[][..], |f| &f.nodes).iter();
     let takes = |n: &&Node| {
         let (name, hall, model) = (&*n.name.value, &*n.hall.value, &*n.model);
-        pool.selector.takes(&Traits {
+        pool.selector.matches(&NodeLabels {
             name,
-            hall,
-            model,
-            group: n.group,
+            zone_group: hall,
+            machine_type: model,
+            cell: n.group,
         })
     };
     all.filter(takes).collect()
@@ -118,7 +118,7 @@
     };
     let (pools, routes) = ways(app, site, from);
     let (table, fleet) = (table(&pools, &routes, site), set.fleet().map(|f| f.content));
-    let trial = table.on_trial(place, id);
+    let trial = table.is_canary_customer(place, id);
     let tiers = table.tiers(place, id).map(|sets| {
         let of = |(n, set): (usize, &u64)| {
             let pool = set.trailing_zeros() as usize;
--- a/crates/ingress/src/routing.rs
+++ b/crates/ingress/src/routing.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use wrenfork_commit::metrics::ObservedNode;
 use wrenfork_decision::{BackendId, Endpoint, EndpointState, Request};
-use wrenfork_routes::{Table, Traits, Ways};
+use wrenfork_routes::{NodeLabels, RoutePaths, Table};
 
 /// An endpoint as it was listed last.
 struct KnownEndpoint {
@@ -24,7 +24,7 @@
 /// The pools and routes that are enforced.
 pub struct Routing {
     table: Table,
-    ways: Ways,
+    paths: RoutePaths,
     /// Known only where pools may change: then all endpoints are assigned again.
     endpoints: Option<HashMap<BackendId, KnownEndpoint>>,
 }
@@ -33,7 +33,7 @@
     /// For these pools and routes; `may_change` where others may come.
     pub fn new(table: Table, may_change: bool) -> Routing {
         Routing {
-            ways: Ways::of(&table),
+            paths: RoutePaths::of(&table),
             table,
             endpoints: may_change.then(HashMap::new),
         }
@@ -65,7 +65,7 @@
         if table == self.table {
             return None;
         }
-        self.ways = Ways::of(&table);
+        self.paths = RoutePaths::of(&table);
         self.table = table;
         let known = self.endpoints.as_mut()?.values_mut();
         let listed = known.map(|endpoint| {
@@ -99,20 +99,20 @@
 
     /// Gives a request the pools that it may go to.
     pub fn route(&self, request: &mut Request) {
-        let way = self
-            .ways
-            .way(usize::from(request.class), request.customer.0);
-        request.route = way.tiers;
-        request.own_pools = way.own;
+        let path = self
+            .paths
+            .path(usize::from(request.class), request.customer.0);
+        request.route = path.tiers;
+        request.own_pools = path.own;
     }
 }
 
 /// The pools that an endpoint is of, a bit for each.
 fn pools_of(table: &Table, listed: &Endpoint, labels: &EndpointLabels) -> u64 {
-    table.member(&Traits {
+    table.pools_of(&NodeLabels {
         name: &labels.name,
-        hall: &labels.zone,
-        model: &labels.machine_type,
-        group: u64::from(listed.cell),
+        zone_group: &labels.zone,
+        machine_type: &labels.machine_type,
+        cell: u64::from(listed.cell),
     })
 }
