--- a/crates/control-plane/src/durable_state/rows.rs
+++ b/crates/control-plane/src/durable_state/rows.rs
@@ -12,7 +12,7 @@
 use wrenfork_consensus::group_state::GroupState;
 use wrenfork_consensus::membership::ReplicaId;
 use wrenfork_consensus::protocol::{AcceptedState, Ballot};
-use wrenfork_store::{Batch, RecordKind, Store};
+use wrenfork_store::{Batch, NamedRecord, RecordKind, Store};
 
 /// Records of the audit log that are kept.
 pub const MAX_AUDIT_RECORDS: usize = 1_000;
@@ -237,7 +237,7 @@
     /// The numbers of the records that are stored.
     pub fn audit_numbers(&self) -> Result<AuditNumbers, DurableStateError> {
         let rows = self.0.list(RecordKind::Audit, MAX_AUDIT_RECORDS)?;
-        let number = |row: Option<&(String, Vec<u8>)>| row.and_then(|r| r.0.parse::<u64>().ok());
+        let number = |row: Option<&NamedRecord>| row.and_then(|r| r.name.parse::<u64>().ok());
         Ok(AuditNumbers {
             first: number(rows.first()).unwrap_or(0),
             next: number(rows.last()).map_or(0, |last| last + 1),
@@ -250,7 +250,7 @@
             .0
             .list(RecordKind::Audit, limit.min(MAX_AUDIT_RECORDS))?;
         rows.into_iter()
-            .map(|(_, text)| Ok(serde_json::from_slice(&text)?))
+            .map(|row| Ok(serde_json::from_slice(&row.bytes)?))
             .collect()
     }
 
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -1,75 +1,62 @@
-//! The version of a folder's records: an older one is brought up to date, a newer one is refused.
+//! The version of a folder's records: an older one is migrated, a newer one is rejected.
 
-use crate::{disk, Store, StoreError};
-use redb::{ReadableDatabase, TableDefinition};
+use crate::error::StoreError;
+use redb::{Database, ReadableDatabase, TableDefinition, TableError, WriteTransaction};
 
-/// The version of records that this program writes.
+/// Version of records that this program writes.
 pub const VERSION: u32 = 1;
 
 const META: TableDefinition<&str, u32> = TableDefinition::new("meta");
-const KEY: &str = "version";
-
-type Step = fn(&redb::WriteTransaction) -> Result<(), StoreError>;
-
-/// Steps from each version to the next, in one commit each; the first brings 1 to 2.
-const STEPS: &[Step] = &[];
-
-/// Checks a store's version, and brings an older one up to date.
-pub fn check(store: &Store) -> Result<(), StoreError> {
-    let has = store.with(|database| {
-        let read = database.begin_read().map_err(disk)?;
-        match read.open_table(META) {
-            Err(redb::TableError::TableDoesNotExist(_)) => Ok(None),
-            table => Ok(table
-                .map_err(disk)?
-                .get(KEY)
-                .map_err(disk)?
-                .map(|v| v.value())),
-        }
-    })?;
-    match has {
-        Some(has) if has > VERSION => Err(StoreError::NewerVersion(has, VERSION)),
+const VERSION_KEY: &str = "version";
+
+type Migration = fn(&WriteTransaction) -> Result<(), StoreError>;
+
+/// Migrations from each version to the next, in one commit each; the first is from 1 to 2.
+const MIGRATIONS: &[Migration] = &[];
+
+/// Checks the version of a database, and migrates an older one. A new database gets the current version.
+///
+/// # Errors
+///
+/// If the version is newer than [`VERSION`], or the database fails.
+pub(crate) fn migrate(database: &Database) -> Result<(), StoreError> {
+    match stored_version(database)? {
+        Some(found) if found > VERSION => Err(StoreError::NewerVersion {
+            found,
+            known: VERSION,
+        }),
         Some(0) => Err(StoreError::Corrupted("its version is 0".into())),
-        Some(has) => {
-            (has..VERSION).try_for_each(|from| step(store, from + 1, STEPS.get(from as usize - 1)))
-        }
-        None => step(store, VERSION, None),
+        Some(found) => (found..VERSION).try_for_each(|from| {
+            let migration = MIGRATIONS.get(from as usize - 1);
+            set_version(database, from + 1, migration)
+        }),
+        None => set_version(database, VERSION, None),
     }
 }
 
-fn step(store: &Store, to: u32, change: Option<&Step>) -> Result<(), StoreError> {
-    store.with(|database| {
-        let write = database.begin_write().map_err(disk)?;
-        if let Some(change) = change {
-            change(&write)?;
-        }
-        write
-            .open_table(META)
-            .map_err(disk)?
-            .insert(KEY, to)
-            .map_err(disk)?;
-        write.commit().map_err(disk)
-    })
+fn stored_version(database: &Database) -> Result<Option<u32>, StoreError> {
+    let transaction = database.begin_read().map_err(StoreError::database)?;
+    let meta = match transaction.open_table(META) {
+        Err(TableError::TableDoesNotExist(_)) => return Ok(None),
+        meta => meta.map_err(StoreError::database)?,
+    };
+    let version = meta.get(VERSION_KEY).map_err(StoreError::database)?;
+    Ok(version.map(|version| version.value()))
 }
 
-#[cfg(test)]
-mod tests {
-    use super::{step, Store, StoreError, VERSION};
-    use crate::{Batch, RecordKind};
-
-    #[test]
-    fn a_newer_version_is_refused_and_told_and_stays_as_it_was() {
-        let folder = tempfile::tempdir().unwrap();
-        let store = Store::open(folder.path()).unwrap();
-        store
-            .commit(&Batch::new().put(RecordKind::Control, "a", b"1"))
-            .unwrap();
-        step(&store, VERSION + 1, None).unwrap();
-        drop(store);
-        for _ in 0..2 {
-            let e = Store::open(folder.path()).unwrap_err();
-            assert!(matches!(e, StoreError::NewerVersion(2, 1)), "{e}");
-            assert!(e.to_string().contains("use a newer one"));
-        }
+fn set_version(
+    database: &Database,
+    version: u32,
+    migration: Option<&Migration>,
+) -> Result<(), StoreError> {
+    let transaction = database.begin_write().map_err(StoreError::database)?;
+    if let Some(migration) = migration {
+        migration(&transaction)?;
+    }
+    {
+        let mut meta = transaction.open_table(META).map_err(StoreError::database)?;
+        meta.insert(VERSION_KEY, version)
+            .map_err(StoreError::database)?;
     }
+    transaction.commit().map_err(StoreError::database)
 }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -4,7 +4,7 @@
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex};
-use wrenfork_store::{Batch, RecordKind, Store};
+use wrenfork_store::{Batch, NamedRecord, RecordKind, Store};
 
 #[derive(Clone, Debug)]
 enum Change {
@@ -166,13 +166,13 @@
     let want = |m: &u64| n.is_some_and(|n| *m <= n) && !(m % 3 == 1 && n.is_some_and(|n| *m < n));
     let names: Vec<String> = (0..1000).filter(want).map(|m| format!("{m:08}")).collect();
     assert_eq!(
-        audit.iter().map(|a| a.0.clone()).collect::<Vec<_>>(),
+        audit.iter().map(|a| a.name.clone()).collect::<Vec<_>>(),
         names,
         "at {n:?}"
     );
-    for (name, record) in audit {
+    for NamedRecord { name, bytes } in audit {
         let m: u64 = name.parse().unwrap();
-        assert_eq!(record, vec![m as u8; 40 + (m as usize * 97) % 3000]);
+        assert_eq!(bytes, vec![m as u8; 40 + (m as usize * 97) % 3000]);
     }
     n
 }
--- a/crates/store/tests/golden.rs
+++ b/crates/store/tests/golden.rs
@@ -4,7 +4,7 @@
 //! `cargo test -p wrenfork-store --test golden -- --ignored write_golden_folder`
 
 use std::path::{Path, PathBuf};
-use wrenfork_store::{Batch, RecordKind, Store, StoreError, VERSION};
+use wrenfork_store::{Batch, NamedRecord, RecordKind, Store, StoreError, VERSION};
 
 const FILE: &str = "wrenfork.redb";
 
@@ -60,6 +60,7 @@
                 ("replaced".to_string(), format!("new {kind:?}").into_bytes()),
                 ("\u{fc} empty".to_string(), Vec::new()),
             ];
+            let expected = expected.map(|(name, bytes)| NamedRecord { name, bytes });
             assert_eq!(store.list(kind, 10).unwrap(), expected, "{kind:?}");
             assert_eq!(store.get(kind, "deleted").unwrap(), None, "{kind:?}");
         }
@@ -101,10 +102,15 @@
 fn what_operators_read_of_a_failure_stays() {
     let texts = [
         StoreError::Locked("/state".into()),
-        StoreError::NewerVersion(2, 1),
+        StoreError::NewerVersion { found: 2, known: 1 },
         StoreError::Corrupted("why".into()),
         StoreError::TooLong("name".into()),
-        StoreError::Io("why".into()),
+        StoreError::Database(Box::new(redb::Error::ValueTooLarge(3))),
+        StoreError::Closed,
+        StoreError::Folder {
+            path: "/state".into(),
+            source: std::io::Error::other("why"),
+        },
     ]
     .map(|error| error.to_string());
     assert_eq!(
@@ -114,7 +120,9 @@
             "the folder is of version 2, and this program knows up to 1: use a newer one",
             "the store is damaged: why",
             "a record is too long: name",
-            "the disk: why",
+            format!("the disk: {}", redb::Error::ValueTooLarge(3)).as_str(),
+            "the disk: it failed before",
+            "the disk: /state: why",
         ]
     );
 }
