--- /dev/null
+++ b/crates/compatibility/src/program.rs
@@ -0,0 +1,80 @@
+//! Programs, identified by the digest of their file.
+
+use serde::{Deserialize, Serialize};
+use std::fmt;
+use std::str::FromStr;
+use thiserror::Error;
+
+/// Length of a SHA-256 digest, in hex digits.
+const SHA256_HEX_LENGTH: usize = 64;
+
+/// A program: its name for people, and the SHA-256 digest of its file. Two programs are equal if their files are.
+#[derive(Clone, Debug, Eq, Serialize, Deserialize)]
+#[serde(try_from = "String", into = "String")]
+pub struct Program {
+    /// Name for people.
+    pub name: String,
+    /// Digest in lower-case hex.
+    pub sha256: String,
+}
+
+/// A text is not written `NAME@SHA256`.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("a program is written NAME@SHA256, not \"{0}\"")]
+pub struct ProgramError(pub String);
+
+impl Program {
+    /// Parses `NAME@SHA256`.
+    ///
+    /// # Errors
+    ///
+    /// If the text is written otherwise.
+    pub fn parse(text: &str) -> Result<Program, ProgramError> {
+        match text.rsplit_once('@') {
+            Some((name, sha256)) if !name.is_empty() && is_sha256(sha256) => Ok(Program {
+                name: name.into(),
+                sha256: sha256.into(),
+            }),
+            _ => Err(ProgramError(text.into())),
+        }
+    }
+}
+
+fn is_sha256(text: &str) -> bool {
+    let is_hex = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
+    text.len() == SHA256_HEX_LENGTH && text.bytes().all(is_hex)
+}
+
+impl PartialEq for Program {
+    fn eq(&self, other: &Program) -> bool {
+        self.sha256 == other.sha256
+    }
+}
+
+impl fmt::Display for Program {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(f, "{}@{}", self.name, self.sha256)
+    }
+}
+
+impl FromStr for Program {
+    type Err = ProgramError;
+
+    fn from_str(text: &str) -> Result<Program, ProgramError> {
+        Program::parse(text)
+    }
+}
+
+impl TryFrom<String> for Program {
+    type Error = ProgramError;
+
+    fn try_from(text: String) -> Result<Program, ProgramError> {
+        Program::parse(&text)
+    }
+}
+
+impl From<Program> for String {
+    fn from(program: Program) -> String {
+        program.to_string()
+    }
+}
--- a/crates/ctl/src/rollout/programs.rs
+++ b/crates/ctl/src/rollout/programs.rs
@@ -49,14 +49,18 @@
             );
             continue;
         };
-        let (old, new) = (Program::parse(old)?, Program::parse(new)?);
+        let (old, new) = (
+            Program::parse(old).map_err(|e| e.to_string())?,
+            Program::parse(new).map_err(|e| e.to_string())?,
+        );
         let report = check_compatibility(&said(&old, &files)?, &said(&new, &files)?);
         if !report.incompatible.is_empty() {
+            let reasons: Vec<String> = report.incompatible.iter().map(|i| i.to_string()).collect();
             return Err(format!(
                 "from {} to {}: {}",
                 old.name,
                 new.name,
-                report.incompatible.join("; ")
+                reasons.join("; ")
             ));
         }
         for lost in &report.degraded {
