--- a/crates/ingress/src/control/error.rs
+++ b/crates/ingress/src/control/error.rs
@@ -1,8 +1,10 @@
 //! Errors of the control port.
 
 use crate::config::ConfigError;
-use crate::error::BoxError;
 use std::io;
+use wrenfork_control_plane::durable_state::DurableStateError;
+use wrenfork_control_plane::socket::SocketError;
+use wrenfork_control_plane::StartError;
 
 /// Why the control port can't be opened, or can't serve a command.
 #[derive(Debug, thiserror::Error)]
@@ -15,13 +17,13 @@
     Thread(#[source] io::Error),
     /// The state folder can't be opened or written.
     #[error("state: {0}")]
-    State(#[source] BoxError),
+    State(#[from] DurableStateError),
     /// The control socket can't be bound.
     #[error("control: {0}")]
-    Socket(#[source] BoxError),
+    Socket(#[from] SocketError),
     /// The control threads can't be started.
-    #[error("{0}")]
-    Server(#[source] BoxError),
+    #[error(transparent)]
+    Server(#[from] StartError),
     /// The configuration enforced last is refused by this program.
     #[error("state: generation {generation}, which was enforced last, can't be: {source}")]
     LastGeneration {
--- a/crates/ingress/src/control/restored_state.rs
+++ b/crates/ingress/src/control/restored_state.rs
@@ -70,7 +70,7 @@
     folder: Option<&Path>,
     first: impl FnOnce() -> ParticipantState,
 ) -> Result<DurableState, ControlError> {
-    DurableState::open(folder, first).map_err(|e| ControlError::State(e.into()))
+    DurableState::open(folder, first).map_err(ControlError::State)
 }
 
 /// Replaces what the files say by what was enforced last.
@@ -188,8 +188,7 @@
         let Some(path) = &self.control.socket else {
             return Ok(None);
         };
-        let socket =
-            socket::listen(path, SOCKET_MODE).map_err(|e| ControlError::Socket(e.into()))?;
+        let socket = socket::listen(path, SOCKET_MODE).map_err(ControlError::Socket)?;
         let (sender, commands) = channel();
         let handle = EventLoopHandle {
             fixed: self.fixed,
@@ -206,7 +205,7 @@
             max_message_bytes: self.max_message,
             group: self.control.membership,
         })
-        .map_err(|e| ControlError::Server(e.into()))?;
+        .map_err(ControlError::Server)?;
         tracing::info!(path = %path.display(), "control: listening");
         Ok(Some(ControlPort { commands, server }))
     }
--- a/crates/ingress/src/error.rs
+++ b/crates/ingress/src/error.rs
@@ -4,8 +4,9 @@
 use crate::control::ControlError;
 use std::io;
 use std::net::SocketAddr;
+use wrenfork_control_plane::socket::SocketError;
 
-/// An error of another package, whatever its type there.
+/// An error of `wrenfork-config`, whose errors have no type of their own yet.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Why the ingress can't start, or can't run on.
@@ -36,7 +37,7 @@
     },
     /// The Unix socket for clients can't be bound.
     #[error("listen: {0}")]
-    ListenUnix(#[source] BoxError),
+    ListenUnix(#[source] SocketError),
     /// The Unix socket for clients can't be made non-blocking.
     #[error("listen: cannot be polled: {0}")]
     ListenNonblocking(#[source] io::Error),
--- a/crates/ingress/src/ingress/listener.rs
+++ b/crates/ingress/src/ingress/listener.rs
@@ -48,7 +48,7 @@
 }
 
 fn bind_unix(path: &Path, mode: u32, users: &[u32]) -> Result<BoundListener, IngressError> {
-    let bound = socket::listen(path, mode).map_err(|e| IngressError::ListenUnix(e.into()))?;
+    let bound = socket::listen(path, mode).map_err(IngressError::ListenUnix)?;
     bound
         .listener
         .set_nonblocking(true)
--- a/crates/ingress/src/takeover/error.rs
+++ b/crates/ingress/src/takeover/error.rs
@@ -1,8 +1,8 @@
 //! Errors of a handover.
 
 use crate::config::ConfigError;
-use crate::error::BoxError;
 use std::io;
+use wrenfork_control_plane::socket::SocketError;
 
 /// Why a state's extension can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -34,8 +34,8 @@
     #[error("what it enforces can't be: {0}")]
     Config(#[source] ConfigError),
     /// The successor's socket can't be bound.
-    #[error("{0}")]
-    Bind(#[source] BoxError),
+    #[error(transparent)]
+    Bind(#[from] SocketError),
     /// The successor's socket can't be polled.
     #[error("{path}: {source}")]
     Poll {
--- a/crates/ingress/src/takeover/listener.rs
+++ b/crates/ingress/src/takeover/listener.rs
@@ -31,7 +31,7 @@
             path: path.display().to_string(),
             source,
         };
-        let bound = socket::listen(path, SOCKET_MODE).map_err(|e| HandoverError::Bind(e.into()))?;
+        let bound = socket::listen(path, SOCKET_MODE)?;
         bound.listener.set_nonblocking(true).map_err(unusable)?;
         let mut listener = UnixListener::from_std(bound.listener);
         registry
