--- a/crates/decision/tests/hostile.rs
+++ b/crates/decision/tests/hostile.rs
@@ -1,8 +1,5 @@
 //! Properties over arbitrary legal and hostile sequences of events, with a fixed seed.
 
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::too_many_lines)]
-
 use proptest::prelude::{any, prop, prop_assert_eq, prop_oneof, Just, Strategy};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
@@ -194,45 +191,57 @@
     }
 }
 
-fn play(steps: &[Step]) -> Vec<String> {
-    let (mut gateway, mut host, mut now, mut next) =
-        (Gateway::new(settings(), 3, T0), Host::default(), T0, 0);
-    let outcomes = [
-        Outcome::Ok,
-        Outcome::Error,
-        Outcome::Rejected,
-        Outcome::ConnectFailed,
-        Outcome::Reset,
-        Outcome::TimedOut,
-        Outcome::Cancelled,
+/// A gateway with its host, as steps are played on it.
+struct Player {
+    gateway: Gateway,
+    host: Host,
+    now: Micros,
+    next: u64,
+}
+
+/// A line of the endpoint list; `state` counts from ready.
+fn listed(n: u64, state: u8, started_at: Micros) -> Endpoint {
+    let states = [
+        EndpointState::Ready,
+        EndpointState::Draining,
+        EndpointState::Removed,
     ];
-    let mut feed = |host: &mut Host, now: Micros, event: Event| {
-        let mut actions = Vec::new();
-        gateway.handle(now, event, &mut actions);
-        host.take(now, &actions);
-    };
-    let listed = |n: u64, state: u8, started_at: Micros| Endpoint {
+    Endpoint {
         backend: BackendId(n),
         zone: (n % 2) as u8,
         cell: (n % 2) as u16,
-        state: [
-            EndpointState::Ready,
-            EndpointState::Draining,
-            EndpointState::Removed,
-        ][usize::from(state)],
+        state: states[usize::from(state)],
         weight: 1.0,
         started_at,
         ..Endpoint::default()
-    };
-    feed(
-        &mut host,
-        now,
-        Event::EndpointsChanged(
-            EndpointListKind::Cached,
-            (0..5).map(|n| listed(n, 0, 0)).collect(),
-        ),
-    );
-    for step in steps.iter().cloned() {
+    }
+}
+
+impl Player {
+    fn new() -> Player {
+        let mut player = Player {
+            gateway: Gateway::new(settings(), 3, T0),
+            host: Host::default(),
+            now: T0,
+            next: 0,
+        };
+        let list = (0..5).map(|n| listed(n, 0, 0)).collect();
+        player.feed(Event::EndpointsChanged(EndpointListKind::Cached, list));
+        player
+    }
+
+    fn feed(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.gateway.handle(self.now, event, &mut actions);
+        self.host.take(self.now, &actions);
+    }
+
+    fn pass(&mut self) {
+        self.now += 20_000;
+        self.feed(Event::Timer(0));
+    }
+
+    fn step(&mut self, step: Step) {
         match step {
             Step::Ask {
                 class,
@@ -242,173 +251,171 @@
                 gateway_span,
                 left,
             } => {
-                let id = RequestId(next);
-                next += 1;
-                let deadline = now + left;
-                host.deadlines.insert(id, deadline);
-                host.classes.insert(id, if class < 3 { class } else { 0 });
-                host.customers.insert(id, (plan, customer, units));
-                let customer = CustomerId(customer);
-                let req = Request {
-                    id,
+                let request = Request {
+                    id: RequestId(self.next),
                     class,
                     plan,
-                    customer,
-                    deadline,
+                    customer: CustomerId(customer),
+                    deadline: self.now + left,
                     units,
                     gateway_span,
                     ..Request::default()
                 };
-                feed(&mut host, now, Event::Request(req));
+                self.ask(request);
             }
             Step::Settle {
                 pick,
                 outcome,
                 unknown,
-            } => {
-                let outcome = outcomes[outcome];
-                let at = if host.out.is_empty() {
-                    None
-                } else {
-                    Some(pick % host.out.len())
-                };
-                let (id, attempt, backend) = match at.filter(|_| !unknown) {
-                    Some(at) => host.out.swap_remove(at),
-                    None => (RequestId(1 << 40), 7, BackendId(77)),
-                };
-                if outcome.never_ran() {
-                    host.unproved.entry(id).and_modify(|n| *n -= 1);
-                }
-                let complete = outcome == Outcome::Ok || host.ended.contains(&id);
-                if outcome == Outcome::Ok {
-                    host.ended.insert(id);
-                }
-                feed(
-                    &mut host,
-                    now,
-                    Event::AttemptCompleted {
-                        id,
-                        attempt,
-                        backend,
-                        outcome,
-                        complete,
-                        elapsed: 50_000,
-                        metered_usage: None,
-                        charged_units: None,
-                        report: None,
-                    },
-                );
-            }
+            } => self.settle(pick, outcome, unknown),
             Step::Withdraw(pick) => {
                 let id = RequestId(pick as u64);
-                if id.0 < next {
-                    host.ended.insert(id);
+                if id.0 < self.next {
+                    self.host.ended.insert(id);
                 }
-                feed(&mut host, now, Event::ClientDisconnected(id));
+                self.feed(Event::ClientDisconnected(id));
             }
-            Step::Peer { from, bytes } => feed(
-                &mut host,
-                now,
-                Event::PeerMessage {
-                    from: GatewayId(from),
-                    bytes,
-                },
-            ),
-            Step::Roster { kind, states, cold } => {
-                let kind = [
-                    EndpointListKind::Delta,
-                    EndpointListKind::Full,
-                    EndpointListKind::Cached,
-                    EndpointListKind::Failed,
-                ][usize::from(kind)];
-                let list: Vec<_> = (0..)
-                    .zip(&states)
-                    .map(|(n, s)| listed(n, *s, if cold { now } else { 0 }))
-                    .collect();
-                if kind == EndpointListKind::Full || kind == EndpointListKind::Cached {
-                    host.shut = (0..6).map(BackendId).collect();
-                }
-                if kind != EndpointListKind::Failed {
-                    for l in &list {
-                        host.shut.remove(&l.backend);
-                        if l.state != EndpointState::Ready {
-                            host.shut.insert(l.backend);
-                        }
-                    }
-                }
-                feed(&mut host, now, Event::EndpointsChanged(kind, list));
+            Step::Peer { from, bytes } => {
+                let from = GatewayId(from);
+                self.feed(Event::PeerMessage { from, bytes });
             }
-            Step::Pass(ticks) => {
-                for _ in 0..ticks {
-                    now += 20_000;
-                    feed(&mut host, now, Event::Timer(0));
+            Step::Roster { kind, states, cold } => self.change_list(kind, &states, cold),
+            Step::Pass(ticks) => (0..ticks).for_each(|_| self.pass()),
+            Step::Stray(n) => self.stray(n),
+        }
+    }
+
+    fn ask(&mut self, request: Request) {
+        self.next += 1;
+        let id = request.id;
+        let class = if request.class < 3 { request.class } else { 0 };
+        let customer = (request.plan, request.customer.0, request.units);
+        self.host.deadlines.insert(id, request.deadline);
+        self.host.classes.insert(id, class);
+        self.host.customers.insert(id, customer);
+        self.feed(Event::Request(request));
+    }
+
+    fn settle(&mut self, pick: usize, outcome: usize, unknown: bool) {
+        let outcomes = [
+            Outcome::Ok,
+            Outcome::Error,
+            Outcome::Rejected,
+            Outcome::ConnectFailed,
+            Outcome::Reset,
+            Outcome::TimedOut,
+            Outcome::Cancelled,
+        ];
+        let outcome = outcomes[outcome];
+        let out = &mut self.host.out;
+        let (id, attempt, backend) = if out.is_empty() || unknown {
+            (RequestId(1 << 40), 7, BackendId(77))
+        } else {
+            out.swap_remove(pick % out.len())
+        };
+        if outcome.never_ran() {
+            self.host.unproved.entry(id).and_modify(|n| *n -= 1);
+        }
+        let complete = outcome == Outcome::Ok || self.host.ended.contains(&id);
+        if outcome == Outcome::Ok {
+            self.host.ended.insert(id);
+        }
+        self.end(id, attempt, backend, outcome, complete, 50_000);
+    }
+
+    fn end(
+        &mut self,
+        id: RequestId,
+        attempt: u16,
+        backend: BackendId,
+        outcome: Outcome,
+        complete: bool,
+        elapsed: Micros,
+    ) {
+        self.feed(Event::AttemptCompleted {
+            id,
+            attempt,
+            backend,
+            outcome,
+            complete,
+            elapsed,
+            metered_usage: None,
+            charged_units: None,
+            report: None,
+        });
+    }
+
+    fn change_list(&mut self, kind: u8, states: &[u8], cold: bool) {
+        let kinds = [
+            EndpointListKind::Delta,
+            EndpointListKind::Full,
+            EndpointListKind::Cached,
+            EndpointListKind::Failed,
+        ];
+        let kind = kinds[usize::from(kind)];
+        let started_at = if cold { self.now } else { 0 };
+        let list: Vec<Endpoint> = (0..)
+            .zip(states)
+            .map(|(n, state)| listed(n, *state, started_at))
+            .collect();
+        if kind == EndpointListKind::Full || kind == EndpointListKind::Cached {
+            self.host.shut = (0..6).map(BackendId).collect();
+        }
+        if kind != EndpointListKind::Failed {
+            for line in &list {
+                self.host.shut.remove(&line.backend);
+                if line.state != EndpointState::Ready {
+                    self.host.shut.insert(line.backend);
                 }
             }
-            Step::Stray(n) => {
-                feed(&mut host, now, Event::Timer(n as u32));
-                feed(
-                    &mut host,
-                    now,
-                    Event::FirstByte {
-                        id: RequestId(n),
-                        attempt: n as u16,
-                    },
-                );
-                let report = Some(LoadReport {
-                    queue: Some(f64::NAN),
-                    ..LoadReport::default()
-                });
-                let (backend, outcome) = (BackendId(n), Outcome::Ok);
-                feed(
-                    &mut host,
-                    now,
-                    Event::HealthChecked {
-                        backend,
-                        outcome,
-                        elapsed: n,
-                        report,
-                    },
-                );
-                feed(
-                    &mut host,
-                    now,
-                    Event::CounterUpdated {
-                        counter: n,
-                        outcome,
-                        total: f64::NAN,
-                    },
-                );
-            }
         }
+        self.feed(Event::EndpointsChanged(kind, list));
     }
-    // At the end all that is out times out at the deadlines, and every request has its answer.
-    for _ in 0..150 {
-        now += 20_000;
-        feed(&mut host, now, Event::Timer(0));
-        for (id, attempt, backend) in std::mem::take(&mut host.out) {
-            let complete = host.ended.contains(&id);
-            let outcome = Outcome::TimedOut;
-            feed(
-                &mut host,
-                now,
-                Event::AttemptCompleted {
-                    id,
-                    attempt,
-                    backend,
-                    outcome,
-                    complete,
-                    elapsed: 1,
-                    metered_usage: None,
-                    charged_units: None,
-                    report: None,
-                },
-            );
-        }
+
+    /// Events that no action has asked for.
+    fn stray(&mut self, n: u64) {
+        self.feed(Event::Timer(n as u32));
+        self.feed(Event::FirstByte {
+            id: RequestId(n),
+            attempt: n as u16,
+        });
+        let report = Some(LoadReport {
+            queue: Some(f64::NAN),
+            ..LoadReport::default()
+        });
+        self.feed(Event::HealthChecked {
+            backend: BackendId(n),
+            outcome: Outcome::Ok,
+            elapsed: n,
+            report,
+        });
+        self.feed(Event::CounterUpdated {
+            counter: n,
+            outcome: Outcome::Ok,
+            total: f64::NAN,
+        });
     }
-    for id in host.deadlines.keys() {
-        assert!(host.ended.contains(id), "{id:?} got no answer");
+
+    /// All that is out times out at the deadlines, and every request has its answer.
+    fn finish(mut self) -> Vec<String> {
+        for _ in 0..150 {
+            self.pass();
+            for (id, attempt, backend) in std::mem::take(&mut self.host.out) {
+                let complete = self.host.ended.contains(&id);
+                self.end(id, attempt, backend, Outcome::TimedOut, complete, 1);
+            }
+        }
+        for id in self.host.deadlines.keys() {
+            assert!(self.host.ended.contains(id), "{id:?} got no answer");
+        }
+        self.host.log
     }
-    host.log
+}
+
+fn play(steps: &[Step]) -> Vec<String> {
+    let mut player = Player::new();
+    steps.iter().cloned().for_each(|step| player.step(step));
+    player.finish()
 }
 
 #[test]
--- a/crates/decision/tests/rig/mod.rs
+++ b/crates/decision/tests/rig/mod.rs
@@ -228,3 +228,20 @@
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(_)))
 }
+
+/// Settles an attempt after a time of its own.
+pub fn answer(rig: &mut Rig, id: RequestId, backend: BackendId, elapsed: Micros) -> Vec<Action> {
+    let (attempt, outcome, complete) = (0, Outcome::Ok, true);
+    let (metered, charged, report) = (None, None, None);
+    rig.feed(Event::AttemptCompleted {
+        id,
+        attempt,
+        backend,
+        outcome,
+        complete,
+        elapsed,
+        metered_usage: metered,
+        charged_units: charged,
+        report,
+    })
+}
