--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -15,10 +15,12 @@
 use wrenfork_consensus::group_state::{GroupState, Policy};
 use wrenfork_consensus::membership::{Member, MemberRole, Membership};
 use wrenfork_consensus::protocol::{
-    Ballot, GroupRequest, GroupResponse, GroupStatus, RenewalVerdict, ReplicaVersion,
+    AcceptedState, Ballot, EnforcedState, GroupRequest, GroupResponse, GroupStatus, RenewalRequest,
+    RenewalResponse, RenewalVerdict, ReplicaVersion,
+};
+use wrenfork_rollout::{
+    difference, LatencyBucket, MemberMetrics, RequestCounts, Rollout, RolloutPhase, RolloutPolicy,
 };
-use wrenfork_rollout::record::{self, Phase, Record, Terms};
-use wrenfork_rollout::tally::{self, Tally};
 
 const BALLOT: Ballot = Ballot {
     round: 3,
@@ -83,18 +85,18 @@
     )
 }
 
-fn rollout(phase: Phase) -> Record {
-    let change = |old: &Arc<State>, new: &Arc<State>| record::change(old, new);
-    Record {
+fn rollout(phase: RolloutPhase) -> Rollout {
+    let change = |old: &Arc<State>, new: &Arc<State>| difference(old, new);
+    Rollout {
         id: Digest::of(b"plan"),
         author: "bob".into(),
-        terms: Terms {
-            watch_ms: 1_000,
-            patience_ms: 2_000,
-            pause_ms: 3,
-            away: 4,
-            worse_ppm: 5_000,
-            error_ppm: 6_000,
+        policy: RolloutPolicy {
+            min_watch_ms: 1_000,
+            timeout_ms: 2_000,
+            rollback_interval_ms: 3,
+            max_unavailable: 4,
+            regression_ppm: 5_000,
+            false_alarm_ppm: 6_000,
         },
         stages: vec![vec!["a".into()], vec![ODD.into(), "z".into()]],
         changes: vec![
@@ -104,19 +106,19 @@
             ),
             change(&state(&[("gone", ODD)]), &state(&[])),
         ],
-        of: [("a".to_string(), 0), (ODD.to_string(), 1)].into(),
+        change_of: [("a".to_string(), 0), (ODD.to_string(), 1)].into(),
         phase,
-        why: "it is \"held\"".into(),
+        reason: "it is \"held\"".into(),
     }
 }
 
-fn phases() -> [Phase; 5] {
+fn phases() -> [RolloutPhase; 5] {
     [
-        Phase::On { stage: 0 },
-        Phase::Held { stage: 1 },
-        Phase::Back { left: 1 },
-        Phase::Stopped,
-        Phase::Done,
+        RolloutPhase::Active { stage: 0 },
+        RolloutPhase::Paused { stage: 1 },
+        RolloutPhase::RollingBack { remaining: 1 },
+        RolloutPhase::RolledBack,
+        RolloutPhase::Completed,
     ]
 }
 
@@ -151,7 +153,7 @@
 fn group_state() -> Arc<GroupState> {
     Arc::new(
         base()
-            .with_rollout("bob", rollout(Phase::On { stage: 0 }))
+            .with_rollout("bob", rollout(RolloutPhase::Active { stage: 0 }))
             .unwrap(),
     )
 }
@@ -163,13 +165,22 @@
     }
 }
 
+fn accepted() -> AcceptedState {
+    AcceptedState {
+        ballot: BALLOT,
+        state: group_state(),
+    }
+}
+
 fn requests() -> Vec<GroupRequest> {
-    let renew = |number, ready| GroupRequest::Renew {
-        from: ODD.into(),
-        replica: 3,
-        replica_version: replica_version(),
-        version: number,
-        accepted: ready,
+    let renew = |version, accepted| {
+        GroupRequest::Renew(RenewalRequest {
+            from: ODD.into(),
+            replica: 3,
+            replica_version: replica_version(),
+            version,
+            accepted,
+        })
     };
     let digest = Digest::of(b"decree");
     vec![
@@ -214,30 +225,34 @@
     ]
 }
 
-fn tally() -> Tally {
-    Tally {
-        life: 1,
-        age_ms: 2,
-        number: 3,
-        began: 4,
+fn tally() -> MemberMetrics {
+    MemberMetrics {
+        incarnation: 1,
+        uptime_ms: 2,
+        group_version: 3,
+        version_at_start: 4,
         program: "p".into(),
-        changed: true,
-        turn: true,
-        unfit: "why".into(),
-        hall: "h".into(),
+        is_replacement: true,
+        has_turn: true,
+        unfit_reason: "why".into(),
+        zone_group: "h".into(),
         cpu_us: 5,
         memory_kb: 6,
-        kinds: [(
+        requests: [(
             "chat/starter".to_string(),
-            tally::Kind {
-                worth: 1_000,
-                asked: 7,
-                refused: 2,
+            RequestCounts {
+                weight: 1_000,
+                total: 7,
+                rejected: 2,
                 failed: 1,
             },
         )]
         .into(),
-        times: [("chat".to_string(), vec![(100, 3), (200, 1)])].into(),
+        latencies: [(
+            "chat".to_string(),
+            [(100, 3), (200, 1)].map(LatencyBucket::from).into(),
+        )]
+        .into(),
     }
 }
 
@@ -253,7 +268,7 @@
         membership: membership(),
         promised: BALLOT,
         pending: Some(Digest::of(b"next")),
-        rollout: Some(Phase::Held { stage: 1 }),
+        rollout: Some(RolloutPhase::Paused { stage: 1 }),
         lease_ms: Some(700),
         vote_withheld: Some("too few".into()),
         running_program: Some("r-1".into()),
@@ -262,7 +277,7 @@
     }
 }
 
-fn responses() -> Vec<GroupResponse> {
+fn renewal_responses() -> Vec<GroupResponse> {
     let verdicts = [
         RenewalVerdict::Granted,
         RenewalVerdict::Pending,
@@ -272,22 +287,28 @@
         RenewalVerdict::NoGroup,
         RenewalVerdict::DuplicateMember,
     ];
-    let mut says: Vec<GroupResponse> = verdicts
+    verdicts
         .into_iter()
         .enumerate()
-        .map(|(n, verdict)| GroupResponse::Renewed {
-            replica: 2,
-            version: 4,
-            last_seen: (n > 0).then(replica_version),
-            verdict,
+        .map(|(n, verdict)| {
+            GroupResponse::Renewed(RenewalResponse {
+                replica: 2,
+                version: 4,
+                last_seen: (n > 0).then(replica_version),
+                verdict,
+            })
         })
-        .collect();
+        .collect()
+}
+
+fn responses() -> Vec<GroupResponse> {
+    let mut responses = renewal_responses();
     let decided = |from| GroupResponse::Decided {
         replica: 2,
         version: 5,
         accepted_in: from,
     };
-    says.extend([
+    responses.extend([
         GroupResponse::Promised {
             replica: 2,
             accepted: None,
@@ -295,8 +316,11 @@
         },
         GroupResponse::Promised {
             replica: 2,
-            accepted: Some((BALLOT, group_state())),
-            enforced: Some((4, state(&[("k", ODD)]))),
+            accepted: Some(accepted()),
+            enforced: Some(EnforcedState {
+                generation: 4,
+                state: state(&[("k", ODD)]),
+            }),
         },
         GroupResponse::Accepted { replica: 2 },
         GroupResponse::HigherBallot { ballot: BALLOT },
@@ -321,7 +345,7 @@
             reason: "the disk is full".into(),
         },
     ]);
-    says
+    responses
 }
 
 fn persistent_states() -> Vec<PersistentState> {
@@ -335,7 +359,7 @@
             round: 4,
             proposer: 1,
         },
-        accepted: Some((BALLOT, group_state())),
+        accepted: Some(accepted()),
     };
     vec![
         PersistentState::new("a", 1),
--- a/crates/control-plane/src/consensus_requests.rs
+++ b/crates/control-plane/src/consensus_requests.rs
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use wrenfork_commit::participant::ParticipantState;
 use wrenfork_commit::protocol::AuditRecord;
+use wrenfork_commit::reason::NotEnforceable;
 use wrenfork_consensus::acceptor::{PersistentState, Step};
 use wrenfork_consensus::group_state::GroupState;
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse, GroupStatus};
-use wrenfork_rollout::record::same_program;
-use wrenfork_rollout::tally::Tally;
+use wrenfork_rollout::{is_same_program, MemberMetrics};
 
 /// The most characters of a reason that is kept and passed on.
 const MAX_REASON_CHARS: usize = 300;
@@ -84,19 +84,19 @@
             return no_group();
         };
         let version = member.version();
-        GroupResponse::Tallied(Box::new(Tally {
-            number: version,
-            began: member.version_at_start,
-            turn: member.turn_version == version,
-            unfit: self.unfit_reason().unwrap_or_default().to_string(),
-            ..self.data_plane.tally()
+        GroupResponse::Tallied(Box::new(MemberMetrics {
+            group_version: version,
+            version_at_start: member.version_at_start,
+            has_turn: member.turn_version == version,
+            unfit_reason: self.unfit_reason().unwrap_or_default().to_string(),
+            ..self.data_plane.member_metrics()
         }))
     }
 
     /// A supervisor says that a program does not come into service here.
     fn note_unfit_program(&mut self, program: String, reason: &str) -> GroupResponse {
         let known = self.unfit_program.as_ref();
-        if known.is_some_and(|unfit| same_program(&unfit.program, &program)) {
+        if known.is_some_and(|unfit| is_same_program(&unfit.program, &program)) {
             // The first reason stands: it is said again until it has been heard.
             return GroupResponse::Acknowledged;
         }
@@ -119,7 +119,10 @@
         let proposed = update_lease_before(member, &request);
         let may_vote = member.lease.manager().check_vote_eligibility();
         let data_plane = &self.data_plane;
-        let check = |state: &_| data_plane.check(state).map_err(|error| error.to_string());
+        let check = |state: &_| {
+            let result = data_plane.check(state);
+            result.map_err(|error| NotEnforceable::new(error.to_string()))
+        };
         match member.acceptor.handle(request, may_vote, check) {
             Step::Respond(response) => self.complete_group(response),
             Step::Persist {
@@ -278,7 +281,7 @@
             accepted_by,
         } => {
             let accepted = member.acceptor.state().accepted.as_ref();
-            if accepted.is_some_and(|(of, _)| of == ballot) {
+            if accepted.is_some_and(|accepted| accepted.ballot == *ballot) {
                 manager.proposer_alive(*ballot, accepted_by, now);
             }
             None
--- a/crates/decision/tests/rig/mod.rs
+++ b/crates/decision/tests/rig/mod.rs
@@ -36,7 +36,8 @@
     }
 }
 
-/// Three gateways; classes: safe, keyed by cell for 2 s, once; plans: large, small, ceiling, capped.
+/// Three gateways; classes: safe, keyed by cell for 2 s, once; plans: large, small, ceiling,
+/// capped.
 pub fn settings() -> Settings {
     let keyed = Idempotency::WithKey {
         scope: KeyScope::Cell,
@@ -177,7 +178,8 @@
         (id, self.feed(Event::Request(req)))
     }
 
-    /// Whether a request is still known: told once more under the same id, one that is gone is refused as too late.
+    /// Whether a request is still known: told once more under the same id, one that is gone is
+    /// refused as too late.
     pub fn gateway_owes(&mut self, id: RequestId) -> bool {
         let req = Request {
             id,
@@ -226,3 +228,20 @@
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(_)))
 }
+
+/// Settles an attempt after a time of its own.
+pub fn answer(rig: &mut Rig, id: RequestId, backend: BackendId, elapsed: Micros) -> Vec<Action> {
+    let (attempt, outcome, complete) = (0, Outcome::Ok, true);
+    let (metered, charged, report) = (None, None, None);
+    rig.feed(Event::AttemptCompleted {
+        id,
+        attempt,
+        backend,
+        outcome,
+        complete,
+        elapsed,
+        metered_usage: metered,
+        charged_units: charged,
+        report,
+    })
+}
--- a/crates/ingress/tests/upgrade.rs
+++ b/crates/ingress/tests/handover/main.rs
@@ -1,202 +1,20 @@
 //! A new version under load: processes of one ingress after each other on one listening socket that the test holds, as a
 //! platform would. A connection that a client keeps must never end, and each request has one answer and one effect.
 
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::too_many_lines)]
+mod support;
 
-use std::collections::{HashMap, HashSet};
+use std::collections::HashSet;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
-use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
-use std::sync::atomic::{AtomicBool, AtomicU32, AtomicUsize, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
+use support::{attempts_by_id, half_way_until, long_value, longest_pause, Load, Platform, Sampler};
 use wrenfork_testbed::small::{
     call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Jammed,
-    Setup, LONG,
 };
 
-/// The platform: the clients' socket, the folder that all processes share, and the configuration.
-struct Platform {
-    listener: TcpListener,
-    at: SocketAddr,
-    folder: tempfile::TempDir,
-    setup: Setup,
-}
-
-/// A process of the ingress.
-struct Process {
-    child: Child,
-    management: SocketAddr,
-}
-
-impl Platform {
-    fn new(backends: &[&Backend]) -> Platform {
-        let listener = TcpListener::bind((place().ip(), 0)).unwrap();
-        let at = listener.local_addr().unwrap();
-        let setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends);
-        Platform {
-            listener,
-            at,
-            folder: tempfile::tempdir().unwrap(),
-            setup,
-        }
-    }
-
-    fn channel(&self) -> PathBuf {
-        self.folder
-            .path()
-            .join(format!("wrenfork-{}.next", self.at))
-    }
-
-    /// Starts `run` once more; the descriptor is passed as 3 unless another redirection is wanted.
-    fn run(&self, redirect: &str) -> Process {
-        let (file, management) = (self.folder.path().join("config.json"), place());
-        std::fs::write(&file, self.setup.config(self.at)).unwrap();
-        let mut command = Command::new("/bin/sh");
-        command.args([
-            "-c",
-            &format!("exec {redirect} </dev/null; exec '{}'", self.setup.program),
-        ]);
-        command
-            .env("LB_CONFIG", &file)
-            .env("LB_MANAGEMENT", management.to_string());
-        command
-            .env("LB_PASSED_SOCKET", "3")
-            .env("TMPDIR", self.folder.path());
-        command.env_remove("LB_LISTEN").env_remove("LB_DISCOVERY");
-        command.stdin(Stdio::from(OwnedFd::from(
-            self.listener.try_clone().unwrap(),
-        )));
-        Process {
-            child: command.stderr(Stdio::piped()).spawn().unwrap(),
-            management,
-        }
-    }
-
-    /// Starts a process and waits until it says yes.
-    fn start(&self) -> Process {
-        let process = self.run("3<&0");
-        until("it says yes", || process.ask("readyz").starts_with("+OK"));
-        process
-    }
-}
-
-impl Process {
-    fn ask(&self, call: &str) -> String {
-        let mut text = String::new();
-        if let Ok(mut stream) = TcpStream::connect(self.management) {
-            stream.set_read_timeout(Some(LONG)).unwrap();
-            let _ = stream.write_all(format!("{call}\n").as_bytes());
-            let _ = stream.read_to_string(&mut text);
-        }
-        text
-    }
-
-    fn figure(&self, name: &str) -> u64 {
-        let text = self.ask("telemetry");
-        let line = text
-            .lines()
-            .find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
-        line.unwrap_or_else(|| panic!("no {name} in {text}"))
-            .parse()
-            .unwrap()
-    }
-
-    fn signal(&self, name: &str) {
-        let line = format!("kill -{name} {}", self.child.id());
-        assert!(Command::new("/bin/sh")
-            .args(["-c", &line])
-            .status()
-            .unwrap()
-            .success());
-    }
-
-    /// Waits for its end, which must be a good one; its log.
-    fn ended(&mut self) -> String {
-        let mut status = None;
-        until("the process ends", || {
-            status = self.child.try_wait().unwrap();
-            status.is_some()
-        });
-        assert_eq!(status.unwrap().code(), Some(0));
-        let mut text = String::new();
-        self.child
-            .stderr
-            .take()
-            .unwrap()
-            .read_to_string(&mut text)
-            .unwrap();
-        text
-    }
-}
-
-/// Looks at two processes together, for the most that they hold at one moment.
-struct Sampler {
-    second: Arc<AtomicU32>,
-    stop: Arc<AtomicBool>,
-    looking: thread::JoinHandle<(usize, usize)>,
-}
-
-impl Sampler {
-    fn start(first: u32) -> Sampler {
-        let (second, stop) = (
-            Arc::new(AtomicU32::new(0)),
-            Arc::new(AtomicBool::new(false)),
-        );
-        let (other, end) = (second.clone(), stop.clone());
-        let looking = thread::spawn(move || {
-            let mut most = (0, 0);
-            while !end.load(Ordering::SeqCst) {
-                let now = [first, other.load(Ordering::SeqCst)].map(|id| {
-                    let status =
-                        std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
-                    let line = status
-                        .lines()
-                        .find_map(|l| l.strip_prefix("VmRSS:"))
-                        .unwrap_or("0 kB");
-                    let held =
-                        std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
-                    (
-                        line.trim()
-                            .trim_end_matches(" kB")
-                            .parse::<usize>()
-                            .unwrap(),
-                        held,
-                    )
-                });
-                most = (
-                    most.0.max(now[0].0 + now[1].0),
-                    most.1.max(now[0].1 + now[1].1),
-                );
-            }
-            most
-        });
-        Sampler {
-            second,
-            stop,
-            looking,
-        }
-    }
-
-    /// The most KiB resident, and the most descriptors.
-    fn stop(self) -> (usize, usize) {
-        self.stop.store(true, Ordering::SeqCst);
-        self.looking.join().unwrap()
-    }
-}
-
-impl Drop for Process {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
 /// Guards against connections that are closed or left unread, answers that go missing and effects that come twice, over two
 /// upgrades on end under load, with the limits half of them would break.
 #[test]
@@ -211,36 +29,18 @@
     );
     let served_ids = Arc::new(Mutex::new(HashSet::new()));
     let answered_at: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let clients: Vec<_> = (0..12)
-        .map(|c| {
-            let (stop, asked, served_ids, at) =
-                (stop.clone(), asked.clone(), served_ids.clone(), platform.at);
-            let answered_at = answered_at.clone();
-            thread::spawn(move || {
-                let mut client = Client::connect(at);
-                for n in 0.. {
-                    if stop.load(Ordering::SeqCst) {
-                        return;
-                    }
-                    if c % 4 == 3 {
-                        client = Client::connect(at); // and new ones come all the time
-                    }
-                    let ids = [0, 1].map(|i| format!("c{c}-{n}-{i}"));
-                    client.send(&ids.clone().map(|id| call("refer", &id, 2500)).concat());
-                    for id in ids {
-                        let answer = client.answer();
-                        asked.fetch_add(1, Ordering::SeqCst);
-                        answered_at.lock().unwrap().push(Instant::now());
-                        if answer == format!("value of {id}") {
-                            served_ids.lock().unwrap().insert(id);
-                        } else {
-                            assert!(answer.starts_with("-BUSY"), "{id}: {answer:?}");
-                        }
-                    }
-                }
-            })
-        })
-        .collect();
+    let load = Load {
+        at: platform.at,
+        stop: stop.clone(),
+        asked: asked.clone(),
+        served_ids: served_ids.clone(),
+        answered_at: answered_at.clone(),
+    };
+    let client = |number| {
+        let load = load.clone();
+        thread::spawn(move || load.run(number))
+    };
+    let clients: Vec<_> = (0..12).map(client).collect();
     until("there is load", || asked.load(Ordering::SeqCst) > 200);
     let seen = Sampler::start(first.child.id());
     let mut second = platform.run("3<&0");
@@ -261,27 +61,13 @@
     stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
     // For the page of measurements (--nocapture); whoever counts on a time fails on a busy machine.
-    let at = answered_at.lock().unwrap();
-    let pause = at
-        .windows(2)
-        .map(|w| w[1].saturating_duration_since(w[0]))
-        .max()
-        .unwrap();
+    let pause = longest_pause(&answered_at.lock().unwrap());
     println!(
         "both processes: {memory} KiB resident, {descriptors} descriptors; longest pause {pause:?}"
     );
     assert!(descriptors < 1024 && memory < 192 * 1024);
     // What backends have had: each unsafe request once, and each that was served.
-    let mut had: HashMap<String, usize> = HashMap::new();
-    for backend in &backends {
-        backend
-            .seen
-            .commands
-            .lock()
-            .unwrap()
-            .iter()
-            .for_each(|c| *had.entry(c[2].clone()).or_default() += 1);
-    }
+    let had = attempts_by_id(&backends);
     assert!(had.values().all(|n| *n == 1), "an effect came twice");
     let served_ids = served_ids.lock().unwrap();
     assert!(served_ids.iter().all(|id| had.contains_key(id)) && served_ids.len() > 300);
@@ -290,7 +76,7 @@
 
 /// Guards against what was under way at the moment of the change: requests out, halves of commands, answers unread, quotas.
 #[test]
-fn what_is_under_way_goes_on_where_it_was() {
+fn requests_in_flight_continue_in_the_next_process() {
     let held = Arc::new(AtomicUsize::new(0));
     let holding = held.clone();
     let backend = Backend::start(move |args| match &args[2][..1] {
@@ -350,7 +136,7 @@
 /// Guards against a key's window that ends with the process that knew it: a repeat whose connection is still coming up passes on,
 /// and is not written by the next process a second later, when its key is forgotten. What may begin anew is begun anew.
 #[test]
-fn what_is_not_written_at_a_handover_begins_anew_or_not_at_all() {
+fn requests_unsent_at_a_handover_begin_anew_or_not_at_all() {
     for (class, answer) in [("save", "-ERR failed"), ("refer", "value of u1")] {
         let (hang, jammed) = (Arc::new(AtomicBool::new(false)), Jammed::start());
         let told = hang.clone();
@@ -393,20 +179,9 @@
 
 /// Guards against a long answer that ends with the process that had begun to pass it on.
 #[test]
-fn a_long_answer_goes_on_in_the_next_process() {
-    let value = |id: &str| -> String { id.bytes().cycle().take(3 << 20).map(char::from).collect() };
+fn a_streamed_answer_continues_in_the_next_process() {
     let go = Arc::new(AtomicBool::new(false));
-    let told = go.clone();
-    let act = move |args: &[String]| {
-        let text = value(&args[2]);
-        let bytes = format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes();
-        Act::Until(bytes.len() / 2, told.clone(), bytes)
-    };
-    let act = Arc::new(act);
-    let backends = [(); 4].map(|()| {
-        let act = act.clone();
-        Backend::start(move |args| act(args))
-    });
+    let backends = [(); 4].map(|()| half_way_until(go.clone()));
     let platform = Platform::new(&backends.each_ref());
     let count = || backends.iter().map(Backend::count).sum::<usize>();
     let mut first = platform.start();
@@ -421,12 +196,8 @@
     };
     for (n, client) in clients.iter_mut().enumerate() {
         let before = count();
-        client.send(
-            &ids(n)
-                .iter()
-                .flat_map(|id| call("refer", id, 8000))
-                .collect::<Vec<u8>>(),
-        );
+        let calls = ids(n).into_iter().flat_map(|id| call("refer", &id, 8000));
+        client.send(&calls.collect::<Vec<u8>>());
         until("all of them are with a backend", || {
             count() == before + ids(n).len()
         });
@@ -443,7 +214,7 @@
     first.ended();
     go.store(true, Ordering::SeqCst);
     sender.send(&asked[600_000..]);
-    assert!(sender.answer() == value("n0"));
+    assert!(sender.answer() == long_value("n0"));
     let whole = |b: &Backend| {
         b.seen
             .commands
@@ -456,7 +227,7 @@
     for (n, client) in clients.iter_mut().enumerate() {
         for id in ids(n) {
             assert!(
-                client.answer() == value(&id),
+                client.answer() == long_value(&id),
                 "{id} is not what its backend gave"
             );
         }
@@ -471,7 +242,7 @@
 
 /// Guards against a drain that was told to the old process and not to the new, whose configuration holds an older list.
 #[test]
-fn what_drains_stays_drained_and_what_was_retuned_stays_so() {
+fn drains_and_changed_settings_survive_a_handover() {
     let (one, two, discovery) = (
         Backend::start(serve),
         Backend::start(serve),
@@ -520,7 +291,7 @@
 
 /// Guards against whoever asks and does not go on: the old process must serve as if nothing had been.
 #[test]
-fn a_next_process_that_fails_changes_nothing() {
+fn a_successor_that_fails_changes_nothing() {
     let backend = Backend::start(serve);
     let platform = Platform::new(&[&backend]);
     let mut process = platform.start();
@@ -575,7 +346,7 @@
 
 /// Guards against a start that waits for an old process that is frozen or dead; the one after it finds the way again.
 #[test]
-fn beside_a_frozen_or_dead_process_the_next_one_begins_anew() {
+fn beside_a_frozen_or_dead_process_the_successor_begins_anew() {
     let backend = Backend::start(serve);
     let platform = Platform::new(&[&backend]);
     let mut frozen = platform.start();
@@ -608,7 +379,7 @@
 
 /// Guards against signals in the midst: told to stop, a process is no way for the next one, which begins anew.
 #[test]
-fn a_process_that_was_told_to_stop_hands_nothing_over_and_answers_all() {
+fn a_process_that_shuts_down_hands_nothing_over_and_answers_all() {
     let backend = Backend::start(|args| Act::Later(Duration::from_millis(300), served(args)));
     let platform = Platform::new(&[&backend]);
     let mut first = platform.start();
@@ -632,7 +403,7 @@
 
 /// Guards against a descriptor that is taken for what it is not.
 #[test]
-fn a_bad_descriptor_is_told_and_the_address_bound() {
+fn an_invalid_descriptor_is_logged_and_the_address_bound() {
     let backend = Backend::start(serve);
     for (redirect, why) in [
         ("3</dev/null", "descriptor 3"),
