--- a/crates/ctl/tests/group/mixed_builds.rs
+++ b/crates/ctl/tests/group/mixed_builds.rs
@@ -5,7 +5,7 @@
 use crate::programs::{alone, kept};
 use crate::says;
 use crate::site::{Got, Group, BEFORE};
-use wrenfork_rollout::record::Phase;
+use wrenfork_rollout::RolloutPhase;
 
 /// This build, by its word among the odd versions.
 const THIS: &str = "equal";
@@ -21,7 +21,7 @@
         group.running(version) < group.at.len(),
         "both builds serve side by side"
     );
-    group.until("the end", |phase| *phase == Phase::Done);
+    group.until("the end", |phase| *phase == RolloutPhase::Completed);
     group.all_run(version);
 }
 
