--- a/crates/ingress/src/control/event_loop_handle.rs
+++ b/crates/ingress/src/control/event_loop_handle.rs
@@ -1,7 +1,7 @@
 //! The event loop as the control threads see it: a channel for commands, a waker, and the answers.
 
+use super::command::{ControlCommand, NewConfig};
 use super::error::ControlError;
-use super::port::{ControlCommand, NewConfig};
 use crate::config::{compile, FixedPairs};
 use mio::Waker;
 use std::sync::mpsc::{sync_channel, Sender, SyncSender};
--- a/crates/ingress/src/control/pending_server.rs
+++ b/crates/ingress/src/control/pending_server.rs
@@ -1,8 +1,9 @@
 //! The control port of a process that took over from another one: a thread waits until that one has let go of the state folder
 //! and of the socket.
 
+use super::command::NewConfig;
 use super::error::ControlError;
-use super::port::{ControlPort, NewConfig};
+use super::port::ControlPort;
 use super::restored_state::{max_message, RestoredState};
 use crate::config::{Config, ControlConfig, FixedPairs};
 use mio::{Registry, Token, Waker};
--- a/crates/ingress/src/control/port.rs
+++ b/crates/ingress/src/control/port.rs
@@ -1,33 +1,11 @@
 //! The event loop's end of the control port: commands that the control threads send, taken between two turns.
 
+use super::command::ControlCommand;
 use super::event_loop_handle::EventLoopHandle;
 use crate::admission::AdmissionGuard;
-use crate::config::ActiveConfig;
-use std::sync::mpsc::{Receiver, SyncSender};
-use wrenfork_commit::metrics::IngressMetrics;
-use wrenfork_commit::state::State;
+use std::sync::mpsc::Receiver;
 use wrenfork_control_plane::group::InheritedLease;
 use wrenfork_control_plane::{ControlServer, HandoverError};
-use wrenfork_rollout::MemberMetrics;
-use wrenfork_wire::call::Vocabulary;
-
-/// A configuration that is to be enforced: as text pairs, and compiled for this ingress.
-pub struct NewConfig {
-    /// The pairs, which pass to the next process.
-    pub state: Box<State>,
-    /// The same, compiled.
-    pub compiled: Box<ActiveConfig>,
-}
-
-/// A command of a control thread to the event loop, with the channel for its answer.
-pub enum ControlCommand {
-    /// Enforce a configuration from now on. The vocabulary that it replaces comes back.
-    Apply(NewConfig, SyncSender<Vocabulary>),
-    /// LoadReport the usage figures that a planned change is judged by.
-    ReportFigures(SyncSender<IngressMetrics>),
-    /// LoadReport the counts that a staged rollout compares.
-    ReportCohortMetrics(SyncSender<MemberMetrics>),
-}
 
 /// The event loop's end of the control port.
 pub struct ControlPort {
--- a/crates/ingress/src/control/restored_state.rs
+++ b/crates/ingress/src/control/restored_state.rs
@@ -1,8 +1,9 @@
 //! The durable state at a start: what was enforced last stands, whatever the files say, and the control socket serves it.
 
+use super::command::NewConfig;
 use super::error::ControlError;
 use super::event_loop_handle::EventLoopHandle;
-use super::port::{ControlPort, NewConfig};
+use super::port::ControlPort;
 use crate::config::{compile, Config, ControlConfig, FixedPairs};
 use mio::{Registry, Token, Waker};
 use std::hash::{BuildHasher, RandomState};
--- a/crates/rollout/src/error.rs
+++ b/crates/rollout/src/error.rs
@@ -1,7 +1,7 @@
 //! Why a rollout, a part of one, or a step of one is not accepted. The messages are for people.
 
+use crate::limits::MAX_STAGES;
 use crate::phase::RolloutPhase;
-use crate::stages::MAX_STAGES;
 
 /// What is wrong with a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -11,6 +11,7 @@
 mod change;
 pub mod comparison;
 mod error;
+mod limits;
 mod metrics;
 mod monitor;
 mod phase;
@@ -27,6 +28,7 @@
     InvalidPolicy, InvalidRollout, InvalidScope, StageAssignmentError, TransitionError,
     UnexpectedValue,
 };
+pub use limits::MAX_STAGES;
 pub use metrics::{LatencyBucket, MemberMetrics, RequestCounts, WEIGHT_SCALE};
 pub use monitor::{MeasureReport, Observations, StageMonitor, StageReport};
 pub use phase::RolloutPhase;
@@ -35,5 +37,5 @@
 pub use request_counter::{RequestCounter, RequestOutcome, MAX_KINDS};
 pub use rollout::{Rollback, Rollout, Version};
 pub use sequential_test::{SequentialTest, BETS};
-pub use stages::{assign_stages, StageScope, MAX_STAGES};
+pub use stages::{assign_stages, StageScope};
 pub use transition::check_transition;
--- /dev/null
+++ b/crates/rollout/src/limits.rs
@@ -0,0 +1,4 @@
+//! Bounds of a rollout.
+
+/// The most stages of a rollout.
+pub const MAX_STAGES: usize = 32;
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -4,10 +4,10 @@
 
 use crate::change::Change;
 use crate::error::{InvalidRollout, UnexpectedValue};
+use crate::limits::MAX_STAGES;
 use crate::phase::RolloutPhase;
 use crate::policy::RolloutPolicy;
 use crate::program::{is_same_program, PROGRAM_KEY};
-use crate::stages::MAX_STAGES;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -1,13 +1,11 @@
 //! Which member belongs to which stage.
 
 use crate::error::{InvalidScope, StageAssignmentError};
+use crate::limits::MAX_STAGES;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 use wrenfork_commit::state::Digest;
 
-/// The most stages of a rollout.
-pub const MAX_STAGES: usize = 32;
-
 /// Up to where a stage goes, with all stages before it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StageScope {
