--- a/crates/decision/tests/pools.rs
+++ b/crates/decision/tests/pools.rs
@@ -1,8 +1,5 @@
 //! Pools and falling back, by events and actions.
 
-// Not done yet, see docs/ROADMAP.md.
-#![allow(clippy::too_many_lines)]
-
 mod rig;
 
 use proptest::prelude::{prop, prop_assert, proptest};
@@ -397,11 +394,18 @@
     );
 }
 
-/// With one pool that all backends are of, a module with pools does what one without them does, to
-/// the last action.
-#[test]
-fn one_pool_of_all_is_no_pool() {
-    let run = |pools: u8, route: [u8; MAX_ROUTE_POOLS]| {
+/// A gateway that is fed a fixed stream of requests and ends, and all that it did.
+struct Replay {
+    rig: Rig,
+    route: [u8; MAX_ROUTE_POOLS],
+    /// Attempts that have not ended, and how many each request has had.
+    out: Vec<(RequestId, u16, BackendId)>,
+    counts: BTreeMap<RequestId, u16>,
+    log: Vec<Vec<Action>>,
+}
+
+impl Replay {
+    fn new(pools: u8, route: [u8; MAX_ROUTE_POOLS]) -> Replay {
         let mut rig = Rig {
             gateway: Gateway::new(with_pools(pools), 7, T0),
             now: T0,
@@ -410,69 +414,82 @@
         let list = (0..6)
             .map(|n| if pools > 0 { of(n, &[1]) } else { listed(n) })
             .collect();
-        let mut log = vec![rig.feed(Event::EndpointsChanged(EndpointListKind::Cached, list))];
-        let (mut out, mut counts) = (Vec::new(), BTreeMap::<RequestId, u16>::new());
-        for n in 0..3_000u64 {
-            let id = RequestId(n);
-            let deadline = rig.now + 4 * S;
-            let (class, customer) = ((n % 3) as u8, CustomerId(n * 7 % 40));
-            let req = Request {
-                id,
-                class,
-                customer,
-                deadline,
-                units: 1.0,
-                gateway_span: 1.0,
-                route,
-                own_pools: 1,
-                ..Request::default()
-            };
-            let mut actions = rig.feed(Event::Request(req));
-            if n % 2 == 0 {
-                actions.extend(rig.pass(20_000));
-            }
-            for a in &actions {
-                if let Action::Send { id, backend, .. } = a {
-                    let count = counts.entry(*id).or_default();
-                    out.push((*id, *count, *backend));
-                    *count += 1;
-                }
-            }
-            log.push(actions);
-            while out.len() > 20 + (n % 9) as usize {
-                let (id, attempt, backend) = out.remove((n * 31 % out.len() as u64) as usize);
-                let outcome = if n % 11 == 0 {
-                    Outcome::Reset
-                } else {
-                    Outcome::Ok
-                };
-                let actions = rig.settle(id, attempt, backend, outcome);
-                for a in &actions {
-                    if let Action::Send { id, backend, .. } = a {
-                        let count = counts.entry(*id).or_default();
-                        out.push((*id, *count, *backend));
-                        *count += 1;
-                    }
-                }
-                log.push(actions);
+        let first = rig.feed(Event::EndpointsChanged(EndpointListKind::Cached, list));
+        Replay {
+            rig,
+            route,
+            out: Vec::new(),
+            counts: BTreeMap::new(),
+            log: vec![first],
+        }
+    }
+
+    fn note(&mut self, actions: Vec<Action>) {
+        for a in &actions {
+            if let Action::Send { id, backend, .. } = a {
+                let count = self.counts.entry(*id).or_default();
+                self.out.push((*id, *count, *backend));
+                *count += 1;
             }
         }
-        let log: Vec<Vec<Action>> = log
-            .into_iter()
-            .map(|l| {
-                l.into_iter()
-                    .filter(|a| !matches!(a, Action::Log(_)))
-                    .collect()
-            })
-            .collect();
-        log
-    };
-    let (without, with) = (run(0, [0; MAX_ROUTE_POOLS]), run(1, [1, 0, 0, 0]));
+        self.log.push(actions);
+    }
+
+    fn request(&mut self, n: u64) {
+        let request = Request {
+            id: RequestId(n),
+            class: (n % 3) as u8,
+            customer: CustomerId(n * 7 % 40),
+            deadline: self.rig.now + 4 * S,
+            units: 1.0,
+            gateway_span: 1.0,
+            route: self.route,
+            own_pools: 1,
+            ..Request::default()
+        };
+        let mut actions = self.rig.feed(Event::Request(request));
+        if n.is_multiple_of(2) {
+            actions.extend(self.rig.pass(20_000));
+        }
+        self.note(actions);
+    }
+
+    fn settle_some(&mut self, n: u64) {
+        while self.out.len() > 20 + (n % 9) as usize {
+            let pick = (n * 31 % self.out.len() as u64) as usize;
+            let (id, attempt, backend) = self.out.remove(pick);
+            let outcome = if n.is_multiple_of(11) {
+                Outcome::Reset
+            } else {
+                Outcome::Ok
+            };
+            let actions = self.rig.settle(id, attempt, backend, outcome);
+            self.note(actions);
+        }
+    }
+
+    /// All actions but the lines for the log, which name pools.
+    fn run(mut self) -> Vec<Vec<Action>> {
+        for n in 0..3_000 {
+            self.request(n);
+            self.settle_some(n);
+        }
+        for actions in &mut self.log {
+            actions.retain(|a| !matches!(a, Action::Log(_)));
+        }
+        self.log
+    }
+}
+
+/// With one pool that all backends are of, a module with pools does what one without them does, to
+/// the last action.
+#[test]
+fn one_pool_of_all_is_no_pool() {
+    let without = Replay::new(0, [0; MAX_ROUTE_POOLS]).run();
+    let with = Replay::new(1, [1, 0, 0, 0]).run();
     let sends = |log: &[Vec<Action>]| {
-        log.iter()
-            .flatten()
-            .filter(|a| matches!(a, Action::Send { .. }))
-            .count()
+        let all = log.iter().flatten();
+        all.filter(|a| matches!(a, Action::Send { .. })).count()
     };
     assert!(sends(&without) > 2_000);
     assert_eq!(without, with);
--- a/crates/decision/tests/rig/mod.rs
+++ b/crates/decision/tests/rig/mod.rs
@@ -7,9 +7,11 @@
     RequestId, Settings,
 };
 
+/// The time at which a rig starts; `S` is a second.
 pub const T0: Micros = 1_000_000_000;
 pub const S: Micros = 1_000_000;
 
+/// A class with a latency objective of 1 s and a deadline of 4 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: S,
@@ -22,6 +24,7 @@
     }
 }
 
+/// A plan with a quota on the rate alone, in units a second and units.
 pub fn plan(rate: f64, burst: f64) -> Plan {
     Plan {
         rate,
@@ -92,6 +95,7 @@
     }
 }
 
+/// A ready endpoint, alternating between two zones and two cells.
 pub fn listed(n: u64) -> Endpoint {
     Endpoint {
         backend: BackendId(n),
@@ -105,6 +109,7 @@
     }
 }
 
+/// One gateway, its clock, and the number of its next request.
 pub struct Rig {
     pub gateway: Gateway,
     pub now: Micros,
@@ -112,6 +117,7 @@
 }
 
 impl Rig {
+    /// A rig that has been told of so many backends.
     pub fn with(settings: Settings, backends: u64) -> Rig {
         let mut rig = Rig {
             gateway: Gateway::new(settings, 7, T0),
@@ -125,6 +131,7 @@
         rig
     }
 
+    /// Feeds an event now; what the gateway wants done.
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
@@ -141,6 +148,7 @@
         actions
     }
 
+    /// Sends a request of a customer that comes through three gateways; its id, and what came of it.
     pub fn ask(
         &mut self,
         class: u8,
@@ -151,6 +159,7 @@
         self.ask_of(class, plan, customer, units, 3.0)
     }
 
+    /// The same with the number of gateways that the customer comes through.
     pub fn ask_of(
         &mut self,
         class: u8,
@@ -189,6 +198,7 @@
         !refused(&self.feed(Event::Request(req)))
     }
 
+    /// Ends an attempt after 100 ms; what came of it.
     pub fn settle(
         &mut self,
         id: RequestId,
@@ -210,6 +220,7 @@
     }
 }
 
+/// The backends that attempts go to.
 pub fn sends(actions: &[Action]) -> Vec<BackendId> {
     let to = |a: &Action| {
         if let Action::Send { backend, .. } = a {
@@ -221,10 +232,12 @@
     actions.iter().filter_map(to).collect()
 }
 
+/// Whether a request is rejected.
 pub fn refused(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
+/// Whether a request fails.
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(_)))
 }
--- a/crates/decision/tests/world/mod.rs
+++ b/crates/decision/tests/world/mod.rs
@@ -9,6 +9,7 @@
     Outcome, Request, RequestId, Settings,
 };
 
+/// The time at which a world starts; `S` is a second.
 pub const T0: Micros = 1_000_000_000;
 pub const S: Micros = 1_000_000;
 /// One way between gateways and backends.
@@ -60,6 +61,7 @@
     pub from: BTreeSet<usize>,
 }
 
+/// A deployment as it runs: its gateways, its backends, and what became of its requests.
 pub struct World {
     pub plot: Plot,
     pub now: Micros,
@@ -79,6 +81,7 @@
     pub passed: Vec<Vec<Micros>>,
     whose: BTreeMap<RequestId, usize>,
     arrived: BTreeMap<RequestId, Micros>,
+    /// Requests sent, and how they ended.
     pub asked: u64,
     pub served: u64,
     pub refused: u64,
@@ -90,6 +93,7 @@
 }
 
 impl World {
+    /// A world at its start.
     pub fn new(plot: Plot) -> World {
         let (gateways, customers) = (
             usize::from(plot.settings.gateway_count),
@@ -186,6 +190,7 @@
         }
     }
 
+    /// Runs it for so long.
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(Reverse((at, number))) = self.queue.peek().copied().filter(|e| e.0 .0 <= end)
