--- a/crates/consensus/tests/group_state.rs
+++ b/crates/consensus/tests/group_state.rs
@@ -16,21 +16,21 @@
 }
 
 #[test]
-fn a_new_member_brings_its_own_part_and_changes_nobody_elses() {
+fn a_new_member_brings_its_own_state_and_changes_nobody_elses() {
     let all = |names: &[&str]| -> BTreeMap<String, Arc<State>> {
         names
             .iter()
             .map(|n| (n.to_string(), state(&[("k", "1"), ("at", n)])))
             .collect()
     };
-    let seat = |name: &str| Member {
+    let member = |name: &str| Member {
         name: name.into(),
         replica: 1,
         role: MemberRole::Ingress,
         votes: true,
     };
-    let roster = |names: &[&str]| {
-        Membership::new(1, 1_500, names.iter().map(|n| seat(n)).collect()).unwrap()
+    let membership = |names: &[&str]| {
+        Membership::new(1, 1_500, names.iter().map(|n| member(n)).collect()).unwrap()
     };
     // One member alone has everything in common with itself.
     let one = GroupState::new(
@@ -38,36 +38,36 @@
         4,
         Digest::default(),
         "",
-        roster(&["a"]),
+        membership(&["a"]),
         Policy::from_states(&all(&["a"])),
     );
-    let two = one.with_membership("ann", roster(&["a", "b"]), all(&["b"]));
+    let two = one.with_membership("ann", membership(&["a", "b"]), all(&["b"]));
     assert_eq!((two.version, two.generation, two.check()), (2, 4, Ok(())));
     assert!(two.enforces_same_as(&one) && one.enforces_same_as(&two));
     assert_eq!(
         two.enforced_by("b").unwrap().1,
         *state(&[("k", "1"), ("at", "b")])
     );
-    let without = two.with_membership("ann", roster(&["b"]), BTreeMap::new());
+    let without = two.with_membership("ann", membership(&["b"]), BTreeMap::new());
     assert!(without.enforced_by("a").is_none() && without.enforces_same_as(&two));
     assert!(!GroupState::new(
         3,
         4,
         Digest::default(),
         "",
-        roster(&["b"]),
+        membership(&["b"]),
         Policy::from_states(&all(&["b", "c"]))
     )
     .with_membership(
         "",
-        roster(&["b"]),
+        membership(&["b"]),
         [("b".to_string(), state(&[("k", "2")]))].into()
     )
     .enforces_same_as(&two));
 }
 
 #[test]
-fn each_member_gets_back_what_it_was_to_enforce_and_what_is_common_stands_once() {
+fn each_member_gets_back_its_state_and_shared_keys_are_stored_once() {
     let states: BTreeMap<String, Arc<State>> = [
         ("a".to_string(), state(&[("k", "1"), ("discovery", "x")])),
         (
@@ -90,7 +90,7 @@
         .0
         .insert("discovery".into(), "z".into());
     assert_ne!(policy.digest(), other.digest());
-    let decree = GroupState::new(
+    let group_state = GroupState::new(
         3,
         2,
         Digest::of(b"change"),
@@ -100,10 +100,13 @@
     );
     let altered = GroupState {
         policy: Arc::new(other),
-        ..decree.clone()
+        ..group_state.clone()
     };
     assert!(altered.check().is_err());
-    assert_ne!(decree.digest, decree.unchanged_successor().digest);
-    let text = serde_json::to_string(&decree).unwrap();
-    assert_eq!(serde_json::from_str::<GroupState>(&text).unwrap(), decree);
+    assert_ne!(group_state.digest, group_state.unchanged_successor().digest);
+    let text = serde_json::to_string(&group_state).unwrap();
+    assert_eq!(
+        serde_json::from_str::<GroupState>(&text).unwrap(),
+        group_state
+    );
 }
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -5,48 +5,48 @@
     Member, MemberRole, Membership, MembershipError, ReplicaId, MAX_MEMBERS,
 };
 
-fn seat(name: &str, folder: ReplicaId, votes: bool) -> Member {
+fn member(name: &str, replica: ReplicaId, votes: bool) -> Member {
     Member {
         name: name.into(),
-        replica: folder,
+        replica,
         role: MemberRole::Ingress,
         votes,
     }
 }
 
-fn roster(votes: usize) -> Membership {
-    let seats = (0..votes)
-        .map(|n| seat(&format!("n{n}"), n as u64 + 1, true))
+fn membership(votes: usize) -> Membership {
+    let members = (0..votes)
+        .map(|n| member(&format!("n{n}"), n as u64 + 1, true))
         .collect();
-    Membership::new(1, 1_500, seats).unwrap()
+    Membership::new(1, 1_500, members).unwrap()
 }
 
 #[test]
-fn what_no_group_can_be_is_refused_with_its_reason() {
-    let err = |ms, seats| Membership::new(1, ms, seats).unwrap_err();
+fn an_invalid_membership_is_rejected_with_the_reason() {
+    let err = |ms, members| Membership::new(1, ms, members).unwrap_err();
     assert_eq!(err(1_500, vec![]), MembershipError::NoVoter);
     assert_eq!(
-        err(1_500, vec![seat("a", 1, false)]),
+        err(1_500, vec![member("a", 1, false)]),
         MembershipError::NoVoter
     );
-    let twice = vec![seat("a", 1, true), seat("a", 2, true)];
+    let twice = vec![member("a", 1, true), member("a", 2, true)];
     assert_eq!(err(1_500, twice), MembershipError::Duplicate("a".into()));
     assert_eq!(
-        err(100, vec![seat("a", 1, true)]),
+        err(100, vec![member("a", 1, true)]),
         MembershipError::LeaseOutOfRange(100)
     );
     let witness = Member {
         role: MemberRole::Witness,
-        ..seat("w", 1, true)
+        ..member("w", 1, true)
     };
     assert_eq!(err(1_500, vec![witness]), MembershipError::NoIngress);
     let many = (0..MAX_MEMBERS as u64 + 1)
-        .map(|n| seat(&n.to_string(), n, true))
+        .map(|n| member(&n.to_string(), n, true))
         .collect();
     assert_eq!(err(1_500, many), MembershipError::TooMany(MAX_MEMBERS + 1));
-    let three = roster(3);
+    let three = membership(3);
     assert_eq!(
-        three.with_member(seat("n1", 9, true)),
+        three.with_member(member("n1", 9, true)),
         Err(MembershipError::AlreadyMember("n1".into()))
     );
     assert_eq!(
@@ -63,13 +63,13 @@
 }
 
 proptest! {
-    /// What a change of the roster rests on: one seat at a time keeps old and new majorities overlapping, and a vote
-    /// of a lost folder is nobody's.
+    /// What a change of the membership rests on: one vote at a time keeps old and new majorities overlapping, and a vote
+    /// of a lost replica is nobody's.
     #[test]
-    fn one_seat_at_a_time_keeps_majorities_overlapping(votes in 1usize..12, at in 0usize..12) {
-        let old = roster(votes);
+    fn one_vote_at_a_time_keeps_majorities_overlapping(votes in 1usize..12, at in 0usize..12) {
+        let old = membership(votes);
         let name = format!("n{}", at % votes);
-        prop_assert!(old.majorities_overlap(&old.with_member(seat("new", 99, true)).unwrap()));
+        prop_assert!(old.majorities_overlap(&old.with_member(member("new", 99, true)).unwrap()));
         if votes > 1 {
             prop_assert!(old.majorities_overlap(&old.without_member(&name).unwrap()));
             let without = old.with_vote(&name, None).unwrap();
@@ -82,10 +82,10 @@
 
     /// Whoever holds a lease by the slowest clock that is allowed has let it go when the fastest says so.
     #[test]
-    fn a_lease_is_surely_out_after_the_wait_for_any_allowed_drift(ms in 300u64..60_000, slow in 0u32..=10, fast in 0u32..=10) {
-        let roster = Membership { lease_ms: ms, ..roster(3) };
-        let held = roster.lease().as_secs_f64() / (1.0 - f64::from(slow) / 1_000.0);
-        let waited = roster.lease_expiry_bound().as_secs_f64() / (1.0 + f64::from(fast) / 1_000.0);
+    fn a_lease_has_expired_after_the_bound_for_any_allowed_drift(ms in 300u64..60_000, slow in 0u32..=10, fast in 0u32..=10) {
+        let membership = Membership { lease_ms: ms, ..membership(3) };
+        let held = membership.lease().as_secs_f64() / (1.0 - f64::from(slow) / 1_000.0);
+        let waited = membership.lease_expiry_bound().as_secs_f64() / (1.0 + f64::from(fast) / 1_000.0);
         prop_assert!(waited >= held, "{waited} {held}");
     }
 }
--- a/crates/consensus/tests/proposer.rs
+++ b/crates/consensus/tests/proposer.rs
@@ -14,40 +14,40 @@
 };
 
 /// A proposal of three at the point at which a majority has taken it up, the third is silent and the wait is over.
-fn telling() -> (Proposer, Duration, Digest) {
-    let seat = |n: u64| Member {
+fn notifying() -> (Proposer, Duration, Digest) {
+    let member = |n: u64| Member {
         name: format!("m{n}"),
         replica: n,
         role: MemberRole::Ingress,
         votes: true,
     };
-    let roster = Membership::new(1, 1_500, (1..=3).map(seat).collect()).unwrap();
+    let membership = Membership::new(1, 1_500, (1..=3).map(member).collect()).unwrap();
     let base = Arc::new(GroupState::new(
         1,
         1,
         Digest::default(),
         "",
-        roster,
+        membership,
         Policy::default(),
     ));
     let next = Arc::new(base.unchanged_successor());
     let mut now = Duration::from_secs(9);
     let mut p = Proposer::new(base, ProposalGoal::Change(next.clone()), BALLOT, now);
     for phase in [ProposalPhase::Preparing, ProposalPhase::Accepting] {
-        let asks = p.requests(now);
+        let requests = p.requests(now);
         assert_eq!(p.phase, phase);
-        for (n, ask) in asks {
-            let folder = n as u64 + 1;
-            let say = match (&ask, n) {
+        for (n, request) in requests {
+            let replica = n as u64 + 1;
+            let response = match (&request, n) {
                 (_, 2) => continue,
                 (GroupRequest::Prepare { .. }, _) => GroupResponse::Promised {
-                    replica: folder,
+                    replica,
                     accepted: None,
                     enforced: None,
                 },
-                _ => GroupResponse::Accepted { replica: folder },
+                _ => GroupResponse::Accepted { replica },
             };
-            p.handle_response(n, &ask, Ok(say), now);
+            p.handle_response(n, &request, Ok(response), now);
         }
         now += Duration::from_secs(2);
     }
@@ -56,35 +56,40 @@
     (p, now, next.digest.clone())
 }
 
-fn told(p: &mut Proposer, now: Duration, digest: &Digest, from: [Option<Ballot>; 2]) {
-    for (n, from) in from.into_iter().enumerate() {
-        let ask = GroupRequest::Decided {
+fn report_applied(
+    p: &mut Proposer,
+    now: Duration,
+    digest: &Digest,
+    accepted_in: [Option<Ballot>; 2],
+) {
+    for (n, accepted_in) in accepted_in.into_iter().enumerate() {
+        let request = GroupRequest::Decided {
             version: 2,
             digest: digest.clone(),
             state: None,
         };
-        let say = GroupResponse::Decided {
+        let response = GroupResponse::Decided {
             replica: n as u64 + 1,
             version: 2,
-            accepted_in: from,
+            accepted_in,
         };
-        p.handle_response(n, &ask, Ok(say), now);
+        p.handle_response(n, &request, Ok(response), now);
     }
 }
 
 #[test]
-fn it_is_made_without_a_second_wait_where_a_majority_heeded_this_ballot_alone() {
-    let (mut p, now, digest) = telling();
-    told(&mut p, now, &digest, [Some(BALLOT), Some(BALLOT)]);
+fn it_is_committed_without_a_second_wait_if_a_majority_heeded_this_ballot_alone() {
+    let (mut p, now, digest) = notifying();
+    report_applied(&mut p, now, &digest, [Some(BALLOT), Some(BALLOT)]);
     assert_eq!(p.phase, ProposalPhase::Ended(ProposalOutcome::Committed));
 }
 
 /// Guards against "made" being said while another proposer has let the third go on: found by the rig, with 20 members
 /// and a quarter of their links failing.
 #[test]
-fn where_another_proposer_had_a_word_it_is_made_once_old_leases_are_surely_out() {
-    let (mut p, now, digest) = telling();
-    told(
+fn after_another_ballot_it_is_committed_once_old_leases_have_expired() {
+    let (mut p, now, digest) = notifying();
+    report_applied(
         &mut p,
         now,
         &digest,
