--- a/crates/config/src/callers.rs
+++ b/crates/config/src/callers.rs
@@ -1,8 +1,8 @@
 //! Who may call, as keys and values of what is enforced, and back: a change of keys or tenants is planned and applied like all
 //! else.
 
-use crate::enforced::Pairs;
 use crate::model::Identity;
+use crate::pairs::Pairs;
 use crate::values;
 use wrenfork_identity::rights::{Tenant, Tenants};
 use wrenfork_identity::trust::{public, Issuer, Key, Trust};
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,12 +1,17 @@
 //! What files must not say: alone, beside the site, beside a fleet snapshot, and together.
 
+mod findings;
+mod group;
+
+pub use findings::In;
+use findings::{quoted, twice, unknown};
+
 use crate::codes::Code;
 use crate::diagnostic::{Diagnostic, Place};
 use crate::model::{Application, Effect, Fleet, Ingress, Node, Pool, Route, Site, Status};
-use crate::reader::{nearest, At};
+use crate::reader::At;
 use crate::values::{show_rate, show_time, Listener};
 use std::collections::{BTreeMap, HashMap};
-use std::ops::Range;
 use wrenfork_happy_eyeballs::{Address, MAX_ADDRESSES};
 use wrenfork_identity::trust::Doubt;
 use wrenfork_routes::{NodeLabels, PoolId, Table, TableError, MAX_POOLS, MAX_TIERS};
@@ -19,81 +24,6 @@
 /// Rates are sums of numbers with fractions.
 const ROUNDING: f64 = 1e-9;
 
-/// A file among those that are checked together.
-#[derive(Clone, Copy)]
-pub struct In<'a, T> {
-    /// Its place among the files given.
-    pub file: usize,
-    /// What it says.
-    pub content: &'a T,
-}
-
-impl<T> In<'_, T> {
-    pub(crate) fn at(&self, span: &Range<usize>) -> Place {
-        Place {
-            file: self.file,
-            span: span.clone(),
-        }
-    }
-
-    pub(crate) fn wrong<V>(
-        &self,
-        code: Code,
-        at: &At<V>,
-        message: impl Into<String>,
-    ) -> Diagnostic {
-        Diagnostic::new(code, self.at(&at.span), message)
-    }
-}
-
-/// Names that must differ.
-pub(crate) fn twice<'a, T, V: Ord + 'a>(
-    file: &In<T>,
-    what: &str,
-    names: impl Iterator<Item = (&'a At<V>, String)>,
-    found: &mut Vec<Diagnostic>,
-) {
-    let mut first: BTreeMap<&V, &At<V>> = BTreeMap::new();
-    for (name, shown) in names {
-        match first.get(&name.value) {
-            Some(before) => found.push(
-                file.wrong(
-                    Code::NameTwice,
-                    name,
-                    format!("{what} {shown} is there twice"),
-                )
-                .with(file.at(&before.span), "first here"),
-            ),
-            None => drop(first.insert(&name.value, name)),
-        }
-    }
-}
-
-pub(crate) fn quoted(names: &At<String>) -> (&At<String>, String) {
-    (names, format!("\"{}\"", names.value))
-}
-
-pub(crate) fn unknown<'a, T>(
-    file: &In<T>,
-    code: Code,
-    what: &str,
-    name: &At<String>,
-    known: impl Iterator<Item = &'a str> + Clone,
-) -> Diagnostic {
-    let wrong = file.wrong(code, name, format!("there is no {what} \"{}\"", name.value));
-    match nearest(&name.value, known.clone()) {
-        Some(meant) => wrong.help(format!("was \"{meant}\" meant?")),
-        None => {
-            let list: Vec<&str> = known.take(12).collect();
-            if list.is_empty() {
-                wrong
-            } else {
-                wrong.help(format!("there is {}", list.join(", ")))
-            }
-        }
-    }
-}
-
 /// Halls in order of nearness: each hall that there is, once.
 fn nearness(s: &In<Site>, found: &mut Vec<Diagnostic>) {
     let site = s.content;
@@ -286,7 +216,7 @@
         ));
     }
     sidecars(a, site, found);
-    crate::group::check(a, found);
+    group::check(a, found);
     identity(a, site, true, found);
     accounts(a, s, found);
     if !app.bad_pools {
--- a/crates/config/src/enforced.rs
+++ b/crates/config/src/enforced.rs
@@ -7,6 +7,7 @@
 use crate::callers;
 use crate::locality::ways;
 use crate::model::{self, Application, Fleet, Site};
+pub use crate::pairs::Pairs;
 use crate::render::{contracts, render};
 use crate::settings::Conf;
 use serde::{Deserialize, Serialize};
@@ -15,9 +16,6 @@
 use wrenfork_rollout::PROGRAM_KEY;
 use wrenfork_routes::{Canary, Pool, PoolId, Route, Selector, Table};
 
-/// Keys with their values.
-pub type Pairs = BTreeMap<String, String>;
-
 /// The keys of a class, a plan, the limits and the rules that may change.
 const CLASS: [&str; 10] = [
     "name",
@@ -300,11 +298,6 @@
     }
 }
 
-/// A sidecar's name among all of a site's.
-pub fn called(app: &Application, sidecar: &str) -> String {
-    format!("{}/{sidecar}", app.called())
-}
-
 /// A sidecar's accounts, with the names of their contracts, and the classes that it may send.
 fn identify<'a>(
     state: &mut Pairs,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -20,6 +20,7 @@
 pub mod locality;
 pub mod model;
 pub mod operator;
+pub mod pairs;
 pub mod reach;
 pub mod reader;
 pub mod render;
@@ -27,6 +28,7 @@
 pub mod set;
 pub mod settings;
 pub mod source;
+mod source_file;
 pub mod template;
 pub mod values;
 
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -523,6 +523,11 @@
     pub fn called(&self) -> &str {
         self.name.as_ref().map_or("?", |n| &n.value)
     }
+
+    /// The name of one of its sidecars or witnesses among all of a site's.
+    pub fn member_name(&self, member: &str) -> String {
+        format!("{}/{member}", self.called())
+    }
 }
 
 fn sidecar(f: &Fields) -> Option<Sidecar> {
--- a/crates/ctl/src/change/folder.rs
+++ b/crates/ctl/src/change/folder.rs
@@ -116,7 +116,7 @@
             let (_, told) =
                 enforced::sidecar(app.content, site.content, fleet, name).map_err(super::failed)?;
             found.push(Ingress {
-                name: enforced::called(app.content, name),
+                name: app.content.member_name(name),
                 control: PathBuf::from(&control.value),
                 wanted: shared(&mut all, told.state),
             });
--- a/crates/ingress/src/config/sidecar.rs
+++ b/crates/ingress/src/config/sidecar.rs
@@ -72,7 +72,7 @@
     let own = app.sidecars.iter().find(|s| s.name.value == *name);
     let others = app.sidecars.iter().filter(|s| s.name.value != *name);
     ControlConfig {
-        name: enforced::called(app, name),
+        name: app.member_name(name),
         socket: own.and_then(|s| path(&s.control)),
         state: own.and_then(|s| path(&s.state)),
         others: others.filter_map(|s| path(&s.control)).collect(),
@@ -85,7 +85,7 @@
     let group = group::group(app)?;
     Some(GroupConfig {
         initial_members: group.charter(),
-        control_sockets: group.links(&enforced::called(app, name)),
+        control_sockets: group.links(&app.member_name(name)),
         without_lease: if group.as_known {
             WithoutLease::ServeLastKnown
         } else {
