--- a/crates/config/src/check/group.rs
+++ b/crates/config/src/check/group.rs
@@ -31,20 +31,7 @@
         }
         return;
     };
-    if !app.witnesses.is_empty() {
-        let names = app
-            .sidecars
-            .iter()
-            .map(|s| &s.name)
-            .chain(app.witnesses.iter().map(|w| &w.name));
-        let taken = |w: &&At<String>| app.sidecars.iter().any(|s| s.name.value == w.value);
-        let among = app.witnesses.iter().map(|w| &w.name);
-        // Sidecars among themselves are looked at elsewhere.
-        match among.clone().find(taken) {
-            Some(_) => twice(a, "member", names.map(quoted), found),
-            None => twice(a, "witness", among.map(quoted), found),
-        }
-    }
+    member_names(a, found);
     for sidecar in app
         .sidecars
         .iter()
@@ -125,3 +112,20 @@
     };
     found.push(Diagnostic::new(code, here, message));
 }
+
+/// Members have names of their own.
+fn member_names(a: &In<Application>, found: &mut Vec<Diagnostic>) {
+    let app = a.content;
+    if app.witnesses.is_empty() {
+        return;
+    }
+    let witnesses = app.witnesses.iter().map(|w| &w.name);
+    let is_sidecar = |w: &&At<String>| app.sidecars.iter().any(|s| s.name.value == w.value);
+    // Sidecars among themselves are looked at with the sidecars.
+    if witnesses.clone().any(|w| is_sidecar(&w)) {
+        let members = app.sidecars.iter().map(|s| &s.name).chain(witnesses);
+        twice(a, "member", members.map(quoted), found);
+    } else {
+        twice(a, "witness", witnesses.map(quoted), found);
+    }
+}
--- a/crates/config/src/set.rs
+++ b/crates/config/src/set.rs
@@ -156,29 +156,7 @@
         let mut found = std::mem::take(&mut self.found);
         let (site, fleet, apps) = (self.site(), self.fleet(), self.applications());
         let broken = self.contents.iter().any(|c| matches!(c, Content::Broken));
-        let second = |kind: fn(&Content) -> bool| {
-            let files = self
-                .contents
-                .iter()
-                .enumerate()
-                .filter(move |(_, c)| kind(c))
-                .map(|(n, _)| n);
-            files.skip(1).collect::<Vec<_>>()
-        };
-        let twice = [
-            (second(|c| matches!(c, Content::Site(_))), "site"),
-            (second(|c| matches!(c, Content::Fleet(_))), "fleet snapshot"),
-        ];
-        for (files, what) in twice {
-            for file in files {
-                let place = Place { file, span: 0..0 };
-                found.push(Diagnostic::new(
-                    Code::SiteTwice,
-                    place,
-                    format!("a second {what} is given"),
-                ));
-            }
-        }
+        self.second_files(&mut found);
         if let Some(site) = &site {
             check::site(site, &mut found);
         }
@@ -194,20 +172,7 @@
                     }
                 }
                 None if broken => {} // the site may be what could not be read
-                None => {
-                    let span = app.content.site.as_ref().map_or(0..0, |s| s.span.clone());
-                    let name = app.content.site.as_ref().map_or("?", |s| &s.value);
-                    let message = format!("site \"{name}\" is not among the files given");
-                    let wrong = Diagnostic::new(
-                        Code::NoSite,
-                        Place {
-                            file: app.file,
-                            span,
-                        },
-                        message,
-                    );
-                    found.push(wrong.help("give the site's file as well"));
-                }
+                None => found.push(without_site(app)),
             }
         }
         for ingress in self.ingresses() {
@@ -218,6 +183,23 @@
         self.found = found;
     }
 
+    /// Sites and fleet snapshots beside the first one.
+    fn second_files(&self, found: &mut Vec<Diagnostic>) {
+        let second = |kind: fn(&Content) -> bool| {
+            let files = self.contents.iter().enumerate();
+            let files = files.filter(move |(_, c)| kind(c)).map(|(n, _)| n);
+            files.skip(1)
+        };
+        let sites = second(|c| matches!(c, Content::Site(_))).map(|file| (file, "site"));
+        let fleets =
+            second(|c| matches!(c, Content::Fleet(_))).map(|file| (file, "fleet snapshot"));
+        for (file, what) in sites.chain(fleets) {
+            let place = Place { file, span: 0..0 };
+            let message = format!("a second {what} is given");
+            found.push(Diagnostic::new(Code::SiteTwice, place, message));
+        }
+    }
+
     /// Whether any file is refused.
     pub fn refused(&self) -> bool {
         self.found.iter().any(Diagnostic::refused)
@@ -230,3 +212,15 @@
             .any(|d| d.code.severity() == Severity::Unreadable)
     }
 }
+
+/// An application whose site is not among the files.
+fn without_site(app: &In<Application>) -> Diagnostic {
+    let site = app.content.site.as_ref();
+    let place = Place {
+        file: app.file,
+        span: site.map_or(0..0, |s| s.span.clone()),
+    };
+    let name = site.map_or("?", |s| &s.value);
+    let message = format!("site \"{name}\" is not among the files given");
+    Diagnostic::new(Code::NoSite, place, message).help("give the site's file as well")
+}
