--- a/crates/config/src/codes.rs
+++ b/crates/config/src/codes.rs
@@ -210,17 +210,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::Code;
-
-    #[test]
-    fn numbers_are_given_once_and_in_order() {
-        let ids: Vec<&str> = Code::ALL.iter().map(|c| c.id()).collect();
-        let mut sorted = ids.clone();
-        sorted.sort_unstable();
-        sorted.dedup();
-        assert_eq!(ids, sorted);
-        assert_eq!(Code::by_id("c101"), Some(Code::UnknownKey));
-        assert_eq!(Code::by_id("C999"), None);
-    }
-}
+mod tests;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -259,23 +259,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::Conf;
-
-    fn parse(text: &str) -> Result<(), String> {
-        Conf::from_lines(text)?.settings().map(|_| ())
-    }
-
-    #[test]
-    fn names_what_is_missing_or_bad() {
-        let err = parse("grades.count=1\n").unwrap_err();
-        assert!(err.contains("grades.0.effect"), "{err}");
-        let err = parse("grades.count=0\ngrades.0.worth=1\n").unwrap_err();
-        assert!(err.contains("grades.count"), "{err}");
-        let err = parse("nonsense\n").unwrap_err();
-        assert!(err.contains("line 1"), "{err}");
-        let err =
-            parse("grades.count=0\ncontracts.count=1\ncontracts.0.quota_rate=inf\n").unwrap_err();
-        assert!(err.contains("contracts.0.quota_rate"), "{err}");
-    }
-}
+mod tests;
