--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -121,6 +121,19 @@
     out
 }
 
+/// The nodes of each good fleet snapshot, as files and as discovery's own list.
+fn fleets() -> String {
+    let mut out = String::new();
+    for path in corpus("good") {
+        let set = good_set(&path);
+        let Some(fleet) = set.fleet().filter(|_| set.sources.len() == 1) else {
+            continue;
+        };
+        writeln!(out, "{} {:#?}", file_name(&path), fleet.content).unwrap();
+    }
+    out
+}
+
 fn operators() -> String {
     let path = tests_folder().join("good/ingress.toml");
     let zones = ["hall-a", "hall-b", "hall-c"].map(String::from);
@@ -223,10 +236,11 @@
 }
 
 /// A golden file and what is written for it.
-fn forms() -> [(&'static str, String); 6] {
+fn forms() -> [(&'static str, String); 7] {
     [
         ("schema.json", schemas()),
         ("sidecars.txt", sidecars()),
+        ("fleets.txt", fleets()),
         ("operators.txt", operators()),
         ("formatted.txt", formatted()),
         ("templates.txt", templates()),
