--- a/crates/ingress/tests/addresses.rs
+++ b/crates/ingress/tests/addresses.rs
@@ -15,6 +15,14 @@
 };
 
 const ACCOUNT: &str = "00000000000004d3";
+/// Accounts of which a load-shedding level cuts the same ones for ten seconds, by a hash of account and time: a test whose
+/// requests all come from one would turn on the time of day.
+const ACCOUNTS: u64 = 20;
+
+/// The account with this number, the first of them [`ACCOUNT`].
+fn account(number: u64) -> String {
+    format!("{:016x}", 0x4d3 + number % ACCOUNTS)
+}
 
 /// Copies until either end closes.
 fn copy(mut from: impl Read, mut to: impl Write, end: impl FnOnce()) {
@@ -108,6 +116,13 @@
                 "\"quote\", \"save-scenario\"",
                 "\"quote\", \"save-scenario\", \"lender-referral\"",
             );
+        let more_accounts: String = (1..ACCOUNTS)
+            .map(|number| {
+                let id = account(number);
+                format!("\n[[account]]\nid = \"{id}\"\nplan = \"starter\"\nquota = \"90/s\"\nburst = 600\n")
+            })
+            .collect();
+        let app = app + &more_accounts;
         let write = |name: &str, text: &str| fs::write(folder.path().join(name), text).unwrap();
         let limits = format!("[limits]\nconnect = \"{connect}\"");
         write("site.toml", &good("site.toml").replace("[limits]", &limits));
@@ -150,8 +165,12 @@
 }
 
 fn referral(id: &str, wait_ms: u32) -> Vec<u8> {
+    referral_of(ACCOUNT, id, wait_ms)
+}
+
+fn referral_of(account: &str, id: &str, wait_ms: u32) -> Vec<u8> {
     let options = format!("c=lender-referral,t=starter,d={wait_ms},units=1,spread=1,first=0");
-    command(&["CALL.POST", ACCOUNT, id, &options, "BODY"])
+    command(&["CALL.POST", account, id, &options, "BODY"])
 }
 
 /// How often each request came to a node.
@@ -288,7 +307,8 @@
             let mut client = site.client();
             thread::spawn(move || {
                 for n in 0..50 {
-                    let answer = client.ask(&referral(&format!("d{c}-{n}"), 400));
+                    let request = referral_of(&account(c * 50 + n), &format!("d{c}-{n}"), 400);
+                    let answer = client.ask(&request);
                     assert!(
                         answer.starts_with("value") || answer.starts_with('-'),
                         "{answer}"
