--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -1,4 +1,4 @@
-//! A file's text, and the places in it. How it is read is in [`crate::source_file`].
+//! A file's text, and the places in it. How it is read is in `source_file.rs`.
 
 /// The most bytes of a file.
 pub const MOST_BYTES: usize = 16 << 20;
