--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -1,7 +1,8 @@
-//! The acceptor of a member: the voter's side of single-decree Paxos (Lamport, "Paxos Made Simple", 2001), and the learner of
-//! decided group states.
+//! The acceptor of a member: votes in single-decree Paxos (Lamport, "Paxos Made Simple", 2001), and learns decided
+//! group states.
 //!
-//! All a member must not forget is one [`PersistentState`], which is stored as a whole before any response that rests on it.
+//! Everything that must survive a restart is in one [`PersistentState`]. It is stored as a whole before any response
+//! that depends on it is sent.
 
 use crate::eligibility::VoteWithheld;
 use crate::group_state::{GroupState, GroupStateError};
@@ -16,30 +17,31 @@
 use wrenfork_commit::state::{Digest, State};
 use wrenfork_commit::step;
 
-/// What a member stores.
+/// The durable state of a member's acceptor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PersistentState {
     /// Name of the member.
     pub name: String,
-    /// The replica this is.
+    /// Id of the replica that this state belongs to.
     #[serde(rename = "folder")]
     pub replica: ReplicaId,
-    /// How often it was written.
+    /// Number of times this state was written; voters compare it to detect an outdated copy.
     pub writes: u64,
     /// The group state in force; none before the group is formed.
     #[serde(rename = "decree")]
     pub group_state: Option<Arc<GroupState>>,
-    /// Ballot in which the group state in force had been accepted here before it was decided, if it had.
+    /// Ballot in which this member had accepted the group state in force before learning that it is decided; none if it
+    /// had not.
     #[serde(rename = "from", default)]
     pub accepted_in: Option<Ballot>,
-    /// Highest ballot for the next version that was promised.
+    /// Highest ballot promised for the next version; the default ballot if none was.
     pub promised: Ballot,
-    /// The next version, accepted and not known to be decided.
+    /// The next version, if it was accepted here and is not known to be decided.
     pub accepted: Option<AcceptedState>,
 }
 
 impl PersistentState {
-    /// State of a member that knows nothing yet. The replica must be drawn at random.
+    /// State of a member that has no group state and has made no promise. The replica id must be drawn at random.
     pub fn new(name: &str, replica: ReplicaId) -> PersistentState {
         PersistentState {
             name: name.into(),
@@ -53,7 +55,8 @@
         self.group_state.as_ref().map_or(0, |state| state.version)
     }
 
-    /// The same knowledge under another replica: none of the member's votes counts any more.
+    /// The same group state under another replica id, without the promise and the accepted state: the earlier votes of
+    /// the member no longer count.
     pub fn with_new_replica(&self, replica: ReplicaId) -> PersistentState {
         PersistentState {
             group_state: self.group_state.clone(),
@@ -63,22 +66,22 @@
     }
 }
 
-/// Outcome of a request; one that `applies` puts another group state in force.
+/// Outcome of a request. A step with `applies` set puts another group state in force.
 pub type Step = step::Step<PersistentState, GroupResponse>;
 
 /// Why a member rejects a request.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Rejection {
-    /// The request is not the acceptor's to answer.
-    #[error("this is not asked for here")]
+    /// Another component of the member handles requests of this kind.
+    #[error("the acceptor does not handle this kind of request")]
     NotAnAcceptorRequest,
-    /// The decided state is another one than the request says.
-    #[error("the decree is not the one that it is said to be")]
+    /// The version or digest in the request is not that of the group state it carries.
+    #[error("the group state does not have the version and digest that the request names")]
     StateMismatch,
-    /// The state is invalid, or can't follow the one in force.
+    /// The group state is invalid, or must not follow the one in force.
     #[error(transparent)]
     GroupState(#[from] GroupStateError),
-    /// The member could not enforce the state.
+    /// The member can't enforce its part of the policy.
     #[error(transparent)]
     NotEnforceable(#[from] NotEnforceable),
 }
@@ -87,29 +90,29 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     state: PersistentState,
-    /// What the member enforces while there is no group state; none for a witness.
+    /// What the member enforces before the group is formed; none for a witness.
     enforced: Option<EnforcedState>,
 }
 
 impl Acceptor {
-    /// Creates an acceptor from its stored state.
+    /// Creates an acceptor from its stored state. `enforced` is what the member enforces before the group is formed.
     pub fn new(state: PersistentState, enforced: Option<EnforcedState>) -> Acceptor {
         Acceptor { state, enforced }
     }
 
-    /// What is stored.
+    /// The state that was stored last.
     pub fn state(&self) -> &PersistentState {
         &self.state
     }
 
-    /// Notes that the state of a [`Step::Persist`] has been stored.
+    /// Replaces the state with that of a [`Step::Persist`], to be called once it has been stored.
     pub fn persisted(&mut self, state: PersistentState) {
         self.state = state;
     }
 
-    /// Handles a request other than a renewal, which [`crate::lease::LeaseManager`] handles.
+    /// Handles a request to the acceptor. [`crate::lease::LeaseManager`] handles renewals.
     ///
-    /// `eligibility` says whether the member's vote counts, and `check` whether a state could be enforced here.
+    /// `eligibility` is whether the member's vote counts, and `check` checks whether this member can enforce a state.
     pub fn handle(
         &self,
         request: GroupRequest,
@@ -156,7 +159,8 @@
         })
     }
 
-    /// The response to a proposer that is late: it proposes another version than the next one, or in a lower ballot.
+    /// The response to a proposer whose version is not the next one, or whose ballot is lower than the promised one;
+    /// none if both are current.
     fn outdated(&self, version: u64, ballot: Ballot) -> Option<GroupResponse> {
         let state = &self.state;
         if version != state.version() + 1 {
@@ -171,7 +175,7 @@
         })
     }
 
-    /// Phase 1b: promises to take part in no lower ballot, and reports what was accepted before.
+    /// Phase 1b: promises to take part in no lower ballot, and reports the state accepted in an earlier ballot.
     fn prepare(
         &self,
         version: u64,
@@ -187,7 +191,7 @@
         if let Some(candidate) = candidate {
             self.check_candidate(candidate, check)?;
         }
-        // A member without a vote says that it could enforce the candidate; the response counts for nothing else.
+        // The response of a member whose vote does not count only tells the proposer that it can enforce the candidate.
         if !eligible && state.group_state.is_some() {
             return Ok(Step::Respond(GroupResponse::Promised {
                 replica: 0,
@@ -213,7 +217,7 @@
         Ok(persist(promised, response, false))
     }
 
-    /// Phase 2b: accepts a state, unless a higher ballot has been promised.
+    /// Phase 2b: accepts a state unless a higher ballot has been promised.
     fn accept(
         &self,
         accepted: AcceptedState,
@@ -225,9 +229,9 @@
         if let Some(response) = self.outdated(version, accepted.ballot) {
             return Ok(Step::Respond(response));
         }
-        let counts = eligible || state.group_state.is_none();
+        let vote_counts = eligible || state.group_state.is_none();
         let response = GroupResponse::Accepted {
-            replica: if counts { state.replica } else { 0 },
+            replica: if vote_counts { state.replica } else { 0 },
         };
         if state.accepted.as_ref() == Some(&accepted) {
             return Ok(Step::Respond(response));
@@ -241,7 +245,8 @@
         Ok(persist(accepting, response, false))
     }
 
-    /// Puts a decided state in force.
+    /// Puts a decided group state in force: the accepted one if it is the one that was decided, or else the one that
+    /// was sent.
     fn decided(
         &self,
         version: u64,
@@ -266,7 +271,7 @@
         }
         decided.check()?;
         self.check_enforceable(&decided, check)?;
-        let learnt = PersistentState {
+        let learned = PersistentState {
             writes: state.writes,
             group_state: Some(decided),
             accepted_in,
@@ -277,13 +282,13 @@
             version,
             accepted_in,
         };
-        Ok(persist(learnt, response, true))
+        Ok(persist(learned, response, true))
     }
 
-    /// The response if the version is in force, or older than the one that is.
+    /// The response to [`GroupRequest::Decided`] for the version in force, or for an older one.
     ///
-    /// The member may have learnt it from another one before its proposer says so; that does not change in which ballot it
-    /// had accepted it.
+    /// The member may have learned of the decision from another member before the proposer notifies it. The ballot in
+    /// which it had accepted the group state is reported all the same.
     fn already_decided(&self, digest: &Digest) -> GroupResponse {
         let state = &self.state;
         let in_force = state.group_state.as_ref();
@@ -295,7 +300,7 @@
         }
     }
 
-    /// Whether a state could follow the one in force, and be enforced here.
+    /// Checks that a group state may follow the one in force, and that this member can enforce it.
     fn check_candidate(
         &self,
         candidate: &GroupState,
@@ -319,7 +324,7 @@
         }
     }
 
-    /// Status of the member, as far as its stored state says.
+    /// Status of the member from its stored state; the remaining fields have their defaults.
     pub fn status(&self, vote_withheld: Option<VoteWithheld>) -> GroupStatus {
         let state = &self.state;
         let mut status = GroupStatus {
@@ -344,7 +349,7 @@
     }
 }
 
-/// Stores a state, with one write more, before the response is sent.
+/// The step that stores a state, with its write counter increased, before the response is sent.
 fn persist(state: PersistentState, response: GroupResponse, applies: bool) -> Step {
     let state = Box::new(PersistentState {
         writes: state.writes + 1,
--- a/crates/consensus/src/eligibility.rs
+++ b/crates/consensus/src/eligibility.rs
@@ -1,16 +1,16 @@
-//! Whether a member's vote counts.
+//! Reasons why a member's vote does not count.
 
 use thiserror::Error;
 
-/// Why a member's vote does not count.
+/// Why the vote of a member does not count towards a quorum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum VoteWithheld {
-    /// The membership names another replica.
-    #[error("its folder is not the one that the roster counts")]
+    /// The membership has no vote for this member, or the vote belongs to another replica.
+    #[error("the roster gives this member no vote with its current state folder")]
     OtherReplica,
-    /// Too few voters have confirmed since the start that the replica is no older copy.
+    /// Too few voters have confirmed since the process started that the replica is not an outdated copy.
     #[error(
-        "too few others have answered since it started to know that its folder is no old copy"
+        "too few voters have confirmed since the start that the state folder is not an outdated copy"
     )]
     TooFewConfirmations,
 }
--- a/crates/consensus/src/group_state.rs
+++ b/crates/consensus/src/group_state.rs
@@ -1,7 +1,7 @@
-//! The value a group decides on: its members and what each of them enforces.
+//! The value that a group decides on: its members, and the policy that each of them enforces.
 //!
-//! Versions are decided one after the other, each by single-decree Paxos among the voters of its predecessor. A group state
-//! is complete, so a member that missed any number of versions needs only the latest.
+//! Versions are decided one at a time, each by single-decree Paxos among the voters of the previous version. A group
+//! state is complete, so that a member that has missed any number of versions needs only the latest.
 
 use crate::membership::{Member, MemberRole, Membership, MembershipError};
 use serde::{Deserialize, Serialize};
@@ -12,31 +12,31 @@
 use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_rollout::{check_transition, Rollout, Version};
 
-/// Version of the stored and sent form of a group state. Version 2 has rollouts, which a member that knows only version 1
-/// rejects.
+/// Format version of group states, as stored and sent. Format 2 added rollouts: a member that knows only format 1
+/// rejects a group state with a rollout.
 pub const VERSION: u32 = 2;
 
-/// What each member is to enforce: what all have in common once, and the rest by member.
+/// The state that each member is to enforce. Keys with the same value at every member are stored once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Policy {
-    /// Keys with the same value at every member.
+    /// Keys that have the same value at every member.
     #[serde(rename = "common")]
     pub shared: State,
-    /// The remaining keys, by name of the member.
+    /// The remaining keys of each member, by member name.
     #[serde(rename = "own")]
     pub per_member: BTreeMap<String, State>,
 }
 
 impl Policy {
-    /// Builds a policy from the state of each member.
+    /// Builds a policy from the complete state of each member, by member name.
     pub fn from_states(states: &BTreeMap<String, Arc<State>>) -> Policy {
         let shared = shared_state(states);
         let without_shared = |state: &State| {
-            let rest = state
+            let unshared = state
                 .0
                 .iter()
                 .filter(|(key, _)| !shared.0.contains_key(*key));
-            State(rest.map(|(k, v)| (k.clone(), v.clone())).collect())
+            State(unshared.map(|(k, v)| (k.clone(), v.clone())).collect())
         };
         let per_member = states
             .iter()
@@ -45,7 +45,7 @@
         Policy { shared, per_member }
     }
 
-    /// The whole state a member is to enforce; none if the policy does not name it.
+    /// The complete state that a member is to enforce; none if the policy does not have the member.
     pub fn state_for(&self, name: &str) -> Option<State> {
         let own = self.per_member.get(name)?;
         let mut state = self.shared.clone();
@@ -54,7 +54,7 @@
         Some(state)
     }
 
-    /// Digest of the whole policy.
+    /// Digest of the shared state and of the state of each member.
     pub fn digest(&self) -> Digest {
         let mut text = self.shared.canonical();
         for (name, own) in &self.per_member {
@@ -64,7 +64,7 @@
         Digest::of(text.as_bytes())
     }
 
-    /// The policy without members that have left.
+    /// The policy without the members that are not in `membership`.
     fn restricted_to(&self, membership: &Membership) -> Policy {
         let mut policy = self.clone();
         policy
@@ -74,7 +74,7 @@
     }
 }
 
-/// Keys with the same value in all states.
+/// The keys that have the same value in all states.
 fn shared_state(states: &BTreeMap<String, Arc<State>>) -> State {
     let mut states = states.values();
     let Some(first) = states.next() else {
@@ -89,68 +89,69 @@
     shared
 }
 
-/// Why a group state is invalid, or can't follow the one in force.
+/// Why a group state is invalid, or must not follow the one in force.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum GroupStateError {
-    /// Its membership is invalid.
+    /// The membership is invalid.
     #[error(transparent)]
     Membership(#[from] MembershipError),
-    /// Its content does not have the digest it carries.
-    #[error("decree {version} does not have its own digest")]
+    /// The content does not match the digests that are part of the group state.
+    #[error("the digest of group state {version} does not match its content")]
     DigestMismatch {
-        /// Its version.
+        /// Version of the group state.
         version: u64,
     },
-    /// Its generation is older than the one in force.
-    #[error("generation {0} was enforced already")]
+    /// The generation is older than the one in force.
+    #[error("generation {0} is older than the one in force")]
     GenerationOutdated(u64),
-    /// It has the generation in force, with another policy.
-    #[error("two policies under generation {0}")]
+    /// The generation is the one in force, but the policy differs.
+    #[error("generation {0} is in force already, with another policy")]
     GenerationReused(u64),
-    /// Its membership is more than one vote away from the one in force.
-    #[error("more than one vote would change at once: majorities would not overlap")]
+    /// A majority of the membership need not share a voter with each majority of the one in force.
+    #[error("more than one vote changes at once: majorities of the old and the new roster would not overlap")]
     MajoritiesDisjoint,
-    /// Its leases have another length.
-    #[error("the length of the lease stays as the group was formed with")]
+    /// The length of the leases differs from the one in force.
+    #[error("the length of a lease can't be changed after the group was formed")]
     LeaseChanged,
-    /// Its policy is not the one its rollout step makes.
-    #[error("it is not what its rollout says")]
+    /// The group state differs from the one that its rollout step yields.
+    #[error("the group state differs from what its rollout step yields")]
     RolloutMismatch,
-    /// A member would join during a rollout.
-    #[error("{0} comes in once the rollout that is under way has ended")]
+    /// A member would join the policy during a rollout.
+    #[error("{0} can't join before the rollout in progress has ended")]
     JoinDuringRollout(String),
-    /// The policy would change outside of the rollout in progress.
-    #[error("a rollout is under way: it says what is enforced")]
+    /// The policy or generation would change other than by a step of the rollout in progress.
+    #[error("the policy can't be changed while a rollout is in progress")]
     ChangeDuringRollout,
-    /// Its rollout is invalid, or not a step that may follow.
+    /// The rollout is invalid, or can't follow the rollout in force.
     #[error("{0}")]
     Rollout(String),
 }
 
-/// One version of a group's state. Two are equal if their digests are.
+/// One version of a group's state. Two group states are equal if their digests are.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct GroupState {
-    /// Its version; the first is 1.
+    /// Version of the group state; the first one is 1.
     #[serde(rename = "number")]
     pub version: u64,
-    /// Number of the generation enforced under it.
+    /// Number of the generation that members enforce under this version.
     pub generation: u64,
-    /// The change that made it: the identity of a plan, or empty if the policy did not change.
+    /// Digest that identifies the plan or rollout that this version applies; empty if no plan or rollout made this
+    /// version.
     pub change: Digest,
-    /// Who made it.
+    /// Who made the change; empty if a member made it.
     pub author: String,
     /// The members of the group.
     #[serde(rename = "roster")]
     pub membership: Membership,
-    /// What they enforce.
+    /// What the members enforce.
     pub policy: Arc<Policy>,
-    /// Digest of the policy.
+    /// Digest of `policy`, which goes into `digest` in place of the policy itself.
     #[serde(rename = "enforced")]
     pub policy_digest: Digest,
-    /// The rollout it is a step of, or else the last one.
+    /// The rollout in progress, or the last one that has ended; none if there has been none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rollout: Option<Arc<Rollout>>,
-    /// Digest of all fields before.
+    /// Digest of the fields above.
     pub digest: Digest,
 }
 
@@ -192,14 +193,14 @@
         state.with_digests()
     }
 
-    /// Computes the digests anew.
+    /// Recomputes both digests.
     fn with_digests(mut self) -> GroupState {
         self.policy_digest = self.policy.digest();
-        self.digest = self.own_digest();
+        self.digest = self.compute_digest();
         self
     }
 
-    fn own_digest(&self) -> Digest {
+    fn compute_digest(&self) -> Digest {
         let GroupState {
             version,
             generation,
@@ -214,14 +215,15 @@
         let membership = membership_digest_text(membership);
         let mut text =
             format!("{version} {generation} {change:?} {author:?} {membership} {policy_digest:?}");
-        // A member of a version without rollouts computes another digest and rejects the state.
+        // A program without support for rollouts computes another digest, and so rejects the group state.
         if let Some(rollout) = rollout {
             text.push_str(&format!(" {rollout:?}"));
         }
         Digest::of(text.as_bytes())
     }
 
-    /// The next version, which changes nothing: it resolves a version that was left undecided.
+    /// The next version with the same content. Recovery proposes it for an undecided version that no member has
+    /// accepted.
     pub fn unchanged_successor(&self) -> GroupState {
         let next = GroupState {
             version: self.version + 1,
@@ -232,7 +234,8 @@
         next.with_digests()
     }
 
-    /// The next version, with another membership and the states of new members. The other members keep theirs.
+    /// The next version, with another membership. `joining` has the state of each new member, by name; the other
+    /// members keep theirs.
     pub fn with_membership(
         &self,
         author: &str,
@@ -240,7 +243,7 @@
         joining: BTreeMap<String, Arc<State>>,
     ) -> GroupState {
         let policy = if joining.is_empty() {
-            // What is shared stays the same, so the policy need not be built anew.
+            // Without new members, the shared keys stay the same.
             self.policy.restricted_to(&membership)
         } else {
             Policy::from_states(&self.states_with(&membership, joining))
@@ -256,7 +259,7 @@
         next.with_digests()
     }
 
-    /// The states of the members that stay, and of those that join.
+    /// The states of the members that stay and of those that join, by name.
     fn states_with(
         &self,
         membership: &Membership,
@@ -274,11 +277,12 @@
         states
     }
 
-    /// The next version, which begins a rollout or takes its next step: each member enforces what its stage does.
+    /// The next version, which starts a rollout or takes its next step. Each member enforces its new state if its stage
+    /// has been updated, and the old state otherwise.
     ///
     /// # Errors
     ///
-    /// If a member enforces neither the old nor the new state of the rollout.
+    /// If the current state of a member is neither the old nor the new one of the rollout.
     pub fn with_rollout(
         &self,
         author: &str,
@@ -298,31 +302,31 @@
         Ok(next.with_digests())
     }
 
-    /// The state of each member under a rollout step.
+    /// The state of each member after a rollout step, by name.
     fn states_under(
         &self,
         rollout: &Rollout,
     ) -> Result<BTreeMap<String, Arc<State>>, GroupStateError> {
-        let with_new: BTreeSet<&str> = rollout.updated_members();
-        // Most members enforce the same before and after: each such state is built once.
+        let updated_members: BTreeSet<&str> = rollout.updated_members();
+        // Many members have equal states before and after the step: each distinct state is built once.
         let mut built: Vec<BuiltState> = Vec::new();
         let mut states = BTreeMap::new();
         for (name, own) in &self.policy.per_member {
             let change = rollout.change_of.get(name).copied();
-            let new = with_new.contains(name.as_str());
-            let known = built.iter().find(|b| b.is_for(own, change, new));
-            let state = match known {
-                Some(known) => known.state.clone(),
+            let updated = updated_members.contains(name.as_str());
+            let existing = built.iter().find(|b| b.is_for(own, change, updated));
+            let state = match existing {
+                Some(existing) => existing.state.clone(),
                 None => {
                     let current = self.policy.state_for(name).unwrap_or_default();
-                    let version = if new { Version::New } else { Version::Old };
+                    let version = if updated { Version::New } else { Version::Old };
                     let state = rollout.member_state(name, &current, version);
                     let state = state.map_err(|e| GroupStateError::Rollout(e.to_string()))?;
                     let state = Arc::new(state);
                     built.push(BuiltState {
                         own,
                         change,
-                        new,
+                        updated,
                         state: state.clone(),
                     });
                     state
@@ -333,12 +337,12 @@
         Ok(states)
     }
 
-    /// Whether `next` may follow, as far as rollouts are concerned: one rollout at a time, only its own steps, and no other
-    /// change of the policy meanwhile.
+    /// Checks that `next` follows the rules for rollouts: one rollout at a time, only valid steps of it, and no other
+    /// policy change while it is in progress.
     ///
     /// # Errors
     ///
-    /// Which of these rules it breaks.
+    /// The rule that `next` breaks.
     pub fn check_rollout_step(&self, next: &GroupState) -> Result<(), GroupStateError> {
         let before = self.rollout.as_deref();
         let after = next.rollout.as_deref();
@@ -372,17 +376,17 @@
         }
     }
 
-    /// Whether every member of both enforces the same under both.
+    /// Whether each member that is in both policies enforces the same state under both.
     pub fn enforces_same_as(&self, other: &GroupState) -> bool {
         let ours = &self.policy;
         let theirs = &other.policy;
-        let shared_alike = ours.shared == theirs.shared;
-        let mut common = ours
+        let same_shared = ours.shared == theirs.shared;
+        let mut in_both = ours
             .per_member
             .keys()
             .filter(|name| theirs.per_member.contains_key(*name));
-        common.all(|name| {
-            if shared_alike {
+        in_both.all(|name| {
+            if same_shared {
                 ours.per_member.get(name) == theirs.per_member.get(name)
             } else {
                 ours.state_for(name) == theirs.state_for(name)
@@ -390,14 +394,14 @@
         })
     }
 
-    /// Validates a group state that came from elsewhere.
+    /// Validates a group state that was read or received.
     ///
     /// # Errors
     ///
-    /// If its membership is invalid, or its content does not have the digests it carries.
+    /// If the membership is invalid, or a digest does not match the content.
     pub fn check(&self) -> Result<(), GroupStateError> {
         self.membership.check()?;
-        if self.policy.digest() != self.policy_digest || self.own_digest() != self.digest {
+        if self.policy.digest() != self.policy_digest || self.compute_digest() != self.digest {
             return Err(GroupStateError::DigestMismatch {
                 version: self.version,
             });
@@ -405,12 +409,12 @@
         Ok(())
     }
 
-    /// Whether a group state may follow this one.
+    /// Checks that `next` may follow this group state.
     ///
     /// # Errors
     ///
-    /// If its generation is older or reused, its rollout is no valid step, its majorities don't overlap with those of this
-    /// one, or its leases have another length.
+    /// If the generation is older, or the same with another policy; the rollout is not a valid step; majorities of the
+    /// two memberships need not overlap; or the length of a lease differs.
     pub fn check_successor(&self, next: &GroupState) -> Result<(), GroupStateError> {
         if next.generation < self.generation {
             return Err(GroupStateError::GenerationOutdated(next.generation));
@@ -428,7 +432,7 @@
         Ok(())
     }
 
-    /// What a member enforces under it, with its generation; none for a witness.
+    /// The state that a member enforces under this version, and its generation; none for a witness.
     pub fn enforced_by(&self, name: &str) -> Option<(Generation, State)> {
         let state = self.policy.state_for(name)?;
         let generation = Generation {
@@ -439,23 +443,24 @@
     }
 }
 
-/// A state built for a rollout step, and what it was built from.
+/// A state built for a rollout step, with the inputs it was built from.
 struct BuiltState<'a> {
     own: &'a State,
     change: Option<usize>,
-    new: bool,
+    updated: bool,
     state: Arc<State>,
 }
 
 impl BuiltState<'_> {
-    fn is_for(&self, own: &State, change: Option<usize>, new: bool) -> bool {
-        self.own == own && self.change == change && self.new == new
+    fn is_for(&self, own: &State, change: Option<usize>, updated: bool) -> bool {
+        self.own == own && self.change == change && self.updated == updated
     }
 }
 
-/// Text of a membership that goes into the digest of a group state.
+/// The text of a membership that is part of the input of a group state's digest.
 ///
-/// Its names are part of the stored form, whatever the types and fields are called in the code.
+/// The type and field names in this text are part of the stored format. They must not follow renames in the code:
+/// members that compute different digests reject each other's group states.
 fn membership_digest_text(membership: &Membership) -> String {
     let members: Vec<String> = membership.members.iter().map(member_digest_text).collect();
     format!(
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,15 +1,19 @@
 //! Leases: the right of a member to serve under the group state in force (Gray and Cheriton, "Leases: An Efficient
 //! Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989).
 //!
-//! A member serves while a majority of voters has lately granted it a lease under the group state in force. Neither granting
-//! nor renewing waits for a disk, so a member that hashes a large change, or whose disk is slow, still does both.
+//! A member serves while it has a current lease, granted by a majority of the voters under the group state in force.
+//! Neither granting nor renewing waits for a disk, so that a member still does both while it hashes a large change or
+//! its disk is slow.
 //!
-//! Why nobody serves under version `n` once `n + 1` is enforced somewhere and the proposer's wait is over: a lease needs
-//! grants of a majority of the voters of `n`, and is counted by its holder from the moment it *sent* its request. Deciding
-//! `n + 1` needs a majority as well, and each of those voters has stopped granting `n` before it said that it accepted
-//! `n + 1`, except to members the proposer has named as having accepted it too. The two majorities share a voter. So every
-//! other lease was requested before that voter responded, and has expired [`Membership::lease_expiry_bound`] after the
-//! proposer heard from the last of its majority. For the members it has named, the proposer waits by name.
+//! Why no member serves under version `n` once some member enforces `n + 1` and the proposer's wait for leases is over:
+//!
+//! - A lease needs grants of a majority of the voters of `n`, and its holder counts it from the moment it *sent* its
+//!   request.
+//! - Deciding `n + 1` needs a majority as well. Each voter of that majority stopped granting leases under `n` before it
+//!   responded that it has accepted `n + 1`, except to members that the proposer has named as having accepted `n + 1`.
+//! - The two majorities share a voter, so every other lease was requested before that voter responded. It has expired
+//!   [`Membership::lease_expiry_bound`] after the proposer received the last response of its majority.
+//! - The proposer waits for the response of each member that it has named.
 
 use crate::acceptor::PersistentState;
 use crate::eligibility::VoteWithheld;
@@ -22,77 +26,79 @@
 use std::time::Duration;
 use wrenfork_commit::state::Digest;
 
-/// Renewals in the length of a lease: one may be lost and one late before the lease expires.
+/// Renewals per lease length: one may be lost and another delayed without the lease expiring.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// Odd multiplier that spreads the bits of a random number (the golden ratio as a 64-bit fraction; Knuth, TAOCP 3, 6.4).
+/// Multiplier for Fibonacci hashing: the golden ratio as a 64-bit fraction, made odd (Knuth, TAOCP 3, 6.4).
 const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
-/// Bits of a random fraction.
+/// Number of hash bits used as a fraction.
 const FRACTION_BITS: u32 = 10;
 
-/// The last lease granted to a member.
+/// The lease last granted to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GrantedLease {
     replica: ReplicaId,
-    /// When it has expired by any clock.
+    /// When the lease has expired even by the slowest allowed clock of its holder.
     expires: Duration,
 }
 
-/// The last version of a member's replica, as the member reported it.
+/// The replica of a member, as the member last reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SeenReplica {
     replica: ReplicaId,
     version: ReplicaVersion,
 }
 
-/// A group state that has been accepted and is not known to be decided.
+/// A group state that this member has accepted and that is not known to be decided.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PreparedState {
     digest: Digest,
     /// Ballot in which it was accepted.
     ballot: Ballot,
-    /// Members the proposer of that ballot has named as having accepted it.
+    /// Members that the proposer has named in a heartbeat as having accepted the state in this ballot.
     accepted_by: Vec<String>,
-    /// When its proposer was last heard from.
+    /// When the last heartbeat of the proposer arrived, or the state was accepted.
     last_heartbeat: Duration,
-    /// Time after the last heartbeat when the proposer counts as failed.
+    /// Time without a heartbeat after which the proposer counts as failed.
     timeout: Duration,
 }
 
 impl PreparedState {
-    /// Whether a member may keep its lease under the version before.
+    /// Whether a member may renew its lease under the version in force: it must have accepted the state, and the
+    /// proposer must have named it.
     ///
-    /// That the member itself says so is not enough: its response to the proposer may be lost, and the proposer would neither
-    /// wait for it nor count it as missing.
+    /// The member's own report is not enough. If its response to the proposer was lost, the proposer neither waits for
+    /// the member nor counts its lease as one that must expire.
     fn permits(&self, request: &RenewalRequest) -> bool {
         request.accepted.as_ref() == Some(&self.digest) && self.accepted_by.contains(&request.from)
     }
 }
 
-/// What a member has to do after a response to a renewal.
+/// What a member must do after a voter's response to its renewal request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RenewalResult {
-    /// Nothing.
+    /// Nothing more: the response has been taken into account.
     Handled,
-    /// Fetch the voter's group state, which is newer.
+    /// Fetch the group state of the voter, which is newer.
     FetchState,
-    /// Send its own group state to the voter, which has an older one.
+    /// Send this member's group state to the voter, which has an older one.
     SendState,
-    /// Take another replica: this one is an older copy, and its votes don't count.
+    /// Take a new replica id: this replica is an older copy, and must not vote.
     StaleReplica,
 }
 
-/// A renewal request as it was sent.
+/// What a member remembers of a renewal request it has sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentRenewal {
-    /// When it was sent, by the member's clock.
+    /// When the request was sent, by the member's clock.
     pub at: Duration,
-    /// Number of writes of the replica that it reported, if it did.
+    /// Number of writes of the replica that the request reported; none if it was not sent to another member.
     pub writes: Option<u64>,
 }
 
-/// The leases of a member: those it grants to others, and its own.
+/// The leases that a member grants to others, and its own lease.
 ///
-/// Times are durations since any fixed moment, by a clock that never jumps and keeps running while the machine is suspended.
+/// Times are durations since an arbitrary fixed moment, by a clock that never jumps and keeps running while the machine
+/// is suspended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseManager {
     name: String,
@@ -100,34 +106,36 @@
     replica_version: ReplicaVersion,
     group_state: Option<Arc<GroupState>>,
     prepared: Option<PreparedState>,
-    /// By member: what it reported of its replica last.
-    seen: BTreeMap<String, SeenReplica>,
-    /// By member: the lease granted to it last.
-    granted: BTreeMap<String, GrantedLease>,
-    /// By voter: when the request was sent that it granted last.
-    grants: BTreeMap<String, Duration>,
-    /// When this member's own lease expires.
+    /// By member: the replica it last reported.
+    seen_replicas: BTreeMap<String, SeenReplica>,
+    /// By member: the lease this member last granted to it.
+    granted_leases: BTreeMap<String, GrantedLease>,
+    /// By voter: when the last request that the voter granted was sent.
+    received_grants: BTreeMap<String, Duration>,
+    /// When this member's own lease expires; none before the first one.
     lease_deadline: Option<Duration>,
-    /// Voters that have confirmed since the start that this replica is no older copy, by the replica they confirmed with.
+    /// By voter: the replica with which it has confirmed, since the process started, that this replica is not an older
+    /// copy.
     confirmed_by: BTreeMap<String, ReplicaId>,
-    /// By voter: the number of writes of this replica it has been told of.
+    /// By voter: the number of writes of this replica that was last reported to the voter.
     reported_writes: BTreeMap<String, u64>,
-    /// The members as configured, which form the group.
-    charter: Membership,
-    /// By member: when the request was sent that it answered with [`RenewalVerdict::NoGroup`] last.
-    without_group: BTreeMap<String, Duration>,
-    /// How often this member has tried to resolve the prepared state.
+    /// The configured membership, with which the group is formed.
+    initial_membership: Membership,
+    /// By member: when the last request that it answered with [`RenewalVerdict::NoGroup`] was sent.
+    last_no_group: BTreeMap<String, Duration>,
+    /// How often the recovery of the prepared state was postponed.
     recovery_attempts: u32,
 }
 
 impl LeaseManager {
-    /// Creates the lease manager of a member at the start of its process.
+    /// Creates the lease manager of a member when its process starts.
     ///
-    /// `charter` is the membership the group is formed with, and `incarnation` a random number.
+    /// `initial_membership` is the configured membership, with which the group is formed. `incarnation` is a random
+    /// number.
     pub fn new(
         name: &str,
         state: &PersistentState,
-        charter: Membership,
+        initial_membership: Membership,
         incarnation: u64,
         now: Duration,
     ) -> LeaseManager {
@@ -140,35 +148,36 @@
             },
             group_state: None,
             prepared: None,
-            seen: BTreeMap::new(),
-            granted: BTreeMap::new(),
-            grants: BTreeMap::new(),
+            seen_replicas: BTreeMap::new(),
+            granted_leases: BTreeMap::new(),
+            received_grants: BTreeMap::new(),
             lease_deadline: None,
             confirmed_by: BTreeMap::new(),
             reported_writes: BTreeMap::new(),
-            charter,
-            without_group: BTreeMap::new(),
+            initial_membership,
+            last_no_group: BTreeMap::new(),
             recovery_attempts: 0,
         };
         manager.apply_state(state, now);
         manager
     }
 
-    /// Continues the lease under `version` of the process that handed over to this one.
+    /// Takes over the lease of the predecessor process, which it held under `version`; ignored if another version is in
+    /// force.
     ///
-    /// The holder is the same member with the same clock, and the lease is not extended, so that it stays valid.
+    /// The lease stays valid, since the holder is the same member with the same clock and the deadline does not change.
     pub fn inherit_lease(&mut self, version: u64, deadline: Duration) {
         if self.serves() && version == self.version() {
             self.extend_lease(deadline);
         }
     }
 
-    /// The membership of the group state in force.
+    /// The membership of the group state in force; none before the group is formed.
     pub fn membership(&self) -> Option<&Membership> {
         self.group_state.as_ref().map(|state| &state.membership)
     }
 
-    /// The group state in force.
+    /// The group state in force; none before the group is formed.
     pub fn group_state(&self) -> Option<&Arc<GroupState>> {
         self.group_state.as_ref()
     }
@@ -178,10 +187,12 @@
     }
 
     fn lease(&self) -> Duration {
-        self.membership().unwrap_or(&self.charter).lease()
+        self.membership()
+            .unwrap_or(&self.initial_membership)
+            .lease()
     }
 
-    /// Whether the group state in force has this member as an ingress.
+    /// Whether this member is an ingress in the group state in force.
     fn serves(&self) -> bool {
         self.membership()
             .and_then(|membership| membership.member(&self.name))
@@ -192,7 +203,7 @@
         self.lease_deadline = self.lease_deadline.max(Some(deadline));
     }
 
-    /// Follows the stored state: after it was written, or after a write failed.
+    /// Updates the leases from the stored state, to be called after it was written and after a write failed.
     pub fn apply_state(&mut self, state: &PersistentState, now: Duration) {
         self.replica = state.replica;
         self.replica_version.writes = state.writes;
@@ -222,9 +233,9 @@
         prepared.is_some_and(|p| p.digest == *digest && p.ballot == ballot)
     }
 
-    /// Stops granting leases under the group state in force, because another one is about to be accepted.
+    /// Stops granting leases under the group state in force, because the next one is about to be accepted.
     ///
-    /// To be called *before* the accepted state is stored, and so before the response to its proposer.
+    /// Must be called *before* the accepted state is stored, and so before the response to the proposer.
     pub fn block_grants(&mut self, ballot: Ballot, digest: &Digest, now: Duration) {
         if self.has_prepared(ballot, digest) {
             self.record_heartbeat(now);
@@ -245,7 +256,7 @@
         }
     }
 
-    /// Handles a heartbeat of a proposer, which names the members that have accepted its state.
+    /// Handles a heartbeat of a proposer. `accepted_by` names the members that have accepted the state in its ballot.
     pub fn proposer_alive(&mut self, ballot: Ballot, accepted_by: &[String], now: Duration) {
         let prepared = self.prepared.as_mut();
         if let Some(prepared) = prepared.filter(|p| p.ballot == ballot) {
@@ -254,8 +265,8 @@
         }
     }
 
-    /// Half a lease, and a random part of another half: members that begin at the same moment must not all recover at the
-    /// same moment.
+    /// Half a lease plus a random part of another half: members that begin to wait at the same moment must not all
+    /// start recovery at the same moment.
     fn proposer_timeout(&self) -> Duration {
         let half = self.lease() / 2;
         let attempt = u64::from(self.recovery_attempts) << 32;
@@ -264,13 +275,14 @@
         half + half * fraction as u32 / (1 << FRACTION_BITS)
     }
 
-    /// When this member is to resolve the accepted state, if its proposer is not heard from before.
+    /// When this member is to recover the accepted state, unless a heartbeat arrives before; none if there is no such
+    /// state.
     pub fn recovery_deadline(&self) -> Option<Duration> {
         let prepared = self.prepared.as_ref()?;
         Some(prepared.last_heartbeat + prepared.timeout)
     }
 
-    /// Postpones the recovery: another member is at it, or an attempt has failed.
+    /// Postpones the recovery, because another member is recovering the state or an attempt has failed.
     pub fn postpone_recovery(&mut self, now: Duration) {
         self.recovery_attempts += 1;
         if let Some(prepared) = self.prepared.take() {
@@ -281,7 +293,7 @@
     /// Handles a renewal request of a member.
     pub fn handle_renewal(&mut self, request: &RenewalRequest, now: Duration) -> RenewalResponse {
         let last_seen = self.last_seen(request);
-        // Only members are recorded, which bounds the maps.
+        // Recording only members bounds the size of the maps.
         let member = self.membership().and_then(|m| m.member(&request.from));
         let is_member = member.is_some();
         if is_member {
@@ -294,7 +306,7 @@
                 replica: request.replica,
                 expires,
             };
-            self.granted.insert(request.from.clone(), granted);
+            self.granted_leases.insert(request.from.clone(), granted);
         }
         RenewalResponse {
             replica: self.replica,
@@ -305,7 +317,7 @@
     }
 
     fn last_seen(&self, request: &RenewalRequest) -> Option<ReplicaVersion> {
-        let seen = self.seen.get(&request.from)?;
+        let seen = self.seen_replicas.get(&request.from)?;
         (seen.replica == request.replica).then_some(seen.version)
     }
 
@@ -318,7 +330,7 @@
             replica: request.replica,
             version,
         };
-        self.seen.insert(request.from.clone(), seen);
+        self.seen_replicas.insert(request.from.clone(), seen);
     }
 
     fn granted_lease_bound(&self) -> Duration {
@@ -346,17 +358,17 @@
         if self.prepared.as_ref().is_some_and(|p| !p.permits(request)) {
             return RenewalVerdict::Pending;
         }
-        let other_process = self
-            .granted
+        let held_by_other_replica = self
+            .granted_leases
             .get(&request.from)
             .is_some_and(|g| g.replica != request.replica && g.expires > now);
-        if other_process {
+        if held_by_other_replica {
             return RenewalVerdict::DuplicateMember;
         }
         RenewalVerdict::Granted
     }
 
-    /// The request that renews this member's lease.
+    /// A request to renew this member's lease.
     pub fn renewal_request(&self) -> RenewalRequest {
         RenewalRequest {
             from: self.name.clone(),
@@ -374,17 +386,17 @@
 
     /// Names of the members to send renewal requests to.
     ///
-    /// While the lease is safe, these are as many voters as make a majority, those first that have granted lately, and those
-    /// that have not been told of the last write of this replica. Else they are all voters, or before the group is formed all
-    /// members of the charter. That a newer group state is in force is learnt as well, since any majority shares a voter with
-    /// the one that decided it.
+    /// While the lease is safe, these are enough voters for a majority, with recent granters preferred, and also the
+    /// voters that don't know of the last write of this replica. Otherwise they are all voters, or all initial
+    /// members before the group is formed. A majority is also enough to learn that a newer group state is in force,
+    /// since it shares a voter with the majority that decided it.
     pub fn renewal_targets(&self, now: Duration) -> Vec<String> {
         let Some(membership) = self.membership() else {
-            return self.other_founders().map(String::from).collect();
+            return self.other_initial_members().map(String::from).collect();
         };
         let mut others = self.other_voters(membership);
         if self.lease_is_safe(membership, now) {
-            others.sort_by_key(|name| self.preference(membership, name, now));
+            others.sort_by_key(|name| self.target_order(membership, name, now));
             let votes = membership.counts_vote(&self.name, self.replica);
             let needed = membership.majority().saturating_sub(usize::from(votes));
             let mut position = 0;
@@ -401,12 +413,17 @@
         voters.filter(|name| *name != self.name).collect()
     }
 
-    fn other_founders(&self) -> impl Iterator<Item = &str> {
-        let founders = self.charter.members.iter().map(|m| m.name.as_str());
-        founders.filter(|name| *name != self.name)
+    fn other_initial_members(&self) -> impl Iterator<Item = &str> {
+        let members = self
+            .initial_membership
+            .members
+            .iter()
+            .map(|m| m.name.as_str());
+        members.filter(|name| *name != self.name)
     }
 
-    /// Whether a majority is enough to renew from: more than half of the lease is left, or none is needed.
+    /// Whether it is enough to renew from a majority of the voters: more than half of the lease is left, or this member
+    /// is a witness and needs none.
     fn lease_is_safe(&self, membership: &Membership, now: Duration) -> bool {
         let member = membership.member(&self.name);
         let witness = member.is_some_and(|m| m.role == MemberRole::Witness);
@@ -415,14 +432,14 @@
         (witness || fresh) && self.prepared.is_none() && self.check_vote_eligibility().is_ok()
     }
 
-    /// Sorts voters that granted within the last lease before the others, each in an order of this member's own, so that many
-    /// members don't all send to the same few voters.
-    fn preference(&self, membership: &Membership, name: &str, now: Duration) -> (bool, u64) {
-        let last_grant = self.grants.get(name);
-        let granted_lately = last_grant.is_some_and(|at| *at + membership.lease() > now);
+    /// Sort key of a voter: voters that granted within the last lease come first. Otherwise the order is a hash that
+    /// differs between members, so that they don't all send to the same few voters.
+    fn target_order(&self, membership: &Membership, name: &str, now: Duration) -> (bool, u64) {
+        let last_grant = self.received_grants.get(name);
+        let granted_recently = last_grant.is_some_and(|at| *at + membership.lease() > now);
         let mut hasher = DefaultHasher::new();
         (&self.name, name).hash(&mut hasher);
-        (!granted_lately, hasher.finish())
+        (!granted_recently, hasher.finish())
     }
 
     fn lacks_last_write(&self, voter: &str) -> bool {
@@ -430,35 +447,35 @@
         reported.is_none_or(|writes| *writes < self.replica_version.writes)
     }
 
-    /// Whether this member is to form the group: it is the first by name, and all others have said within the last lease that
-    /// there is no group.
+    /// Whether this member is to form the group: it is the first by name, and all others have reported within the last
+    /// lease that they have no group.
     pub fn can_form_group(&self, now: Duration) -> bool {
-        let first = self.charter.members.first();
+        let first = self.initial_membership.members.first();
         self.group_state.is_none()
             && self.prepared.is_none()
             && first.is_some_and(|member| member.name == self.name)
             && self
-                .other_founders()
-                .all(|name| self.says_no_group(name, now))
+                .other_initial_members()
+                .all(|name| self.reported_no_group_recently(name, now))
     }
 
-    /// Members of the charter that have not said within the last lease that there is no group, while there is none: the group
-    /// can't be formed without them.
-    pub fn missing_founders(&self, now: Duration) -> Vec<&str> {
+    /// Initial members that have not reported within the last lease that they have no group. The group can't be
+    /// formed without them. Empty once there is a group.
+    pub fn missing_initial_members(&self, now: Duration) -> Vec<&str> {
         if self.group_state.is_some() {
             return Vec::new();
         }
-        self.other_founders()
-            .filter(|name| !self.says_no_group(name, now))
+        self.other_initial_members()
+            .filter(|name| !self.reported_no_group_recently(name, now))
             .collect()
     }
 
-    fn says_no_group(&self, name: &str, now: Duration) -> bool {
-        let last = self.without_group.get(name);
-        last.is_some_and(|at| *at + self.charter.lease() > now)
+    fn reported_no_group_recently(&self, name: &str, now: Duration) -> bool {
+        let last = self.last_no_group.get(name);
+        last.is_some_and(|at| *at + self.initial_membership.lease() > now)
     }
 
-    /// Grants this member's own lease by its own vote, by the same rules as for any other.
+    /// Renews this member's lease from itself, by the same rules as from any other voter.
     pub fn renew_from_self(&mut self, now: Duration) {
         let request = self.renewal_request();
         let response = self.handle_renewal(&request, now);
@@ -490,7 +507,7 @@
             RenewalVerdict::Behind => return RenewalResult::FetchState,
             RenewalVerdict::Ahead => return RenewalResult::SendState,
             RenewalVerdict::NoGroup => {
-                self.without_group.insert(from.into(), sent.at);
+                self.last_no_group.insert(from.into(), sent.at);
             }
             RenewalVerdict::Pending
             | RenewalVerdict::UnknownMember
@@ -511,12 +528,13 @@
         if !counts || response.version != self.version() {
             return;
         }
-        let last = self.grants.entry(from.into()).or_default();
+        let last = self.received_grants.entry(from.into()).or_default();
         *last = sent_at.max(*last);
         self.renew_lease(now);
     }
 
-    /// Extends the lease as far as the grants allow: it counts from the latest moment by which a majority had been asked.
+    /// Extends the lease as far as the grants allow: it counts from the oldest of the latest requests that a majority
+    /// granted.
     fn renew_lease(&mut self, now: Duration) {
         if !self.serves() {
             return;
@@ -525,11 +543,11 @@
             return;
         };
         let voters = membership.voters();
-        let mut asked: Vec<Duration> = voters
-            .filter_map(|voter| self.grants.get(&voter.name).copied())
+        let mut granted_at: Vec<Duration> = voters
+            .filter_map(|voter| self.received_grants.get(&voter.name).copied())
             .collect();
-        asked.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(oldest) = asked.get(membership.majority() - 1) else {
+        granted_at.sort_unstable_by(|a, b| b.cmp(a));
+        let Some(oldest) = granted_at.get(membership.majority() - 1) else {
             return;
         };
         let deadline = *oldest + membership.lease();
@@ -538,17 +556,18 @@
         }
     }
 
-    /// When this member's lease expires; none if it has none.
+    /// When this member's lease expires, which may be in the past; none if it never had a lease or is no longer a
+    /// member.
     pub fn lease_deadline(&self) -> Option<Duration> {
         self.lease_deadline
     }
 
-    /// Whether this member's vote counts: a majority of the voters, with itself, has confirmed since its start that its
-    /// replica is no older copy.
+    /// Checks that this member's vote counts: since the process started, a majority of the voters, including this one,
+    /// has confirmed that its replica is not an older copy. Before the group is formed, any vote counts.
     ///
     /// # Errors
     ///
-    /// Why its vote does not count.
+    /// The reason why the vote does not count.
     pub fn check_vote_eligibility(&self) -> Result<(), VoteWithheld> {
         let Some(membership) = self.membership() else {
             return Ok(());
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,29 +1,34 @@
-//! Membership of a group: its members, who votes, and quorum arithmetic.
+//! Membership of a group: the members, which of them vote, and the size of a quorum.
 //!
-//! A membership is changed by at most one vote at a time, so that any majority of the old one shares a voter with any
-//! majority of the new one (the single-server change of Ongaro, "Consensus: Bridging Theory and Practice", section 4.2).
+//! One change of the membership adds or removes at most one vote, so that any majority of the old membership shares a
+//! voter with any majority of the new one (the single-server change of Ongaro, "Consensus: Bridging Theory and
+//! Practice", section 4.2).
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Shortest lease: a commit to a slow disk and a renewal must fit into a third of it.
+/// Minimum length of a lease: a commit to a slow disk and a renewal must fit into a third of the lease.
 pub const MIN_LEASE: Duration = Duration::from_millis(300);
-/// Longest lease: an isolated member stops serving only after it, and a change with a member away waits for it.
+/// Maximum length of a lease: an isolated member keeps serving for up to this long, and a change waits this long if a
+/// member can't be reached.
 pub const MAX_LEASE: Duration = Duration::from_secs(60);
-/// Maximum difference in rate of each clock from true time, in parts per thousand: a hundred times that of a crystal,
-/// and more than that of a clock being slewed (0.5).
+/// Maximum rate error of a member's clock relative to true time, in parts per thousand.
+///
+/// This is a hundred times the error of a crystal oscillator, and more than the error of a clock that is being slewed
+/// (0.5).
 pub const MAX_CLOCK_DRIFT_PER_MILLE: u32 = 10;
 /// Maximum number of members of a group.
 pub const MAX_MEMBERS: usize = 256;
 
-/// Identifies the store a member's votes are kept in. It is drawn at random when the store is created and is never 0.
+/// Identifies the store that holds a member's votes: a random number, drawn when the store is created and never 0.
 ///
-/// A member that lost its store has another replica, whose votes don't count until the membership says so.
+/// A member that lost its store gets a new replica id. Its votes don't count until a membership change lists the new
+/// id.
 pub type ReplicaId = u64;
 
-/// Role of a member.
+/// Whether a member serves requests or only votes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberRole {
@@ -35,57 +40,57 @@
 
 /// A member of a group.
 ///
-/// Members are ordered by their fields in this order, which is the order of the stored form.
+/// The derived ordering compares the fields in declaration order, which is also their order in the stored form.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
-    /// Name of the member.
+    /// Name of the member, unique in the membership.
     pub name: String,
-    /// The replica whose votes count; 0 if none does.
+    /// The replica whose votes count; 0 if the member has no vote.
     #[serde(rename = "folder")]
     pub replica: ReplicaId,
-    /// Its role.
+    /// Whether the member serves requests.
     #[serde(rename = "kind")]
     pub role: MemberRole,
-    /// Whether it takes part in decisions; a member without a vote only learns and serves.
+    /// Whether the member votes; one without a vote only learns decided group states and serves.
     pub votes: bool,
 }
 
-/// The members of a group.
+/// The members of a group, and the length of their leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Membership {
-    /// Number of changes of the membership.
+    /// Number of this membership: 1 when the group is formed, and one more with each change of the membership.
     pub version: u64,
-    /// Length of a lease, in milliseconds.
+    /// Length of a lease, in milliseconds; fixed when the group is formed.
     pub lease_ms: u64,
     /// The members, sorted by name.
     #[serde(rename = "seats")]
     pub members: Vec<Member>,
 }
 
-/// Why a membership, or a change of one, is invalid.
+/// Why a membership or a membership change is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MembershipError {
     /// No member has a vote.
-    #[error("nobody in the roster has a vote")]
+    #[error("no member of the roster has a vote")]
     NoVoter,
     /// No member is an ingress.
-    #[error("nobody in the roster serves")]
+    #[error("no member of the roster is an ingress")]
     NoIngress,
-    /// More than [`MAX_MEMBERS`].
-    #[error("{0} members, and a roster has {MAX_MEMBERS} at most")]
+    /// There are more members than [`MAX_MEMBERS`].
+    #[error("{0} members exceed the limit of {MAX_MEMBERS} in a roster")]
     TooMany(usize),
-    /// Two members have this name.
-    #[error("{0} stands in the roster twice")]
+    /// Two members have the same name.
+    #[error("{0} is in the roster twice")]
     Duplicate(String),
     /// No member has this name.
     #[error("{0} is not in the roster")]
     UnknownMember(String),
-    /// A member has this name already.
-    #[error("{0} is in the roster already")]
+    /// The name of a new member is taken already.
+    #[error("{0} is already in the roster")]
     AlreadyMember(String),
     /// The length of the lease, in milliseconds, is not within [`MIN_LEASE`] and [`MAX_LEASE`].
     #[error(
-        "a lease of {0} ms: it must be from {min} ms to {max} s",
+        "the lease of {0} ms is out of range: from {min} ms to {max} s",
         min = MIN_LEASE.as_millis(),
         max = MAX_LEASE.as_secs()
     )]
@@ -93,11 +98,11 @@
 }
 
 impl Membership {
-    /// Creates a valid membership; the members are sorted.
+    /// Creates a membership: sorts the members and validates the result.
     ///
     /// # Errors
     ///
-    /// As [`Membership::check`].
+    /// As for [`Membership::check`].
     pub fn new(
         version: u64,
         lease_ms: u64,
@@ -113,11 +118,12 @@
         Ok(membership)
     }
 
-    /// Validates a membership that came from elsewhere.
+    /// Validates a membership that was read or received.
     ///
     /// # Errors
     ///
-    /// If the lease is out of range, there are too many members, a name occurs twice, nobody votes or nobody serves.
+    /// If the lease is out of range, there are too many members, a name occurs twice, no member votes or none is an
+    /// ingress.
     pub fn check(&self) -> Result<(), MembershipError> {
         if !(MIN_LEASE..=MAX_LEASE).contains(&self.lease()) {
             return Err(MembershipError::LeaseOutOfRange(self.lease_ms));
@@ -138,12 +144,12 @@
         Ok(())
     }
 
-    /// The member with this name.
+    /// The member with this name, if there is one.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.members.iter().find(|m| m.name == name)
     }
 
-    /// Whether a vote of this member, kept in this replica, counts.
+    /// Whether a vote that this member holds in this replica counts.
     pub fn counts_vote(&self, name: &str, replica: ReplicaId) -> bool {
         self.member(name)
             .is_some_and(|m| m.votes && m.replica == replica && replica != 0)
@@ -159,26 +165,28 @@
         self.voters().count() / 2 + 1
     }
 
-    /// Length of a lease by its holder's clock, from the moment the holder sent its request.
+    /// Length of a lease by its holder's clock, counted from the moment the holder sent the renewal request.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
 
-    /// How long to wait, by any member's clock, until a lease requested before has expired by its holder's clock.
+    /// How long to wait by any member's clock until every lease requested before the wait has expired by its holder's
+    /// clock.
     ///
-    /// The holder's clock may be as slow as this one is fast, each within [`MAX_CLOCK_DRIFT_PER_MILLE`].
+    /// Allows for the worst case within [`MAX_CLOCK_DRIFT_PER_MILLE`]: the waiting member has the fastest clock, and
+    /// the holder the slowest.
     pub fn lease_expiry_bound(&self) -> Duration {
         let fastest = 1_000 + MAX_CLOCK_DRIFT_PER_MILLE;
         let slowest = 1_000 - MAX_CLOCK_DRIFT_PER_MILLE;
-        // The division rounds down.
+        // One microsecond more, since the division rounds down.
         self.lease() * fastest / slowest + Duration::from_micros(1)
     }
 
-    /// The next membership, with one member more.
+    /// The next membership, with one more member.
     ///
     /// # Errors
     ///
-    /// If there is such a member already, or the result is invalid.
+    /// If the name is taken already, or the result is invalid.
     pub fn with_member(&self, member: Member) -> Result<Membership, MembershipError> {
         if self.member(&member.name).is_some() {
             return Err(MembershipError::AlreadyMember(member.name));
@@ -198,10 +206,10 @@
         self.successor(others.cloned().collect())
     }
 
-    /// The next membership, in which a member votes by this replica, or has no vote.
+    /// The next membership, in which the vote of a member belongs to `replica`, or the member has no vote.
     ///
-    /// A member that lost its replica first loses its vote, then gets one by its new replica, so that majorities overlap
-    /// at each step.
+    /// The vote of a member that lost its replica is moved in two changes, so that majorities overlap in each: the
+    /// first removes the vote, the second gives it to the new replica.
     ///
     /// # Errors
     ///
@@ -220,8 +228,8 @@
         self.successor(members)
     }
 
-    /// Whether any majority of one membership shares a voter with any majority of the other, so that neither can decide
-    /// against what the other has decided: at most one vote is added, removed or moved to another replica.
+    /// Whether any majority of this membership shares a voter with any majority of `other`, so that neither can
+    /// contradict a decision of the other. That holds if at most one vote is added or removed.
     pub fn majorities_overlap(&self, other: &Membership) -> bool {
         let own = self.votes();
         let others = other.votes();
@@ -240,7 +248,7 @@
         Membership::new(self.version + 1, self.lease_ms, members)
     }
 
-    /// Names and replicas of the voters.
+    /// The votes that count, as pairs of member name and replica.
     fn votes(&self) -> BTreeSet<(&str, ReplicaId)> {
         self.voters()
             .map(|m| (m.name.as_str(), m.replica))
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -1,14 +1,15 @@
-//! The proposer of a group state: the driver of single-decree Paxos (Lamport, "Paxos Made Simple", 2001).
+//! The proposer of a group state: drives single-decree Paxos (Lamport, "Paxos Made Simple", 2001).
 //!
-//! A proposer is `wrenctl` with a change, a member that recovers what another proposer left undecided, or the members of a
-//! group that is being formed.
+//! `wrenctl` runs a proposer to make a change. A member runs one to recover a version that another proposer left
+//! undecided, or to form the group.
 //!
-//! 1. *Prepare*: every member is asked to take part, and to check the candidate. A member that could not enforce it ends the
-//!    proposal before anything is decided. With promises of a majority the proposer goes on, with the state accepted in the
-//!    highest earlier ballot, or else its own.
-//! 2. *Accept*: once a majority has accepted the state it is decided, whatever becomes of the proposer.
-//! 3. *Notify*: members put it in force. They are notified once every member that serves has accepted it, or the leases of
-//!    those that have not must have expired.
+//! 1. *Prepare*: asks every member for a promise, and to check the candidate. If a member can't enforce the candidate,
+//!    the proposal ends before anything is decided. After promises of a majority, the proposer proposes the state that
+//!    was accepted in the highest earlier ballot, or else its own candidate.
+//! 2. *Accept*: asks every member to accept the state. Once a majority has, the state is decided, even if the proposer
+//!    fails.
+//! 3. *Notify*: tells the members to put the state in force. This phase begins once every serving member has accepted
+//!    the state, or the leases of those that have not must have expired.
 
 mod peer;
 mod phase;
@@ -25,40 +26,40 @@
 pub use phase::{ProposalGoal, ProposalOutcome, ProposalPhase, RequestFailed};
 use wrenfork_commit::state::{Digest, State};
 
-/// Heartbeats in the length of a lease to members that have accepted the state: well within the half of a lease after which
-/// a member begins to recover.
+/// Heartbeats per lease length to each member that has accepted the state. Several fit into half a lease, after which a
+/// member without a heartbeat begins recovery.
 const HEARTBEATS_PER_LEASE: u32 = 6;
-/// Retries in the length of a lease to a member that did not respond as asked.
+/// Retries per lease length of a request that failed or was refused.
 const RETRIES_PER_LEASE: u32 = 10;
-/// Part of a lease that slow members are waited for before the accept phase begins, as a divisor.
+/// The prepare phase waits for slow members up to the length of a lease divided by this number.
 const PREPARE_WAIT_DIVISOR: u32 = 3;
 
 /// A proposal of one group state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
     goal: ProposalGoal,
-    /// Version to be decided.
+    /// Version of the proposed group state.
     version: u64,
     ballot: Ballot,
-    /// The state before, whose voters decide.
+    /// The group state in force, whose voters decide on the next version.
     base: Arc<GroupState>,
     peers: Vec<Peer>,
-    /// What was accepted in the highest ballot that promises have reported.
+    /// The state accepted in the highest ballot, among those that promises have reported.
     accepted_before: Option<AcceptedState>,
-    /// What is proposed, once the prepare phase is over.
+    /// The state that is proposed; none during the prepare phase.
     value: Option<Arc<GroupState>>,
-    /// When this phase began.
+    /// When the current phase began.
     phase_began: Duration,
-    /// When a quorum was reached in this phase.
+    /// When a quorum was reached in the current phase; none before.
     quorum_at: Option<Duration>,
-    /// Phase of the proposal.
+    /// Current phase of the proposal, or its outcome.
     pub phase: ProposalPhase,
 }
 
 impl Proposer {
-    /// Creates a proposer of the successor of `base`, the group state in force.
+    /// Creates a proposer of the version after `base`, the group state in force.
     ///
-    /// `ballot` must have a higher round than all that are known, and a random number.
+    /// `ballot` must have a higher round than every known ballot, and a random proposer number.
     pub fn new(
         base: Arc<GroupState>,
         goal: ProposalGoal,
@@ -81,31 +82,31 @@
         }
     }
 
-    /// Creates a proposer that forms a group of all members of a charter.
-    pub fn form_group(charter: Membership, ballot: Ballot, now: Duration) -> Proposer {
-        let none = GroupState {
-            membership: charter,
+    /// Creates a proposer that forms a group with the configured `initial_membership`.
+    pub fn form_group(initial_membership: Membership, ballot: Ballot, now: Duration) -> Proposer {
+        let no_group = GroupState {
+            membership: initial_membership,
             ..GroupState::default()
         };
-        Proposer::new(Arc::new(none), ProposalGoal::Form, ballot, now)
+        Proposer::new(Arc::new(no_group), ProposalGoal::Form, ballot, now)
     }
 
-    /// Names of the members; requests refer to members by their index.
+    /// Names of the members. Requests and responses refer to a member by its index in this order.
     pub fn member_names(&self) -> impl Iterator<Item = &str> {
         self.peers.iter().map(|peer| peer.name.as_str())
     }
 
-    /// The ballot.
+    /// The ballot of this proposal.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// The state that is decided, or proposed.
+    /// The state that is proposed or decided; none during the prepare phase.
     pub fn value(&self) -> Option<&Arc<GroupState>> {
         self.value.as_ref()
     }
 
-    /// Members that have not done what this phase asks for, and why.
+    /// Members that have not completed the current phase, each with the reason.
     pub fn unresponsive(&self) -> Vec<MemberReason> {
         let missing = self.peers.iter().filter(|peer| !peer.answered);
         missing
@@ -113,13 +114,13 @@
                 member: peer.name.clone(),
                 reason: match &peer.reason {
                     Some(reason) => reason.clone(),
-                    None => "it does not answer".into(),
+                    None => "no response".into(),
                 },
             })
             .collect()
     }
 
-    /// Whether the proposer only waits for leases to expire before it notifies the members.
+    /// Whether the state is decided and the proposer waits for leases to expire before it notifies the members.
     pub fn is_waiting_for_leases(&self) -> bool {
         self.phase == ProposalPhase::Accepting && self.quorum_at.is_some()
     }
@@ -129,7 +130,7 @@
     }
 
     fn votes_needed(&self) -> usize {
-        // A group is formed by all its members: no majority could know that there is none yet.
+        // Forming a group takes all members: a majority can't rule out that the others already belong to a group.
         if self.goal == ProposalGoal::Form {
             self.peers.len()
         } else {
@@ -154,7 +155,8 @@
         self.phase = ProposalPhase::Ended(outcome);
     }
 
-    /// The requests that are due, by index of the member. Each member has one request in flight at most.
+    /// The requests that are due, each with the index of the member to send it to. At most one request per member is in
+    /// flight.
     pub fn requests(&mut self, now: Duration) -> Vec<(usize, GroupRequest)> {
         self.advance(now);
         let heartbeat = self.heartbeat();
@@ -187,11 +189,11 @@
         }
     }
 
-    /// What this phase asks of a member, if it still does.
+    /// The request of the current phase to a member; none if the member has completed the phase.
     fn phase_request(&self, peer: &Peer) -> Option<GroupRequest> {
-        let missing = peer.is_missing(self.quorum_at.is_some());
+        let vote_missing = peer.is_vote_missing(self.quorum_at.is_some());
         match self.phase {
-            ProposalPhase::Preparing if missing => Some(GroupRequest::Prepare {
+            ProposalPhase::Preparing if vote_missing => Some(GroupRequest::Prepare {
                 version: self.version,
                 ballot: self.ballot,
                 candidate: match &self.goal {
@@ -199,44 +201,45 @@
                     ProposalGoal::Recover | ProposalGoal::Form => None,
                 },
             }),
-            ProposalPhase::Accepting if missing => Some(GroupRequest::Accept {
+            ProposalPhase::Accepting if vote_missing => Some(GroupRequest::Accept {
                 ballot: self.ballot,
                 state: self.value.clone()?,
             }),
             ProposalPhase::Notifying if !peer.answered => {
                 let value = self.value.as_ref()?;
-                let whole = !peer.accepted || peer.needs_state;
+                let send_state = !peer.accepted || peer.needs_state;
                 Some(GroupRequest::Decided {
                     version: self.version,
                     digest: value.digest.clone(),
-                    state: whole.then(|| value.clone()),
+                    state: send_state.then(|| value.clone()),
                 })
             }
             _ => None,
         }
     }
 
-    /// How long to wait at most before [`Proposer::requests`] is called again, if no response is received.
+    /// Maximum time until [`Proposer::requests`] must be called again, if no response is received before.
     pub fn next_request_in(&self, now: Duration) -> Duration {
         let quorum_reached = self.quorum_at.is_some();
         let accepting = self.phase == ProposalPhase::Accepting;
-        let waiting = self.peers.iter().filter(|peer| !peer.requested);
-        let due = waiting.filter(|peer| accepting || peer.is_missing(quorum_reached));
+        let idle = self.peers.iter().filter(|peer| !peer.requested);
+        let due = idle.filter(|peer| accepting || peer.is_vote_missing(quorum_reached));
         let due = due.map(|peer| peer.not_before).chain(self.phase_ends_at());
         due.min().map_or(self.lease(), |at| at.saturating_sub(now))
     }
 
-    /// When this phase is over though not all members have answered.
+    /// When the current phase ends even if not all members have responded; none before a quorum is reached.
     fn phase_ends_at(&self) -> Option<Duration> {
         let quorum_at = self.quorum_at?;
         match self.phase {
             ProposalPhase::Preparing if self.goal == ProposalGoal::Recover => Some(quorum_at),
-            // Slow members are waited for a little, so that they need not lose their leases.
+            // Wait a little for slow members: one that does not accept the state in time loses its lease.
             ProposalPhase::Preparing => {
                 let waited = self.phase_began + self.lease() / PREPARE_WAIT_DIVISOR;
                 Some(quorum_at.max(waited))
             }
-            // Leases were requested before the last of the majority responded, and count by the slowest clock.
+            // The leases in question were requested before the last voter of the majority responded, and expire by the
+            // slowest allowed clock.
             ProposalPhase::Accepting | ProposalPhase::Notifying => {
                 Some(quorum_at + self.base.membership.lease_expiry_bound())
             }
@@ -244,7 +247,7 @@
         }
     }
 
-    /// Ends the phase if it is over.
+    /// Begins the next phase if the current one is complete.
     fn advance(&mut self, now: Duration) {
         if self.quorum_at.is_none() && self.votes() >= self.votes_needed() {
             self.quorum_at = Some(now);
@@ -264,12 +267,11 @@
         }
     }
 
-    /// Whether every member has answered that this phase has to wait for. A member that has not accepted the state does not
-    /// serve any more once the wait for leases is over.
+    /// Whether all members that the current phase waits for have responded.
     fn all_answered(&self) -> bool {
         match self.phase {
             ProposalPhase::Accepting => self.all(|peer| !peer.serves() || peer.answered),
-            ProposalPhase::Notifying => self.nobody_serves_before(),
+            ProposalPhase::Notifying => self.earlier_leases_have_ended(),
             ProposalPhase::Preparing | ProposalPhase::Ended(_) => self.all(|peer| peer.answered),
         }
     }
@@ -278,17 +280,18 @@
         self.peers.iter().all(predicate)
     }
 
-    /// Whether, going by the responses in the notify phase, no member serves under the version before any more.
+    /// Whether the responses in the notify phase show that no member serves under the previous version any more.
     ///
-    /// A member that has not accepted the state in this ballot may have accepted it in another one, and have been allowed to
-    /// keep its lease there; unless a majority heeded this ballot alone, from before the wait until it applied the state.
-    fn nobody_serves_before(&self) -> bool {
-        let heeded_alone = self
+    /// A member that has not accepted the state lost its lease during the wait for leases, unless it has accepted the
+    /// state in another ballot, whose proposer allowed it to keep its lease. The exception is ruled out if a majority
+    /// accepted the state in this ballot before the wait began, and put it in force from this ballot.
+    fn earlier_leases_have_ended(&self) -> bool {
+        let only_this_ballot = self
             .peers
             .iter()
             .filter(|peer| peer.accepted_early && peer.applied_from_ballot)
             .count();
-        if heeded_alone >= self.votes_needed()
+        if only_this_ballot >= self.votes_needed()
             && self.all(|peer| !peer.serves() || !peer.accepted || peer.answered)
         {
             return true;
@@ -307,24 +310,25 @@
 
     fn decided_outcome(&self) -> ProposalOutcome {
         match (&self.goal, &self.value) {
-            (ProposalGoal::Change(wanted), Some(value)) if wanted != value => {
+            (ProposalGoal::Change(candidate), Some(value)) if candidate != value => {
                 ProposalOutcome::Superseded(self.version)
             }
             _ => ProposalOutcome::Committed,
         }
     }
 
-    /// The first group state: every member goes on with what it enforces, and votes by the replica it has.
+    /// The first group state: every member keeps the state that it enforces now, and its vote belongs to its current
+    /// replica.
     fn first_state(&self) -> GroupState {
-        let charter = &self.base.membership;
-        let mut members = charter.members.clone();
+        let initial_membership = &self.base.membership;
+        let mut members = initial_membership.members.clone();
         for (member, peer) in members.iter_mut().zip(&self.peers) {
             member.replica = peer.replica;
         }
         let membership = Membership {
             version: 1,
             members,
-            ..charter.clone()
+            ..initial_membership.clone()
         };
         let mut generation = 1;
         let mut states: BTreeMap<String, Arc<State>> = BTreeMap::new();
@@ -338,7 +342,7 @@
         GroupState::new(1, generation, Digest::default(), "", membership, policy)
     }
 
-    /// Handles the outcome of a request to a member. A response to a request of an earlier phase counts for nothing.
+    /// Handles the outcome of a request to a member. Responses to requests of an earlier phase are ignored.
     pub fn handle_response(
         &mut self,
         member: usize,
@@ -401,7 +405,7 @@
         self.base.membership.counts_vote(name, replica) || forming && replica != 0
     }
 
-    /// Notes the vote of a member that answered what this phase asks for.
+    /// Records the vote of a member that did what the current phase asks for.
     fn record_vote(&mut self, member: usize, replica: ReplicaId, now: Duration) {
         let counts = self.counts_vote(member, replica);
         let retry_at = now + self.lease() / RETRIES_PER_LEASE;
@@ -435,10 +439,10 @@
     fn record_accept(&mut self, member: usize, replica: ReplicaId, now: Duration) {
         self.record_vote(member, replica, now);
         self.mark_accepted(member);
-        // Voters are to hear of it before the member's lease expires.
-        let soon = now + self.lease() / RETRIES_PER_LEASE;
+        // Send the next heartbeat soon: it tells the voters that they may keep renewing this member's lease.
+        let heartbeat_at = now + self.lease() / RETRIES_PER_LEASE;
         for peer in self.peers.iter_mut().filter(|peer| peer.answered) {
-            peer.not_before = peer.not_before.min(soon);
+            peer.not_before = peer.not_before.min(heartbeat_at);
         }
     }
 
@@ -457,7 +461,7 @@
         peer.applied_from_ballot |= counts && accepted_in == Some(self.ballot);
     }
 
-    /// Handles a response that is not the one that was asked for.
+    /// Handles a response that refuses the request, or is of an unexpected kind.
     fn handle_refusal(
         &mut self,
         member: usize,
@@ -478,13 +482,14 @@
                 self.handle_later_version(member, request, version, &digest);
             }
             GroupResponse::OtherVersion { version, .. } => {
-                let reason = format!("it has not heard of more than decree {version}");
+                let reason = format!("the member has only group state {version} so far");
                 self.retry(member, reason, now);
             }
             GroupResponse::HigherBallot { ballot } => {
                 self.end(ProposalOutcome::HigherBallot(ballot));
             }
-            // Nothing has been decided yet. A member that could, but for its disk, counts as unreachable.
+            // Nothing has been decided yet, so the change can be given up. `Unavailable` is no objection to the change:
+            // the request is retried, as for an unreachable member.
             GroupResponse::Rejected { reason } if preparing && changing => {
                 let rejection = MemberReason {
                     member: self.peers[member].name.clone(),
@@ -495,11 +500,12 @@
             GroupResponse::Rejected { reason } | GroupResponse::Unavailable { reason } => {
                 self.retry(member, reason, now);
             }
-            _ => self.retry(member, "it answers something else".into(), now),
+            _ => self.retry(member, "unexpected kind of response".into(), now),
         }
     }
 
-    /// The version is decided at a member already. If it is the state proposed here, a member has recovered it.
+    /// Handles a response that the version is in force at the member already. If the state in force is the proposed
+    /// one, another proposer has recovered it, and the response counts as an accept.
     fn handle_later_version(
         &mut self,
         member: usize,
@@ -520,7 +526,7 @@
         peer.answered = true;
         peer.voted = counts;
         self.mark_accepted(member);
-        // It grants no leases under the version before any more.
+        // The member no longer grants leases under the previous version.
         let peer = &mut self.peers[member];
         peer.applied_from_ballot = peer.accepted_early;
     }
@@ -530,7 +536,7 @@
         self.peers[member].retry(reason, at);
     }
 
-    /// Ends the proposal because its time is over.
+    /// Ends the proposal because its caller's time limit was reached.
     pub fn time_out(&mut self) {
         match self.phase {
             ProposalPhase::Ended(_) => {}
--- a/crates/consensus/src/proposer/peer.rs
+++ b/crates/consensus/src/proposer/peer.rs
@@ -1,35 +1,39 @@
-//! The progress of a member in a proposal.
+//! Progress of each member in a proposal.
 
 use crate::membership::{Member, MemberRole, ReplicaId};
 use crate::protocol::EnforcedState;
 use std::time::Duration;
 
-/// A member, as a proposer sees it.
+/// What a proposer knows of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Peer {
     pub(super) name: String,
     pub(super) role: MemberRole,
-    /// A request is in flight.
+    /// Whether a request to the member is in flight.
     pub(super) requested: bool,
-    /// Time of the next request at the earliest.
+    /// Earliest time of the next request.
     pub(super) not_before: Duration,
-    /// It has done what this phase asks for.
+    /// Whether the member has done what the current phase asks for.
     pub(super) answered: bool,
-    /// Its vote counts in this phase.
+    /// Whether the member's vote counts in the current phase.
     pub(super) voted: bool,
-    /// It has a vote that does not count yet, since it has just started; it is asked again while votes are missing.
+    /// Whether the member has a vote that does not count yet, as just after its start. It is asked again until there is
+    /// a quorum.
     pub(super) vote_withheld: bool,
-    /// It has accepted the state, and may keep serving under its predecessor.
+    /// Whether the member has accepted the state, so that it may keep serving under the previous version.
     pub(super) accepted: bool,
-    /// It was one of the majority that accepted the state first, before the wait for leases began.
+    /// Whether the member accepted the state, with a vote that counts, before the wait for leases began.
     pub(super) accepted_early: bool,
-    /// It put the state in force from this ballot: it heeded no other proposer in between.
+    /// Whether the member put the state in force after accepting it in this ballot, and so accepted it from no other
+    /// proposer in between.
     pub(super) applied_from_ballot: bool,
-    /// It needs the whole state to put it in force.
+    /// Whether the member needs the whole state to put it in force.
     pub(super) needs_state: bool,
+    /// Replica that the member reported with its promise; 0 if its vote does not count.
     pub(super) replica: ReplicaId,
+    /// What the member enforces before the group is formed, as reported with its promise.
     pub(super) enforced: Option<EnforcedState>,
-    /// Why it did not do what it was last asked.
+    /// Why the last request failed or was refused.
     pub(super) reason: Option<String>,
 }
 
@@ -57,7 +61,8 @@
         self.role == MemberRole::Ingress
     }
 
-    /// Prepares for the next phase. A response to a request of this phase may still come; it counts for nothing then.
+    /// Resets the progress for a new phase. Late responses to requests of the previous phase are ignored by the
+    /// proposer.
     pub(super) fn begin_phase(&mut self, now: Duration) {
         self.requested = false;
         self.not_before = now;
@@ -67,8 +72,8 @@
         self.reason = None;
     }
 
-    /// Whether this phase still has to ask it for its vote.
-    pub(super) fn is_missing(&self, quorum_reached: bool) -> bool {
+    /// Whether the member's vote in the current phase is still to be asked for.
+    pub(super) fn is_vote_missing(&self, quorum_reached: bool) -> bool {
         !self.answered || self.vote_withheld && !quorum_reached
     }
 
--- a/crates/consensus/src/proposer/phase.rs
+++ b/crates/consensus/src/proposer/phase.rs
@@ -6,56 +6,58 @@
 use thiserror::Error;
 use wrenfork_commit::reason::MemberReason;
 
-/// What a proposer wants.
+/// What a proposer is to have decided.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ProposalGoal {
-    /// To have this state decided, made from the one in force.
+    /// This state, which was made from the one in force.
     Change(Arc<GroupState>),
-    /// To resolve an undecided version: decide what a member has accepted, or else change nothing.
+    /// The next version, which another proposer left undecided: the state that a member has accepted, or else a version
+    /// without changes.
     Recover,
-    /// To form the group: decide its first state with all members of the charter.
+    /// The first state of the group, with all initial members.
     Form,
 }
 
 /// Phase of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ProposalPhase {
-    /// Members are asked for promises.
+    /// Paxos phase 1: asking members for promises.
     Preparing,
-    /// Members are asked to accept the state.
+    /// Paxos phase 2: asking members to accept the state.
     Accepting,
-    /// The state is decided, and members are notified.
+    /// The state is decided; telling members to put it in force.
     Notifying,
-    /// The proposal has ended.
+    /// The proposal has ended with this outcome.
     Ended(ProposalOutcome),
 }
 
 /// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ProposalOutcome {
-    /// The state is in force, and nobody serves under its predecessor any more.
+    /// The state is in force, and no member serves under the previous version any more.
     Committed,
-    /// A member could not enforce the state; nothing has changed.
+    /// Some member can't enforce the state; nothing has changed.
     Rejected(Vec<MemberReason>),
-    /// Too few members voted; nothing has changed.
+    /// Too few members promised to take part; nothing has changed.
     NoQuorum {
-        /// Votes that were received.
+        /// Number of votes received.
         votes: usize,
-        /// Votes that were needed.
+        /// Number of votes needed.
         needed: usize,
     },
     /// A member has promised a higher ballot.
     HigherBallot(Ballot),
-    /// Another state has been decided with this version.
+    /// Another state was decided. Holds the version that is in force after that.
     Superseded(u64),
-    /// Time ran out before the state was decided, or before all members were notified; the members will resolve it.
+    /// The time limit was reached before the state was decided, or before all members were notified. The members will
+    /// recover the version.
     TimedOut,
 }
 
-/// A request to a member got no response; the member may have handled it all the same.
+/// A request to a member got no response; the member may have handled the request nevertheless.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{reason}")]
 pub struct RequestFailed {
-    /// Why, for people.
+    /// Reason, for display only.
     pub reason: String,
 }
--- a/crates/consensus/tests/acceptor.rs
+++ b/crates/consensus/tests/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor of a member.
+//! Tests of the acceptor.
 
 use std::sync::Arc;
 use wrenfork_commit::state::Digest;
@@ -12,10 +12,10 @@
     proposer: 7,
 };
 
-/// The only member of a group whose first state is in force.
-fn acceptor(first: GroupState) -> Acceptor {
+/// The acceptor of the only member of a group, with `in_force` in force.
+fn acceptor(in_force: GroupState) -> Acceptor {
     let state = PersistentState {
-        group_state: Some(Arc::new(first)),
+        group_state: Some(Arc::new(in_force)),
         ..PersistentState::new("a", 1)
     };
     Acceptor::new(state, None)
@@ -32,7 +32,7 @@
     GroupState::new(1, 1, Digest::default(), "", membership, Policy::default())
 }
 
-/// Handles a request and stores what that wants.
+/// Handles a request and stores the resulting state.
 fn handle(acceptor: &mut Acceptor, request: GroupRequest) -> GroupResponse {
     match acceptor.handle(request, Ok(()), |_| Ok(())) {
         Step::Persist {
@@ -45,7 +45,7 @@
     }
 }
 
-/// The ballot in which the member says that it had accepted version 2, after it is told that the version is decided.
+/// Notifies the member that version 2 is decided; returns the ballot in which it reports to have accepted that version.
 fn accepted_in(
     acceptor: &mut Acceptor,
     digest: &Digest,
@@ -62,14 +62,15 @@
             accepted_in,
             ..
         } => accepted_in,
-        other => panic!("{other:?}"),
+        other => panic!("unexpected response {other:?}"),
     }
 }
 
-/// Guards against a change that waits for leases twice: a member that has accepted a state may learn from another member that
-/// it is decided, before its proposer says so; it has heeded no other proposer all the same.
+/// Guards against a change that waits for leases a second time without need. A member that has accepted a state may
+/// learn from another member that it is decided, before the proposer notifies it. It must still report the ballot in
+/// which it accepted the state, since it has accepted it from no other proposer.
 #[test]
-fn a_member_that_learnt_a_state_elsewhere_still_says_in_which_ballot_it_had_accepted_it() {
+fn accepted_ballot_is_reported_after_learning_the_decision_from_another_member() {
     let first = first_state();
     let next = Arc::new(first.unchanged_successor());
     let mut acceptor = acceptor(first);
@@ -80,9 +81,9 @@
     let accepted = GroupResponse::Accepted { replica: 1 };
     assert_eq!(handle(&mut acceptor, accept), accepted);
     let from_member = accepted_in(&mut acceptor, &next.digest, Some(next.clone()));
-    assert_eq!(from_member, Some(BALLOT), "by another member");
+    assert_eq!(from_member, Some(BALLOT), "notified by another member");
     let from_proposer = accepted_in(&mut acceptor, &next.digest, None);
-    assert_eq!(from_proposer, Some(BALLOT), "by the proposer");
+    assert_eq!(from_proposer, Some(BALLOT), "notified by the proposer");
     let other = accepted_in(&mut acceptor, &Digest::of(b"another"), None);
     assert_eq!(other, None);
 }
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Every stored and sent form of this package, byte for byte as the files under `tests/golden/` have it.
+//! Checks every stored and sent format of this package byte for byte against the files under `tests/golden/`.
 //!
-//! The files are written by hand alone, when a form changes on purpose:
+//! The files are only rewritten on demand, when a format changes intentionally:
 //! `cargo test -p wrenfork-consensus --test golden -- --ignored write_golden_files`
 
 use serde::de::DeserializeOwned;
@@ -27,14 +27,14 @@
     proposer: u64::MAX,
 };
 
-fn path(name: &str) -> PathBuf {
+fn golden_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(name)
 }
 
-fn golden(name: &str) -> String {
-    std::fs::read_to_string(path(name)).unwrap()
+fn read_golden(name: &str) -> String {
+    std::fs::read_to_string(golden_path(name)).unwrap()
 }
 
 fn state(pairs: &[(&str, &str)]) -> Arc<State> {
@@ -46,35 +46,38 @@
     ))
 }
 
-/// Names and values that a text form has to escape.
-const ODD: &str = "b \"quoted\"\n\\ \u{fc}\u{200b}";
+/// Text with characters that must be escaped in a text format.
+const SPECIAL_CHARS: &str = "b \"quoted\"\n\\ \u{fc}\u{200b}";
 
 fn membership() -> Membership {
-    let seat = |name: &str, folder, kind, votes| Member {
+    let member = |name: &str, replica, role, votes| Member {
         name: name.into(),
-        replica: folder,
-        role: kind,
+        replica,
+        role,
         votes,
     };
-    let seats = vec![
-        seat("a", 1, MemberRole::Ingress, true),
-        seat(ODD, u64::MAX, MemberRole::Ingress, true),
-        seat("w", 3, MemberRole::Witness, true),
-        seat("z", 0, MemberRole::Ingress, false),
+    let members = vec![
+        member("a", 1, MemberRole::Ingress, true),
+        member(SPECIAL_CHARS, u64::MAX, MemberRole::Ingress, true),
+        member("w", 3, MemberRole::Witness, true),
+        member("z", 0, MemberRole::Ingress, false),
     ];
-    Membership::new(7, 1_500, seats).unwrap()
+    Membership::new(7, 1_500, members).unwrap()
 }
 
 fn states() -> BTreeMap<String, Arc<State>> {
     [
         ("a".to_string(), state(&[("k", "1"), ("discovery", "x")])),
-        (ODD.to_string(), state(&[("k", "1"), ("gone", ODD)])),
+        (
+            SPECIAL_CHARS.to_string(),
+            state(&[("k", "1"), ("gone", SPECIAL_CHARS)]),
+        ),
         ("z".to_string(), state(&[("k", "1")])),
     ]
     .into()
 }
 
-fn base() -> GroupState {
+fn base_state() -> GroupState {
     GroupState::new(
         4,
         2,
@@ -98,15 +101,15 @@
             regression_ppm: 5_000,
             false_alarm_ppm: 6_000,
         },
-        stages: vec![vec!["a".into()], vec![ODD.into(), "z".into()]],
+        stages: vec![vec!["a".into()], vec![SPECIAL_CHARS.into(), "z".into()]],
         changes: vec![
             change(
                 &state(&[("discovery", "x")]),
-                &state(&[("discovery", "y"), ("new", ODD)]),
+                &state(&[("discovery", "y"), ("new", SPECIAL_CHARS)]),
             ),
-            change(&state(&[("gone", ODD)]), &state(&[])),
+            change(&state(&[("gone", SPECIAL_CHARS)]), &state(&[])),
         ],
-        change_of: [("a".to_string(), 0), (ODD.to_string(), 1)].into(),
+        change_of: [("a".to_string(), 0), (SPECIAL_CHARS.to_string(), 1)].into(),
         phase,
         reason: "it is \"held\"".into(),
     }
@@ -123,9 +126,13 @@
 }
 
 fn group_states() -> Vec<GroupState> {
-    let mut all = vec![GroupState::default(), base(), base().unchanged_successor()];
+    let mut all = vec![
+        GroupState::default(),
+        base_state(),
+        base_state().unchanged_successor(),
+    ];
     let smaller = membership().without_member("z").unwrap();
-    all.push(base().with_membership("carl", smaller, BTreeMap::new()));
+    all.push(base_state().with_membership("carl", smaller, BTreeMap::new()));
     let larger = membership()
         .with_member(Member {
             name: "y".into(),
@@ -134,25 +141,25 @@
             votes: true,
         })
         .unwrap();
-    all.push(base().with_membership(
+    all.push(base_state().with_membership(
         "carl",
         larger,
         [("y".to_string(), state(&[("k", "2")]))].into(),
     ));
-    all.push(base().with_membership(
+    all.push(base_state().with_membership(
         "",
-        membership().with_vote(ODD, None).unwrap(),
+        membership().with_vote(SPECIAL_CHARS, None).unwrap(),
         BTreeMap::new(),
     ));
     for phase in phases() {
-        all.push(base().with_rollout("bob", rollout(phase)).unwrap());
+        all.push(base_state().with_rollout("bob", rollout(phase)).unwrap());
     }
     all
 }
 
 fn group_state() -> Arc<GroupState> {
     Arc::new(
-        base()
+        base_state()
             .with_rollout("bob", rollout(RolloutPhase::Active { stage: 0 }))
             .unwrap(),
     )
@@ -175,7 +182,7 @@
 fn requests() -> Vec<GroupRequest> {
     let renew = |version, accepted| {
         GroupRequest::Renew(RenewalRequest {
-            from: ODD.into(),
+            from: SPECIAL_CHARS.into(),
             replica: 3,
             replica_version: replica_version(),
             version,
@@ -202,7 +209,7 @@
         },
         GroupRequest::ProposerAlive {
             ballot: BALLOT,
-            accepted_by: vec!["a".into(), ODD.into()],
+            accepted_by: vec!["a".into(), SPECIAL_CHARS.into()],
         },
         GroupRequest::Decided {
             version: 5,
@@ -225,7 +232,7 @@
     ]
 }
 
-fn tally() -> MemberMetrics {
+fn member_metrics() -> MemberMetrics {
     MemberMetrics {
         incarnation: 1,
         uptime_ms: 2,
@@ -303,10 +310,10 @@
 
 fn responses() -> Vec<GroupResponse> {
     let mut responses = renewal_responses();
-    let decided = |from| GroupResponse::Decided {
+    let decided = |accepted_in| GroupResponse::Decided {
         replica: 2,
         version: 5,
-        accepted_in: from,
+        accepted_in,
     };
     responses.extend([
         GroupResponse::Promised {
@@ -319,7 +326,7 @@
             accepted: Some(accepted()),
             enforced: Some(EnforcedState {
                 generation: 4,
-                state: state(&[("k", ODD)]),
+                state: state(&[("k", SPECIAL_CHARS)]),
             }),
         },
         GroupResponse::Accepted { replica: 2 },
@@ -338,9 +345,11 @@
         GroupResponse::Status(Box::default()),
         GroupResponse::Status(Box::new(status())),
         GroupResponse::Tallied(Box::default()),
-        GroupResponse::Tallied(Box::new(tally())),
+        GroupResponse::Tallied(Box::new(member_metrics())),
         GroupResponse::Acknowledged,
-        GroupResponse::Rejected { reason: ODD.into() },
+        GroupResponse::Rejected {
+            reason: SPECIAL_CHARS.into(),
+        },
         GroupResponse::Unavailable {
             reason: "the disk is full".into(),
         },
@@ -349,11 +358,11 @@
 }
 
 fn persistent_states() -> Vec<PersistentState> {
-    let whole = PersistentState {
-        name: ODD.into(),
+    let complete = PersistentState {
+        name: SPECIAL_CHARS.into(),
         replica: 3,
         writes: 9,
-        group_state: Some(Arc::new(base())),
+        group_state: Some(Arc::new(base_state())),
         accepted_in: Some(BALLOT),
         promised: Ballot {
             round: 4,
@@ -363,19 +372,19 @@
     };
     vec![
         PersistentState::new("a", 1),
-        whole.with_new_replica(77),
-        whole,
+        complete.with_new_replica(77),
+        complete,
     ]
 }
 
-fn json<T: Serialize>(values: &[T]) -> String {
+fn json_lines<T: Serialize>(values: &[T]) -> String {
     values.iter().fold(String::new(), |mut text, value| {
         writeln!(text, "{}", serde_json::to_string(value).unwrap()).unwrap();
         text
     })
 }
 
-fn files() -> Vec<(&'static str, String)> {
+fn golden_files() -> Vec<(&'static str, String)> {
     vec![
         (
             "asks.jsonl",
@@ -385,24 +394,27 @@
             "says.jsonl",
             responses().iter().map(protocol::encode_line).collect(),
         ),
-        ("decrees.jsonl", json(&group_states())),
-        ("memory.jsonl", json(&persistent_states())),
-        ("roster.jsonl", json(&[Membership::default(), membership()])),
+        ("decrees.jsonl", json_lines(&group_states())),
+        ("memory.jsonl", json_lines(&persistent_states())),
+        (
+            "roster.jsonl",
+            json_lines(&[Membership::default(), membership()]),
+        ),
     ]
 }
 
 #[test]
-#[ignore = "writes the golden files; run it by hand when a form changes on purpose"]
+#[ignore = "rewrites the golden files; run it only when a format changes intentionally"]
 fn write_golden_files() {
-    for (name, text) in files() {
-        std::fs::write(path(name), text).unwrap();
+    for (name, text) in golden_files() {
+        std::fs::write(golden_path(name), text).unwrap();
     }
 }
 
 #[test]
-fn every_form_is_written_as_its_golden_file_has_it() {
-    for (name, text) in files() {
-        assert_eq!(text, golden(name), "{name}");
+fn every_format_is_written_as_in_its_golden_file() {
+    for (name, text) in golden_files() {
+        assert_eq!(text, read_golden(name), "{name}");
     }
 }
 
@@ -410,21 +422,24 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
-    let text = golden(name);
-    let found: Vec<T> = text
+    let text = read_golden(name);
+    let decoded: Vec<T> = text
         .lines()
         .map(|line| protocol::decode_line(line).unwrap())
         .collect();
-    assert_eq!(found, values, "{name}");
+    assert_eq!(decoded, values, "{name}");
     assert_eq!(
-        found.iter().map(protocol::encode_line).collect::<String>(),
+        decoded
+            .iter()
+            .map(protocol::encode_line)
+            .collect::<String>(),
         text,
         "{name}"
     );
 }
 
 #[test]
-fn golden_lines_are_read_and_written_again_to_the_same_bytes() {
+fn golden_messages_round_trip_to_the_same_bytes() {
     assert_lines_round_trip("asks.jsonl", &requests());
     assert_lines_round_trip("says.jsonl", &responses());
 }
@@ -433,39 +448,39 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
-    let text = golden(name);
-    let found: Vec<T> = text
+    let text = read_golden(name);
+    let decoded: Vec<T> = text
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
-    assert_eq!(found, values, "{name}");
-    assert_eq!(json(&found), text, "{name}");
+    assert_eq!(decoded, values, "{name}");
+    assert_eq!(json_lines(&decoded), text, "{name}");
 }
 
 #[test]
-fn golden_records_are_read_and_written_again_to_the_same_bytes() {
+fn golden_records_round_trip_to_the_same_bytes() {
     assert_json_round_trips("decrees.jsonl", &group_states());
     assert_json_round_trips("memory.jsonl", &persistent_states());
     assert_json_round_trips("roster.jsonl", &[Membership::default(), membership()]);
 }
 
-/// A digest is made over a text with the names of fields and types: a rename that reached it would part members of two
-/// versions.
+/// The input of a digest has names of types and fields. Guards against a rename that changes this text: members that
+/// run different program versions would reject each other's group states.
 #[test]
-fn every_golden_decree_still_has_the_digest_that_it_was_written_with() {
-    for line in golden("decrees.jsonl").lines().skip(1) {
-        let decree: GroupState = serde_json::from_str(line).unwrap();
-        let roster_ok = decree.membership.check();
-        assert_eq!(roster_ok, Ok(()));
-        assert_eq!(decree.check(), Ok(()), "{line}");
+fn golden_group_states_still_match_their_digests() {
+    for line in read_golden("decrees.jsonl").lines().skip(1) {
+        let group_state: GroupState = serde_json::from_str(line).unwrap();
+        let membership_check = group_state.membership.check();
+        assert_eq!(membership_check, Ok(()));
+        assert_eq!(group_state.check(), Ok(()), "{line}");
     }
 }
 
 #[test]
-fn records_of_an_older_program_that_leaves_fields_out_are_read() {
-    let memory = r#"{"name":"a","folder":1,"writes":0,"decree":null,"promised":{"round":0,"by":0},"accepted":null}"#;
-    let memory: PersistentState = serde_json::from_str(memory).unwrap();
-    assert_eq!(memory, PersistentState::new("a", 1));
+fn records_without_fields_added_later_are_read() {
+    let json_text = r#"{"name":"a","folder":1,"writes":0,"decree":null,"promised":{"round":0,"by":0},"accepted":null}"#;
+    let state: PersistentState = serde_json::from_str(json_text).unwrap();
+    assert_eq!(state, PersistentState::new("a", 1));
     let text = serde_json::to_string(&GroupStatus::default()).unwrap();
     assert!(text.ends_with(",\"turn\":false}"), "{text}");
     let older = text.replace(",\"turn\":false", "");
--- a/crates/consensus/tests/group_state.rs
+++ b/crates/consensus/tests/group_state.rs
@@ -1,4 +1,4 @@
-//! Group states: policies, and what may follow.
+//! Tests of policies and of group states with a changed membership.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,8 +16,8 @@
 }
 
 #[test]
-fn a_new_member_brings_its_own_state_and_changes_nobody_elses() {
-    let all = |names: &[&str]| -> BTreeMap<String, Arc<State>> {
+fn joining_member_adds_its_state_without_changing_the_others() {
+    let states_of = |names: &[&str]| -> BTreeMap<String, Arc<State>> {
         names
             .iter()
             .map(|n| (n.to_string(), state(&[("k", "1"), ("at", n)])))
@@ -32,42 +32,45 @@
     let membership = |names: &[&str]| {
         Membership::new(1, 1_500, names.iter().map(|n| member(n)).collect()).unwrap()
     };
-    // One member alone has everything in common with itself.
-    let one = GroupState::new(
+    // With a single member, all of its keys are shared keys.
+    let single = GroupState::new(
         1,
         4,
         Digest::default(),
         "",
         membership(&["a"]),
-        Policy::from_states(&all(&["a"])),
+        Policy::from_states(&states_of(&["a"])),
     );
-    let two = one.with_membership("ann", membership(&["a", "b"]), all(&["b"]));
-    assert_eq!((two.version, two.generation, two.check()), (2, 4, Ok(())));
-    assert!(two.enforces_same_as(&one) && one.enforces_same_as(&two));
+    let joined = single.with_membership("ann", membership(&["a", "b"]), states_of(&["b"]));
     assert_eq!(
-        two.enforced_by("b").unwrap().1,
+        (joined.version, joined.generation, joined.check()),
+        (2, 4, Ok(()))
+    );
+    assert!(joined.enforces_same_as(&single) && single.enforces_same_as(&joined));
+    assert_eq!(
+        joined.enforced_by("b").unwrap().1,
         *state(&[("k", "1"), ("at", "b")])
     );
-    let without = two.with_membership("ann", membership(&["b"]), BTreeMap::new());
-    assert!(without.enforced_by("a").is_none() && without.enforces_same_as(&two));
+    let without = joined.with_membership("ann", membership(&["b"]), BTreeMap::new());
+    assert!(without.enforced_by("a").is_none() && without.enforces_same_as(&joined));
     assert!(!GroupState::new(
         3,
         4,
         Digest::default(),
         "",
         membership(&["b"]),
-        Policy::from_states(&all(&["b", "c"]))
+        Policy::from_states(&states_of(&["b", "c"]))
     )
     .with_membership(
         "",
         membership(&["b"]),
         [("b".to_string(), state(&[("k", "2")]))].into()
     )
-    .enforces_same_as(&two));
+    .enforces_same_as(&joined));
 }
 
 #[test]
-fn each_member_gets_back_its_state_and_shared_keys_are_stored_once() {
+fn policy_stores_shared_keys_once_and_restores_each_members_state() {
     let states: BTreeMap<String, Arc<State>> = [
         ("a".to_string(), state(&[("k", "1"), ("discovery", "x")])),
         (
@@ -78,8 +81,8 @@
     .into();
     let policy = Policy::from_states(&states);
     assert_eq!(policy.shared, *state(&[("k", "1")]));
-    for (name, wanted) in &states {
-        assert_eq!(policy.state_for(name).as_ref(), Some(&**wanted));
+    for (name, expected) in &states {
+        assert_eq!(policy.state_for(name).as_ref(), Some(&**expected));
     }
     assert_eq!(policy.state_for("c"), None);
     let mut other = policy.clone();
--- a/crates/consensus/tests/lease.rs
+++ b/crates/consensus/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: who is granted one, and which one a process may continue.
+//! Tests of the lease manager: which renewals are granted, and which lease a successor process may take over.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     Arc::new(GroupState::new(version, 1, change, "", membership, policy))
 }
 
-fn started(name: &str, group_state: &Arc<GroupState>) -> LeaseManager {
+fn start_member(name: &str, group_state: &Arc<GroupState>) -> LeaseManager {
     let state = PersistentState {
         group_state: Some(group_state.clone()),
         ..PersistentState::new(name, 1)
@@ -33,27 +33,31 @@
     LeaseManager::new(name, &state, Membership::default(), 1, NOW)
 }
 
-/// Guards against a lease that outlives its group state, its end, or its holder's membership by way of a handover.
+/// Guards against a handover by which a lease outlives its group state, its deadline or the membership of its holder.
 #[test]
-fn a_lease_passes_to_the_next_process_under_the_same_group_state_alone() {
+fn lease_is_inherited_only_under_the_same_group_state() {
     let in_force = group_state(4);
     let deadline = Duration::from_secs(10);
-    let mut next = started("a", &in_force);
-    next.inherit_lease(3, deadline);
-    assert_eq!(next.lease_deadline(), None, "another version is in force");
-    next.inherit_lease(4, deadline);
-    next.inherit_lease(4, Duration::from_secs(8));
-    assert_eq!(next.lease_deadline(), Some(deadline));
-    let mut stranger = started("z", &in_force);
-    stranger.inherit_lease(4, deadline);
-    assert_eq!(stranger.lease_deadline(), None);
+    let mut successor = start_member("a", &in_force);
+    successor.inherit_lease(3, deadline);
+    assert_eq!(
+        successor.lease_deadline(),
+        None,
+        "another version is in force"
+    );
+    successor.inherit_lease(4, deadline);
+    successor.inherit_lease(4, Duration::from_secs(8));
+    assert_eq!(successor.lease_deadline(), Some(deadline));
+    let mut non_member = start_member("z", &in_force);
+    non_member.inherit_lease(4, deadline);
+    assert_eq!(non_member.lease_deadline(), None);
     assert!(
-        next.check_vote_eligibility().is_err(),
-        "it votes once others have answered it, as after any start"
+        successor.check_vote_eligibility().is_err(),
+        "the successor must not vote before other voters have confirmed its replica"
     );
 }
 
-/// The verdict on a renewal by member "c".
+/// The verdict of a voter on a renewal by member "c", which has accepted the state with the digest `accepted`.
 fn verdict(voter: &mut LeaseManager, accepted: Option<&Digest>) -> RenewalVerdict {
     let request = RenewalRequest {
         from: "c".into(),
@@ -68,10 +72,11 @@
     voter.handle_renewal(&request, NOW).verdict
 }
 
-/// Guards against a member that keeps its lease under the version before though the proposer never heard that it has
-/// accepted the next one, or heard it in another ballot, and so neither waits for it nor counts it as missing.
+/// Guards against a member that keeps its lease under the version in force although the proposer does not know, or
+/// knows only from another ballot, that the member has accepted the next version. The proposer would neither wait for
+/// that member nor for its lease to expire.
 #[test]
-fn while_a_state_is_accepted_only_members_named_by_its_proposer_renew() {
+fn after_accepting_a_state_only_members_named_by_its_proposer_renew() {
     let in_force = group_state(1);
     let ballot = Ballot {
         round: 1,
@@ -81,25 +86,41 @@
         round: 2,
         proposer: 8,
     };
-    let mut voter = started("a", &in_force);
+    let mut voter = start_member("a", &in_force);
     let next = in_force.unchanged_successor().digest;
     assert_eq!(verdict(&mut voter, None), RenewalVerdict::Granted);
 
     voter.block_grants(ballot, &next, NOW);
-    let own_word = verdict(&mut voter, Some(&next));
-    assert_eq!(own_word, RenewalVerdict::Pending, "its own word");
+    let unnamed = verdict(&mut voter, Some(&next));
+    assert_eq!(
+        unnamed,
+        RenewalVerdict::Pending,
+        "reported only by the member"
+    );
 
     voter.proposer_alive(higher, &["c".into()], NOW);
     let other_ballot = verdict(&mut voter, Some(&next));
-    assert_eq!(other_ballot, RenewalVerdict::Pending, "another ballot");
+    assert_eq!(
+        other_ballot,
+        RenewalVerdict::Pending,
+        "named in another ballot"
+    );
 
     voter.proposer_alive(ballot, &["b".into(), "c".into()], NOW);
     let named = verdict(&mut voter, Some(&next));
     assert_eq!(named, RenewalVerdict::Granted);
     let not_accepted = verdict(&mut voter, None);
-    assert_eq!(not_accepted, RenewalVerdict::Pending, "not accepted");
+    assert_eq!(
+        not_accepted,
+        RenewalVerdict::Pending,
+        "named, but not accepted"
+    );
 
     voter.block_grants(higher, &next, NOW);
     let next_proposer = verdict(&mut voter, Some(&next));
-    assert_eq!(next_proposer, RenewalVerdict::Pending, "nobody named yet");
+    assert_eq!(
+        next_proposer,
+        RenewalVerdict::Pending,
+        "not named in the new ballot"
+    );
 }
--- a/crates/consensus/tests/model/actions.rs
+++ b/crates/consensus/tests/model/actions.rs
@@ -1,7 +1,8 @@
-//! What can happen in the world that is searched.
+//! The actions of the model: message delivery and loss, crashes, renewals and the passing of time.
 
-use crate::world::{
-    lost, Channel, DelayedRenewal, Now, Renewal, Second, Variant, World, HOLDER, NAMES, STEP,
+use crate::group_model::{
+    request_lost, Channel, DelayedRenewal, GroupModel, Renewal, SecondProposer, SystemState,
+    Variant, LEASE_HOLDER, NAMES, STEP,
 };
 use std::mem;
 use std::sync::Arc;
@@ -11,158 +12,172 @@
 use wrenfork_consensus::proposer::ProposalPhase;
 use wrenfork_consensus::protocol::{Ballot, GroupRequest};
 
-/// How many of the others the holder reaches: with itself that is a majority.
+/// Number of other voters that the holder renews from: with the holder itself, they are a majority.
 const REACHABLE_VOTERS: usize = 1;
-/// Replica of a member that lost its own, without its index.
+/// Lowest replica id of a member that lost its store; the member's index is added.
 const EMPTY_REPLICA: u64 = 90;
-/// Replica that a member takes when its own is an older copy.
+/// Replica id that a member takes when its own replica turns out to be an older copy.
 const REPLACED_REPLICA: u64 = 80;
-/// Incarnation of a restarted member, without its index.
+/// Lowest incarnation of a restarted member; the member's index is added.
 const RESTARTED_INCARNATION: u64 = 50;
 
 /// The store a member restarts with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Store {
+pub enum RestartStore {
+    /// The store as it was when the member crashed.
     Kept,
-    Older,
+    /// The store of the initial state.
+    OlderCopy,
     Empty,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Time passes.
-    Tick,
-    /// A request arrives, is handled, and its response is received.
-    Arrive(usize, usize),
-    /// A request is lost; or handled, and its response is lost.
+    /// Time advances by one step.
+    AdvanceTime,
+    /// The request of a proposer to a member is handled, and the response received. Fields: proposer, member.
+    Deliver(usize, usize),
+    /// The request of a proposer to a member is lost, or its response if the last field is true. Fields: proposer,
+    /// member, whether the request is handled.
     Lose(usize, usize, bool),
-    /// A proposer crashes.
-    End(usize),
-    /// The second proposer begins.
-    Begin,
-    /// The member that has just started asks the others whether its replica is an old copy.
-    Confirm,
-    /// A member crashes and restarts.
-    Crash(usize, Store),
-    /// A renewal without delay.
+    /// A proposer crashes. Field: proposer.
+    CrashProposer(usize),
+    /// The second proposer starts.
+    StartSecondProposer,
+    /// A restarted member renews from the others, which tell it whether its replica is an older copy.
+    ConfirmReplica,
+    /// A member crashes and restarts. Fields: member, the store it restarts with.
+    CrashMember(usize, RestartStore),
+    /// The holder renews from a member without delay. Field: member.
     Renew(usize),
-    /// A delayed renewal is sent.
-    Send(usize),
-    /// The delayed renewal arrives, or its response is received.
-    Late,
+    /// The holder sends a renewal that will be delayed. Field: member.
+    SendDelayed(usize),
+    /// The delayed renewal is handled by its voter, or its response received by the holder.
+    DeliverDelayed,
 }
 
-impl World {
-    pub fn act(&self, now: &mut Now, action: Action) -> Option<()> {
+impl GroupModel {
+    pub fn apply(&self, system: &mut SystemState, action: Action) -> Option<()> {
         match action {
-            Action::Tick => {
-                now.time += STEP;
-                let time = now.time;
-                now.members[HOLDER].leases.renew_from_self(time);
+            Action::AdvanceTime => {
+                system.time += STEP;
+                let time = system.time;
+                system.members[LEASE_HOLDER].leases.renew_from_self(time);
             }
-            Action::Arrive(p, i) => {
-                let request = take_request(now, p, i)?;
-                let response = self.handle(now, i, request.clone());
-                self.handle_response(now, p, i, &request, Ok(response));
+            Action::Deliver(proposer, member) => {
+                let request = take_request(system, proposer, member)?;
+                let response = self.handle_request(system, member, request.clone());
+                self.handle_response(system, proposer, member, &request, Ok(response));
             }
-            Action::Lose(p, i, arrives) => {
-                now.losses -= 1;
-                let request = take_request(now, p, i)?;
+            Action::Lose(proposer, member, arrives) => {
+                system.losses -= 1;
+                let request = take_request(system, proposer, member)?;
                 if arrives {
-                    self.handle(now, i, request.clone());
+                    self.handle_request(system, member, request.clone());
                 }
-                self.handle_response(now, p, i, &request, Err(lost()));
+                self.handle_response(system, proposer, member, &request, Err(request_lost()));
             }
-            Action::End(p) => {
-                now.crashes -= 1;
-                now.proposers[p] = None; // its requests may still arrive
+            Action::CrashProposer(proposer) => {
+                system.crashes -= 1;
+                system.proposers[proposer] = None; // requests in flight may still arrive
             }
-            Action::Begin => {
-                now.second_began = true;
-                now.proposers[1] = Some(self.proposer(1, now.time));
+            Action::StartSecondProposer => {
+                system.second_began = true;
+                system.proposers[1] = Some(self.proposer(1, system.time));
             }
-            Action::Confirm => {
-                for i in 0..HOLDER {
-                    self.renew(now, i);
+            Action::ConfirmReplica => {
+                for member in 0..LEASE_HOLDER {
+                    self.renew(system, member);
                 }
             }
-            Action::Crash(i, store) => self.restart(now, i, store),
-            Action::Renew(i) => self.renew(now, i)?,
-            Action::Send(i) => {
-                now.delays -= 1;
-                now.delayed = Some(DelayedRenewal {
-                    member: i,
-                    renewal: sent(now),
+            Action::CrashMember(member, store) => self.restart(system, member, store),
+            Action::Renew(member) => self.renew(system, member)?,
+            Action::SendDelayed(member) => {
+                system.delays -= 1;
+                system.delayed = Some(DelayedRenewal {
+                    member,
+                    renewal: new_renewal(system),
                 });
             }
-            Action::Late => self.advance_delayed(now)?,
+            Action::DeliverDelayed => self.advance_delayed(system)?,
         }
         Some(())
     }
 
-    fn restart(&self, now: &mut Now, i: usize, store: Store) {
-        now.crashes -= 1;
-        let state = now.members[i].acceptor.state().clone();
+    fn restart(&self, system: &mut SystemState, member: usize, store: RestartStore) {
+        system.crashes -= 1;
+        let state = system.members[member].acceptor.state().clone();
         let state = match store {
-            Store::Kept if self.variant == Variant::NothingStored => PersistentState {
+            RestartStore::Kept if self.variant == Variant::LosesVotes => PersistentState {
                 accepted: None,
                 promised: Ballot::default(),
                 ..state
             },
-            Store::Kept => state,
-            Store::Older => self.first_state(i),
-            Store::Empty => PersistentState::new(NAMES[i], EMPTY_REPLICA + i as u64),
+            RestartStore::Kept => state,
+            RestartStore::OlderCopy => self.initial_state(member),
+            RestartStore::Empty => {
+                PersistentState::new(NAMES[member], EMPTY_REPLICA + member as u64)
+            }
         };
         let state = PersistentState {
             writes: state.writes + 1,
             ..state
         };
-        now.members[i] = self.node(i, state, RESTARTED_INCARNATION + i as u64, now.time);
-        if i == HOLDER {
-            now.delayed = None;
+        system.members[member] = self.node(
+            member,
+            state,
+            RESTARTED_INCARNATION + member as u64,
+            system.time,
+        );
+        if member == LEASE_HOLDER {
+            system.delayed = None;
         }
     }
 
-    /// The holder renews from a member without delay.
-    fn renew(&self, now: &mut Now, i: usize) -> Option<()> {
-        let renewal = arrived(now, i, sent(now));
-        self.received(now, i, renewal)
+    /// Renews the holder's lease from a member without delay.
+    fn renew(&self, system: &mut SystemState, member: usize) -> Option<()> {
+        let renewal = handle_renewal(system, member, new_renewal(system));
+        self.receive(system, member, renewal)
     }
 
-    fn advance_delayed(&self, now: &mut Now) -> Option<()> {
-        let DelayedRenewal { member, renewal } = now.delayed.take()?;
+    fn advance_delayed(&self, system: &mut SystemState) -> Option<()> {
+        let DelayedRenewal { member, renewal } = system.delayed.take()?;
         if renewal.response.is_some() {
-            return self.received(now, member, renewal);
+            return self.receive(system, member, renewal);
         }
-        let renewal = arrived(now, member, renewal);
-        now.delayed = Some(DelayedRenewal { member, renewal });
+        let renewal = handle_renewal(system, member, renewal);
+        system.delayed = Some(DelayedRenewal { member, renewal });
         Some(())
     }
 
-    /// The holder receives the response to a renewal.
-    fn received(&self, now: &mut Now, i: usize, renewal: Renewal) -> Option<()> {
+    /// Has the holder handle the response to a renewal.
+    fn receive(&self, system: &mut SystemState, member: usize, renewal: Renewal) -> Option<()> {
         let response = renewal.response?;
         let at = if self.variant == Variant::CountsFromResponse {
-            now.time
+            system.time
         } else {
             renewal.sent
         };
         let sent = SentRenewal { at, writes: None };
-        let time = now.time;
-        let holder = &mut now.members[HOLDER];
+        let time = system.time;
+        let holder = &mut system.members[LEASE_HOLDER];
         let result = holder
             .leases
-            .handle_response(NAMES[i], sent, &response, time);
+            .handle_response(NAMES[member], sent, &response, time);
         match result {
             RenewalResult::FetchState => {
-                let state = now.members[i].acceptor.state().group_state.clone()?;
-                self.handle(now, HOLDER, decided(state));
+                let state = system.members[member]
+                    .acceptor
+                    .state()
+                    .group_state
+                    .clone()?;
+                self.handle_request(system, LEASE_HOLDER, decided_request(state));
             }
             RenewalResult::SendState => {
                 let state = holder.acceptor.state().group_state.clone()?;
-                self.handle(now, i, decided(state));
+                self.handle_request(system, member, decided_request(state));
             }
-            RenewalResult::StaleReplica if self.variant != Variant::TrustsReplicas => {
+            RenewalResult::StaleReplica if self.variant != Variant::TrustsOldCopies => {
                 let state = holder.acceptor.state().with_new_replica(REPLACED_REPLICA);
                 holder.acceptor.persisted(state.clone());
                 holder.leases.apply_state(&state, time);
@@ -172,61 +187,70 @@
         Some(())
     }
 
-    pub fn possible_actions(&self, now: &Now, actions: &mut Vec<Action>) {
-        for p in 0..2 {
-            let pending = (0..3).filter(|i| now.channels[p][*i] != Channel::Idle);
-            for i in pending {
-                actions.push(Action::Arrive(p, i));
-                if now.losses > 0 && now.proposers[p].is_some() {
-                    actions.push(Action::Lose(p, i, false));
-                    actions.push(Action::Lose(p, i, true));
+    pub fn possible_actions(&self, system: &SystemState, actions: &mut Vec<Action>) {
+        for proposer in 0..2 {
+            let pending =
+                (0..3).filter(|member| system.channels[proposer][*member] != Channel::Idle);
+            for member in pending {
+                actions.push(Action::Deliver(proposer, member));
+                if system.losses > 0 && system.proposers[proposer].is_some() {
+                    actions.push(Action::Lose(proposer, member, false));
+                    actions.push(Action::Lose(proposer, member, true));
                 }
             }
-            if now.crashes > 0 && now.proposers[p].is_some() {
-                actions.push(Action::End(p));
+            if system.crashes > 0 && system.proposers[proposer].is_some() {
+                actions.push(Action::CrashProposer(proposer));
             }
         }
-        let first = now.proposers[0].as_ref();
-        let over = first.is_none_or(|p| matches!(p.phase, ProposalPhase::Ended(_)));
-        if !now.second_began && over && self.second != Second::Nothing {
-            actions.push(Action::Begin);
+        let first = system.proposers[0].as_ref();
+        let first_ended = first.is_none_or(|p| matches!(p.phase, ProposalPhase::Ended(_)));
+        if !system.second_began && first_ended && self.second != SecondProposer::Absent {
+            actions.push(Action::StartSecondProposer);
         }
-        if now.crashes > 0 {
-            // Members differ by their names alone: it is always the same one that crashes.
-            let stores = [Store::Kept, Store::Older, Store::Empty];
-            actions.extend(stores.map(|store| Action::Crash(HOLDER, store)));
+        if system.crashes > 0 {
+            // Members differ only in their names, so it is enough that one of them crashes.
+            let stores = [
+                RestartStore::Kept,
+                RestartStore::OlderCopy,
+                RestartStore::Empty,
+            ];
+            actions.extend(stores.map(|store| Action::CrashMember(LEASE_HOLDER, store)));
         }
         if self.bounds.leases {
-            self.possible_lease_actions(now, actions);
-        } else if now.members[HOLDER].leases.check_vote_eligibility().is_err() {
-            actions.push(Action::Confirm);
+            self.possible_lease_actions(system, actions);
+        } else if system.members[LEASE_HOLDER]
+            .leases
+            .check_vote_eligibility()
+            .is_err()
+        {
+            actions.push(Action::ConfirmReplica);
         }
     }
 
-    fn possible_lease_actions(&self, now: &Now, actions: &mut Vec<Action>) {
-        if now.time < STEP * u32::from(self.bounds.steps) {
-            actions.push(Action::Tick);
+    fn possible_lease_actions(&self, system: &SystemState, actions: &mut Vec<Action>) {
+        if system.time < STEP * u32::from(self.bounds.steps) {
+            actions.push(Action::AdvanceTime);
         }
-        for i in 0..REACHABLE_VOTERS {
-            actions.push(Action::Renew(i));
-            if now.delays > 0 {
-                actions.push(Action::Send(i));
+        for member in 0..REACHABLE_VOTERS {
+            actions.push(Action::Renew(member));
+            if system.delays > 0 {
+                actions.push(Action::SendDelayed(member));
             }
         }
-        if now.delayed.is_some() {
-            actions.push(Action::Late);
+        if system.delayed.is_some() {
+            actions.push(Action::DeliverDelayed);
         }
     }
 }
 
-fn take_request(now: &mut Now, p: usize, i: usize) -> Option<GroupRequest> {
-    match mem::replace(&mut now.channels[p][i], Channel::Idle) {
+fn take_request(system: &mut SystemState, proposer: usize, member: usize) -> Option<GroupRequest> {
+    match mem::replace(&mut system.channels[proposer][member], Channel::Idle) {
         Channel::Request(request) => Some(request),
         Channel::Idle => None,
     }
 }
 
-fn decided(state: Arc<GroupState>) -> GroupRequest {
+fn decided_request(state: Arc<GroupState>) -> GroupRequest {
     GroupRequest::Decided {
         version: state.version,
         digest: state.digest.clone(),
@@ -234,18 +258,18 @@
     }
 }
 
-fn sent(now: &Now) -> Renewal {
+fn new_renewal(system: &SystemState) -> Renewal {
     Renewal {
-        sent: now.time,
-        request: now.members[HOLDER].leases.renewal_request(),
+        sent: system.time,
+        request: system.members[LEASE_HOLDER].leases.renewal_request(),
         response: None,
     }
 }
 
-/// A member handles a renewal of the holder.
-fn arrived(now: &mut Now, i: usize, renewal: Renewal) -> Renewal {
-    let time = now.time;
-    let leases = &mut now.members[i].leases;
+/// Has a member handle a renewal of the holder.
+fn handle_renewal(system: &mut SystemState, member: usize, renewal: Renewal) -> Renewal {
+    let time = system.time;
+    let leases = &mut system.members[member].leases;
     let response = leases.handle_renewal(&renewal.request, time);
     Renewal {
         response: Some(response),
--- a/crates/consensus/tests/model/world.rs
+++ b/crates/consensus/tests/model/group_model.rs
@@ -1,4 +1,4 @@
-//! The world that is searched: its members, proposers and messages in flight.
+//! The model that `stateright` checks: members, proposers and messages in flight.
 
 use crate::actions::Action;
 use crate::properties;
@@ -18,52 +18,53 @@
 };
 
 pub const NAMES: [&str; 3] = ["a", "b", "c"];
-/// The member whose leases are looked at.
-pub const HOLDER: usize = 2;
+/// The member whose leases are modelled, and the one that crashes.
+pub const LEASE_HOLDER: usize = 2;
 const LEASE_MS: u64 = 1_000;
-/// Two of them are longer than the wait for a lease, one is not.
+/// A step of time. Two steps are longer than the wait for leases to expire, one is shorter.
 pub const STEP: Duration = Duration::from_millis(600);
-/// Writes of each replica at the beginning.
-const FIRST_WRITES: u64 = 5;
+/// Number of writes of each replica in the initial state.
+const INITIAL_WRITES: u64 = 5;
 
-/// What is left out on purpose.
+/// The protocol, complete or with one safeguard removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
     Complete,
-    /// What is promised and accepted is lost with a crash.
-    NothingStored,
-    /// Leases under the version before are granted to everybody, also by members that have accepted the next one.
+    /// A crash loses the promise and the accepted state.
+    LosesVotes,
+    /// Members that have accepted the next version still grant every lease under the version in force.
     GrantsAll,
-    /// The wait for leases to expire.
-    NoWait,
-    /// A lease counts from the receipt of the response, not from the sending of the request.
+    /// Proposers don't wait for leases to expire.
+    SkipsLeaseWait,
+    /// A lease counts from the receipt of the response instead of the sending of the request.
     CountsFromResponse,
-    /// A proposer has its own value decided, whatever was accepted before.
+    /// A proposer proposes its own value even if a state was accepted in an earlier ballot.
     IgnoresAccepted,
-    /// An old copy of a replica goes on voting.
-    TrustsReplicas,
-    /// A member that lost its replica votes under its name.
-    VotesWithoutState,
+    /// An older copy of a replica keeps voting.
+    TrustsOldCopies,
+    /// A member that lost its replica still votes as the old replica.
+    VotesWithoutReplica,
 }
 
-/// What the second proposer wants.
+/// What the second proposer does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Second {
-    Nothing,
+pub enum SecondProposer {
+    Absent,
     Recovers,
-    Another,
+    ProposesOther,
 }
 
 /// Bounds of a search.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Whether the holder's leases are looked at, and time passes. Then the second proposer begins once the first has ended;
-    /// else both are at work at once.
+    /// Whether the holder's leases are modelled and time passes. If so, the second proposer begins after the first has
+    /// ended; otherwise both run concurrently.
     pub leases: bool,
-    /// Messages between proposers and members that may be lost.
+    /// Number of messages between proposers and members that may be lost.
     pub losses: u8,
-    /// Crashes of members and of proposers.
+    /// Number of crashes of members and proposers.
     pub crashes: u8,
+    /// Time limit, as a number of `STEP`s.
     pub steps: u8,
 }
 
@@ -87,11 +88,12 @@
     }
 }
 
-pub struct World {
+pub struct GroupModel {
     pub variant: Variant,
-    pub second: Second,
+    pub second: SecondProposer,
     pub bounds: Bounds,
-    pub first: Arc<GroupState>,
+    /// The group state that is in force at all members in the initial state.
+    pub initial_group_state: Arc<GroupState>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -122,18 +124,19 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Now {
+pub struct SystemState {
     pub time: Duration,
     pub members: Vec<Node>,
     pub proposers: Vec<Option<Proposer>>,
     pub second_began: bool,
-    /// By proposer and member.
+    /// The request in flight, by proposer and member.
     pub channels: Vec<Vec<Channel>>,
     pub delayed: Option<DelayedRenewal>,
     pub delays: u8,
     pub crashes: u8,
     pub losses: u8,
-    /// Who has said that it has accepted what, in which ballot: what a majority has is decided, whoever knows.
+    /// Bit set of the members that responded with a counting vote that they have accepted a state, by ballot and
+    /// digest. A state that a majority has accepted is decided, even if no process knows.
     pub accepted_by: BTreeMap<(Ballot, Digest), u8>,
 }
 
@@ -163,46 +166,51 @@
     ))
 }
 
-impl World {
-    pub fn new(variant: Variant, second: Second, bounds: Bounds) -> World {
+impl GroupModel {
+    pub fn new(variant: Variant, second: SecondProposer, bounds: Bounds) -> GroupModel {
         let change = Digest::default();
-        let first = GroupState::new(1, 1, change, "", membership(), policy("old"));
-        World {
+        let group_state = GroupState::new(1, 1, change, "", membership(), policy("old"));
+        GroupModel {
             variant,
             second,
             bounds,
-            first: Arc::new(first),
+            initial_group_state: Arc::new(group_state),
         }
     }
 
-    pub fn node(&self, n: usize, state: PersistentState, incarnation: u64, now: Duration) -> Node {
-        let charter = Membership::default();
-        let leases = LeaseManager::new(NAMES[n], &state, charter, incarnation, now);
+    pub fn node(&self, n: usize, state: PersistentState, incarnation: u64, time: Duration) -> Node {
+        let initial_membership = Membership::default();
+        let leases = LeaseManager::new(NAMES[n], &state, initial_membership, incarnation, time);
         Node {
             acceptor: Acceptor::new(state, None),
             leases,
         }
     }
 
-    /// The stored state of a member at the beginning.
-    pub fn first_state(&self, n: usize) -> PersistentState {
+    /// The stored state of a member in the initial state.
+    pub fn initial_state(&self, n: usize) -> PersistentState {
         PersistentState {
-            group_state: Some(self.first.clone()),
-            writes: FIRST_WRITES,
+            group_state: Some(self.initial_group_state.clone()),
+            writes: INITIAL_WRITES,
             ..PersistentState::new(NAMES[n], n as u64 + 1)
         }
     }
 
     fn eligibility(&self, leases: &LeaseManager) -> Result<(), VoteWithheld> {
         match self.variant {
-            Variant::TrustsReplicas => Ok(()),
+            Variant::TrustsOldCopies => Ok(()),
             _ => leases.check_vote_eligibility(),
         }
     }
 
-    /// A member handles a request, and stores what that wants.
-    pub fn handle(&self, now: &mut Now, i: usize, request: GroupRequest) -> GroupResponse {
-        let Node { acceptor, leases } = &mut now.members[i];
+    /// Has a member handle a request, and stores its state.
+    pub fn handle_request(
+        &self,
+        system: &mut SystemState,
+        member: usize,
+        request: GroupRequest,
+    ) -> GroupResponse {
+        let Node { acceptor, leases } = &mut system.members[member];
         // Grants are blocked before the accepted state is stored.
         let mut accepted = None;
         if let GroupRequest::Accept { state, ballot } = &request {
@@ -225,29 +233,36 @@
         }
         leases.apply_state(&state, Duration::ZERO);
         if !self.bounds.leases {
-            tell_others_of_write(now, i);
+            report_writes(system, member);
         }
-        let response = self.altered(i, response);
+        let response = self.apply_variant(member, response);
         if let (GroupResponse::Accepted { replica }, Some(accepted)) = (&response, accepted) {
-            if self.first.membership.counts_vote(NAMES[i], *replica) {
-                *now.accepted_by.entry(accepted).or_default() |= 1 << i;
+            if self
+                .initial_group_state
+                .membership
+                .counts_vote(NAMES[member], *replica)
+            {
+                *system.accepted_by.entry(accepted).or_default() |= 1 << member;
             }
         }
         response
     }
 
-    /// The response of a member, as the variant has it; without reasons, which are for people.
-    fn altered(&self, i: usize, response: GroupResponse) -> GroupResponse {
-        let votes_by_name = self.variant == Variant::VotesWithoutState;
-        let replica = i as u64 + 1;
+    /// The response of a member as changed by the variant. Reasons of rejections are removed: they would only multiply
+    /// the states.
+    fn apply_variant(&self, member: usize, response: GroupResponse) -> GroupResponse {
+        let votes_as_old_replica = self.variant == Variant::VotesWithoutReplica;
+        let replica = member as u64 + 1;
         match response {
             GroupResponse::Rejected { .. } => GroupResponse::Rejected {
                 reason: String::new(),
             },
-            GroupResponse::Accepted { .. } if votes_by_name => GroupResponse::Accepted { replica },
+            GroupResponse::Accepted { .. } if votes_as_old_replica => {
+                GroupResponse::Accepted { replica }
+            }
             GroupResponse::Promised {
                 accepted, enforced, ..
-            } if votes_by_name => GroupResponse::Promised {
+            } if votes_as_old_replica => GroupResponse::Promised {
                 replica,
                 accepted,
                 enforced,
@@ -256,46 +271,46 @@
         }
     }
 
-    /// Puts the requests that are due into the channels.
-    pub fn send_requests(&self, now: &mut Now) {
-        let time = now.time;
-        for p in 0..now.proposers.len() {
-            let Some(proposer) = &mut now.proposers[p] else {
+    /// Puts the due requests of the proposers into the channels.
+    pub fn send_requests(&self, system: &mut SystemState) {
+        let time = system.time;
+        for index in 0..system.proposers.len() {
+            let Some(proposer) = &mut system.proposers[index] else {
                 continue;
             };
-            for (i, request) in proposer.requests(self.clock(time, proposer)) {
-                // That the proposer is alive decides nothing here, since a recovery may begin at any time; whom it names
-                // does, and is heard at once or not at all.
+            for (member, request) in proposer.requests(self.clock(time, proposer)) {
+                // Heartbeats as such have no effect here, since a recovery may begin at any time. The members that they
+                // name do, so a heartbeat is delivered at once; its response counts as lost.
                 if let GroupRequest::ProposerAlive {
                     ballot,
                     accepted_by,
                 } = &request
                 {
-                    let Node { acceptor, leases } = &mut now.members[i];
+                    let Node { acceptor, leases } = &mut system.members[member];
                     let accepted = acceptor.state().accepted.as_ref();
                     if accepted.is_some_and(|a| a.ballot == *ballot) {
                         leases.proposer_alive(*ballot, accepted_by, time);
                     }
                     let clock = self.clock(time, proposer);
-                    proposer.handle_response(i, &request, Err(lost()), clock);
+                    proposer.handle_response(member, &request, Err(request_lost()), clock);
                 } else {
-                    now.channels[p][i] = Channel::Request(request);
+                    system.channels[index][member] = Channel::Request(request);
                 }
             }
         }
     }
 
-    /// A proposer handles the outcome of a request.
+    /// Has a proposer handle the outcome of a request.
     pub fn handle_response(
         &self,
-        now: &mut Now,
-        p: usize,
-        i: usize,
+        system: &mut SystemState,
+        index: usize,
+        member: usize,
         request: &GroupRequest,
         response: Result<GroupResponse, RequestFailed>,
     ) {
-        let time = now.time;
-        let Some(proposer) = &mut now.proposers[p] else {
+        let time = system.time;
+        let Some(proposer) = &mut system.proposers[index] else {
             return;
         };
         let response = match response {
@@ -308,37 +323,40 @@
             }),
             other => other,
         };
-        proposer.handle_response(i, request, response, self.clock(time, proposer));
+        proposer.handle_response(member, request, response, self.clock(time, proposer));
     }
 
-    /// The clock of a proposer; one that does not wait believes that all leases have expired.
+    /// The clock of a proposer. With `SkipsLeaseWait`, it is far enough ahead that all leases seem to have expired.
     fn clock(&self, time: Duration, proposer: &Proposer) -> Duration {
         let waiting =
             proposer.is_waiting_for_leases() || proposer.phase == ProposalPhase::Notifying;
-        if self.variant == Variant::NoWait && waiting {
+        if self.variant == Variant::SkipsLeaseWait && waiting {
             time + 4 * STEP
         } else {
             time
         }
     }
 
-    pub fn proposer(&self, which: usize, now: Duration) -> Proposer {
+    pub fn proposer(&self, index: usize, time: Duration) -> Proposer {
         let ballot = Ballot {
-            round: 1 + which as u64,
-            proposer: which as u64,
+            round: 1 + index as u64,
+            proposer: index as u64,
         };
-        let goal = match (which, self.second) {
-            (0, _) => ProposalGoal::Change(change(&self.first, "ann", "new")),
-            (_, Second::Recovers | Second::Nothing) => ProposalGoal::Recover,
-            (_, Second::Another) => ProposalGoal::Change(change(&self.first, "bob", "other")),
+        let goal = match (index, self.second) {
+            (0, _) => ProposalGoal::Change(change(&self.initial_group_state, "ann", "new")),
+            (_, SecondProposer::Recovers | SecondProposer::Absent) => ProposalGoal::Recover,
+            (_, SecondProposer::ProposesOther) => {
+                ProposalGoal::Change(change(&self.initial_group_state, "bob", "other"))
+            }
         };
-        Proposer::new(self.first.clone(), goal, ballot, now)
+        Proposer::new(self.initial_group_state.clone(), goal, ballot, time)
     }
 
-    /// The members at the beginning: all have answered each other, so that the holder has a lease, and all may vote.
-    fn first_members(&self, time: Duration) -> Vec<Node> {
+    /// The members in the initial state. All have renewed from each other, so that the holder has a lease and all may
+    /// vote.
+    fn initial_members(&self, time: Duration) -> Vec<Node> {
         let mut members: Vec<Node> = (0..3)
-            .map(|n| self.node(n, self.first_state(n), 7 + n as u64, time))
+            .map(|n| self.node(n, self.initial_state(n), 7 + n as u64, time))
             .collect();
         for from in 0..3 {
             members[from].leases.renew_from_self(time);
@@ -358,36 +376,36 @@
     }
 }
 
-/// The outcome of a request that was lost, or whose response was.
-pub fn lost() -> RequestFailed {
+/// The outcome of a request that was lost, or whose response was lost.
+pub fn request_lost() -> RequestFailed {
     RequestFailed {
         reason: String::new(),
     }
 }
 
-/// Others are told of each write with the next renewal: what a copy is older than is known.
-fn tell_others_of_write(now: &mut Now, i: usize) {
-    let request = now.members[i].leases.renewal_request();
-    for other in (0..3).filter(|other| *other != i) {
-        let leases = &mut now.members[other].leases;
+/// Reports the writes of a member to the others, as its next renewal would, so that they can detect an older copy.
+fn report_writes(system: &mut SystemState, member: usize) {
+    let request = system.members[member].leases.renewal_request();
+    for other in (0..3).filter(|other| *other != member) {
+        let leases = &mut system.members[other].leases;
         leases.handle_renewal(&request, Duration::ZERO);
     }
 }
 
-impl Model for World {
-    type State = Now;
+impl Model for GroupModel {
+    type State = SystemState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<Now> {
-        let both = !self.bounds.leases;
-        let mut now = Now {
+    fn init_states(&self) -> Vec<SystemState> {
+        let concurrent = !self.bounds.leases;
+        let mut system = SystemState {
             time: STEP,
-            members: self.first_members(STEP),
+            members: self.initial_members(STEP),
             proposers: vec![
                 Some(self.proposer(0, STEP)),
-                both.then(|| self.proposer(1, STEP)),
+                concurrent.then(|| self.proposer(1, STEP)),
             ],
-            second_began: both,
+            second_began: concurrent,
             channels: vec![vec![Channel::Idle; 3]; 2],
             delayed: None,
             delays: 1,
@@ -395,19 +413,19 @@
             losses: self.bounds.losses,
             accepted_by: BTreeMap::new(),
         };
-        self.send_requests(&mut now);
-        vec![now]
+        self.send_requests(&mut system);
+        vec![system]
     }
 
-    fn actions(&self, now: &Now, actions: &mut Vec<Action>) {
-        self.possible_actions(now, actions);
+    fn actions(&self, system: &SystemState, actions: &mut Vec<Action>) {
+        self.possible_actions(system, actions);
     }
 
-    fn next_state(&self, last: &Now, action: Action) -> Option<Now> {
-        let mut now = last.clone();
-        self.act(&mut now, action)?;
-        self.send_requests(&mut now);
-        (now != *last).then_some(now)
+    fn next_state(&self, last: &SystemState, action: Action) -> Option<SystemState> {
+        let mut system = last.clone();
+        self.apply(&mut system, action)?;
+        self.send_requests(&mut system);
+        (system != *last).then_some(system)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
--- a/crates/consensus/tests/model/main.rs
+++ b/crates/consensus/tests/model/main.rs
@@ -1,34 +1,37 @@
-//! The consensus protocol by exhaustive search (`stateright`): three voters, a proposer with a change, a second proposer,
-//! messages that are lost or delayed either way, a member that restarts with its store, an old copy of it or none, and the
-//! leases of one member that may be isolated, suspended or late at any point.
+//! Exhaustive model checking of the consensus protocol with `stateright`.
 //!
-//! The acceptor, proposer and lease manager of the package itself are searched. Time goes in steps of a little over half a
-//! lease. Each guard that is left out on purpose must be found out, or the search shows nothing.
+//! The model runs the acceptor, proposer and lease manager of this package. It has three voters; a proposer with a
+//! change; a second proposer; requests and responses that are lost or delayed; a member that restarts with its store,
+//! an older copy of it or an empty one; and a lease holder that may be isolated, suspended or late at any point. Time
+//! advances in steps of a little over half a lease.
+//!
+//! The search must also find a violation in each variant of the protocol that lacks one safeguard: that shows that it
+//! can.
 
 mod actions;
+mod group_model;
 mod properties;
-mod world;
 
+use group_model::{Bounds, GroupModel, SecondProposer, Variant};
 use stateright::{Checker, HasDiscoveries, Model};
 use std::time::Instant;
-use world::{Bounds, Second, Variant, World};
 
-/// The longer searches, which take minutes and some GB: `WRENFORK_SEARCH=long cargo test --release -p wrenfork-consensus --test
-/// model -- --nocapture no_interleaving`
-fn long() -> bool {
-    std::env::var("WRENFORK_SEARCH").is_ok_and(|n| n == "long")
+/// Whether to run the longer searches too, which take minutes and some GB of memory: `WRENFORK_SEARCH=long cargo test
+/// --release -p wrenfork-consensus --test model -- --nocapture no_interleaving`
+fn is_long_search() -> bool {
+    std::env::var("WRENFORK_SEARCH").is_ok_and(|value| value == "long")
 }
 
-/// What a search found.
-struct Found {
+/// Outcome of a search.
+struct SearchResult {
     states: usize,
-    /// Properties that must always hold, and don't.
+    /// Properties that must always hold and were violated.
     violated: Vec<&'static str>,
-    /// Properties that must hold sometimes, and do.
+    /// Properties that must be reached and were.
     reached: Vec<&'static str>,
 }
 
-fn search(world: World) -> Found {
+fn search(world: GroupModel) -> SearchResult {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let complete = world.variant == Variant::Complete;
     let checker = world.checker().threads(threads);
@@ -40,7 +43,7 @@
     let checker = checker.spawn_bfs().join();
     let discoveries = checker.discoveries().into_keys();
     let (reached, violated) = discoveries.partition(|name| properties::REACHABLE.contains(name));
-    Found {
+    SearchResult {
         states: checker.unique_state_count(),
         violated,
         reached,
@@ -48,72 +51,83 @@
 }
 
 #[test]
-fn no_interleaving_lets_anybody_serve_under_what_was_given_up() {
+fn no_interleaving_violates_a_property() {
     let short = [
-        (Second::Recovers, Bounds::decisions(0)),
-        (Second::Another, Bounds::decisions(0)),
-        (Second::Nothing, Bounds::leases(0, 0, 4)),
+        (SecondProposer::Recovers, Bounds::decisions(0)),
+        (SecondProposer::ProposesOther, Bounds::decisions(0)),
+        (SecondProposer::Absent, Bounds::leases(0, 0, 4)),
     ];
-    let more = [
-        (Second::Recovers, Bounds::decisions(1)),
-        (Second::Another, Bounds::decisions(1)),
-        (Second::Nothing, Bounds::leases(1, 0, 3)),
-        (Second::Recovers, Bounds::leases(0, 1, 3)),
+    let long = [
+        (SecondProposer::Recovers, Bounds::decisions(1)),
+        (SecondProposer::ProposesOther, Bounds::decisions(1)),
+        (SecondProposer::Absent, Bounds::leases(1, 0, 3)),
+        (SecondProposer::Recovers, Bounds::leases(0, 1, 3)),
     ];
-    let more = more.into_iter().filter(|_| long());
-    for (second, bounds) in short.into_iter().chain(more) {
+    let long = long.into_iter().filter(|_| is_long_search());
+    for (second, bounds) in short.into_iter().chain(long) {
         let start = Instant::now();
-        let found = search(World::new(Variant::Complete, second, bounds));
+        let result = search(GroupModel::new(Variant::Complete, second, bounds));
         println!(
-            "{second:?} {bounds:?}: {} states, {:?} in {:?}",
-            found.states,
-            found.reached,
+            "{second:?} {bounds:?}: {} states, reached {:?} in {:?}",
+            result.states,
+            result.reached,
             start.elapsed()
         );
-        assert_eq!(found.violated, [""; 0], "{second:?}");
+        assert_eq!(result.violated, [""; 0], "{second:?} {bounds:?}");
     }
 }
 
-/// The search must be able to fail: each guard that is left out is found out.
+/// Guards against a search that finds nothing because it can't fail.
 #[test]
-fn what_is_left_out_is_found_out() {
+fn each_removed_safeguard_leads_to_a_violation() {
     for (variant, second, bounds) in [
         (
-            Variant::NothingStored,
-            Second::Recovers,
+            Variant::LosesVotes,
+            SecondProposer::Recovers,
             Bounds::decisions(1),
         ),
         (
             Variant::IgnoresAccepted,
-            Second::Recovers,
+            SecondProposer::Recovers,
             Bounds::decisions(0),
         ),
         (
-            Variant::TrustsReplicas,
-            Second::Recovers,
+            Variant::TrustsOldCopies,
+            SecondProposer::Recovers,
             Bounds::decisions(1),
         ),
         (
-            Variant::VotesWithoutState,
-            Second::Recovers,
+            Variant::VotesWithoutReplica,
+            SecondProposer::Recovers,
             Bounds::decisions(1),
         ),
-        (Variant::GrantsAll, Second::Nothing, Bounds::leases(0, 0, 4)),
-        (Variant::NoWait, Second::Nothing, Bounds::leases(0, 0, 4)),
+        (
+            Variant::GrantsAll,
+            SecondProposer::Absent,
+            Bounds::leases(0, 0, 4),
+        ),
+        (
+            Variant::SkipsLeaseWait,
+            SecondProposer::Absent,
+            Bounds::leases(0, 0, 4),
+        ),
         (
             Variant::CountsFromResponse,
-            Second::Nothing,
+            SecondProposer::Absent,
             Bounds::leases(0, 0, 4),
         ),
     ] {
         let start = Instant::now();
-        let found = search(World::new(variant, second, bounds));
+        let result = search(GroupModel::new(variant, second, bounds));
         println!(
-            "{variant:?}: {} states until {:?} in {:?}",
-            found.states,
-            found.violated,
+            "{variant:?}: {} states until violation of {:?} in {:?}",
+            result.states,
+            result.violated,
             start.elapsed()
         );
-        assert!(!found.violated.is_empty(), "{variant:?} was not found out");
+        assert!(
+            !result.violated.is_empty(),
+            "no violation found for {variant:?}"
+        );
     }
 }
--- a/crates/consensus/tests/model/properties.rs
+++ b/crates/consensus/tests/model/properties.rs
@@ -1,6 +1,6 @@
-//! What must always hold, and what must happen at least once.
+//! Properties of the model: what must always hold, and what must be reached at least once.
 
-use crate::world::{Now, World, HOLDER};
+use crate::group_model::{GroupModel, SystemState, LEASE_HOLDER};
 use stateright::Property;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,98 +8,103 @@
 use wrenfork_consensus::group_state::GroupState;
 use wrenfork_consensus::proposer::{ProposalOutcome, ProposalPhase, Proposer};
 
-/// The properties that need hold only sometimes.
+/// Properties that some reachable state must have; they show that the search covers these cases.
 pub const REACHABLE: [&str; 3] = [
-    "a change is made",
-    "a change is made while the holder is shut out",
-    "what the first left is settled",
+    "a change is committed",
+    "a change is committed while the lease holder still has the first version",
+    "a version left undecided by the first proposer is recovered",
 ];
 
-pub fn all() -> Vec<Property<World>> {
-    let [made, made_without_holder, recovered] = REACHABLE;
+pub fn all() -> Vec<Property<GroupModel>> {
+    let [committed, committed_without_holder, recovered] = REACHABLE;
     vec![
-        Property::always("one decree under one number", one_state_per_version),
         Property::always(
-            "nobody serves under the one before that has not taken up the one that stands",
-            serves_before_only_with_next_accepted,
+            "at most one group state is decided per version",
+            one_state_per_version,
         ),
         Property::always(
-            "made means that nobody serves under the one before",
+            "a member serves under an earlier version only if it has accepted the one in force",
+            serves_earlier_only_with_next_accepted,
+        ),
+        Property::always(
+            "after a commit no member serves under an earlier version",
             committed_ends_earlier_leases,
         ),
-        Property::sometimes(made, first_commits),
-        Property::sometimes(made_without_holder, |world, now: &Now| {
-            first_commits(world, now) && now.members[HOLDER].acceptor.state().version() == 1
+        Property::sometimes(committed, first_commits),
+        Property::sometimes(committed_without_holder, |world, system: &SystemState| {
+            first_commits(world, system)
+                && system.members[LEASE_HOLDER].acceptor.state().version() == 1
         }),
-        Property::sometimes(recovered, |_, now: &Now| {
-            let mut states = now.members.iter().map(|m| m.acceptor.state());
-            now.proposers[0].is_none() && states.any(|state| state.version() == 2)
+        Property::sometimes(recovered, |_, system: &SystemState| {
+            let mut states = system.members.iter().map(|m| m.acceptor.state());
+            system.proposers[0].is_none() && states.any(|state| state.version() == 2)
         }),
     ]
 }
 
-/// What the holder serves under, if its lease is valid.
+/// The group state that the lease holder serves under.
 struct Serving {
     version: u64,
-    /// Digest of the next state, if it has accepted that.
+    /// Digest of the next state, if the holder has accepted one.
     accepted: Option<Digest>,
 }
 
-fn holder_serves(now: &Now) -> Option<Serving> {
-    let holder = &now.members[HOLDER];
+/// What the lease holder serves under; none if its lease has expired.
+fn holder_serving(system: &SystemState) -> Option<Serving> {
+    let holder = &system.members[LEASE_HOLDER];
     let deadline = holder.leases.lease_deadline()?;
     let state = holder.acceptor.state();
     let accepted = state.accepted.as_ref();
-    (deadline > now.time).then(|| Serving {
+    (deadline > system.time).then(|| Serving {
         version: state.version(),
         accepted: accepted.map(|a| a.state.digest.clone()),
     })
 }
 
 /// The group states in force at any member.
-fn in_force(now: &Now) -> impl Iterator<Item = &Arc<GroupState>> {
-    let states = now.members.iter().map(|m| m.acceptor.state());
+fn in_force(system: &SystemState) -> impl Iterator<Item = &Arc<GroupState>> {
+    let states = system.members.iter().map(|m| m.acceptor.state());
     states.filter_map(|state| state.group_state.as_ref())
 }
 
-fn one_state_per_version(_: &World, now: &Now) -> bool {
+fn one_state_per_version(_: &GroupModel, system: &SystemState) -> bool {
     let mut by_version: BTreeMap<u64, Digest> = BTreeMap::new();
-    let stands = in_force(now).map(|state| (state.version, state.digest.clone()));
-    let decided = now
+    let applied = in_force(system).map(|state| (state.version, state.digest.clone()));
+    let decided = system
         .accepted_by
         .iter()
         .filter(|(_, members)| members.count_ones() >= 2);
     let decided = decided.map(|((_, digest), _)| (2, digest.clone()));
-    stands
+    applied
         .chain(decided)
         .all(|(version, digest)| *by_version.entry(version).or_insert(digest.clone()) == digest)
 }
 
-fn serves_before_only_with_next_accepted(_: &World, now: &Now) -> bool {
-    let Some(serving) = holder_serves(now) else {
+fn serves_earlier_only_with_next_accepted(_: &GroupModel, system: &SystemState) -> bool {
+    let Some(serving) = holder_serving(system) else {
         return true;
     };
-    let mut newer = in_force(now).filter(|state| state.version > serving.version);
+    let mut newer = in_force(system).filter(|state| state.version > serving.version);
     newer.all(|state| {
         state.version == serving.version + 1 && serving.accepted.as_ref() == Some(&state.digest)
     })
 }
 
-fn committed(proposer: &Proposer) -> bool {
+fn has_committed(proposer: &Proposer) -> bool {
     proposer.phase == ProposalPhase::Ended(ProposalOutcome::Committed)
 }
 
-fn committed_ends_earlier_leases(_: &World, now: &Now) -> bool {
-    let proposers = now.proposers.iter().flatten();
-    let made = proposers
-        .filter(|proposer| committed(proposer))
+fn committed_ends_earlier_leases(_: &GroupModel, system: &SystemState) -> bool {
+    let proposers = system.proposers.iter().flatten();
+    let committed = proposers
+        .filter(|proposer| has_committed(proposer))
         .filter_map(|proposer| proposer.value())
         .map(|state| state.version)
         .max()
         .unwrap_or(0);
-    holder_serves(now).is_none_or(|serving| serving.version >= made)
+    holder_serving(system).is_none_or(|serving| serving.version >= committed)
 }
 
-fn first_commits(_: &World, now: &Now) -> bool {
-    now.proposers[0].as_ref().is_some_and(committed)
+fn first_commits(_: &GroupModel, system: &SystemState) -> bool {
+    system.proposers[0].as_ref().is_some_and(has_committed)
 }
--- a/crates/consensus/tests/proposer.rs
+++ b/crates/consensus/tests/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer: when a change counts as made.
+//! Tests of the proposer: when a change is reported as committed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,8 +13,9 @@
     proposer: 7,
 };
 
-/// A proposal of three at the point at which a majority has taken it up, the third is silent and the wait is over.
-fn notifying() -> (Proposer, Duration, Digest) {
+/// A proposal to three members at the beginning of the notify phase: two have accepted the state, the third has not
+/// responded, and the wait for leases is over. Returns the proposer, the time and the digest of the state.
+fn proposer_in_notify_phase() -> (Proposer, Duration, Digest) {
     let member = |n: u64| Member {
         name: format!("m{n}"),
         replica: n,
@@ -32,10 +33,10 @@
     ));
     let next = Arc::new(base.unchanged_successor());
     let mut now = Duration::from_secs(9);
-    let mut p = Proposer::new(base, ProposalGoal::Change(next.clone()), BALLOT, now);
+    let mut proposer = Proposer::new(base, ProposalGoal::Change(next.clone()), BALLOT, now);
     for phase in [ProposalPhase::Preparing, ProposalPhase::Accepting] {
-        let requests = p.requests(now);
-        assert_eq!(p.phase, phase);
+        let requests = proposer.requests(now);
+        assert_eq!(proposer.phase, phase);
         for (n, request) in requests {
             let replica = n as u64 + 1;
             let response = match (&request, n) {
@@ -47,17 +48,17 @@
                 },
                 _ => GroupResponse::Accepted { replica },
             };
-            p.handle_response(n, &request, Ok(response), now);
+            proposer.handle_response(n, &request, Ok(response), now);
         }
         now += Duration::from_secs(2);
     }
-    p.requests(now);
-    assert_eq!(p.phase, ProposalPhase::Notifying);
-    (p, now, next.digest.clone())
+    proposer.requests(now);
+    assert_eq!(proposer.phase, ProposalPhase::Notifying);
+    (proposer, now, next.digest.clone())
 }
 
 fn report_applied(
-    p: &mut Proposer,
+    proposer: &mut Proposer,
     now: Duration,
     digest: &Digest,
     accepted_in: [Option<Ballot>; 2],
@@ -73,24 +74,27 @@
             version: 2,
             accepted_in,
         };
-        p.handle_response(n, &request, Ok(response), now);
+        proposer.handle_response(n, &request, Ok(response), now);
     }
 }
 
 #[test]
-fn it_is_committed_without_a_second_wait_if_a_majority_heeded_this_ballot_alone() {
-    let (mut p, now, digest) = notifying();
-    report_applied(&mut p, now, &digest, [Some(BALLOT), Some(BALLOT)]);
-    assert_eq!(p.phase, ProposalPhase::Ended(ProposalOutcome::Committed));
+fn commits_without_another_wait_if_a_majority_applied_the_state_from_this_ballot() {
+    let (mut proposer, now, digest) = proposer_in_notify_phase();
+    report_applied(&mut proposer, now, &digest, [Some(BALLOT), Some(BALLOT)]);
+    assert_eq!(
+        proposer.phase,
+        ProposalPhase::Ended(ProposalOutcome::Committed)
+    );
 }
 
-/// Guards against "made" being said while another proposer has let the third go on: found by the rig, with 20 members
-/// and a quarter of their links failing.
+/// Guards against reporting a commit while the third member may still hold a lease that the proposer of another ballot
+/// allowed it to keep. Found on the testbed with 20 members and a quarter of their links failing.
 #[test]
-fn after_another_ballot_it_is_committed_once_old_leases_have_expired() {
-    let (mut p, now, digest) = notifying();
+fn commits_after_lease_expiry_if_a_member_applied_the_state_from_another_ballot() {
+    let (mut proposer, now, digest) = proposer_in_notify_phase();
     report_applied(
-        &mut p,
+        &mut proposer,
         now,
         &digest,
         [
@@ -101,9 +105,12 @@
             }),
         ],
     );
-    assert_eq!(p.phase, ProposalPhase::Notifying);
-    p.requests(now + Duration::from_millis(1_500));
-    assert_eq!(p.phase, ProposalPhase::Notifying);
-    p.requests(now + Duration::from_millis(1_531));
-    assert_eq!(p.phase, ProposalPhase::Ended(ProposalOutcome::Committed));
+    assert_eq!(proposer.phase, ProposalPhase::Notifying);
+    proposer.requests(now + Duration::from_millis(1_500));
+    assert_eq!(proposer.phase, ProposalPhase::Notifying);
+    proposer.requests(now + Duration::from_millis(1_531));
+    assert_eq!(
+        proposer.phase,
+        ProposalPhase::Ended(ProposalOutcome::Committed)
+    );
 }
--- a/crates/consensus/tests/protocol.rs
+++ b/crates/consensus/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! Messages of a group: they survive encoding, and are distinguished from those of two-phase commit.
+//! Tests of the group messages: encoding, and how requests are distinguished from those of two-phase commit.
 
 use std::sync::Arc;
 use wrenfork_commit::protocol::{self, decode_line, encode_line, CommitRequest};
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn requests_of_a_group_are_told_from_others_and_survive_encoding() {
+fn group_requests_round_trip_and_are_recognized() {
     for request in requests() {
         let line = protocol::encode_line(&request);
         assert!(is_group_request(&line), "{line}");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn responses_of_a_group_survive_encoding() {
+fn group_responses_round_trip() {
     for response in [
         GroupResponse::NeedState,
         GroupResponse::Status(Box::default()),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn fewer_writes_or_another_incarnation_of_as_many_is_an_older_copy() {
+fn replica_with_fewer_writes_or_equal_writes_and_other_incarnation_is_older_copy() {
     let version = |writes, incarnation| ReplicaVersion {
         writes,
         incarnation,
