--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,44 +1,45 @@
-//! Errors of a store.
+//! Errors of the store.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a store can't be used, or a commit was not made.
+/// Why a store can't be opened, read or changed.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// Another process has locked the folder.
     #[error("another process has the folder {}", .0.display())]
     Locked(PathBuf),
-    /// The folder was written by a newer program.
+    /// A newer program has written the records in a version that this program does not know.
     #[error(
-        "the folder is of version {found}, and this program knows up to {known}: use a newer one"
+        "the folder has version {found}, but this program supports up to {known}: use a newer one"
     )]
     NewerVersion {
-        /// Version of the folder.
+        /// Version of the records in the folder.
         found: u32,
-        /// Newest version known to this program.
+        /// Newest version that this program supports.
         known: u32,
     },
-    /// The file is not a store, or damaged beyond what a crash can do.
+    /// The file is not a store, or is damaged in a way that a crash can't cause.
     #[error("the store is damaged: {0}")]
     Corrupted(String),
-    /// A record or its name is too long.
-    #[error("a record is too long: {0}")]
+    /// A record exceeds [`MAX_RECORD_BYTES`](crate::MAX_RECORD_BYTES), or its name
+    /// [`MAX_NAME_BYTES`](crate::MAX_NAME_BYTES). Holds the start of the name.
+    #[error("a record or its name is too long: {0}")]
     TooLong(String),
-    /// The folder can't be read or written.
-    #[error("the disk: {path}: {source}", path = .path.display())]
+    /// The folder or one of its files can't be accessed.
+    #[error("the disk can't be read or written: {path}: {source}", path = .path.display())]
     Folder {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The database can't be read or written; what is stored is as it was.
-    #[error("the disk: {0}")]
+    /// The database can't be read or written; the stored records have not changed.
+    #[error("the disk can't be read or written: {0}")]
     Database(#[source] Box<redb::Error>),
-    /// An earlier failure closed the database, and it has no file to open it again from.
-    #[error("the disk: it failed before")]
+    /// The database was closed by an earlier failure and has no file to reopen it from.
+    #[error("the disk failed earlier and the database is closed")]
     Closed,
 }
 
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Converts an error of a folder.
+    /// Converts an I/O error of the folder at `path`.
     pub(crate) fn folder(path: &Path, source: io::Error) -> StoreError {
         StoreError::Folder {
             path: path.to_path_buf(),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Whether the state of the open database is of no use after this error.
+    /// Whether the open database can't be used any more after this error.
     pub(crate) fn closes_database(&self) -> bool {
         match self {
             StoreError::Corrupted(_)
--- a/crates/store/src/folder.rs
+++ b/crates/store/src/folder.rs
@@ -1,4 +1,4 @@
-//! The folder of a store: its lock, and the creation of its file.
+//! The folder of a store: its lock file, and the creation of the store's file.
 
 use crate::error::StoreError;
 use rustix::fs::{flock, FlockOperation};
@@ -7,11 +7,12 @@
 use std::os::unix::fs::{DirBuilderExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
 
-/// The store's file.
+/// Name of the store's file.
 const STORE_FILE: &str = "wrenfork.redb";
-/// A store that is being created. It gets its name at the end, since a crash before leaves an incomplete file.
+/// Name of the store's file while it is being created. It is renamed once complete, so that a crash does not leave an
+/// incomplete file under the final name.
 const NEW_FILE: &str = "wrenfork.new";
-/// The file whose lock says that a process has the folder.
+/// Name of the file that is locked while a process uses the folder.
 const LOCK_FILE: &str = "lock";
 const FOLDER_MODE: u32 = 0o700;
 const FILE_MODE: u32 = 0o600;
@@ -24,7 +25,8 @@
 }
 
 impl LockedFolder {
-    /// Locks a folder, which is created if there is none; folder and files are accessible to their owner alone.
+    /// Locks a folder, which is created if it does not exist. Only the owner can access a folder and files created
+    /// here.
     pub(crate) fn lock(path: &Path) -> Result<LockedFolder, StoreError> {
         DirBuilder::new()
             .recursive(true)
@@ -40,24 +42,24 @@
         })
     }
 
-    /// The store's file.
+    /// Path of the store's file.
     pub(crate) fn file(&self) -> PathBuf {
         self.path.join(STORE_FILE)
     }
 
-    /// Creates the store's file with `create`, so that it is there complete or not at all after a crash.
+    /// Creates the store's file with `create`, so that after a crash the file is either complete or missing.
     pub(crate) fn create_file(
         &self,
         create: impl FnOnce(&Path) -> Result<(), StoreError>,
     ) -> Result<(), StoreError> {
         let failed = |e| StoreError::folder(&self.path, e);
-        let new = self.path.join(NEW_FILE);
-        remove_if_present(&new).map_err(failed)?;
-        drop(open_private(&new).map_err(failed)?);
-        create(&new)?;
-        sync(&new).map_err(failed)?;
-        fs::rename(&new, self.file()).map_err(failed)?;
-        // The new name must survive a crash as well.
+        let new_file = self.path.join(NEW_FILE);
+        remove_if_present(&new_file).map_err(failed)?;
+        drop(open_private(&new_file).map_err(failed)?);
+        create(&new_file)?;
+        sync(&new_file).map_err(failed)?;
+        fs::rename(&new_file, self.file()).map_err(failed)?;
+        // Without this, a crash could undo the rename.
         sync(&self.path).map_err(failed)
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,10 +1,11 @@
 //! Durable storage: a folder with a transactional store of named records.
 //!
-//! A [`Store`] keeps its records in one file of an embedded database (`redb`: copy-on-write B-trees with checksums). Once
-//! [`Store::commit`] has returned, its batch survives a crash at any later point; a batch whose commit has not returned is
-//! stored completely or not at all. Records are bytes under a [`RecordKind`] and a name; their meaning is their owner's.
+//! A [`Store`] keeps its records in one file of an embedded database (`redb`: copy-on-write B-trees with checksums).
+//! Once [`Store::commit`] has returned, its batch survives a crash at any later point. If a crash interrupts a commit,
+//! its batch is stored completely or not at all. A record is a byte string, identified by a [`RecordKind`] and a name;
+//! the store does not interpret it.
 //!
-//! A commit waits for the disk: call it from a thread that does not serve requests.
+//! A commit blocks until the disk has synced: call it from a thread that does not serve requests.
 //!
 //! ```
 //! use wrenfork_store::{Batch, RecordKind, Store};
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,4 +1,4 @@
-//! Records, and changes of several of them.
+//! Records, and batches of changes to them.
 
 use redb::TableDefinition;
 
@@ -7,23 +7,23 @@
 /// Maximum length of a record's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
 
-/// Kind of a record; each kind has a table of its own.
+/// Kind of a record. Each kind has its own table, in which names are unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordKind {
-    /// Generations that are enforced, and votes.
+    /// Generations that are enforced, and the votes of the consensus and commit protocols.
     Control,
-    /// The audit log.
+    /// Entries of the audit log.
     Audit,
     /// Quota leases.
     Lease,
-    /// Usage still to be exported.
+    /// Usage that has not been exported yet.
     Use,
     /// The last valid configuration.
     Config,
 }
 
 impl RecordKind {
-    /// All kinds.
+    /// All kinds, in declaration order.
     pub const ALL: [RecordKind; 5] = [
         RecordKind::Control,
         RecordKind::Audit,
@@ -46,18 +46,18 @@
 /// A record with its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedRecord {
-    /// Its name.
+    /// Name of the record, unique within its kind.
     pub name: String,
-    /// Its content.
+    /// Content of the record, which the store does not interpret.
     pub bytes: Vec<u8>,
 }
 
-/// A change of one record.
+/// A change to one record.
 #[derive(Clone, Debug)]
 pub(crate) struct RecordChange {
     pub(crate) kind: RecordKind,
     pub(crate) name: String,
-    /// The new content; none if the record is deleted.
+    /// The new content; none to delete the record.
     pub(crate) bytes: Option<Vec<u8>>,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// Changes that are made in one commit.
+/// Changes to records that one commit makes together, in the order in which they were added.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     pub(crate) changes: Vec<RecordChange>,
@@ -80,7 +80,7 @@
         Batch::default()
     }
 
-    /// Adds a record, which replaces the one with its name.
+    /// Adds the insertion of a record, which replaces any record of the kind with the same name.
     #[must_use]
     pub fn put(mut self, kind: RecordKind, name: &str, record: impl Into<Vec<u8>>) -> Self {
         self.changes.push(RecordChange {
@@ -91,7 +91,7 @@
         self
     }
 
-    /// Adds the deletion of a record.
+    /// Adds the deletion of a record; nothing is deleted if there is no such record.
     #[must_use]
     pub fn delete(mut self, kind: RecordKind, name: &str) -> Self {
         self.changes.push(RecordChange {
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store itself.
+//! The store: opening it, reading records and committing changes.
 
 use crate::error::StoreError;
 use crate::folder::LockedFolder;
@@ -10,32 +10,33 @@
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
 
-/// Size of the database's cache, in bytes: an ingress may have as little as 32 MB of memory.
+/// Size of the database's cache, in bytes. It is small because an ingress may have as little as 32 MB of memory.
 const CACHE_BYTES: usize = 1 << 20;
-/// Characters of a name in an error.
+/// Maximum number of characters of a record's name in an error message.
 const SHOWN_NAME_CHARS: usize = 60;
 
 type Table = ReadOnlyTable<&'static str, &'static [u8]>;
 
-/// An open store; its folder is locked until it is dropped.
+/// An open store. Its folder stays locked until the store is dropped.
 ///
-/// After a failure of the disk the database's state in memory is of no use. It is opened again from its file with the next
-/// operation, so that a disk that was full and has space again needs no restart.
+/// After a disk failure the database's in-memory state can't be used any more. The next operation reopens the database
+/// from its file, so that the process need not restart after a full disk has space again.
 #[derive(Debug)]
 pub struct Store {
-    /// None after a failure, until the next operation.
+    /// None after a failure, until the next operation reopens the database.
     database: Mutex<Option<Database>>,
-    /// None for a store on a backend of its own, which can't be opened again.
+    /// None for a store on a custom storage backend, which can't be reopened.
     folder: Option<LockedFolder>,
 }
 
 impl Store {
-    /// Opens the store of a folder; creates the folder and the store if there is none. Both are accessible to their owner
-    /// alone.
+    /// Opens the store in a folder. Creates the folder and the store if they don't exist; only the owner can access
+    /// them.
     ///
     /// # Errors
     ///
-    /// If another process has the folder, its version is newer than known, or the disk fails.
+    /// If another process has locked the folder, its version is newer than this program supports, the store is damaged,
+    /// or the disk fails.
     pub fn open(folder: &Path) -> Result<Store, StoreError> {
         let folder = LockedFolder::lock(folder)?;
         if !folder.file().exists() {
@@ -49,14 +50,14 @@
         })
     }
 
-    /// Opens a store on a storage backend, for tests that have it fail.
+    /// Opens a store on a custom storage backend, for tests with a backend that fails.
     ///
-    /// What a crash leaves of a backend before this has returned for the first time is no store: [`Store::open`] gives a file
-    /// its name only then.
+    /// If a crash happens before the first call for a backend has returned, the backend does not hold a valid store.
+    /// [`Store::open`] avoids this by renaming a new file only when it is complete.
     ///
     /// # Errors
     ///
-    /// As [`Store::open`].
+    /// As for [`Store::open`], apart from the lock.
     pub fn with_backend(backend: impl StorageBackend) -> Result<Store, StoreError> {
         let database = builder()
             .create_with_backend(backend)
@@ -68,7 +69,7 @@
         })
     }
 
-    /// Does something with the database, which is opened again first if it was closed by a failure.
+    /// Runs `operation` on the database, after reopening it if a failure had closed it.
     fn with_database<T>(
         &self,
         operation: impl FnOnce(&Database) -> Result<T, StoreError>,
@@ -87,26 +88,26 @@
         result
     }
 
-    /// Reads the table of a kind; none if there has never been a record of it.
+    /// Runs `operation` on the table of a kind; returns none if no record of the kind was ever stored.
     fn read<T>(
         &self,
         kind: RecordKind,
-        look: impl FnOnce(&Table) -> Result<T, StoreError>,
+        operation: impl FnOnce(&Table) -> Result<T, StoreError>,
     ) -> Result<Option<T>, StoreError> {
         self.with_database(|database| {
             let transaction = database.begin_read().map_err(StoreError::database)?;
             match transaction.open_table(kind.table()) {
                 Err(TableError::TableDoesNotExist(_)) => Ok(None),
-                table => look(&table.map_err(StoreError::database)?).map(Some),
+                table => operation(&table.map_err(StoreError::database)?).map(Some),
             }
         })
     }
 
-    /// The content of a record; none if there is no such record.
+    /// Returns the content of a record; none if there is no such record.
     ///
     /// # Errors
     ///
-    /// If the disk fails.
+    /// If the database can't be read.
     pub fn get(&self, kind: RecordKind, name: &str) -> Result<Option<Vec<u8>>, StoreError> {
         let found = self.read(kind, |table| {
             let record = table.get(name).map_err(StoreError::database)?;
@@ -115,11 +116,11 @@
         Ok(found.flatten())
     }
 
-    /// The names of all records of a kind, sorted.
+    /// Returns the names of all records of a kind, sorted.
     ///
     /// # Errors
     ///
-    /// If the disk fails.
+    /// If the database can't be read.
     pub fn names(&self, kind: RecordKind) -> Result<Vec<String>, StoreError> {
         let names = self.read(kind, |table| {
             let rows = table.iter().map_err(StoreError::database)?;
@@ -132,11 +133,11 @@
         Ok(names.unwrap_or_default())
     }
 
-    /// The last `limit` records of a kind, sorted by name.
+    /// Returns up to `limit` records of a kind, those with the greatest names, sorted by name.
     ///
     /// # Errors
     ///
-    /// If the disk fails.
+    /// If the database can't be read.
     pub fn list(&self, kind: RecordKind, limit: usize) -> Result<Vec<NamedRecord>, StoreError> {
         let records = self.read(kind, |table| {
             let rows = table.iter().map_err(StoreError::database)?;
@@ -156,14 +157,14 @@
         Ok(records)
     }
 
-    /// Makes the changes of a batch together, and waits until they are on the disk.
+    /// Makes all changes of a batch atomically, and waits until they are on the disk.
     ///
     /// # Errors
     ///
-    /// If a record is too long or the disk fails: nothing has changed then.
+    /// If a record is too long or the disk fails. Nothing has changed then.
     pub fn commit(&self, batch: &Batch) -> Result<(), StoreError> {
-        if let Some(long) = batch.changes.iter().find(|change| change.is_too_long()) {
-            let shown = long.name.chars().take(SHOWN_NAME_CHARS).collect();
+        if let Some(too_long) = batch.changes.iter().find(|change| change.is_too_long()) {
+            let shown = too_long.name.chars().take(SHOWN_NAME_CHARS).collect();
             return Err(StoreError::TooLong(shown));
         }
         self.with_database(|database| {
--- a/crates/store/src/version.rs
+++ b/crates/store/src/version.rs
@@ -1,9 +1,9 @@
-//! The version of a folder's records: an older one is migrated, a newer one is rejected.
+//! Format version of the records in a folder: records of an older version are migrated, a newer version is rejected.
 
 use crate::error::StoreError;
 use redb::{Database, ReadableDatabase, TableDefinition, TableError, WriteTransaction};
 
-/// Version of records that this program writes.
+/// Format version of the records that this program writes.
 pub const VERSION: u32 = 1;
 
 const META: TableDefinition<&str, u32> = TableDefinition::new("meta");
@@ -11,10 +11,11 @@
 
 type Migration = fn(&WriteTransaction) -> Result<(), StoreError>;
 
-/// Migrations from each version to the next, in one commit each; the first is from 1 to 2.
+/// Migrations from each version to the next, the first from version 1 to 2. Each runs in a commit of its own.
 const MIGRATIONS: &[Migration] = &[];
 
-/// Checks the version of a database, and migrates an older one. A new database gets the current version.
+/// Checks the version of a database, and migrates its records if the version is older. A new database gets the current
+/// version.
 ///
 /// # Errors
 ///
@@ -25,7 +26,9 @@
             found,
             known: VERSION,
         }),
-        Some(0) => Err(StoreError::Corrupted("its version is 0".into())),
+        Some(0) => Err(StoreError::Corrupted(
+            "the stored version is 0, which is invalid".into(),
+        )),
         Some(found) => (found..VERSION).try_for_each(|from| {
             let migration = MIGRATIONS.get(from as usize - 1);
             set_version(database, from + 1, migration)
--- a/crates/store/tests/folder.rs
+++ b/crates/store/tests/folder.rs
@@ -1,4 +1,4 @@
-//! The store on a real folder.
+//! Tests of the store in a real folder.
 
 use redb::{Database, TableDefinition};
 use std::os::unix::fs::PermissionsExt;
@@ -7,10 +7,10 @@
 };
 
 #[test]
-fn records_are_there_again_and_the_folder_is_the_owners_alone() {
+fn records_persist_and_only_the_owner_can_access_the_folder() {
     let folder = tempfile::tempdir().unwrap();
-    let at = folder.path().join("state/of/ingress");
-    let store = Store::open(&at).unwrap();
+    let path = folder.path().join("state/of/ingress");
+    let store = Store::open(&path).unwrap();
     store
         .commit(
             &Batch::new()
@@ -26,7 +26,7 @@
         )
         .unwrap();
     drop(store);
-    let store = Store::open(&at).unwrap();
+    let store = Store::open(&path).unwrap();
     assert_eq!(
         store.list(RecordKind::Audit, 10).unwrap(),
         [NamedRecord {
@@ -39,33 +39,33 @@
         Some(b"c".to_vec())
     );
     assert_eq!(store.get(RecordKind::Use, "1").unwrap(), None);
-    for (path, mode) in [
-        (at.clone(), 0o700),
-        (at.join("wrenfork.redb"), 0o600),
-        (at.join("lock"), 0o600),
+    for (created, mode) in [
+        (path.clone(), 0o700),
+        (path.join("wrenfork.redb"), 0o600),
+        (path.join("lock"), 0o600),
     ] {
         assert_eq!(
-            std::fs::metadata(&path).unwrap().permissions().mode() & 0o777,
+            std::fs::metadata(&created).unwrap().permissions().mode() & 0o777,
             mode,
             "{}",
-            path.display()
+            created.display()
         );
     }
 }
 
-/// Guards against two processes that write one folder.
+/// Guards against two processes that write to the same folder.
 #[test]
-fn a_folder_that_is_taken_is_refused_until_it_is_free() {
+fn locked_folder_is_rejected_until_it_is_released() {
     let folder = tempfile::tempdir().unwrap();
     let store = Store::open(folder.path()).unwrap();
-    let e = Store::open(folder.path()).unwrap_err();
-    assert!(matches!(e, StoreError::Locked(_)), "{e}");
+    let error = Store::open(folder.path()).unwrap_err();
+    assert!(matches!(error, StoreError::Locked(_)), "{error}");
     drop(store);
     Store::open(folder.path()).unwrap();
 }
 
 #[test]
-fn what_is_no_store_and_what_is_too_long_is_told() {
+fn invalid_files_and_too_long_records_are_rejected() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("wrenfork.redb"), vec![7; 9000]).unwrap();
     assert!(Store::open(folder.path()).is_err());
@@ -75,27 +75,27 @@
         Store::open(&file).unwrap_err(),
         StoreError::Folder { .. }
     ));
-    let good = folder.path().join("good");
-    let store = Store::open(&good).unwrap();
-    let long = vec![0; MAX_RECORD_BYTES + 1];
-    let e = store
+    let valid = folder.path().join("valid");
+    let store = Store::open(&valid).unwrap();
+    let too_long = vec![0; MAX_RECORD_BYTES + 1];
+    let error = store
         .commit(
             &Batch::new()
                 .put(RecordKind::Use, "a", b"1")
-                .put(RecordKind::Use, "b", long),
+                .put(RecordKind::Use, "b", too_long),
         )
         .unwrap_err();
-    assert!(matches!(e, StoreError::TooLong(_)));
+    assert!(matches!(error, StoreError::TooLong(_)));
     assert_eq!(
         store.get(RecordKind::Use, "a").unwrap(),
         None,
-        "nothing of it was made"
+        "a part of the batch was stored"
     );
 }
 
-/// Guards against a folder that is of no use any more because a crash came while its store was made.
+/// Guards against a folder that can't be opened after a crash during the creation of its store.
 #[test]
-fn what_a_crash_left_of_a_store_that_was_being_made_is_no_hindrance() {
+fn incomplete_new_file_left_by_a_crash_is_replaced() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("wrenfork.new"), vec![7; 9000]).unwrap();
     let store = Store::open(folder.path()).unwrap();
@@ -105,7 +105,7 @@
     assert!(!folder.path().join("wrenfork.new").exists());
 }
 
-/// Sets the version of a folder's records, as a newer program would.
+/// Sets the version of a folder's records.
 fn write_version(folder: &std::path::Path, version: u32) {
     const META: TableDefinition<&str, u32> = TableDefinition::new("meta");
     let database = Database::open(folder.join("wrenfork.redb")).unwrap();
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_newer_version_is_refused_and_told_and_stays_as_it_was() {
+fn newer_version_is_rejected_each_time_and_left_unchanged() {
     let folder = tempfile::tempdir().unwrap();
     let store = Store::open(folder.path()).unwrap();
     store
--- a/crates/store/tests/golden.rs
+++ b/crates/store/tests/golden.rs
@@ -1,18 +1,18 @@
-//! A folder that the program wrote before, byte for byte: `tests/golden/folder/`.
+//! Checks the stored format byte for byte against a folder written by an earlier build: `tests/golden/folder/`.
 //!
-//! It is written by hand alone, when the form changes on purpose:
+//! The folder is only rewritten on demand, when the format changes intentionally:
 //! `cargo test -p wrenfork-store --test golden -- --ignored write_golden_folder`
 
 use std::path::{Path, PathBuf};
 use wrenfork_store::{Batch, NamedRecord, RecordKind, Store, StoreError, VERSION};
 
-const FILE: &str = "wrenfork.redb";
+const STORE_FILE: &str = "wrenfork.redb";
 
 fn golden_folder() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/folder")
 }
 
-/// Each kind of record, one that is replaced and one that is deleted, in two commits.
+/// Writes records of each kind in two commits; the second one replaces a record and deletes another.
 fn write_records(folder: &Path) {
     let store = Store::open(folder).unwrap();
     let first = RecordKind::ALL.iter().fold(Batch::new(), |batch, kind| {
@@ -33,21 +33,29 @@
 
 fn copy_of_golden_folder() -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
-    std::fs::copy(golden_folder().join(FILE), folder.path().join(FILE)).unwrap();
+    std::fs::copy(
+        golden_folder().join(STORE_FILE),
+        folder.path().join(STORE_FILE),
+    )
+    .unwrap();
     folder
 }
 
 #[test]
-#[ignore = "writes the golden folder; run it by hand when the form changes on purpose"]
+#[ignore = "rewrites the golden folder; run it only when the format changes intentionally"]
 fn write_golden_folder() {
     let folder = tempfile::tempdir().unwrap();
     write_records(folder.path());
     std::fs::create_dir_all(golden_folder()).unwrap();
-    std::fs::copy(folder.path().join(FILE), golden_folder().join(FILE)).unwrap();
+    std::fs::copy(
+        folder.path().join(STORE_FILE),
+        golden_folder().join(STORE_FILE),
+    )
+    .unwrap();
 }
 
 #[test]
-fn the_golden_folder_opens_and_has_the_same_records_each_time() {
+fn golden_folder_opens_twice_with_the_expected_records() {
     let folder = copy_of_golden_folder();
     for _ in 0..2 {
         let store = Store::open(folder.path()).unwrap();
@@ -68,20 +76,24 @@
 }
 
 #[test]
-fn the_same_records_are_written_to_the_same_bytes() {
+fn records_are_written_to_the_same_bytes_as_in_the_golden_folder() {
     let folder = tempfile::tempdir().unwrap();
     write_records(folder.path());
-    let written = std::fs::read(folder.path().join(FILE)).unwrap();
-    let golden = std::fs::read(golden_folder().join(FILE)).unwrap();
-    assert!(written == golden, "the file is another one");
+    let written = std::fs::read(folder.path().join(STORE_FILE)).unwrap();
+    let golden = std::fs::read(golden_folder().join(STORE_FILE)).unwrap();
+    assert!(
+        written == golden,
+        "the written file differs from the golden file"
+    );
 }
 
-/// The tables' names and the version's place are the stored form: read with the database alone.
+/// Table names and the place of the version are part of the stored format, so the test reads them directly from the
+/// database.
 #[test]
-fn the_golden_folder_has_a_table_for_each_kind_and_the_version_in_meta() {
+fn golden_folder_has_a_table_for_each_kind_and_the_version_in_meta() {
     use redb::{ReadableDatabase, TableDefinition, TableHandle};
     let folder = copy_of_golden_folder();
-    let database = redb::Database::open(folder.path().join(FILE)).unwrap();
+    let database = redb::Database::open(folder.path().join(STORE_FILE)).unwrap();
     let read = database.begin_read().unwrap();
     let mut names: Vec<String> = read
         .list_tables()
@@ -99,8 +111,8 @@
 }
 
 #[test]
-fn what_operators_read_of_a_failure_stays() {
-    let texts = [
+fn error_messages_shown_to_operators_are_stable() {
+    let messages = [
         StoreError::Locked("/state".into()),
         StoreError::NewerVersion { found: 2, known: 1 },
         StoreError::Corrupted("why".into()),
@@ -114,15 +126,19 @@
     ]
     .map(|error| error.to_string());
     assert_eq!(
-        texts,
+        messages,
         [
             "another process has the folder /state",
-            "the folder is of version 2, and this program knows up to 1: use a newer one",
+            "the folder has version 2, but this program supports up to 1: use a newer one",
             "the store is damaged: why",
-            "a record is too long: name",
-            format!("the disk: {}", redb::Error::ValueTooLarge(3)).as_str(),
-            "the disk: it failed before",
-            "the disk: /state: why",
+            "a record or its name is too long: name",
+            format!(
+                "the disk can't be read or written: {}",
+                redb::Error::ValueTooLarge(3)
+            )
+            .as_str(),
+            "the disk failed earlier and the database is closed",
+            "the disk can't be read or written: /state: why",
         ]
     );
 }
