--- a/crates/decision/src/action.rs
+++ b/crates/decision/src/action.rs
@@ -1,96 +1,96 @@
-//! What a gateway asks its host to do.
+//! Actions that the gateway returns for its host to carry out.
 
 use crate::ids::{BackendId, GatewayId, Micros, RequestId};
 use std::fmt;
 
-/// What a gateway asks its host to do, in this order.
+/// An operation for the host to carry out. Actions must be carried out in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a backend; `expires_at` 0 means at the client's deadline.
+    /// Send an attempt of a request to a backend.
     Send {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Where to.
+        /// The backend that receives the attempt.
         backend: BackendId,
-        /// When to give the attempt up.
+        /// Time at which to give up on the attempt; 0 means the request's own deadline.
         expires_at: Micros,
-        /// The latest moment at which it may begin. What is not written completely by then, since
-        /// its connection came up late, is not sent: it never ran.
+        /// Latest time at which the attempt may start. An attempt that is not fully written by
+        /// then, because its connection was established late, is not sent and therefore never ran.
         start_by: Micros,
     },
-    /// Final answer: rejected, trying again is harmless; `retry_after` 0 gives no advice.
+    /// Final answer: the request is rejected, and the client may safely try again.
     Reject {
-        /// The request.
+        /// The rejected request.
         id: RequestId,
-        /// How long the client should keep away, in microseconds.
+        /// Advised wait before the client tries again, in microseconds; 0 gives no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed, with no promise.
+    /// Final answer: the request failed, and an attempt may have run.
     Fail(RequestId),
-    /// Cancel an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The number of the attempt.
+        /// Number of the attempt within its request, from 0.
         attempt: u16,
     },
     /// Wake the gateway after `delay` with [`Event::Timer`](crate::Event::Timer).
     SetTimer {
-        /// From now, in microseconds.
+        /// Time until the timer fires, in microseconds.
         delay: Micros,
-        /// Comes back with the event.
+        /// Returned unchanged in the event.
         token: u32,
     },
-    /// Send a message of at most 256 bytes to one peer, or to all.
+    /// Send a message of at most 256 bytes to one peer or to all of them.
     SendToPeer {
-        /// The receiver; none means all.
+        /// The receiving gateway; `None` sends to all peers.
         to: Option<GatewayId>,
-        /// The message.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
     /// Send a health check to a backend.
     CheckHealth(BackendId),
     /// Close idle connections to a backend.
     CloseIdleConnections(BackendId),
-    /// Watch the endpoint list, or no longer.
+    /// Start (`true`) or stop (`false`) watching the endpoint list.
     WatchEndpoints(bool),
-    /// Ask discovery for the complete list once.
+    /// Fetch the complete endpoint list from discovery once.
     FetchEndpoints,
     /// Add to a shared counter.
     AddToCounter {
-        /// The counter's name.
+        /// Identifier of the shared counter.
         counter: u64,
-        /// The amount.
+        /// Amount to add.
         delta: f64,
-        /// How long a new counter lives, in microseconds.
+        /// Lifetime of the counter if this call creates it, in microseconds.
         lifetime: Micros,
     },
-    /// A line for the log.
+    /// Write an event to the log.
     Log(LogEvent),
 }
 
-/// What a gateway has to say to its log. `Display` gives the line of text.
+/// An event for the gateway's log. `Display` formats it as one line of text.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     /// The load-shedding level of a pool changed by one.
     LoadSheddingLevelChanged {
-        /// The pool; 0 is that of all backends.
+        /// Number of the pool; 0 is the pool of all backends.
         pool: usize,
-        /// The level before.
+        /// Level before the change.
         from: usize,
-        /// The level now.
+        /// Level after the change.
         to: usize,
-        /// The pressure: answers' times over what is wanted of them.
+        /// Pressure of the pool: recent answer times divided by the target for their classes.
         pressure: f64,
-        /// The concurrency limit of this gateway in the pool.
+        /// This gateway's concurrency limit in the pool.
         limit: f64,
-        /// Attempts in flight through it.
+        /// This gateway's attempts in flight in the pool.
         in_flight: u32,
     },
 }
 
 impl fmt::Display for LogEvent {
-    /// The wording is read by operators' tools and stays.
+    /// Operators' tools parse this text, so it must not change.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LogEvent::LoadSheddingLevelChanged {
--- a/crates/decision/src/event.rs
+++ b/crates/decision/src/event.rs
@@ -1,90 +1,91 @@
-//! What a gateway sees: requests, how their attempts end, the endpoint list, peers' messages.
+//! Events that the host passes to the gateway: requests, attempt outcomes, endpoint lists, and
+//! messages from peers.
 
 use crate::ids::{BackendId, CustomerId, GatewayId, Micros, RequestId};
 use crate::settings::{Settings, MAX_ROUTE_POOLS};
 use serde::{Deserialize, Serialize};
 
-/// The state of an endpoint as listed.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// Takes work.
+    /// Accepts new work.
     #[default]
     Ready,
-    /// Finishes its work, takes nothing new.
+    /// Finishes the work it has and accepts no new work.
     Draining,
-    /// Taken off the list.
+    /// Removed from the list.
     Removed,
 }
 
-/// A line of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// The backend.
+    /// The backend at this endpoint.
     pub backend: BackendId,
-    /// Its zone.
+    /// Zone that the backend runs in.
     pub zone: u8,
-    /// Its cell: backends that know each other's idempotency keys.
+    /// Cell of the backend: backends in the same cell share their idempotency keys.
     pub cell: u16,
-    /// The kind of its machine.
+    /// Identifies the type of machine that the backend runs on.
     pub machine_kind: u16,
-    /// Its state.
+    /// Whether the backend accepts new work.
     pub state: EndpointState,
-    /// Its weight, see [`WeightMeaning`](crate::WeightMeaning).
+    /// Weight of the endpoint, interpreted according to [`WeightMeaning`](crate::WeightMeaning).
     pub weight: f64,
-    /// When it last started; 0 for long ago.
+    /// When the backend last started; 0 if that was long ago.
     pub started_at: Micros,
-    /// The pools that it is in: the lowest bit for pool 1.
+    /// Bit set of the pools that contain the endpoint; the lowest bit is pool 1.
     pub pools: u64,
 }
 
-/// How an endpoint list is to be read.
+/// How to interpret an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// Changed lines only.
+    /// Contains only the entries that changed.
     Delta,
-    /// The complete list.
+    /// The complete list: a backend that is not listed is gone.
     Full,
-    /// The complete list as last known before a restart, perhaps stale.
+    /// The complete list as last known before a restart; it may be stale.
     Cached,
-    /// A call to discovery failed; the list stays as it was.
+    /// A call to discovery failed; the previous list remains in effect.
     Failed,
 }
 
-/// The load that a backend reported, as far as it reports it.
+/// Load reported by a backend. Values that the backend does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests in work.
+    /// Requests being processed.
     pub in_flight: Option<f64>,
-    /// Requests waiting.
+    /// Requests waiting in the backend's queue.
     pub queue: Option<f64>,
-    /// Fraction of the cores in use.
+    /// Fraction of the CPU cores in use.
     pub utilization: Option<f64>,
     /// Recent service time in milliseconds.
     pub latency_ms: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub served: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors: Option<f64>,
 }
 
-/// How an attempt, a health check or a counter call ended.
+/// Result of an attempt, a health check, or a call to a shared counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Served.
+    /// Succeeded.
     Ok,
-    /// An error answer; it may have run.
+    /// The backend answered with an error; the attempt may have run.
     Error,
-    /// Rejected by the backend, unseen.
+    /// The backend rejected the attempt without processing it.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No answer arrived in time; the attempt may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be established; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
@@ -98,100 +99,103 @@
     }
 }
 
-/// A client's request.
+/// A request from a client.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Request {
-    /// Its identity.
+    /// Identifies the request in later events and actions.
     pub id: RequestId,
     /// Index into [`Settings::classes`].
     pub class: u8,
     /// Index into [`Settings::plans`].
     pub plan: u16,
-    /// Whose it is.
+    /// The customer that sent the request.
     pub customer: CustomerId,
-    /// When the client abandons it.
+    /// Time at which the client gives up on the request.
     pub deadline: Micros,
-    /// What it draws from the quota.
+    /// Units that the request draws from the customer's quota and ceiling.
     pub units: f64,
-    /// How many gateways the customer's requests come through.
+    /// Number of gateways that receive the customer's requests.
     pub gateway_span: f64,
-    /// The first of these, counted round.
+    /// Number of the first of those gateways; the following numbers wrap around at
+    /// [`Settings::gateway_count`].
     pub first_gateway: f64,
-    /// The pools that it may go to, best first, as numbers from 1; 0 ends them, and all 0 is every
-    /// backend.
+    /// Pools that the request may use, preferred first, numbered from 1. A 0 ends the list; a list
+    /// of zeros allows every backend.
     pub route: [u8; MAX_ROUTE_POOLS],
-    /// How many of these are its own, rather than what it falls back on; at least one is.
+    /// How many pools of `route`, counted from the first, are the request's own. It uses the
+    /// remaining ones only as fallback traffic. Treated as at least 1.
     pub own_pools: u8,
 }
 
-/// What a gateway sees.
+/// An input to [`Gateway::handle`](crate::Gateway::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list changed, or came anew.
+    /// The endpoint list changed or was delivered again.
     EndpointsChanged(EndpointListKind, Vec<Endpoint>),
     /// A request arrived.
     Request(Request),
-    /// An attempt ended.
+    /// An attempt at a backend ended.
     AttemptCompleted {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The number of the attempt, from 0.
+        /// Number of the attempt within its request, from 0.
         attempt: u16,
-        /// Where it went.
+        /// The backend that the attempt was sent to.
         backend: BackendId,
-        /// How it ended.
+        /// Result of the attempt.
         outcome: Outcome,
-        /// The request has its final answer.
+        /// Whether the request has its final answer.
         complete: bool,
-        /// How long it was in flight, in microseconds.
+        /// Time that the attempt was in flight, in microseconds.
         elapsed: Micros,
-        /// The customer's metered use as a fraction of its rate or cap, where there is a meter.
+        /// The customer's metered usage as a fraction of its rate or cap; `None` without a meter.
         metered_usage: Option<f64>,
-        /// True units, where they are settled afterwards.
+        /// Actual units of the request, if units are settled after the answer.
         charged_units: Option<f64>,
-        /// The load report that came along.
+        /// Load report sent with the answer, if any.
         report: Option<LoadReport>,
     },
-    /// A streamed answer began; the attempt is the client's from now on.
+    /// The first byte of a streamed answer arrived; from now on the client receives this attempt's
+    /// answer.
     FirstByte {
-        /// The request.
+        /// The request whose answer is streamed.
         id: RequestId,
-        /// The number of the attempt.
+        /// Number of the attempt within its request, from 0.
         attempt: u16,
     },
-    /// The client left; no answer is owed.
+    /// The client disconnected and needs no answer.
     ClientDisconnected(RequestId),
-    /// Other classes, plans, limits and backend rules from now on; all else of them is as it was. A
-    /// place in a list stays its class's or plan's; one that is no longer there is in no request
-    /// that comes.
+    /// New classes, plans, limits, backend rules, and pool count; other settings are unchanged. An
+    /// index in a list keeps naming the same class or plan, and new requests do not use the index
+    /// of a removed one.
     SettingsChanged(Box<Settings>),
-    /// A timer came due.
+    /// The timer with this token fired.
     Timer(u32),
     /// A health check ended.
     HealthChecked {
-        /// The backend.
+        /// The backend that was checked.
         backend: BackendId,
-        /// How it ended.
+        /// Result of the health check.
         outcome: Outcome,
-        /// How long it took, in microseconds.
+        /// Duration of the health check, in microseconds.
         elapsed: Micros,
-        /// The load report that came along.
+        /// Load report sent with the answer, if any.
         report: Option<LoadReport>,
     },
-    /// A peer's message.
+    /// A message from a peer arrived.
     PeerMessage {
-        /// The sender.
+        /// The gateway that sent the message.
         from: GatewayId,
-        /// The message.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
     /// A call to a shared counter ended.
     CounterUpdated {
-        /// The counter's name.
+        /// Identifier of the shared counter.
         counter: u64,
-        /// How it ended.
+        /// Result of the call.
         outcome: Outcome,
-        /// The total, with [`Outcome::Ok`].
+        /// Total of the counter after the call; valid only with [`Outcome::Ok`].
         total: f64,
     },
 }
--- a/crates/decision/src/gateway/admission.rs
+++ b/crates/decision/src/gateway/admission.rs
@@ -1,5 +1,6 @@
-//! Admission: whether a request that arrives is sent, waits, or is rejected, by its customer's
-//! quota and ceiling, its pool's load-shedding level, and the room in its pool.
+//! Admission: whether an arriving request is sent, queued, held for its quota owners, or rejected.
+//! The decision depends on the customer's quota and ceiling, the pool's load-shedding level, and
+//! the capacity of the request's pools.
 
 use super::Gateway;
 use crate::action::Action;
@@ -11,48 +12,50 @@
 use crate::ids::{CustomerId, Micros, RequestId};
 use crate::load_shedding::{customer_draw, level_admits, RAISE_AFTER};
 use crate::numeric::MICROS_PER_SECOND;
-use crate::queueing::{self, ANSWERS_LEFT};
+use crate::queueing::{self, MIN_ANSWER_TIMES_LEFT};
 use crate::requests::PendingRequest;
 
-/// Besides a report period: how long a peer's use is under way, in microseconds (loss, chance;
-/// ours).
-const UNHEARD: Micros = 350_000;
-/// Advice to come back as late as the settings allow.
-const LONGEST: Micros = Micros::MAX;
+/// Time beyond the report period for which a peer's usage may be unreported, in microseconds. It
+/// covers lost messages and variation in timing.
+const UNREPORTED_MARGIN: Micros = 350_000;
+/// Advises the longest wait that the settings permit, to which [`Gateway::reject`] reduces the
+/// value.
+const MAX_RETRY_ADVICE: Micros = Micros::MAX;
 
-/// Seconds until a request's quota and its ceiling may have room; none where they have it now.
+/// Seconds until the quota and the ceiling may have room for a request; `None` if they have room
+/// now.
 struct RoomWait {
     quota: Option<f64>,
     ceiling: Option<f64>,
 }
 
 impl RoomWait {
-    /// Seconds until both may have room.
+    /// Seconds until both may have room; `None` if both have room now.
     fn longest(&self) -> Option<f64> {
         let both = self.quota.into_iter().chain(self.ceiling);
         both.reduce(f64::max)
     }
 }
 
-/// The room that a request finds in its pools.
+/// Capacity available to a request in its pools.
 struct PoolRoom {
-    /// The pool in whose queue it would wait.
+    /// Number of the pool in whose queue the request would wait.
     queue: usize,
-    /// How long it may wait there, in microseconds.
+    /// Maximum wait in that queue, in microseconds.
     max_wait: f64,
-    /// There is no slot, and the queue takes its customer no more.
+    /// No slot is free, and the queue accepts no further requests of this customer.
     full: bool,
 }
 
 impl Gateway {
     pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         if self.requests.contains(request.id) {
-            return; // it came twice: the first one gets the answer
+            return; // duplicate: the answer belongs to the first copy
         }
         if !self.is_servable(&request) {
             return self.reject(request.id, 0, actions);
         }
-        let new_customer = self.meet(&request);
+        let new_customer = self.register_customer(&request);
         let class = self.settings.classes[usize::from(request.class)];
         let now = self.now();
         let pending = PendingRequest::new(request, class, self.settings.limits.max_attempts, now);
@@ -60,13 +63,14 @@
         let plans = &self.settings.plans;
         let plan = usize::from(request.plan);
         if !level_admits(level, plans, plan, request.customer, new_customer, now) {
-            return self.reject(request.id, LONGEST, actions);
+            return self.reject(request.id, MAX_RETRY_ADVICE, actions);
         }
-        let wait = self.wait_for_room(&request);
-        let ceiling_short = wait.ceiling.is_some();
-        let ask_for_ceiling = ceiling_short && wait.quota.is_none() && self.may_grant(&request);
-        let decided =
-            !self.may_wait(&request, now) || (self.knows_room(&request, &wait) && !ask_for_ceiling);
+        let room_wait = self.wait_for_room(&request);
+        let ceiling_short = room_wait.ceiling.is_some();
+        let ask_for_ceiling =
+            ceiling_short && room_wait.quota.is_none() && self.may_grant(&request);
+        let decided = !self.may_wait(&request, now)
+            || (self.is_room_known(&request, &room_wait) && !ask_for_ceiling);
         self.requests.insert(pending);
         if decided {
             self.admit(request.id, true, actions);
@@ -75,28 +79,29 @@
         }
     }
 
-    /// Whether a request makes sense and has the time to be held, watched or served: with less than
-    /// two wake-ups left it is answered at once.
+    /// Whether a request is valid and has enough time left to be held, watched, or served. With
+    /// less than two wake-ups left, a request is rejected at once.
     fn is_servable(&self, request: &Request) -> bool {
         let known = usize::from(request.class) < self.settings.classes.len()
             && usize::from(request.plan) < self.settings.plans.len();
-        let sane = request.units.is_finite() && request.units >= 0.0;
-        known && sane && self.may_wait(request, self.now())
+        let valid_units = request.units.is_finite() && request.units >= 0.0;
+        known && valid_units && self.may_wait(request, self.now())
     }
 
-    /// Whether a request has the time to be held for two wake-ups.
+    /// Whether at least two wake-ups remain between `now` and the deadline of a request.
     pub(super) fn may_wait(&self, request: &Request, now: Micros) -> bool {
-        queueing::may_wait(request.deadline, self.wake_ticks(), now)
+        queueing::may_wait(request.deadline, self.nominal_wake_interval(), now)
     }
 
-    /// Whether a customer's room is known here well enough to decide. A rejection may rest on older
-    /// updates than an admission: else a rejected customer's retries ask without end.
-    fn knows_room(&self, request: &Request, wait: &RoomWait) -> bool {
+    /// Whether this gateway's view of a customer's room is recent enough to decide. A rejection may
+    /// rely on an older update than an admission; otherwise every retry of a rejected customer
+    /// would cause another query.
+    fn is_room_known(&self, request: &Request, room_wait: &RoomWait) -> bool {
         let Some(customer) = self.customers.get(request.customer) else {
             return false;
         };
         let plan = &self.settings.plans[usize::from(request.plan)];
-        let rejected = wait.quota.is_some() && plan.max_in_flight == 0;
+        let rejected = room_wait.quota.is_some() && plan.max_in_flight == 0;
         let fresh = if rejected { FRESH_REJECTION } else { FRESH };
         customer.query.update_age(self.now()) < fresh || self.lead_owner(customer) == self.id()
     }
@@ -107,34 +112,35 @@
         customer.is_some_and(|c| c.owners.pair() != [self.id(); 2])
     }
 
-    /// Admits a request if its buckets have room; without it, one that is held stays till the
-    /// `last` word of its owners.
-    pub(super) fn admit(&mut self, id: RequestId, last: bool, actions: &mut Vec<Action>) {
+    /// Admits a request, or rejects it if its token buckets or pools lack room. While a bucket
+    /// lacks room, a held request stays held until `owners_done` is true, meaning that no further
+    /// answer of its quota owners is expected.
+    pub(super) fn admit(&mut self, id: RequestId, owners_done: bool, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(id) else {
             return;
         };
         let held = pending.awaits_owner();
         pending.set_awaiting_owner(false);
         let request = *pending.request();
-        let wait = self.wait_for_room(&request);
+        let room_wait = self.wait_for_room(&request);
         let Some(room) = self.pool_room(id) else {
             return;
         };
-        if wait.longest().is_some() {
-            let for_ceiling = self.waits_for_ceiling(id, &wait, room.max_wait);
-            if !last || for_ceiling {
-                return self.keep_held(id, held || for_ceiling, last);
+        if room_wait.longest().is_some() {
+            let for_ceiling = self.waits_for_ceiling(id, &room_wait, room.max_wait);
+            if !owners_done || for_ceiling {
+                return self.keep_held(id, held || for_ceiling, owners_done);
             }
         }
-        let rejected = wait.longest().is_some() || room.full;
+        let rejected = room_wait.longest().is_some() || room.full;
         if rejected {
-            return self.reject_for_room(&request, &wait, room.queue, held, actions);
+            return self.reject_for_room(&request, &room_wait, room.queue, held, actions);
         }
         self.accept(&request, room.queue, held, actions);
     }
 
-    /// The room in a request's pools. The fuller the queue, the fewer customers may join it; the
-    /// same ones for an epoch, as by the load-shedding level.
+    /// Capacity in a request's pools. The fuller the queue, the fewer customers may join it. As
+    /// with the load-shedding level, the same customers are excluded for a whole epoch.
     fn pool_room(&self, id: RequestId) -> Option<PoolRoom> {
         let now = self.now();
         let pending = self.requests.get(id)?;
@@ -143,7 +149,7 @@
         let capacity = self.pools.with_capacity(pending, self.gateway_count, now);
         let max_wait = self.max_wait(pending).max(1.0);
         let pool = self.pools.get(queue);
-        let crowding = queueing::crowding(
+        let queue_fill = queueing::queue_fill(
             pool.queue_length(),
             self.latency.mean(),
             pool.concurrency_limit(self.gateway_count),
@@ -153,7 +159,7 @@
         Some(PoolRoom {
             queue,
             max_wait,
-            full: no_slot && customer_draw(request.customer, now) >= 1.0 - crowding,
+            full: no_slot && customer_draw(request.customer, now) >= 1.0 - queue_fill,
         })
     }
 
@@ -166,35 +172,36 @@
         )
     }
 
-    /// A ceiling refills faster than the quota in it: what it alone has no room for waits, as for a
-    /// slot.
-    fn waits_for_ceiling(&self, id: RequestId, wait: &RoomWait, max_wait: f64) -> bool {
-        let later = self.now() + FRESH;
-        let only_ceiling = wait.quota.is_none() && wait.ceiling.is_some();
+    /// Whether a request waits for its ceiling to refill. A ceiling refills faster than the quota
+    /// below it, so a request that lacks only ceiling units waits for them as it would for a slot.
+    fn waits_for_ceiling(&self, id: RequestId, room_wait: &RoomWait, max_wait: f64) -> bool {
+        let next_query_at = self.now() + FRESH;
+        let only_ceiling = room_wait.quota.is_none() && room_wait.ceiling.is_some();
         let in_time = |pending: &PendingRequest| {
-            later < pending.arrived_at() + max_wait as Micros
-                && self.may_wait(pending.request(), later)
+            next_query_at < pending.arrived_at() + max_wait as Micros
+                && self.may_wait(pending.request(), next_query_at)
         };
         only_ceiling && self.requests.get(id).is_some_and(in_time)
     }
 
-    /// A request stays held; after its owners' last word it asks them again.
-    fn keep_held(&mut self, id: RequestId, held: bool, last: bool) {
-        let later = self.now() + FRESH;
+    /// Keeps a request held. If no further answer of its quota owners is expected, schedules
+    /// another query to them.
+    fn keep_held(&mut self, id: RequestId, held: bool, owners_done: bool) {
+        let next_query_at = self.now() + FRESH;
         let Some(pending) = self.requests.get_mut(id) else {
             return;
         };
         pending.set_awaiting_owner(held);
-        if last && pending.ask_again() {
-            self.requests.check_at(later, id);
+        if owners_done && pending.schedule_owner_query() {
+            self.requests.schedule_check(next_query_at, id);
         }
     }
 
-    /// Rejects a request whose customer has no room, or that has no slot and none soon.
+    /// Rejects a request whose customer has no room, or for which its pools have no capacity.
     fn reject_for_room(
         &mut self,
         request: &Request,
-        wait: &RoomWait,
+        room_wait: &RoomWait,
         queue: usize,
         held: bool,
         actions: &mut Vec<Action>,
@@ -202,18 +209,20 @@
         if held {
             self.stop_holding(request.customer, request.id);
         }
-        let wait = wait.longest();
-        let retry_after = wait.map_or(LONGEST, |seconds| (seconds * MICROS_PER_SECOND) as Micros);
+        let room_wait = room_wait.longest();
+        let retry_after = room_wait.map_or(MAX_RETRY_ADVICE, |seconds| {
+            (seconds * MICROS_PER_SECOND) as Micros
+        });
         let shedding = self.pools.get_mut(queue).shedding_mut();
-        shedding.note_rejected(wait.is_none());
+        shedding.note_rejected(room_wait.is_none());
         self.requests.remove(request.id);
         self.reject(request.id, retry_after, actions);
         if held {
-            self.report(request.customer, false, actions); // an owner may have counted it
+            self.report(request.customer, false, actions); // an owner may have counted the request
         }
     }
 
-    /// Sends a request, or puts it into its queue.
+    /// Charges an admitted request and queues it; it is sent at once if there is capacity.
     fn accept(&mut self, request: &Request, queue: usize, held: bool, actions: &mut Vec<Action>) {
         self.pools.get_mut(queue).shedding_mut().note_admitted();
         self.charge(request, 1.0);
@@ -226,7 +235,7 @@
             .get_or_insert_with(request.customer, Customer::default);
         let ask = !held && !customer.owners.is_owner();
         if customer.query.pledged() >= request.units && !every_gateway_owns {
-            customer.query.use_pledge(); // counted by the owner that pledged it
+            customer.query.use_pledge(); // the owner counted these units when it pledged them
         } else {
             self.report(request.customer, ask && every_gateway_owns, actions);
         }
@@ -235,22 +244,24 @@
         self.give_up_if_late(request.id, actions);
     }
 
-    /// The final answer of a request that was not let in, or may be tried again without harm.
+    /// Rejects a request with an advised wait of `retry_after` microseconds, capped by the
+    /// settings. The rejection promises the client that trying again is harmless.
     pub(super) fn reject(&self, id: RequestId, retry_after: Micros, actions: &mut Vec<Action>) {
         let limits = &self.settings.limits;
-        let most = if limits.retry_after {
+        let max_wait = if limits.retry_after {
             limits.max_retry_after
         } else {
             0
         };
         actions.push(Action::Reject {
             id,
-            retry_after: retry_after.min(most),
+            retry_after: retry_after.min(max_wait),
         });
     }
 
-    /// Notes the customer; true if it was unseen within the ageing time.
-    fn meet(&mut self, request: &Request) -> bool {
+    /// Registers the customer of an arriving request. Returns true if the customer was not seen
+    /// within the aging time.
+    fn register_customer(&mut self, request: &Request) -> bool {
         let now = self.now();
         let plan = usize::from(request.plan);
         let (rate, burst) = {
@@ -258,24 +269,26 @@
             (plan.rate, plan.burst)
         };
         let gateways = self.settings.gateway_count.max(1) as f64;
-        let sane =
+        let valid_span =
             request.gateway_span.is_finite() && (0.0..gateways).contains(&request.first_gateway);
-        let gateway_span = if sane {
+        let gateway_span = if valid_span {
             request.gateway_span.clamp(1.0, gateways)
         } else {
             gateways
         };
-        let first_gateway = if sane {
+        let first_gateway = if valid_span {
             request.first_gateway.floor()
         } else {
             0.0
         };
-        // Of a customer unseen here a gateway that is no owner lets its part through, or one
-        // request.
+        // For a customer that was not seen before, a gateway that is not a quota owner admits its
+        // share of the burst, and at least one request.
         let tokens = (burst / gateway_span).max(request.units).min(burst);
         let others_rate = rate * (1.0 - 1.0 / gateway_span);
-        let new = || Customer::new(plan, QuotaAccount::new(tokens, others_rate, now));
-        let customer = self.customers.get_or_insert_with(request.customer, new);
+        let new_customer = || Customer::new(plan, QuotaAccount::new(tokens, others_rate, now));
+        let customer = self
+            .customers
+            .get_or_insert_with(request.customer, new_customer);
         let unseen = customer.is_new(now);
         customer.set_plan(plan);
         customer.see(now);
@@ -283,11 +296,11 @@
             first_gateway: first_gateway as u16,
             gateway_span: gateway_span as u16,
         };
-        self.settle_customer(request.customer, span, burst);
+        self.assign_owners(request.customer, span, burst);
         unseen
     }
 
-    /// Refills a customer's buckets up to now.
+    /// Refills a customer's token buckets up to the current time.
     pub(super) fn refill(&mut self, id: CustomerId) -> Option<&mut Customer> {
         let now = self.now();
         let customer = self.customers.get_mut(id)?;
@@ -295,10 +308,10 @@
         Some(customer)
     }
 
-    /// How long it may take until a request's quota and its ceiling have room.
+    /// How long it may take until the customer's quota and ceiling have room for a request.
     fn wait_for_room(&mut self, request: &Request) -> RoomWait {
         self.refill(request.customer);
-        let unheard = self.unheard_span(request.customer);
+        let unreported_span = self.unreported_span(request.customer);
         let class = usize::from(request.class);
         let Some(customer) = self.customers.get(request.customer) else {
             return RoomWait {
@@ -309,16 +322,19 @@
         let plan = &self.settings.plans[customer.plan()];
         let least_own_rate = customer.least_own_rate(plan);
         let units = request.units;
-        let mut quota = customer
-            .quota
-            .wait_for_tokens(units, plan, unheard, least_own_rate);
-        // What peers likely began unheard counts, as far as it is still in flight.
-        let unheard_at_most = (self.report_period + UNHEARD) as f64;
-        let lasts = (ANSWERS_LEFT * self.latency.recent(class)).min(unheard_at_most);
-        let in_flight = customer.quota.likely_in_flight(units, lasts);
+        let mut quota =
+            customer
+                .quota
+                .wait_for_tokens(units, plan, unreported_span, least_own_rate);
+        // Attempts that peers have likely started but not reported count for as long as they are
+        // likely to be in flight.
+        let max_unreported_micros = (self.report_period + UNREPORTED_MARGIN) as f64;
+        let likely_duration =
+            (MIN_ANSWER_TIMES_LEFT * self.latency.recent(class)).min(max_unreported_micros);
+        let in_flight = customer.quota.likely_in_flight(units, likely_duration);
         if plan.max_in_flight > 0 && in_flight >= plan.max_in_flight {
-            let calm = self.latency.calm(class) / MICROS_PER_SECOND;
-            quota = Some(quota.unwrap_or(0.0).max(calm));
+            let uncongested_s = self.latency.calm(class) / MICROS_PER_SECOND;
+            quota = Some(quota.unwrap_or(0.0).max(uncongested_s));
         }
         RoomWait {
             quota,
@@ -326,24 +342,28 @@
         }
     }
 
-    /// For how long others' use of a customer has been unheard here, in microseconds. What a lead
-    /// owner hears of it has been asked for; elsewhere its word was right when it came.
-    fn unheard_span(&self, id: CustomerId) -> Micros {
+    /// Time for which other gateways' usage of a customer may be unknown here, in microseconds. In
+    /// a small deployment, it covers the report period. In a larger one, it is 0 at the lead owner,
+    /// which other gateways ask before they admit requests; elsewhere it runs from the last owner
+    /// update, which was correct when it arrived.
+    fn unreported_span(&self, id: CustomerId) -> Micros {
         if self.every_gateway_owns() {
-            return self.report_period + UNHEARD;
+            return self.report_period + UNREPORTED_MARGIN;
         }
         match self.customers.get(id) {
-            // One that nobody has told of passes its first request by itself: most are far from
-            // their quotas.
-            Some(c) if self.lead_owner(c) != self.id() && c.query.was_updated() => {
-                UNHEARD.min(c.query.update_age(self.now()))
+            // Before the first owner update, the usage of others is assumed to be known, so that
+            // the customer's first request passes: most customers are far from their quotas.
+            Some(customer)
+                if self.lead_owner(customer) != self.id() && customer.query.was_updated() =>
+            {
+                UNREPORTED_MARGIN.min(customer.query.update_age(self.now()))
             }
             _ => 0,
         }
     }
 
-    /// Draws a request's units from the buckets, or gives them back (`sign` -1) when it was never
-    /// sent.
+    /// Draws a request's units from the token buckets (`sign` 1), or returns them if the request
+    /// was never sent (`sign` -1).
     pub(super) fn charge(&mut self, request: &Request, sign: f64) {
         if let Some(customer) = self.customers.get_mut(request.customer) {
             let plan = &self.settings.plans[customer.plan()];
@@ -351,7 +371,8 @@
         }
     }
 
-    /// Ends a request that has waited for a slot for as long as it may; true if it need not wait.
+    /// Ends a request that has waited for a slot for the maximum time. Returns true if the request
+    /// need not wait any longer.
     pub(super) fn give_up_if_late(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let waiting = self.requests.get(id);
         let Some(pending) = waiting.filter(|r| !r.is_done() && r.in_flight() == 0) else {
@@ -366,7 +387,8 @@
         late
     }
 
-    /// The final answer of a request that is not served: rejected where that is true, else failed.
+    /// Ends a request that is not served: with a rejection if trying again is harmless, otherwise
+    /// with a failure.
     pub(super) fn end_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(id) else {
             return;
--- a/crates/decision/src/gateway/attempts.rs
+++ b/crates/decision/src/gateway/attempts.rs
@@ -1,4 +1,4 @@
-//! How attempts and requests end: answers, retries, the final answer, clients that leave.
+//! The end of attempts and requests: answers, retries, final answers, and disconnecting clients.
 
 use super::feedback::AttemptEnd;
 use super::Gateway;
@@ -7,7 +7,7 @@
 use crate::ids::{BackendId, Micros, RequestId};
 use crate::retry::{HEDGE_COST, RETRY_COST};
 
-/// An attempt that ended, as the host tells it.
+/// The end of an attempt, as reported by the host.
 pub(super) struct Completion {
     pub(super) id: RequestId,
     pub(super) attempt: u16,
@@ -16,13 +16,13 @@
     pub(super) complete: bool,
     pub(super) elapsed: Micros,
     pub(super) charged_units: Option<f64>,
-    /// The backend's queue, if it reported it.
+    /// Length of the backend's queue, if the backend reported it.
     pub(super) queue: Option<f64>,
 }
 
 impl Gateway {
     pub(super) fn on_attempt_completed(&mut self, end: &Completion, actions: &mut Vec<Action>) {
-        self.learn_from(end);
+        self.record_completion(end);
         let now = self.now();
         if let (Some(backend), Some(queue)) = (self.backends.get_mut(end.backend), end.queue) {
             backend.note_queue(queue, now);
@@ -45,34 +45,34 @@
         if let Some(backend) = self.backends.get_mut(completed.backend) {
             backend.note_completed();
         }
-        let charged = end.charged_units.filter(|_| self.settings.post_paid);
-        let more = charged.map_or(0.0, |units| units - request.units);
-        let mut changed = more != 0.0;
+        let settled_units = end.charged_units.filter(|_| self.settings.post_paid);
+        let extra_units = settled_units.map_or(0.0, |units| units - request.units);
+        let mut usage_changed = extra_units != 0.0;
         if let Some(customer) = self.customers.get_mut(request.customer) {
             customer.quota.note_completed();
-            customer.quota.settle(more);
-            changed |= self.settings.plans[customer.plan()].max_in_flight > 0;
+            customer.quota.settle(extra_units);
+            usage_changed |= self.settings.plans[customer.plan()].max_in_flight > 0;
         }
         if done {
             self.on_request_ended(end.id, actions);
         } else if in_flight == 0 && !self.retry(end.id, actions) {
             self.end_unserved(end.id, actions);
         }
-        if changed {
+        if usage_changed {
             self.report(request.customer, false, actions);
         }
         self.dispatch_queues(actions);
     }
 
-    /// What an attempt's end says of its backend.
-    fn learn_from(&mut self, end: &Completion) {
+    /// Records what the outcome of an attempt says about its backend.
+    fn record_completion(&mut self, end: &Completion) {
         let Some(pending) = self.requests.get(end.id) else {
             return;
         };
         let attempt = pending.attempt(end.attempt);
         let class = usize::from(pending.request().class);
         let selection = attempt.map(|a| a.selection()).unwrap_or_default();
-        self.on_answer(&AttemptEnd {
+        self.record_attempt_end(&AttemptEnd {
             backend: end.backend,
             class,
             selection,
@@ -81,19 +81,24 @@
         });
     }
 
-    /// Sends a further attempt, where the class, the time and the budget allow one; whether it did.
+    /// Sends a further attempt if the class, the remaining time, and the retry budget permit it.
+    /// Returns whether an attempt was sent.
     pub(super) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(pending) = self.requests.get(id) else {
             return false;
         };
         let objective = pending.arrived_at() + pending.class().latency_objective;
-        let useful = self.now() + self.settings.tick < objective.min(pending.request().deadline);
-        let alone = pending.in_flight() == 0;
-        let cost = if alone { RETRY_COST } else { HEDGE_COST };
-        let allowed = pending.may_be_repeated()
-            && useful
-            && pending.may_have_more_attempts()
-            && (alone || self.settings.limits.hedging)
+        let in_time = self.now() + self.settings.tick < objective.min(pending.request().deadline);
+        let none_in_flight = pending.in_flight() == 0;
+        let cost = if none_in_flight {
+            RETRY_COST
+        } else {
+            HEDGE_COST
+        };
+        let allowed = pending.may_be_retried()
+            && in_time
+            && pending.has_attempts_left()
+            && (none_in_flight || self.settings.limits.hedging)
             && self.retry_budget.allows(cost);
         if !allowed || !self.resend(id, actions) {
             return false;
@@ -102,24 +107,28 @@
         true
     }
 
-    /// A further attempt: where the first would go now, else where there is room. Its class has
-    /// been asked, and a choice keeps to the group that knows its key, whatever the pool.
+    /// Sends a further attempt through the pool that a first attempt would use now, or else through
+    /// another pool with capacity. The caller has checked that the class permits the attempt. The
+    /// choice of a backend respects the key binding in every pool.
     fn resend(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let now = self.now();
         let Some(pending) = self.requests.get(id) else {
             return false;
         };
         let first = self.pools.best_for(pending, now);
-        let found = self.pools.with_capacity(pending, self.gateway_count, now);
+        let candidates = self.pools.with_capacity(pending, self.gateway_count, now);
         if self.send(id, first, actions) {
             return true;
         }
-        let mut others = found.into_iter().flatten().filter(|pool| *pool != first);
+        let mut others = candidates
+            .into_iter()
+            .flatten()
+            .filter(|pool| *pool != first);
         others.any(|pool| self.send(id, pool, actions))
     }
 
-    /// A request has ended: what is in flight is cancelled, and it is forgotten once all of that is
-    /// back.
+    /// Ends a request: cancels its attempts in flight if permitted, and forgets the request once
+    /// all of them have ended.
     pub(super) fn on_request_ended(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(id) else {
             return;
@@ -143,7 +152,8 @@
         }
     }
 
-    /// An answer streams: the other attempts are cancelled, and this one is the client's.
+    /// Handles the start of a streamed answer: the client receives the answer of `attempt`, and the
+    /// other attempts are cancelled.
     pub(super) fn on_first_byte(&mut self, id: RequestId, attempt: u16, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(id) else {
             return;
--- a/crates/decision/src/gateway/dispatch.rs
+++ b/crates/decision/src/gateway/dispatch.rs
@@ -1,5 +1,4 @@
-//! Dispatch: queues are emptied as far as there is room, and attempts sent to the backends that are
-//! chosen for them.
+//! Dispatch: sends queued requests while there is capacity, and chooses a backend for each attempt.
 
 use super::Gateway;
 use crate::action::Action;
@@ -10,13 +9,13 @@
 use crate::slow_start::{warm_up_factor, SendContext};
 
 impl Gateway {
-    /// Sends what waits, in its order, as far as there is room.
+    /// Sends the queued requests of each pool in order while there is capacity.
     pub(super) fn dispatch_queues(&mut self, actions: &mut Vec<Action>) {
         for pool in 0..self.pools.len() {
             while let Some(id) = self.pools.get(pool).queue_head() {
-                let waiting = self.requests.get(id);
-                let ready = waiting.is_some_and(|r| !r.is_done() && r.in_flight() == 0);
-                if ready && !self.place(id, actions) {
+                let queued = self.requests.get(id);
+                let ready = queued.is_some_and(|r| !r.is_done() && r.in_flight() == 0);
+                if ready && !self.send_to_best_pool(id, actions) {
                     break;
                 }
                 self.pools.get_mut(pool).dequeue();
@@ -24,21 +23,22 @@
         }
     }
 
-    /// Sends a request through the best of its pools that has room and a backend for it; false if
-    /// none has.
-    fn place(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+    /// Sends a request through its most preferred pool that has capacity and a backend for it.
+    /// Returns whether the request was sent.
+    fn send_to_best_pool(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(pending) = self.requests.get(id) else {
             return false;
         };
-        let found = self
+        let candidates = self
             .pools
             .with_capacity(pending, self.gateway_count, self.now());
-        let mut pools = found.into_iter().flatten();
+        let mut pools = candidates.into_iter().flatten();
         pools.any(|pool| self.send(id, pool, actions))
     }
 
-    /// The backend of a pool that takes a request's next attempt; none if none may take it now.
-    fn choose(&mut self, id: RequestId, selection: PoolSelection) -> Option<BackendId> {
+    /// Chooses a backend of a pool for a request's next attempt; `None` if no backend may take it
+    /// now.
+    fn choose_backend(&mut self, id: RequestId, selection: PoolSelection) -> Option<BackendId> {
         self.choice_seed = self.choice_seed.wrapping_add(1);
         let now = self.now();
         let request = self.requests.get(id)?;
@@ -71,7 +71,8 @@
         choice.pick()
     }
 
-    /// Sends a request's next attempt through a pool; false if no backend of it may take it now.
+    /// Sends a request's next attempt through a pool. Returns false if no backend of the pool may
+    /// take it now.
     pub(super) fn send(&mut self, id: RequestId, pool: usize, actions: &mut Vec<Action>) -> bool {
         let now = self.now();
         let Some(pending) = self.requests.get(id) else {
@@ -79,7 +80,7 @@
         };
         let fallback = self.pools.is_fallback(pending.request(), pool);
         let selection = PoolSelection { pool, fallback };
-        let Some(chosen) = self.choose(id, selection) else {
+        let Some(chosen) = self.choose_backend(id, selection) else {
             return false;
         };
         let Some(pending) = self.requests.get_mut(id) else {
@@ -101,7 +102,7 @@
             self.slow_start
                 .note_sent(&self.settings.rules, backend, now);
         }
-        self.requests.check_at(check_at, id);
+        self.requests.schedule_check(check_at, id);
         actions.push(Action::Send {
             id,
             backend: chosen,
@@ -111,14 +112,15 @@
         true
     }
 
-    /// Counts what the backends are worth; not at each wake-up, since it looks at all of them.
-    pub(super) fn count_capacity(&mut self) {
+    /// Recomputes the weight of the backends warming up and the capacity of each pool. This is not
+    /// done at every wake-up, since it visits all backends.
+    pub(super) fn update_capacity(&mut self) {
         let now = self.now();
         let rules = &self.settings.rules;
         let backends = &self.backends;
         self.slow_start.count(rules, backends, now);
-        let capacity = |place: &usize| {
-            let backend = backends.at(*place);
+        let capacity = |index: &usize| {
+            let backend = backends.at(*index);
             let warm_up = warm_up_factor(rules, backend, now).unwrap_or(1.0);
             warm_up.min(1.0 / backend.relative_latency()).min(1.0)
         };
--- a/crates/decision/src/gateway/endpoints.rs
+++ b/crates/decision/src/gateway/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which backends there are, and which are in which pool.
+//! Updates of the endpoint list: which backends exist, and which pools contain them.
 
 use super::Gateway;
 use crate::action::Action;
@@ -7,8 +7,9 @@
 use crate::numeric::unit_hash;
 use crate::pools::routing::is_in_pool;
 
-/// Discovery is polled again after this part of the longest interval when a call failed (ours).
-const RETRIES_PER_INTERVAL: u64 = 8;
+/// Divisor of the maximum poll interval that gives the delay until the next poll after a failed
+/// one.
+const FAILED_POLL_RETRIES_PER_INTERVAL: u64 = 8;
 
 impl Gateway {
     pub(super) fn on_endpoints_changed(
@@ -18,42 +19,42 @@
         actions: &mut Vec<Action>,
     ) {
         if kind == EndpointListKind::Failed {
-            let retry = self.settings.rules.max_poll_interval / RETRIES_PER_INTERVAL;
-            self.poll_at = self.poll_at.min(self.now() + retry.max(1));
+            let delay = self.settings.rules.max_poll_interval / FAILED_POLL_RETRIES_PER_INTERVAL;
+            self.next_poll_at = self.next_poll_at.min(self.now() + delay.max(1));
             return;
         }
         if kind != EndpointListKind::Delta {
-            self.backends.clear_ready(); // absent from a complete list: gone
+            self.backends.clear_ready(); // a backend missing from a complete list is gone
         }
         let classes = self.settings.classes.len();
         for endpoint in list {
-            let new = self.backends.list(endpoint, classes, self.settings.weights);
-            if new {
+            let is_new = self.backends.list(endpoint, classes, self.settings.weights);
+            if is_new {
                 self.zones.forget(endpoint.zone);
             }
         }
         self.backends.settle(|id| backend_tag(id.0));
         self.assign_pools();
-        self.count_capacity();
+        self.update_capacity();
         self.dispatch_queues(actions);
     }
 
-    /// Gives each pool its ready backends, in an order of this gateway's own: neighbours send to
-    /// others first.
+    /// Assigns each pool its ready backends. Their order differs from gateway to gateway, so that
+    /// gateways prefer different backends.
     fn assign_pools(&mut self) {
         let now = self.now();
-        let gateway = u64::from(self.id()) << 48;
+        let seed = u64::from(self.id()) << 48;
         let backends = &self.backends;
-        let order = |place: &usize| unit_hash(backends.at(*place).id().0 ^ gateway);
+        let sort_key = |index: &usize| unit_hash(backends.at(*index).id().0 ^ seed);
         for (number, pool) in self.pools.iter_mut().enumerate() {
             let ready = || {
                 let all = backends.ready();
                 all.filter(move |(_, b)| is_in_pool(b.endpoint(), number))
             };
-            let mut places: Vec<usize> = ready().map(|(place, _)| place).collect();
-            places.sort_by(|a, b| order(a).total_cmp(&order(b)));
+            let mut indexes: Vec<usize> = ready().map(|(index, _)| index).collect();
+            indexes.sort_by(|a, b| sort_key(a).total_cmp(&sort_key(b)));
             let weight = ready().map(|(_, b)| b.weight()).sum();
-            pool.set_members(places, weight, now);
+            pool.set_members(indexes, weight, now);
         }
     }
 }
--- a/crates/decision/src/gateway/feedback.rs
+++ b/crates/decision/src/gateway/feedback.rs
@@ -1,5 +1,5 @@
-//! What the ends of attempts say: of their backends' health and latency, of their pools' load, of
-//! their zones.
+//! Feedback from attempt outcomes: health and latency of backends, load of pools, and reachability
+//! of zones.
 
 use super::Gateway;
 use crate::event::Outcome;
@@ -9,11 +9,11 @@
 use crate::outlier_ejection::{OWN_ANSWER_WEIGHT, PEER_ANSWER_WEIGHT, UNREACHED_WEIGHT};
 use crate::requests::PoolSelection;
 
-/// The weight in a zone's error rate of a peer's sample, against that of an attempt of its own
-/// (ours): some of it is from before.
-const PEER_SAMPLE_PART: f64 = 3.0;
+/// Divisor of the weight of a peer's sample in a zone's error rate, compared with an attempt of
+/// this gateway. Peers' samples count less, since some of them are outdated.
+const PEER_SAMPLE_WEIGHT_DIVISOR: f64 = 3.0;
 
-/// An attempt that ended, with its class and the pool that it went through.
+/// The end of an attempt, with its class and the pool that it was sent through.
 pub(super) struct AttemptEnd {
     pub(super) backend: BackendId,
     pub(super) class: usize,
@@ -23,7 +23,7 @@
 }
 
 impl Gateway {
-    pub(super) fn on_answer(&mut self, end: &AttemptEnd) {
+    pub(super) fn record_attempt_end(&mut self, end: &AttemptEnd) {
         let uninformative = matches!(
             end.outcome,
             Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut
@@ -57,11 +57,11 @@
         } else {
             AttemptOutcome::Failed
         };
-        self.learn_own(end.backend, end.class, outcome, end.selection);
+        self.record_own_outcome(end.backend, end.class, outcome, end.selection);
     }
 
-    /// The lesson of an attempt of this gateway's own; times are in microseconds.
-    pub(super) fn learn_own(
+    /// Records the outcome of an attempt of this gateway. The time in `outcome` is in microseconds.
+    pub(super) fn record_own_outcome(
         &mut self,
         id: BackendId,
         class: usize,
@@ -76,49 +76,56 @@
         self.pools.get_mut(selection.pool).note_outcome(failed, now);
         backend.note_health(class, failed, OWN_ANSWER_WEIGHT, now);
         if !self.every_gateway_owns() && class <= MAX_CLASS {
-            let told = match outcome {
+            let reported = match outcome {
                 AttemptOutcome::Answered(elapsed) => {
                     AttemptOutcome::Answered(elapsed / self.objective(class))
                 }
                 other => other,
             };
-            self.peers.add_sample(backend_tag(id.0), class as u8, told);
+            self.peers
+                .add_sample(backend_tag(id.0), class as u8, reported);
         }
         if let AttemptOutcome::Answered(elapsed) = outcome {
-            if let Some(sample) = self.learn_latency(id, class, elapsed) {
+            if let Some(sample) = self.record_latency(id, class, elapsed) {
                 self.note_pressure(selection, sample);
             }
         }
     }
 
-    /// The lesson of an attempt that a peer had: it counts, but ejects nobody.
-    pub(super) fn learn_from_peer(&mut self, sample: &Sample) {
+    /// Records the outcome of a peer's attempt. It counts in error rates and latencies, but does
+    /// not eject a backend.
+    pub(super) fn record_peer_outcome(&mut self, sample: &Sample) {
         let now = self.now();
         let class = usize::from(sample.class);
         let Some(id) = self.backends.by_tag(sample.tag) else {
             return;
         };
-        let Some(settings) = self.settings.classes.get(class) else {
+        let Some(class_settings) = self.settings.classes.get(class) else {
             return;
         };
-        let objective = settings.latency_objective as f64;
-        // What peers can't reach tells of the zone, and what they reach.
+        let objective = class_settings.latency_objective as f64;
+        // Whether a peer reached the backend counts in the error rate of the zone.
         let zone = self.backends.get(id).map_or(u8::MAX, |b| b.endpoint().zone);
         let unreached = sample.outcome == AttemptOutcome::Silent;
-        self.zones
-            .note(zone, now, unreached, UNREACHED_WEIGHT / PEER_SAMPLE_PART);
+        self.zones.note(
+            zone,
+            now,
+            unreached,
+            UNREACHED_WEIGHT / PEER_SAMPLE_WEIGHT_DIVISOR,
+        );
         let Some(backend) = self.backends.get_mut(id) else {
             return;
         };
         let endpoint = *backend.endpoint();
-        let AttemptOutcome::Answered(part) = sample.outcome else {
+        let AttemptOutcome::Answered(relative_time) = sample.outcome else {
             return backend.note_health(class, true, PEER_ANSWER_WEIGHT, now);
         };
         backend.note_health(class, false, PEER_ANSWER_WEIGHT, now);
-        let Some(sample) = self.learn_latency(id, class, part * objective) else {
+        let Some(sample) = self.record_latency(id, class, relative_time * objective) else {
             return;
         };
-        // What a peer found was in a pool of the backend's that it does not tell.
+        // The sample does not name the pool of the peer's attempt, so it counts in all pools that
+        // contain the backend.
         for pool in self.pools.of_endpoint(&endpoint) {
             let selection = PoolSelection {
                 pool,
@@ -128,20 +135,23 @@
         }
     }
 
-    /// Notes an answer's time; none right after a stall, whose times say nothing.
-    fn learn_latency(
+    /// Records the time of an answer. Returns `None` right after a stall, when measured times
+    /// include the stall.
+    fn record_latency(
         &mut self,
         id: BackendId,
         class: usize,
         elapsed: f64,
     ) -> Option<PressureSample> {
         let now = self.now();
-        if now == self.clock.resumed_at {
+        if now == self.clock.stall_ended_at {
             return None;
         }
         let objective = self.objective(class);
-        let usual = self.latency.recent(class).max(1.0);
-        self.backends.get_mut(id)?.note_latency(elapsed / usual);
+        let usual_latency = self.latency.recent(class).max(1.0);
+        self.backends
+            .get_mut(id)?
+            .note_latency(elapsed / usual_latency);
         let slowdown = self.latency.note(class, elapsed, objective, now);
         Some(PressureSample::of_answer(elapsed, objective, slowdown))
     }
@@ -152,7 +162,7 @@
         pool.note_pressure(selection.fallback, sample, self.gateway_count, now);
     }
 
-    /// A class's latency objective in microseconds.
+    /// Latency objective of a class in microseconds, at least 1.
     fn objective(&self, class: usize) -> f64 {
         self.settings.classes[class].latency_objective.max(1) as f64
     }
--- a/crates/decision/src/gateway/gossip_in.rs
+++ b/crates/decision/src/gateway/gossip_in.rs
@@ -1,5 +1,5 @@
-//! Messages from peers: their use of customers that this gateway owns, owners' updates, and how
-//! attempts went elsewhere.
+//! Messages from peers: usage reports on customers whose quota this gateway owns, updates from
+//! quota owners, and outcomes of attempts at other gateways.
 
 use super::Gateway;
 use crate::action::Action;
@@ -15,11 +15,11 @@
 use crate::gossip::peers::Arrival;
 use crate::ids::{GatewayId, Micros, RequestId};
 
-/// A customer seen in this time is reported to an owner that starts anew, in microseconds (ours).
-const REPORT_TO_RESTARTED: Micros = AGING / 5;
-/// The second owner's update counts where the first one's is older than this, in microseconds
-/// (ours).
-const LEAD_UPDATE_LIFE: Micros = 4 * FRESH;
+/// Customers seen within this time are reported to a quota owner that restarts, in microseconds.
+const RECENTLY_SEEN: Micros = AGING / 5;
+/// Age of the last owner update, in microseconds, above which an update from an owner other than
+/// the lead owner is accepted.
+const LEAD_UPDATE_MAX_AGE: Micros = 4 * FRESH;
 
 impl Gateway {
     pub(super) fn on_peer_message(
@@ -31,46 +31,47 @@
         let Some(message) = Message::decode(bytes) else {
             return;
         };
-        let own = incarnation(self.clock.started_at);
-        let foreign = from == self.settings.gateway_id || from.0 >= self.settings.gateway_count;
-        if foreign || !self.receive(from.0, &message) {
+        let own_incarnation = incarnation(self.clock.started_at);
+        let invalid_sender =
+            from == self.settings.gateway_id || from.0 >= self.settings.gateway_count;
+        if invalid_sender || !self.accept_message(from.0, &message) {
             return;
         }
         let [own_classes, own_plans] = self.settings.name_digests;
         let [classes, plans] = message.name_digests;
         if classes == own_classes {
             for sample in &message.samples {
-                self.learn_from_peer(sample);
+                self.record_peer_outcome(sample);
             }
         }
         match message.body {
             Body::Usage(reports) => {
                 let same_plans = plans == own_plans;
-                let younger = message.incarnation >= own;
+                let sender_is_younger = message.incarnation >= own_incarnation;
                 let updates = reports.into_iter().filter_map(|report| {
                     let report = self.with_known_plan(report, same_plans)?;
-                    self.on_usage(from.0, younger, &report)
+                    self.on_usage_report(from.0, sender_is_younger, &report)
                 });
                 let updates: Vec<OwnerUpdate> = updates.collect();
                 if !updates.is_empty() {
                     let body = Body::Updates(message.incarnation, updates);
-                    self.post(from.0, body, actions);
+                    self.send_message(from.0, body, actions);
                 }
             }
-            // Only to the incarnation it was meant for, and by its number only once: a repeat mints
-            // nothing.
-            Body::Updates(receiver, _) if receiver != own => {}
+            // Drops an update meant for an earlier incarnation of this gateway. The sequence number
+            // has already excluded repeats, so no grant is counted twice.
+            Body::Updates(receiver, _) if receiver != own_incarnation => {}
             Body::Updates(_, updates) => {
-                let older = message.incarnation < own;
+                let sender_is_older = message.incarnation < own_incarnation;
                 for update in &updates {
-                    self.on_update(from.0, older, update, actions);
+                    self.on_owner_update(from.0, sender_is_older, update, actions);
                 }
             }
         }
     }
 
-    /// Notes a message of a peer; false if it is not to be read.
-    fn receive(&mut self, from: u16, message: &Message) -> bool {
+    /// Records the arrival of a message. Returns false if the message must be ignored.
+    fn accept_message(&mut self, from: u16, message: &Message) -> bool {
         let arrival = self
             .peers
             .entry(from)
@@ -83,21 +84,22 @@
         self.peers.entry(from).receive(message.sequence)
     }
 
-    /// A peer has started anew: what it reported before is void, and an owner that starts is told
-    /// once.
+    /// Handles a new incarnation of a peer. Its earlier reports are discarded. If the peer
+    /// restarted, recently seen customers whose quota it owns are reported to it once.
     fn on_new_incarnation(&mut self, from: u16, restarted: bool) {
         let now = self.now();
         for (id, customer) in self.customers.iter_mut() {
             customer.quota.forget_reporter(from);
-            let lately = now - customer.seen_at() < REPORT_TO_RESTARTED;
-            if restarted && customer.owners.all().contains(&from) && lately {
+            let recently_seen = now - customer.seen_at() < RECENTLY_SEEN;
+            if restarted && customer.owners.all().contains(&from) && recently_seen {
                 self.peers.put_report_if_absent(from, id);
             }
         }
     }
 
-    /// A report with a plan as it is known here. Of plans that have other places there, one that is
-    /// known here keeps its own.
+    /// Replaces the plan in a report if the sender's plan list differs from this gateway's, since a
+    /// plan index then has another meaning: the plan known here is used. Returns `None` if the
+    /// customer is unknown here.
     fn with_known_plan(&self, report: UsageReport, same_plans: bool) -> Option<UsageReport> {
         if same_plans {
             return Some(report);
@@ -109,35 +111,41 @@
         })
     }
 
-    /// The place of a reported customer's plan here. A message names the first plans only; the
-    /// others pass under the last of these, and which one is meant is told by the customer's first
-    /// request here: the count goes on till then.
+    /// Index of the reported customer's plan in this gateway's settings. A message can name plans
+    /// only up to [`MAX_PLAN`], and later plans are reported as [`MAX_PLAN`]. Which of these a new
+    /// customer has becomes known with its first request here. Until then the function returns
+    /// `None`; the usage total in a later report includes the usage so far.
     fn reported_plan(&self, report: &UsageReport) -> Option<usize> {
-        let clipped = usize::from(report.plan);
-        let last = self.settings.plans.len().saturating_sub(1);
+        let reported = usize::from(report.plan);
+        let last_plan = self.settings.plans.len().saturating_sub(1);
         let known = self.customers.get(report.customer).map(Customer::plan);
-        if known.is_none() && clipped == MAX_PLAN && last > MAX_PLAN {
+        if known.is_none() && reported == MAX_PLAN && last_plan > MAX_PLAN {
             return None;
         }
-        let same = known.filter(|plan| (*plan).min(MAX_PLAN) == clipped);
-        let plan = same.unwrap_or(clipped);
-        (plan <= last && !self.settings.plans.is_empty()).then_some(plan)
+        let matching = known.filter(|plan| (*plan).min(MAX_PLAN) == reported);
+        let plan = matching.unwrap_or(reported);
+        (plan <= last_plan && !self.settings.plans.is_empty()).then_some(plan)
     }
 
-    /// A gateway reported its use of a customer; the answer if it asked.
-    fn on_usage(&mut self, from: u16, younger: bool, report: &UsageReport) -> Option<OwnerUpdate> {
+    /// Handles a usage report. Returns an update if the sender asked for one.
+    fn on_usage_report(
+        &mut self,
+        from: u16,
+        sender_is_younger: bool,
+        report: &UsageReport,
+    ) -> Option<OwnerUpdate> {
         let now = self.now();
-        let small = self.every_gateway_owns();
-        let place = self.reported_plan(report)?;
+        let every_gateway_owns = self.every_gateway_owns();
+        let plan_index = self.reported_plan(report)?;
         let first_contact = self.customers.get(report.customer).is_none();
-        self.meet_reported(report, place);
+        self.register_reported_customer(report, plan_index);
         self.refill(report.customer)?;
         let customer = self.customers.get_mut(report.customer)?;
-        if customer.plan() != place || !customer.owners.is_owner() {
-            return None; // not an owner of this one
+        if customer.plan() != plan_index || !customer.owners.is_owner() {
+            return None; // this gateway does not own the customer's quota
         }
         customer.see(customer.seen_at().max(now));
-        let plan = &self.settings.plans[place];
+        let plan = &self.settings.plans[plan_index];
         let has_view = report.level < UNKNOWN_LEVEL;
         let context = ReportContext {
             from,
@@ -145,13 +153,13 @@
             burst: plan.burst,
             max_in_flight: plan.max_in_flight,
             first_contact,
-            sender_is_younger: younger,
-            mirrors: !small && from == customer.owners.pair()[0] && has_view,
+            sender_is_younger,
+            mirrors: !every_gateway_owns && from == customer.owners.pair()[0] && has_view,
         };
         let view = customer.quota.take_report(report, &context);
         let granted = if report.ask && report.wants_ceiling {
-            let carried = whole_quarters(report.units);
-            customer.ceiling.hand_over(report.units, carried)
+            let granted_units = whole_quarters(report.units);
+            customer.ceiling.hand_over(report.units, granted_units)
         } else {
             0.0
         };
@@ -165,42 +173,46 @@
         })
     }
 
-    /// Begins a reported customer that is not known here, and takes its plan where the settings
-    /// have changed since it was seen here: a peer knows it.
-    fn meet_reported(&mut self, report: &UsageReport, place: usize) {
+    /// Registers a reported customer that is unknown here. If the settings changed since the
+    /// customer was last seen here, takes its plan from the report, since the peer knows the
+    /// current one.
+    fn register_reported_customer(&mut self, report: &UsageReport, plan_index: usize) {
         let now = self.now();
-        let burst = self.settings.plans[place].burst;
-        // Of a customer that never came here the sender's view counts, if it has one.
+        let burst = self.settings.plans[plan_index].burst;
+        // For a customer that is unknown here, the sender's view of the bucket is used if it has
+        // one.
         let tokens = if report.level < UNKNOWN_LEVEL {
             reported_tokens(report.level, burst)
         } else {
             burst
         };
-        let changed_at = self.clock.settings_changed_at;
+        let settings_changed_at = self.clock.settings_changed_at;
         if let Some(known) = self.customers.get_mut(report.customer) {
-            if known.seen_at() < changed_at {
-                known.set_plan(place);
+            if known.seen_at() < settings_changed_at {
+                known.set_plan(plan_index);
             }
         }
-        let new = || Customer::new(place, QuotaAccount::new(tokens, 0.0, now));
-        self.customers.get_or_insert_with(report.customer, new);
+        let new_customer = || Customer::new(plan_index, QuotaAccount::new(tokens, 0.0, now));
+        self.customers
+            .get_or_insert_with(report.customer, new_customer);
         let span = Span {
             first_gateway: report.first_gateway,
             gateway_span: report.gateway_span,
         };
-        self.settle_customer(report.customer, span, tokens);
+        self.assign_owners(report.customer, span, tokens);
     }
 
-    /// An owner's update on a customer: the bucket is what it says, less what it cannot have heard.
-    fn on_update(
+    /// Handles an owner's update on a customer. The token bucket is set to the owner's value, less
+    /// the usage that the owner cannot have heard of yet.
+    fn on_owner_update(
         &mut self,
         from: u16,
-        older: bool,
+        sender_is_older: bool,
         update: &OwnerUpdate,
         actions: &mut Vec<Action>,
     ) {
         let this_gateway = self.id();
-        let small = self.every_gateway_owns();
+        let every_gateway_owns = self.every_gateway_owns();
         let customer = self.customers.get(update.customer);
         let Some(lead) = customer.map(|c| self.lead_owner(c)) else {
             return;
@@ -209,38 +221,46 @@
         if !refilled.is_some_and(|c| c.owners.all().contains(&from)) {
             return;
         }
-        self.take_update(from, older, lead, update);
+        self.apply_owner_update(from, sender_is_older, lead, update);
         let Some(customer) = self.customers.get(update.customer) else {
             return;
         };
         let query = &customer.query;
         let pair = customer.owners.pair();
-        let mut others = pair.iter().filter(|o| **o != this_gateway);
-        let last = others.all(|o| query.has_answered(*o)) || (!small && from == query.asked());
+        let mut other_owners = pair.iter().filter(|o| **o != this_gateway);
+        let owners_done = other_owners.all(|o| query.has_answered(*o))
+            || (!every_gateway_owns && from == query.asked());
         let waiting: Vec<RequestId> = query.waiting().to_vec();
         for id in waiting {
-            self.admit(id, last, actions); // one owner may know too little: only both say no
+            self.admit(id, owners_done, actions); // a rejection needs both owners
         }
     }
 
-    /// Takes what an owner says of a customer, as far as it is the one whose word counts.
-    fn take_update(&mut self, from: u16, older: bool, lead: u16, update: &OwnerUpdate) {
+    /// Applies an owner's update to a customer, to the extent that this owner is authoritative
+    /// here.
+    fn apply_owner_update(
+        &mut self,
+        from: u16,
+        sender_is_older: bool,
+        lead: u16,
+        update: &OwnerUpdate,
+    ) {
         let now = self.now();
-        let small = self.every_gateway_owns();
-        let leads = lead == self.id();
+        let every_gateway_owns = self.every_gateway_owns();
+        let is_lead = lead == self.id();
         let Some(customer) = self.customers.get_mut(update.customer) else {
             return;
         };
-        if !leads {
+        if !is_lead {
             let in_flight = u32::from(update.in_flight);
             customer.quota.take_others(update.rate, in_flight);
         }
-        // The other owner's counts where the first one's is not to be had; the first hears of that
-        // use.
-        let stale = customer.query.update_age(now) > LEAD_UPDATE_LIFE;
-        let best = small || from == lead || stale;
-        let first_word = older && !customer.query.was_updated();
-        if (!leads && best) || first_word {
+        // Without a recent update from the lead owner, another owner's update is used. The lead
+        // owner learns of the resulting usage from reports.
+        let stale = customer.query.update_age(now) > LEAD_UPDATE_MAX_AGE;
+        let authoritative = every_gateway_owns || from == lead || stale;
+        let first_update_from_older = sender_is_older && !customer.query.was_updated();
+        if (!is_lead && authoritative) || first_update_from_older {
             customer
                 .quota
                 .take_tokens(update.tokens, update.heard_total);
@@ -248,8 +268,8 @@
             customer.query.note_update(now, pledged);
         }
         customer.query.note_answer(from);
-        // A grant is for the request that waits: late ones lapse, or a full bucket would hold more
-        // than full.
+        // Grants are for waiting requests. Late grants lapse; otherwise a full bucket would exceed
+        // its capacity.
         if customer.query.takes_grants(now) {
             customer.ceiling.grant(update.granted);
         }
--- a/crates/decision/src/gateway/mod.rs
+++ b/crates/decision/src/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway: its parts, and which of them an event goes to. Each decision stands in the module
-//! named for it.
+//! The state of a gateway and the dispatch of events to their handlers. Each submodule holds the
+//! decisions on one topic.
 
 mod admission;
 mod attempts;
@@ -31,32 +31,33 @@
 use crate::slow_start::{SendRate, SlowStart};
 use serde::{Deserialize, Serialize};
 
-/// Ticks between wake-ups, which look at deadlines and gossip; more saves CPU (ours).
-const WAKE_TICKS: u64 = 5;
-/// Wake-ups missed from which the gateway counts as having stood still (ours).
-const STALL_WAKE_UPS: u64 = 4;
-/// The token of the wake-up timer.
+/// Ticks between wake-ups, which check deadlines and send gossip. Fewer wake-ups save CPU.
+const TICKS_PER_WAKE_UP: u64 = 5;
+/// Number of missed wake-ups after which the gateway is considered to have stalled.
+const MISSED_WAKE_UPS_FOR_STALL: u64 = 4;
+/// Token that identifies the wake-up timer.
 const WAKE_TOKEN: u32 = 0;
 
-/// The gateway's clock, as the host moves it.
+/// The current time and related times, all on the host's clock.
 #[derive(Default, Serialize, Deserialize)]
 struct Clock {
     now: Micros,
     started_at: Micros,
     settings_changed_at: Micros,
     wake_at: Micros,
-    /// Stood still until then: times found with that turn say nothing.
-    resumed_at: Micros,
+    /// When the last stall ended. Times measured in that call include the stall and are ignored.
+    stall_ended_at: Micros,
 }
 
-/// One gateway's decisions. Feed it events, do what it asks.
+/// The decision state of one gateway. The host passes events to [`Gateway::handle`] and carries out
+/// the returned actions.
 ///
-/// Its serialized form is the state that a handover passes on: positional, so the fields and those
-/// of all parts keep their order.
+/// A handover passes the serialized state on. Its form is positional, so fields, also those of
+/// nested types, must not be reordered.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Gateway {
     settings: Settings,
-    /// The seed of the next choice.
+    /// Seed for the next choice of a backend.
     choice_seed: u64,
     clock: Clock,
     requests: PendingRequests,
@@ -70,15 +71,17 @@
     latency: LatencyTracker,
     retry_budget: RetryBudget,
     send_rate: SendRate,
-    /// Report period with all gateways as quota owners; 0 in a deployment too large for that.
+    /// Time between two reports to a peer, in microseconds, in a small deployment, where every
+    /// gateway of a customer owns its quota; 0 in a larger deployment.
     report_period: Micros,
-    sweep_at: Micros,
-    poll_at: Micros,
+    next_sweep_at: Micros,
+    next_poll_at: Micros,
     gateway_count: u64,
 }
 
 impl Gateway {
-    /// A gateway that starts now and knows nothing yet.
+    /// Creates a gateway that starts at `now`, without endpoints or customers. `seed` determines
+    /// its random choices.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Gateway {
             choice_seed: seed,
@@ -97,13 +100,13 @@
         }
     }
 
-    /// Takes one event and appends what the host is to do.
+    /// Handles one event at time `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        // Stood still for several wake-ups: all that came meanwhile is read before anybody is
-        // judged by it.
+        // After a stall of several wake-ups, checks are postponed to the next wake-up, so that all
+        // events that arrived meanwhile are read before any backend is considered silent.
         let wake_at = self.clock.wake_at;
-        if wake_at > 0 && now > wake_at + STALL_WAKE_UPS * self.wake_interval() {
-            self.resume(now, actions);
+        if wake_at > 0 && now > wake_at + MISSED_WAKE_UPS_FOR_STALL * self.wake_interval() {
+            self.resume_after_stall(now, actions);
         }
         self.clock.now = self.clock.now.max(now);
         let is_timer = matches!(event, Event::Timer(_));
@@ -154,13 +157,13 @@
         }
     }
 
-    /// The time between two wake-ups as requests reckon with it.
-    fn wake_ticks(&self) -> Micros {
-        WAKE_TICKS * self.settings.tick
+    /// Time between two wake-ups in microseconds, as used for deadlines; 0 if the tick is 0.
+    fn nominal_wake_interval(&self) -> Micros {
+        TICKS_PER_WAKE_UP * self.settings.tick
     }
 
     fn wake_interval(&self) -> Micros {
-        self.wake_ticks().max(1)
+        self.nominal_wake_interval().max(1)
     }
 
     fn set_wake_up(&mut self, now: Micros, actions: &mut Vec<Action>) {
@@ -172,7 +175,7 @@
         });
     }
 
-    /// In a small deployment all of a customer's gateways own its quota.
+    /// Whether every gateway of a customer owns its quota, as in a small deployment.
     fn every_gateway_owns(&self) -> bool {
         self.report_period > 0
     }
--- a/crates/decision/src/gateway/owners.rs
+++ b/crates/decision/src/gateway/owners.rs
@@ -1,5 +1,5 @@
-//! A customer's quota owners: who they are, whose word counts, and the questions that requests are
-//! held for.
+//! Quota owners of customers: who they are, which one is authoritative, and the queries to owners
+//! that requests are held for.
 
 use super::Gateway;
 use crate::action::Action;
@@ -11,31 +11,35 @@
 use crate::gossip::peers::OutboxEntry;
 use crate::ids::{CustomerId, Micros, RequestId};
 
-/// The part of a latency objective that an answer is waited for at most (ours).
-const WAIT_PART: u64 = 5;
-/// How long the other owner is asked in turn, for the ceiling's sake, in microseconds (ours).
-const TURN: Micros = 4 * FRESH;
+/// Divisor of the latency objective that gives the maximum wait for an owner's answer.
+const OWNER_WAIT_DIVISOR: u64 = 5;
+/// Time after a query within which a repeated query for ceiling units goes to the other owner, in
+/// microseconds.
+const ALTERNATE_OWNER_WINDOW: Micros = 4 * FRESH;
 
 impl Gateway {
-    /// The owner whose word on a customer's room counts here: the first, or the second while that
-    /// is silent. In a small deployment each owner's own, and where there is nobody to ask one's
-    /// own.
+    /// The owner whose view of a customer's room counts here: the first owner, or the second one
+    /// while the first is silent. In a small deployment each owner relies on its own view, and
+    /// without peer messages each gateway does.
     pub(super) fn lead_owner(&self, customer: &Customer) -> u16 {
-        let owns = self.every_gateway_owns() && customer.owners.is_owner();
-        if owns || !self.settings.limits.peers {
+        let decides_alone = self.every_gateway_owns() && customer.owners.is_owner();
+        if decides_alone || !self.settings.limits.peers {
             return self.id();
         }
         let pair = customer.owners.pair();
         let now = self.now();
-        let heard = pair.into_iter().find(|o| self.peers.is_heard(*o, now));
-        heard.unwrap_or(pair[0])
+        let responsive = pair.into_iter().find(|o| self.peers.is_heard(*o, now));
+        responsive.unwrap_or(pair[0])
     }
 
-    /// Fixes, for good, a customer's owners and the part of its ceiling here: not given out twice.
-    /// An owner begins with `tokens` (full, if nobody told another: most use little of their
-    /// buckets, and where all owners are new nobody knows better) and asks the others: an older
-    /// one's word comes in its place.
-    pub(super) fn settle_customer(&mut self, id: CustomerId, span: Span, tokens: f64) {
+    /// Fixes a customer's owners and this gateway's part of the ceiling for as long as the customer
+    /// is known, so that no part of the ceiling is given out twice.
+    ///
+    /// An owner starts with `tokens` and asks the other owners; the answer of an owner with an
+    /// earlier start replaces that value. `tokens` is a full bucket if no peer reported another
+    /// level: most customers use little of their buckets, and if all owners are new, none has
+    /// better information.
+    pub(super) fn assign_owners(&mut self, id: CustomerId, span: Span, tokens: f64) {
         let every_gateway_owns = self.every_gateway_owns();
         let this_gateway = self.id();
         let uptime = self.clock.now - self.clock.started_at;
@@ -61,7 +65,7 @@
             return;
         }
         customer.quota.set_tokens(tokens);
-        // The second of two is told by the first in any case.
+        // The second owner of a pair need not ask, since the first one reports to it anyway.
         let asks = every_gateway_owns || customer.owners.pair()[0] == this_gateway;
         if asks {
             let others = customer.owners.all().iter().filter(|o| **o != this_gateway);
@@ -71,13 +75,13 @@
         }
     }
 
-    /// The room is not known here: the request is held until the owners' word comes, or for as long
-    /// as that may take. They are asked at once where they `must` be.
+    /// Holds a request whose room is unknown here until its quota owners answer, or until the wait
+    /// for them ends. With `ask_now`, the owners are asked even if a recent query is still open.
     pub(super) fn ask_owners(
         &mut self,
         request: &Request,
         wants_ceiling: bool,
-        must: bool,
+        ask_now: bool,
         actions: &mut Vec<Action>,
     ) {
         let now = self.now();
@@ -86,11 +90,12 @@
         };
         pending.set_awaiting_owner(true);
         let objective = pending.class().latency_objective;
-        // Past its deadline it has no time left, and is asked for once more all the same.
-        let left = request.deadline.checked_sub(now);
-        let left = left.map_or(objective, |left| left.min(objective));
+        // A request past its deadline has no time left, but its owners are asked once more
+        // nevertheless.
+        let time_left = request.deadline.checked_sub(now);
+        let time_left = time_left.map_or(objective, |time_left| time_left.min(objective));
         self.requests
-            .check_at(now + FRESH.min(left / WAIT_PART), request.id);
+            .schedule_check(now + FRESH.min(time_left / OWNER_WAIT_DIVISOR), request.id);
         let this_gateway = self.id();
         let Some(lead) = self
             .customers
@@ -104,12 +109,14 @@
         };
         let query = &mut customer.query;
         query.wait(request.id);
-        if query.waiting().len() == 1 || query.since_asked(now) > FRESH || must {
-            // Asked again for the ceiling's sake, the other one may have some.
-            let turn = wants_ceiling && query.asked() == lead && query.since_asked(now) < TURN;
-            let [one, other] = customer.owners.pair();
-            let asked = if turn || lead == this_gateway {
-                one ^ other ^ lead
+        if query.waiting().len() == 1 || query.since_asked(now) > FRESH || ask_now {
+            // When ceiling units are asked for again, the other owner may have some.
+            let alternate = wants_ceiling
+                && query.asked() == lead
+                && query.since_asked(now) < ALTERNATE_OWNER_WINDOW;
+            let [first, second] = customer.owners.pair();
+            let asked = if alternate || lead == this_gateway {
+                first ^ second ^ lead
             } else {
                 lead
             };
@@ -118,8 +125,8 @@
         }
     }
 
-    /// The owner that was asked has not answered: the other one is asked, if it is not silent as
-    /// well. Whether it was.
+    /// Asks the other owner after the first one asked has not answered, unless the other one is
+    /// silent as well. Returns whether it was asked.
     pub(super) fn ask_other_owner(&mut self, request: &Request, actions: &mut Vec<Action>) -> bool {
         let now = self.now();
         let customer = self.customers.get(request.customer);
@@ -129,27 +136,27 @@
         let asked = customer.query.asked();
         let wants_ceiling = customer.query.wants_ceiling();
         let peer = self.peers.entry(asked);
-        let was_heard = peer.is_heard(now);
+        let was_responsive = peer.is_heard(now);
         peer.note_silence(now);
-        // What it has pledged may not have been used.
+        // The silent owner gets a report, since units that it pledged may not have been used.
         let report = OutboxEntry::new(1, false);
         self.peers.put_report(asked, request.customer, report);
         let customer = self.customers.get(request.customer);
         let Some(lead) = customer.map(|c| self.lead_owner(c)) else {
             return false;
         };
-        let other = was_heard && lead != asked && lead != self.id();
-        if other {
+        let ask_other = was_responsive && lead != asked && lead != self.id();
+        if ask_other {
             self.ask_owners(request, wants_ceiling, true, actions);
         }
-        other
+        ask_other
     }
 
-    /// A request is held no longer; what was granted for the last one lapses with it.
+    /// Stops holding a request. Grants lapse with the last request held for the customer.
     pub(super) fn stop_holding(&mut self, customer: CustomerId, id: RequestId) {
-        if let Some(c) = self.customers.get_mut(customer) {
-            if c.query.stop_waiting(id) {
-                c.ceiling.drop_grants();
+        if let Some(found) = self.customers.get_mut(customer) {
+            if found.query.stop_waiting(id) {
+                found.ceiling.drop_grants();
             }
         }
     }
--- a/crates/decision/src/gateway/status.rs
+++ b/crates/decision/src/gateway/status.rs
@@ -1,4 +1,4 @@
-//! What a gateway shows of itself, to operators and to its host.
+//! Status of a gateway for its operators and its host.
 
 use super::Gateway;
 use crate::customers::quota::USAGE_TIME_CONSTANT;
@@ -6,28 +6,28 @@
 use crate::numeric::decay;
 use crate::outlier_ejection::SUSPECT_FROM;
 
-/// What customers on a plan use, as far as this gateway knows.
+/// Usage by the customers on a plan, as far as this gateway knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlanUsage {
-    /// Customers that are known.
+    /// Number of customers known to this gateway.
     pub customers: u64,
-    /// The most that one of them has used of late, over all gateways, in units a second.
+    /// Highest recent usage of a single customer over all gateways, in units per second.
     pub rate: f64,
-    /// The most attempts that one of them has in flight.
+    /// Highest number of attempts that a single customer has in flight.
     pub in_flight: u32,
 }
 
-/// How a backend stands with a gateway.
+/// How a gateway currently treats a backend.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BackendStatus {
-    /// It is listed as ready for work.
+    /// Whether the backend is listed as ready for work.
     pub accepts_work: bool,
-    /// The places of the classes that it is ejected for.
+    /// Indexes of the classes that the backend is ejected for.
     pub ejected_for: Vec<usize>,
 }
 
 impl Gateway {
-    /// What is used of each plan, in the order of the settings. Looks at every customer.
+    /// Usage of each plan, in the order of the settings. Visits every customer.
     pub fn plan_usage(&self) -> Vec<PlanUsage> {
         let now = self.now();
         let mut plans = vec![PlanUsage::default(); self.settings.plans.len()];
@@ -36,15 +36,16 @@
                 continue;
             };
             let quota = &customer.quota;
-            let faded = decay(quota.refilled_at(), now, USAGE_TIME_CONSTANT);
+            let decay_factor = decay(quota.refilled_at(), now, USAGE_TIME_CONSTANT);
             plan.customers += 1;
-            plan.rate = plan.rate.max(quota.total_rate() * faded);
+            plan.rate = plan.rate.max(quota.total_rate() * decay_factor);
             plan.in_flight = plan.in_flight.max(quota.total_in_flight());
         }
         plans
     }
 
-    /// Whether a customer's quota, as far as it is known here, has room for so many units now.
+    /// Whether a customer's quota, as known here, has room for `units` now. Always true for unknown
+    /// customers and for plans without a rate quota.
     pub fn within_quota(&self, customer: CustomerId, units: f64) -> bool {
         let Some(customer) = self.customers.get(customer) else {
             return true;
@@ -54,7 +55,7 @@
         !limited || customer.quota.covers(units)
     }
 
-    /// Whether a backend accepts work, and which classes it is ejected for.
+    /// Status of a backend. An unknown backend accepts no work and is not ejected.
     pub fn backend_status(&self, id: BackendId) -> BackendStatus {
         let Some(backend) = self.backends.get(id) else {
             return BackendStatus::default();
@@ -67,8 +68,8 @@
         }
     }
 
-    /// How many backends take new work as any other: ready, not ejected for a class, and not looked
-    /// past in each choice, by themselves or with their zone.
+    /// Number of backends that receive new work without restriction: ready, not ejected for any
+    /// class, and not avoided because of their own error rate or that of their zone.
     pub fn backends_in_rotation(&self) -> usize {
         let now = self.now();
         let ready = self.backends.ready();
--- a/crates/decision/src/gateway/wake.rs
+++ b/crates/decision/src/gateway/wake.rs
@@ -1,5 +1,5 @@
-//! What is done as time passes: checks of requests, queues that wait for too long, load shedding,
-//! gossip, forgetting.
+//! Periodic work: checks of requests, maximum waits in queues, load shedding, gossip, discovery
+//! polls, and removal of old state.
 
 use super::Gateway;
 use crate::action::{Action, LogEvent};
@@ -9,32 +9,31 @@
 use crate::queueing;
 use crate::settings::DiscoveryMode;
 
-/// How long a count of what the backends are worth stands, in microseconds (ours).
-const CAPACITY_COUNT_LIFE: Micros = 100_000;
-/// Discovery is polled this many times in the longest time that may pass between two polls (ours).
+/// Time between two recomputations of the pools' capacity, in microseconds.
+const CAPACITY_UPDATE_INTERVAL: Micros = 100_000;
+/// Number of polls of discovery per maximum poll interval.
 const POLLS_PER_INTERVAL: u64 = 2;
 
 impl Gateway {
-    /// Goes on after having stood still: what is past its time by now is answered in this very
-    /// turn.
-    pub(super) fn resume(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let wake_ticks = self.wake_ticks();
-        let late = self.requests.iter().filter(|r| {
+    /// Resumes after a stall. Unsent requests whose time has run out are answered at once.
+    pub(super) fn resume_after_stall(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let nominal_wake_interval = self.nominal_wake_interval();
+        let expired = self.requests.iter().filter(|r| {
             let deadline = r.request().deadline;
-            r.attempts().is_empty() && !queueing::may_wait(deadline, wake_ticks, now)
+            r.attempts().is_empty() && !queueing::may_wait(deadline, nominal_wake_interval, now)
         });
-        let late: Vec<RequestId> = late.map(|r| r.request().id).collect();
-        for id in late {
+        let expired: Vec<RequestId> = expired.map(|r| r.request().id).collect();
+        for id in expired {
             self.end_unserved(id, actions);
         }
-        self.clock.resumed_at = now;
+        self.clock.stall_ended_at = now;
         self.set_wake_up(now, actions);
     }
 
     pub(super) fn on_wake(&mut self, actions: &mut Vec<Action>) {
         let now = self.now();
         while let Some(id) = self.requests.next_due(now) {
-            self.check(id, actions);
+            self.check_request(id, actions);
         }
         for pool in 0..self.pools.len() {
             for id in self.pools.get_mut(pool).take_queue() {
@@ -43,23 +42,23 @@
                 }
             }
         }
-        if now >= self.slow_start.counted_at() + CAPACITY_COUNT_LIFE {
-            self.count_capacity();
+        if now >= self.slow_start.counted_at() + CAPACITY_UPDATE_INTERVAL {
+            self.update_capacity();
         }
         (0..self.pools.len()).for_each(|pool| self.step_load_shedding(pool, actions));
         self.dispatch_queues(actions);
         for peer in self.peers.ready(now) {
-            self.flush(peer, actions);
+            self.send_reports(peer, actions);
         }
-        self.sweep(actions);
+        self.sweep_customers(actions);
         self.poll_discovery(actions);
     }
 
-    /// Moves a pool's load-shedding level and its limit.
+    /// Updates a pool's load-shedding level and concurrency limit.
     fn step_load_shedding(&mut self, pool: usize, actions: &mut Vec<Action>) {
         let now = self.now();
-        let step = self.pools.get_mut(pool).step(self.gateway_count, now);
-        if let Some(change) = step {
+        let level_change = self.pools.get_mut(pool).step(self.gateway_count, now);
+        if let Some(change) = level_change {
             actions.push(Action::Log(LogEvent::LoadSheddingLevelChanged {
                 pool,
                 from: change.level.from,
@@ -73,33 +72,33 @@
 
     fn poll_discovery(&mut self, actions: &mut Vec<Action>) {
         let now = self.now();
-        if self.settings.discovery == DiscoveryMode::Poll && now >= self.poll_at {
+        if self.settings.discovery == DiscoveryMode::Poll && now >= self.next_poll_at {
             let interval = self.settings.rules.max_poll_interval / POLLS_PER_INTERVAL;
-            self.poll_at = now + interval.max(1);
+            self.next_poll_at = now + interval.max(1);
             actions.push(Action::WatchEndpoints(true));
         }
     }
 
-    /// What is done once a second: what is long in flight is reported again, what is old is
-    /// forgotten.
-    fn sweep(&mut self, actions: &mut Vec<Action>) {
+    /// Once a second, queues reports to second owners, reports customers with attempts in flight
+    /// again, and removes old state.
+    fn sweep_customers(&mut self, actions: &mut Vec<Action>) {
         let now = self.now();
-        if now < self.sweep_at {
+        if now < self.next_sweep_at {
             return;
         }
-        self.sweep_at = now + SECOND;
+        self.next_sweep_at = now + SECOND;
         let mut in_flight = Vec::new();
         let this_gateway = self.id();
-        let large = !self.every_gateway_owns();
-        let mirrors = large && self.settings.limits.peers;
-        let report_life = large.then_some(2 * AGING);
+        let pair_owns = !self.every_gateway_owns();
+        let mirror_to_second = pair_owns && self.settings.limits.peers;
+        let report_life = pair_owns.then_some(2 * AGING);
         let plans = &self.settings.plans;
         let peers = &mut self.peers;
         self.customers.retain(|id, c| {
             let plan = &plans[c.plan()];
             let [first, second] = c.owners.pair();
             let is_first = first == this_gateway && second != this_gateway;
-            if mirrors && is_first && c.seen_lately(now) {
+            if mirror_to_second && is_first && c.seen_lately(now) {
                 peers.put_report_if_absent(second, id);
             }
             if plan.max_in_flight > 0 && c.owners.is_owner() {
@@ -108,8 +107,9 @@
             if plan.max_in_flight > 0 && c.quota.in_flight() > 0 {
                 in_flight.push(id);
             }
-            // Counts of a small deployment go on: once forgotten, all that one admitted would pass
-            // for new.
+            // Reports do not expire in a small deployment: their totals are cumulative, and once a
+            // total is forgotten, the next report from that gateway would count entirely as new
+            // usage.
             c.quota.expire_reports(now, report_life);
             c.is_active(now, plan)
         });
--- a/crates/decision/src/ids.rs
+++ b/crates/decision/src/ids.rs
@@ -1,29 +1,29 @@
-//! The identities that events and actions name.
+//! Identifier types used in events and actions.
 
 use serde::{Deserialize, Serialize};
 
-/// A time on the host's clock, or a span of it, in microseconds.
+/// A time on the host's clock, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A request, as named by the host. Never used twice.
+/// Identifies a request. The host assigns it and never reuses it.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
 pub struct RequestId(pub u64);
 
-/// A backend; means nothing but identity.
+/// Identifies a backend; the value has no other meaning.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
 pub struct BackendId(pub u64);
 
-/// A customer, the holder of a plan.
+/// Identifies a customer, who holds a plan.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
 pub struct CustomerId(pub u64);
 
-/// The number of a gateway among its peers, from 0.
+/// Number of a gateway among its peers, from 0.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decides for an admission gateway of a service sold by plan: which requests to admit, which
-//! backend gets them, when to retry, what to tell the peers. It does no input or output and reads
-//! no clock: the host feeds [`Event`]s with the time and carries out the [`Action`]s that come
-//! back, in their order.
+//! Admission decisions for a gateway of a service sold by plan: which requests to admit, which
+//! backend receives them, when to retry, and what to report to peer gateways.
 //!
-//! One request, from its arrival to its answer:
+//! The crate does no I/O and reads no clock. The host passes [`Event`]s with the current time to
+//! [`Gateway::handle`] and carries out the returned [`Action`]s in order.
+//!
+//! The life of one request, from arrival to answer:
 //!
 //! ```
 //! use wrenfork_decision::{
@@ -32,8 +33,8 @@
 //! let list = vec![Endpoint { backend, weight: 1.0, ..Endpoint::default() }];
 //! let changed = Event::EndpointsChanged(EndpointListKind::Full, list);
 //! gateway.handle(start, changed, &mut actions);
-//! // The gateway asks to be woken; the host answers each `SetTimer` with an `Event::Timer`
-//! // when it is due.
+//! // The gateway sets its wake-up timer. The host passes an `Event::Timer` when a `SetTimer`
+//! // is due.
 //! assert!(matches!(actions[..], [Action::SetTimer { .. }]));
 //!
 //! actions.clear();
@@ -51,7 +52,7 @@
 //!     metered_usage: None, charged_units: None, report: None,
 //! };
 //! gateway.handle(start + 16_000, answer, &mut actions);
-//! assert!(actions.is_empty(), "the answer went to the client; nothing is left to do");
+//! assert!(actions.is_empty(), "the request has its answer and needs no further action");
 //! ```
 
 mod action;
--- a/crates/decision/src/requests.rs
+++ b/crates/decision/src/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that are pending, their attempts, and when each is to be looked at again.
+//! Pending requests, their attempts, and the times of their next checks.
 
 use crate::action::Action;
 use crate::event::{Endpoint, Outcome, Request};
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// The pool that an attempt goes through, and whether its request falls back on it.
+/// The pool that an attempt is sent through, and whether it is fallback traffic there.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 pub(crate) struct PoolSelection {
     pub(crate) pool: usize,
@@ -22,10 +22,11 @@
     sent_at: Micros,
     in_flight: bool,
     cancelled: bool,
-    /// Its pool counts it no more: its backend was taken for dead, or its answer streams.
+    /// The pool no longer counts this attempt as in flight, because its backend was considered dead
+    /// or its answer is streamed.
     released: bool,
     selection: PoolSelection,
-    /// Proved never to have run.
+    /// It is certain that the attempt never ran.
     never_ran: bool,
 }
 
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The backend as it was listed when the attempt was sent.
+    /// The endpoint entry of the backend at the time the attempt was sent.
     pub(crate) fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
@@ -55,12 +56,13 @@
         self.selection
     }
 
-    /// Its pool is to count it no more; true if it did so until now.
+    /// Marks the attempt as no longer counted by its pool. Returns whether it was counted until
+    /// now.
     pub(crate) fn release(&mut self) -> bool {
         !std::mem::replace(&mut self.released, true)
     }
 
-    /// Notes how it ended; true if its pool still counts it.
+    /// Records the outcome. Returns whether the pool still counts the attempt.
     fn complete(&mut self, outcome: Outcome) -> bool {
         self.in_flight = false;
         self.never_ran = outcome.never_ran();
@@ -68,7 +70,7 @@
     }
 }
 
-/// The backends that a further attempt must keep to, those that know the key of an earlier one.
+/// Restricts further attempts to the backends that share an earlier attempt's idempotency key.
 #[derive(Clone, Copy)]
 pub(crate) struct KeyBinding {
     scope: KeyScope,
@@ -77,7 +79,7 @@
 }
 
 impl KeyBinding {
-    /// Whether a backend knows the key.
+    /// Whether the backend at `endpoint` shares the idempotency key.
     pub(crate) fn covers(&self, endpoint: &Endpoint) -> bool {
         match self.scope {
             KeyScope::All => true,
@@ -87,22 +89,23 @@
     }
 }
 
-/// A request that has no final answer yet, or attempts in flight.
+/// A request that has no final answer yet or still has attempts in flight.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct PendingRequest {
     request: Request,
-    /// Its class as it was when the request came: it ends under that, whatever changes meanwhile.
+    /// Class settings when the request arrived. They apply until the request ends, even if the
+    /// settings change.
     class: Class,
-    /// As many attempts as it may have, by the settings when it came.
+    /// Maximum number of attempts, from the settings when the request arrived.
     max_attempts: u32,
     arrived_at: Micros,
     attempts: Vec<Attempt>,
     done: bool,
     streaming: bool,
-    /// Waits for its quota owners' word, or for its ceiling to refill ...
+    /// The request is held until its quota owners answer or its ceiling refills.
     awaiting_owner: bool,
-    /// ... and asks them again when it is looked at next.
-    asks_again: bool,
+    /// The quota owners are to be asked again at the next check.
+    owner_query_scheduled: bool,
 }
 
 impl PendingRequest {
@@ -141,7 +144,7 @@
         self.attempts.get(usize::from(number))
     }
 
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| a.in_flight).count()
     }
@@ -166,33 +169,35 @@
         self.awaiting_owner = awaiting;
     }
 
-    /// It is to ask its owners again; true if it was not so until now.
-    pub(crate) fn ask_again(&mut self) -> bool {
-        !std::mem::replace(&mut self.asks_again, true)
+    /// Schedules another query to the quota owners for the next check. Returns false if one was
+    /// scheduled already.
+    pub(crate) fn schedule_owner_query(&mut self) -> bool {
+        !std::mem::replace(&mut self.owner_query_scheduled, true)
     }
 
-    /// Whether it was to ask its owners again; it is not any more.
-    pub(crate) fn take_ask_again(&mut self) -> bool {
-        std::mem::take(&mut self.asks_again)
+    /// Clears the scheduled query to the quota owners. Returns whether one was scheduled.
+    pub(crate) fn take_owner_query(&mut self) -> bool {
+        std::mem::take(&mut self.owner_query_scheduled)
     }
 
     pub(crate) fn push_attempt(&mut self, attempt: Attempt) {
         self.attempts.push(attempt);
     }
 
-    /// Whether it may have one more attempt by their number.
-    pub(crate) fn may_have_more_attempts(&self) -> bool {
+    /// Whether the number of attempts is below the maximum.
+    pub(crate) fn has_attempts_left(&self) -> bool {
         (self.attempts.len() as u32) < self.max_attempts
     }
 
-    /// Whether its last attempt may be repeated by its class.
-    pub(crate) fn may_be_repeated(&self) -> bool {
-        self.class.idempotency != Idempotency::NotIdempotent || self.first_that_ran().is_none()
+    /// Whether the idempotency of the class permits another attempt.
+    pub(crate) fn may_be_retried(&self) -> bool {
+        self.class.idempotency != Idempotency::NotIdempotent || self.first_possibly_run().is_none()
     }
 
-    /// Whether a rejection is a true answer: that trying again is harmless.
+    /// Whether the request may be answered with a rejection, which promises the client that trying
+    /// again is harmless.
     pub(crate) fn may_be_rejected(&self) -> bool {
-        let harmless = matches!(
+        let repeat_is_harmless = matches!(
             self.class.idempotency,
             Idempotency::Idempotent
                 | Idempotency::WithKey {
@@ -200,91 +205,97 @@
                     ..
                 }
         );
-        harmless || self.first_that_ran().is_none()
+        repeat_is_harmless || self.first_possibly_run().is_none()
     }
 
     /// The first attempt that ran or may have run.
-    fn first_that_ran(&self) -> Option<&Attempt> {
+    fn first_possibly_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| !a.never_ran)
     }
 
-    /// The latest moment at which a further attempt may begin: repeats of a key that may have run
-    /// are dropped for so long.
+    /// Latest time at which a further attempt may start. With an idempotency key, backends drop
+    /// repeats only for a limited time after the first attempt that may have run.
     pub(crate) fn start_by(&self) -> Micros {
-        match (self.class.idempotency, self.first_that_ran()) {
-            (Idempotency::WithKey { window, .. }, Some(a)) => a.sent_at.saturating_add(window),
+        match (self.class.idempotency, self.first_possibly_run()) {
+            (Idempotency::WithKey { window, .. }, Some(first)) => {
+                first.sent_at.saturating_add(window)
+            }
             _ => Micros::MAX,
         }
     }
 
-    /// The backends that a further attempt must keep to; none where it may go to any.
+    /// Restriction on the backends of a further attempt; `None` permits every backend.
     pub(crate) fn key_binding(&self) -> Option<KeyBinding> {
-        match (self.class.idempotency, self.first_that_ran()) {
-            (Idempotency::WithKey { scope, .. }, Some(a)) => Some(KeyBinding {
+        match (self.class.idempotency, self.first_possibly_run()) {
+            (Idempotency::WithKey { scope, .. }, Some(first)) => Some(KeyBinding {
                 scope,
-                zone: a.endpoint.zone,
-                cell: a.endpoint.cell,
+                zone: first.endpoint.zone,
+                cell: first.endpoint.cell,
             }),
             _ => None,
         }
     }
 
-    /// How long an answer is worth something, in microseconds: the latency objective, or what the
-    /// client waits if that is less.
+    /// Time from arrival within which an answer earns its full weight, in microseconds: the latency
+    /// objective, or the time until the deadline if that is shorter.
     pub(crate) fn useful_time(&self) -> f64 {
         let wait = self.request.deadline.saturating_sub(self.arrived_at);
         self.class.latency_objective.min(wait) as f64
     }
 
-    /// Cancels the attempts in flight, but for one to keep.
+    /// Cancels the attempts in flight, except `keep`.
     pub(crate) fn cancel_attempts(&mut self, keep: Option<u16>, actions: &mut Vec<Action>) {
         let id = self.request.id;
-        for (attempt, a) in (0u16..).zip(&mut self.attempts) {
-            if a.in_flight && !a.cancelled && keep != Some(attempt) {
-                a.cancelled = true;
-                actions.push(Action::Cancel { id, attempt });
+        for (number, attempt) in (0u16..).zip(&mut self.attempts) {
+            if attempt.in_flight && !attempt.cancelled && keep != Some(number) {
+                attempt.cancelled = true;
+                actions.push(Action::Cancel {
+                    id,
+                    attempt: number,
+                });
             }
         }
     }
 
-    /// Its answer streams from an attempt: how fast the client reads must not keep others from a
-    /// slot. The pool that counts the attempt no more, if it did so until now.
+    /// Marks the answer as streamed from `attempt`. A streaming attempt no longer occupies a slot
+    /// in its pool, since a client that reads slowly must not block other requests. Returns the
+    /// selection to release if the pool counted the attempt until now.
     pub(crate) fn start_streaming(&mut self, attempt: u16) -> Option<PoolSelection> {
         self.streaming = true;
-        let a = self.attempts.get_mut(usize::from(attempt))?;
-        (a.in_flight && a.release()).then_some(a.selection)
+        let streaming = self.attempts.get_mut(usize::from(attempt))?;
+        (streaming.in_flight && streaming.release()).then_some(streaming.selection)
     }
 
-    /// Notes how an attempt ended, if it was in flight.
+    /// Records the outcome of an attempt; `None` if the attempt was not in flight.
     pub(crate) fn complete(&mut self, attempt: u16, outcome: Outcome) -> Option<CompletedAttempt> {
         let found = self.attempts.get_mut(usize::from(attempt));
-        let a = found.filter(|a| a.in_flight)?;
-        let counted = a.complete(outcome);
+        let ended = found.filter(|a| a.in_flight)?;
+        let counted = ended.complete(outcome);
         Some(CompletedAttempt {
-            backend: a.endpoint.backend,
-            release: counted.then_some(a.selection),
+            backend: ended.endpoint.backend,
+            release: counted.then_some(ended.selection),
         })
     }
 
-    /// The last attempt that is in flight and not cancelled.
-    pub(crate) fn watched_attempt(&mut self) -> Option<&mut Attempt> {
+    /// The latest attempt that is in flight and not cancelled.
+    pub(crate) fn latest_active_attempt(&mut self) -> Option<&mut Attempt> {
         let mut latest = self.attempts.iter_mut().rev();
         latest.find(|a| a.in_flight && !a.cancelled)
     }
 }
 
-/// An attempt that has just ended.
+/// Result of [`PendingRequest::complete`].
 pub(crate) struct CompletedAttempt {
     pub(crate) backend: BackendId,
-    /// The pool that counted it until now.
+    /// The pool selection to release, if the pool still counted the attempt.
     pub(crate) release: Option<PoolSelection>,
 }
 
-/// All pending requests, and when each is to be looked at again.
+/// All pending requests and a queue of scheduled checks.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct PendingRequests {
     by_id: BTreeMap<RequestId, PendingRequest>,
-    checks: BinaryHeap<Reverse<(Micros, RequestId)>>,
+    scheduled_checks: BinaryHeap<Reverse<(Micros, RequestId)>>,
 }
 
 impl PendingRequests {
@@ -312,18 +323,18 @@
         self.by_id.values()
     }
 
-    /// A request is to be looked at again.
-    pub(crate) fn check_at(&mut self, at: Micros, id: RequestId) {
-        self.checks.push(Reverse((at, id)));
+    /// Schedules a check of a request.
+    pub(crate) fn schedule_check(&mut self, at: Micros, id: RequestId) {
+        self.scheduled_checks.push(Reverse((at, id)));
     }
 
-    /// The next request that is to be looked at by now.
+    /// Removes and returns the next request whose check is due.
     pub(crate) fn next_due(&mut self, now: Micros) -> Option<RequestId> {
-        let Reverse((at, id)) = *self.checks.peek()?;
+        let Reverse((at, id)) = *self.scheduled_checks.peek()?;
         if at > now {
             return None;
         }
-        self.checks.pop();
+        self.scheduled_checks.pop();
         Some(id)
     }
 }
--- a/crates/decision/src/retry.rs
+++ b/crates/decision/src/retry.rs
@@ -1,18 +1,18 @@
-//! The retry budget: further attempts draw from a bucket that first attempts refill, so that
-//! retries cannot feed an overload (as in Finagle's retry budgets; the figures are ours).
+//! Retry budget. Retries and hedged requests draw from a token bucket that first attempts refill,
+//! so that retries cannot amplify an overload (as in Finagle's retry budgets).
 
 use serde::{Deserialize, Serialize};
 
-/// Further attempts per first attempt.
+/// Tokens added per first attempt.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// What the bucket holds, and begins with.
-const BURST: f64 = 10.0;
-/// What a retry draws.
+/// Capacity and initial content of the bucket, in tokens.
+const MAX_TOKENS: f64 = 10.0;
+/// Tokens drawn by a retry.
 pub(crate) const RETRY_COST: f64 = 1.0;
-/// What a hedged request draws: the first attempt still runs.
+/// Tokens drawn by a hedged request; more than a retry, since the first attempt is still running.
 pub(crate) const HEDGE_COST: f64 = 3.0;
 
-/// The bucket of further attempts.
+/// Token bucket that limits retries and hedged requests.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct RetryBudget {
     tokens: f64,
@@ -20,12 +20,12 @@
 
 impl RetryBudget {
     pub(crate) fn new() -> RetryBudget {
-        RetryBudget { tokens: BURST }
+        RetryBudget { tokens: MAX_TOKENS }
     }
 
-    /// Notes a first attempt.
+    /// Adds the tokens earned by a first attempt.
     pub(crate) fn refill(&mut self) {
-        self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(BURST);
+        self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_TOKENS);
     }
 
     pub(crate) fn allows(&self, cost: f64) -> bool {
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,181 +1,184 @@
-//! The settings of a gateway: the classes and plans that it serves, what the deployment permits,
-//! and how its backends and its peers behave.
+//! Settings of a gateway: its classes and plans, the operations that the deployment permits, and
+//! the behavior of backends and peers.
 
 use crate::ids::{GatewayId, Micros};
 use serde::{Deserialize, Serialize};
 
-/// The most pools that a request may go to one after the other.
+/// Maximum number of pools in the route of a request.
 pub const MAX_ROUTE_POOLS: usize = 4;
-/// The most pools: an endpoint has a bit for each.
+/// Maximum number of pools: [`Endpoint::pools`](crate::Endpoint::pools) has one bit per pool.
 pub const MAX_POOLS: usize = 64;
 
-/// Which backends know an idempotency key, and drop repeats of a request that has it.
+/// Set of backends that share an idempotency key, and so drop a repeated request with that key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyScope {
-    /// Any of them.
+    /// All backends.
     All,
-    /// Those in the zone of the first backend.
+    /// Backends in the same zone as the backend of the first attempt that may have run.
     Zone,
-    /// Those in the cell of the first backend.
+    /// Backends in the same cell as the backend of the first attempt that may have run.
     Cell,
 }
 
-/// Whether a request that may have run may be sent again.
+/// Whether a request may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// Always.
+    /// The request may always be sent again.
     Idempotent,
-    /// Inside a group of backends, for `window` after the send of the first attempt that may have
-    /// run.
+    /// The request may be sent again to the backends in `scope`, until `window` after the first
+    /// attempt that may have run was sent.
     WithKey {
-        /// The backends that know the key.
+        /// Backends that recognize the idempotency key.
         scope: KeyScope,
-        /// How long they know it, in microseconds.
+        /// How long those backends remember the key, in microseconds.
         window: Micros,
     },
-    /// Only with proof that no earlier attempt ran.
+    /// The request may be sent again only if it is certain that no earlier attempt ran.
     #[default]
     NotIdempotent,
 }
 
-/// A class of requests.
+/// A class of requests with common latency and retry requirements.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Class {
-    /// An answer within this time, in microseconds, earns the full weight.
+    /// Latency objective in microseconds: an answer within this time earns the full weight.
     pub latency_objective: Micros,
-    /// The latency objective grows by this multiple of a request's own work.
+    /// The latency objective is extended by this multiple of a request's own work.
     pub objective_stretch: f64,
-    /// The longest that a client waits, in microseconds, over all its attempts.
+    /// Maximum time that a client waits over all attempts, in microseconds.
     pub deadline: Micros,
-    /// What an answer is worth.
+    /// Weight that an answer earns, before the factor of the customer's plan.
     pub priority_weight: f64,
-    /// The fraction of the weight left after the latency objective.
+    /// Fraction of the weight that an answer after the latency objective earns.
     pub late_weight: f64,
-    /// Whether it may run again.
+    /// Whether a request may be sent again after an attempt that may have run.
     pub idempotency: Idempotency,
-    /// The answer comes as a stream.
+    /// Whether answers are streamed.
     pub streaming: bool,
 }
 
-/// A plan, and the quotas that each of its customers has over all gateways together.
+/// A plan, with the quotas that each of its customers has across all gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Plan {
-    /// Units a second that refill the quota's token bucket; 0 for no quota on the rate.
+    /// Refill rate of the quota's token bucket in units per second; 0 means no rate quota.
     pub rate: f64,
-    /// Units that the bucket holds.
+    /// Capacity of the quota's token bucket in units.
     pub burst: f64,
-    /// Attempts in flight at once; 0 for no such quota.
+    /// Maximum number of attempts in flight at once; 0 means no such quota.
     pub max_in_flight: u32,
-    /// Units a second that refill the hard ceiling's token bucket; 0 for no ceiling.
+    /// Refill rate of the hard ceiling's token bucket in units per second; 0 means no ceiling.
     pub ceiling_rate: f64,
-    /// Units that the ceiling's bucket holds.
+    /// Capacity of the ceiling's token bucket in units.
     pub ceiling_burst: f64,
-    /// Units by which the ceiling's bucket may go below nothing.
+    /// Units by which the ceiling's token bucket may go below zero.
     pub ceiling_slack: f64,
-    /// Factor on the priority weight.
+    /// Factor applied to the priority weight of the request's class.
     pub weight_factor: f64,
-    /// Fraction of the weight earned beyond the quota.
+    /// Fraction of the weight that an answer beyond the quota earns.
     pub over_quota_weight: f64,
-    /// Fraction of the weight that sending beyond the quota costs.
+    /// Fraction of the weight that sending a request beyond the quota costs.
     pub over_quota_cost: f64,
 }
 
-/// What the deployment permits.
+/// Operations that the deployment permits, and their limits.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Limits {
-    /// Attempts for a request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight together.
+    /// Whether hedged requests are permitted: two attempts of one request in flight at once.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancellation: bool,
-    /// Backends may be sent health checks.
+    /// Whether health checks may be sent to backends.
     pub health_checks: bool,
-    /// Gateways may send each other messages.
+    /// Whether gateways may send messages to each other.
     pub peers: bool,
-    /// Messages from peers that a gateway takes in a second.
+    /// Messages per second that a gateway accepts from its peers.
     pub peer_messages_per_s: f64,
-    /// Clients are told how long to keep away.
+    /// Whether rejections advise clients how long to wait before they try again.
     pub retry_after: bool,
-    /// The longest such time that a client keeps, in microseconds.
+    /// Maximum wait advised to a client, in microseconds.
     pub max_retry_after: Micros,
-    /// A shared counter may be used.
+    /// Whether shared counters may be used.
     pub shared_counter: bool,
-    /// Requests pending at once.
+    /// Maximum number of requests pending at once.
     pub max_pending: u32,
 }
 
-/// How backends behave, as the deployment promises it.
+/// Behavior of backends that the deployment guarantees.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct BackendRules {
-    /// A final answer counts until this long past the deadline, in microseconds.
+    /// How long after the deadline a final answer still counts, in microseconds.
     pub answer_slack: Micros,
-    /// New work to a draining backend must have ended after this time, in microseconds.
+    /// Time within which new work sent to a draining backend must have ended, in microseconds.
     pub drain_grace: Micros,
-    /// A backend starts at this fraction of its capacity or more.
+    /// Minimum fraction of its capacity that a backend has when it starts.
     pub warm_up_from: f64,
-    /// It has all of its capacity after this time, in microseconds.
+    /// Time after its start at which a backend has its full capacity, in microseconds.
     pub warm_up_time: Micros,
-    /// A backend that warms up fails when sent more than this multiple of its capacity ...
+    /// A backend that is warming up fails when it is sent more than this multiple of its capacity
+    /// for `overload_window`.
     pub overload_factor: f64,
-    /// ... for this long, in microseconds.
+    /// How long a backend that is warming up tolerates more than `overload_factor`, in
+    /// microseconds.
     pub overload_window: Micros,
-    /// Discovery must be polled at least this often, in microseconds, where it must be polled.
+    /// Maximum time between two polls of discovery, in microseconds; used with
+    /// [`DiscoveryMode::Poll`].
     pub max_poll_interval: Micros,
 }
 
-/// How the endpoint list comes.
+/// How the gateway receives the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum DiscoveryMode {
-    /// By itself.
+    /// Discovery sends changes without being asked.
     #[default]
     Push,
-    /// Only when polled.
+    /// Discovery sends the list only when polled.
     Poll,
 }
 
-/// What the weight of an endpoint means.
+/// Meaning of the weight of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum WeightMeaning {
-    /// Nothing, it is always 1.
+    /// The weight has no meaning and is always 1.
     #[default]
     None,
-    /// Its capacity as registered, or roughly.
+    /// Registered or approximate capacity of the backend.
     Capacity,
-    /// Capacity over load, as of some time ago.
+    /// Capacity divided by load, as of some time ago.
     Live,
 }
 
-/// What a gateway is configured with at its start.
+/// Configuration of a gateway.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Settings {
-    /// How many gateways there are.
+    /// Number of gateways in the deployment.
     pub gateway_count: u16,
-    /// The number of this one.
+    /// Number of this gateway, from 0.
     pub gateway_id: GatewayId,
-    /// The zone of this gateway.
+    /// Zone that this gateway runs in.
     pub zone: u8,
-    /// The least time between two calls with a new clock, in microseconds.
+    /// Minimum clock advance between two calls with different times, in microseconds.
     pub tick: Micros,
-    /// The request classes.
+    /// Request classes; [`Request::class`](crate::Request::class) is an index into this list.
     pub classes: Vec<Class>,
-    /// The plans.
+    /// Plans; [`Request::plan`](crate::Request::plan) is an index into this list.
     pub plans: Vec<Plan>,
-    /// What is permitted.
+    /// Operations that the deployment permits.
     pub limits: Limits,
-    /// How backends behave.
+    /// Guaranteed behavior of backends.
     pub rules: BackendRules,
-    /// How the endpoint list comes.
+    /// How the gateway receives the endpoint list.
     pub discovery: DiscoveryMode,
-    /// What the weights of endpoints mean.
+    /// Meaning of the weights in the endpoint list.
     pub weights: WeightMeaning,
-    /// The period of the meter that reports use, in microseconds; 0 for none.
+    /// Period of the meter that reports usage, in microseconds; 0 means no meter.
     pub meter_period: Micros,
-    /// Units are estimates, settled with the answer.
+    /// Whether units are estimates that are settled with the answer.
     pub post_paid: bool,
-    /// How many pools of backends there are, up to [`MAX_POOLS`]; numbered from 1.
+    /// Number of backend pools, numbered from 1, at most [`MAX_POOLS`].
     pub pool_count: u8,
-    /// Digests of the names of the classes and of the plans in their order: gateways whose settings
-    /// differ for a while do not take a place in one list for what it means in another.
+    /// Digests of the class names and of the plan names, each in list order. Messages carry them so
+    /// that gateways whose settings differ for a while do not misread each other's list indexes.
     pub name_digests: [u8; 2],
 }
