--- a/crates/decision/examples/choice.rs
+++ b/crates/decision/examples/choice.rs
@@ -1,6 +1,6 @@
-//! What a request costs in the decision module by nodes and pools: it is taken, sent, answered and
-//! settled, with nothing around it. All sizes in one run, in turn, so that what the machine does
-//! besides falls on all of them.
+//! Measures the time that the decision module takes per request, by the number of backends and
+//! pools: a request is accepted, sent, answered and completed, with no I/O. All sizes are measured
+//! in turns within one run, so that other load on the machine affects all of them alike.
 //!
 //!     cargo run --release -p wrenfork-decision --example choice
 //!
@@ -12,22 +12,22 @@
     Gateway, Idempotency, Micros, Outcome, Plan, Request, RequestId, Settings, MAX_ROUTE_POOLS,
 };
 
-const NODES: [u64; 3] = [10, 100, 1_000];
+const BACKENDS: [u64; 3] = [10, 100, 1_000];
 const POOLS: [u8; 3] = [0, 1, 16];
 const ROUNDS: usize = 9;
 const REQUESTS: u64 = 20_000;
 const SECOND: Micros = 1_000_000;
 
-struct World {
+struct Harness {
     gateway: Gateway,
     pools: u8,
     now: Micros,
-    next: u64,
+    next_id: u64,
     actions: Vec<Action>,
 }
 
-impl World {
-    fn new(nodes: u64, pools: u8) -> World {
+impl Harness {
+    fn new(backends: u64, pools: u8) -> Harness {
         let class = Class {
             idempotency: Idempotency::Idempotent,
             latency_objective: SECOND,
@@ -60,38 +60,39 @@
             settings.tick,
         ) = (100_000, 3, 4_000);
         let now = 1_000_000 * SECOND;
-        let list = (0..nodes).map(|n| Endpoint {
+        let list = (0..backends).map(|n| Endpoint {
             backend: BackendId(n.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
             state: EndpointState::Ready,
             weight: 1.0,
-            // Every pool has a node, and every node a pool.
+            // Every pool has a backend, and every backend a pool.
             pools: (0..u64::from(pools))
-                .filter(|p| p % nodes == n || n % u64::from(pools) == *p)
+                .filter(|p| p % backends == n || n % u64::from(pools) == *p)
                 .fold(0, |set, p| set | 1 << p),
             ..Endpoint::default()
         });
-        let mut world = World {
+        let mut harness = Harness {
             gateway: Gateway::new(settings, 7, now),
             pools,
             now,
-            next: 0,
+            next_id: 0,
             actions: Vec::new(),
         };
-        let roster = Event::EndpointsChanged(EndpointListKind::Full, list.collect());
-        world.gateway.handle(now, roster, &mut world.actions);
-        world
+        let endpoints = Event::EndpointsChanged(EndpointListKind::Full, list.collect());
+        harness.gateway.handle(now, endpoints, &mut harness.actions);
+        harness
     }
 
-    /// Requests, four out at a time; how long one took, and how many were sent.
+    /// Handles `requests` requests, four in flight at a time; returns the mean time per request and
+    /// the number of requests sent.
     fn run(&mut self, requests: u64) -> (Duration, u64) {
-        let (mut out, mut sent, start) = (Vec::with_capacity(8), 0, Instant::now());
+        let (mut in_flight, mut sent, start) = (Vec::with_capacity(8), 0, Instant::now());
         for _ in 0..requests {
-            self.next += 1;
+            self.next_id += 1;
             self.now += 100;
-            let id = RequestId(self.next);
+            let id = RequestId(self.next_id);
             let mut route = [0; MAX_ROUTE_POOLS];
             if self.pools > 0 {
-                let first = (self.next % u64::from(self.pools)) as u8;
+                let first = (self.next_id % u64::from(self.pools)) as u8;
                 route[0] = first + 1;
                 if self.pools > 1 {
                     route[1] = (first + 1) % self.pools + 1;
@@ -99,7 +100,7 @@
             }
             let request = Request {
                 id,
-                customer: CustomerId(self.next % 1_000),
+                customer: CustomerId(self.next_id % 1_000),
                 deadline: self.now + 4 * SECOND,
                 units: 1.0,
                 gateway_span: 1.0,
@@ -112,12 +113,12 @@
             for action in self.actions.drain(..) {
                 if let Action::Send { id, backend, .. } = action {
                     sent += 1;
-                    out.push((id, backend));
+                    in_flight.push((id, backend));
                 }
             }
-            if out.len() == 4 {
-                for (id, backend) in out.drain(..) {
-                    let settled = Event::AttemptCompleted {
+            if in_flight.len() == 4 {
+                for (id, backend) in in_flight.drain(..) {
+                    let completed = Event::AttemptCompleted {
                         id,
                         attempt: 0,
                         backend,
@@ -128,7 +129,7 @@
                         charged_units: None,
                         report: None,
                     };
-                    self.gateway.handle(self.now, settled, &mut self.actions);
+                    self.gateway.handle(self.now, completed, &mut self.actions);
                 }
             }
         }
@@ -137,32 +138,32 @@
 }
 
 fn main() {
-    let mut worlds: Vec<_> = NODES
+    let mut harnesses: Vec<_> = BACKENDS
         .iter()
-        .flat_map(|n| POOLS.map(|p| (*n, p, World::new(*n, p), Vec::new())))
+        .flat_map(|n| POOLS.map(|p| (*n, p, Harness::new(*n, p), Vec::new())))
         .collect();
     for round in 0..=ROUNDS {
-        for (_, _, world, elapsed) in &mut worlds {
-            let (each, sent) = world.run(REQUESTS);
+        for (_, _, harness, elapsed) in &mut harnesses {
+            let (time_per_request, sent) = harness.run(REQUESTS);
             assert!(
                 sent >= REQUESTS * 9 / 10,
-                "only {sent} of {REQUESTS} were sent"
+                "only {sent} of {REQUESTS} requests were sent"
             );
             if round > 0 {
-                elapsed.push(each); // the first fills caches and stores
+                elapsed.push(time_per_request); // round 0 warms caches and allocations up
             }
         }
     }
-    println!("| nodes | no pools | 1 pool | 16 pools |\n| --- | --- | --- | --- |");
-    for nodes in NODES {
-        let cells = worlds
+    println!("| backends | no pools | 1 pool | 16 pools |\n| --- | --- | --- | --- |");
+    for backends in BACKENDS {
+        let cells = harnesses
             .iter_mut()
-            .filter(|w| w.0 == nodes)
+            .filter(|w| w.0 == backends)
             .map(|(_, _, _, elapsed)| {
                 elapsed.sort_unstable();
                 let ns = |at: usize| elapsed[at].as_nanos();
                 format!("{} ns ({} to {})", ns(ROUNDS / 2), ns(0), ns(ROUNDS - 1))
             });
-        println!("| {nodes} | {} |", cells.collect::<Vec<_>>().join(" | "));
+        println!("| {backends} | {} |", cells.collect::<Vec<_>>().join(" | "));
     }
 }
--- a/crates/decision/src/backends.rs
+++ b/crates/decision/src/backends.rs
@@ -1,5 +1,5 @@
-//! The backends and what this gateway knows of each: its line of the endpoint list, its load, its
-//! relative latency, its health.
+//! The backends and what this gateway knows of each: its entry in the endpoint list, its load, its
+//! relative latency and its health.
 
 use crate::event::{Endpoint, EndpointState};
 use crate::ids::{BackendId, Micros};
@@ -9,38 +9,38 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The weight of one answer in a backend's relative latency (ours).
+/// Weight of one answer in a backend's relative latency.
 const LATENCY_WEIGHT: f64 = 0.1;
-/// The bounds of the relative latency (ours).
+/// Bounds of the relative latency.
 const MAX_RELATIVE_LATENCY: f64 = 4.0;
 const MIN_RELATIVE_LATENCY: f64 = 0.3;
-/// The memory of a reported queue in seconds (ours).
+/// Time constant, in seconds, with which a reported queue is forgotten.
 const QUEUE_TIME_CONSTANT: f64 = 1.0;
-/// The longest queue that is believed (ours).
+/// Longest queue that is accepted from a report, in requests.
 const MAX_QUEUE: f64 = 1000.0;
 
-/// The queue of a backend as last reported, or guessed from a rejection.
+/// The queue of a backend as last reported, or estimated from a rejection.
 #[derive(Default, Serialize, Deserialize)]
 struct ReportedQueue {
     length: f64,
     at: Micros,
 }
 
-/// A backend.
+/// The state of a backend.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Backend {
     endpoint: Endpoint,
     weight: f64,
     ready: bool,
     in_flight: u32,
-    /// Mean answer time over what the class usually takes; 1 is normal.
+    /// Mean ratio of answer time to the recent mean of the request's class; 1 is normal.
     relative_latency: f64,
-    /// Something has failed here since it started: where nothing has, a choice need not look at its
-    /// health.
-    faulty: bool,
+    /// Whether any attempt has failed here since the backend started. If none has, load balancing
+    /// skips the backend's health.
+    has_failed: bool,
     health: Vec<Health>,
     queue: ReportedQueue,
-    /// Recent sends while it warms up.
+    /// Times of recent attempts sent while the backend warms up.
     warm_up_sends: VecDeque<Micros>,
 }
 
@@ -65,7 +65,7 @@
         self.ready
     }
 
-    /// Attempts that this gateway has in flight there.
+    /// Attempts that this gateway has in flight at the backend.
     #[inline]
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight
@@ -76,15 +76,15 @@
         self.relative_latency
     }
 
-    /// Its health with all classes, in their order.
+    /// Health for each class, in the order of the settings.
     pub(crate) fn health(&self) -> &[Health] {
         &self.health
     }
 
-    /// Its health with a class, where anything has failed since it started.
+    /// Health for a class; `None` if no attempt has failed since the backend started.
     #[inline]
-    pub(crate) fn fault(&self, class: usize) -> Option<&Health> {
-        self.faulty.then(|| &self.health[class])
+    pub(crate) fn health_if_faulty(&self, class: usize) -> Option<&Health> {
+        self.has_failed.then(|| &self.health[class])
     }
 
     pub(crate) fn health_mut(&mut self, class: usize) -> &mut Health {
@@ -95,7 +95,7 @@
         &self.warm_up_sends
     }
 
-    /// Requests waiting there, as far as the last report still tells.
+    /// Requests queued at the backend: the last report, decayed by its age.
     #[inline]
     pub(crate) fn queue(&self, now: Micros) -> f64 {
         if self.queue.length > 0.0 {
@@ -110,47 +110,53 @@
         self.queue.at = now;
     }
 
-    /// It rejected an attempt unseen: its queue is longer by so much.
-    pub(crate) fn note_rejection(&mut self, more: f64) {
-        self.queue.length += more;
+    /// Lengthens the assumed queue by `additional` requests after the backend rejected an attempt.
+    pub(crate) fn note_rejection(&mut self, additional: f64) {
+        self.queue.length += additional;
     }
 
-    /// Notes an answer, or the want of one, in its health with a class.
+    /// Adds an answer, or the lack of one, to the health for a class.
     pub(crate) fn note_health(&mut self, class: usize, failed: bool, weight: f64, now: Micros) {
-        self.faulty |= failed;
+        self.has_failed |= failed;
         self.health[class].note(now, failed, weight);
     }
 
-    /// Notes an answer's time over what its class usually takes.
-    pub(crate) fn note_latency(&mut self, relative: f64) {
-        let change = relative.min(MAX_RELATIVE_LATENCY) - self.relative_latency;
+    /// Adds the ratio of an answer's time to the recent mean of its class.
+    pub(crate) fn note_latency(&mut self, ratio: f64) {
+        let change = ratio.min(MAX_RELATIVE_LATENCY) - self.relative_latency;
         self.relative_latency =
             (self.relative_latency + LATENCY_WEIGHT * change).max(MIN_RELATIVE_LATENCY);
     }
 
-    /// An attempt goes there.
+    /// Records that an attempt is sent to the backend.
     pub(crate) fn note_sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// An attempt there has ended.
+    /// Records that an attempt at the backend has ended.
     pub(crate) fn note_completed(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Notes a send while it warms up; those that no rule asks for any more are forgotten.
+    /// Records an attempt sent during warm-up, and forgets those outside the overload window.
     pub(crate) fn note_warm_up_send(&mut self, rules: &BackendRules, now: Micros) {
         note_recent(&mut self.warm_up_sends, rules, now);
     }
 
-    /// Takes its line of the list; true if it is a new process, of which nothing is known.
-    fn list(&mut self, endpoint: Endpoint, classes: usize, weights: WeightMeaning) -> bool {
+    /// Applies the backend's entry in the endpoint list; true if it is a new process, whose earlier
+    /// measurements are reset.
+    fn apply_endpoint(
+        &mut self,
+        endpoint: Endpoint,
+        classes: usize,
+        weights: WeightMeaning,
+    ) -> bool {
         let new = self.health.is_empty() || endpoint.started_at != self.endpoint.started_at;
         if new {
             self.relative_latency = 1.0;
             self.health = vec![Health::default(); classes];
             self.queue.length = 0.0;
-            self.faulty = false;
+            self.has_failed = false;
         }
         self.endpoint = endpoint;
         let weighted = weights == WeightMeaning::Capacity
@@ -162,103 +168,110 @@
     }
 }
 
-/// Notes a send, and forgets those that are out of the window in which a backend may be overloaded.
+/// Records an attempt sent now, and forgets those outside the overload window.
 pub(crate) fn note_recent(sends: &mut VecDeque<Micros>, rules: &BackendRules, now: Micros) {
     sends.retain(|t| *t + rules.overload_window > now);
     sends.push_back(now);
 }
 
-/// The backends: found by their identity, or by a place that stays theirs for as long as they are
-/// kept. A choice looks at many of them, and a place costs it no search.
+/// All backends, found by their ids or by an index that stays the same for as long as a backend is
+/// kept. Load balancing reads many backends per request, and an index needs no lookup.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Backends {
-    places: BTreeMap<BackendId, usize>,
+    index_by_id: BTreeMap<BackendId, usize>,
     records: Vec<Backend>,
     free: Vec<usize>,
-    /// The ready ones by the short name that gateways' messages have for them.
+    /// Ready backends by the short names used in messages between gateways.
     by_tag: BTreeMap<u32, BackendId>,
 }
 
 impl Backends {
     pub(crate) fn get(&self, id: BackendId) -> Option<&Backend> {
-        self.places.get(&id).map(|p| &self.records[*p])
+        self.index_by_id.get(&id).map(|index| &self.records[*index])
     }
 
     pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
-        self.places.get(&id).map(|p| &mut self.records[*p])
+        self.index_by_id
+            .get(&id)
+            .map(|index| &mut self.records[*index])
     }
 
-    /// The record at a place that [`Backends::ready`] gave since the last change of the list.
+    /// The backend at an index that [`Backends::ready`] returned since the last change of the
+    /// endpoint list.
     #[inline]
-    pub(crate) fn at(&self, place: usize) -> &Backend {
-        &self.records[place]
+    pub(crate) fn at(&self, index: usize) -> &Backend {
+        &self.records[index]
     }
 
-    /// The ready ones with their places, by identity.
+    /// The ready backends with their indices, in the order of their ids.
     pub(crate) fn ready(&self) -> impl Iterator<Item = (usize, &Backend)> {
-        let all = self.places.values().map(|p| (*p, &self.records[*p]));
+        let all = self
+            .index_by_id
+            .values()
+            .map(|index| (*index, &self.records[*index]));
         all.filter(|(_, b)| b.ready)
     }
 
-    /// The ready backend that messages name so.
+    /// The ready backend with this short name.
     pub(crate) fn by_tag(&self, tag: u32) -> Option<BackendId> {
         self.by_tag.get(&tag).copied()
     }
 
-    /// None is ready: a complete list says which are.
+    /// Marks all backends as not ready, before a complete list is applied.
     pub(crate) fn clear_ready(&mut self) {
         self.records.iter_mut().for_each(|b| b.ready = false);
     }
 
-    /// Takes a line of the list; true if its backend is a new process.
-    pub(crate) fn list(
+    /// Applies an entry of the endpoint list; true if its backend is a new process.
+    pub(crate) fn apply_endpoint(
         &mut self,
         endpoint: Endpoint,
         classes: usize,
         weights: WeightMeaning,
     ) -> bool {
         self.entry(endpoint.backend)
-            .list(endpoint, classes, weights)
+            .apply_endpoint(endpoint, classes, weights)
     }
 
-    /// A backend's record, a new one if there is none.
+    /// A backend's record, created if there is none.
     fn entry(&mut self, id: BackendId) -> &mut Backend {
         let (free, records) = (&mut self.free, &mut self.records);
-        let place = *self.places.entry(id).or_insert_with(|| {
+        let index = *self.index_by_id.entry(id).or_insert_with(|| {
             free.pop().unwrap_or_else(|| {
                 records.push(Backend::default());
                 records.len() - 1
             })
         });
-        &mut records[place]
+        &mut records[index]
     }
 
-    /// Forgets those that are neither ready nor at work, and names the ready ones anew.
-    pub(crate) fn settle(&mut self, tag: impl Fn(BackendId) -> u32) {
+    /// Removes the backends that are neither ready nor have attempts in flight, and rebuilds the
+    /// short names of the ready ones.
+    pub(crate) fn finish_list_update(&mut self, tag: impl Fn(BackendId) -> u32) {
         let (free, records) = (&mut self.free, &mut self.records);
-        self.places.retain(|_, p| {
-            let keep = records[*p].ready || records[*p].in_flight > 0;
+        self.index_by_id.retain(|_, index| {
+            let keep = records[*index].ready || records[*index].in_flight > 0;
             if !keep {
-                records[*p] = Backend::default();
-                free.push(*p);
+                records[*index] = Backend::default();
+                free.push(*index);
             }
             keep
         });
-        let named = self.ready().map(|(_, b)| (tag(b.id()), b.id()));
-        self.by_tag = named.collect();
+        let by_tag = self.ready().map(|(_, b)| (tag(b.id()), b.id()));
+        self.by_tag = by_tag.collect();
     }
 
-    /// Forgets all health with a class that is another one now.
+    /// Resets all health for a class whose index now means a different class.
     pub(crate) fn reset_class(&mut self, class: usize) {
-        let known = self.records.iter_mut();
-        known
+        let backends = self.records.iter_mut();
+        backends
             .filter_map(|b| b.health.get_mut(class))
             .for_each(|h| *h = Health::default());
     }
 
-    /// Gives those that are listed a record for each class.
+    /// Extends the health of all listed backends to `classes` classes.
     pub(crate) fn resize_classes(&mut self, classes: usize) {
-        let known = self.records.iter_mut().filter(|b| !b.health.is_empty());
-        known.for_each(|b| b.health.resize(classes, Health::default()));
+        let backends = self.records.iter_mut().filter(|b| !b.health.is_empty());
+        backends.for_each(|b| b.health.resize(classes, Health::default()));
     }
 }
--- a/crates/decision/src/customers/mod.rs
+++ b/crates/decision/src/customers/mod.rs
@@ -1,4 +1,4 @@
-//! The customers: each one's quota, ceiling, quota owners, and the question that is out to these.
+//! Customers: the quota, ceiling and quota owners of each, and the query pending at these owners.
 
 pub(crate) mod ceiling;
 pub(crate) mod owner_query;
@@ -16,16 +16,16 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Unseen for so long, a customer counts as new, in microseconds (paper: customers unseen for long
-/// pass at first).
-pub(crate) const AGING: Micros = 10_000_000;
-/// The longest that a full bucket is waited for before a customer is forgotten, in seconds.
-const MAX_REFILL_TIME: f64 = 1e6;
-/// The part of its even share that a gateway is taken to use at least, where it knows of the others
-/// (ours).
-const LEAST_OWN_PART: f64 = 0.1;
+/// A customer not seen for this long counts as new, in microseconds. New customers are admitted at
+/// the first load-shedding level, as in the paper.
+pub(crate) const CUSTOMER_IDLE_TIME: Micros = 10_000_000;
+/// Upper bound, in seconds, on the refill time that a customer is remembered for.
+const MAX_REFILL_TIME_S: f64 = 1e6;
+/// Once this gateway knows of the use at other gateways, its own use counts as at least this
+/// fraction of its even share of the quota.
+const MIN_OWN_FRACTION: f64 = 0.1;
 
-/// A customer as this gateway knows it.
+/// What this gateway knows of a customer.
 #[derive(Default)]
 pub(crate) struct Customer {
     plan: usize,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The place of its plan.
+    /// Index of the customer's plan in the settings.
     pub(crate) fn plan(&self) -> usize {
         self.plan
     }
@@ -58,67 +58,77 @@
         self.seen_at
     }
 
-    pub(crate) fn see(&mut self, now: Micros) {
+    pub(crate) fn note_seen(&mut self, now: Micros) {
         self.seen_at = now;
     }
 
-    /// It was unseen for so long that it counts as new.
+    /// Whether the customer counts as new: never seen, or not within [`CUSTOMER_IDLE_TIME`].
     pub(crate) fn is_new(&self, now: Micros) -> bool {
-        self.seen_at == 0 || now - self.seen_at > AGING
-    }
-
-    /// The least rate that this gateway's own use is taken for, with a floor for those that begin.
-    pub(crate) fn least_own_rate(&self, plan: &Plan) -> f64 {
-        let informed = self.owners.is_owner() || self.query.was_updated();
-        let floor = if informed { LEAST_OWN_PART } else { 1.0 };
+        self.seen_at == 0 || now - self.seen_at > CUSTOMER_IDLE_TIME
+    }
+
+    /// Lower bound, in units per second, on the rate assumed for this gateway's own use, so that a
+    /// customer who starts here gets some of the quota: the gateway's even share, or a fraction of
+    /// that once the use at other gateways is known.
+    pub(crate) fn min_own_rate(&self, plan: &Plan) -> f64 {
+        let knows_other_use = self.owners.is_owner() || self.query.has_update();
+        let floor = if knows_other_use {
+            MIN_OWN_FRACTION
+        } else {
+            1.0
+        };
         plan.rate / self.owners.gateway_span().max(1.0) * floor
     }
 
-    /// Refills the token buckets up to now.
+    /// Refills both token buckets up to `now`.
     pub(crate) fn refill(&mut self, now: Micros, plan: &Plan) {
-        let span = (now - self.quota.refilled_at()) as f64 / MICROS_PER_SECOND;
-        let least_own_rate = self.least_own_rate(plan);
-        let owner = self.owners.is_owner();
-        self.quota.refill(now, plan, owner, least_own_rate);
-        self.ceiling.refill(span, plan);
+        let elapsed_s = (now - self.quota.refilled_at()) as f64 / MICROS_PER_SECOND;
+        let min_own_rate = self.min_own_rate(plan);
+        let is_owner = self.owners.is_owner();
+        self.quota.refill(now, plan, is_owner, min_own_rate);
+        self.ceiling.refill(elapsed_s, plan);
     }
 
-    /// Carries the buckets over to another plan's figures.
+    /// Applies a new plan to both buckets.
     pub(crate) fn carry_over(&mut self, old: &Plan, new: &Plan) {
         self.quota.carry_over(old, new);
         self.ceiling.carry_over(new);
     }
 
-    /// Draws units from the buckets, or gives them back where they are negative.
+    /// Draws units from both buckets; negative `units` are returned to them.
     pub(crate) fn draw(&mut self, units: f64, plan: &Plan) {
         self.quota.draw(units, plan);
         self.ceiling.draw(units, plan);
     }
 
-    /// Takes its owners, and this gateway's part of its ceiling.
-    pub(crate) fn settle(&mut self, owners: Owners, plan: &Plan, split: &CeilingSplit) {
+    /// Sets the quota owners and this gateway's share of the ceiling.
+    pub(crate) fn set_owners(&mut self, owners: Owners, plan: &Plan, split: &CeilingSplit) {
         self.owners = owners;
-        self.ceiling.allot(plan, split);
+        self.ceiling.assign_share(plan, split);
     }
 
-    /// Whether it is to be kept: until both buckets are full for sure, since a customer met anew
-    /// starts with full ones.
+    /// Whether the customer must be remembered. It may be forgotten only when both buckets are
+    /// certainly full, because an unknown customer starts with full ones.
     pub(crate) fn is_active(&self, now: Micros, plan: &Plan) -> bool {
-        let quota = plan.burst / plan.rate;
-        let ceiling = plan.ceiling_burst / plan.ceiling_rate;
-        let full = quota.max(ceiling).clamp(0.0, MAX_REFILL_TIME); // NaN: 0 / 0
+        let quota_refill = plan.burst / plan.rate;
+        let ceiling_refill = plan.ceiling_burst / plan.ceiling_rate;
+        // Without a limit 0 / 0 is NaN: `max` ignores it, and the cast below turns it into 0.
+        let refill_time = quota_refill
+            .max(ceiling_refill)
+            .clamp(0.0, MAX_REFILL_TIME_S);
         self.quota.in_flight() > 0
             || !self.query.waiting().is_empty()
-            || now - self.seen_at <= 2 * AGING.max((full * MICROS_PER_SECOND) as Micros)
+            || now - self.seen_at
+                <= 2 * CUSTOMER_IDLE_TIME.max((refill_time * MICROS_PER_SECOND) as Micros)
     }
 
-    /// It was seen within the last second.
-    pub(crate) fn seen_lately(&self, now: Micros) -> bool {
+    /// Whether the customer was seen within the last second.
+    pub(crate) fn seen_recently(&self, now: Micros) -> bool {
         self.seen_at > now.saturating_sub(SECOND)
     }
 }
 
-/// All customers that are known.
+/// All known customers.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Customers {
     by_id: BTreeMap<CustomerId, Customer>,
@@ -133,7 +143,7 @@
         self.by_id.get_mut(&id)
     }
 
-    /// The customer, begun where it is not known.
+    /// The customer, created by `new` if it is not known.
     pub(crate) fn get_or_insert_with(
         &mut self,
         id: CustomerId,
@@ -150,7 +160,7 @@
         self.by_id.iter_mut().map(|(id, c)| (*id, c))
     }
 
-    /// Forgets those that `keep` does not hold.
+    /// Removes the customers for which `keep` returns false.
     pub(crate) fn retain(&mut self, mut keep: impl FnMut(CustomerId, &mut Customer) -> bool) {
         self.by_id.retain(|id, c| keep(*id, c));
     }
--- a/crates/decision/src/customers/owner_query.rs
+++ b/crates/decision/src/customers/owner_query.rs
@@ -1,33 +1,33 @@
-//! The question that this gateway has put to a customer's quota owners, and the requests that wait
-//! for the answer.
+//! The query that this gateway has sent to a customer's quota owners, and the requests held until
+//! it is answered.
 
 use crate::ids::{Micros, RequestId};
 
-/// Units granted later than this after the question lapse, in microseconds: a full bucket would
-/// hold more than full (ours).
-const GRANT_LIFE: Micros = 250_000;
-/// The age up to which an owner's update need not be asked for again, in microseconds; the longest
-/// wait for one (ours).
-pub(crate) const FRESH: Micros = 100_000;
-/// The same where it says that there is no room: else the retries of a rejected customer ask
-/// without end (ours).
-pub(crate) const FRESH_REJECTION: Micros = 500_000;
-
-/// A question to a customer's owners.
+/// A grant that arrives later than this after the query is discarded, in microseconds: it would
+/// raise a full bucket above its burst.
+const GRANT_LIFETIME: Micros = 250_000;
+/// Age up to which an owner's update is used without asking again, in microseconds; also the
+/// longest time that a request is held for an update.
+pub(crate) const MAX_UPDATE_AGE: Micros = 100_000;
+/// The same limit for an update that shows no room. It is longer than [`MAX_UPDATE_AGE`] because
+/// the retries of a rejected customer would otherwise query the owners continually.
+pub(crate) const MAX_UPDATE_AGE_FOR_REJECTION: Micros = 500_000;
+
+/// The latest query to a customer's owners.
 #[derive(Default)]
 pub(crate) struct OwnerQuery {
-    /// What is asked for: a request's units, and whether the ceiling lacks them, too.
+    /// Units that are asked for, and whether the ceiling lacks them as well as the quota.
     pub(super) units: f64,
     pub(super) wants_ceiling: bool,
-    /// Whom it asked last, and the units that it was pledged.
+    /// The owner that was asked last, and the units that this owner pledged.
     pub(super) asked: u16,
     pub(super) pledged: f64,
-    /// When an owner last told of the customer, and when one was asked.
+    /// When the last update of an owner was applied, and when an owner was last asked; 0 for never.
     pub(super) updated_at: Micros,
     pub(super) asked_at: Micros,
-    /// Who has answered.
+    /// Owners that have answered the latest query.
     pub(super) answered: Vec<u16>,
-    /// The requests that wait.
+    /// Requests held until an owner answers.
     pub(super) waiting: Vec<RequestId>,
 }
 
@@ -48,22 +48,23 @@
         self.pledged
     }
 
-    /// The pledge is used: the owner that gave it has counted it.
-    pub(crate) fn use_pledge(&mut self) {
+    /// Clears the pledge once a request has used it; the owner that pledged has already counted
+    /// those units.
+    pub(crate) fn clear_pledge(&mut self) {
         self.pledged = 0.0;
     }
 
-    /// An owner has told of the customer.
-    pub(crate) fn was_updated(&self) -> bool {
+    /// Whether any owner's update has been applied.
+    pub(crate) fn has_update(&self) -> bool {
         self.updated_at > 0
     }
 
-    /// How old the last update is; as old as the clock where there was none.
+    /// Age of the last update, in microseconds; `now` if there was none.
     pub(crate) fn update_age(&self, now: Micros) -> Micros {
         now - self.updated_at.min(now)
     }
 
-    /// How long ago an owner was asked.
+    /// Time since an owner was last asked, in microseconds.
     pub(crate) fn since_asked(&self, now: Micros) -> Micros {
         now - self.asked_at
     }
@@ -72,20 +73,20 @@
         &self.waiting
     }
 
-    /// A request waits for the answer.
-    pub(crate) fn wait(&mut self, id: RequestId) {
+    /// Adds a request to those held for the answer.
+    pub(crate) fn add_waiting(&mut self, id: RequestId) {
         self.waiting.retain(|w| *w != id);
         self.waiting.push(id);
     }
 
-    /// A request waits no longer; true if it was the last one.
+    /// Removes a request from those held; returns true if none is left.
     pub(crate) fn stop_waiting(&mut self, id: RequestId) -> bool {
         self.waiting.retain(|w| *w != id);
         self.waiting.is_empty()
     }
 
-    /// An owner is asked.
-    pub(crate) fn ask(&mut self, owner: u16, units: f64, wants_ceiling: bool, now: Micros) {
+    /// Records a new query to `owner` and clears the answers to the previous one.
+    pub(crate) fn note_asked(&mut self, owner: u16, units: f64, wants_ceiling: bool, now: Micros) {
         self.asked = owner;
         self.asked_at = now;
         self.answered.clear();
@@ -94,7 +95,7 @@
         self.pledged = 0.0;
     }
 
-    /// The owner that was asked has answered.
+    /// Whether the owner asked last has answered.
     pub(crate) fn is_answered(&self) -> bool {
         self.answered.contains(&self.asked)
     }
@@ -107,14 +108,15 @@
         self.answered.push(owner);
     }
 
-    /// An owner's view was taken; `pledged` where it has pledged what was asked for.
+    /// Records that an owner's update was applied; `pledged` if the owner pledged the units asked
+    /// for.
     pub(crate) fn note_update(&mut self, now: Micros, pledged: bool) {
         self.updated_at = now;
         self.pledged = if pledged { self.units } else { 0.0 };
     }
 
-    /// A grant that comes now is for the requests that wait.
+    /// Whether a grant that arrives now is still for the held requests.
     pub(crate) fn takes_grants(&self, now: Micros) -> bool {
-        now - self.asked_at < GRANT_LIFE
+        now - self.asked_at < GRANT_LIFETIME
     }
 }
--- a/crates/decision/src/customers/owners.rs
+++ b/crates/decision/src/customers/owners.rs
@@ -1,25 +1,26 @@
-//! Which gateways own a customer's quota: those that hear of all its use and are asked for room.
+//! The quota owners of a customer: the gateways that receive all reports of its use and are asked
+//! for room.
 //!
-//! In a small deployment all of the customer's gateways own it. In a larger one two of them do,
-//! drawn by a hash of the customer: the first is asked, the second mirrors it and steps in while
-//! the first is silent.
+//! In a small deployment all of the customer's gateways are owners. In a larger one there are two,
+//! chosen by a hash of the customer: the first is asked, the second mirrors the first one's state
+//! and takes over while the first is silent.
 
 use crate::ids::CustomerId;
 use crate::numeric::unit_hash;
 
-/// The owners of a customer's quota, fixed for good.
+/// The owners of a customer's quota; once computed they never change.
 #[derive(Default)]
 pub(crate) struct Owners {
-    /// The first owner and the second; the same gateway twice where there is one alone.
+    /// The first and the second owner; the same gateway twice if the customer has only one.
     pub(super) pair: [u16; 2],
     pub(super) first_gateway: u16,
     pub(super) gateway_span: f64,
     pub(super) all: Vec<u16>,
-    /// This gateway is one of them.
+    /// Whether this gateway is an owner.
     pub(super) is_owner: bool,
 }
 
-/// Through which gateways a customer's requests come.
+/// The range of gateways that a customer's requests come through.
 #[derive(Clone, Copy)]
 pub(crate) struct Span {
     pub(crate) first_gateway: u16,
@@ -27,7 +28,8 @@
 }
 
 impl Owners {
-    /// Draws the owners of a customer among its gateways, of `gateway_count` in all.
+    /// Computes a customer's owners among its gateways; `gateway_count` is the number of gateways
+    /// in the deployment.
     pub(crate) fn of(
         customer: CustomerId,
         span: Span,
@@ -37,12 +39,15 @@
     ) -> Owners {
         let count = u64::from(span.gateway_span.clamp(1, gateway_count));
         let first = u64::from(span.first_gateway);
-        let at = |n: u64| ((first + n % count) % u64::from(gateway_count)) as u16;
-        let one = (unit_hash(customer.0) * count as f64) as u64;
-        let other = 1 + (unit_hash(!customer.0) * (count as f64 - 1.0)) as u64;
-        let pair = [at(one), at(one + other)];
+        let gateway_at = |offset: u64| ((first + offset % count) % u64::from(gateway_count)) as u16;
+        let first_offset = (unit_hash(customer.0) * count as f64) as u64;
+        let second_distance = 1 + (unit_hash(!customer.0) * (count as f64 - 1.0)) as u64;
+        let pair = [
+            gateway_at(first_offset),
+            gateway_at(first_offset + second_distance),
+        ];
         let mut all = if every_gateway_owns {
-            (0..count).map(at).collect()
+            (0..count).map(gateway_at).collect()
         } else {
             pair.to_vec()
         };
@@ -56,7 +61,7 @@
         }
     }
 
-    /// They have been drawn.
+    /// Whether the owners have been computed.
     pub(crate) fn are_known(&self) -> bool {
         !self.all.is_empty()
     }
--- a/crates/decision/src/customers/stored.rs
+++ b/crates/decision/src/customers/stored.rs
@@ -1,5 +1,5 @@
-//! The stored form of a customer: positional, in the order that builds before this layout of
-//! modules wrote.
+//! The stored form of a customer. The fields are positional: their order is the one in which
+//! earlier builds wrote a customer, before it was divided into modules.
 
 use super::ceiling::CeilingAccount;
 use super::owner_query::OwnerQuery;
@@ -11,7 +11,7 @@
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-/// A customer field by field; it is written from borrowed parts and read into owned ones.
+/// All fields of a customer; written from borrowed values and read into owned ones.
 #[derive(Serialize, Deserialize)]
 struct StoredCustomer<'a, Reported> {
     plan: usize,
@@ -20,7 +20,7 @@
     ceiling_tokens: f64,
     used: f64,
     owner_pair: [u16; 2],
-    ceiling_part: f64,
+    ceiling_share: f64,
     first_gateway: u16,
     asked_units: f64,
     wants_ceiling: bool,
@@ -54,7 +54,7 @@
             ceiling_tokens: self.ceiling.tokens,
             used: quota.used,
             owner_pair: owners.pair,
-            ceiling_part: self.ceiling.part,
+            ceiling_share: self.ceiling.share,
             first_gateway: owners.first_gateway,
             asked_units: query.units,
             wants_ceiling: query.wants_ceiling,
@@ -98,7 +98,7 @@
             },
             ceiling: CeilingAccount {
                 tokens: stored.ceiling_tokens,
-                part: stored.ceiling_part,
+                share: stored.ceiling_share,
                 granted: stored.granted,
             },
             owners: Owners {
--- a/crates/decision/src/gateway/admission.rs
+++ b/crates/decision/src/gateway/admission.rs
@@ -3,7 +3,7 @@
 
 use super::Gateway;
 use crate::action::Action;
-use crate::customers::owner_query::{FRESH, FRESH_REJECTION};
+use crate::customers::owner_query::{MAX_UPDATE_AGE, MAX_UPDATE_AGE_FOR_REJECTION};
 use crate::customers::owners::Span;
 use crate::customers::quota::QuotaAccount;
 use crate::customers::Customer;
@@ -97,7 +97,11 @@
         };
         let plan = &self.settings.plans[usize::from(request.plan)];
         let rejected = wait.quota.is_some() && plan.max_in_flight == 0;
-        let fresh = if rejected { FRESH_REJECTION } else { FRESH };
+        let fresh = if rejected {
+            MAX_UPDATE_AGE_FOR_REJECTION
+        } else {
+            MAX_UPDATE_AGE
+        };
         customer.query.update_age(self.now()) < fresh || self.lead_owner(customer) == self.id()
     }
 
@@ -169,7 +173,7 @@
     /// A ceiling refills faster than the quota in it: what it alone has no room for waits, as for a
     /// slot.
     fn waits_for_ceiling(&self, id: RequestId, wait: &RoomWait, max_wait: f64) -> bool {
-        let later = self.now() + FRESH;
+        let later = self.now() + MAX_UPDATE_AGE;
         let only_ceiling = wait.quota.is_none() && wait.ceiling.is_some();
         let in_time = |pending: &PendingRequest| {
             later < pending.arrived_at() + max_wait as Micros
@@ -180,7 +184,7 @@
 
     /// A request stays held; after its owners' last word it asks them again.
     fn keep_held(&mut self, id: RequestId, held: bool, last: bool) {
-        let later = self.now() + FRESH;
+        let later = self.now() + MAX_UPDATE_AGE;
         let Some(pending) = self.requests.get_mut(id) else {
             return;
         };
@@ -226,7 +230,7 @@
             .get_or_insert_with(request.customer, Customer::default);
         let ask = !held && !customer.owners.is_owner();
         if customer.query.pledged() >= request.units && !every_gateway_owns {
-            customer.query.use_pledge(); // counted by the owner that pledged it
+            customer.query.clear_pledge(); // counted by the owner that pledged it
         } else {
             self.report(request.customer, ask && every_gateway_owns, actions);
         }
@@ -278,7 +282,7 @@
         let customer = self.customers.get_or_insert_with(request.customer, new);
         let unseen = customer.is_new(now);
         customer.set_plan(plan);
-        customer.see(now);
+        customer.note_seen(now);
         let span = Span {
             first_gateway: first_gateway as u16,
             gateway_span: gateway_span as u16,
@@ -307,15 +311,15 @@
             };
         };
         let plan = &self.settings.plans[customer.plan()];
-        let least_own_rate = customer.least_own_rate(plan);
+        let min_own_rate = customer.min_own_rate(plan);
         let units = request.units;
         let mut quota = customer
             .quota
-            .wait_for_tokens(units, plan, unheard, least_own_rate);
+            .wait_for_tokens(units, plan, unheard, min_own_rate);
         // What peers likely began unheard counts, as far as it is still in flight.
         let unheard_at_most = (self.report_period + UNHEARD) as f64;
         let lasts = (ANSWERS_LEFT * self.latency.recent(class)).min(unheard_at_most);
-        let in_flight = customer.quota.likely_in_flight(units, lasts);
+        let in_flight = customer.quota.estimated_in_flight(units, lasts);
         if plan.max_in_flight > 0 && in_flight >= plan.max_in_flight {
             let calm = self.latency.calm(class) / MICROS_PER_SECOND;
             quota = Some(quota.unwrap_or(0.0).max(calm));
@@ -335,7 +339,7 @@
         match self.customers.get(id) {
             // One that nobody has told of passes its first request by itself: most are far from
             // their quotas.
-            Some(c) if self.lead_owner(c) != self.id() && c.query.was_updated() => {
+            Some(c) if self.lead_owner(c) != self.id() && c.query.has_update() => {
                 UNHEARD.min(c.query.update_age(self.now()))
             }
             _ => 0,
--- a/crates/decision/src/gateway/attempts.rs
+++ b/crates/decision/src/gateway/attempts.rs
@@ -50,7 +50,7 @@
         let mut changed = more != 0.0;
         if let Some(customer) = self.customers.get_mut(request.customer) {
             customer.quota.note_completed();
-            customer.quota.settle(more);
+            customer.quota.charge_excess(more);
             changed |= self.settings.plans[customer.plan()].max_in_flight > 0;
         }
         if done {
--- a/crates/decision/src/gateway/dispatch.rs
+++ b/crates/decision/src/gateway/dispatch.rs
@@ -57,11 +57,11 @@
                 gateway: self.settings.gateway_id,
                 gateway_count: self.gateway_count,
                 ready_weight: self.pools.get(0).weight(),
-                pool_part: pool.part_for(selection.fallback, self.gateway_count, now),
+                pool_fraction: pool.usable_fraction(selection.fallback, self.gateway_count, now),
                 bound_by_key: binding.is_some(),
                 now,
             },
-            places: pool.places(),
+            backend_indices: pool.backend_indices(),
             pool_weight: pool.weight(),
             request,
             binding,
@@ -123,7 +123,7 @@
             warm_up.min(1.0 / backend.relative_latency()).min(1.0)
         };
         for pool in self.pools.iter_mut() {
-            let sum = pool.places().iter().map(capacity).sum();
+            let sum = pool.backend_indices().iter().map(capacity).sum();
             pool.set_capacity(sum);
         }
     }
--- a/crates/decision/src/gateway/endpoints.rs
+++ b/crates/decision/src/gateway/endpoints.rs
@@ -27,12 +27,14 @@
         }
         let classes = self.settings.classes.len();
         for endpoint in list {
-            let new = self.backends.list(endpoint, classes, self.settings.weights);
+            let new = self
+                .backends
+                .apply_endpoint(endpoint, classes, self.settings.weights);
             if new {
                 self.zones.forget(endpoint.zone);
             }
         }
-        self.backends.settle(|id| backend_tag(id.0));
+        self.backends.finish_list_update(|id| backend_tag(id.0));
         self.assign_pools();
         self.count_capacity();
         self.dispatch_queues(actions);
--- a/crates/decision/src/gateway/feedback.rs
+++ b/crates/decision/src/gateway/feedback.rs
@@ -49,7 +49,7 @@
             end.outcome,
             Outcome::Error | Outcome::ConnectFailed | Outcome::Reset
         );
-        backend.health_mut(end.class).judge(now, failed);
+        backend.health_mut(end.class).update_ejection(now, failed);
         let outcome = if !failed {
             AttemptOutcome::Answered(end.elapsed as f64)
         } else if unreached {
--- a/crates/decision/src/gateway/gossip_in.rs
+++ b/crates/decision/src/gateway/gossip_in.rs
@@ -3,23 +3,23 @@
 
 use super::Gateway;
 use crate::action::Action;
-use crate::customers::owner_query::FRESH;
+use crate::customers::owner_query::MAX_UPDATE_AGE;
 use crate::customers::owners::Span;
 use crate::customers::quota::{
     clip_in_flight, reported_tokens, QuotaAccount, ReportContext, UNKNOWN_LEVEL,
 };
-use crate::customers::{Customer, AGING};
+use crate::customers::{Customer, CUSTOMER_IDLE_TIME};
 use crate::gossip::codec::{
-    incarnation, whole_quarters, Body, Message, OwnerUpdate, UsageReport, MAX_PLAN,
+    incarnation, round_down_to_quarters, Body, Message, OwnerUpdate, UsageReport, MAX_PLAN,
 };
 use crate::gossip::peers::Arrival;
 use crate::ids::{GatewayId, Micros, RequestId};
 
 /// A customer seen in this time is reported to an owner that starts anew, in microseconds (ours).
-const REPORT_TO_RESTARTED: Micros = AGING / 5;
+const REPORT_TO_RESTARTED: Micros = CUSTOMER_IDLE_TIME / 5;
 /// The second owner's update counts where the first one's is older than this, in microseconds
 /// (ours).
-const LEAD_UPDATE_LIFE: Micros = 4 * FRESH;
+const LEAD_UPDATE_LIFE: Micros = 4 * MAX_UPDATE_AGE;
 
 impl Gateway {
     pub(super) fn on_peer_message(
@@ -74,7 +74,7 @@
         let arrival = self
             .peers
             .entry(from)
-            .meet(message.incarnation, message.sequence);
+            .check_incarnation(message.incarnation, message.sequence);
         match arrival {
             Arrival::Stale => return false,
             Arrival::Known => {}
@@ -136,7 +136,7 @@
         if customer.plan() != place || !customer.owners.is_owner() {
             return None; // not an owner of this one
         }
-        customer.see(customer.seen_at().max(now));
+        customer.note_seen(customer.seen_at().max(now));
         let plan = &self.settings.plans[place];
         let has_view = report.level < UNKNOWN_LEVEL;
         let context = ReportContext {
@@ -146,18 +146,18 @@
             max_in_flight: plan.max_in_flight,
             first_contact,
             sender_is_younger: younger,
-            mirrors: !small && from == customer.owners.pair()[0] && has_view,
+            is_mirror_update: !small && from == customer.owners.pair()[0] && has_view,
         };
-        let view = customer.quota.take_report(report, &context);
+        let view = customer.quota.apply_report(report, &context);
         let granted = if report.ask && report.wants_ceiling {
-            let carried = whole_quarters(report.units);
-            customer.ceiling.hand_over(report.units, carried)
+            let carried = round_down_to_quarters(report.units);
+            customer.ceiling.grant_to_peer(report.units, carried)
         } else {
             0.0
         };
         report.ask.then_some(OwnerUpdate {
             customer: report.customer,
-            heard_total: report.total,
+            acknowledged_total: report.total,
             tokens: view.tokens,
             rate: view.others_rate,
             in_flight: clip_in_flight(view.others_in_flight),
@@ -233,17 +233,17 @@
         };
         if !leads {
             let in_flight = u32::from(update.in_flight);
-            customer.quota.take_others(update.rate, in_flight);
+            customer.quota.set_others(update.rate, in_flight);
         }
         // The other owner's counts where the first one's is not to be had; the first hears of that
         // use.
         let stale = customer.query.update_age(now) > LEAD_UPDATE_LIFE;
         let best = small || from == lead || stale;
-        let first_word = older && !customer.query.was_updated();
+        let first_word = older && !customer.query.has_update();
         if (!leads && best) || first_word {
             customer
                 .quota
-                .take_tokens(update.tokens, update.heard_total);
+                .apply_owner_tokens(update.tokens, update.acknowledged_total);
             let pledged = from == lead && update.tokens >= customer.query.units();
             customer.query.note_update(now, pledged);
         }
@@ -251,7 +251,7 @@
         // A grant is for the request that waits: late ones lapse, or a full bucket would hold more
         // than full.
         if customer.query.takes_grants(now) {
-            customer.ceiling.grant(update.granted);
+            customer.ceiling.receive_grant(update.granted);
         }
     }
 }
--- a/crates/decision/src/gateway/gossip_out.rs
+++ b/crates/decision/src/gateway/gossip_out.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use crate::action::Action;
 use crate::customers::quota::UNKNOWN_LEVEL;
-use crate::customers::AGING;
+use crate::customers::CUSTOMER_IDLE_TIME;
 use crate::gossip::codec::{incarnation, wrapped_units, Body, Message, UsageReport, MAX_PLAN};
 use crate::gossip::peers::OutboxEntry;
 use crate::ids::{CustomerId, GatewayId, Micros};
@@ -14,7 +14,7 @@
 const REPEATS: u8 = 1;
 /// The age of an owner's update up to which this gateway's view of a bucket is worth something, in
 /// microseconds (ours).
-const KNOWN_FOR: Micros = AGING / 10;
+const KNOWN_FOR: Micros = CUSTOMER_IDLE_TIME / 10;
 
 impl Gateway {
     /// Puts a customer on the way to its owners; `ask` for an answer.
--- a/crates/decision/src/gateway/owners.rs
+++ b/crates/decision/src/gateway/owners.rs
@@ -4,7 +4,7 @@
 use super::Gateway;
 use crate::action::Action;
 use crate::customers::ceiling::CeilingSplit;
-use crate::customers::owner_query::FRESH;
+use crate::customers::owner_query::MAX_UPDATE_AGE;
 use crate::customers::owners::{Owners, Span};
 use crate::customers::Customer;
 use crate::event::Request;
@@ -14,7 +14,7 @@
 /// The part of a latency objective that an answer is waited for at most (ours).
 const WAIT_PART: u64 = 5;
 /// How long the other owner is asked in turn, for the ceiling's sake, in microseconds (ours).
-const TURN: Micros = 4 * FRESH;
+const TURN: Micros = 4 * MAX_UPDATE_AGE;
 
 impl Gateway {
     /// The owner whose word on a customer's room counts here: the first, or the second while that
@@ -27,7 +27,7 @@
         }
         let pair = customer.owners.pair();
         let now = self.now();
-        let heard = pair.into_iter().find(|o| self.peers.is_heard(*o, now));
+        let heard = pair.into_iter().find(|o| self.peers.is_responsive(*o, now));
         heard.unwrap_or(pair[0])
     }
 
@@ -56,7 +56,7 @@
             every_gateway_owns,
             uptime,
         };
-        customer.settle(owners, &self.settings.plans[customer.plan()], &split);
+        customer.set_owners(owners, &self.settings.plans[customer.plan()], &split);
         if !customer.owners.is_owner() || !self.settings.limits.peers {
             return;
         }
@@ -90,7 +90,7 @@
         let left = request.deadline.checked_sub(now);
         let left = left.map_or(objective, |left| left.min(objective));
         self.requests
-            .check_at(now + FRESH.min(left / WAIT_PART), request.id);
+            .check_at(now + MAX_UPDATE_AGE.min(left / WAIT_PART), request.id);
         let this_gateway = self.id();
         let Some(lead) = self
             .customers
@@ -103,8 +103,8 @@
             return;
         };
         let query = &mut customer.query;
-        query.wait(request.id);
-        if query.waiting().len() == 1 || query.since_asked(now) > FRESH || must {
+        query.add_waiting(request.id);
+        if query.waiting().len() == 1 || query.since_asked(now) > MAX_UPDATE_AGE || must {
             // Asked again for the ceiling's sake, the other one may have some.
             let turn = wants_ceiling && query.asked() == lead && query.since_asked(now) < TURN;
             let [one, other] = customer.owners.pair();
@@ -113,7 +113,7 @@
             } else {
                 lead
             };
-            query.ask(asked, request.units, wants_ceiling, now);
+            query.note_asked(asked, request.units, wants_ceiling, now);
             self.report(request.customer, true, actions);
         }
     }
@@ -129,7 +129,7 @@
         let asked = customer.query.asked();
         let wants_ceiling = customer.query.wants_ceiling();
         let peer = self.peers.entry(asked);
-        let was_heard = peer.is_heard(now);
+        let was_heard = peer.is_responsive(now);
         peer.note_silence(now);
         // What it has pledged may not have been used.
         let report = OutboxEntry::new(1, false);
--- a/crates/decision/src/gateway/status.rs
+++ b/crates/decision/src/gateway/status.rs
@@ -4,7 +4,7 @@
 use crate::customers::quota::USAGE_TIME_CONSTANT;
 use crate::ids::{BackendId, CustomerId};
 use crate::numeric::decay;
-use crate::outlier_ejection::SUSPECT_FROM;
+use crate::outlier_ejection::SUSPECT_ABOVE;
 
 /// What customers on a plan use, as far as this gateway knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -77,8 +77,8 @@
             let outlier = backend
                 .health()
                 .iter()
-                .any(|h| h.is_ejected(now) || h.error_rate(now) > SUSPECT_FROM);
-            !outlier && zone_errors <= SUSPECT_FROM
+                .any(|h| h.is_ejected(now) || h.error_rate(now) > SUSPECT_ABOVE);
+            !outlier && zone_errors <= SUSPECT_ABOVE
         });
         in_rotation.count()
     }
--- a/crates/decision/src/gateway/wake.rs
+++ b/crates/decision/src/gateway/wake.rs
@@ -3,7 +3,7 @@
 
 use super::Gateway;
 use crate::action::{Action, LogEvent};
-use crate::customers::AGING;
+use crate::customers::CUSTOMER_IDLE_TIME;
 use crate::ids::{Micros, RequestId};
 use crate::numeric::SECOND;
 use crate::queueing;
@@ -92,14 +92,14 @@
         let this_gateway = self.id();
         let large = !self.every_gateway_owns();
         let mirrors = large && self.settings.limits.peers;
-        let report_life = large.then_some(2 * AGING);
+        let report_life = large.then_some(2 * CUSTOMER_IDLE_TIME);
         let plans = &self.settings.plans;
         let peers = &mut self.peers;
         self.customers.retain(|id, c| {
             let plan = &plans[c.plan()];
             let [first, second] = c.owners.pair();
             let is_first = first == this_gateway && second != this_gateway;
-            if mirrors && is_first && c.seen_lately(now) {
+            if mirrors && is_first && c.seen_recently(now) {
                 peers.put_report_if_absent(second, id);
             }
             if plan.max_in_flight > 0 && c.owners.is_owner() {
--- a/crates/decision/src/gossip/codec/tests.rs
+++ b/crates/decision/src/gossip/codec/tests.rs
@@ -1,4 +1,4 @@
-//! Messages between gateways, there and back and byte by byte.
+//! Tests of the message codec: round trips, rejected bytes, and the golden bytes.
 
 use super::{
     backend_tag, units_between, wrapped_units, AttemptOutcome, Body, Message, OwnerUpdate, Sample,
@@ -7,7 +7,7 @@
 use crate::ids::CustomerId;
 
 #[test]
-fn messages_are_decoded_to_what_was_encoded() {
+fn decoding_restores_the_encoded_message() {
     let exact = UsageReport {
         total: 65_000,
         in_flight: 99,
@@ -34,28 +34,32 @@
     for body in bodies {
         for count in 0..=MAX_SAMPLES {
             let samples = samples.iter().cycle().take(count).copied().collect();
-            is_decoded_whole_or_not_at_all(&message(samples, body.clone()));
+            assert_decoded_only_if_complete(&message(samples, body.clone()));
         }
     }
 }
 
-fn is_decoded_whole_or_not_at_all(message: &Message) {
+fn assert_decoded_only_if_complete(message: &Message) {
     let bytes = message.encode();
     assert!(bytes.len() <= MAX_BYTES);
     assert_eq!(Message::decode(&bytes).as_ref(), Some(message));
-    for cut in 0..bytes.len() {
-        assert_eq!(Message::decode(&bytes[..cut]), None, "cut at {cut}");
+    for len in 0..bytes.len() {
+        assert_eq!(
+            Message::decode(&bytes[..len]),
+            None,
+            "decoded a message truncated to {len} bytes"
+        );
     }
 }
 
 #[test]
-fn totals_that_wrap_round_are_told_apart() {
+fn difference_of_totals_survives_wraparound() {
     let before = wrapped_units(16_383.0);
     let after = wrapped_units(16_385.0);
     assert_eq!(units_between(before, after), 2.0);
 }
 
-/// The golden datagrams, a name and the bytes in hexadecimal a line.
+/// The golden datagrams: on each line a name and the bytes in hexadecimal.
 const GOLDEN: &str = include_str!("../../../tests/golden/gossip.txt");
 
 fn usage(customer: u64) -> UsageReport {
@@ -76,7 +80,7 @@
 fn update(customer: u64) -> OwnerUpdate {
     OwnerUpdate {
         customer: CustomerId(customer),
-        heard_total: 0x4321,
+        acknowledged_total: 0x4321,
         tokens: 100.75,
         rate: 33.25,
         in_flight: 9,
@@ -102,7 +106,8 @@
     }
 }
 
-/// Every body and every edge of every field, by the names in the golden file.
+/// A message for every kind of body and for the limits of every field, with its name in the golden
+/// file.
 fn datagrams() -> Vec<(&'static str, Message)> {
     let mut all = usage_datagrams();
     all.extend(update_datagrams());
@@ -115,7 +120,7 @@
 }
 
 fn usage_datagrams() -> Vec<(&'static str, Message)> {
-    let most = UsageReport {
+    let max = UsageReport {
         customer: CustomerId((1 << 33) - 1),
         plan: 63,
         total: u16::MAX,
@@ -127,7 +132,7 @@
         units: 63.75,
         wants_ceiling: true,
     };
-    let least = UsageReport {
+    let min = UsageReport {
         customer: CustomerId(0),
         plan: 0,
         total: 0,
@@ -139,11 +144,11 @@
         units: 0.0,
         wants_ceiling: false,
     };
-    let beyond = UsageReport {
+    let above_max = UsageReport {
         customer: CustomerId(u64::MAX),
         in_flight: 255,
         units: 1e9,
-        ..most
+        ..max
     };
     let body = |reports| Body::Usage(reports);
     let too_many = body((0..20).map(usage).collect());
@@ -152,7 +157,7 @@
         ("uses-one", message(vec![], body(vec![usage(42)]))),
         (
             "uses-edges",
-            message(vec![], body(vec![most, least, beyond])),
+            message(vec![], body(vec![max, min, above_max])),
         ),
         ("uses-too-many", message(too_many_samples(), too_many)),
     ]
@@ -166,21 +171,21 @@
         granted: 5.2,
         ..update((1 << 33) - 1)
     };
-    let most = OwnerUpdate {
+    let max = OwnerUpdate {
         tokens: 1e9,
         rate: 1e9,
         granted: 1e9,
-        heard_total: u16::MAX,
+        acknowledged_total: u16::MAX,
         ..update(0)
     };
-    let least = OwnerUpdate {
+    let min = OwnerUpdate {
         tokens: -1e9,
         rate: -1.0,
         granted: -1.0,
-        heard_total: 0,
+        acknowledged_total: 0,
         ..update(u64::MAX)
     };
-    let edges = Body::Updates(7, vec![debt, most, least]);
+    let edges = Body::Updates(7, vec![debt, max, min]);
     let too_many = Body::Updates(8, (0..30).map(update).collect());
     vec![
         ("news-none", message(vec![], Body::Updates(0, vec![]))),
@@ -218,39 +223,42 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn parse_hex(text: &str) -> Vec<u8> {
     let digits = text.as_bytes().chunks_exact(2);
     let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
     digits.map(byte).collect()
 }
 
-fn golden_lines() -> Vec<(&'static str, Vec<u8>)> {
-    let line = |l: &'static str| l.split_once(' ').map(|(name, text)| (name, unhex(text)));
+fn golden_datagrams() -> Vec<(&'static str, Vec<u8>)> {
+    let line = |l: &'static str| {
+        l.split_once(' ')
+            .map(|(name, text)| (name, parse_hex(text)))
+    };
     GOLDEN.lines().filter_map(line).collect()
 }
 
 #[test]
 fn datagrams_have_the_golden_bytes() {
-    let (golden, now) = (golden_lines(), datagrams());
-    assert_eq!(golden.len(), now.len());
-    for ((name, bytes), (now_name, message)) in golden.into_iter().zip(now) {
-        assert_eq!(name, now_name);
+    let (golden, current) = (golden_datagrams(), datagrams());
+    assert_eq!(golden.len(), current.len());
+    for ((name, bytes), (current_name, message)) in golden.into_iter().zip(current) {
+        assert_eq!(name, current_name);
         assert_eq!(hex(&message.encode()), hex(&bytes), "{name}");
     }
 }
 
 #[test]
-fn golden_datagrams_are_read_and_written_to_the_same_bytes() {
-    for (name, bytes) in golden_lines() {
+fn golden_datagrams_reencode_to_the_same_bytes() {
+    for (name, bytes) in golden_datagrams() {
         let message = Message::decode(&bytes).unwrap();
         assert_eq!(hex(&message.encode()), hex(&bytes), "{name}");
     }
 }
 
 #[test]
-fn golden_datagrams_are_read_to_the_fields_that_were_written() {
-    // Of the fields that lose nothing on the way, as the exact ones of `usage` and `update` do.
-    let golden = golden_lines();
+fn golden_datagrams_decode_to_the_original_fields() {
+    // Checks fields that the encoding does not round; `usage` and `update` have such values.
+    let golden = golden_datagrams();
     let read = |wanted: &str| {
         let (_, bytes) = golden.iter().find(|(name, _)| *name == wanted).unwrap();
         Message::decode(bytes).unwrap()
@@ -263,12 +271,12 @@
         read("uses-one"),
         message(vec![], Body::Usage(vec![in_quarters]))
     );
-    let one = message(vec![], Body::Updates(0xFFFF_FFFE, vec![update(42)]));
-    assert_eq!(read("news-one"), one);
+    let expected = message(vec![], Body::Updates(0xFFFF_FFFE, vec![update(42)]));
+    assert_eq!(read("news-one"), expected);
 }
 
 #[test]
-#[ignore = "writes the golden file, by hand and with WRITE_GOLDEN=1 only"]
+#[ignore = "overwrites the golden file; run by hand with WRITE_GOLDEN=1"]
 fn write_the_golden_datagrams() {
     assert_eq!(std::env::var("WRITE_GOLDEN").as_deref(), Ok("1"));
     let line = |(name, message): (&str, Message)| format!("{name} {}\n", hex(&message.encode()));
--- a/crates/decision/src/gossip/mod.rs
+++ b/crates/decision/src/gossip/mod.rs
@@ -1,4 +1,5 @@
-//! Messages between gateways: their bytes, what is to be sent to whom, and how many may be sent.
+//! Messages between gateways: their encoding, the reports pending for each peer, and the limit on
+//! the message rate.
 
 pub(crate) mod codec;
 pub(crate) mod peers;
--- a/crates/decision/src/latency.rs
+++ b/crates/decision/src/latency.rs
@@ -1,39 +1,40 @@
-//! How long answers take: the recent mean of each class, and its time on calm servers as a baseline
-//! for slowdowns.
+//! Latency of answers: the recent mean for each class, and the latency of the class on calm servers
+//! as a baseline for slowdowns.
 
 use crate::ids::Micros;
 use crate::numeric::MICROS_PER_SECOND;
 use crate::settings::Class;
 use serde::{Deserialize, Serialize};
 
-/// The part of the latency objective taken for the mean before any answer (ours).
+/// Fraction of the latency objective that serves as the mean before any answer.
 const INITIAL_FRACTION: f64 = 0.15;
-/// Answers in the recent mean (ours).
+/// Number of answers that the recent mean averages over.
 const RECENT_ANSWERS: f64 = 20.0;
-/// Answers in the mean whose least is the calm time: the least of a few is too low (ours).
-const LONG_ANSWERS: f64 = 100.0;
-/// Until there are as many answers as the recent mean has, the calm time is at most this part of
-/// the objective (ours).
-const INITIAL_CALM_LIMIT: f64 = 0.3;
-/// The growth of the calm time by itself, a second: half a minute of overload must not pass for
-/// calm (ours).
-const CALM_GROWTH: f64 = 0.01;
-/// The weight of one answer in the mean over all classes (ours).
+/// Number of answers that the long mean averages over. The calm time follows the minimum of that
+/// mean, because the minimum over a few answers would be too low.
+const LONG_MEAN_ANSWERS: f64 = 100.0;
+/// Until there are [`RECENT_ANSWERS`] answers, the calm time is at most this fraction of the
+/// latency objective.
+const INITIAL_MAX_CALM_FRACTION: f64 = 0.3;
+/// Relative growth of the calm time per second: slow enough that half a minute of overload does not
+/// become the new baseline.
+const CALM_GROWTH_PER_S: f64 = 0.01;
+/// Weight of one answer in the mean over all classes.
 const MEAN_WEIGHT: f64 = 0.05;
 
-/// How long answers of a class take, in microseconds: lately, and on calm servers.
+/// Answer times of a class in microseconds: recent ones and those on calm servers.
 #[derive(Default, Serialize, Deserialize)]
 struct LatencyBaseline {
     recent: f64,
     calm: f64,
-    /// The mean whose least is the calm time.
+    /// Long mean; the calm time follows its minimum.
     long: f64,
     count: f64,
     at: Micros,
 }
 
 impl LatencyBaseline {
-    /// What is taken for usual before any answer.
+    /// The baseline before any answer.
     fn initial(class: &Class, now: Micros) -> LatencyBaseline {
         let recent = class.latency_objective as f64 * INITIAL_FRACTION;
         LatencyBaseline {
@@ -45,15 +46,15 @@
         }
     }
 
-    /// Notes an answer; returns its time over the calm one.
+    /// Adds an answer; returns the ratio of its time to the calm time.
     fn note(&mut self, elapsed: f64, objective: f64, now: Micros) -> f64 {
         self.count += 1.0;
         self.recent += (elapsed - self.recent) / self.count.min(RECENT_ANSWERS);
-        // Down at once, up by a percent a second.
-        let growth = 1.0 + (now - self.at) as f64 / MICROS_PER_SECOND * CALM_GROWTH;
-        self.long += (elapsed - self.long) / self.count.min(LONG_ANSWERS);
+        // The calm time falls at once and rises by one percent per second.
+        let growth = 1.0 + (now - self.at) as f64 / MICROS_PER_SECOND * CALM_GROWTH_PER_S;
+        self.long += (elapsed - self.long) / self.count.min(LONG_MEAN_ANSWERS);
         self.calm = if self.count <= RECENT_ANSWERS {
-            self.recent.min(objective * INITIAL_CALM_LIMIT)
+            self.recent.min(objective * INITIAL_MAX_CALM_FRACTION)
         } else {
             self.long.min(self.calm * growth)
         };
@@ -62,11 +63,11 @@
     }
 }
 
-/// The latencies of all classes.
+/// Latency of all classes.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct LatencyTracker {
     baselines: Vec<LatencyBaseline>,
-    /// The mean time of all answers, in microseconds.
+    /// Mean time of all answers, in microseconds.
     mean: f64,
 }
 
@@ -79,34 +80,34 @@
         LatencyTracker { baselines, mean }
     }
 
-    /// The recent mean of a class, in microseconds.
+    /// Recent mean of a class, in microseconds.
     pub(crate) fn recent(&self, class: usize) -> f64 {
         self.baselines[class].recent
     }
 
-    /// The time of a class on calm servers, in microseconds.
+    /// Answer time of a class on calm servers, in microseconds.
     pub(crate) fn calm(&self, class: usize) -> f64 {
         self.baselines[class].calm
     }
 
-    /// The mean of all answers, in microseconds.
+    /// Mean time of all answers, in microseconds.
     pub(crate) fn mean(&self) -> f64 {
         self.mean
     }
 
-    /// Notes an answer; returns its time over the calm one of its class.
+    /// Adds an answer; returns the ratio of its time to the calm time of its class.
     pub(crate) fn note(&mut self, class: usize, elapsed: f64, objective: f64, now: Micros) -> f64 {
         let slowdown = self.baselines[class].note(elapsed, objective, now);
         self.mean += MEAN_WEIGHT * (elapsed - self.mean);
         slowdown
     }
 
-    /// Forgets a class that is another one now.
+    /// Resets a class whose index now means a different class.
     pub(crate) fn reset(&mut self, class: usize, settings: &Class, now: Micros) {
         self.baselines[class] = LatencyBaseline::initial(settings, now);
     }
 
-    /// Begins the classes that are new at the end of the list.
+    /// Adds baselines for new classes at the end of the list.
     pub(crate) fn extend(&mut self, classes: &[Class], now: Micros) {
         let known = self.baselines.len();
         let new = classes.iter().skip(known);
--- a/crates/decision/src/load_balancing.rs
+++ b/crates/decision/src/load_balancing.rs
@@ -1,111 +1,115 @@
-//! Load balancing: which backend of a pool takes an attempt.
+//! Load balancing: which backend of a pool an attempt is sent to.
 //!
-//! A few backends are drawn by their weight, each gets a cost by its load, latency, health and
-//! distance, and the cheapest is picked: the power of two choices (Mitzenmacher 2001), with more
-//! choices the more of the load is this gateway's own, since what many gateways see as the least
-//! would be the least for all of them at once.
+//! A few candidates are sampled by weight, each is given a cost from its load, latency, health and
+//! distance, and the one with the lowest cost is used: the power of two choices (Mitzenmacher
+//! 2001). The larger this gateway's share of the load, the more candidates it compares. With many
+//! gateways, comparing many candidates would make all of them pick the same least loaded backend.
 
 use crate::backends::{Backend, Backends};
 use crate::ids::{BackendId, Micros};
 use crate::numeric::unit_hash;
-use crate::outlier_ejection::{Zones, SUSPECT_FROM};
+use crate::outlier_ejection::{Zones, SUSPECT_ABOVE};
 use crate::requests::{KeyBinding, PendingRequest};
 use crate::slow_start::{SendContext, SlowStart};
 
-/// Backends compared in a choice: more change it little, and cost as much as all else (ours).
+/// Maximum number of candidates compared: more would improve the choice little, and would take as
+/// long as all other work for a request.
 const MAX_CANDIDATES: usize = 10;
-/// Backends that a small gateway sends to: half may fail; connections stay few and in use (ours).
+/// Minimum number of backends that a gateway sends to: enough that half of them may fail, and few
+/// enough that connections stay in use.
 const MIN_SUBSET: usize = 12;
-/// Times that the gateways' subsets of the backends overlap: next to none is left out (ours).
+/// Number of gateways whose subsets each backend is in on average, so that hardly any backend is in
+/// none.
 const SUBSET_OVERLAP: usize = 8;
-/// Backends looked at, for each in the subset and for each candidate wanted (ours).
-const LOOKS_PER_MEMBER: usize = 4;
-const LOOKS_PER_CANDIDATE: usize = 16;
-/// Outliers found for each candidate wanted after which the search ends (ours).
+/// Limits on the backends examined: per member of the subset, and per wanted candidate.
+const EXAMINED_PER_MEMBER: usize = 4;
+const EXAMINED_PER_CANDIDATE: usize = 16;
+/// The search ends after this many outliers per wanted candidate.
 const OUTLIERS_PER_CANDIDATE: usize = 4;
-/// The random part of a cost (ours).
+/// Relative size of the random part of a cost.
 const JITTER: f64 = 0.1;
-/// The golden ratio's fraction: its multiples are spread evenly over a unit (Knuth, vol. 3, 6.4).
+/// Fractional part of the golden ratio: its multiples modulo 1 are spread evenly over the unit
+/// interval (Knuth, vol. 3, 6.4).
 const GOLDEN_FRACTION: f64 = 0.618_034;
-/// The factor on the cost of a backend in another zone (ours).
-const OTHER_ZONE: f64 = 1.05;
-/// The factor on the cost of a backend that the request has been at (ours).
-const TRIED: f64 = 8.0;
-/// What an error rate of 1 adds to the factor on the cost (ours).
-const ERRORS: f64 = 10.0;
-/// The factor on the cost of an ejected backend (ours).
-const EJECTED: f64 = 10.0;
-/// The most gateways that a reported queue is split among (ours).
-const QUEUE_GATEWAYS: u64 = 4;
+/// Cost factor of a backend in another zone than the gateway.
+const OTHER_ZONE_FACTOR: f64 = 1.05;
+/// Cost factor of a backend to which the request has already been sent.
+const TRIED_FACTOR: f64 = 8.0;
+/// Increase of the cost factor at an error rate of 1; proportional below.
+const ERROR_RATE_FACTOR: f64 = 10.0;
+/// Cost factor of an ejected backend.
+const EJECTED_FACTOR: f64 = 10.0;
+/// Maximum number of gateways among which a reported queue is divided.
+const MAX_QUEUE_GATEWAYS: u64 = 4;
 
-/// What a choice among the backends of a pool depends on.
+/// The inputs to choosing a backend of a pool.
 pub(crate) struct Choice<'a> {
     pub(crate) backends: &'a Backends,
     pub(crate) zones: &'a Zones,
     pub(crate) slow_start: &'a SlowStart,
     pub(crate) sends: SendContext<'a>,
-    /// The places of the pool's ready backends, and their weight.
-    pub(crate) places: &'a [usize],
+    /// Indices of the pool's ready backends, and their total weight.
+    pub(crate) backend_indices: &'a [usize],
     pub(crate) pool_weight: f64,
     pub(crate) request: &'a PendingRequest,
     pub(crate) binding: Option<KeyBinding>,
-    /// The seed of this choice's draws.
+    /// Seed of this choice's random numbers.
     pub(crate) seed: u64,
-    /// The zone of this gateway.
+    /// Zone of this gateway.
     pub(crate) zone: u8,
 }
 
-/// How many backends are looked at.
+/// How many backends are examined and compared.
 struct Sampling {
-    /// All of the pool, and those of them that this gateway sends to.
-    all: usize,
+    /// Number of backends in the pool, and in the subset that this gateway sends to.
+    pool_size: usize,
     subset: usize,
-    /// Candidates wanted.
+    /// Number of candidates to compare.
     wanted: usize,
-    /// Backends looked at, at most.
-    looks: usize,
+    /// Maximum number of backends to examine.
+    max_examined: usize,
 }
 
 impl Sampling {
-    /// Candidates are drawn by their weight, rather than all compared.
+    /// Whether candidates are sampled by weight; otherwise all backends are compared.
     fn is_drawn(&self) -> bool {
-        self.wanted < self.all
+        self.wanted < self.pool_size
     }
 }
 
-/// A backend that may take the attempt.
+/// A backend that the attempt may be sent to.
 struct Candidate {
     backend: BackendId,
     cost: f64,
-    /// It is ejected, or suspect.
+    /// Whether the backend is ejected or has a high error rate.
     outlier: bool,
 }
 
 impl Choice<'_> {
-    /// The backend that takes the attempt; none where none may.
+    /// The backend to send the attempt to; `None` if no backend may receive it.
     pub(crate) fn pick(&self) -> Option<BackendId> {
         let sampling = self.sampling();
-        let noise = unit_hash(self.seed);
-        let start = (noise * sampling.subset as f64) as usize;
+        let random = unit_hash(self.seed);
+        let start = (random * sampling.subset as f64) as usize;
         let mut best: Option<Candidate> = None;
-        let mut sound = 0;
+        let mut healthy = 0;
         let mut outliers = 0;
-        for look in 0..sampling.looks {
-            let place = self.places[(start + look) % sampling.subset];
-            let backend = self.backends.at(place);
-            let Some(candidate) = self.candidate(backend, look, noise, &sampling) else {
+        for position in 0..sampling.max_examined {
+            let index = self.backend_indices[(start + position) % sampling.subset];
+            let backend = self.backends.at(index);
+            let Some(candidate) = self.candidate(backend, position, random, &sampling) else {
                 continue;
             };
             if candidate.outlier {
                 outliers += 1;
             } else {
-                sound += 1;
+                healthy += 1;
             }
-            let least = best.as_ref().map_or(f64::MAX, |b| b.cost);
-            if candidate.cost < least {
+            let lowest_cost = best.as_ref().map_or(f64::MAX, |b| b.cost);
+            if candidate.cost < lowest_cost {
                 best = Some(candidate);
             }
-            if sound >= sampling.wanted || outliers > OUTLIERS_PER_CANDIDATE * sampling.wanted {
+            if healthy >= sampling.wanted || outliers > OUTLIERS_PER_CANDIDATE * sampling.wanted {
                 break;
             }
         }
@@ -113,40 +117,40 @@
     }
 
     fn sampling(&self) -> Sampling {
-        let all = self.places.len();
+        let pool_size = self.backend_indices.len();
         let gateways = self.sends.gateway_count as usize;
-        let wanted = (2 + 3 * all / gateways).min(MAX_CANDIDATES);
-        let drawn = wanted < all;
-        // Always among the same few: connections seldom used are closed, and made anew at each
-        // request.
+        let wanted = (2 + 3 * pool_size / gateways).min(MAX_CANDIDATES);
+        let drawn = wanted < pool_size;
+        // Send to the same few backends each time: connections that are seldom used are closed and
+        // would have to be opened again.
         let subset = if drawn && self.binding.is_none() {
-            all.min(MIN_SUBSET.max(SUBSET_OVERLAP * all / gateways))
+            pool_size.min(MIN_SUBSET.max(SUBSET_OVERLAP * pool_size / gateways))
         } else {
-            all
+            pool_size
         };
-        let looks = if !drawn {
+        let max_examined = if !drawn {
             subset
         } else if self.binding.is_some() {
-            LOOKS_PER_MEMBER * subset
+            EXAMINED_PER_MEMBER * subset
         } else {
-            (LOOKS_PER_MEMBER * subset).min(LOOKS_PER_CANDIDATE * wanted)
+            (EXAMINED_PER_MEMBER * subset).min(EXAMINED_PER_CANDIDATE * wanted)
         };
         Sampling {
-            all,
+            pool_size,
             subset,
             wanted,
-            looks,
+            max_examined,
         }
     }
 
-    /// A backend as a candidate with its cost; none where it may not take the attempt or is not
-    /// drawn.
+    /// Returns a backend as a candidate with its cost; `None` if the attempt may not be sent there
+    /// or the backend is not sampled.
     #[inline]
     fn candidate(
         &self,
         backend: &Backend,
-        look: usize,
-        noise: f64,
+        position: usize,
+        random: f64,
         sampling: &Sampling,
     ) -> Option<Candidate> {
         let bound_elsewhere = self.binding.is_some_and(|b| !b.covers(backend.endpoint()));
@@ -157,52 +161,56 @@
         if !warm_up.may_send {
             return None;
         }
-        // Its latency was learned while it warmed up: by both, it would count twice.
+        // The relative latency already includes the slowness during warm-up; the square root keeps
+        // warm-up from counting twice.
         let weight = backend.weight() * warm_up.factor.sqrt() / backend.relative_latency()
-            * sampling.all as f64
+            * sampling.pool_size as f64
             / self.pool_weight
             / 2.0;
         let drawn = sampling.is_drawn();
-        if drawn && unit_hash(self.seed ^ (look as u64) << 40) > weight {
+        if drawn && unit_hash(self.seed ^ (position as u64) << 40) > weight {
             return None;
         }
-        let jitter = 1.0 + JITTER * ((noise + look as f64 * GOLDEN_FRACTION) % 1.0);
+        let jitter = 1.0 + JITTER * ((random + position as f64 * GOLDEN_FRACTION) % 1.0);
         let share = if drawn { 1.0 } else { weight };
         Some(self.cost(backend, jitter, share))
     }
 
-    /// The cost of a backend: its load, by its share of the pool, and by all that speaks against
-    /// it.
+    /// The cost of sending to a backend: its load relative to its share of the pool, times factors
+    /// for its distance, its errors and earlier attempts of the request there.
     #[inline]
     fn cost(&self, backend: &Backend, jitter: f64, share: f64) -> Candidate {
         let now = self.now();
         let zone = backend.endpoint().zone;
-        let health = backend.fault(usize::from(self.request.request().class));
-        // Failing connections count against the zone as well: it may be cut off, with all that is
-        // in it.
+        let health = backend.health_if_faulty(usize::from(self.request.request().class));
+        // Errors of the whole zone count as well: the zone may be cut off with all of its backends.
         let zone_errors = self.zones.error_rate(zone, now);
         let errors = health.map_or(0.0, |h| h.error_rate(now)).max(zone_errors);
         let ejected = health.is_some_and(|h| h.is_on_trial(now, backend.in_flight()));
-        let distance = if zone == self.zone { 1.0 } else { OTHER_ZONE };
+        let distance = if zone == self.zone {
+            1.0
+        } else {
+            OTHER_ZONE_FACTOR
+        };
         let tried = if self.has_tried(backend.id()) {
-            TRIED
+            TRIED_FACTOR
         } else {
             1.0
         };
-        let faults = (1.0 + ERRORS * errors) * tried;
+        let faults = (1.0 + ERROR_RATE_FACTOR * errors) * tried;
         let cost = self.load(backend) * jitter * distance * faults / share;
         Candidate {
             backend: backend.id(),
-            // Ejected ones come last, but none is shut out: else where most are ejected the rest
-            // are pushed over.
-            cost: cost * if ejected { EJECTED } else { 1.0 },
-            outlier: ejected || errors > SUSPECT_FROM,
+            // Ejected backends are the last choice but not excluded: if most are ejected, excluding
+            // them would overload the rest.
+            cost: cost * if ejected { EJECTED_FACTOR } else { 1.0 },
+            outlier: ejected || errors > SUSPECT_ABOVE,
         }
     }
 
     #[inline]
     fn load(&self, backend: &Backend) -> f64 {
-        let gateways = self.sends.gateway_count.min(QUEUE_GATEWAYS) as f64;
+        let gateways = self.sends.gateway_count.min(MAX_QUEUE_GATEWAYS) as f64;
         f64::from(backend.in_flight()) + 1.0 + backend.queue(self.now()) / gateways
     }
 
--- a/crates/decision/src/pools/fallback.rs
+++ b/crates/decision/src/pools/fallback.rs
@@ -1,32 +1,34 @@
-//! Fallback traffic in a pool: requests whose own pools are others.
+//! Fallback traffic in a pool: requests whose own pools are other pools.
 //!
-//! A part of each pool is kept for its own requests, so that what falls back on it cannot push it
-//! over. What fallback traffic finds is no pressure of the pool's own requests either: these are
-//! not cut for it.
+//! A fraction of each pool is reserved for its own requests, so that fallback traffic cannot
+//! overload it. The pressure that fallback traffic meets is kept apart from that of the pool's own
+//! requests, so that these are not shed because of it.
 
 use crate::ids::Micros;
-use crate::load_shedding::{memory_of, weigh_pressure, PRESSURE_HIGH, PRESSURE_LOW};
+use crate::load_shedding::{mean_pressure, retained_weight, PRESSURE_HIGH, PRESSURE_LOW};
 use crate::numeric::decay;
 use serde::{Deserialize, Serialize};
 
-/// The part of a pool's limit up to which it takes what others can't (ours).
-const OVERFLOW_PART: f64 = 0.7;
-/// The memory of what a pool's own requests need of it, in seconds: longer than these take (ours).
-const NEED_TIME_CONSTANT: f64 = 3.0;
+/// Fraction of a pool's concurrency limit that its own requests and fallback traffic may use
+/// together before further fallback traffic is refused.
+const MAX_FALLBACK_FRACTION: f64 = 0.7;
+/// Time constant, in seconds, with which the peak demand of a pool's own requests and the pressure
+/// of fallback traffic are forgotten: longer than requests take.
+const FALLBACK_TIME_CONSTANT: f64 = 3.0;
 
-/// The fallback traffic of a pool, and what its own requests leave it.
+/// The fallback traffic of a pool, and the capacity that the pool's own requests need.
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct FallbackTraffic {
     in_flight: u32,
     pressure: f64,
     pressure_at: Micros,
-    /// The most slots that the pool's own requests have taken of late.
-    own_need: f64,
-    own_need_at: Micros,
+    /// Recent peak of the slots that the pool's own requests take.
+    own_peak: f64,
+    own_peak_at: Micros,
 }
 
 impl FallbackTraffic {
-    /// Of all attempts in flight, those of the pool's own requests.
+    /// Of `all` attempts in flight in the pool, those of its own requests.
     pub(super) fn own_in_flight(&self, all: u32) -> u32 {
         all - self.in_flight.min(all)
     }
@@ -39,37 +41,38 @@
         self.in_flight = self.in_flight.saturating_sub(u32::from(fallback));
     }
 
-    /// Notes the slots that the pool's own requests take.
+    /// Records the slots that the pool's own requests take now.
     pub(super) fn note_own_load(&mut self, load: f64, now: Micros) {
-        self.own_need = self.own_need(load, now);
-        self.own_need_at = now;
+        self.own_peak = self.own_peak(load, now);
+        self.own_peak_at = now;
     }
 
-    fn own_need(&self, load: f64, now: Micros) -> f64 {
-        load.max(self.own_need * decay(self.own_need_at, now, NEED_TIME_CONSTANT))
+    fn own_peak(&self, load: f64, now: Micros) -> f64 {
+        load.max(self.own_peak * decay(self.own_peak_at, now, FALLBACK_TIME_CONSTANT))
     }
 
-    /// Notes what an answer of fallback traffic says.
+    /// Adds the pressure of one answer of fallback traffic.
     pub(super) fn note_pressure(&mut self, pressure: f64, now: Micros) {
-        let keep = memory_of(self.pressure_at, now);
-        self.pressure = weigh_pressure(self.pressure, pressure, keep);
+        let retained = retained_weight(self.pressure_at, now);
+        self.pressure = mean_pressure(self.pressure, pressure, retained);
         self.pressure_at = now;
     }
 
-    /// The part of the pool that it may use: what the pool's own requests leave of it, but for some
-    /// to grow into.
-    pub(super) fn part(&self, limit: f64, own_load: f64, now: Micros) -> f64 {
-        (OVERFLOW_PART - self.own_need(own_load, now) / limit).max(0.0)
+    /// Fraction of the pool that fallback traffic may use: what the recent peak of the pool's own
+    /// requests leaves, less a reserve for these to grow.
+    pub(super) fn usable_fraction(&self, limit: f64, own_load: f64, now: Micros) -> f64 {
+        (MAX_FALLBACK_FRACTION - self.own_peak(own_load, now) / limit).max(0.0)
     }
 
-    /// Whether one more may come by the room that there is.
+    /// Whether the limit has room for one more request of fallback traffic.
     pub(super) fn has_room(&self, limit: f64, own_load: f64, now: Micros) -> bool {
-        f64::from(self.in_flight) < limit * self.part(limit, own_load, now)
+        f64::from(self.in_flight) < limit * self.usable_fraction(limit, own_load, now)
     }
 
-    /// Whether neither the pool's own requests nor the fallback traffic are pressed.
+    /// Whether the pressure of the pool's own requests is low and that of fallback traffic is not
+    /// high.
     pub(super) fn is_calm(&self, own_pressure: f64, now: Micros) -> bool {
-        let pressure = self.pressure * decay(self.pressure_at, now, NEED_TIME_CONSTANT);
+        let pressure = self.pressure * decay(self.pressure_at, now, FALLBACK_TIME_CONSTANT);
         own_pressure < PRESSURE_LOW && pressure < PRESSURE_HIGH
     }
 }
--- a/crates/decision/src/pools/mod.rs
+++ b/crates/decision/src/pools/mod.rs
@@ -1,6 +1,6 @@
-//! Pools of backends: the backends of a pool, what it has in flight and waiting, and how it fares.
-//! Pool 0 is that of all backends. Each pool decides by itself how much may be in flight and who is
-//! rejected: one that is pressed sheds its own load and nobody else's.
+//! Pools of backends: the backends of each pool, its attempts in flight, its queue, and its load.
+//! Pool 0 contains all backends. Each pool decides on its own how many attempts may be in flight
+//! and which requests are rejected: an overloaded pool sheds only its own load.
 
 mod fallback;
 mod recovery;
@@ -18,19 +18,20 @@
 /// The ready backends of a pool.
 #[derive(Default, Serialize, Deserialize)]
 struct Members {
-    /// Their places, in an order of this gateway's own.
-    places: Vec<usize>,
+    /// Their indices in [`Backends`](crate::backends::Backends), in an order specific to this
+    /// gateway.
+    backend_indices: Vec<usize>,
     weight: f64,
-    /// As many as they are worth, the slow and those that warm up for less than one.
+    /// Effective number of backends: a slow one, or one that warms up, counts for less than one.
     capacity: f64,
 }
 
-/// A pool, as this gateway knows it.
+/// The state of a pool on this gateway.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Pool {
     members: Members,
     waiting: VecDeque<RequestId>,
-    /// Attempts in flight that went through this pool.
+    /// Attempts in flight that were sent through this pool.
     in_flight: u32,
     fallback: FallbackTraffic,
     limit: ConcurrencyLimit,
@@ -38,7 +39,7 @@
     recovery: PoolRecovery,
 }
 
-/// A change of a pool's load-shedding level, with the figures that led to it.
+/// A change of a pool's load-shedding level, with the values that led to it.
 pub(crate) struct PoolLevelChange {
     pub(crate) level: LevelChange,
     pub(crate) pressure: f64,
@@ -54,12 +55,12 @@
         }
     }
 
-    /// The places of its ready backends.
-    pub(crate) fn places(&self) -> &[usize] {
-        &self.members.places
+    /// Indices of the pool's ready backends.
+    pub(crate) fn backend_indices(&self) -> &[usize] {
+        &self.members.backend_indices
     }
 
-    /// The weight of its ready backends.
+    /// Total weight of the pool's ready backends.
     pub(crate) fn weight(&self) -> f64 {
         self.members.weight
     }
@@ -68,16 +69,17 @@
         self.members.capacity = capacity;
     }
 
-    /// Its ready backends are others now.
-    pub(crate) fn set_members(&mut self, places: Vec<usize>, weight: f64, now: Micros) {
-        let was_empty = self.members.places.is_empty();
+    /// Replaces the pool's ready backends. If the pool had lost all of its backends before, its
+    /// load shedding is reset.
+    pub(crate) fn set_members(&mut self, backend_indices: Vec<usize>, weight: f64, now: Micros) {
+        let was_empty = self.members.backend_indices.is_empty();
         let returned = self
             .recovery
-            .note_members(was_empty, places.is_empty(), now);
+            .note_members(was_empty, backend_indices.is_empty(), now);
         if returned {
-            self.shedding.forget();
+            self.shedding.reset();
         }
-        self.members.places = places;
+        self.members.backend_indices = backend_indices;
         self.members.weight = weight;
     }
 
@@ -93,7 +95,7 @@
         self.waiting.len()
     }
 
-    /// The request at the head of its queue.
+    /// The request at the head of the queue.
     pub(crate) fn queue_head(&self) -> Option<RequestId> {
         self.waiting.front().copied()
     }
@@ -106,35 +108,36 @@
         self.waiting.pop_front();
     }
 
-    /// Takes all that waits.
+    /// Empties the queue and returns its requests in order.
     pub(crate) fn take_queue(&mut self) -> VecDeque<RequestId> {
         std::mem::take(&mut self.waiting)
     }
 
-    /// The bound on what this gateway has in flight through it, of so many gateways.
+    /// The number of attempts that this gateway, one of `gateways`, may have in flight through the
+    /// pool.
     pub(crate) fn concurrency_limit(&self, gateways: u64) -> f64 {
         let pressure = self.shedding.pressure();
         self.limit
             .value(self.members.capacity, pressure, gateways as f64)
     }
 
-    /// The part of the pool that a request may use, from 0 to 1.
-    pub(crate) fn part_for(&self, fallback: bool, gateways: u64, now: Micros) -> f64 {
+    /// Fraction of the pool that a request may use, from 0 to 1.
+    pub(crate) fn usable_fraction(&self, fallback: bool, gateways: u64, now: Micros) -> f64 {
         if fallback {
             let limit = self.concurrency_limit(gateways);
-            self.fallback.part(limit, self.own_load(), now)
+            self.fallback.usable_fraction(limit, self.own_load(), now)
         } else {
             1.0
         }
     }
 
-    /// Slots that its own requests take now, in flight or waiting.
+    /// Slots that the pool's own requests need now: attempts in flight and queued requests.
     fn own_load(&self) -> f64 {
         let own = self.fallback.own_in_flight(self.in_flight);
         f64::from(own) + self.waiting.len() as f64
     }
 
-    /// An attempt goes out through it.
+    /// Records that an attempt is sent through the pool.
     pub(crate) fn note_sent(&mut self, fallback: bool, now: Micros) {
         self.in_flight += 1;
         if fallback {
@@ -145,13 +148,14 @@
         }
     }
 
-    /// One that went out through it has ended.
+    /// Records that an attempt sent through the pool has ended, or no longer counts.
     pub(crate) fn release(&mut self, fallback: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.fallback.release(fallback);
     }
 
-    /// Notes what an answer says of its load.
+    /// Adds the load seen by one answer. An answer of the pool's own requests counts towards its
+    /// pressure and may grow its concurrency limit; one of fallback traffic is kept apart.
     pub(crate) fn note_pressure(
         &mut self,
         fallback: bool,
@@ -163,17 +167,18 @@
             return self.fallback.note_pressure(sample.pressure, now);
         }
         let limit = self.concurrency_limit(gateways);
-        self.shedding.note(sample, now);
+        self.shedding.note_answer(sample, now);
         self.limit
             .grow(&self.shedding, f64::from(self.in_flight), limit);
     }
 
-    /// Notes how an attempt of its own ended.
+    /// Records the outcome of an attempt sent through the pool.
     pub(crate) fn note_outcome(&mut self, failed: bool, now: Micros) {
-        self.recovery.note(failed, now);
+        self.recovery.note_outcome(failed, now);
     }
 
-    /// Moves its load-shedding level and cuts its limit, as the pressure says.
+    /// Adjusts the load-shedding level and the concurrency limit to the current pressure; returns a
+    /// change of the level.
     pub(crate) fn step(&mut self, gateways: u64, now: Micros) -> Option<PoolLevelChange> {
         let limit = self.concurrency_limit(gateways);
         let change = self.shedding.step(now);
@@ -187,38 +192,38 @@
         })
     }
 
-    /// Whether one of its own requests may go at once.
+    /// Whether one of the pool's own requests may be sent at once.
     fn has_capacity(&self, gateways: u64) -> bool {
         f64::from(self.in_flight) < self.concurrency_limit(gateways)
     }
 
-    /// Whether one more request may fall back on it.
+    /// Whether one more request may fall back on the pool.
     fn has_spare_capacity(&self, gateways: u64, now: Micros) -> bool {
         let limit = self.concurrency_limit(gateways);
-        let calm = self.fallback.is_calm(self.shedding.pressure(), now);
-        let room = self.fallback.has_room(limit, self.own_load(), now)
+        let is_calm = self.fallback.is_calm(self.shedding.pressure(), now);
+        let has_room = self.fallback.has_room(limit, self.own_load(), now)
             && f64::from(self.in_flight) < limit;
-        let usable = !self.recovery.is_failing() && !self.members.places.is_empty();
-        calm && room && self.waiting.is_empty() && usable
+        let usable = !self.recovery.is_failing() && !self.members.backend_indices.is_empty();
+        is_calm && has_room && self.waiting.is_empty() && usable
     }
 }
 
-/// All pools, by their numbers.
+/// All pools, indexed by their numbers.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Pools {
     by_number: Vec<Pool>,
 }
 
 impl Pools {
-    /// The pool of all backends and `routed` more.
+    /// Creates the pool of all backends and `routed` further pools.
     pub(crate) fn new(routed: usize) -> Pools {
         let mut pools = Pools::default();
         pools.grow(routed);
         pools
     }
 
-    /// Makes pools up to `routed` besides that of all backends. None goes: what is in flight
-    /// through it counts until it is back.
+    /// Adds pools until there are `routed` besides the pool of all backends. No pool is removed,
+    /// because attempts in flight through it are still counted there.
     pub(crate) fn grow(&mut self, routed: usize) {
         let count = (routed + 1).max(self.by_number.len());
         self.by_number.resize_with(count, Pool::new);
@@ -240,7 +245,7 @@
         self.by_number.iter_mut()
     }
 
-    /// An attempt has ended, or counts no more.
+    /// Records that an attempt has ended, or no longer counts in its pool.
     pub(crate) fn release(&mut self, selection: PoolSelection) {
         self.by_number[selection.pool].release(selection.fallback);
     }
--- a/crates/decision/src/pools/recovery.rs
+++ b/crates/decision/src/pools/recovery.rs
@@ -1,45 +1,46 @@
 //! Whether a pool fails as a whole, and how it takes its customers back afterwards.
 //!
-//! A pool that has nobody ready, or fails as a whole, is passed over. A trickle still goes to one
-//! that fails, to see when it is back; what must never run twice is not used for that. One that is
-//! back takes its customers back step by step, the same ones first each time: one that comes and
-//! goes each second keeps few of them, instead of all of them moving each time.
+//! A pool that has no ready backend, or fails as a whole, is skipped. A small fraction of the
+//! requests still goes to a failing pool, to notice when it works again; requests that must never
+//! run twice are not used for that. A pool that has recovered takes its customers back gradually
+//! and always in the same order, so that a pool that fails every second keeps only a few of them
+//! instead of moving all of them each time.
 
 use crate::ids::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How long a pool that is back takes to have all of its customers again, in microseconds: longer
-/// than it takes to see that it is gone (ours).
+/// Time in which a recovered pool takes back all of its customers, in microseconds: longer than it
+/// takes to detect a failure.
 const RECOVERY_TIME: Micros = 4_000_000;
-/// The fraction that comes back at once (ours).
+/// Fraction of the customers that a recovered pool takes back at once.
 const INITIAL_FRACTION: f64 = 0.1;
-/// The error rate of recent answers from which a pool fails as a whole, and the one at which it is
-/// back (ours).
-const FAILING_FROM: f64 = 0.6;
+/// Error rate of recent answers above which a pool counts as failing, and the rate below which it
+/// has recovered.
+const FAILING_ABOVE: f64 = 0.6;
 const WORKING_BELOW: f64 = 0.3;
-/// The weight of an answer in that rate: a handful tells (ours).
+/// Weight of one answer in the error rate: a few answers are enough to change the verdict.
 const ANSWER_WEIGHT: f64 = 0.15;
-/// The fraction of requests that goes to a pool that fails (ours).
-const TRICKLE: f64 = 0.1;
+/// Fraction of the requests that still goes to a failing pool.
+const PROBE_FRACTION: f64 = 0.1;
 
-/// How a pool fares as a whole.
+/// The health of a pool as a whole.
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct PoolRecovery {
     error_rate: f64,
     failing: bool,
-    /// Since when it takes its customers back; none where it has them all, as from the start on.
+    /// Start of the recovery ramp; `None` if the pool has never been without backends or failing.
     recovering_since: Option<Micros>,
-    /// It has had a backend before.
+    /// Whether the pool has ever had a ready backend.
     had_members: bool,
 }
 
-/// A request as it chooses among pools.
+/// The properties of a request that decide whether a pool accepts it.
 pub(super) struct Candidate {
-    /// The customer's place in the order in which they come back, from 0 to 1.
-    pub(super) customer: f64,
-    /// The request's draw for the trickle, from 0 to 1.
-    pub(super) draw: f64,
-    /// It must never run twice.
+    /// The customer's position in the recovery order, from 0 (first) to 1.
+    pub(super) recovery_position: f64,
+    /// The request's random number from 0 to 1, which selects the requests for a failing pool.
+    pub(super) probe_draw: f64,
+    /// Whether the request must never run twice.
     pub(super) not_idempotent: bool,
 }
 
@@ -48,11 +49,12 @@
         self.failing
     }
 
-    /// Its ready backends changed; true if it is back after it had none.
+    /// Records a change of the ready backends; true if the pool has some again after having had
+    /// none.
     pub(super) fn note_members(&mut self, was_empty: bool, is_empty: bool, now: Micros) -> bool {
         let returned = was_empty && !is_empty && self.had_members;
         if returned {
-            // What was seen before it was gone says nothing of those that came.
+            // Results from before the pool was empty say nothing about its new backends.
             self.error_rate = 0.0;
             self.failing = false;
             self.recovering_since = Some(now);
@@ -61,24 +63,24 @@
         returned
     }
 
-    /// Notes how an attempt of its own ended.
-    pub(super) fn note(&mut self, failed: bool, now: Micros) {
+    /// Records the outcome of an attempt sent through the pool.
+    pub(super) fn note_outcome(&mut self, failed: bool, now: Micros) {
         self.error_rate += ANSWER_WEIGHT * (f64::from(u8::from(failed)) - self.error_rate);
         if self.failing && self.error_rate < WORKING_BELOW {
             self.failing = false;
             self.recovering_since = Some(now);
         }
-        self.failing |= self.error_rate > FAILING_FROM;
+        self.failing |= self.error_rate > FAILING_ABOVE;
     }
 
-    /// Whether a request may go to the pool, which has somebody ready.
+    /// Whether the pool, which has a ready backend, accepts a request.
     pub(super) fn admits(&self, candidate: &Candidate, now: Micros) -> bool {
         if self.failing {
-            return !candidate.not_idempotent && candidate.draw < TRICKLE;
+            return !candidate.not_idempotent && candidate.probe_draw < PROBE_FRACTION;
         }
         let returned = self.recovering_since.map_or(1.0, |since| {
             INITIAL_FRACTION + (now - since) as f64 / RECOVERY_TIME as f64
         });
-        candidate.customer < returned
+        candidate.recovery_position < returned
     }
 }
--- a/crates/decision/src/pools/routing.rs
+++ b/crates/decision/src/pools/routing.rs
@@ -1,8 +1,8 @@
 //! Routing: which of a request's pools it goes to, and when it falls back.
 //!
-//! A request has its pools in order, best first, the first of them its own; without any it may go
-//! to every backend, which is pool 0. A pool that is at its limit sends what is beyond it on, as
-//! far as the next one has room to spare.
+//! A request lists its pools in order of preference: first its own pools, then those it may fall
+//! back on. A request that lists none may go to every backend, which is pool 0. Requests beyond a
+//! pool's limit go to the next pool as long as that has spare capacity.
 
 use super::recovery::Candidate;
 use super::Pools;
@@ -12,16 +12,17 @@
 use crate::requests::PendingRequest;
 use crate::settings::{Idempotency, MAX_ROUTE_POOLS};
 
-/// Seeds that keep the draws of customers and of requests apart from others'.
+/// Hash seeds that make the random numbers of customers and of requests independent of each other
+/// and of other uses of the same ids.
 const CUSTOMER_SEED: u64 = 0x5EED;
 const REQUEST_SEED: u64 = 0x7121;
 
-/// The pools of a request in their order.
+/// A request's pools in order of preference.
 struct Route {
     pools: [u8; MAX_ROUTE_POOLS],
     len: usize,
-    /// How many of them are its own: what it falls back on comes behind these.
-    own: usize,
+    /// The number of the request's own pools; the pools after these are for fallback.
+    own_count: usize,
 }
 
 impl Route {
@@ -32,54 +33,55 @@
 
 impl Pools {
     fn route(&self, request: &Request) -> Route {
-        let named = request.route.iter();
-        let known = named
+        let listed = request.route.iter();
+        let known = listed
             .take_while(|p| **p != 0 && usize::from(**p) < self.by_number.len())
             .count();
-        // A request without a route has one pool, that of all backends.
+        // A request without a route has one pool, the pool of all backends.
         let len = known.max(1);
         Route {
             pools: request.route,
             len,
-            own: usize::from(request.own_pools).clamp(1, len),
+            own_count: usize::from(request.own_pools).clamp(1, len),
         }
     }
 
-    /// The position of the first of a request's pools that takes it at all; where none does, the
-    /// first.
+    /// Position of the first of a request's pools that accepts it, regardless of capacity; 0 if
+    /// none does.
     fn best_position(&self, route: &Route, pending: &PendingRequest, now: Micros) -> usize {
         if route.len == 1 {
             return 0;
         }
         let request = pending.request();
         let candidate = Candidate {
-            customer: unit_hash(request.customer.0 ^ CUSTOMER_SEED),
-            draw: unit_hash(request.id.0 ^ REQUEST_SEED),
+            recovery_position: unit_hash(request.customer.0 ^ CUSTOMER_SEED),
+            probe_draw: unit_hash(request.id.0 ^ REQUEST_SEED),
             not_idempotent: pending.class().idempotency == Idempotency::NotIdempotent,
         };
         let admits = |position: &usize| {
             let pool = &self.by_number[route.pool(*position)];
-            !pool.members.places.is_empty() && pool.recovery.admits(&candidate, now)
+            !pool.members.backend_indices.is_empty() && pool.recovery.admits(&candidate, now)
         };
         (0..route.len).find(admits).unwrap_or(0)
     }
 
-    /// The pool that a request goes to if it goes at once: by its level it is admitted or not.
+    /// The pool that a request would use now, regardless of capacity. Its load-shedding level
+    /// decides whether the request is admitted.
     pub(crate) fn best_for(&self, pending: &PendingRequest, now: Micros) -> usize {
         let route = self.route(pending.request());
         route.pool(self.best_position(&route, pending, now))
     }
 
-    /// The pool in whose queue a request waits: one of its own, for in another's queue it would
-    /// hold up that one's own.
+    /// The pool in whose queue a request waits. It is always one of the request's own: in another
+    /// pool's queue it would delay that pool's own requests.
     pub(crate) fn queue_for(&self, pending: &PendingRequest, now: Micros) -> usize {
         let route = self.route(pending.request());
         let best = self.best_position(&route, pending, now);
-        route.pool(if best < route.own { best } else { 0 })
+        route.pool(if best < route.own_count { best } else { 0 })
     }
 
-    /// The pools that would take a request now, best first: its best one within its limit, those
-    /// behind with room to spare.
+    /// The pools that have capacity for a request now, best first: own pools within their limits,
+    /// later pools with spare capacity.
     pub(crate) fn with_capacity(
         &self,
         pending: &PendingRequest,
@@ -88,36 +90,36 @@
     ) -> [Option<usize>; MAX_ROUTE_POOLS] {
         let route = self.route(pending.request());
         let best = self.best_position(&route, pending, now);
-        let mut found = [None; MAX_ROUTE_POOLS];
-        for (position, slot) in found.iter_mut().enumerate().take(route.len).skip(best) {
+        let mut pools = [None; MAX_ROUTE_POOLS];
+        for (position, slot) in pools.iter_mut().enumerate().take(route.len).skip(best) {
             let number = route.pool(position);
             let pool = &self.by_number[number];
-            let takes = if position < route.own {
+            let has_room = if position < route.own_count {
                 let usable = position == best || !pool.recovery.is_failing();
                 usable && pool.has_capacity(gateways)
             } else {
                 pool.has_spare_capacity(gateways, now)
             };
-            *slot = takes.then_some(number);
+            *slot = has_room.then_some(number);
         }
-        found
+        pools
     }
 
-    /// Whether a request falls back on a pool.
+    /// Whether a request that uses `pool` is fallback traffic there.
     pub(crate) fn is_fallback(&self, request: &Request, pool: usize) -> bool {
         let route = self.route(request);
-        let own = &route.pools[..route.own];
-        route.own < route.len && own.iter().all(|p| usize::from(*p) != pool)
+        let own = &route.pools[..route.own_count];
+        route.own_count < route.len && own.iter().all(|p| usize::from(*p) != pool)
     }
 
-    /// The pools that an endpoint is in.
+    /// Numbers of the pools that an endpoint belongs to.
     pub(crate) fn of_endpoint(&self, endpoint: &Endpoint) -> Vec<usize> {
         let all = 0..self.by_number.len();
         all.filter(|pool| is_in_pool(endpoint, *pool)).collect()
     }
 }
 
-/// Whether an endpoint is in a pool; pool 0 has all.
+/// Whether an endpoint belongs to a pool; pool 0 contains all endpoints.
 pub(crate) fn is_in_pool(endpoint: &Endpoint, pool: usize) -> bool {
     pool == 0 || endpoint.pools & 1 << (pool - 1) != 0
 }
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -1,8 +1,9 @@
-//! Slow start: how warm a backend is that started lately, and how much may be sent to it meanwhile.
+//! Slow start: the warm-up factor of recently started backends, and how many attempts may be sent
+//! to them.
 //!
-//! A backend that warms up fails when it gets more than a multiple of its present capacity in a
-//! window. Each gateway spends its own part of a budget below that; where that part is less than
-//! one request, the gateways draw who may send one.
+//! A backend that warms up fails if it receives more than a multiple of its present capacity within
+//! a window. Each gateway keeps its attempts within its own share of a budget below that. Where
+//! that share is less than one request, a random number decides which gateways may send one.
 
 use crate::backends::{note_recent, Backend, Backends};
 use crate::ids::{GatewayId, Micros};
@@ -11,16 +12,16 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// The part of the rule's budget that is spent on a backend that warms up: the rest is for chance
-/// (ours).
-const BUDGET_PART: f64 = 0.6;
-/// The memory of the rate of sends in seconds: longer than pauses, shorter than shifts of load
-/// (ours).
+/// Fraction of the overload limit that is used for a backend that warms up; the rest is a margin
+/// for random variation.
+const BUDGET_FRACTION: f64 = 0.6;
+/// Time constant of the send rate in seconds: longer than pauses between requests, shorter than
+/// shifts of load.
 const RATE_TIME_CONSTANT: f64 = 2.0;
-/// The place in a draw of all backends that warm up together.
+/// Hash input that stands for all warming backends together.
 const ANY_BACKEND: u64 = 0;
 
-/// How fast this gateway sends attempts.
+/// The rate at which this gateway sends attempts.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct SendRate {
     per_second: f64,
@@ -28,42 +29,42 @@
 }
 
 impl SendRate {
-    /// Notes an attempt that is sent.
+    /// Records that an attempt is sent.
     pub(crate) fn note(&mut self, now: Micros) {
-        self.per_second = self.now(now) + 1.0 / RATE_TIME_CONSTANT;
+        self.per_second = self.current(now) + 1.0 / RATE_TIME_CONSTANT;
         self.at = now;
     }
 
-    /// Attempts a second.
-    fn now(&self, now: Micros) -> f64 {
+    /// Attempts per second at `now`.
+    fn current(&self, now: Micros) -> f64 {
         self.per_second * decay(self.at, now, RATE_TIME_CONSTANT)
     }
 }
 
-/// What this gateway sends, as far as it bears on a backend that warms up.
+/// What the limit for a warming backend depends on besides the backend.
 pub(crate) struct SendContext<'a> {
     pub(crate) rules: &'a BackendRules,
     pub(crate) rate: &'a SendRate,
     pub(crate) gateway: GatewayId,
     pub(crate) gateway_count: u64,
-    /// The weight of all ready backends.
+    /// Total weight of all ready backends.
     pub(crate) ready_weight: f64,
-    /// The part of the pool that the request may use: fallback traffic has not all of it.
-    pub(crate) pool_part: f64,
-    /// The request must go to a few backends for its key: those have their own part of the budget
-    /// alone.
+    /// Fraction of the pool that the request may use; less than 1 for fallback traffic.
+    pub(crate) pool_fraction: f64,
+    /// Whether the request is bound to a few backends by its idempotency key. Such a request uses
+    /// only a backend's own budget, not the shared one.
     pub(crate) bound_by_key: bool,
     pub(crate) now: Micros,
 }
 
-/// How warm a backend is, and whether this gateway may send it one more.
+/// A backend's warm-up factor, and whether this gateway may send it another attempt.
 pub(crate) struct WarmUp {
     pub(crate) factor: f64,
     pub(crate) may_send: bool,
 }
 
-/// How warm a backend is for sure, as a fraction of its capacity; none where it does not warm up
-/// any more.
+/// Guaranteed capacity of a warming backend as a fraction of its full capacity; `None` if it has
+/// warmed up.
 #[inline]
 pub(crate) fn warm_up_factor(rules: &BackendRules, backend: &Backend, now: Micros) -> Option<f64> {
     let started_at = backend.endpoint().started_at;
@@ -75,23 +76,23 @@
     })
 }
 
-/// The backends that warm up, taken together.
+/// State of all warming backends together.
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct SlowStart {
     counted_at: Micros,
-    /// The weight of those that warm up, by their warm-up factors alone.
+    /// Total weight of the warming backends, each multiplied by its warm-up factor.
     warming_weight: f64,
-    /// Recent sends to any of them.
+    /// Times of recent attempts sent to any of them.
     recent_sends: VecDeque<Micros>,
 }
 
 impl SlowStart {
-    /// When the weight was last counted.
+    /// When the warming weight was last computed.
     pub(crate) fn counted_at(&self) -> Micros {
         self.counted_at
     }
 
-    /// Counts the weight of those that warm up; it looks at all backends.
+    /// Computes the total weight of the warming backends; iterates over all backends.
     pub(crate) fn count(&mut self, rules: &BackendRules, backends: &Backends, now: Micros) {
         self.counted_at = now;
         let warming = backends.ready().filter_map(|(_, b)| {
@@ -101,7 +102,7 @@
         self.warming_weight = warming.sum();
     }
 
-    /// Notes an attempt that is sent to a backend, if that still counts against its warm-up.
+    /// Records an attempt sent to a backend, if the backend is warming up.
     pub(crate) fn note_sent(&mut self, rules: &BackendRules, backend: &mut Backend, now: Micros) {
         let started_at = backend.endpoint().started_at;
         if started_at > 0 && now < started_at + rules.warm_up_time {
@@ -110,8 +111,8 @@
         }
     }
 
-    /// How warm a backend is, and whether this gateway alone may send it one more in the rule's
-    /// window.
+    /// A backend's warm-up factor, and whether this gateway's share of the limit allows another
+    /// attempt to it within the overload window.
     #[inline]
     pub(crate) fn warm_up(&self, backend: &Backend, sends: &SendContext) -> WarmUp {
         match warm_up_factor(sends.rules, backend, sends.now) {
@@ -126,28 +127,31 @@
         }
     }
 
-    /// Where a gateway's part of the budget is less than a request, one each would be a hundred:
-    /// then one may go to any of the warming backends as often as their parts together allow, and
-    /// below that it is drawn who may.
+    /// Whether this gateway may send another attempt to a warming backend.
+    ///
+    /// If its share of a backend's budget is less than one request, sending one anyway from each of
+    /// a hundred gateways would be a hundred requests. Such shares are pooled over all warming
+    /// backends: an attempt may go to any of them as often as the shares allow together, and a
+    /// fraction of a request is decided by a random number.
     fn may_send(&self, backend: &Backend, factor: f64, sends: &SendContext) -> bool {
         let window = sends.rules.overload_window.max(1);
-        let fair = sends.rate.now(sends.now) / sends.ready_weight.max(backend.weight())
+        let fair_share = sends.rate.current(sends.now) / sends.ready_weight.max(backend.weight())
             * window as f64
             / MICROS_PER_SECOND
-            * sends.pool_part;
-        let budget = sends.rules.overload_factor * BUDGET_PART * fair;
-        let least = sends.pool_part / sends.gateway_count as f64;
-        let own = (budget * backend.weight() * factor).max(least);
-        let all = budget * self.warming_weight.max(backend.weight() * factor);
+            * sends.pool_fraction;
+        let budget = sends.rules.overload_factor * BUDGET_FRACTION * fair_share;
+        let min_share = sends.pool_fraction / sends.gateway_count as f64;
+        let own_share = (budget * backend.weight() * factor).max(min_share);
+        let shared_budget = budget * self.warming_weight.max(backend.weight() * factor);
         let draw =
-            |of: u64| unit_hash(of ^ (sends.now / window) << 48 ^ u64::from(sends.gateway.0) << 32);
-        let within =
-            |list: &VecDeque<Micros>| list.iter().filter(|t| **t + window > sends.now).count();
-        let recent = within(backend.warm_up_sends()) as f64;
-        if recent + draw(backend.id().0) < own {
+            |id: u64| unit_hash(id ^ (sends.now / window) << 48 ^ u64::from(sends.gateway.0) << 32);
+        let sent_in_window =
+            |times: &VecDeque<Micros>| times.iter().filter(|t| **t + window > sends.now).count();
+        let recent = sent_in_window(backend.warm_up_sends()) as f64;
+        if recent + draw(backend.id().0) < own_share {
             return true;
         }
-        let shared = own < 1.0 && !sends.bound_by_key && recent == 0.0;
-        shared && within(&self.recent_sends) as f64 + draw(ANY_BACKEND) < all
+        let may_share = own_share < 1.0 && !sends.bound_by_key && recent == 0.0;
+        may_share && sent_in_window(&self.recent_sends) as f64 + draw(ANY_BACKEND) < shared_budget
     }
 }
