--- a/crates/decision/src/gateway/admission.rs
+++ b/crates/decision/src/gateway/admission.rs
@@ -4,7 +4,7 @@
 
 use super::Gateway;
 use crate::action::Action;
-use crate::customers::owner_query::{FRESH, FRESH_REJECTION};
+use crate::customers::owner_query::{MAX_UPDATE_AGE, MAX_UPDATE_AGE_FOR_REJECTION};
 use crate::customers::owners::Span;
 use crate::customers::quota::QuotaAccount;
 use crate::customers::Customer;
@@ -102,7 +102,11 @@
         };
         let plan = &self.settings.plans[usize::from(request.plan)];
         let rejected = room_wait.quota.is_some() && plan.max_in_flight == 0;
-        let fresh = if rejected { FRESH_REJECTION } else { FRESH };
+        let fresh = if rejected {
+            MAX_UPDATE_AGE_FOR_REJECTION
+        } else {
+            MAX_UPDATE_AGE
+        };
         customer.query.update_age(self.now()) < fresh || self.lead_owner(customer) == self.id()
     }
 
@@ -175,7 +179,7 @@
     /// Whether a request waits for its ceiling to refill. A ceiling refills faster than the quota
     /// below it, so a request that lacks only ceiling units waits for them as it would for a slot.
     fn waits_for_ceiling(&self, id: RequestId, room_wait: &RoomWait, max_wait: f64) -> bool {
-        let next_query_at = self.now() + FRESH;
+        let next_query_at = self.now() + MAX_UPDATE_AGE;
         let only_ceiling = room_wait.quota.is_none() && room_wait.ceiling.is_some();
         let in_time = |pending: &PendingRequest| {
             next_query_at < pending.arrived_at() + max_wait as Micros
@@ -187,7 +191,7 @@
     /// Keeps a request held. If no further answer of its quota owners is expected, schedules
     /// another query to them.
     fn keep_held(&mut self, id: RequestId, held: bool, owners_done: bool) {
-        let next_query_at = self.now() + FRESH;
+        let next_query_at = self.now() + MAX_UPDATE_AGE;
         let Some(pending) = self.requests.get_mut(id) else {
             return;
         };
@@ -235,7 +239,7 @@
             .get_or_insert_with(request.customer, Customer::default);
         let ask = !held && !customer.owners.is_owner();
         if customer.query.pledged() >= request.units && !every_gateway_owns {
-            customer.query.use_pledge(); // the owner counted these units when it pledged them
+            customer.query.clear_pledge(); // the owner counted these units when it pledged them
         } else {
             self.report(request.customer, ask && every_gateway_owns, actions);
         }
@@ -291,7 +295,7 @@
             .get_or_insert_with(request.customer, new_customer);
         let unseen = customer.is_new(now);
         customer.set_plan(plan);
-        customer.see(now);
+        customer.note_seen(now);
         let span = Span {
             first_gateway: first_gateway as u16,
             gateway_span: gateway_span as u16,
@@ -320,18 +324,17 @@
             };
         };
         let plan = &self.settings.plans[customer.plan()];
-        let least_own_rate = customer.least_own_rate(plan);
+        let min_own_rate = customer.min_own_rate(plan);
         let units = request.units;
-        let mut quota =
-            customer
-                .quota
-                .wait_for_tokens(units, plan, unreported_span, least_own_rate);
+        let mut quota = customer
+            .quota
+            .wait_for_tokens(units, plan, unreported_span, min_own_rate);
         // Attempts that peers have likely started but not reported count for as long as they are
         // likely to be in flight.
         let max_unreported_micros = (self.report_period + UNREPORTED_MARGIN) as f64;
         let likely_duration =
             (MIN_ANSWER_TIMES_LEFT * self.latency.recent(class)).min(max_unreported_micros);
-        let in_flight = customer.quota.likely_in_flight(units, likely_duration);
+        let in_flight = customer.quota.estimated_in_flight(units, likely_duration);
         if plan.max_in_flight > 0 && in_flight >= plan.max_in_flight {
             let uncongested_s = self.latency.calm(class) / MICROS_PER_SECOND;
             quota = Some(quota.unwrap_or(0.0).max(uncongested_s));
@@ -354,7 +357,7 @@
             // Before the first owner update, the usage of others is assumed to be known, so that
             // the customer's first request passes: most customers are far from their quotas.
             Some(customer)
-                if self.lead_owner(customer) != self.id() && customer.query.was_updated() =>
+                if self.lead_owner(customer) != self.id() && customer.query.has_update() =>
             {
                 UNREPORTED_MARGIN.min(customer.query.update_age(self.now()))
             }
--- a/crates/decision/src/gateway/attempts.rs
+++ b/crates/decision/src/gateway/attempts.rs
@@ -50,7 +50,7 @@
         let mut usage_changed = extra_units != 0.0;
         if let Some(customer) = self.customers.get_mut(request.customer) {
             customer.quota.note_completed();
-            customer.quota.settle(extra_units);
+            customer.quota.charge_excess(extra_units);
             usage_changed |= self.settings.plans[customer.plan()].max_in_flight > 0;
         }
         if done {
--- a/crates/decision/src/gateway/gossip_in.rs
+++ b/crates/decision/src/gateway/gossip_in.rs
@@ -3,23 +3,23 @@
 
 use super::Gateway;
 use crate::action::Action;
-use crate::customers::owner_query::FRESH;
+use crate::customers::owner_query::MAX_UPDATE_AGE;
 use crate::customers::owners::Span;
 use crate::customers::quota::{
     clip_in_flight, reported_tokens, QuotaAccount, ReportContext, UNKNOWN_LEVEL,
 };
-use crate::customers::{Customer, AGING};
+use crate::customers::{Customer, CUSTOMER_IDLE_TIME};
 use crate::gossip::codec::{
-    incarnation, whole_quarters, Body, Message, OwnerUpdate, UsageReport, MAX_PLAN,
+    incarnation, round_down_to_quarters, Body, Message, OwnerUpdate, UsageReport, MAX_PLAN,
 };
 use crate::gossip::peers::Arrival;
 use crate::ids::{GatewayId, Micros, RequestId};
 
 /// Customers seen within this time are reported to a quota owner that restarts, in microseconds.
-const RECENTLY_SEEN: Micros = AGING / 5;
+const RECENTLY_SEEN: Micros = CUSTOMER_IDLE_TIME / 5;
 /// Age of the last owner update, in microseconds, above which an update from an owner other than
 /// the lead owner is accepted.
-const LEAD_UPDATE_MAX_AGE: Micros = 4 * FRESH;
+const LEAD_UPDATE_MAX_AGE: Micros = 4 * MAX_UPDATE_AGE;
 
 impl Gateway {
     pub(super) fn on_peer_message(
@@ -75,7 +75,7 @@
         let arrival = self
             .peers
             .entry(from)
-            .meet(message.incarnation, message.sequence);
+            .check_incarnation(message.incarnation, message.sequence);
         match arrival {
             Arrival::Stale => return false,
             Arrival::Known => {}
@@ -144,7 +144,7 @@
         if customer.plan() != plan_index || !customer.owners.is_owner() {
             return None; // this gateway does not own the customer's quota
         }
-        customer.see(customer.seen_at().max(now));
+        customer.note_seen(customer.seen_at().max(now));
         let plan = &self.settings.plans[plan_index];
         let has_view = report.level < UNKNOWN_LEVEL;
         let context = ReportContext {
@@ -154,18 +154,18 @@
             max_in_flight: plan.max_in_flight,
             first_contact,
             sender_is_younger,
-            mirrors: !every_gateway_owns && from == customer.owners.pair()[0] && has_view,
+            is_mirror_update: !every_gateway_owns && from == customer.owners.pair()[0] && has_view,
         };
-        let view = customer.quota.take_report(report, &context);
+        let view = customer.quota.apply_report(report, &context);
         let granted = if report.ask && report.wants_ceiling {
-            let granted_units = whole_quarters(report.units);
-            customer.ceiling.hand_over(report.units, granted_units)
+            let granted_units = round_down_to_quarters(report.units);
+            customer.ceiling.grant_to_peer(report.units, granted_units)
         } else {
             0.0
         };
         report.ask.then_some(OwnerUpdate {
             customer: report.customer,
-            heard_total: report.total,
+            acknowledged_total: report.total,
             tokens: view.tokens,
             rate: view.others_rate,
             in_flight: clip_in_flight(view.others_in_flight),
@@ -253,17 +253,17 @@
         };
         if !is_lead {
             let in_flight = u32::from(update.in_flight);
-            customer.quota.take_others(update.rate, in_flight);
+            customer.quota.set_others(update.rate, in_flight);
         }
         // Without a recent update from the lead owner, another owner's update is used. The lead
         // owner learns of the resulting usage from reports.
         let stale = customer.query.update_age(now) > LEAD_UPDATE_MAX_AGE;
         let authoritative = every_gateway_owns || from == lead || stale;
-        let first_update_from_older = sender_is_older && !customer.query.was_updated();
+        let first_update_from_older = sender_is_older && !customer.query.has_update();
         if (!is_lead && authoritative) || first_update_from_older {
             customer
                 .quota
-                .take_tokens(update.tokens, update.heard_total);
+                .apply_owner_tokens(update.tokens, update.acknowledged_total);
             let pledged = from == lead && update.tokens >= customer.query.units();
             customer.query.note_update(now, pledged);
         }
@@ -271,7 +271,7 @@
         // Grants are for waiting requests. Late grants lapse; otherwise a full bucket would exceed
         // its capacity.
         if customer.query.takes_grants(now) {
-            customer.ceiling.grant(update.granted);
+            customer.ceiling.receive_grant(update.granted);
         }
     }
 }
--- a/crates/decision/src/gateway/gossip_out.rs
+++ b/crates/decision/src/gateway/gossip_out.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use crate::action::Action;
 use crate::customers::quota::UNKNOWN_LEVEL;
-use crate::customers::AGING;
+use crate::customers::CUSTOMER_IDLE_TIME;
 use crate::gossip::codec::{incarnation, wrapped_units, Body, Message, UsageReport, MAX_PLAN};
 use crate::gossip::peers::OutboxEntry;
 use crate::ids::{CustomerId, GatewayId, Micros};
@@ -15,7 +15,7 @@
 const REPORT_REPEATS: u8 = 1;
 /// Maximum age of an owner's update at which this gateway reports its view of a token bucket, in
 /// microseconds.
-const MAX_VIEW_AGE: Micros = AGING / 10;
+const MAX_VIEW_AGE: Micros = CUSTOMER_IDLE_TIME / 10;
 
 impl Gateway {
     /// Queues a report on a customer for its quota owners; `ask` requests an answer.
--- a/crates/decision/src/gateway/owners.rs
+++ b/crates/decision/src/gateway/owners.rs
@@ -4,7 +4,7 @@
 use super::Gateway;
 use crate::action::Action;
 use crate::customers::ceiling::CeilingSplit;
-use crate::customers::owner_query::FRESH;
+use crate::customers::owner_query::MAX_UPDATE_AGE;
 use crate::customers::owners::{Owners, Span};
 use crate::customers::Customer;
 use crate::event::Request;
@@ -15,7 +15,7 @@
 const OWNER_WAIT_DIVISOR: u64 = 5;
 /// Time after a query within which a repeated query for ceiling units goes to the other owner, in
 /// microseconds.
-const ALTERNATE_OWNER_WINDOW: Micros = 4 * FRESH;
+const ALTERNATE_OWNER_WINDOW: Micros = 4 * MAX_UPDATE_AGE;
 
 impl Gateway {
     /// The owner whose view of a customer's room counts here: the first owner, or the second one
@@ -28,7 +28,7 @@
         }
         let pair = customer.owners.pair();
         let now = self.now();
-        let responsive = pair.into_iter().find(|o| self.peers.is_heard(*o, now));
+        let responsive = pair.into_iter().find(|o| self.peers.is_responsive(*o, now));
         responsive.unwrap_or(pair[0])
     }
 
@@ -60,7 +60,7 @@
             every_gateway_owns,
             uptime,
         };
-        customer.settle(owners, &self.settings.plans[customer.plan()], &split);
+        customer.set_owners(owners, &self.settings.plans[customer.plan()], &split);
         if !customer.owners.is_owner() || !self.settings.limits.peers {
             return;
         }
@@ -94,8 +94,10 @@
         // nevertheless.
         let time_left = request.deadline.checked_sub(now);
         let time_left = time_left.map_or(objective, |time_left| time_left.min(objective));
-        self.requests
-            .schedule_check(now + FRESH.min(time_left / OWNER_WAIT_DIVISOR), request.id);
+        self.requests.schedule_check(
+            now + MAX_UPDATE_AGE.min(time_left / OWNER_WAIT_DIVISOR),
+            request.id,
+        );
         let this_gateway = self.id();
         let Some(lead) = self
             .customers
@@ -108,8 +110,8 @@
             return;
         };
         let query = &mut customer.query;
-        query.wait(request.id);
-        if query.waiting().len() == 1 || query.since_asked(now) > FRESH || ask_now {
+        query.add_waiting(request.id);
+        if query.waiting().len() == 1 || query.since_asked(now) > MAX_UPDATE_AGE || ask_now {
             // When ceiling units are asked for again, the other owner may have some.
             let alternate = wants_ceiling
                 && query.asked() == lead
@@ -120,7 +122,7 @@
             } else {
                 lead
             };
-            query.ask(asked, request.units, wants_ceiling, now);
+            query.note_asked(asked, request.units, wants_ceiling, now);
             self.report(request.customer, true, actions);
         }
     }
@@ -136,7 +138,7 @@
         let asked = customer.query.asked();
         let wants_ceiling = customer.query.wants_ceiling();
         let peer = self.peers.entry(asked);
-        let was_responsive = peer.is_heard(now);
+        let was_responsive = peer.is_responsive(now);
         peer.note_silence(now);
         // The silent owner gets a report, since units that it pledged may not have been used.
         let report = OutboxEntry::new(1, false);
