--- a/crates/decision/tests/balancing.rs
+++ b/crates/decision/tests/balancing.rs
@@ -79,15 +79,17 @@
 
 /// A backend that does not answer one class keeps serving the others.
 #[test]
-fn silence_to_one_class_ejects_a_backend_for_that_class_alone() {
+fn backend_silent_to_one_class_is_ejected_for_that_class_only() {
     let mut harness = Harness::new(settings(), 2);
     for n in 0..40 {
-        let (id, actions) = harness.request(2, 0, 100 + n, 1.0); // backend 0 never answers this class
+        let (id, actions) = harness.request(2, 0, 100 + n, 1.0);
+        // Backend 0 never answers this class.
         let silent = sent_to(&actions) == [BackendId(0)];
         for backend in sent_to(&actions).into_iter().filter(|_| !silent) {
             harness.end_attempt(id, 0, backend, Outcome::Ok);
         }
-        harness.advance(SECOND); // long enough to miss the six answers after which a backend counts as dead
+        // A backend counts as dead once six answers are missing.
+        harness.advance(SECOND);
         if silent {
             harness.end_attempt(id, 0, BackendId(0), Outcome::TimedOut);
         }
--- a/crates/decision/tests/golden.rs
+++ b/crates/decision/tests/golden.rs
@@ -122,7 +122,7 @@
 /// Finds states of the runs that together have all optional contents, to choose [`STATES`] from.
 #[test]
 #[ignore = "a search used only to choose new golden states"]
-fn find_well_filled_states() {
+fn find_states_with_all_contents() {
     let mut candidates = Vec::new();
     let mut uncovered = BTreeSet::new();
     for (scenario_index, scenario) in scenarios::all().into_iter().enumerate() {
--- a/crates/decision/tests/harness/mod.rs
+++ b/crates/decision/tests/harness/mod.rs
@@ -193,8 +193,8 @@
         (id, self.feed(Event::Request(request)))
     }
 
-    /// Whether the gateway still has the request. A new request with the same id and an expired
-    /// deadline is rejected only if the id is no longer in use.
+    /// Whether the request is still pending. Passes in the same id with an expired deadline, which
+    /// the gateway rejects unless that id is in use.
     pub fn is_pending(&mut self, id: RequestId) -> bool {
         let request = Request {
             id,
--- a/crates/decision/tests/pools.rs
+++ b/crates/decision/tests/pools.rs
@@ -29,10 +29,13 @@
 
 struct PoolTest {
     harness: Harness,
+    /// The endpoint list that the gateway last received.
     list: Vec<Endpoint>,
     /// Attempts in flight: request, attempt number, backend.
     in_flight: Vec<(RequestId, u16, BackendId)>,
+    /// Number of attempts of each request.
     attempt_counts: BTreeMap<RequestId, u16>,
+    /// Number of rejections.
     rejected: usize,
 }
 
@@ -100,20 +103,20 @@
         (id, self.record(actions).first().copied())
     }
 
-    fn end_attempt(&mut self, at: usize, outcome: Outcome) -> Vec<BackendId> {
-        let (id, attempt, backend) = self.in_flight.swap_remove(at);
+    fn end_attempt(&mut self, index: usize, outcome: Outcome) -> Vec<BackendId> {
+        let (id, attempt, backend) = self.in_flight.swap_remove(index);
         let actions = self.harness.end_attempt(id, attempt, backend, outcome);
         self.record(actions)
     }
 
-    fn complete_all(&mut self, outcome: impl Fn(BackendId) -> Outcome) {
+    fn end_all(&mut self, outcome: impl Fn(BackendId) -> Outcome) {
         while let Some((_, _, backend)) = self.in_flight.last().copied() {
             self.end_attempt(self.in_flight.len() - 1, outcome(backend));
         }
     }
 
-    fn advance(&mut self, span: Micros) {
-        let actions = self.harness.advance(span);
+    fn advance(&mut self, duration: Micros) {
+        let actions = self.harness.advance(duration);
         self.record(actions);
     }
 
@@ -127,8 +130,8 @@
     }
 
     /// Sends one request for each of `customers` customers and answers it at once. Returns how many
-    /// were sent to backends for which `first` holds, and how many to others.
-    fn spread(
+    /// were sent to backends for which `in_preferred` holds, and how many to others.
+    fn count_by_pool(
         &mut self,
         route: &[u8],
         customers: u64,
@@ -142,7 +145,7 @@
                 Some(_) => others += 1,
                 None => {}
             }
-            self.complete_all(|_| Outcome::Ok);
+            self.end_all(|_| Outcome::Ok);
         }
         (to_preferred, others)
     }
@@ -157,25 +160,26 @@
     )
 }
 
-fn in_first(b: BackendId) -> bool {
+fn in_first_pool(b: BackendId) -> bool {
     b.0 < 4
 }
 
 #[test]
 fn requests_go_to_their_preferred_pool_and_never_outside_their_route() {
     let mut test = two_pools();
-    assert_eq!(test.spread(&[1, 2], 50, in_first), (50, 0));
-    assert_eq!(test.spread(&[2], 50, in_first), (0, 50));
-    let (in_pool_1, in_pool_2) = test.spread(&[], 200, in_first);
+    assert_eq!(test.count_by_pool(&[1, 2], 50, in_first_pool), (50, 0));
+    assert_eq!(test.count_by_pool(&[2], 50, in_first_pool), (0, 50));
+    let (in_pool_1, in_pool_2) = test.count_by_pool(&[], 200, in_first_pool);
     assert!(
         in_pool_1 > 50 && in_pool_2 > 50,
-        "a request without a route may use every backend: {in_pool_1} sent to pool 1, {in_pool_2} to pool 2"
+        "a request without a route may use every backend: {in_pool_1} sent to pool 1, \
+         {in_pool_2} to pool 2"
     );
-    test.update_endpoints(|l| {
-        l.state = if in_first(l.backend) {
+    test.update_endpoints(|entry| {
+        entry.state = if in_first_pool(entry.backend) {
             EndpointState::Draining
         } else {
-            l.state
+            entry.state
         }
     });
     let (_, backend) = test.request(0, &[1], 1);
@@ -199,11 +203,11 @@
     for n in 0..8 {
         assert!(test.request(0, &[2], n).1.is_some());
     }
-    test.update_endpoints(|l| {
-        l.state = if in_first(l.backend) {
+    test.update_endpoints(|entry| {
+        entry.state = if in_first_pool(entry.backend) {
             EndpointState::Draining
         } else {
-            l.state
+            entry.state
         }
     });
     for n in 0..40 {
@@ -234,12 +238,18 @@
 fn warming_pool_accepts_less_fallback_traffic() {
     let accepted = |started_at| {
         let mut test = two_pools();
-        test.update_endpoints(|l| l.started_at = if in_first(l.backend) { 0 } else { started_at });
-        test.update_endpoints(|l| {
-            l.state = if in_first(l.backend) {
+        test.update_endpoints(|entry| {
+            entry.started_at = if in_first_pool(entry.backend) {
+                0
+            } else {
+                started_at
+            }
+        });
+        test.update_endpoints(|entry| {
+            entry.state = if in_first_pool(entry.backend) {
                 EndpointState::Removed
             } else {
-                l.state
+                entry.state
             }
         });
         for n in 0..60 {
@@ -259,11 +269,11 @@
 #[test]
 fn flapping_pool_gets_little_traffic_and_stable_pool_gets_all_of_it_back() {
     let mut test = two_pools();
-    test.spread(&[1, 2], 20, in_first);
+    test.count_by_pool(&[1, 2], 20, in_first_pool);
     let set_removed = |test: &mut PoolTest, removed: bool| {
-        test.update_endpoints(|l| {
-            if in_first(l.backend) {
-                l.state = if removed {
+        test.update_endpoints(|entry| {
+            if in_first_pool(entry.backend) {
+                entry.state = if removed {
                     EndpointState::Removed
                 } else {
                     EndpointState::Ready
@@ -273,10 +283,10 @@
     };
     for _ in 0..5 {
         set_removed(&mut test, true);
-        assert_eq!(test.spread(&[1, 2], 100, in_first).0, 0);
+        assert_eq!(test.count_by_pool(&[1, 2], 100, in_first_pool).0, 0);
         test.advance(SECOND);
         set_removed(&mut test, false);
-        let (back, _) = test.spread(&[1, 2], 100, in_first);
+        let (back, _) = test.count_by_pool(&[1, 2], 100, in_first_pool);
         assert!(
             back < 30,
             "{back} of 100 requests returned to the pool at once"
@@ -285,7 +295,7 @@
     }
     test.advance(4 * SECOND);
     assert_eq!(
-        test.spread(&[1, 2], 100, in_first),
+        test.count_by_pool(&[1, 2], 100, in_first_pool),
         (100, 0),
         "the pool stayed ready"
     );
@@ -296,8 +306,8 @@
 #[test]
 fn failing_pool_is_avoided_probed_and_used_again_after_recovery() {
     let mut test = two_pools();
-    let fails = |b: BackendId| {
-        if in_first(b) {
+    let outcome_while_failing = |b: BackendId| {
+        if in_first_pool(b) {
             Outcome::Error
         } else {
             Outcome::Ok
@@ -305,13 +315,13 @@
     };
     for n in 0..60 {
         test.request(0, &[1, 2], n);
-        test.complete_all(fails);
+        test.end_all(outcome_while_failing);
         test.advance(SECOND / 20);
     }
     let mut to_first_pool = 0;
     for n in 0..300 {
-        to_first_pool += usize::from(test.request(0, &[1, 2], n).1.is_some_and(in_first));
-        test.complete_all(fails);
+        to_first_pool += usize::from(test.request(0, &[1, 2], n).1.is_some_and(in_first_pool));
+        test.end_all(outcome_while_failing);
         test.advance(SECOND / 20);
     }
     assert!(
@@ -322,19 +332,19 @@
     for n in 0..100 {
         let backend = test.request(2, &[1, 2], n).1;
         assert!(
-            backend.is_some_and(|b| !in_first(b)),
+            backend.is_some_and(|b| !in_first_pool(b)),
             "request {n} sent to {backend:?}"
         );
-        test.complete_all(|_| Outcome::Ok);
+        test.end_all(|_| Outcome::Ok);
         test.advance(SECOND / 50);
     }
     for n in 0..400 {
         test.request(0, &[1, 2], n);
-        test.complete_all(|_| Outcome::Ok);
+        test.end_all(|_| Outcome::Ok);
         test.advance(SECOND / 20);
     }
     assert_eq!(
-        test.spread(&[1, 2], 100, in_first),
+        test.count_by_pool(&[1, 2], 100, in_first_pool),
         (100, 0),
         "the pool works again"
     );
@@ -348,15 +358,16 @@
     let mut sent = 0;
     for n in 0..400u64 {
         test.request(0, &[1], n);
-        while let Some(at) = test.in_flight.iter().position(|o| in_first(o.2)) {
-            let (id, attempt, backend) = test.in_flight.swap_remove(at);
+        while let Some(index) = test.in_flight.iter().position(|o| in_first_pool(o.2)) {
+            let (id, attempt, backend) = test.in_flight.swap_remove(index);
             let actions = test.harness.feed(Event::AttemptCompleted {
                 id,
                 attempt,
                 backend,
                 outcome: Outcome::Ok,
                 complete: true,
-                elapsed: 2 * SECOND, // twice the latency objective
+                // Twice the latency objective.
+                elapsed: 2 * SECOND,
                 metered_usage: None,
                 charged_units: None,
                 report: None,
@@ -365,19 +376,19 @@
         }
         test.rejected = 0;
         sent += usize::from(test.request(0, &[2], 1_000 + n).1.is_some());
-        test.complete_all(|_| Outcome::Ok);
+        test.end_all(|_| Outcome::Ok);
         test.advance(SECOND / 20);
     }
     assert_eq!(
         sent, 400,
         "the second pool is idle and must accept every request"
     );
-    let mut cut = 0;
+    let mut rejected = 0;
     for n in 0..100 {
-        cut += usize::from(test.request(0, &[1], 5_000 + n).1.is_none());
-        test.complete_all(|_| Outcome::Ok);
+        rejected += usize::from(test.request(0, &[1], 5_000 + n).1.is_none());
+        test.end_all(|_| Outcome::Ok);
     }
-    assert!(cut > 0, "the overloaded to_first_pool pool must shed load");
+    assert!(rejected > 0, "the overloaded first pool must shed load");
 }
 
 /// A request that may have run is retried in another pool only if the idempotency of its class
@@ -405,7 +416,7 @@
         1,
         "a rejected attempt never ran, so the request must be retried"
     );
-    test.complete_all(|_| Outcome::Ok);
+    test.end_all(|_| Outcome::Ok);
     // With an idempotency key shared within a cell: retried only in the cell of the first attempt,
     // in any pool.
     for customer in 3..8 {
@@ -418,14 +429,14 @@
                 "backend {next:?} does not share the idempotency key"
             );
         }
-        test.complete_all(|_| Outcome::Ok);
+        test.end_all(|_| Outcome::Ok);
         test.advance(SECOND);
     }
     // Idempotent: retried on any backend of its route.
     let (_, backend) = test.request(0, &[1, 2], 21);
     assert!(backend.is_some_and(|b| b.0 < 2));
     assert_eq!(test.end_attempt(0, Outcome::Reset).len(), 1);
-    test.complete_all(|_| Outcome::Ok);
+    test.end_all(|_| Outcome::Ok);
 }
 
 /// A backend that changes pools while it has attempts in flight: the requests end and all slots are
@@ -436,12 +447,12 @@
     for n in 0..10 {
         test.request(0, &[1, 2], n);
     }
-    test.update_endpoints(|l| l.pools = if in_first(l.backend) { 2 } else { 1 });
-    test.complete_all(|_| Outcome::Ok);
+    test.update_endpoints(|entry| entry.pools = if in_first_pool(entry.backend) { 2 } else { 1 });
+    test.end_all(|_| Outcome::Ok);
     test.advance(SECOND);
     let mut sent = 0;
     for n in 0..16 {
-        sent += usize::from(test.request(0, &[2], 100 + n).1.is_some_and(in_first));
+        sent += usize::from(test.request(0, &[2], 100 + n).1.is_some_and(in_first_pool));
     }
     assert_eq!(
         sent, 16,
@@ -476,13 +487,13 @@
                 }
             })
             .collect();
-        let to_first_pool = harness.feed(Event::EndpointsChanged(EndpointListKind::Cached, list));
+        let first_actions = harness.feed(Event::EndpointsChanged(EndpointListKind::Cached, list));
         Replay {
             harness,
             route,
             in_flight: Vec::new(),
             attempt_counts: BTreeMap::new(),
-            log: vec![to_first_pool],
+            log: vec![first_actions],
         }
     }
 
@@ -516,10 +527,10 @@
         self.record(actions);
     }
 
-    fn complete_some(&mut self, n: u64) {
+    fn end_some(&mut self, n: u64) {
         while self.in_flight.len() > 20 + (n % 9) as usize {
-            let pick = (n * 31 % self.in_flight.len() as u64) as usize;
-            let (id, attempt, backend) = self.in_flight.remove(pick);
+            let index = (n * 31 % self.in_flight.len() as u64) as usize;
+            let (id, attempt, backend) = self.in_flight.remove(index);
             let outcome = if n.is_multiple_of(11) {
                 Outcome::Reset
             } else {
@@ -534,7 +545,7 @@
     fn run(mut self) -> Vec<Vec<Action>> {
         for n in 0..3_000 {
             self.request(n);
-            self.complete_some(n);
+            self.end_some(n);
         }
         for actions in &mut self.log {
             actions.retain(|a| !matches!(a, Action::Log(_)));
@@ -578,40 +589,41 @@
                 }
                 3 => test.advance(SECOND / 10 * u64::from(n)),
                 4 => {
-                    let at = usize::from(n) % 6;
+                    let index = usize::from(n) % 6;
                     let mut list = test.list.clone();
-                    list[at].state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][customer as usize % 3];
-                    list[at].pools = u64::from(n % 8);
-                    list[at].started_at = if customer == 8 { test.harness.now } else { 0 };
+                    list[index].state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][customer as usize % 3];
+                    list[index].pools = u64::from(n % 8);
+                    list[index].started_at = if customer == 8 { test.harness.now } else { 0 };
                     test.list = list;
                     test.update_endpoints(|_| {});
                 }
                 _ if test.in_flight.is_empty() => {}
                 _ => {
-                    let at = usize::from(n) % test.in_flight.len();
+                    let index = usize::from(n) % test.in_flight.len();
                     let outcome = [Outcome::Ok, Outcome::Error, Outcome::Reset, Outcome::Rejected, Outcome::ConnectFailed][usize::from(step_kind + n) % 5];
-                    let id = test.in_flight[at].0;
+                    let id = test.in_flight[index].0;
                     if !outcome.never_ran() {
                         possibly_ran.insert(id, true);
                     }
-                    test.end_attempt(at, outcome);
+                    test.end_attempt(index, outcome);
                 }
             }
             for (id, attempt, backend) in &test.in_flight {
                 if checked_attempts.get(id).is_some_and(|c| c > attempt) {
-                    continue; // checked when it was sent, against the endpoint list of that time
+                    // Checked when it was sent, against the endpoint list of that time.
+                    continue;
                 }
                 checked_attempts.insert(*id, attempt + 1);
-                let set = test.list[backend.0 as usize].pools;
+                let pools = test.list[backend.0 as usize].pools;
                 let route = &routes[id];
-                prop_assert!(route.iter().any(|p| set & 1 << (p - 1) != 0), "{id:?} sent to {backend:?} in pools {set:b}, outside its route {route:?}");
+                prop_assert!(route.iter().any(|p| pools & 1 << (p - 1) != 0), "{id:?} sent to {backend:?} in pools {pools:b}, outside its route {route:?}");
                 prop_assert!(test.list[backend.0 as usize].state == EndpointState::Ready);
                 prop_assert!(classes[id] != 2 || *attempt == 0 || !possibly_ran.contains_key(id), "{id:?} retried although it may have run");
             }
         }
-        test.complete_all(|_| Outcome::Ok);
+        test.end_all(|_| Outcome::Ok);
         test.advance(6 * SECOND);
-        test.complete_all(|_| Outcome::Ok);
+        test.end_all(|_| Outcome::Ok);
         for id in routes.keys() {
             prop_assert!(!test.harness.is_pending(*id), "{id:?} is still pending");
         }
--- a/crates/decision/tests/random_deployment/mod.rs
+++ b/crates/decision/tests/random_deployment/mod.rs
@@ -79,12 +79,12 @@
             let latency_objective = work * objective_factor;
             let deadline = latency_objective * deadline_tenths / 10;
             let class = Class {
-                latency_objective: latency_objective,
+                latency_objective,
                 objective_stretch: 0.0,
                 deadline,
                 priority_weight: 1.0,
                 late_weight: 0.0,
-                idempotency: idempotency,
+                idempotency,
                 streaming: false,
             };
             (class, work)
--- a/crates/decision/tests/random_deployment/run.rs
+++ b/crates/decision/tests/random_deployment/run.rs
@@ -92,11 +92,11 @@
     allow_negative: bool,
 ) -> f64 {
     let (at, level) = buckets.get(&customer).copied().unwrap_or((now, burst));
-    let left = (level + rate * (now - at) as f64 / 1e6).min(burst) - 1.0;
-    if left >= 0.0 || allow_negative {
-        buckets.insert(customer, (now, left));
+    let balance = (level + rate * (now - at) as f64 / 1e6).min(burst) - 1.0;
+    if balance >= 0.0 || allow_negative {
+        buckets.insert(customer, (now, balance));
     }
-    left
+    balance
 }
 
 impl DeploymentRun {
@@ -256,9 +256,10 @@
         }
     }
 
+    /// Checks an attempt against the rules and passes it to its backend.
     fn receive_attempt(&mut self, gateway: usize, id: RequestId, backend: usize) {
         let now = self.now;
-        let settings = &self.deployment.settings;
+        let config = &self.deployment.settings;
         let request = self
             .requests
             .get_mut(&(gateway, id))
@@ -269,19 +270,14 @@
             !self.backends[backend].draining,
             "{id:?} sent to draining backend {backend}"
         );
+        assert!(config.limits.hedging || in_flight == 0, "{id:?} is hedged");
         assert!(
-            settings.limits.hedging || in_flight == 0,
-            "{id:?} has two attempts in flight although hedging is not permitted"
-        );
-        assert!(
-            (request.attempts.len() as u32) < settings.limits.max_attempts,
+            (request.attempts.len() as u32) < config.limits.max_attempts,
             "{id:?} has more than the maximum number of attempts"
         );
-        let earlier = request.attempts.iter().find(|record| record.3);
-        match (settings.classes[request.class].idempotency, earlier) {
-            (Idempotency::NotIdempotent, Some(_)) => {
-                panic!("{id:?} is not idempotent and was sent again")
-            }
+        let possibly_run = request.attempts.iter().find(|record| record.3);
+        match (config.classes[request.class].idempotency, possibly_run) {
+            (Idempotency::NotIdempotent, Some(_)) => panic!("{id:?} must not be sent again"),
             (Idempotency::WithKey { scope, window }, Some(record)) => {
                 assert!(
                     now <= record.1 + window,
@@ -294,9 +290,9 @@
             }
             _ => {}
         }
-        let plan = &settings.plans[request.plan];
+        let plan = &config.plans[request.plan];
         if request.attempts.is_empty() && plan.ceiling_rate > 0.0 {
-            let left = take_token(
+            let balance = take_token(
                 &mut self.ceilings,
                 request.customer,
                 now,
@@ -305,9 +301,9 @@
                 true,
             );
             assert!(
-                left >= -plan.ceiling_slack - 1e-6,
-                "a customer exceeded its ceiling by {} units",
-                -left
+                balance >= -plan.ceiling_slack - 1e-6,
+                "{id:?} exceeds the ceiling of its customer by {} units",
+                -balance
             );
         }
         self.attempts += 1;
@@ -402,6 +398,7 @@
         );
     }
 
+    /// Records the final answer of a request; `served` means that a backend answered it.
     fn finish_request(&mut self, gateway: usize, id: RequestId, served: bool) {
         let slack = self.deployment.settings.rules.answer_slack;
         let request = self
@@ -478,13 +475,7 @@
                 attempts: vec![],
             },
         );
-        self.schedule(
-            class_settings.deadline,
-            SimEvent::Deadline {
-                gateway: gateway,
-                id,
-            },
-        );
+        self.schedule(class_settings.deadline, SimEvent::Deadline { gateway, id });
         self.feed(gateway, Event::Request(request));
     }
 
@@ -498,7 +489,7 @@
                 self.backends[n].incarnation += 1;
                 self.backends[n].running = 0;
                 self.backends[n].waiting.clear();
-                let unserved: Vec<Attempt> = self
+                let reset_attempts: Vec<Attempt> = self
                     .requests
                     .iter()
                     .flat_map(|((gateway, id), request)| {
@@ -512,17 +503,17 @@
                             .collect::<Vec<_>>()
                     })
                     .collect();
-                for (gateway, id, number) in unserved {
+                for (gateway, id, number) in reset_attempts {
                     self.end_unanswered(gateway, id, number, Outcome::Reset);
                 }
             }
         }
-        let started = if self.backends[n].incarnation > 0 {
+        let started_at = if self.backends[n].incarnation > 0 {
             self.now
         } else {
             0
         };
-        let endpoint = self.endpoint(n, started);
+        let endpoint = self.endpoint(n, started_at);
         for gateway in 0..self.gateways.len() {
             self.feed(
                 gateway,
@@ -538,8 +529,8 @@
             .settings
             .classes
             .iter()
-            .map(|class_settings| class_settings.deadline);
-        let longest = deadlines.max().unwrap_or(0);
+            .map(|class| class.deadline);
+        let max_deadline = deadlines.max().unwrap_or(0);
         self.schedule(0, SimEvent::NextRequest);
         if self.deployment.with_faults {
             self.schedule(SECOND, SimEvent::Fault);
@@ -548,7 +539,7 @@
             // A gateway's clock advances in whole ticks.
             let tick = self.deployment.settings.tick;
             self.now = self.now.max(at.div_ceil(tick) * tick);
-            if self.now > end + longest + 2 * SECOND {
+            if self.now > end + max_deadline + 2 * SECOND {
                 break;
             }
             self.process(sim_event, end);
@@ -571,8 +562,8 @@
     fn process(&mut self, sim_event: SimEvent, end: Micros) {
         match sim_event {
             SimEvent::NextRequest if self.now < end => {
-                let next_id = self.next_interval();
-                self.schedule(next_id, SimEvent::NextRequest);
+                let interval = self.next_interval();
+                self.schedule(interval, SimEvent::NextRequest);
                 self.send_request();
             }
             SimEvent::NextRequest => {}
@@ -587,8 +578,8 @@
                 attempt,
             } => self.finish_work(backend, incarnation, attempt),
             SimEvent::Deadline { gateway, id } => {
-                let in_flight = self.requests[&(gateway, id)].attempts.len();
-                for number in 0..in_flight {
+                let attempt_count = self.requests[&(gateway, id)].attempts.len();
+                for number in 0..attempt_count {
                     self.end_unanswered(gateway, id, number as u16, Outcome::TimedOut);
                 }
             }
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -185,12 +185,12 @@
     harness.advance(SECOND);
     let (_, actions) = harness.request_with_span(0, 1, 7, 2.0, 1.0);
     assert!(matches!(actions[..], [Action::Send { .. }]));
-    let used = harness.gateway.plan_usage();
+    let usage = harness.gateway.plan_usage();
     assert_eq!(
-        (used.len(), used[1].customers, used[1].in_flight),
+        (usage.len(), usage[1].customers, usage[1].in_flight),
         (4, 1, 1)
     );
-    assert!(used[1].rate > 0.0 && used[0] == PlanUsage::default());
+    assert!(usage[1].rate > 0.0 && usage[0] == PlanUsage::default());
 }
 
 /// All plans beyond the last index that a message can carry share that index. A quota owner must
@@ -218,8 +218,8 @@
             harnesses[number].now += 10_000;
             let mut actions = harnesses[number].feed(Event::Timer(0));
             if step % 5 == 0 {
-                let (id, more) = harnesses[number].request_with_span(0, 70, 7, 1.0, 2.0);
-                actions.extend(more);
+                let (id, request_actions) = harnesses[number].request_with_span(0, 70, 7, 1.0, 2.0);
+                actions.extend(request_actions);
                 let _ = id;
             }
             for action in actions {
@@ -328,15 +328,15 @@
 #[test]
 fn pending_request_keeps_its_maximum_number_of_attempts() {
     for (before, after, is_retried) in [(3, 1, true), (1, 3, false)] {
-        let with = |max_attempts| {
+        let settings_with = |max_attempts| {
             let mut s = settings();
             s.limits.max_attempts = max_attempts;
             s
         };
-        let mut harness = Harness::new(with(before), 4);
+        let mut harness = Harness::new(settings_with(before), 4);
         let (id, actions) = harness.request(0, 0, 1, 1.0);
         let first = sent_to(&actions)[0];
-        harness.feed(Event::SettingsChanged(Box::new(with(after))));
+        harness.feed(Event::SettingsChanged(Box::new(settings_with(after))));
         let actions = harness.end_attempt(id, 0, first, Outcome::Error);
         assert_eq!(
             !sent_to(&actions).is_empty(),
@@ -350,7 +350,7 @@
 #[test]
 fn streaming_answer_occupies_no_slot() {
     let mut harness = Harness::new(settings(), 1);
-    let (mut sent, mut refused) = (0, 0);
+    let (mut sent, mut rejected) = (0, 0);
     for n in 0..100 {
         let (id, actions) = harness.request(0, 0, n, 1.0);
         match sent_to(&actions).first() {
@@ -358,11 +358,11 @@
                 sent += 1;
                 harness.feed(Event::FirstByte { id, attempt: 0 });
             }
-            None => refused += 1,
+            None => rejected += 1,
         }
     }
     assert_eq!(
-        (sent, refused),
+        (sent, rejected),
         (100, 0),
         "streaming answers must not occupy slots"
     );
@@ -425,7 +425,7 @@
 /// usage.
 #[test]
 fn messages_of_a_peer_with_other_lists_are_not_misread() {
-    let with = |number: u16, name_digests: [u8; 2]| {
+    let settings_with = |number: u16, name_digests: [u8; 2]| {
         let mut s = settings();
         // In a large fleet gateways share samples, and a single owner decides.
         (s.gateway_count, s.gateway_id, s.name_digests) = (60, GatewayId(number), name_digests);
@@ -433,7 +433,7 @@
     };
     // Messages of a peer whose attempts failed.
     let messages_of_peer = |name_digests: [u8; 2]| {
-        let mut peer = Harness::new(with(3, name_digests), 4);
+        let mut peer = Harness::new(settings_with(3, name_digests), 4);
         let mut peer_actions = Vec::new();
         for n in 0..200u64 {
             let (_, mut actions) = peer.request_with_span(0, 1, n, 1.0, 2.0);
@@ -456,7 +456,7 @@
         peer_actions.into_iter().filter_map(message_to_owner)
     };
     let state_after_messages = |name_digests: [u8; 2]| {
-        let mut harness = Harness::new(with(0, [1, 1]), 4);
+        let mut harness = Harness::new(settings_with(0, [1, 1]), 4);
         let messages: Vec<Vec<u8>> = messages_of_peer(name_digests).collect();
         assert!(messages.len() > 10, "only {} messages", messages.len());
         for bytes in messages {
--- a/crates/decision/tests/simulated_fleet/mod.rs
+++ b/crates/decision/tests/simulated_fleet/mod.rs
@@ -38,11 +38,11 @@
     /// A customer sends its next request.
     RequestDue(usize),
     /// A message arrives: sender, receiver, content.
-    MessageArrived(usize, usize, Vec<u8>),
+    Message(usize, usize, Vec<u8>),
     /// A backend completes the job with this number.
     WorkDone(usize, u64),
     /// A gateway receives an event.
-    GatewayEvent(usize, Event),
+    Gateway(usize, Event),
     /// A gateway receives an endpoint list.
     EndpointList(usize, EndpointListKind, Vec<Endpoint>),
 }
@@ -140,7 +140,7 @@
             delivered: 0,
             config,
         };
-        (0..gateways).for_each(|gateway_index| fleet.start_gateway(gateway_index));
+        (0..gateways).for_each(|index| fleet.start_gateway(index));
         for customer_index in 0..customers {
             let at = fleet.next_interval(fleet.config.customers[customer_index].1);
             fleet.schedule(at, 0, SimEvent::RequestDue(customer_index));
@@ -168,25 +168,25 @@
     }
 
     /// Starts a gateway without any state, with the current endpoint list.
-    pub fn start_gateway(&mut self, gateway_index: usize) {
-        self.incarnations[gateway_index] += 1;
+    pub fn start_gateway(&mut self, index: usize) {
+        self.incarnations[index] += 1;
         let settings = Settings {
-            gateway_id: GatewayId(gateway_index as u16),
+            gateway_id: GatewayId(index as u16),
             ..self.config.settings.clone()
         };
         let seed = (self.random_fraction() * 1e15) as u64;
-        self.gateways[gateway_index] = Some(Gateway::new(settings, seed, self.now));
+        self.gateways[index] = Some(Gateway::new(settings, seed, self.now));
         let list = self.list.clone();
         self.feed(
-            gateway_index,
+            index,
             Event::EndpointsChanged(EndpointListKind::Cached, list),
         );
     }
 
     /// Stops a gateway; all of its state is lost.
-    pub fn stop_gateway(&mut self, gateway_index: usize) {
-        self.gateways[gateway_index] = None;
-        self.incarnations[gateway_index] += 1;
+    pub fn stop_gateway(&mut self, index: usize) {
+        self.gateways[index] = None;
+        self.incarnations[index] += 1;
     }
 
     /// Restarts some backends, which then warm up. Every gateway learns of the restart within half
@@ -200,12 +200,12 @@
             self.list[backend_index].started_at = self.now;
         }
         let changed: Vec<Endpoint> = self.list[range].to_vec();
-        for gateway_index in 0..self.gateways.len() {
+        for index in 0..self.gateways.len() {
             let delay = (self.random_fraction() * SECOND as f64 / 2.0) as Micros;
             self.schedule(
                 delay,
-                self.incarnations[gateway_index],
-                SimEvent::EndpointList(gateway_index, EndpointListKind::Delta, changed.clone()),
+                self.incarnations[index],
+                SimEvent::EndpointList(index, EndpointListKind::Delta, changed.clone()),
             );
         }
     }
@@ -228,20 +228,18 @@
     fn process(&mut self, incarnation: u32, sim_event: SimEvent) {
         match sim_event {
             SimEvent::RequestDue(customer_index) => self.send_request(customer_index),
-            SimEvent::WakeUp(gateway_index) if self.incarnations[gateway_index] == incarnation => {
-                self.feed(gateway_index, Event::Timer(0))
+            SimEvent::WakeUp(index) if self.incarnations[index] == incarnation => {
+                self.feed(index, Event::Timer(0))
             }
-            SimEvent::GatewayEvent(gateway_index, event)
-                if self.incarnations[gateway_index] == incarnation =>
-            {
-                self.feed(gateway_index, event)
+            SimEvent::Gateway(index, event) if self.incarnations[index] == incarnation => {
+                self.feed(index, event)
             }
-            SimEvent::EndpointList(gateway_index, kind, list)
-                if self.incarnations[gateway_index] == incarnation =>
+            SimEvent::EndpointList(index, kind, list)
+                if self.incarnations[index] == incarnation =>
             {
-                self.feed(gateway_index, Event::EndpointsChanged(kind, list))
+                self.feed(index, Event::EndpointsChanged(kind, list))
             }
-            SimEvent::MessageArrived(from, to, bytes) => {
+            SimEvent::Message(from, to, bytes) => {
                 let (second, max_per_second) = (
                     self.now / SECOND,
                     self.config.settings.limits.peer_messages_per_s,
@@ -273,9 +271,8 @@
         self.schedule(next, 0, SimEvent::RequestDue(customer_index));
         let (count, gateway_span) = (self.gateways.len(), usize::from(self.config.gateway_span));
         let first = (customer_index * 37) % count;
-        let gateway_index =
-            (first + (self.random_fraction() * gateway_span as f64) as usize) % count;
-        if self.gateways[gateway_index].is_none() {
+        let index = (first + (self.random_fraction() * gateway_span as f64) as usize) % count;
+        if self.gateways[index].is_none() {
             return;
         }
         let id = RequestId(self.next_id);
@@ -299,27 +296,25 @@
         self.requests += 1;
         self.customer_by_request.insert(id, customer_index);
         self.arrived_at.insert(id, self.now);
-        self.feed(gateway_index, Event::Request(request));
+        self.feed(index, Event::Request(request));
     }
 
-    fn feed(&mut self, gateway_index: usize, event: Event) {
-        let Some(gateway) = &mut self.gateways[gateway_index] else {
+    fn feed(&mut self, index: usize, event: Event) {
+        let Some(gateway) = &mut self.gateways[index] else {
             return;
         };
         let mut actions = Vec::new();
         gateway.handle(self.now, event, &mut actions);
         for action in actions {
-            self.apply_action(gateway_index, action);
+            self.apply_action(index, action);
         }
     }
 
-    fn apply_action(&mut self, gateway_index: usize, action: Action) {
+    fn apply_action(&mut self, index: usize, action: Action) {
         match action {
-            Action::SetTimer { delay, .. } => self.schedule(
-                delay,
-                self.incarnations[gateway_index],
-                SimEvent::WakeUp(gateway_index),
-            ),
+            Action::SetTimer { delay, .. } => {
+                self.schedule(delay, self.incarnations[index], SimEvent::WakeUp(index))
+            }
             Action::SendToPeer {
                 to: Some(to),
                 bytes,
@@ -327,62 +322,50 @@
                 self.messages += 1;
                 if self.random_fraction() >= self.config.loss {
                     let delay = 1_600 + (self.random_fraction() * 20_000.0) as Micros;
-                    self.schedule(
-                        delay,
-                        0,
-                        SimEvent::MessageArrived(gateway_index, usize::from(to.0), bytes),
-                    );
+                    self.schedule(delay, 0, SimEvent::Message(index, usize::from(to.0), bytes));
                 }
             }
             Action::Reject { .. } => self.rejected += 1,
             Action::Fail(_) => self.failed += 1,
             Action::Send { id, backend, .. } => {
-                let attempt = self.attempts.entry((gateway_index, id)).or_insert(0);
+                let attempt = self.attempts.entry((index, id)).or_insert(0);
                 let number = *attempt;
                 *attempt += 1;
                 if number == 0 {
                     self.first_sent_at[self.customer_by_request[&id]].push(self.now);
                 }
                 self.next_id += 1;
-                let (number, gateway, sent) = (
-                    self.next_id,
-                    (gateway_index, self.incarnations[gateway_index]),
-                    self.now,
-                );
+                let (number, gateway, sent) =
+                    (self.next_id, (index, self.incarnations[index]), self.now);
                 let job = Job {
                     number,
                     gateway,
                     id,
-                    attempt: self.attempts[&(gateway_index, id)] - 1,
+                    attempt: self.attempts[&(index, id)] - 1,
                     sent,
                     cancelled: false,
                 };
                 let backend_index = backend.0 as usize;
                 self.backends[backend_index].arrivals.push(self.now);
-                self.backends[backend_index].senders.insert(gateway_index);
+                self.backends[backend_index].senders.insert(index);
                 self.backends[backend_index].queued.push_back(job);
                 self.start_work(backend_index);
             }
             Action::Cancel { id, attempt } => {
                 for backend in &mut self.backends {
-                    let matches_attempt = |j: &&mut Job| {
-                        j.gateway.0 == gateway_index && j.id == id && j.attempt == attempt
-                    };
+                    let matches =
+                        |j: &&mut Job| j.gateway.0 == index && j.id == id && j.attempt == attempt;
                     backend
                         .running
                         .iter_mut()
-                        .filter(matches_attempt)
+                        .filter(matches)
                         .for_each(|j| j.cancelled = true);
-                    backend.queued.retain(|j| {
-                        !(j.gateway.0 == gateway_index && j.id == id && j.attempt == attempt)
-                    });
+                    backend
+                        .queued
+                        .retain(|j| !(j.gateway.0 == index && j.id == id && j.attempt == attempt));
                 }
                 let event = attempt_completed(id, attempt, BackendId(0), Outcome::Cancelled, 0);
-                self.schedule(
-                    0,
-                    self.incarnations[gateway_index],
-                    SimEvent::GatewayEvent(gateway_index, event),
-                );
+                self.schedule(0, self.incarnations[index], SimEvent::Gateway(index, event));
             }
             _ => {}
         }
@@ -424,10 +407,10 @@
             return;
         };
         let job = self.backends[backend_index].running.remove(at);
-        let (gateway_index, incarnation) = job.gateway;
+        let (index, incarnation) = job.gateway;
         if !job.cancelled
             && !self.backends[backend_index].silent
-            && self.incarnations[gateway_index] == incarnation
+            && self.incarnations[index] == incarnation
         {
             let elapsed = self.now - job.sent + 2 * ONE_WAY_LATENCY;
             let event = attempt_completed(
@@ -444,7 +427,7 @@
             self.schedule(
                 ONE_WAY_LATENCY,
                 incarnation,
-                SimEvent::GatewayEvent(gateway_index, event),
+                SimEvent::Gateway(index, event),
             );
         }
         self.start_work(backend_index);
--- a/crates/decision/tests/size.rs
+++ b/crates/decision/tests/size.rs
@@ -84,25 +84,25 @@
             .filter(|t| **t >= start)
             .count()
     };
-    let (warm, cold) = (
+    let (warm, warming) = (
         (0..28).map(|n| arrivals_at(&n)).sum::<usize>(),
         (28..60).map(|n| arrivals_at(&n)).sum::<usize>(),
     );
     // At 0.3 to 0.6 of their full speed, the 32 warming backends have about half the capacity of
     // the 28 warm ones.
     assert!(
-        cold * 4 > warm,
-        "{cold} requests sent to 32 warming backends, {warm} to 28 warm backends"
+        warming * 4 > warm,
+        "{warming} requests sent to 32 warming backends, {warm} to 28 warm backends"
     );
     // Two cores at 0.3 of their speed serve 6 requests of 100 ms per second. Four times that rate
     // for one second overloads the backend.
-    let most = (28..60)
+    let max_arrivals = (28..60)
         .map(|n| fleet.max_arrivals_within(n, SECOND))
         .max()
         .unwrap_or(0);
     assert!(
-        most < 24,
-        "a warming backend received {most} requests within a second"
+        max_arrivals < 24,
+        "a warming backend received {max_arrivals} requests within a second"
     );
     assert!(
         fleet.in_time - before > 1_500,
@@ -159,23 +159,23 @@
 /// more than random variation: twice the square root of the budget, plus 2.
 fn fullest_windows(gateways: u16, backends: u64, work: Micros, loss: f64) -> Vec<FullestWindow> {
     let fleet = run_with_restarts_under_load(gateways, backends, work, loss);
-    let cold = 0..(backends as usize * 5 / 6);
+    let warming = 0..(backends as usize * 5 / 6);
     let window = |n| {
         let (arrivals, budget) = fleet.fullest_warm_up_window(n);
-        let most = budget + 2.0 * budget.sqrt() + 2.0;
+        let max_arrivals = budget + 2.0 * budget.sqrt() + 2.0;
         assert!(
-            arrivals as f64 <= most,
-            "{arrivals} arrivals, at most {most:.1} allowed (budget {budget:.1}), {gateways} gateways, \
-             message loss {loss}"
+            arrivals as f64 <= max_arrivals,
+            "{arrivals} arrivals, at most {max_arrivals:.1} allowed (budget {budget:.1}), \
+             {gateways} gateways, message loss {loss}"
         );
         FullestWindow {
-            fill_ratio: arrivals as f64 / most,
+            fill_ratio: arrivals as f64 / max_arrivals,
             arrivals,
             budget,
             gateways,
         }
     };
-    cold.map(window).collect()
+    warming.map(window).collect()
 }
 
 /// Guards against gateways that each stay within their share of a warming backend's budget but
@@ -212,18 +212,18 @@
     };
     for g in [3, 10, 30, 300] {
         let window = fullest(&|w| w.gateways == g);
-        let most = window.arrivals as f64 / window.fill_ratio;
+        let max_arrivals = window.arrivals as f64 / window.fill_ratio;
         println!(
-            "{g} gateways: {} arrivals of {most:.1} allowed, budget {:.1}",
+            "{g} gateways: {} arrivals of {max_arrivals:.1} allowed, budget {:.1}",
             window.arrivals, window.budget
         );
     }
     // Without pressure the check would pass trivially. Without a budget 26 requests arrived where
     // 17.8 were allowed.
-    let all = fullest(&|_| true);
+    let fullest_of_all = fullest(&|_| true);
     assert!(
-        all.fill_ratio > 0.5,
-        "no warming backend was under pressure: {all:?}"
+        fullest_of_all.fill_ratio > 0.5,
+        "no warming backend was under pressure: {fullest_of_all:?}"
     );
 }
 
@@ -233,7 +233,7 @@
 /// and after half of the gateways restart.
 #[test]
 fn requests_wait_for_ceiling_refill_and_ceilings_hold_through_loss_and_restarts() {
-    for (loss, least) in [(0.07, 0.55), (0.3, 0.4)] {
+    for (loss, min_share) in [(0.07, 0.55), (0.3, 0.4)] {
         let mut fleet = SimulatedFleet::new(FleetConfig {
             loss,
             ..fleet_config(100, vec![(1, 2.0); 150])
@@ -241,8 +241,9 @@
         fleet.run(2 * SECOND);
         let share = fleet.in_time as f64 / fleet.requests as f64;
         assert!(
-            share > least,
-            "fraction {share} of the requests of the first two seconds answered in time, message loss {loss}"
+            share > min_share,
+            "fraction {share} of the requests of the first two seconds answered in time, \
+             message loss {loss}"
         );
         // Every fifth customer asks for far more than its ceiling.
         fleet
@@ -345,19 +346,19 @@
 fn each_gateway_uses_few_backends_and_all_backends_are_used() {
     let mut fleet = SimulatedFleet::new(fleet_config(100, vec![(2, 10.0); 60]));
     fleet.run(6 * SECOND);
-    let spread: Vec<usize> = fleet.backends.iter().map(|s| s.senders.len()).collect();
-    let (all, least, most) = (
-        spread.iter().sum::<usize>(),
-        spread.iter().min(),
-        spread.iter().max(),
+    let gateways_per_backend: Vec<usize> = fleet.backends.iter().map(|s| s.senders.len()).collect();
+    let (pairs, min_gateways, max_gateways) = (
+        gateways_per_backend.iter().sum::<usize>(),
+        gateways_per_backend.iter().min(),
+        gateways_per_backend.iter().max(),
     );
     assert!(
-        all <= 100 * 14,
-        "{all} pairs of a gateway and a backend it sends to"
+        pairs <= 100 * 14,
+        "{pairs} pairs of a gateway and a backend it sends to"
     );
     assert!(
-        least >= Some(&7) && most <= Some(&36),
-        "backends receive from {least:?} to {most:?} gateways"
+        min_gateways >= Some(&7) && max_gateways <= Some(&36),
+        "backends receive from {min_gateways:?} to {max_gateways:?} gateways"
     );
     let before: Vec<_> = fleet.backends[..24]
         .iter()
