--- a/crates/decision/tests/digest.rs
+++ b/crates/decision/tests/digest.rs
@@ -93,6 +93,7 @@
     }
 }
 
+/// Adds `counts` to `total`.
 fn add(total: &mut Counts, counts: &Counts) {
     total.sends += counts.sends;
     total.retries += counts.retries;
--- a/crates/decision/tests/quotas.rs
+++ b/crates/decision/tests/quotas.rs
@@ -352,7 +352,8 @@
     other.advance(4 * SECOND);
     harness.request(0, 1, 9, 0.5);
     other.request(0, 1, 9, 2.0);
-    other.advance(200_000); // these messages are dropped
+    // These messages are lost.
+    other.advance(200_000);
     other.request(0, 1, 9, 3.0);
     let reported: Vec<Vec<u8>> = other
         .advance(300_000)
--- a/crates/decision/tests/random_deployment/mod.rs
+++ b/crates/decision/tests/random_deployment/mod.rs
@@ -61,6 +61,7 @@
     )
 }
 
+/// A random class and its mean work in microseconds.
 fn class() -> impl Strategy<Value = (Class, Micros)> {
     let idempotency = prop_oneof![
         Just(Idempotency::Idempotent),
@@ -134,6 +135,7 @@
     )
 }
 
+/// Generates random deployments.
 pub fn any_deployment() -> impl Strategy<Value = Deployment> {
     let classes = prop::collection::vec(class(), 1..4);
     let plans = prop::collection::vec(plan(), 1..4);
--- a/crates/decision/tests/settings.rs
+++ b/crates/decision/tests/settings.rs
@@ -49,7 +49,8 @@
         6,
         "only the burst may be sent"
     );
-    harness.advance(SECOND); // refills two units at the old rate
+    // Refills two units at the old rate.
+    harness.advance(SECOND);
     harness.feed(changed(&s, |s| s.plans[1] = plan(20.0, 60.0)));
     assert_eq!(
         count_sent(&mut harness, 1, 7, 10),
@@ -123,7 +124,7 @@
     harness.advance(SECOND);
     let (id, actions) = harness.request_with_span(2, 0, 7, 1.0, 1.0);
     let Some(Action::Send { backend, .. }) = actions.first() else {
-        panic!("{actions:?}")
+        panic!("request was not sent: {actions:?}")
     };
     let backend = *backend;
     harness.feed(changed(&s, |s| {
@@ -138,10 +139,13 @@
     // A request that arrives after the change is retried.
     let (id, actions) = harness.request_with_span(2, 0, 7, 1.0, 1.0);
     let Some(Action::Send { backend, .. }) = actions.first() else {
-        panic!("{actions:?}")
+        panic!("request was not sent: {actions:?}")
     };
     let actions = harness.end_attempt(id, 0, *backend, Outcome::Reset);
-    assert!(matches!(actions[..], [Action::Send { .. }]), "{actions:?}");
+    assert!(
+        matches!(actions[..], [Action::Send { .. }]),
+        "not retried: {actions:?}"
+    );
 }
 
 #[test]
@@ -161,7 +165,7 @@
             let actions = harness.end_attempt(id, 0, *backend, Outcome::Ok);
             assert!(
                 actions.iter().all(|a| !matches!(a, Action::Send { .. })),
-                "{actions:?}"
+                "retried after it was answered: {actions:?}"
             );
         }
     }
@@ -501,10 +505,10 @@
             let Some(first) = sent_to(&actions).first().copied() else {
                 continue;
             };
-            let mut is_retried = Some((0, first));
-            while let Some((attempt, backend)) = is_retried {
+            let mut next_attempt = Some((0, first));
+            while let Some((attempt, backend)) = next_attempt {
                 let actions = harness.end_attempt(id, attempt, backend, Outcome::Error);
-                is_retried = sent_to(&actions).first().map(|b| (attempt + 1, *b));
+                next_attempt = sent_to(&actions).first().map(|b| (attempt + 1, *b));
             }
         }
         assert!(
@@ -517,7 +521,7 @@
         assert_eq!(
             harness.gateway.backends_in_rotation() < 2,
             stays_ejected,
-            "{idempotency:?}"
+            "backends ejected after the class changed to {idempotency:?}"
         );
     }
 }
--- a/crates/decision/tests/simulation/mod.rs
+++ b/crates/decision/tests/simulation/mod.rs
@@ -331,7 +331,7 @@
         if !cancelled && elapsed < behavior.min_latency && !self.one_in(30) {
             return;
         }
-        let a = self.hosts[at].attempts.remove(index);
+        let ended = self.hosts[at].attempts.remove(index);
         let outcome = if cancelled && !self.one_in(8) {
             Outcome::Cancelled
         } else {
@@ -339,8 +339,8 @@
         };
         let complete = outcome == Outcome::Ok || self.one_in(60);
         let event = Event::AttemptCompleted {
-            id: a.id,
-            attempt: a.number,
+            id: ended.id,
+            attempt: ended.number,
             backend,
             outcome,
             complete,
@@ -386,10 +386,11 @@
         }
     }
 
+    /// Disconnects the client of the newest request or of the latest attempt at a gateway.
     fn disconnect_client(&mut self, at: usize) {
         let use_newest = self.one_in(3);
-        let elapsed = self.hosts[at].attempts.last().map(|a| a.id);
-        let id = elapsed
+        let latest = self.hosts[at].attempts.last().map(|a| a.id);
+        let id = latest
             .filter(|_| !use_newest)
             .unwrap_or(RequestId(self.next_request_id));
         let sender = self
@@ -469,6 +470,7 @@
         }
     }
 
+    /// Passes in random bytes, or a real message with one bit flipped.
     fn corrupt_message(&mut self, at: usize) {
         let from = GatewayId(self.random_below(6) as u16);
         let mut bytes: Vec<u8> = (0..self.random_below(270))
