--- a/crates/commit/src/coordinator.rs
+++ b/crates/commit/src/coordinator.rs
@@ -1,10 +1,10 @@
-//! The coordinator of two-phase commit over the participants of a change, and the recovery of a change whose coordinator died
+//! Coordinator of two-phase commit over the participants of a change, and recovery of a change whose coordinator died
 //! (Gray, "Notes on Data Base Operating Systems", 1978; ballots as in Lamport's Paxos).
 //!
-//! Each coordinator has a ballot of its own. A participant takes a decision only from the ballot that prepared the change
-//! there, or fenced it last. The first coordinator commits once every participant has voted for the change, and aborts
-//! otherwise. One that recovers fences every participant with a higher ballot before it decides, so that nobody else can
-//! decide there any more; then it commits if one participant has committed, and aborts if none has.
+//! Each coordinator has its own ballot. A participant accepts a decision only from the ballot that prepared the change there,
+//! or that fenced it last. The first coordinator commits once every participant has voted for the change, and aborts otherwise.
+//! A recovering coordinator first fences every participant with a higher ballot, so that no other coordinator can decide
+//! any more. It then commits if any participant has committed, and aborts otherwise.
 
 use crate::plan::{Plan, Target};
 use crate::protocol::{Ballot, CommitRequest, CommitResponse, CommitStatus, PreparedVote};
@@ -12,25 +12,25 @@
 use crate::state::{Digest, Generation, State};
 use std::sync::Arc;
 
-/// What a participant is asked to prepare.
+/// Content of the prepare request for a participant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Preparation {
-    /// The vote that is asked for.
+    /// Vote that the participant is asked to give.
     pub vote: PreparedVote,
-    /// What the participant is to enforce.
+    /// State that the participant enforces once the change is committed.
     pub state: Arc<State>,
 }
 
-/// A participant, as its coordinator sees it.
+/// Progress of a participant, as known to the coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MemberProgress {
     /// Name of the ingress.
     pub ingress: String,
-    /// What it is asked to prepare; none in a recovery, which has no plan.
+    /// Content of the prepare request; none during recovery, where the plan is unknown.
     pub prepare: Option<Preparation>,
-    /// It has done what this phase asks for.
+    /// Whether the participant has carried out the request of the current phase.
     pub answered: bool,
-    /// Last known status of the change there.
+    /// Last known status of the change at the participant; none before its first response.
     pub status: Option<CommitStatus>,
 }
 
@@ -48,14 +48,14 @@
 /// A decision on a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Decision {
-    /// The change is made.
+    /// Apply the change at every participant.
     Commit,
-    /// The change is discarded.
+    /// Discard the change at every participant.
     Abort,
 }
 
 impl Decision {
-    /// Status of the change at a participant that has carried out the decision.
+    /// Returns the status of the change at a participant that has carried out the decision.
     fn status(self) -> CommitStatus {
         match self {
             Decision::Commit => CommitStatus::Committed,
@@ -64,40 +64,41 @@
     }
 }
 
-/// Phase of a change.
+/// Phase of a change, from the coordinator's view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum CommitPhase {
     /// Participants are asked for their votes.
     Preparing,
-    /// Participants are fenced, and report the status of the change.
+    /// Recovery: participants are fenced and report the status of the change.
     Fencing,
-    /// The change is decided, and participants are told.
+    /// The change is decided, and the decision is sent to the participants.
     Deciding(Decision),
     /// Every participant has carried out the decision.
     Ended(Decision),
-    /// Another coordinator decides this change.
+    /// Another coordinator decides this change; this one has stopped.
     Superseded,
 }
 
 /// The coordinator of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Coordinator {
-    /// The change.
+    /// Identity of the plan that is applied.
     pub change: Digest,
     ballot: Ballot,
-    /// Its participants.
+    /// Participants of the change, in the order of the plan's targets or of the names given for recovery.
     pub members: Vec<MemberProgress>,
-    /// Phase of the change.
+    /// Current phase.
     pub phase: CommitPhase,
-    /// Why participants rejected it.
+    /// Reasons of the participants that rejected a request or did not vote.
     pub rejections: Vec<MemberReason>,
 }
 
 impl Coordinator {
-    /// Creates a coordinator that applies a plan. The ballot must be its alone; the time is a good choice.
+    /// Creates a coordinator that applies a plan. No other coordinator may use the same ballot; the start time is a good
+    /// choice.
     pub fn new(plan: &Plan, ballot: Ballot) -> Coordinator {
         let change = plan.id();
-        let names: Vec<String> = plan.targets.iter().map(|t| t.ingress.clone()).collect();
+        let member_names: Vec<String> = plan.targets.iter().map(|t| t.ingress.clone()).collect();
         let progress = |target: &Target| {
             let vote = PreparedVote {
                 change: change.clone(),
@@ -107,7 +108,7 @@
                     digest: target.wanted.clone(),
                 },
                 author: plan.author.clone(),
-                members: names.clone(),
+                members: member_names.clone(),
             };
             let state = plan.states.get(&target.wanted).cloned();
             let prepare = state.map(|state| Preparation { vote, state });
@@ -117,7 +118,7 @@
         Coordinator::start(change, ballot, members, CommitPhase::Preparing)
     }
 
-    /// Creates a coordinator that recovers a change. The ballot must be higher than those of all coordinators before it.
+    /// Creates a coordinator that recovers a change. Its ballot must be higher than that of every earlier coordinator.
     pub fn recover(change: Digest, members: Vec<String>, ballot: Ballot) -> Coordinator {
         let members = members
             .into_iter()
@@ -141,7 +142,7 @@
         }
     }
 
-    /// The request to send to a participant, by its index; none if there is nothing left to ask it in this phase.
+    /// Returns the request to send to the participant at this index; none if it has carried out the current phase's request.
     pub fn next_request(&self, member: usize) -> Option<CommitRequest> {
         let member = self.members.get(member).filter(|m| !m.answered)?;
         let change = self.change.clone();
@@ -173,7 +174,7 @@
         self.advance();
     }
 
-    /// Begins the next phase once every participant has answered.
+    /// Enters the next phase once every participant has carried out the current phase's request.
     fn advance(&mut self) {
         if !self.members.iter().all(|m| m.answered) {
             return;
@@ -195,8 +196,8 @@
         }
     }
 
-    /// Handles the outcome of a request of this phase: a participant's response, or none if the connection broke or the
-    /// request timed out, and the participant may have done what was asked.
+    /// Handles the outcome of a request of the current phase: the participant's response, or none if the connection broke or
+    /// the request timed out. In the latter case the participant may still have carried out the request.
     pub fn handle_response(&mut self, member: usize, response: Option<CommitResponse>) {
         if member >= self.members.len() {
             return;
@@ -216,8 +217,8 @@
                 self.record_status(member, CommitStatus::Prepared);
                 self.advance();
             }
-            // It may have voted all the same: like all others it is told to discard the change.
-            None => self.abort(member, "it did not answer".into()),
+            // The participant may have stored its vote nevertheless, so it gets the abort decision like all others.
+            None => self.abort(member, "connection lost or request timed out".into()),
             Some(CommitResponse::Rejected { reason } | CommitResponse::Unavailable { reason }) => {
                 self.abort(member, reason)
             }
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Handles a response to a fence or a decision. A participant that is unavailable is asked again.
+    /// Handles a response to a fence or a decision. The request to an unavailable participant is sent again.
     fn handle_status(&mut self, member: usize, response: Option<CommitResponse>) {
         match response {
             Some(CommitResponse::ChangeStatus { change, status }) if change == self.change => {
--- a/crates/commit/src/metrics.rs
+++ b/crates/commit/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Usage and request metrics of an ingress, for whoever reviews a change or judges a canary.
+//! Usage and request metrics of an ingress, used to review a change or to evaluate a canary.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -7,59 +7,59 @@
 /// Usage of the customers on a plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlanUsage {
-    /// Number of known customers.
+    /// Number of known customers on the plan.
     pub customers: u64,
-    /// Highest usage of a customer over all ingresses, in units per second.
+    /// Highest usage of any customer over all ingresses, in units per second.
     pub rate: f64,
-    /// Highest number of open attempts of a customer.
+    /// Highest number of open attempts of any customer.
     #[serde(rename = "open")]
     pub open_attempts: u32,
 }
 
-/// A node, as an ingress observes it.
+/// A backend node as observed by an ingress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ObservedNode {
-    /// Name in service discovery.
+    /// Name of the node in service discovery.
     pub name: String,
     /// Zone group of the node.
     #[serde(rename = "hall")]
     pub zone_group: String,
-    /// Model of its machine.
+    /// Machine model of the node.
     pub model: String,
-    /// Group it belongs to.
+    /// Number of the group that the node belongs to.
     pub group: u64,
-    /// Whether it is up and not draining.
+    /// Whether the node is up and not draining.
     #[serde(rename = "takes")]
     pub accepting: bool,
-    /// Classes it is ejected for.
+    /// Names of the classes for which the node is ejected.
     #[serde(rename = "rests", default)]
     pub ejected_for: Vec<String>,
 }
 
-/// Metrics of an ingress since its start.
+/// Metrics of an ingress, counted since its start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct IngressMetrics {
-    /// Requests received.
+    /// Number of requests received.
     #[serde(rename = "taken", default)]
     pub received: u64,
-    /// Requests served.
+    /// Number of requests served successfully.
     #[serde(default)]
     pub served: u64,
-    /// Requests rejected.
+    /// Number of requests rejected.
     #[serde(rename = "refused", default)]
     pub rejected: u64,
-    /// Requests failed.
+    /// Number of requests that failed.
     #[serde(default)]
     pub failed: u64,
-    /// Usage by name of the plan.
+    /// Usage by plan name.
     #[serde(default)]
     pub plans: BTreeMap<String, PlanUsage>,
-    /// Known nodes, where pools may change.
+    /// Known nodes, if the pools may change.
     #[serde(default)]
     pub nodes: Vec<ObservedNode>,
 }
 
-// Messages are compared and hashed; metrics are never NaN.
+// Messages that contain metrics are compared and hashed, which requires `Eq`. The `f64` fields are never NaN.
 impl Eq for IngressMetrics {}
 
 impl Hash for IngressMetrics {
@@ -69,7 +69,7 @@
 }
 
 impl IngressMetrics {
-    /// The counts since an earlier sample; plans and nodes are those of this one.
+    /// Returns the request counts since an earlier sample, with the plans and nodes of this sample.
     pub fn since(&self, earlier: &IngressMetrics) -> IngressMetrics {
         IngressMetrics {
             received: self.received.saturating_sub(earlier.received),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Fraction of the answered requests that were rejected or failed; 0 if none was answered.
+    /// Returns the fraction of the finished requests that were rejected or failed; 0 if no request has finished.
     pub fn failure_ratio(&self) -> f64 {
         let lost = self.rejected + self.failed;
         let answered = self.served + lost;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Adds the counts of another ingress; of each plan the highest usage is kept.
+    /// Adds the request counts of another ingress, and keeps the higher usage for each plan.
     pub fn merge(&mut self, other: &IngressMetrics) {
         self.received += other.received;
         self.served += other.served;
--- a/crates/commit/src/participant.rs
+++ b/crates/commit/src/participant.rs
@@ -1,11 +1,11 @@
-//! The participant of two-phase commit: an ingress's side of a change (Gray, "Notes on Data Base Operating Systems", 1978).
+//! Participant of two-phase commit: an ingress's side of a change (Gray, "Notes on Data Base Operating Systems", 1978).
 //!
-//! Unlike in the textbook protocol the decision is stored at the participants, and fenced by ballots: a coordinator that
-//! recovers a change takes a higher ballot at every participant, after which no other coordinator can decide it. See
+//! Unlike in the textbook protocol, the decision is stored at the participants and protected by ballots: a recovering
+//! coordinator fences every participant with a higher ballot, after which no other coordinator can decide the change. See
 //! [`crate::coordinator`].
 //!
-//! All a participant must not forget is one [`ParticipantState`], which is stored as a whole before any response or switch
-//! that rests on it.
+//! All durable state of a participant is one [`ParticipantState`]. It is stored as a whole before any response is sent, or
+//! any state is enforced, that depends on it.
 
 use crate::metrics::IngressMetrics;
 use crate::protocol::{Ballot, CommitRequest, CommitResponse, CommitStatus, PreparedVote};
@@ -16,19 +16,19 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Maximum number of ended changes, and of fences, that are kept.
+/// Maximum number of ended changes that are kept, and likewise of fences.
 const MAX_KEPT: usize = 64;
 
-/// A change the participant has voted for, written as an array of both.
+/// A change that the participant has voted for. Serialized as a two-element array.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(
     from = "(PreparedVote, Arc<State>)",
     into = "(PreparedVote, Arc<State>)"
 )]
 pub struct PreparedChange {
-    /// The vote.
+    /// Vote that the participant has given.
     pub vote: PreparedVote,
-    /// What is enforced if the change is made.
+    /// State to enforce if the change is committed.
     pub state: Arc<State>,
 }
 
@@ -44,13 +44,13 @@
     }
 }
 
-/// A change that has ended, written as an array of both.
+/// A change that was committed or aborted. Serialized as a two-element array.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(Digest, bool)", into = "(Digest, bool)")]
 pub struct EndedChange {
-    /// The change.
+    /// Identity of the change's plan.
     pub change: Digest,
-    /// Whether it was made.
+    /// Whether the change was committed; otherwise it was aborted.
     pub committed: bool,
 }
 
@@ -66,11 +66,11 @@
     }
 }
 
-/// The ballot that may decide a change, written as an array of both.
+/// The only ballot that may decide a change. Serialized as a two-element array.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(Digest, Ballot)", into = "(Digest, Ballot)")]
 pub struct Fence {
-    /// The change.
+    /// Identity of the change's plan.
     pub change: Digest,
     /// Ballot of the coordinator that prepared the change here, or fenced it last.
     pub ballot: Ballot,
@@ -88,24 +88,24 @@
     }
 }
 
-/// What a participant stores.
+/// Durable state of a participant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ParticipantState {
     /// Generation that is enforced.
     pub enforced: Generation,
-    /// Its state.
+    /// State of the enforced generation.
     pub state: Arc<State>,
-    /// The change it has voted for and that is not decided.
+    /// The change that the participant has voted for and whose decision is pending.
     #[serde(rename = "promise")]
     pub prepared: Option<PreparedChange>,
-    /// The last changes that have ended, oldest first.
+    /// The most recently ended changes, oldest first.
     pub ended: Vec<EndedChange>,
-    /// The last fences, oldest first.
+    /// The most recent fences of undecided changes, oldest first.
     pub fences: Vec<Fence>,
 }
 
 impl ParticipantState {
-    /// State of an ingress that has made no change yet.
+    /// Creates the state of an ingress that enforces `state` and has not taken part in any change.
     pub fn new(generation: u64, state: impl Into<Arc<State>>) -> ParticipantState {
         let state = state.into();
         let enforced = Generation {
@@ -146,7 +146,7 @@
             change: change.clone(),
             ballot,
         });
-        keep_last(&mut self.fences);
+        drop_oldest(&mut self.fences);
     }
 
     fn end(&mut self, change: &Digest, committed: bool) {
@@ -156,79 +156,80 @@
             change: change.clone(),
             committed,
         });
-        keep_last(&mut self.ended);
+        drop_oldest(&mut self.ended);
     }
 }
 
-/// Drops the oldest entries above [`MAX_KEPT`].
-fn keep_last<T>(entries: &mut Vec<T>) {
+/// Drops the oldest entries beyond [`MAX_KEPT`].
+fn drop_oldest<T>(entries: &mut Vec<T>) {
     let surplus = entries.len().saturating_sub(MAX_KEPT);
     entries.drain(..surplus);
 }
 
-/// Outcome of a request; one that `applies` changes what is enforced.
+/// Outcome of a request at a participant.
 pub type Step = step::Step<ParticipantState, CommitResponse>;
 
 /// Why a participant rejects a request.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Rejection {
     /// Another coordinator has prepared this change.
-    #[error("somebody else applies this plan: ask how it ended")]
+    #[error("another coordinator is already applying this plan: check how that attempt ended")]
     PreparedByAnother,
-    /// The change has been made.
+    /// The change has been committed.
     #[error("this plan was applied here already")]
     AlreadyCommitted,
-    /// The change has been discarded.
-    #[error("this plan was given up: make it anew")]
+    /// The change has been aborted.
+    #[error("this plan was aborted: make a new plan")]
     AlreadyAborted,
-    /// The change has been fenced before it was prepared.
-    #[error("somebody recovers this change: ask how it ended")]
+    /// The change was fenced before it was prepared.
+    #[error("another coordinator is recovering this change: check how it ended")]
     UnderRecovery,
-    /// Another change has been prepared.
+    /// Another change is prepared and undecided.
     #[error(
-        "another change ({change}, by {author}) is promised and not decided: resume that first"
+        "another change ({change}, by {author}) is prepared but undecided: resume that one first"
     )]
     OtherChangePrepared {
-        /// Short digest of that change.
+        /// Short digest of the other change.
         change: String,
-        /// Who made it.
+        /// Author of the other change.
         author: String,
     },
-    /// What is enforced is not what the change was made for.
+    /// The enforced generation is not the one the change was made for.
     #[error(
-        "it has moved: it enforces generation {} ({}), and the plan was made for {} ({})",
+        "the ingress enforces generation {} ({}), but the plan was made for generation {} ({})",
         enforced.number, enforced.digest.short(), base.number, base.digest.short()
     )]
-    GenerationMoved {
+    GenerationMismatch {
         /// Generation that is enforced.
         enforced: Generation,
         /// Generation the change was made for.
         base: Generation,
     },
-    /// The state does not have the digest or the generation that the vote names.
-    #[error("the change does not fit its own number and digest")]
+    /// The state does not have the digest named by the vote, or the vote's generation number is not higher than the enforced
+    /// one.
+    #[error("the state does not match the digest of its generation, or the generation number is too low")]
     Inconsistent,
-    /// The ingress is no participant of the change.
-    #[error("the change is not for {0}")]
+    /// The change does not list this ingress as a participant.
+    #[error("ingress {0} is not a participant of the change")]
     NotAParticipant(String),
-    /// The ingress could not enforce the state.
+    /// The ingress can't enforce the state.
     #[error(transparent)]
     NotEnforceable(#[from] NotEnforceable),
-    /// The change has been fenced with a higher ballot.
-    #[error("somebody else recovers this change with a higher number")]
+    /// The change has been fenced with the same or a higher ballot.
+    #[error("another coordinator has fenced this change with the same or a higher ballot")]
     HigherBallot,
-    /// A change is to be made that has not been prepared.
-    #[error("nothing was promised here for this change")]
+    /// The decision is to commit, but the change has not been prepared here.
+    #[error("the change can't be committed: it has not been prepared here")]
     NotPrepared,
-    /// Another ballot decides the change.
-    #[error("somebody else decides this change: ask how it ended")]
+    /// The change may only be decided by another ballot.
+    #[error("another coordinator decides this change: check how it ended")]
     DecidedByAnother,
-    /// The request is about history, which the participant does not keep.
-    #[error("nothing is kept here")]
+    /// The request reads or writes history, which this state machine does not keep.
+    #[error("this participant keeps no history")]
     NoHistory,
 }
 
-/// The participant of an ingress.
+/// State machine of an ingress that takes part in changes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Participant {
     name: String,
@@ -244,17 +245,17 @@
         }
     }
 
-    /// What is stored.
+    /// Returns the state as last stored.
     pub fn state(&self) -> &ParticipantState {
         &self.state
     }
 
-    /// Notes that the state of a [`Step::Persist`](step::Step::Persist) has been stored.
+    /// Adopts the state of a [`Step::Persist`](step::Step::Persist). Call this once the state has been stored.
     pub fn persisted(&mut self, state: ParticipantState) {
         self.state = state;
     }
 
-    /// Handles a request. `check` says whether a state could be enforced here.
+    /// Handles a request. `check` returns an error for a state that this ingress can't enforce.
     pub fn handle(
         &self,
         request: CommitRequest,
@@ -300,7 +301,7 @@
         &self,
         vote: PreparedVote,
         ballot: Ballot,
-        wanted: Arc<State>,
+        new_state: Arc<State>,
         check: impl FnOnce(&State) -> Result<(), NotEnforceable>,
     ) -> Result<Step, Rejection> {
         let fence = self.state.fence(&vote.change);
@@ -314,13 +315,13 @@
             CommitStatus::Unknown if fence.is_some() => return Err(Rejection::UnderRecovery),
             CommitStatus::Unknown => {}
         }
-        self.check_vote(&vote, &wanted)?;
-        check(&wanted)?;
+        self.check_vote(&vote, &new_state)?;
+        check(&new_state)?;
         let mut state = Box::new(self.state.clone());
         state.set_fence(&vote.change, ballot);
         state.prepared = Some(PreparedChange {
             vote,
-            state: wanted,
+            state: new_state,
         });
         Ok(Step::Persist {
             state,
@@ -329,8 +330,8 @@
         })
     }
 
-    /// Whether a change may be prepared on what is enforced here.
-    fn check_vote(&self, vote: &PreparedVote, wanted: &State) -> Result<(), Rejection> {
+    /// Checks that a change may be prepared on top of the enforced generation.
+    fn check_vote(&self, vote: &PreparedVote, new_state: &State) -> Result<(), Rejection> {
         let state = &self.state;
         if let Some(other) = &state.prepared {
             return Err(Rejection::OtherChangePrepared {
@@ -339,12 +340,12 @@
             });
         }
         if state.enforced != vote.base {
-            return Err(Rejection::GenerationMoved {
+            return Err(Rejection::GenerationMismatch {
                 enforced: state.enforced.clone(),
                 base: vote.base.clone(),
             });
         }
-        if vote.next.number <= state.enforced.number || wanted.digest() != vote.next.digest {
+        if vote.next.number <= state.enforced.number || new_state.digest() != vote.next.digest {
             return Err(Rejection::Inconsistent);
         }
         if !vote.members.contains(&self.name) {
@@ -353,7 +354,7 @@
         Ok(())
     }
 
-    /// Takes decisions on a change from no lower ballot any more, and reports its status.
+    /// Fences a change, so that only this ballot or a higher one that fences it later can decide it, and reports its status.
     fn fence(&self, change: &Digest, ballot: Ballot) -> Result<Step, Rejection> {
         let status = self.state.status(change);
         let response = CommitResponse::ChangeStatus {
@@ -363,7 +364,7 @@
         if matches!(status, CommitStatus::Committed | CommitStatus::Aborted) {
             return Ok(Step::Respond(response));
         }
-        if self.state.fence(change).is_some_and(|has| has >= ballot) {
+        if self.state.fence(change).is_some_and(|b| b >= ballot) {
             return Err(Rejection::HigherBallot);
         }
         let mut state = Box::new(self.state.clone());
@@ -375,7 +376,7 @@
         })
     }
 
-    /// Phase 2: makes a change or discards it.
+    /// Phase 2: commits or aborts a change.
     fn decide(&self, change: &Digest, ballot: Ballot, commit: bool) -> Result<Step, Rejection> {
         let status = self.state.status(change);
         match status {
@@ -388,24 +389,24 @@
             CommitStatus::Unknown if commit => return Err(Rejection::NotPrepared),
             CommitStatus::Prepared | CommitStatus::Unknown => {}
         }
-        if self.state.fence(change).is_some_and(|has| has != ballot) {
+        if self.state.fence(change).is_some_and(|b| b != ballot) {
             return Err(Rejection::DecidedByAnother);
         }
         let mut state = Box::new(self.state.clone());
         state.end(change, commit);
-        let mut ended = CommitStatus::Aborted;
+        let mut outcome = CommitStatus::Aborted;
         if let Some(prepared) = self.state.prepared.clone().filter(|_| commit) {
             state.enforced = prepared.vote.next;
             state.state = prepared.state;
-            ended = CommitStatus::Committed;
+            outcome = CommitStatus::Committed;
         }
         Ok(Step::Persist {
             state,
             response: CommitResponse::ChangeStatus {
                 change: change.clone(),
-                status: ended,
+                status: outcome,
             },
-            applies: ended == CommitStatus::Committed,
+            applies: outcome == CommitStatus::Committed,
         })
     }
 }
--- a/crates/commit/src/plan.rs
+++ b/crates/commit/src/plan.rs
@@ -1,7 +1,7 @@
-//! Plans: changes that are reviewed before they are made.
+//! Plans: changes that are reviewed before they are applied.
 //!
-//! A plan is bound to the generation each ingress enforced when it was made, says what would differ, and carries the complete
-//! states that are wanted, under a checksum.
+//! A plan is bound to the generation that each ingress enforced when the plan was made. It lists the differences and contains
+//! the complete new states, protected by a checksum.
 
 use crate::metrics::PlanUsage;
 use crate::state::{differences, Difference, Digest, Generation, State};
@@ -10,59 +10,59 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Version of the form of a plan; the only one so far.
+/// Format version of a plan; there is only one so far.
 pub const VERSION: u32 = 1;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// An ingress a plan changes.
+/// An ingress that is changed by a plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Its name.
+    /// Name of the ingress.
     pub ingress: String,
-    /// Path of its control socket.
+    /// Path of the ingress's control socket.
     pub control: String,
-    /// What it enforced when the plan was made.
+    /// Generation that was enforced when the plan was made.
     pub base: Generation,
-    /// What would differ there: an index into [`Plan::differences`].
+    /// Index into [`Plan::differences`] of the list for this ingress.
     pub differences: usize,
-    /// What it is to enforce: a key of [`Plan::states`].
+    /// Digest of the state to enforce: a key of [`Plan::states`].
     pub wanted: Digest,
 }
 
-/// A danger of a change, for people.
+/// A risk of a change, shown to its reviewer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Danger {
-    /// The key that changes.
+    /// Key whose change is risky.
     pub key: String,
-    /// What is dangerous about it.
+    /// Human-readable description of the risk.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// A change of several ingresses.
+/// A change to one or more ingresses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Version of the form.
+    /// Format version, see [`VERSION`].
     pub version: u32,
-    /// Who made it.
+    /// Who made the plan.
     pub author: String,
-    /// When it was made, in microseconds of Unix time, so that two plans of the same change have different identities.
+    /// Unix time at which the plan was made, in microseconds, so that two plans for the same change have different identities.
     pub made_at: u64,
-    /// Seconds from then on for which it may be applied.
+    /// How long after `made_at` the plan may be applied, in seconds.
     #[serde(rename = "good_for")]
     pub valid_for: u64,
-    /// Number of the generation it makes.
+    /// Number of the generation that the plan creates.
     pub generation: u64,
-    /// The ingresses it changes, by name.
+    /// The ingresses that the plan changes.
     pub targets: Vec<Target>,
-    /// What is to be enforced, by digest; ingresses with the same state share one.
+    /// New states by digest; ingresses with the same new state share an entry.
     pub states: BTreeMap<Digest, Arc<State>>,
-    /// What would differ; ingresses with the same states before and after share a list.
+    /// Lists of differences; ingresses with the same old and new states share a list.
     pub differences: Vec<Vec<Difference>>,
-    /// What is dangerous about it.
+    /// Risks of the plan, each listed once.
     pub dangers: Vec<Danger>,
-    /// Groups that decide by a majority: the control sockets of all their members by name, witnesses among them.
+    /// Groups that decide by majority: for each, the control sockets of all members by member name, including witnesses.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub groups: Vec<BTreeMap<String, String>>,
 }
@@ -70,23 +70,23 @@
 /// Why a plan can't be read or applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PlanError {
-    /// The text is no plan.
-    #[error("this is no plan: {0}")]
+    /// The text is not a plan file.
+    #[error("not a valid plan file: {0}")]
     Malformed(String),
-    /// Its form has another version.
-    #[error("the plan's form is version {0}, and this program knows {VERSION}")]
-    UnknownVersion(u32),
-    /// It does not match its checksum.
-    #[error("the plan was altered since it was written: make it anew")]
-    Altered,
-    /// It is no longer valid.
+    /// The plan file has an unsupported format version.
+    #[error("unsupported plan file version {0}: this program supports version {VERSION}")]
+    UnsupportedVersion(u32),
+    /// The plan does not match its checksum.
+    #[error("the plan file was modified after it was written: make a new plan")]
+    ChecksumMismatch,
+    /// The plan is older than its validity period.
     #[error(
-        "the plan is {age} s old, and was good for {valid_for} s: make it anew and look at it again"
+        "the plan is {age} s old, but was valid for {valid_for} s: make a new plan and review it"
     )]
     Expired {
-        /// Its age, in seconds.
+        /// Age of the plan, in seconds.
         age: u64,
-        /// Seconds for which it was valid.
+        /// Validity period of the plan, in seconds.
         valid_for: u64,
     },
 }
@@ -97,7 +97,7 @@
     }
 }
 
-/// A plan's file: the plan as text, and the digest of that text.
+/// Content of a plan file: the plan as text, and the digest of that text.
 #[derive(Serialize, Deserialize)]
 struct PlanFile {
     version: u32,
@@ -105,46 +105,46 @@
     plan: String,
 }
 
-/// Who makes a plan, when, and for how long it is valid.
+/// Author, time and validity period of a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlanHeader {
-    /// Who makes it.
+    /// Who makes the plan.
     pub author: String,
-    /// Unix time, in microseconds.
+    /// Unix time at which the plan is made, in microseconds.
     pub made_at: u64,
-    /// Seconds for which it may be applied.
+    /// How long after `made_at` the plan may be applied, in seconds.
     pub valid_for: u64,
 }
 
-/// What an ingress enforces, and is to enforce.
+/// Current and wanted configuration of an ingress.
 #[derive(Clone, Debug)]
 pub struct IngressSnapshot {
-    /// Its name.
+    /// Name of the ingress.
     pub ingress: String,
-    /// Path of its control socket.
+    /// Path of the ingress's control socket.
     pub control: String,
-    /// Generation it enforces.
+    /// Generation that is enforced now.
     pub base: Generation,
-    /// State of that generation.
+    /// State of the enforced generation.
     pub current: Arc<State>,
-    /// What it is to enforce.
+    /// State to enforce instead.
     pub wanted: Arc<State>,
-    /// Usage there, by name of the plan.
+    /// Usage at this ingress by customer plan name.
     pub usage: BTreeMap<String, PlanUsage>,
-    /// Dangers found by those who know what the state means.
+    /// Risks found by the caller, in addition to those found by comparing values.
     pub extra_dangers: Vec<Danger>,
 }
 
-/// Collects what the targets of a plan share.
+/// Collects the parts of a plan that its targets share.
 #[derive(Default)]
 struct PlanBuilder {
     states: BTreeMap<Digest, Arc<State>>,
     differences: Vec<Vec<Difference>>,
     dangers: Vec<Danger>,
-    /// Index of a list of differences, by digests before and after.
-    known_differences: BTreeMap<(Digest, Digest), usize>,
-    /// States that have been hashed: ingresses often share one.
-    hashed: Vec<HashedState>,
+    /// Index into `differences` by the digests of the old and the new state.
+    difference_index: BTreeMap<(Digest, Digest), usize>,
+    /// States that have been hashed already: ingresses often share one.
+    hashed_states: Vec<HashedState>,
 }
 
 struct HashedState {
@@ -156,12 +156,12 @@
     fn add(&mut self, snapshot: IngressSnapshot) -> Target {
         let wanted = self.digest(&snapshot.wanted);
         let differences = self.differences(&snapshot, &wanted);
-        let mut found: Vec<Danger> = self.differences[differences]
+        let mut dangers: Vec<Danger> = self.differences[differences]
             .iter()
-            .filter_map(|difference| danger(difference, &snapshot))
+            .filter_map(|difference| find_danger(difference, &snapshot))
             .collect();
-        found.extend(snapshot.extra_dangers);
-        for danger in found {
+        dangers.extend(snapshot.extra_dangers);
+        for danger in dangers {
             if !self.dangers.contains(&danger) {
                 self.dangers.push(danger);
             }
@@ -176,24 +176,28 @@
         }
     }
 
+    /// Returns the digest of a state, and computes it only once per shared state.
     fn digest(&mut self, state: &Arc<State>) -> Digest {
-        let known = self.hashed.iter().find(|h| Arc::ptr_eq(&h.state, state));
-        if let Some(known) = known {
-            return known.digest.clone();
+        let cached = self
+            .hashed_states
+            .iter()
+            .find(|h| Arc::ptr_eq(&h.state, state));
+        if let Some(cached) = cached {
+            return cached.digest.clone();
         }
         let digest = state.digest();
-        self.hashed.push(HashedState {
+        self.hashed_states.push(HashedState {
             state: state.clone(),
             digest: digest.clone(),
         });
         digest
     }
 
-    /// Index of the list of differences at an ingress.
+    /// Returns the index of the list of differences for an ingress, and adds the list if it is new.
     fn differences(&mut self, snapshot: &IngressSnapshot, wanted: &Digest) -> usize {
         let key = (snapshot.base.digest.clone(), wanted.clone());
         let lists = &mut self.differences;
-        *self.known_differences.entry(key).or_insert_with(|| {
+        *self.difference_index.entry(key).or_insert_with(|| {
             lists.push(differences(&snapshot.current, &snapshot.wanted));
             lists.len() - 1
         })
@@ -201,7 +205,7 @@
 }
 
 impl Plan {
-    /// Makes a plan from what each ingress enforces and is to enforce; none if nothing would differ.
+    /// Makes a plan from the current and wanted state of each ingress; none if no state differs.
     pub fn make(header: PlanHeader, ingresses: Vec<IngressSnapshot>) -> Option<Plan> {
         let newest = ingresses.iter().map(|i| i.base.number).max();
         let mut builder = PlanBuilder::default();
@@ -223,7 +227,7 @@
         })
     }
 
-    /// The plan for some of its ingresses alone, which is another plan with an identity of its own.
+    /// Returns the plan for a subset of its ingresses, which is a different plan with its own identity.
     #[must_use]
     pub fn restricted_to(&self, keep: impl Fn(&Target) -> bool) -> Plan {
         let mut plan = self.clone();
@@ -236,17 +240,17 @@
         plan
     }
 
-    /// The plan's identity: two plans have the same only if they are equal.
+    /// Returns the plan's identity, a digest over all its fields: only equal plans have the same identity.
     pub fn id(&self) -> Digest {
         Digest::of(self.canonical().as_bytes())
     }
 
-    /// The plan as text. Maps are ordered, so that it is always the same.
+    /// Returns the plan as JSON. All maps are ordered, so equal plans give the same text.
     fn canonical(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Text of the plan's file.
+    /// Returns the text of the plan file.
     pub fn to_file_text(&self) -> String {
         let plan = self.canonical();
         let file = PlanFile {
@@ -259,29 +263,29 @@
         text
     }
 
-    /// Reads the text of a plan's file.
+    /// Parses the text of a plan file.
     ///
     /// # Errors
     ///
-    /// If the text is no plan, has another version, or was altered.
+    /// If the text is not a plan file, has an unsupported version, or does not match its checksum.
     pub fn from_file_text(text: &str) -> Result<Plan, PlanError> {
         let file: PlanFile = serde_json::from_str(text)?;
         if file.version != VERSION {
-            return Err(PlanError::UnknownVersion(file.version));
+            return Err(PlanError::UnsupportedVersion(file.version));
         }
         if Digest::of(file.plan.as_bytes()) != file.checksum {
-            return Err(PlanError::Altered);
+            return Err(PlanError::ChecksumMismatch);
         }
         Ok(serde_json::from_str(&file.plan)?)
     }
 
-    /// Whether the plan may be applied at a Unix time in microseconds.
+    /// Checks that the plan may still be applied at `now_us`, a Unix time in microseconds.
     ///
     /// # Errors
     ///
-    /// If it has expired.
-    pub fn check_validity(&self, now: u64) -> Result<(), PlanError> {
-        let age = now.saturating_sub(self.made_at) / MICROS_PER_SECOND;
+    /// If the plan has expired.
+    pub fn check_validity(&self, now_us: u64) -> Result<(), PlanError> {
+        let age = now_us.saturating_sub(self.made_at) / MICROS_PER_SECOND;
         if age > self.valid_for {
             return Err(PlanError::Expired {
                 age,
@@ -292,30 +296,31 @@
     }
 }
 
-/// A difference in a number, as far as its dangers are concerned.
+/// A change of a numeric value, reduced to what [`find_danger`] needs.
 struct NumberChange {
+    /// New value; 0 if it is missing or not a number.
     new: f64,
-    /// The value gets lower.
-    lower: bool,
-    /// A limit gets stricter, where 0 is none.
-    tighter: bool,
+    /// Whether the value becomes lower.
+    is_lower: bool,
+    /// Whether the value, read as a limit where 0 means no limit, becomes stricter.
+    is_stricter: bool,
 }
 
 impl NumberChange {
     fn of(difference: &Difference) -> NumberChange {
         let number = |value: &Option<String>| value.as_ref().and_then(|v| v.parse::<f64>().ok());
         let (old, new) = (number(&difference.old), number(&difference.new));
-        let lower = matches!((old, new), (Some(old), Some(new)) if new < old);
+        let is_lower = matches!((old, new), (Some(old), Some(new)) if new < old);
         let first_limit = matches!((old, new), (Some(0.0), Some(new)) if new > 0.0);
         NumberChange {
             new: new.unwrap_or(0.0),
-            lower,
-            tighter: lower && new != Some(0.0) || first_limit,
+            is_lower,
+            is_stricter: is_lower && new != Some(0.0) || first_limit,
         }
     }
 }
 
-/// Usage of the customers on a plan that a difference is about.
+/// Usage of the customers on the plan whose settings differ.
 struct UsedPlan<'a> {
     name: &'a str,
     usage: PlanUsage,
@@ -323,39 +328,40 @@
 
 impl<'a> UsedPlan<'a> {
     fn of(difference: &Difference, snapshot: &'a IngressSnapshot) -> Option<UsedPlan<'a>> {
-        let field = last_part(&difference.key);
-        let entry = difference.key.strip_suffix(field)?;
-        let name = snapshot.current.0.get(&format!("{entry}name"))?;
+        let field = field_name(&difference.key);
+        let prefix = difference.key.strip_suffix(field)?;
+        let name = snapshot.current.0.get(&format!("{prefix}name"))?;
         let usage = *snapshot.usage.get(name)?;
         Some(UsedPlan { name, usage })
     }
 }
 
-fn last_part(key: &str) -> &str {
+/// Returns the part of a key after its last dot.
+fn field_name(key: &str) -> &str {
     key.rsplit('.').next().unwrap_or("")
 }
 
-/// What is dangerous about one difference at an ingress.
-fn danger(difference: &Difference, snapshot: &IngressSnapshot) -> Option<Danger> {
+/// Finds the risk of a difference at an ingress, if it has one.
+fn find_danger(difference: &Difference, snapshot: &IngressSnapshot) -> Option<Danger> {
     let change = NumberChange::of(difference);
-    let used = UsedPlan::of(difference, snapshot);
-    let description = used
-        .and_then(|used| danger_to_usage(difference, &change, &used))
-        .or_else(|| danger_of_number(difference, &change).map(String::from))
-        .or_else(|| danger_of_text(difference))?;
+    let used_plan = UsedPlan::of(difference, snapshot);
+    let description = used_plan
+        .and_then(|used| danger_to_current_usage(difference, &change, &used))
+        .or_else(|| danger_of_stricter_limit(difference, &change).map(String::from))
+        .or_else(|| danger_of_other_change(difference))?;
     Some(Danger {
         key: difference.key.clone(),
         description,
     })
 }
 
-/// A limit that becomes stricter than what customers use at the moment.
-fn danger_to_usage(
+/// Describes a limit that becomes stricter than the current usage of customers.
+fn danger_to_current_usage(
     difference: &Difference,
     change: &NumberChange,
     used: &UsedPlan,
 ) -> Option<String> {
-    if !change.tighter {
+    if !change.is_stricter {
         return None;
     }
     let UsedPlan { name, usage } = used;
@@ -364,42 +370,45 @@
         open_attempts,
         ..
     } = usage;
-    match last_part(&difference.key) {
+    match field_name(&difference.key) {
         "quota_rate" if *rate > change.new => Some(format!(
             "a customer on {name} uses {rate:.1} units a second right now, more than the new quota: it is refused at once"
         )),
         "never_over_rate" if *rate > change.new || *open_attempts > 0 => Some(format!(
-            "a ceiling is lowered while customers on {name} use up to {rate:.1} units a second, with up to {open_attempts} attempts out"
+            "a ceiling is lowered while customers on {name} use up to {rate:.1} units a second, with up to {open_attempts} open attempts"
         )),
         "max_out" if f64::from(*open_attempts) > change.new => Some(format!(
-            "a cap is lowered, and a customer on {name} has {open_attempts} attempts out right now"
+            "a concurrency limit is lowered, and a customer on {name} has {open_attempts} open attempts right now"
         )),
         _ => None,
     }
 }
 
-/// A limit or a time that becomes stricter.
-fn danger_of_number(difference: &Difference, change: &NumberChange) -> Option<&'static str> {
-    match last_part(&difference.key) {
-        "quota_rate" | "burst" if change.tighter => {
-            Some("a quota is lowered: customers above it are refused")
-        }
-        "never_over_rate" | "ceiling_burst" if change.tighter => Some("a ceiling is lowered"),
-        "max_out" if change.tighter => Some("a cap is lowered"),
-        "give_up_us" | "objective_us" if change.lower => {
-            Some("a time is shortened: what takes longer today will be late")
+/// Describes a limit or a duration that becomes stricter.
+fn danger_of_stricter_limit(
+    difference: &Difference,
+    change: &NumberChange,
+) -> Option<&'static str> {
+    match field_name(&difference.key) {
+        "quota_rate" | "burst" if change.is_stricter => {
+            Some("a quota is lowered: requests above it are rejected")
         }
+        "never_over_rate" | "ceiling_burst" if change.is_stricter => Some("a ceiling is lowered"),
+        "max_out" if change.is_stricter => Some("a concurrency limit is lowered"),
+        "give_up_us" | "objective_us" if change.is_lower => Some(
+            "a deadline or latency objective is shortened: requests that take longer will be late",
+        ),
         _ => None,
     }
 }
 
-/// A class, plan, account or other setting that changes or is removed.
-fn danger_of_text(difference: &Difference) -> Option<String> {
+/// Describes a risky change to a class, plan, account or other setting that is not a stricter limit.
+fn danger_of_other_change(difference: &Difference) -> Option<String> {
     let key = difference.key.as_str();
     let removed = difference.new.is_none();
-    let text = match last_part(key) {
+    let description = match field_name(key) {
         "effect" if difference.old.is_some() => {
-            "what may be repeated changes: check that the nodes mean the same by it"
+            "the rule whether a request may be repeated changes: check that the backends follow the same rule"
         }
         "name" if difference.new.as_deref() == Some("") => {
             let kind = if key.starts_with("grades") {
@@ -408,15 +417,15 @@
                 "plan"
             };
             let name = difference.old.as_deref().unwrap_or("");
-            return Some(format!("{kind} \"{name}\" goes: its requests are refused"));
+            return Some(format!("{kind} \"{name}\" is removed: its requests are rejected"));
         }
-        _ if key.starts_with("accounts.") && removed => "an account goes: its requests are refused",
+        _ if key.starts_with("accounts.") && removed => "the account is removed: its requests are rejected",
         _ if key.starts_with("identity.") && removed => {
-            "who may call changes: its callers are refused"
+            "an identity setting is removed: callers that depend on it are rejected"
         }
-        "discovery" => "discovery moves: the list of nodes is taken from another place",
-        "sends" => "the classes that may be sent change",
+        "discovery" => "the discovery source changes: the endpoint list comes from another place",
+        "sends" => "the set of classes that may be sent changes",
         _ => return None,
     };
-    Some(text.into())
+    Some(description.into())
 }
--- a/crates/commit/src/protocol.rs
+++ b/crates/commit/src/protocol.rs
@@ -1,8 +1,8 @@
-//! Messages of the commit protocol between a coordinator and an ingress: one JSON object a line, with the protocol's version
-//! first.
+//! Messages of the commit protocol between a coordinator and an ingress: one JSON object per line, starting with the protocol
+//! version.
 //!
-//! Keys that are unknown in a message of a known version are skipped; a message of another version is rejected. Field and
-//! variant names are part of the wire format: a name that differs from the Rust one is given by `serde(rename)`.
+//! Unknown keys in a message of a supported version are ignored; a message of any other version is rejected. Field and variant
+//! names are part of the wire format. `serde(rename)` gives the wire name where it differs from the Rust name.
 
 use crate::metrics::IngressMetrics;
 use crate::state::{Digest, Generation, State};
@@ -10,65 +10,65 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Version of the protocol. Since version 2 members of a group exchange messages as well (`wrenfork-consensus`); the messages
-/// of version 1 are the same in version 2.
+/// Protocol version of sent messages. Version 2 added the messages between members of a group (`wrenfork-consensus`); the
+/// messages of version 1 are unchanged in version 2.
 pub const VERSION: u32 = 2;
-/// Oldest version that is understood.
+/// Oldest protocol version that is accepted.
 pub const OLDEST_VERSION: u32 = 1;
 
-/// Identifies who may decide a change. Each coordinator has a ballot of its own, and one that recovers a change a higher
-/// one than all before it; the time of its start is a good choice.
+/// Identifies the coordinator that may decide a change. Each coordinator has its own ballot, and a recovering coordinator a
+/// higher one than every earlier coordinator; the coordinator's start time is a good choice.
 pub type Ballot = u64;
 
-/// A vote to make one change, if the coordinator so decides.
+/// A participant's vote for one change, which it keeps until the change is decided.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PreparedVote {
-    /// The change: the identity of its plan.
+    /// Identity of the change's plan.
     pub change: Digest,
-    /// What must be enforced before it.
+    /// Generation that must be enforced before the change.
     pub base: Generation,
-    /// What is enforced after it.
+    /// Generation that is enforced after the change.
     pub next: Generation,
-    /// Who made the change.
+    /// Author of the change.
     pub author: String,
-    /// Names of all participants of the change, this one among them.
+    /// Names of all participants of the change, including the voting one.
     pub members: Vec<String>,
 }
 
-/// A request to an ingress.
+/// A request from a coordinator or tool to an ingress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
 pub enum CommitRequest {
-    /// Asks what it enforces and has prepared.
+    /// Asks for the enforced generation, the prepared change and the metrics.
     Status,
-    /// Phase 1 of two-phase commit: validate a change, store it, and vote to make it.
+    /// Phase 1 of two-phase commit: validate a change, store it, and vote for it.
     Prepare {
-        /// The vote that is asked for.
+        /// Vote that the ingress is asked to give.
         #[serde(rename = "promise")]
         vote: PreparedVote,
         /// Ballot of the coordinator.
         ballot: Ballot,
-        /// What the ingress is to enforce.
+        /// State that the ingress enforces once the change is committed.
         #[serde(rename = "wanted")]
         state: Arc<State>,
     },
-    /// Accept decisions on a change from no lower ballot any more, and report its status.
+    /// Stop accepting decisions on a change from lower ballots, and report its status.
     Fence {
-        /// The change.
+        /// Identity of the change's plan.
         change: Digest,
         /// Ballot of the recovering coordinator.
         ballot: Ballot,
     },
-    /// Phase 2 of two-phase commit: make the change or discard it.
+    /// Phase 2 of two-phase commit: commit or abort the change.
     Decide {
-        /// The change.
+        /// Identity of the change's plan.
         change: Digest,
         /// Ballot of the coordinator.
         ballot: Ballot,
-        /// Whether the change is made.
+        /// Whether the change is committed; otherwise it is aborted.
         commit: bool,
     },
-    /// Asks what was enforced under an earlier generation.
+    /// Asks for the state of an earlier generation.
     #[serde(rename = "recall")]
     FetchGeneration {
         /// Number of the generation.
@@ -83,27 +83,27 @@
     /// Stores an audit record.
     #[serde(rename = "note")]
     AppendRecord {
-        /// The record.
+        /// Record to append to the audit log.
         record: AuditRecord,
     },
 }
 
-/// A record of the audit log.
+/// A record of an ingress's audit log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// Unix time by the ingress's clock, in seconds.
+    /// Unix time in seconds, by the ingress's clock.
     #[serde(default)]
     pub at: u64,
     /// Kind of event: `planned`, `promised`, `made`, `given up`, `refused`, `started`.
     #[serde(rename = "what")]
     pub event: String,
-    /// Who caused it.
+    /// Who caused the event.
     pub author: String,
-    /// The change, if there is one.
+    /// Identity of the change's plan; empty if the event belongs to no change.
     pub change: Digest,
-    /// Number of the generation the change makes.
+    /// Number of the generation that the change creates.
     pub generation: u64,
-    /// Description for people.
+    /// Human-readable description.
     #[serde(rename = "why")]
     pub detail: String,
 }
@@ -112,86 +112,87 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CommitStatus {
-    /// Nothing is known of it.
+    /// The ingress has no record of the change.
     Unknown,
-    /// The ingress has voted for it.
+    /// The ingress has voted for the change, which is undecided.
     #[serde(rename = "promised")]
     Prepared,
-    /// The change was made.
+    /// The change was committed.
     #[serde(rename = "made")]
     Committed,
-    /// The change was discarded.
+    /// The change was aborted.
     #[serde(rename = "dropped")]
     Aborted,
 }
 
-/// An ingress's response.
+/// An ingress's response to a [`CommitRequest`].
 ///
-/// A response lives only until it is written to its connection, so the large variant is not boxed.
+/// The large variant is not boxed because a response only lives until it is written to the connection.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "kebab-case")]
 pub enum CommitResponse {
-    /// To [`CommitRequest::Status`].
+    /// Response to [`CommitRequest::Status`].
     Status {
         /// Name of the ingress.
         ingress: String,
         /// Generation that is enforced.
         generation: Generation,
-        /// Its state.
+        /// State of the enforced generation.
         state: Arc<State>,
-        /// What the ingress has voted for and is not decided.
+        /// Vote for a change whose decision is pending.
         #[serde(rename = "promise")]
         prepared: Option<PreparedVote>,
-        /// Metrics of the ingress.
+        /// Metrics of the ingress since its start.
         #[serde(rename = "figures")]
         metrics: IngressMetrics,
     },
     /// The ingress votes for the change.
     #[serde(rename = "yes")]
     Prepared,
-    /// The request is rejected; nothing has changed.
+    /// The request is rejected, and the ingress's state is unchanged.
     #[serde(rename = "no")]
     Rejected {
-        /// Why, for people.
+        /// Human-readable reason.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The request can't be carried out now, for example because of the disk; nothing has changed and it may be retried.
+    /// The request can't be carried out now, for example because of a disk error. The ingress's state is unchanged and the
+    /// request may be retried.
     #[serde(rename = "unable")]
     Unavailable {
-        /// Why, for people.
+        /// Human-readable reason.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// To [`CommitRequest::Fence`] and [`CommitRequest::Decide`].
+    /// Response to [`CommitRequest::Fence`] and [`CommitRequest::Decide`].
     #[serde(rename = "stands")]
     ChangeStatus {
-        /// The change.
+        /// Identity of the change's plan.
         change: Digest,
-        /// Its status.
+        /// Status of the change at the ingress.
         #[serde(rename = "stand")]
         status: CommitStatus,
     },
-    /// To [`CommitRequest::FetchGeneration`].
+    /// Response to [`CommitRequest::FetchGeneration`].
     #[serde(rename = "was")]
     PastGeneration {
-        /// The generation.
+        /// The requested generation.
         generation: Generation,
-        /// Its state.
+        /// State of the requested generation.
         state: Arc<State>,
     },
-    /// To [`CommitRequest::History`].
+    /// Response to [`CommitRequest::History`].
     Records {
-        /// The records, oldest first.
+        /// The latest audit records, oldest first.
         records: Vec<AuditRecord>,
     },
-    /// The audit record is stored.
+    /// Response to [`CommitRequest::AppendRecord`]: the record is stored.
     #[serde(rename = "noted")]
     Recorded,
 }
 
-/// A message with the protocol's version, as it is sent.
+/// Wire form of a message: the protocol version, followed by the message's own fields.
 #[derive(Serialize, Deserialize)]
 struct VersionedMessage<T> {
     v: u32,
@@ -199,7 +200,7 @@
     message: T,
 }
 
-/// Encodes a message as a line, with its newline.
+/// Encodes a message as one line, including the newline.
 pub fn encode_line<T: Serialize>(message: &T) -> String {
     let versioned = VersionedMessage {
         v: VERSION,
@@ -210,39 +211,39 @@
     text
 }
 
-/// Why a line is no message.
+/// Why a line can't be decoded.
 #[derive(Debug, Error)]
 pub enum ProtocolError {
-    /// The line is no JSON object with a version.
-    #[error("no message of this protocol: {0}")]
-    NotAMessage(#[source] serde_json::Error),
-    /// The message has a version that is not understood.
+    /// The line is not a JSON object with a version.
+    #[error("not a JSON message with a protocol version: {0}")]
+    NoVersion(#[source] serde_json::Error),
+    /// The message has an unsupported version.
     #[error(
-        "the message is of version {0}, and versions {OLDEST_VERSION} to {VERSION} are spoken here"
+        "unsupported protocol version {0}: supported are versions {OLDEST_VERSION} to {VERSION}"
     )]
-    UnknownVersion(u32),
-    /// The message is none of those of its version.
-    #[error("not understood: {0}")]
-    NotUnderstood(#[source] serde_json::Error),
+    UnsupportedVersion(u32),
+    /// The message is unknown in its version, or one of its fields is missing or invalid.
+    #[error("unknown or invalid message: {0}")]
+    InvalidMessage(#[source] serde_json::Error),
 }
 
-/// The version of a message, whatever else it is.
+/// The version field alone, decoded before the rest of the message.
 #[derive(Deserialize)]
 struct MessageVersion {
     v: u32,
 }
 
-/// Decodes a line.
+/// Decodes a message from a line.
 ///
 /// # Errors
 ///
-/// If the line has another version, or is no message of this protocol.
+/// If the line is not a valid message of a supported version.
 pub fn decode_line<T: for<'a> Deserialize<'a>>(text: &str) -> Result<T, ProtocolError> {
-    let version: MessageVersion = serde_json::from_str(text).map_err(ProtocolError::NotAMessage)?;
+    let version: MessageVersion = serde_json::from_str(text).map_err(ProtocolError::NoVersion)?;
     if !(OLDEST_VERSION..=VERSION).contains(&version.v) {
-        return Err(ProtocolError::UnknownVersion(version.v));
+        return Err(ProtocolError::UnsupportedVersion(version.v));
     }
     let versioned: VersionedMessage<T> =
-        serde_json::from_str(text).map_err(ProtocolError::NotUnderstood)?;
+        serde_json::from_str(text).map_err(ProtocolError::InvalidMessage)?;
     Ok(versioned.message)
 }
--- a/crates/commit/src/reason.rs
+++ b/crates/commit/src/reason.rs
@@ -1,17 +1,17 @@
-//! Reasons given for people.
+//! Human-readable reasons for a failure or rejection.
 
 use thiserror::Error;
 
-/// An ingress can't enforce a state.
+/// Error of an ingress that can't enforce a state.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{reason}")]
 pub struct NotEnforceable {
-    /// Why, for people.
+    /// Human-readable reason.
     pub reason: String,
 }
 
 impl NotEnforceable {
-    /// Creates the error.
+    /// Creates the error with a human-readable reason.
     pub fn new(reason: impl Into<String>) -> NotEnforceable {
         NotEnforceable {
             reason: reason.into(),
@@ -19,11 +19,11 @@
     }
 }
 
-/// Why a member did not do what it was asked.
+/// Why a member did not carry out a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MemberReason {
     /// Name of the member.
     pub member: String,
-    /// Why, for people.
+    /// Human-readable reason.
     pub reason: String,
 }
--- a/crates/commit/src/state.rs
+++ b/crates/commit/src/state.rs
@@ -1,29 +1,30 @@
-//! What an ingress enforces: settings, plans, classes and accounts as keys with values, and a digest over all of them.
+//! The configuration that an ingress enforces: settings, plans, classes and accounts as key-value pairs, and their digest.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// What is enforced, by key, such as `contracts.1.quota_rate`.
+/// A configuration as values by key, with keys such as `contracts.1.quota_rate`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Hash, PartialOrd, Ord)]
 #[serde(transparent)]
 pub struct State(pub BTreeMap<String, String>);
 
 /// A SHA-256 digest in lower-case hex.
 ///
-/// Its `Debug` form goes into the digests of group states and the lots of rollouts, and must stay as it is.
+/// The `Debug` output is hashed into the digests of group states and into the update order of rollouts, so it must not
+/// change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Digest(pub String);
 
 impl Digest {
-    /// Length of a digest, in hex digits.
+    /// Length of a SHA-256 digest in hex digits.
     const HEX_LENGTH: usize = 64;
-    /// Length of a digest as it is shown to people.
+    /// Length of the abbreviated form, in hex digits.
     const SHORT_LENGTH: usize = 8;
 
-    /// Computes the digest of bytes.
+    /// Computes the SHA-256 digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Digest {
         let mut text = String::with_capacity(Digest::HEX_LENGTH);
         for byte in Sha256::digest(bytes) {
@@ -32,15 +33,15 @@
         Digest(text)
     }
 
-    /// The first eight digits, for people.
+    /// Returns the first eight hex digits, for display.
     pub fn short(&self) -> &str {
         self.0.get(..Digest::SHORT_LENGTH).unwrap_or(&self.0)
     }
 }
 
 impl State {
-    /// The canonical form: a line for each key in order, with the lengths of key and value first, so that no two states have
-    /// the same text.
+    /// Returns the canonical form: one line per key in key order, each starting with the lengths of key and value, so that
+    /// different states never have the same text.
     pub fn canonical(&self) -> String {
         let mut text = String::new();
         for (key, value) in &self.0 {
@@ -49,35 +50,36 @@
         text
     }
 
-    /// The digest of the canonical form.
+    /// Computes the digest of the canonical form.
     pub fn digest(&self) -> Digest {
         Digest::of(self.canonical().as_bytes())
     }
 }
 
-/// A version of what an ingress enforces.
+/// A version of the state that an ingress enforces.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Generation {
-    /// Its number: each change has a higher one than all before it at any of its ingresses.
+    /// Number of the generation, higher than that of every earlier change on any of the change's ingresses.
     pub number: u64,
-    /// Digest of its state.
+    /// Digest of the generation's state.
     pub digest: Digest,
 }
 
-/// A key with different values in two states.
+/// A key whose value differs between two states.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Difference {
-    /// The key.
+    /// Key in [`State`].
     pub key: String,
     /// Value in the old state; none if the key is added.
     pub old: Option<String>,
     /// Value in the new state; none if the key is removed.
     pub new: Option<String>,
-    /// Number of accounts it affects: those on the plan it belongs to, or the account it is.
+    /// Number of accounts affected: the accounts on the plan that the key belongs to, 1 for the key of an account, 0 for
+    /// any other key.
     pub accounts: u64,
 }
 
-/// The differences between two states, by key.
+/// Returns the differences between two states, sorted by key.
 pub fn differences(old: &State, new: &State) -> Vec<Difference> {
     let accounts = AccountCounts {
         old,
@@ -101,7 +103,7 @@
     keys.into_iter().map(difference).collect()
 }
 
-/// The number of accounts of a state by name of their plan.
+/// Counts the accounts of a state by plan name.
 fn accounts_by_plan(state: &State) -> BTreeMap<&str, u64> {
     let mut counts = BTreeMap::new();
     let accounts = state
@@ -114,7 +116,7 @@
     counts
 }
 
-/// Two states, and the number of accounts on each plan of both.
+/// Two states with the number of accounts on each of their plans, by plan name.
 struct AccountCounts<'a> {
     old: &'a State,
     new: &'a State,
@@ -123,14 +125,14 @@
 }
 
 impl AccountCounts<'_> {
-    /// Number of accounts that a difference of a key affects.
+    /// Returns the number of accounts affected by a change of this key.
     fn affected_by(&self, key: &str) -> u64 {
-        let mut parts = key.splitn(3, '.');
-        match (parts.next(), parts.next()) {
+        let mut segments = key.splitn(3, '.');
+        match (segments.next(), segments.next()) {
             (Some("accounts"), _) => 1,
             (Some("contracts"), Some(index)) => {
-                let before = accounts_on(self.old, &self.by_old_plan, index);
-                let after = accounts_on(self.new, &self.by_new_plan, index);
+                let before = accounts_on_plan(self.old, &self.by_old_plan, index);
+                let after = accounts_on_plan(self.new, &self.by_new_plan, index);
                 before.max(after)
             }
             _ => 0,
@@ -138,8 +140,8 @@
     }
 }
 
-/// Number of accounts on the plan with an index.
-fn accounts_on(state: &State, by_plan: &BTreeMap<&str, u64>, index: &str) -> u64 {
+/// Returns the number of accounts on the plan at this index of the `contracts` keys; 0 if there is no such plan.
+fn accounts_on_plan(state: &State, by_plan: &BTreeMap<&str, u64>, index: &str) -> u64 {
     let name = state.0.get(&format!("contracts.{index}.name"));
     let name = name.map_or("", String::as_str);
     by_plan.get(name).copied().unwrap_or(0)
--- a/crates/commit/src/step.rs
+++ b/crates/commit/src/step.rs
@@ -1,17 +1,18 @@
-//! The outcome of a request at a state machine that stores its state before it responds.
+//! The outcome of a request at a state machine that must store its state before it responds.
 
-/// What comes of a request, for a state machine with state `S` and responses `R`.
+/// Outcome of a request, for a state machine with state `S` and responses `R`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step<S, R> {
-    /// Respond; there is nothing to store.
+    /// Send this response; the state is unchanged.
     Respond(R),
-    /// Store the state, report it with `persisted`, and only then respond. If it can't be stored, nothing has happened.
+    /// Store the state, pass it to the state machine's `persisted` method, and only then send the response. If the state
+    /// can't be stored, the request has had no effect.
     Persist {
-        /// The complete new state.
+        /// The complete new state, which replaces the stored one.
         state: Box<S>,
-        /// The response.
+        /// Response to send once the state is stored.
         response: R,
-        /// Whether what is enforced changes, which is done in one step once the state is stored.
+        /// Whether the enforced configuration changes. The caller switches to it in one step once the state is stored.
         applies: bool,
     },
 }
--- a/crates/commit/tests/golden.rs
+++ b/crates/commit/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Every stored and sent form of this package, byte for byte as the files under `tests/golden/` have it.
+//! Compares every stored and sent format of this package byte for byte with the files under `tests/golden/`.
 //!
-//! The files are written by hand alone, when a form changes on purpose:
+//! The files are only rewritten by hand, when a format changes on purpose:
 //! `cargo test -p wrenfork-commit --test golden -- --ignored write_golden_files`
 
 use serde::de::DeserializeOwned;
@@ -22,11 +22,11 @@
         .join(name)
 }
 
-fn golden(name: &str) -> String {
+fn read_golden(name: &str) -> String {
     std::fs::read_to_string(path(name)).unwrap()
 }
 
-/// What one message or record with a change of every field is made from.
+/// A state with keys of different kinds and with characters that need escaping.
 fn state(value: &str) -> Arc<State> {
     let pairs = [
         ("accounts.7", "business"),
@@ -59,25 +59,25 @@
 }
 
 fn metrics() -> IngressMetrics {
-    let used = PlanUsage {
+    let usage = PlanUsage {
         customers: 2,
         rate: 6.5,
         open_attempts: 3,
     };
-    let node = |name: &str, rests: &[&str]| ObservedNode {
+    let node = |name: &str, ejected_for: &[&str]| ObservedNode {
         name: name.into(),
         zone_group: "hall-1".into(),
         model: "m2".into(),
         group: 9,
-        accepting: rests.is_empty(),
-        ejected_for: rests.iter().map(|r| r.to_string()).collect(),
+        accepting: ejected_for.is_empty(),
+        ejected_for: ejected_for.iter().map(|class| class.to_string()).collect(),
     };
     IngressMetrics {
         received: 10,
         served: 7,
         rejected: 2,
         failed: 1,
-        plans: [("starter".to_string(), used)].into(),
+        plans: [("starter".to_string(), usage)].into(),
         nodes: vec![node("node-a", &[]), node("node-b", &["chat", "batch"])],
     }
 }
@@ -126,24 +126,24 @@
 }
 
 fn responses() -> Vec<CommitResponse> {
-    let stands = [
+    let change_statuses = [
         CommitStatus::Unknown,
         CommitStatus::Prepared,
         CommitStatus::Committed,
         CommitStatus::Aborted,
     ]
-    .map(|stand| CommitResponse::ChangeStatus {
+    .map(|status| CommitResponse::ChangeStatus {
         change: Digest::of(b"change"),
-        status: stand,
+        status,
     });
-    let status = |promise: Option<PreparedVote>, figures| CommitResponse::Status {
+    let status = |prepared: Option<PreparedVote>, metrics| CommitResponse::Status {
         ingress: "n0".into(),
         generation: generation(3, "8"),
         state: state("8"),
-        prepared: promise,
-        metrics: figures,
+        prepared,
+        metrics,
     };
-    let mut says = vec![
+    let mut responses = vec![
         status(Some(vote()), metrics()),
         status(None, IngressMetrics::default()),
         CommitResponse::Prepared,
@@ -162,8 +162,8 @@
         },
         CommitResponse::Recorded,
     ];
-    says.extend(stands);
-    says
+    responses.extend(change_statuses);
+    responses
 }
 
 fn ended(change: &[u8], committed: bool) -> EndedChange {
@@ -198,7 +198,7 @@
 }
 
 fn plan() -> Plan {
-    let seen = |name: &str, number: u64, value: &str| IngressSnapshot {
+    let snapshot = |name: &str, number: u64, value: &str| IngressSnapshot {
         ingress: name.into(),
         control: format!("/run/{name}"),
         base: generation(number, value),
@@ -224,7 +224,7 @@
             made_at: 1_700_000_000_000_000,
             valid_for: 600,
         },
-        vec![seen("n0", 3, "8"), seen("n1", 5, "9")],
+        vec![snapshot("n0", 3, "8"), snapshot("n1", 5, "9")],
     )
     .unwrap();
     plan.groups = vec![[("n0", "/run/n0"), ("w0", "/run/w0")]
@@ -257,7 +257,7 @@
     ]
 }
 
-fn json<T: Serialize>(values: &[T]) -> String {
+fn json_lines<T: Serialize>(values: &[T]) -> String {
     values.iter().fold(String::new(), |mut text, value| {
         writeln!(text, "{}", serde_json::to_string(value).unwrap()).unwrap();
         text
@@ -275,8 +275,8 @@
     text
 }
 
-/// Lines of the first version, as the first version wrote them.
-fn in_the_oldest(lines: &str) -> String {
+/// Replaces the protocol version in each line by the oldest one; the rest of a line is the same in both versions.
+fn with_oldest_version(lines: &str) -> String {
     lines.replace(
         &format!("{{\"v\":{},", protocol::VERSION),
         &format!("{{\"v\":{},", protocol::OLDEST_VERSION),
@@ -284,29 +284,29 @@
 }
 
 fn files() -> Vec<(&'static str, String)> {
-    let asks: String = requests().iter().map(protocol::encode_line).collect();
-    let says: String = responses().iter().map(protocol::encode_line).collect();
+    let request_lines: String = requests().iter().map(protocol::encode_line).collect();
+    let response_lines: String = responses().iter().map(protocol::encode_line).collect();
     vec![
-        ("asks-v1.jsonl", in_the_oldest(&asks)),
-        ("asks-v2.jsonl", asks),
-        ("says-v1.jsonl", in_the_oldest(&says)),
-        ("says-v2.jsonl", says),
-        ("memory.jsonl", json(&participant_states())),
+        ("asks-v1.jsonl", with_oldest_version(&request_lines)),
+        ("asks-v2.jsonl", request_lines),
+        ("says-v1.jsonl", with_oldest_version(&response_lines)),
+        ("says-v2.jsonl", response_lines),
+        ("memory.jsonl", json_lines(&participant_states())),
         (
             "figures.jsonl",
-            json(&[metrics(), IngressMetrics::default()]),
+            json_lines(&[metrics(), IngressMetrics::default()]),
         ),
         (
             "plans.jsonl",
             plans().iter().map(Plan::to_file_text).collect(),
         ),
-        ("differences.jsonl", json(&all_differences())),
+        ("differences.jsonl", json_lines(&all_differences())),
         ("digests.txt", digests()),
     ]
 }
 
 #[test]
-#[ignore = "writes the golden files; run it by hand when a form changes on purpose"]
+#[ignore = "writes the golden files; run it by hand when a format changes on purpose"]
 fn write_golden_files() {
     for (name, text) in files() {
         std::fs::write(path(name), text).unwrap();
@@ -314,9 +314,9 @@
 }
 
 #[test]
-fn every_form_is_written_as_its_golden_file_has_it() {
+fn every_format_matches_its_golden_file() {
     for (name, text) in files() {
-        assert_eq!(text, golden(name), "{name}");
+        assert_eq!(text, read_golden(name), "{name}");
     }
 }
 
@@ -324,14 +324,14 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
-    let text = golden(name);
+    let text = read_golden(name);
     assert_eq!(text.lines().count(), values.len(), "{name}");
     for (golden_line, value) in text.lines().zip(values) {
-        let found: T = protocol::decode_line(golden_line).unwrap();
-        assert_eq!(found, *value, "{name}");
+        let decoded: T = protocol::decode_line(golden_line).unwrap();
+        assert_eq!(decoded, *value, "{name}");
         let current = golden_line.replacen("{\"v\":1,", "{\"v\":2,", 1);
         assert_eq!(
-            protocol::encode_line(&found),
+            protocol::encode_line(&decoded),
             format!("{current}\n"),
             "{name}"
         );
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn golden_lines_of_both_versions_are_read_and_written_again_to_the_same_bytes() {
+fn golden_messages_of_both_versions_round_trip() {
     for name in ["asks-v1.jsonl", "asks-v2.jsonl"] {
         assert_lines_round_trip(name, &requests());
     }
@@ -352,38 +352,38 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
-    let text = golden(name);
-    let found: Vec<T> = text
+    let text = read_golden(name);
+    let decoded: Vec<T> = text
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
-    assert_eq!(found, values, "{name}");
-    assert_eq!(json(&found), text, "{name}");
+    assert_eq!(decoded, values, "{name}");
+    assert_eq!(json_lines(&decoded), text, "{name}");
 }
 
 #[test]
-fn golden_records_are_read_and_written_again_to_the_same_bytes() {
+fn golden_records_round_trip_to_the_same_bytes() {
     assert_json_round_trips("memory.jsonl", &participant_states());
     assert_json_round_trips("figures.jsonl", &[metrics(), IngressMetrics::default()]);
     assert_json_round_trips("differences.jsonl", &all_differences());
 }
 
 #[test]
-fn golden_plans_are_read_and_written_again_to_the_same_bytes() {
-    let text = golden("plans.jsonl");
-    let found: Vec<Plan> = text
+fn golden_plans_round_trip_to_the_same_bytes() {
+    let text = read_golden("plans.jsonl");
+    let decoded: Vec<Plan> = text
         .lines()
         .map(|line| Plan::from_file_text(line).unwrap())
         .collect();
-    assert_eq!(found, plans());
+    assert_eq!(decoded, plans());
     assert_eq!(
-        found.iter().map(Plan::to_file_text).collect::<String>(),
+        decoded.iter().map(Plan::to_file_text).collect::<String>(),
         text
     );
 }
 
 #[test]
-fn figures_and_records_of_an_older_program_that_leaves_fields_out_are_read() {
+fn metrics_and_records_with_missing_fields_are_decoded() {
     assert_eq!(
         serde_json::from_str::<IngressMetrics>("{}").unwrap(),
         IngressMetrics::default()
@@ -395,8 +395,9 @@
     assert_eq!(serde_json::from_str::<AuditRecord>(record).unwrap().at, 0);
 }
 
-/// Digests of group states and the lots of rollouts are made over the `Debug` form of a digest.
+/// The digests of group states and the update order of rollouts are computed from the `Debug` output of a digest, so it must
+/// never change.
 #[test]
-fn the_debug_form_of_a_digest_is_as_it_was_hashed_before() {
+fn debug_output_of_a_digest_is_unchanged() {
     assert_eq!(format!("{:?}", Digest("ab".into())), r#"Digest("ab")"#);
 }
--- a/crates/commit/tests/model.rs
+++ b/crates/commit/tests/model.rs
@@ -1,8 +1,8 @@
-//! Two-phase commit by exhaustive search: two or three ingresses, two coordinators, messages that are lost or delayed either
-//! way, and crashes of all of them at any point.
+//! Exhaustive search of two-phase commit: two or three ingresses, two coordinators, messages that are lost or delayed in either
+//! direction, and crashes of ingresses and coordinators at any point.
 //!
-//! The participant and coordinator of the package itself are searched. Variants that are broken on purpose must be found
-//! out, or the search shows nothing.
+//! The search runs the package's own participant and coordinator. It also runs variants with one part of the protocol left
+//! out, and must find a violation in each of them: otherwise a search without violations would prove nothing.
 
 use stateright::{Checker, Model, Property, Representative};
 use std::collections::BTreeMap;
@@ -15,9 +15,9 @@
 use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_commit::step::Step;
 
-/// Two where it must be quick; with three it takes 20 s on four cores:
+/// Number of ingresses in the model: two by default, to keep the test fast. With three the search takes 20 s on four cores:
 /// `WRENFORK_SEARCH=3 cargo test --release -p wrenfork-commit --test model -- --nocapture every`
-fn ingresses() -> usize {
+fn ingress_count() -> usize {
     static COUNT: OnceLock<usize> = OnceLock::new();
     *COUNT.get_or_init(|| {
         std::env::var("WRENFORK_SEARCH")
@@ -27,36 +27,37 @@
     })
 }
 
-/// What is left out of the protocol on purpose.
+/// The part of the protocol that is left out on purpose, if any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Variant {
-    Whole,
-    /// The state of a participant is kept in memory alone, and lost with a crash.
-    NothingStored,
-    /// A change is prepared whatever is enforced.
+    Complete,
+    /// A participant keeps its votes, fences and ended changes only in memory, and loses them in a crash.
+    NoDurableState,
+    /// A change is prepared whatever generation is enforced.
     NoGenerationCheck,
-    /// Anybody may decide.
+    /// Every coordinator may decide, whatever its ballot.
     NoFence,
 }
 
-/// What the second coordinator does.
+/// Task of the second coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Second {
+enum SecondTask {
     AppliesAnother,
     AppliesTheSame,
     Recovers,
 }
 
-struct World {
+struct CommitModel {
     variant: Variant,
-    second: Second,
+    second: SecondTask,
+    /// Maximum number of crashes and lost messages.
     crashes: u8,
-    /// The identities of the two plans.
+    /// Identities of the two plans.
     plans: [Digest; 2],
 }
 
-/// Messages in flight between a coordinator and an ingress: at most one message in either direction. A request of a coordinator
-/// may arrive at any time; one that has ended may leave a request in flight.
+/// The message in flight between a coordinator and an ingress, at most one at a time. The request of a running coordinator is
+/// not stored here, as it may arrive at any time; a coordinator that crashes may leave a request in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Channel {
     Idle,
@@ -65,69 +66,74 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Now {
+struct ModelState {
     ingresses: Vec<Participant>,
+    /// None for a coordinator that has crashed.
     coordinators: Vec<Option<Coordinator>>,
+    /// By coordinator, then by ingress.
     channels: Vec<Vec<Channel>>,
+    /// Crashes and lost messages that may still happen.
     crashes: u8,
-    /// By change: ingresses that said yes.
+    /// Bit set of the ingresses that have voted for each change.
     voted: BTreeMap<String, u8>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    /// A request arrives and is handled.
-    Arrive(usize, usize),
-    /// A response arrives.
-    Hear(usize, usize),
-    /// An ingress ends before its write, or after it and before its answer; it comes back with what it wrote. To its
-    /// coordinator that is the same as a request, or a response, that is lost.
-    Crash(usize, usize, bool),
-    /// An coordinator ends; its requests may still arrive.
-    End(usize),
+    /// A request of the coordinator arrives at the ingress and is handled.
+    DeliverRequest(usize, usize),
+    /// A response of the ingress arrives at the coordinator.
+    DeliverResponse(usize, usize),
+    /// An ingress crashes while it handles a request, either before it stores its state (false) or after that and before it
+    /// responds (true), and restarts with its stored state. For the coordinator this equals a lost request or response.
+    CrashIngress(usize, usize, bool),
+    /// A coordinator crashes; its requests may still arrive.
+    CrashCoordinator(usize),
 }
 
-impl Representative for Now {
-    /// Ingresses differ by their names alone, and who is called what decides nothing: of states that are alike but for
-    /// that, one stands for all.
-    fn representative(&self) -> Now {
+impl Representative for ModelState {
+    /// Returns one representative for all states that differ only in the order of the ingresses: ingresses differ only in
+    /// their names, and the names influence nothing.
+    fn representative(&self) -> ModelState {
         let mut order: Vec<usize> = (0..self.ingresses.len()).collect();
-        order.sort_by_cached_key(|i| {
+        order.sort_by_cached_key(|index| {
             let mut hash = DefaultHasher::new();
-            self.ingresses[*i].state().hash(&mut hash);
-            self.channels.iter().for_each(|w| w[*i].hash(&mut hash));
+            self.ingresses[*index].state().hash(&mut hash);
+            self.channels
+                .iter()
+                .for_each(|channels| channels[*index].hash(&mut hash));
             for member in self
                 .coordinators
                 .iter()
                 .flatten()
-                .filter_map(|a| a.members.get(*i))
+                .filter_map(|c| c.members.get(*index))
             {
                 (member.answered, member.status).hash(&mut hash);
             }
             self.voted
                 .iter()
-                .for_each(|(change, yes)| (change, yes >> i & 1).hash(&mut hash));
+                .for_each(|(change, votes)| (change, votes >> index & 1).hash(&mut hash));
             hash.finish()
         });
-        let mut like = self.clone();
+        let mut renamed = self.clone();
         for (to, from) in order.iter().enumerate() {
-            like.ingresses[to] =
+            renamed.ingresses[to] =
                 Participant::new(&format!("n{to}"), self.ingresses[*from].state().clone());
-            for (channels, its) in like.channels.iter_mut().zip(&self.channels) {
-                channels[to] = its[*from].clone();
+            for (channels, source) in renamed.channels.iter_mut().zip(&self.channels) {
+                channels[to] = source[*from].clone();
             }
-            for (coordinator, its) in like.coordinators.iter_mut().zip(&self.coordinators) {
-                let (Some(coordinator), Some(its)) = (coordinator, its) else {
+            for (coordinator, source) in renamed.coordinators.iter_mut().zip(&self.coordinators) {
+                let (Some(coordinator), Some(source)) = (coordinator, source) else {
                     continue;
                 };
-                coordinator.members[to] = its.members[*from].clone();
+                coordinator.members[to] = source.members[*from].clone();
                 coordinator.members[to].ingress = format!("n{to}");
             }
-            for (change, yes) in &mut like.voted {
-                *yes = *yes & !(1 << to) | (self.voted[change] >> from & 1) << to;
+            for (change, votes) in &mut renamed.voted {
+                *votes = *votes & !(1 << to) | (self.voted[change] >> from & 1) << to;
             }
         }
-        like
+        renamed
     }
 }
 
@@ -135,32 +141,32 @@
     State([("quota".to_string(), value.to_string())].into())
 }
 
-/// The digest of a state, hashed once: all states of the search are these.
-fn known(state: &State) -> &'static Digest {
-    static ALL: OnceLock<BTreeMap<State, Digest>> = OnceLock::new();
-    let all = ALL.get_or_init(|| {
+/// Returns the digest of one of the three states of the model, computed only once.
+fn cached_digest(state: &State) -> &'static Digest {
+    static DIGESTS: OnceLock<BTreeMap<State, Digest>> = OnceLock::new();
+    let digests = DIGESTS.get_or_init(|| {
         ["old", "new", "other"]
             .map(|v| (self::state(v), self::state(v).digest()))
             .into()
     });
-    &all[state]
+    &digests[state]
 }
 
 fn plan(author: &str, value: &str) -> Plan {
     let base = state("old");
-    let of = |n: usize| {
+    let snapshot = |n: usize| {
         let generation = Generation {
             number: 1,
             digest: base.digest(),
         };
-        let (ingress, control, used) = (format!("n{n}"), String::new(), BTreeMap::new());
+        let (ingress, control, usage) = (format!("n{n}"), String::new(), BTreeMap::new());
         IngressSnapshot {
             ingress,
             control,
             base: generation,
             current: base.clone().into(),
             wanted: state(value).into(),
-            usage: used,
+            usage,
             extra_dangers: Vec::new(),
         }
     };
@@ -169,36 +175,46 @@
         made_at: 0,
         valid_for: 1,
     };
-    Plan::make(header, (0..ingresses()).map(of).collect()).unwrap()
+    Plan::make(header, (0..ingress_count()).map(snapshot).collect()).unwrap()
 }
 
-impl World {
-    /// Delivers a request; `written` and `answered` say whether the ingress ends before its write or its response.
-    fn deliver(&self, now: &mut Now, a: usize, i: usize, written: bool, answered: bool) {
-        let in_flight = std::mem::replace(&mut now.channels[a][i], Channel::Idle);
+impl CommitModel {
+    /// Delivers a request. `stored` is false if the ingress crashes before it stores its state, and `answered` is false if it
+    /// crashes before it responds.
+    fn deliver(
+        &self,
+        current: &mut ModelState,
+        coord: usize,
+        member: usize,
+        stored: bool,
+        answered: bool,
+    ) {
+        let in_flight = std::mem::replace(&mut current.channels[coord][member], Channel::Idle);
         let request = match in_flight {
             Channel::Request(request) => Some(request),
-            _ => now.coordinators[a].as_ref().and_then(|c| c.next_request(i)),
+            _ => current.coordinators[coord]
+                .as_ref()
+                .and_then(|c| c.next_request(member)),
         };
         let Some(request) = request else { return };
-        let request = self.altered(now, i, request);
+        let request = self.bypass_check(current, member, request);
         let change = match &request {
             CommitRequest::Prepare { vote, .. } => vote.change.0.clone(),
             _ => String::new(),
         };
-        let response = handle(&mut now.ingresses[i], request, written);
+        let response = handle(&mut current.ingresses[member], request, stored);
         match response.filter(|_| answered) {
             Some(response) => {
                 if response == CommitResponse::Prepared {
-                    *now.voted.entry(change).or_default() |= 1 << i;
+                    *current.voted.entry(change).or_default() |= 1 << member;
                 }
-                now.channels[a][i] = Channel::Response(response);
+                current.channels[coord][member] = Channel::Response(response);
             }
-            None => lose(now, a, i),
+            None => lose_message(current, coord, member),
         }
-        if !(written && answered) && self.variant == Variant::NothingStored {
-            let state = now.ingresses[i].state().clone();
-            now.ingresses[i].persisted(ParticipantState {
+        if !(stored && answered) && self.variant == Variant::NoDurableState {
+            let state = current.ingresses[member].state().clone();
+            current.ingresses[member].persisted(ParticipantState {
                 prepared: None,
                 fences: vec![],
                 ended: vec![],
@@ -207,9 +223,14 @@
         }
     }
 
-    /// The request without the part of the protocol that the variant leaves out.
-    fn altered(&self, now: &Now, i: usize, request: CommitRequest) -> CommitRequest {
-        let state = now.ingresses[i].state();
+    /// Returns the request changed so that the participant skips the check that the variant leaves out.
+    fn bypass_check(
+        &self,
+        current: &ModelState,
+        member: usize,
+        request: CommitRequest,
+    ) -> CommitRequest {
+        let state = current.ingresses[member].state();
         match (self.variant, request) {
             (
                 Variant::NoGenerationCheck,
@@ -228,7 +249,7 @@
                 }
             }
             (Variant::NoFence, CommitRequest::Decide { change, commit, .. }) => {
-                // With whatever ballot would be right.
+                // Use the ballot that the participant expects.
                 let fence = state.fences.iter().find(|f| f.change == change);
                 CommitRequest::Decide {
                     ballot: fence.map_or(0, |f| f.ballot),
@@ -240,29 +261,33 @@
         }
     }
 
-    fn act(&self, now: &mut Now, action: Action) -> Option<()> {
+    fn apply_action(&self, current: &mut ModelState, action: Action) -> Option<()> {
         match action {
-            Action::Arrive(a, i) => self.deliver(now, a, i, true, true),
-            Action::Hear(a, i) => {
-                let Channel::Response(say) =
-                    std::mem::replace(&mut now.channels[a][i], Channel::Idle)
+            Action::DeliverRequest(coord, member) => {
+                self.deliver(current, coord, member, true, true)
+            }
+            Action::DeliverResponse(coord, member) => {
+                let Channel::Response(response) =
+                    std::mem::replace(&mut current.channels[coord][member], Channel::Idle)
                 else {
                     return None;
                 };
-                if let Some(coordinator) = &mut now.coordinators[a] {
-                    coordinator.handle_response(i, Some(say));
+                if let Some(coordinator) = &mut current.coordinators[coord] {
+                    coordinator.handle_response(member, Some(response));
                 }
             }
-            Action::Crash(a, i, written) => {
-                now.crashes -= 1;
-                self.deliver(now, a, i, written, false);
+            Action::CrashIngress(coord, member, stored) => {
+                current.crashes -= 1;
+                self.deliver(current, coord, member, stored, false);
             }
-            Action::End(a) => {
-                now.crashes -= 1;
-                let ended = now.coordinators[a].take()?;
-                for i in 0..ingresses() {
-                    now.channels[a][i] = match ended.next_request(i) {
-                        Some(ask) if now.channels[a][i] == Channel::Idle => Channel::Request(ask),
+            Action::CrashCoordinator(coord) => {
+                current.crashes -= 1;
+                let ended = current.coordinators[coord].take()?;
+                for member in 0..ingress_count() {
+                    current.channels[coord][member] = match ended.next_request(member) {
+                        Some(request) if current.channels[coord][member] == Channel::Idle => {
+                            Channel::Request(request)
+                        }
                         _ => Channel::Idle,
                     };
                 }
@@ -272,23 +297,23 @@
     }
 }
 
-/// Handles a request at an ingress; none if it ends before its write.
+/// Handles a request at an ingress; none if the ingress crashes before it stores its state.
 fn handle(
     ingress: &mut Participant,
     request: CommitRequest,
-    written: bool,
+    stored: bool,
 ) -> Option<CommitResponse> {
     let response = match ingress.handle(request, |_| Ok(())) {
         Step::Respond(response) => response,
         Step::Persist {
             state, response, ..
-        } if written => {
+        } if stored => {
             ingress.persisted(*state);
             response
         }
         Step::Persist { .. } => return None,
     };
-    // Reasons are for people: nothing follows from them.
+    // Reasons do not influence the protocol: drop them to reduce the number of states.
     Some(match response {
         CommitResponse::Rejected { .. } => CommitResponse::Rejected {
             reason: String::new(),
@@ -297,11 +322,11 @@
     })
 }
 
-/// A request or its response is lost.
-fn lose(now: &mut Now, a: usize, i: usize) {
-    now.channels[a][i] = Channel::Idle;
-    if let Some(coordinator) = &mut now.coordinators[a] {
-        coordinator.handle_response(i, None);
+/// Drops a request or its response.
+fn lose_message(current: &mut ModelState, coord: usize, member: usize) {
+    current.channels[coord][member] = Channel::Idle;
+    if let Some(coordinator) = &mut current.coordinators[coord] {
+        coordinator.handle_response(member, None);
     }
 }
 
@@ -322,135 +347,139 @@
     }
 }
 
-impl Model for World {
-    type State = Now;
+impl Model for CommitModel {
+    type State = ModelState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<Now> {
+    fn init_states(&self) -> Vec<ModelState> {
         let first = Coordinator::new(&plan("ann", "new"), 1);
         let second = match self.second {
-            Second::AppliesAnother => Coordinator::new(&plan("bob", "other"), 2),
-            Second::AppliesTheSame => Coordinator::new(&plan("ann", "new"), 2),
-            Second::Recovers => {
-                let names = (0..ingresses()).map(|n| format!("n{n}")).collect();
+            SecondTask::AppliesAnother => Coordinator::new(&plan("bob", "other"), 2),
+            SecondTask::AppliesTheSame => Coordinator::new(&plan("ann", "new"), 2),
+            SecondTask::Recovers => {
+                let names = (0..ingress_count()).map(|n| format!("n{n}")).collect();
                 Coordinator::recover(plan("ann", "new").id(), names, 3)
             }
         };
-        let memory = || ParticipantState::new(1, state("old"));
-        vec![Now {
-            ingresses: (0..ingresses())
-                .map(|n| Participant::new(&format!("n{n}"), memory()))
+        let initial_state = || ParticipantState::new(1, state("old"));
+        vec![ModelState {
+            ingresses: (0..ingress_count())
+                .map(|n| Participant::new(&format!("n{n}"), initial_state()))
                 .collect(),
             coordinators: vec![Some(first), Some(second)],
-            channels: vec![vec![Channel::Idle; ingresses()]; 2],
+            channels: vec![vec![Channel::Idle; ingress_count()]; 2],
             crashes: self.crashes,
             voted: BTreeMap::new(),
         }]
     }
 
-    fn actions(&self, now: &Now, actions: &mut Vec<Action>) {
-        for a in 0..now.coordinators.len() {
-            for i in 0..ingresses() {
-                let asks = now.coordinators[a]
+    fn actions(&self, current: &ModelState, actions: &mut Vec<Action>) {
+        for coord in 0..current.coordinators.len() {
+            for member in 0..ingress_count() {
+                let has_request = current.coordinators[coord]
                     .as_ref()
-                    .is_some_and(|x| x.next_request(i).is_some());
-                let asks = asks || matches!(now.channels[a][i], Channel::Request(_));
-                if matches!(now.channels[a][i], Channel::Response(_)) {
-                    actions.push(Action::Hear(a, i));
-                } else if asks {
-                    actions.push(Action::Arrive(a, i));
-                    if now.crashes > 0 {
-                        actions.push(Action::Crash(a, i, false));
-                        actions.push(Action::Crash(a, i, true));
+                    .is_some_and(|c| c.next_request(member).is_some());
+                let has_request =
+                    has_request || matches!(current.channels[coord][member], Channel::Request(_));
+                if matches!(current.channels[coord][member], Channel::Response(_)) {
+                    actions.push(Action::DeliverResponse(coord, member));
+                } else if has_request {
+                    actions.push(Action::DeliverRequest(coord, member));
+                    if current.crashes > 0 {
+                        actions.push(Action::CrashIngress(coord, member, false));
+                        actions.push(Action::CrashIngress(coord, member, true));
                     }
                 }
             }
-            if now.crashes > 0 && now.coordinators[a].is_some() {
-                actions.push(Action::End(a));
+            if current.crashes > 0 && current.coordinators[coord].is_some() {
+                actions.push(Action::CrashCoordinator(coord));
             }
         }
     }
 
-    fn next_state(&self, last: &Now, action: Action) -> Option<Now> {
-        let mut now = last.clone();
-        self.act(&mut now, action)?;
-        // Why a coordinator gave up is for people: nothing follows from it.
-        now.coordinators
+    fn next_state(&self, last: &ModelState, action: Action) -> Option<ModelState> {
+        let mut current = last.clone();
+        self.apply_action(&mut current, action)?;
+        // Rejection reasons do not influence the protocol: drop them to reduce the number of states.
+        current
+            .coordinators
             .iter_mut()
             .flatten()
-            .for_each(|a| a.rejections.clear());
-        Some(now)
+            .for_each(|c| c.rejections.clear());
+        Some(current)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "no change is made at one ingress and given up at another",
+                "no change is committed at one ingress and aborted at another",
                 no_change_is_split,
             ),
             Property::always(
-                "what is enforced is one whole generation, alike under one number",
-                generations_are_whole,
+                "every ingress enforces a complete generation, with the same state under the same number",
+                generations_are_complete,
             ),
             Property::always(
-                "a plan is made only on what it was made from",
-                one_change_at_each_ingress,
+                "each ingress commits at most one of the two plans",
+                at_most_one_plan_is_committed,
             ),
-            Property::always("a promise is never lost", votes_are_kept),
+            Property::always("a vote is never lost", votes_are_kept),
             Property::always(
-                "an apply that says made is made everywhere",
-                outcomes_are_true,
+                "the outcome reported by a coordinator holds at every ingress",
+                reported_outcomes_hold,
             ),
-            Property::sometimes("a change is made", |_, now: &Now| {
-                now.ingresses.iter().all(|i| i.state().enforced.number > 1)
+            Property::sometimes("some change is committed", |_, current: &ModelState| {
+                current.ingresses.iter().all(|i| i.state().enforced.number > 1)
             }),
-            Property::sometimes("a change is given up", |_, now: &Now| {
-                let mut coordinators = now.coordinators.iter().flatten();
+            Property::sometimes("some change is aborted", |_, current: &ModelState| {
+                let mut coordinators = current.coordinators.iter().flatten();
                 coordinators.any(|c| c.phase == CommitPhase::Ended(Decision::Abort))
             }),
         ]
     }
 }
 
-fn no_change_is_split(world: &World, now: &Now) -> bool {
-    world.plans.iter().all(|plan| {
-        let statuses: Vec<CommitStatus> = now.ingresses.iter().map(|i| status(i, plan)).collect();
+fn no_change_is_split(model: &CommitModel, current: &ModelState) -> bool {
+    model.plans.iter().all(|plan| {
+        let statuses: Vec<CommitStatus> =
+            current.ingresses.iter().map(|i| status(i, plan)).collect();
         !(statuses.contains(&CommitStatus::Committed) && statuses.contains(&CommitStatus::Aborted))
     })
 }
 
-fn generations_are_whole(_: &World, now: &Now) -> bool {
+fn generations_are_complete(_: &CommitModel, current: &ModelState) -> bool {
     let mut by_number: BTreeMap<u64, &Digest> = BTreeMap::new();
-    now.ingresses.iter().all(|ingress| {
+    current.ingresses.iter().all(|ingress| {
         let state = ingress.state();
         let enforced = &state.enforced;
-        let whole = known(&state.state) == &enforced.digest;
+        let is_complete = cached_digest(&state.state) == &enforced.digest;
         let first = by_number.entry(enforced.number).or_insert(&enforced.digest);
-        whole && *first == &enforced.digest
+        is_complete && *first == &enforced.digest
     })
 }
 
-fn one_change_at_each_ingress(world: &World, now: &Now) -> bool {
-    now.ingresses.iter().all(|ingress| {
-        let made = world
+fn at_most_one_plan_is_committed(model: &CommitModel, current: &ModelState) -> bool {
+    current.ingresses.iter().all(|ingress| {
+        let committed = model
             .plans
             .iter()
             .filter(|plan| status(ingress, plan) == CommitStatus::Committed);
-        made.count() < 2
+        committed.count() < 2
     })
 }
 
-fn votes_are_kept(world: &World, now: &Now) -> bool {
-    world.plans.iter().all(|plan| {
-        let voted = now.voted.get(&plan.0).copied().unwrap_or(0);
-        let known = |i: usize| status(&now.ingresses[i], plan) != CommitStatus::Unknown;
-        (0..ingresses()).all(|i| voted & (1 << i) == 0 || known(i))
+fn votes_are_kept(model: &CommitModel, current: &ModelState) -> bool {
+    model.plans.iter().all(|plan| {
+        let voted = current.voted.get(&plan.0).copied().unwrap_or(0);
+        let has_record =
+            |member: usize| status(&current.ingresses[member], plan) != CommitStatus::Unknown;
+        (0..ingress_count()).all(|member| voted & (1 << member) == 0 || has_record(member))
     })
 }
 
-fn outcomes_are_true(_: &World, now: &Now) -> bool {
-    let carried_out = |change: &Digest, decision: Decision| {
-        now.ingresses.iter().all(|ingress| {
+fn reported_outcomes_hold(_: &CommitModel, current: &ModelState) -> bool {
+    let holds_everywhere = |change: &Digest, decision: Decision| {
+        current.ingresses.iter().all(|ingress| {
             let status = status(ingress, change);
             match decision {
                 Decision::Commit => status == CommitStatus::Committed,
@@ -460,18 +489,18 @@
             }
         })
     };
-    let mut coordinators = now.coordinators.iter().flatten();
+    let mut coordinators = current.coordinators.iter().flatten();
     coordinators.all(|coordinator| match coordinator.phase {
-        CommitPhase::Ended(decision) => carried_out(&coordinator.change, decision),
+        CommitPhase::Ended(decision) => holds_everywhere(&coordinator.change, decision),
         _ => true,
     })
 }
 
-/// Searches all; the number of states, and the properties that a state was found against.
-fn search(variant: Variant, second: Second, crashes: u8) -> (usize, Vec<&'static str>) {
+/// Runs the complete search, and returns the number of states and the names of the violated properties.
+fn search(variant: Variant, second: SecondTask, crashes: u8) -> (usize, Vec<&'static str>) {
     let plans = [plan("ann", "new").id(), plan("bob", "other").id()];
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let checker = World {
+    let checker = CommitModel {
         variant,
         second,
         crashes,
@@ -482,50 +511,50 @@
     .threads(threads)
     .spawn_dfs()
     .join();
-    let against = checker
+    let violated = checker
         .discoveries()
         .into_keys()
-        .filter(|name| !name.starts_with("a change is"));
-    let against = against.collect();
-    if variant == Variant::Whole {
+        .filter(|name| !name.starts_with("some change is"));
+    let violated = violated.collect();
+    if variant == Variant::Complete {
         let found = checker.discoveries();
         assert!(
-            found.contains_key("a change is made"),
-            "{second:?}: nothing is ever made"
+            found.contains_key("some change is committed"),
+            "{second:?}: no change is ever committed"
         );
     }
-    (checker.unique_state_count(), against)
+    (checker.unique_state_count(), violated)
 }
 
 #[test]
-fn every_interleaving_leaves_every_ingress_with_one_whole_generation() {
-    // `WRENFORK_CRASHES=2` takes minutes.
+fn every_interleaving_keeps_all_safety_properties() {
+    // With `WRENFORK_CRASHES=2` the search takes minutes.
     let crashes = std::env::var("WRENFORK_CRASHES")
         .ok()
         .and_then(|n| n.parse().ok())
         .unwrap_or(1);
     for second in [
-        Second::AppliesAnother,
-        Second::AppliesTheSame,
-        Second::Recovers,
+        SecondTask::AppliesAnother,
+        SecondTask::AppliesTheSame,
+        SecondTask::Recovers,
     ] {
-        let (states, against) = search(Variant::Whole, second, crashes);
+        let (states, violated) = search(Variant::Complete, second, crashes);
         println!("{second:?}, {crashes} crashes or losses: {states} states");
-        assert_eq!(against, [""; 0], "{second:?}");
-        assert!(states > 500, "{states}");
+        assert_eq!(violated, [""; 0], "{second:?}");
+        assert!(states > 500, "only {states} states were searched");
     }
 }
 
-/// The search must be able to fail: each part of the protocol that is left out is found out.
+/// Shows that the search can fail: leaving out any one part of the protocol must violate a property.
 #[test]
-fn what_is_left_out_is_found_out() {
+fn search_finds_a_violation_in_each_incomplete_variant() {
     for (variant, second) in [
-        (Variant::NothingStored, Second::Recovers),
-        (Variant::NoGenerationCheck, Second::AppliesAnother),
-        (Variant::NoFence, Second::Recovers),
+        (Variant::NoDurableState, SecondTask::Recovers),
+        (Variant::NoGenerationCheck, SecondTask::AppliesAnother),
+        (Variant::NoFence, SecondTask::Recovers),
     ] {
-        let (states, against) = search(variant, second, 1);
-        println!("{variant:?}: {states} states until {against:?}");
-        assert!(!against.is_empty(), "{variant:?} was not found out");
+        let (states, violated) = search(variant, second, 1);
+        println!("{variant:?}: {states} states searched, violated: {violated:?}");
+        assert!(!violated.is_empty(), "no violation found in {variant:?}");
     }
 }
--- a/crates/commit/tests/plan.rs
+++ b/crates/commit/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what they say, their files and their validity.
+//! Plans: their content, their files and their validity.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 }
 
 fn plan() -> Plan {
-    let has = state(&[
+    let current = state(&[
         ("contracts.0.name", "starter"),
         ("contracts.0.quota_rate", "8"),
         ("accounts.7", "business"),
@@ -33,12 +33,12 @@
         ("contracts.0.name", "starter"),
         ("contracts.0.quota_rate", "4"),
     ]);
-    let of = |name: &str, number| {
+    let snapshot = |name: &str, number| {
         let base = Generation {
             number,
-            digest: has.digest(),
+            digest: current.digest(),
         };
-        let used = [(
+        let usage = [(
             "starter".to_string(),
             PlanUsage {
                 customers: 1,
@@ -47,8 +47,8 @@
             },
         )]
         .into();
-        let (has, wanted, control) = (
-            Arc::new(has.clone()),
+        let (current, wanted, control) = (
+            Arc::new(current.clone()),
             Arc::new(wanted.clone()),
             format!("/run/{name}"),
         );
@@ -56,67 +56,73 @@
             ingress: name.into(),
             control,
             base,
-            current: has,
+            current,
             wanted,
-            usage: used,
+            usage,
             extra_dangers: Vec::new(),
         }
     };
-    Plan::make(header(1_000, 600), vec![of("n0", 4), of("n1", 6)]).unwrap()
+    Plan::make(
+        header(1_000, 600),
+        vec![snapshot("n0", 4), snapshot("n1", 6)],
+    )
+    .unwrap()
 }
 
 #[test]
-fn a_plan_says_what_differs_and_what_is_dangerous() {
-    let p = plan();
+fn plan_lists_each_difference_and_danger_once() {
+    let plan = plan();
     assert_eq!(
         (
-            p.generation,
-            p.targets.len(),
-            p.differences[p.targets[1].differences].len()
+            plan.generation,
+            plan.targets.len(),
+            plan.differences[plan.targets[1].differences].len()
         ),
         (7, 2, 2)
     );
     assert_eq!(
-        (p.states.len(), p.differences.len()),
+        (plan.states.len(), plan.differences.len()),
         (1, 1),
-        "two ingresses that are alike share both"
+        "ingresses with the same states share one entry of each"
     );
-    let words: Vec<&str> = p
+    let descriptions: Vec<&str> = plan
         .dangers
         .iter()
         .map(|d| d.description.split(':').next().unwrap())
         .collect();
-    let uses = "a customer on starter uses 6.5 units a second right now, more than the new quota";
+    let quota_danger =
+        "a customer on starter uses 6.5 units a second right now, more than the new quota";
     assert_eq!(
-        words,
-        ["an account goes", uses],
-        "each once, not once an ingress"
+        descriptions,
+        ["the account is removed", quota_danger],
+        "each danger is listed once, not once per ingress"
     );
-    let same = state(&[("a", "1")]);
+    let unchanged = state(&[("a", "1")]);
     let base = Generation {
         number: 1,
-        digest: same.digest(),
+        digest: unchanged.digest(),
     };
-    let seen = IngressSnapshot {
+    let snapshot = IngressSnapshot {
         ingress: "n0".into(),
         control: "/run/n0".into(),
         base,
-        current: Arc::new(same.clone()),
-        wanted: Arc::new(same),
+        current: Arc::new(unchanged.clone()),
+        wanted: Arc::new(unchanged),
         usage: BTreeMap::new(),
         extra_dangers: Vec::new(),
     };
-    assert_eq!(Plan::make(header(0, 1), vec![seen]), None);
+    assert_eq!(Plan::make(header(0, 1), vec![snapshot]), None);
 }
 
-/// Guards against a limit that was not there before and passes for harmless, and a part that has the whole's name.
+/// Guards against a newly introduced limit being reported as harmless, and against a restricted plan keeping the identity of the
+/// whole plan.
 #[test]
-fn a_first_limit_is_a_danger_and_a_part_is_another_plan() {
+fn new_limit_is_a_danger_and_restricted_plan_has_its_own_identity() {
     let base = state(&[
         ("contracts.0.name", "starter"),
         ("contracts.0.max_out", "0"),
     ]);
-    let seen = IngressSnapshot {
+    let snapshot = IngressSnapshot {
         ingress: "n0".into(),
         control: "/run/n0".into(),
         base: Generation {
@@ -139,36 +145,42 @@
         .into(),
         extra_dangers: Vec::new(),
     };
-    let p = Plan::make(header(0, 1), vec![seen]).unwrap();
+    let plan_with_limit = Plan::make(header(0, 1), vec![snapshot]).unwrap();
     assert!(
-        p.dangers[0].description.contains("5 attempts out"),
+        plan_with_limit.dangers[0]
+            .description
+            .contains("5 open attempts"),
         "{:?}",
-        p.dangers
+        plan_with_limit.dangers
+    );
+    let restricted = plan().restricted_to(|t| t.ingress == "n1");
+    assert!(
+        restricted.id() != plan().id()
+            && restricted.targets.len() == 1
+            && restricted.states.len() == 1
     );
-    let part = plan().restricted_to(|t| t.ingress == "n1");
-    assert!(part.id() != plan().id() && part.targets.len() == 1 && part.states.len() == 1);
 }
 
 #[test]
-fn a_file_that_was_altered_is_of_another_version_or_is_old_is_refused() {
+fn modified_truncated_unsupported_or_expired_plan_file_is_rejected() {
     let text = plan().to_file_text();
     assert_eq!(Plan::from_file_text(&text).unwrap(), plan());
     assert_eq!(Plan::from_file_text(&text).unwrap().id(), plan().id());
-    for (from, to) in [
+    for (original, modified) in [
         ("\\\"new\\\":\\\"4\\\"", "\\\"new\\\":\\\"9\\\""),
         ("ann", "bob"),
         ("n1", "n2"),
     ] {
-        assert!(text.contains(from), "{from} in {text}");
+        assert!(text.contains(original), "{original} is not in {text}");
         assert_eq!(
-            Plan::from_file_text(&text.replace(from, to)),
-            Err(PlanError::Altered)
+            Plan::from_file_text(&text.replace(original, modified)),
+            Err(PlanError::ChecksumMismatch)
         );
     }
     let newer = text.replacen("\"version\":1", "\"version\":2", 1);
     assert_eq!(
         Plan::from_file_text(&newer),
-        Err(PlanError::UnknownVersion(2))
+        Err(PlanError::UnsupportedVersion(2))
     );
     for cut in 0..text.len() - 1 {
         if text.is_char_boundary(cut) {
--- a/crates/commit/tests/protocol.rs
+++ b/crates/commit/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of messages.
+//! Encoding and decoding of protocol messages.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -38,16 +38,20 @@
 
 fn assert_round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(message: &T) {
     let line = encode_line(message);
-    assert_eq!(line.matches('\n').count(), 1, "one line: {line}");
+    assert_eq!(
+        line.matches('\n').count(),
+        1,
+        "encoded message is not one line: {line}"
+    );
     assert_eq!(decode_line::<T>(&line).unwrap(), *message);
 }
 
-fn request(line: &str) -> Result<CommitRequest, ProtocolError> {
+fn decode_request(line: &str) -> Result<CommitRequest, ProtocolError> {
     decode_line(line)
 }
 
 #[test]
-fn every_request_is_one_line_and_is_decoded_to_itself() {
+fn every_request_round_trips_as_one_line() {
     assert_round_trip(&CommitRequest::Status);
     assert_round_trip(&CommitRequest::Prepare {
         vote: vote(),
@@ -71,10 +75,10 @@
 }
 
 #[test]
-fn every_response_is_one_line_and_is_decoded_to_itself() {
+fn every_response_round_trips_as_one_line() {
     assert_round_trip(&CommitResponse::Prepared);
     assert_round_trip(&CommitResponse::Rejected {
-        reason: "moved".into(),
+        reason: "generation mismatch".into(),
     });
     assert_round_trip(&CommitResponse::Unavailable {
         reason: "the disk is full".into(),
@@ -104,18 +108,21 @@
 }
 
 #[test]
-fn a_message_of_the_oldest_version_is_decoded_and_an_unknown_key_is_skipped() {
+fn message_of_oldest_version_is_decoded_and_unknown_key_is_ignored() {
     let status = CommitRequest::Status;
-    assert_eq!(request(r#"{"v":1,"ask":"status"}"#).unwrap(), status);
-    assert!(request(r#"{"v":1,"ask":"status","later":3}"#).is_ok());
+    assert_eq!(decode_request(r#"{"v":1,"ask":"status"}"#).unwrap(), status);
+    assert!(decode_request(r#"{"v":1,"ask":"status","later":3}"#).is_ok());
 }
 
 #[test]
-fn a_line_that_is_no_message_is_rejected_with_the_reason() {
-    let newer = request(r#"{"v":3,"ask":"status"}"#).unwrap_err();
+fn invalid_line_is_rejected_with_the_reason() {
+    let newer = decode_request(r#"{"v":3,"ask":"status"}"#).unwrap_err();
     assert!(newer.to_string().contains("version 3"), "{newer}");
-    let unknown = request(r#"{"v":1,"ask":"explode"}"#).unwrap_err();
-    assert!(unknown.to_string().contains("not understood"), "{unknown}");
-    assert!(request("garbage").is_err());
-    assert!(request("").is_err());
+    let unknown = decode_request(r#"{"v":1,"ask":"explode"}"#).unwrap_err();
+    assert!(
+        unknown.to_string().contains("unknown or invalid message"),
+        "{unknown}"
+    );
+    assert!(decode_request("garbage").is_err());
+    assert!(decode_request("").is_err());
 }
--- a/crates/commit/tests/state.rs
+++ b/crates/commit/tests/state.rs
@@ -11,9 +11,9 @@
     )
 }
 
-/// Guards against two states with one digest: values that look like the start of another line.
+/// Guards against two states with the same digest: a value may look like the start of another line.
 #[test]
-fn no_two_states_share_a_canonical_form() {
+fn different_states_have_different_canonical_forms() {
     let states = [
         state(&[]),
         state(&[("a", "1")]),
@@ -22,27 +22,27 @@
         state(&[("a=1", "")]),
         state(&[("a", "=1")]),
     ];
-    for (n, one) in states.iter().enumerate() {
-        for other in &states[n + 1..] {
-            assert_ne!(one.digest(), other.digest(), "{one:?} {other:?}");
+    for (index, state) in states.iter().enumerate() {
+        for other in &states[index + 1..] {
+            assert_ne!(state.digest(), other.digest(), "{state:?} {other:?}");
         }
     }
     assert_eq!(states[0].digest().0.len(), 64);
 }
 
 #[test]
-fn what_differs_is_told_key_by_key() {
+fn differences_list_removed_changed_and_added_keys() {
     let (old, new) = (
         state(&[("a", "1"), ("b", "2"), ("c", "3")]),
         state(&[("b", "2"), ("c", "4"), ("d", "5")]),
     );
     let found = differences(&old, &new);
-    let text: Vec<String> = found
+    let descriptions: Vec<String> = found
         .iter()
         .map(|d| format!("{} {:?} {:?}", d.key, d.old, d.new))
         .collect();
     assert_eq!(
-        text,
+        descriptions,
         [
             r#"a Some("1") None"#,
             r#"c Some("3") Some("4")"#,
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_accounts_on_a_plan_that_changes_are_counted() {
+fn difference_counts_accounts_on_the_changed_plan() {
     let plan = |rate: &str| {
         let pairs = [
             ("contracts.0.name", "starter"),
--- a/crates/control-plane/src/rollout_controller.rs
+++ b/crates/control-plane/src/rollout_controller.rs
@@ -88,8 +88,8 @@
                     self.log(&rollout.phase.to_string(), "driven from here");
                     StageMonitor::new(rollout.clone(), self.group_state.version, started)
                 });
-                let next = monitor.look(clock::now(), &seen);
-                self.grant_turns(&rollout, monitor.take_turns(&seen));
+                let next = monitor.observe(clock::now(), &seen);
+                self.grant_turns(&rollout, monitor.grant_turns(&seen));
                 if let Some(next) = next {
                     highest_round = self.decide(next, highest_round);
                 }
--- a/crates/ctl/src/rollout/page.rs
+++ b/crates/ctl/src/rollout/page.rs
@@ -251,7 +251,7 @@
             "<b>stopped</b> answers later &lt;b&gt;",
             "<td>stage 1 of 2<td>0<td>9<td>",
             "7 blocks; good 2.0 of 400",
-            "answers later than 99 of 100 were<td>+3.10%",
+            "responses later than the previous 99th percentile<td>+3.10%",
             "<svg",
         ] {
             assert!(html.contains(part), "{part} is not in\n{html}");
--- a/crates/ctl/src/rollout/show.rs
+++ b/crates/ctl/src/rollout/show.rs
@@ -157,7 +157,7 @@
                 .into_iter()
                 .map(|(name, tally)| (name, tally.ok()))
                 .collect();
-            let _ = watch.look(clock::now(), &seen);
+            let _ = watch.observe(clock::now(), &seen);
             let s = watch.report();
             let most = s
                 .measures
--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -240,7 +240,7 @@
         "+ account 00000000000004d4 = starter~50~60",
         "- account 00000000000004d3",
         "desk/d0, desk/d1, desk/d2",
-        "danger: account 00000000000004d3: an account goes",
+        "danger: account 00000000000004d3: the account is removed",
         "generation 2, 2 differences at 3 ingresses",
     ] {
         assert!(text.contains(part), "{part} is not in:\n{text}");
--- a/crates/ctl/tests/group/programs.rs
+++ b/crates/ctl/tests/group/programs.rs
@@ -130,7 +130,7 @@
 fn bad_programs_are_stopped_in_their_first_stage() {
     let _alone = alone();
     for (word, why) in [
-        ("fails:30", "beside the old one"),
+        ("fails:30", "compared with the old version"),
         ("dies:1500", "started again"),
         ("never", "come into service"),
     ] {
--- a/crates/ctl/tests/group/rollout.rs
+++ b/crates/ctl/tests/group/rollout.rs
@@ -156,7 +156,10 @@
     says(
         &watched,
         1,
-        &["stopped: all have the old one", "beside the old one"],
+        &[
+            "stopped: all have the old one",
+            "compared with the old version",
+        ],
     );
     let page = fs::read_to_string(group.path("end.html")).unwrap();
     assert!(
@@ -198,7 +201,7 @@
     says(
         &watched,
         1,
-        &["stopped: all have the old one", "answers later"],
+        &["stopped: all have the old one", "responses later"],
     );
     assert_eq!(group.agreed(), "p0");
     drop(load.stop());
--- a/crates/rollout/src/change.rs
+++ b/crates/rollout/src/change.rs
@@ -1,20 +1,20 @@
-//! What differs between two states that a member enforces.
+//! Differences between the old and the new state of a member.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use wrenfork_commit::state::State;
 
-/// What differs at a member, by key.
+/// Changed values of a member's state, by key.
 pub type Change = BTreeMap<String, ValueChange>;
 
-/// The old and the new value of a key; none where the state does not have it. Its written form is a pair.
+/// The old and the new value of a key. Serialized as a pair.
 #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "Pair", into = "Pair")]
 pub struct ValueChange {
-    /// The value before.
+    /// Value in the old state; none if the old state does not have the key.
     pub old: Option<String>,
-    /// The value after.
+    /// Value in the new state; none if the new state does not have the key.
     pub new: Option<String>,
 }
 
@@ -32,14 +32,14 @@
     }
 }
 
-/// As a pair: the digest of a group's decision covers it.
+/// Formats the change as a pair. The digest of a group state covers this output, so it must not change.
 impl fmt::Debug for ValueChange {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         (&self.old, &self.new).fmt(f)
     }
 }
 
-/// What differs between two states, by key.
+/// Returns the values that differ between two states, by key.
 pub fn difference(old: &State, new: &State) -> Change {
     let keys: BTreeSet<&String> = old.0.keys().chain(new.0.keys()).collect();
     keys.into_iter()
--- a/crates/rollout/src/comparison.rs
+++ b/crates/rollout/src/comparison.rs
@@ -1,44 +1,46 @@
-//! What two cohorts of members, one with the new version and one with the old, differ by in the same seconds.
+//! Differences between two cohorts of members over the same period, one with the new version and one with the old.
 
 use crate::metrics::{LatencyBucket, MemberMetrics, RequestCounts, WEIGHT_SCALE};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a process does anyway counts for more where it has fewer requests: the processor time of a request is compared only
-/// where one cohort has no more of them than this many times the other's.
+/// Maximum ratio of the cohorts' request counts up to which processor time per request is compared. A process also spends
+/// processor time independent of its requests, which makes each request look more expensive if there are fewer of them.
 const MAX_LOAD_RATIO: f64 = 1.25;
-/// A difference in a fraction is ignored below this part of the regression that counts.
+/// Tolerance for the fractions of lost, failed and very late requests, relative to the policy's regression.
 const FRACTION_TOLERANCE: f64 = 0.25;
-/// As many responses are later than the median as are earlier: a fraction there moves with the least difference.
+/// Tolerance for the fraction of responses later than the median, relative to the policy's regression. It is wide because
+/// many latencies are close to the median, so the smallest change in latency moves that fraction.
 const MEDIAN_TOLERANCE: f64 = 2.0;
-/// Processors that share a core, and requests of another mix, differ by some percent.
+/// Tolerance for processor time per request, as a fraction of it. Hardware threads that share a core, and a different mix of
+/// requests, cause differences of a few percent.
 const CPU_TOLERANCE: f64 = 0.1;
-/// A third of a percent in a second is three times as much memory after ten minutes.
+/// Tolerance for memory growth, as a fraction of the memory per second. A growth of 0.3% of the initial memory per second
+/// almost triples the memory in ten minutes.
 const MEMORY_TOLERANCE: f64 = 0.003;
-/// Milliseconds of a second.
 const MS_PER_SECOND: f64 = 1e3;
-/// Keeps a ratio finite.
-const TINY: f64 = 1e-9;
+/// Smallest denominator of a relative difference, to avoid division by zero.
+const MIN_DENOMINATOR: f64 = 1e-9;
 
-/// What is compared.
+/// A quantity that is compared between the cohorts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Measure {
-    /// The fraction of the weighted requests inside quotas that was rejected or failed.
+    /// Fraction of the weighted requests within quotas that were rejected or failed.
     Lost,
-    /// The fraction of the requests inside quotas that failed.
+    /// Fraction of the requests within quotas that failed.
     Failed,
-    /// The fraction of responses later than the median was before.
+    /// Fraction of the responses later than the baseline median.
     Median,
-    /// The fraction of responses later than the 99th percentile was before.
+    /// Fraction of the responses later than the baseline 99th percentile.
     Percentile99,
-    /// Processor time of a request, relative to the other's.
+    /// Processor time per request, relative to the mean of both cohorts.
     Cpu,
-    /// The growth of the memory in a second, relative to it.
+    /// Memory growth per second, relative to the mean memory of both cohorts.
     MemoryGrowth,
 }
 
 impl Measure {
-    /// All of them.
+    /// All measures.
     pub const ALL: [Measure; 6] = [
         Measure::Lost,
         Measure::Failed,
@@ -48,8 +50,9 @@
         Measure::MemoryGrowth,
     ];
 
-    /// Up to where a difference is ignored. Members differ by themselves, in their customers and their place: what counts as a
-    /// regression is four times as much, so that what is found is most of it.
+    /// Returns the difference up to which the new version does not count as worse. Members also differ in their customers and
+    /// their location. For most fractions the tolerance is a quarter of the regression, so that most of a regression is above
+    /// the tolerance.
     pub fn tolerance(self, regression: f64) -> f64 {
         match self {
             Measure::Lost | Measure::Failed | Measure::Percentile99 => {
@@ -65,44 +68,48 @@
 impl fmt::Display for Measure {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Measure::Lost => "worth lost inside quotas",
-            Measure::Failed => "requests failed",
-            Measure::Median => "answers later than the median was",
-            Measure::Percentile99 => "answers later than 99 of 100 were",
-            Measure::Cpu => "processor time of a request",
-            Measure::MemoryGrowth => "growth of the memory a second",
+            Measure::Lost => "weighted requests lost within quotas",
+            Measure::Failed => "failed requests",
+            Measure::Median => "responses later than the previous median",
+            Measure::Percentile99 => "responses later than the previous 99th percentile",
+            Measure::Cpu => "processor time per request",
+            Measure::MemoryGrowth => "memory growth per second",
         })
     }
 }
 
-/// What a cohort did in a block of time.
+/// Sums of the metrics of a cohort over a block of time.
 #[derive(Clone, Debug, Default)]
 pub struct Cohort {
+    /// By class and plan, in the form `class/plan`.
     requests: BTreeMap<String, RequestCounts>,
+    /// Number of responses by class, then by latency in microseconds.
     latencies: BTreeMap<String, BTreeMap<u64, u64>>,
     cpu_us: u64,
+    /// Sum of the memory over all samples.
     memory_kb: u64,
     memory_growth_kb: i64,
+    /// Sum of the observed time over all members.
     seconds: f64,
     samples: u32,
 }
 
-/// Responses of a class that came late.
+/// Late responses of a class.
 #[derive(Clone, Copy, Debug, Default)]
 struct LateResponses {
-    /// The fraction of them.
+    /// Fraction of the responses that were late.
     fraction: f64,
-    /// All responses of the class.
+    /// Number of all responses of the class.
     responses: f64,
 }
 
 impl Cohort {
-    /// Adds what a member did between two looks.
+    /// Adds the activity of a member between two observations.
     pub fn add(&mut self, before: &MemberMetrics, after: &MemberMetrics) {
         for (name, counts) in &after.requests {
             let earlier = before.requests.get(name).copied().unwrap_or_default();
-            let more = counts.since(&earlier);
-            self.requests.entry(name.clone()).or_default().add(&more);
+            let added = counts.since(&earlier);
+            self.requests.entry(name.clone()).or_default().add(&added);
         }
         for (class, buckets) in &after.latencies {
             let earlier = before.latencies.get(class).map_or(&[][..], Vec::as_slice);
@@ -121,22 +128,22 @@
         let latencies = self.latencies.entry(class.to_string()).or_default();
         for bucket in after {
             let earlier = before.get(&bucket.latency_us).copied().unwrap_or(0);
-            let more = bucket.count.saturating_sub(earlier);
-            if more > 0 {
-                *latencies.entry(bucket.latency_us).or_default() += more;
+            let added = bucket.count.saturating_sub(earlier);
+            if added > 0 {
+                *latencies.entry(bucket.latency_us).or_default() += added;
             }
         }
     }
 
-    /// Requests of all kinds.
-    fn total(&self) -> f64 {
+    /// Returns the number of requests of all classes and plans.
+    fn total_requests(&self) -> f64 {
         self.requests
             .values()
             .map(|counts| counts.total)
             .sum::<u64>() as f64
     }
 
-    /// Responses of a class later than a latency.
+    /// Returns the responses of a class with a latency above `latency_us`.
     fn later_than(&self, class: &str, latency_us: u64) -> LateResponses {
         let Some(latencies) = self.latencies.get(class) else {
             return LateResponses::default();
@@ -154,7 +161,7 @@
     }
 
     fn cpu_us_per_request(&self) -> f64 {
-        self.cpu_us as f64 / self.total()
+        self.cpu_us as f64 / self.total_requests()
     }
 
     fn memory_growth_per_second(&self) -> f64 {
@@ -166,22 +173,22 @@
     }
 }
 
-/// How many requests a comparison of two cohorts is as good as, on each side: half the harmonic mean; 0 where there is none of
-/// one. The same for both, so that equals stay equal.
-fn comparison_weight(one: f64, other: f64) -> f64 {
-    if one + other > 0.0 {
-        one * other / (one + other)
+/// Returns the weight of a comparison of two cohorts with these request counts: half their harmonic mean, or 0 if either is 0. It
+/// is symmetric, so that equal cohorts are treated equally.
+fn comparison_weight(new: f64, old: f64) -> f64 {
+    if new + old > 0.0 {
+        new * old / (new + old)
     } else {
         0.0
     }
 }
 
-/// A difference of two values relative to their mean.
+/// Returns the difference of two values relative to their mean.
 fn relative_difference(new: f64, old: f64) -> f64 {
-    2.0 * (new - old) / (new + old).max(TINY)
+    2.0 * (new - old) / (new + old).max(MIN_DENOMINATOR)
 }
 
-/// A weighted mean; none where nothing has a weight.
+/// A weighted mean; none if the total weight is 0.
 #[derive(Default)]
 struct WeightedMean {
     sum: f64,
@@ -201,39 +208,39 @@
     }
 }
 
-/// Two cohorts of one zone group.
+/// The two cohorts of a zone group.
 #[derive(Clone, Debug, Default)]
 pub struct CohortPair {
-    /// With the new version.
+    /// Members with the new version.
     pub new: Cohort,
-    /// As many members with the old one.
+    /// The same number of members with the old version.
     pub old: Cohort,
 }
 
 /// The cohorts of each zone group in a block of time.
 #[derive(Clone, Debug, Default)]
 pub struct ComparisonBlock {
-    /// By zone group.
+    /// Cohorts by name of the zone group.
     pub zone_groups: BTreeMap<String, CohortPair>,
 }
 
-/// Latencies of a class before, in microseconds.
+/// Latencies of a class before the compared block, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassBaseline {
-    /// Half of the responses came up to then.
+    /// Latency that half of the responses did not exceed.
     pub median_us: u64,
-    /// 99 of 100 came up to then.
+    /// Latency that 99% of the responses did not exceed.
     pub percentile_99_us: u64,
 }
 
-/// Latencies before, by class.
+/// Latencies before the compared block, by class.
 pub type LatencyBaseline = BTreeMap<String, ClassBaseline>;
 
-/// The latencies of all members, new and old together.
+/// Computes the baseline from the latencies of all members, of the new and the old version together.
 pub fn latency_baseline(members: &BTreeMap<String, MemberMetrics>) -> LatencyBaseline {
-    let mut all: BTreeMap<&str, BTreeMap<u64, u64>> = BTreeMap::new();
+    let mut by_class: BTreeMap<&str, BTreeMap<u64, u64>> = BTreeMap::new();
     for (class, buckets) in members.values().flat_map(|m| &m.latencies) {
-        let latencies = all.entry(class).or_default();
+        let latencies = by_class.entry(class).or_default();
         for bucket in buckets {
             *latencies.entry(bucket.latency_us).or_default() += bucket.count;
         }
@@ -242,12 +249,13 @@
         median_us: quantile(latencies, 0.5),
         percentile_99_us: quantile(latencies, 0.99),
     };
-    all.into_iter()
+    by_class
+        .into_iter()
         .map(|(class, latencies)| (class.to_string(), baseline(&latencies)))
         .collect()
 }
 
-/// The latency up to which such a fraction of the responses came; 0 where there is none.
+/// Returns the latency that this fraction of the responses did not exceed; 0 if there are no responses.
 fn quantile(latencies: &BTreeMap<u64, u64>, fraction: f64) -> u64 {
     let mut remaining = latencies.values().sum::<u64>() as f64 * fraction;
     let reached = latencies.iter().find(|(_, count)| {
@@ -257,7 +265,7 @@
     reached.map_or(0, |(latency_us, _)| *latency_us)
 }
 
-/// The weighted mean difference of each measure.
+/// Weighted mean difference by measure.
 #[derive(Default)]
 struct Differences(BTreeMap<Measure, WeightedMean>);
 
@@ -267,7 +275,8 @@
         mean.add(weight, difference);
     }
 
-    /// Class by class and plan by plan, so that customers of another kind are nobody's fault.
+    /// Compares requests separately for each class and plan, so that a different mix of customers does not count as a
+    /// difference between the versions.
     fn add_requests(&mut self, pair: &CohortPair) {
         for (name, new) in &pair.new.requests {
             let Some(old) = pair.old.requests.get(name) else {
@@ -284,10 +293,10 @@
     }
 
     fn add_latencies(&mut self, pair: &CohortPair, baseline: &LatencyBaseline) {
-        for (class, before) in baseline {
+        for (class, class_baseline) in baseline {
             for (measure, latency_us) in [
-                (Measure::Median, before.median_us),
-                (Measure::Percentile99, before.percentile_99_us),
+                (Measure::Median, class_baseline.median_us),
+                (Measure::Percentile99, class_baseline.percentile_99_us),
             ] {
                 let new = pair.new.later_than(class, latency_us);
                 let old = pair.old.later_than(class, latency_us);
@@ -298,7 +307,7 @@
     }
 
     fn add_cpu(&mut self, pair: &CohortPair) {
-        let (new, old) = (pair.new.total(), pair.old.total());
+        let (new, old) = (pair.new.total_requests(), pair.old.total_requests());
         if new.min(old) > 0.0 && new.max(old) <= MAX_LOAD_RATIO * new.min(old) {
             let difference =
                 relative_difference(pair.new.cpu_us_per_request(), pair.old.cpu_us_per_request());
@@ -317,16 +326,19 @@
 }
 
 impl ComparisonBlock {
-    /// How many requests on each side the comparison is as good as.
+    /// Returns the weight of the block, as the equivalent number of requests in each cohort.
     pub fn weight(&self) -> f64 {
         self.zone_groups
             .values()
-            .map(|pair| 2.0 * comparison_weight(pair.new.total(), pair.old.total()))
+            .map(|pair| {
+                2.0 * comparison_weight(pair.new.total_requests(), pair.old.total_requests())
+            })
             .sum()
     }
 
-    /// What the new version has more of than the old one, zone group by zone group, so that customers in another place are
-    /// nobody's fault; none where there is nothing to compare.
+    /// Returns the difference of each measure, positive if the new version has more of it. Cohorts are compared within each
+    /// zone group, so that a different location does not count as a difference between the versions. A measure is omitted if
+    /// there is nothing to compare.
     pub fn differences(&self, baseline: &LatencyBaseline) -> BTreeMap<Measure, f64> {
         let mut differences = Differences::default();
         for pair in self.zone_groups.values() {
--- a/crates/rollout/src/error.rs
+++ b/crates/rollout/src/error.rs
@@ -1,119 +1,119 @@
-//! Why a rollout, a part of one, or a step of one is not accepted. The messages are for people.
+//! Errors of invalid rollouts, policies, stages and transitions.
 
 use crate::limits::MAX_STAGES;
 use crate::phase::RolloutPhase;
 
-/// What is wrong with a policy.
+/// Why a policy is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidPolicy {
-    /// The time for which a stage is watched.
-    #[error("a stage is watched for 1 s to a day")]
+    /// The minimum watch time of a stage is out of range.
+    #[error("watch must be from 1 s to a day")]
     WatchTime,
-    /// The timeout of a stage.
-    #[error("patience is as long as a stage is watched at the least, and a week at the most")]
+    /// The timeout of a stage is out of range.
+    #[error("patience must be at least as long as watch, and at most a week")]
     Timeout,
-    /// The time between two steps back.
-    #[error("a pause between two steps back is an hour at the most")]
+    /// The interval between two rollback steps is too long.
+    #[error("pause between two rollback steps must be at most an hour")]
     RollbackInterval,
-    /// The loss that counts as worse.
-    #[error("what counts as worse is a share from 0.001 to 0.5")]
+    /// The fraction of lost requests that counts as a regression is out of range.
+    #[error("worse must be a fraction from 0.001 to 0.5")]
     Regression,
-    /// The chance of a false alarm.
-    #[error("the error is a chance from 0.001 to 0.2")]
+    /// The probability of a false alarm is out of range.
+    #[error("error must be a chance from 0.001 to 0.2")]
     FalseAlarm,
 }
 
-/// What is wrong with a rollout.
+/// Why a rollout is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRollout {
-    /// Its policy.
+    /// The policy is invalid.
     #[error(transparent)]
     Policy(#[from] InvalidPolicy),
-    /// It has no stage, or too many.
-    #[error("a rollout has 1 to {MAX_STAGES} stages")]
+    /// The rollout has no stages, or too many.
+    #[error("a rollout must have 1 to {MAX_STAGES} stages")]
     StageCount,
-    /// A stage without members.
-    #[error("a stage has no member")]
+    /// A stage has no members.
+    #[error("a stage has no members")]
     EmptyStage,
-    /// A member of two stages.
-    #[error("{0} belongs to two stages")]
-    TwoStages(String),
-    /// A member with a change and no stage, or with a change that is not there.
-    #[error("{0} belongs to no stage, or has no change")]
+    /// A member belongs to two stages.
+    #[error("member {0} belongs to two stages")]
+    DuplicateMember(String),
+    /// A member with a change belongs to no stage, or its change does not exist.
+    #[error("member {0} belongs to no stage, or its change does not exist")]
     NoStageOrChange(String),
-    /// A phase of a stage that is not there.
-    #[error("it stands in a stage that it does not have")]
+    /// The phase refers to a stage that does not exist.
+    #[error("the phase refers to a stage that the rollout does not have")]
     UnknownStage,
 }
 
-/// A member enforces a value that is neither the old nor the new one.
+/// A member enforces a value that is neither the old nor the new one of the rollout.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{member}: {key} is neither as it was nor as it is to be")]
+#[error("{member}: {key} has neither the old nor the new value of the rollout")]
 pub struct UnexpectedValue {
-    /// The member's name.
+    /// Name of the member.
     pub member: String,
-    /// The key of the value.
+    /// Key of the unexpected value.
     pub key: String,
 }
 
-/// Why one state of a rollout may not follow another.
+/// Why a state of a rollout may not follow the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransitionError {
-    /// A decision that leaves out the rollout that is under way.
-    #[error("a rollout is under way, and this knows nothing of it")]
-    LeftOut,
-    /// The next state is not valid.
+    /// The new group state lacks the rollout that is under way.
+    #[error("a rollout is under way, but the new group state omits it")]
+    RolloutOmitted,
+    /// The new rollout state is invalid.
     #[error(transparent)]
     Invalid(#[from] InvalidRollout),
-    /// A rollout that begins elsewhere than in its first stage.
-    #[error("a rollout begins with its first stage")]
+    /// A new rollout does not begin with its first stage.
+    #[error("a rollout must begin with its first stage")]
     NotFirstStage,
     /// Another rollout has not ended.
-    #[error("a rollout by {author} is under way ({phase}): it must end first, or be stopped")]
+    #[error("a rollout by {author} is under way ({phase}): wait until it ends, or stop it")]
     AnotherUnderWay {
-        /// Who began that.
+        /// Author of the rollout that is under way.
         author: String,
-        /// Where it stands.
+        /// Phase of the rollout that is under way.
         phase: RolloutPhase,
     },
-    /// A rollout whose stages, changes or policy are others than at its beginning.
-    #[error("a rollout that is under way stays as it was begun")]
-    Altered,
-    /// A phase that may not follow the one before.
-    #[error("\"{to}\" does not follow \"{from}\"")]
+    /// The stages, changes, policy or author differ from those of the rollout under way.
+    #[error("the stages, changes and policy of a rollout that is under way can't be modified")]
+    Modified,
+    /// The new phase may not follow the previous one.
+    #[error("a rollout can't go from \"{from}\" to \"{to}\"")]
     Phase {
-        /// The phase before.
+        /// Previous phase.
         from: RolloutPhase,
-        /// The phase after.
+        /// New phase.
         to: RolloutPhase,
     },
 }
 
-/// A text that is no scope of a stage.
+/// Error of a text that is not a valid stage scope; contains the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a stage is written \"3\", \"10%\", \"hall:hall-a\" or \"all\", not \"{0}\"")]
+#[error("invalid stage \"{0}\": a stage is written \"3\", \"10%\", \"hall:hall-a\" or \"all\"")]
 pub struct InvalidScope(pub String);
 
 /// Why members can't be assigned to stages.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StageAssignmentError {
-    /// No stage, or too many.
-    #[error("a rollout has 1 to {MAX_STAGES} stages, not {0}")]
+    /// The number of stages, which is 0 or too high.
+    #[error("a rollout must have 1 to {MAX_STAGES} stages, not {0}")]
     StageCount(usize),
-    /// A stage of a zone group without members; stages count from 1.
-    #[error("stage {stage}: nobody stands in hall {zone_group}")]
+    /// A stage consists of a zone group that has no members.
+    #[error("stage {stage}: hall {zone_group} has no members")]
     EmptyZoneGroup {
-        /// The stage.
+        /// Number of the stage, starting at 1.
         stage: usize,
-        /// The zone group.
+        /// Name of the zone group.
         zone_group: String,
     },
-    /// Members that belong to no stage.
-    #[error("the last stage leaves {left_out} of {members} members out: it must be \"all\"")]
+    /// Some members belong to no stage.
+    #[error("the stages leave out {left_out} of {members} members: the last one must be \"all\"")]
     MembersLeftOut {
-        /// How many.
+        /// Number of members without a stage.
         left_out: usize,
-        /// Of so many.
+        /// Number of all members.
         members: usize,
     },
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,12 +1,15 @@
-//! Staged rollouts: a change that goes through a group of ingresses in stages, with the old and the new side by side on purpose.
-//! No I/O and no clock: time is a [`std::time::Duration`] since any moment.
+//! Staged rollouts: a change reaches the ingresses of a group stage by stage, so that the old and the new version run side by
+//! side and can be compared. The package has no I/O and no clock: a point in time is a [`std::time::Duration`] since an
+//! arbitrary fixed moment.
 //!
-//! - [`Rollout`]: what the members keep of a rollout; [`check_transition`] says what may follow what. It is a part of what they
-//!   decide by majority, so that it outlives any command and any member, and no two controllers can act on it twice.
-//! - [`assign_stages`]: which member belongs to which stage.
-//! - [`MemberMetrics`]: what a member counts; [`comparison`]: what two cohorts of members differ by in the same seconds.
-//! - [`SequentialTest`]: the test that these differences go to.
-//! - [`StageMonitor`]: a controller looks at all members, and this says what is to be decided, if anything.
+//! - [`Rollout`]: the stored state of a rollout. It is part of the group state, which the members decide by majority, so it
+//!   survives the loss of any command or member, and two controllers can't both take the same step. [`check_transition`]
+//!   checks that a state may follow another.
+//! - [`assign_stages`]: assigns each member to a stage.
+//! - [`MemberMetrics`]: the metrics that a member reports. [`comparison`]: the differences between two cohorts of members in
+//!   the same period.
+//! - [`SequentialTest`]: the statistical test that is applied to these differences.
+//! - [`StageMonitor`]: takes a controller's observations of all members and returns the next state to decide, if any.
 
 mod change;
 pub mod comparison;
@@ -36,6 +39,6 @@
 pub use program::{is_same_program, PROGRAM_KEY};
 pub use request_counter::{RequestCounter, RequestOutcome, MAX_KINDS};
 pub use rollout::{Rollback, Rollout, Version};
-pub use sequential_test::{SequentialTest, BETS};
+pub use sequential_test::{SequentialTest, BET_COUNT};
 pub use stages::{assign_stages, StageScope};
 pub use transition::check_transition;
--- a/crates/rollout/src/limits.rs
+++ b/crates/rollout/src/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds of a rollout.
+//! Limits of a rollout.
 
-/// The most stages of a rollout.
+/// Maximum number of stages of a rollout.
 pub const MAX_STAGES: usize = 32;
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -1,29 +1,29 @@
-//! What a member tells of itself to a controller of a rollout.
+//! Metrics that a member reports to the controller of a rollout.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Parts of a priority weight of 1: weights are summed as whole numbers.
+/// Number of units in a priority weight of 1: weights are stored as integers, in thousandths.
 pub const WEIGHT_SCALE: f64 = 1_000.0;
 
-/// What became of the requests of a class on a plan. Requests beyond their customer's quota are in none of it.
+/// Outcomes of the requests of a class on a plan. Requests beyond their customer's quota are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestCounts {
-    /// The priority weight of one request, in parts of [`WEIGHT_SCALE`].
+    /// Priority weight of one request, in units of 1 / [`WEIGHT_SCALE`].
     #[serde(rename = "worth")]
     pub weight: u64,
-    /// Requests that have ended.
+    /// Number of requests that have ended.
     #[serde(rename = "asked")]
     pub total: u64,
-    /// Of these rejected.
+    /// Number of ended requests that were rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Of these failed.
+    /// Number of ended requests that failed.
     pub failed: u64,
 }
 
 impl RequestCounts {
-    /// Adds what was counted elsewhere, or later, of the same requests; its weight counts.
+    /// Adds counts of the same class and plan from another member or a later period, and takes over their weight.
     pub(crate) fn add(&mut self, more: &RequestCounts) {
         self.weight = more.weight;
         self.total += more.total;
@@ -31,7 +31,7 @@
         self.failed += more.failed;
     }
 
-    /// What was counted since an earlier look.
+    /// Returns the counts since an earlier sample.
     pub(crate) fn since(&self, earlier: &RequestCounts) -> RequestCounts {
         RequestCounts {
             weight: self.weight,
@@ -41,19 +41,19 @@
         }
     }
 
-    /// Such a number of requests as a fraction of all.
+    /// Returns a number of requests as a fraction of the total; 0 if there are no requests.
     pub(crate) fn fraction(&self, requests: u64) -> f64 {
         requests as f64 / self.total.max(1) as f64
     }
 }
 
-/// Responses of one latency. Its written form is a pair.
+/// Number of responses with one latency. Serialized as a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct LatencyBucket {
-    /// Microseconds.
+    /// Latency in microseconds.
     pub latency_us: u64,
-    /// How many responses.
+    /// Number of responses.
     pub count: u64,
 }
 
@@ -69,44 +69,45 @@
     }
 }
 
-/// What a member tells of itself; counts are from its start on. A member that runs another version may tell less.
+/// Metrics of a member, counted since the start of its process. Fields that a member of another version does not report
+/// have their default values.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MemberMetrics {
-    /// Drawn at the start of its process.
+    /// Random number drawn at the start of the process, which identifies that run of the process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Milliseconds since then.
+    /// Time since the start of the process, in milliseconds.
     #[serde(rename = "age_ms")]
     pub uptime_ms: u64,
-    /// The version of the group's state that it serves under.
+    /// Version of the group state under which the member serves.
     #[serde(rename = "number")]
     pub group_version: u64,
-    /// The version that was stored in its folder when its process started; 0 for none.
+    /// Version of the group state that was stored in the member's folder when the process started; 0 for none.
     #[serde(rename = "began")]
     pub version_at_start: u64,
-    /// The program that it runs, as its supervisor says; empty without one.
+    /// Program that the member runs, as given by its supervisor; empty without a supervisor.
     pub program: String,
-    /// Whether its process was started on purpose in the place of another program's.
+    /// Whether the process was started to replace that of another program.
     #[serde(rename = "changed")]
     pub is_replacement: bool,
-    /// Whether it has been told, under this version, that it is its turn to change its program.
+    /// Whether the member has been told, under this version of the group state, that it may change its program now.
     #[serde(rename = "turn")]
     pub has_turn: bool,
-    /// Why the program that it is to run does not come into service there, if it does not.
+    /// Why the program that the member must run failed to come into service; empty if there is no failure.
     #[serde(rename = "unfit")]
     pub unfit_reason: String,
-    /// Its zone group.
+    /// Zone group of the member.
     #[serde(rename = "hall")]
     pub zone_group: String,
-    /// Microseconds of processor time.
+    /// Processor time used, in microseconds.
     pub cpu_us: u64,
-    /// Kilobytes of resident memory.
+    /// Resident memory, in kilobytes.
     pub memory_kb: u64,
-    /// By class and plan, written `class/plan`.
+    /// Request counts by class and plan, with keys of the form `class/plan`.
     #[serde(rename = "kinds")]
     pub requests: BTreeMap<String, RequestCounts>,
-    /// By class: the latencies of the requests that were served.
+    /// Latencies of served requests, by class.
     #[serde(rename = "times")]
     pub latencies: BTreeMap<String, Vec<LatencyBucket>>,
 }
--- a/crates/rollout/src/phase.rs
+++ b/crates/rollout/src/phase.rs
@@ -1,28 +1,28 @@
-//! Where a rollout stands.
+//! Phases of a rollout.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Where a rollout stands. Stages count from 0.
+/// Phase of a rollout. Stages are numbered from 0.
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "phase")]
 pub enum RolloutPhase {
-    /// The stages up to this one have the new version, and it is watched.
+    /// All stages up to this one have the new version, and the rollout is being monitored.
     #[serde(rename = "on")]
     Active {
-        /// The last of them.
+        /// Index of the last stage with the new version.
         stage: usize,
     },
-    /// The same, and nothing goes on until somebody resumes it.
+    /// All stages up to this one have the new version, and nothing happens until an operator resumes or stops the rollout.
     #[serde(rename = "held")]
     Paused {
-        /// The last of them.
+        /// Index of the last stage with the new version.
         stage: usize,
     },
-    /// It is being taken back, stage by stage.
+    /// The rollout is being rolled back stage by stage.
     #[serde(rename = "back")]
     RollingBack {
-        /// So many stages still have the new version.
+        /// Number of stages that still have the new version.
         #[serde(rename = "left")]
         remaining: usize,
     },
@@ -35,13 +35,13 @@
 }
 
 impl RolloutPhase {
-    /// Whether nothing comes after it.
+    /// Returns whether this is a final phase.
     pub fn ended(&self) -> bool {
         matches!(self, RolloutPhase::RolledBack | RolloutPhase::Completed)
     }
 }
 
-/// In the written form of the first version: the digest of a group's decision covers it.
+/// Uses the names of the first version. The digest of a group state covers this output, so it must not change.
 impl fmt::Debug for RolloutPhase {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
--- a/crates/rollout/src/program.rs
+++ b/crates/rollout/src/program.rs
@@ -1,11 +1,11 @@
-//! The program that a member is to run, as a value that it enforces.
+//! The program that a member must run, as a value of its enforced state.
 
-/// The key of the program that a member is to run, written `NAME@SHA256`. What serves goes on under it as before; the
-/// supervisor of its process changes that.
+/// Key of the program that a member must run; the value has the form `NAME@SHA256`. A new value does not affect the running
+/// process: the supervisor replaces the process with the new program.
 pub const PROGRAM_KEY: &str = "program";
 
-/// Whether two programs are the same file, whatever their names.
-pub fn is_same_program(one: &str, other: &str) -> bool {
+/// Returns whether two programs have the same SHA-256 digest, whatever their names. Without a digest the texts must be equal.
+pub fn is_same_program(first: &str, second: &str) -> bool {
     let digest = |text: &str| text.rsplit_once('@').map(|(_, sha256)| sha256.to_string());
-    one == other || digest(one).is_some_and(|sha256| Some(sha256) == digest(other))
+    first == second || digest(first).is_some_and(|sha256| Some(sha256) == digest(second))
 }
--- a/crates/rollout/src/request_counter.rs
+++ b/crates/rollout/src/request_counter.rs
@@ -1,61 +1,64 @@
-//! Counts requests where they end. A request costs a look-up in a small table and an addition.
+//! Counts ended requests by class and plan. Counting a request costs one lookup in a small table and a few additions.
 
 use crate::metrics::{LatencyBucket, MemberMetrics, RequestCounts};
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap};
 
-/// The most classes on plans that are told apart; more are counted together.
+/// Maximum number of combinations of class and plan that are counted separately; further ones are counted together.
 pub const MAX_KINDS: usize = 512;
-/// The most classes whose latencies are kept.
+/// Maximum number of classes whose latencies are recorded.
 const MAX_CLASSES: usize = 64;
-/// Microseconds of the longest latency that is told from longer ones.
+/// Longest latency that is recorded exactly, in microseconds; longer ones are recorded as this value.
 const MAX_LATENCY_US: u64 = 120_000_000;
-/// Significant digits of a latency.
+/// Significant decimal digits of a recorded latency.
 const LATENCY_DIGITS: u8 = 2;
-/// What separates the name of a plan from the account that it was made for.
-const OWN_PLAN_SEPARATOR: char = '~';
-/// The plan under which what is too many is counted.
-const OTHER_PLANS: u16 = u16::MAX;
-/// The name under which what is too many is counted.
-const OTHER_NAMES: &str = "/";
+/// Separates the name of a plan from the account-specific suffix, if the account has its own variant of the plan.
+const ACCOUNT_PLAN_SEPARATOR: char = '~';
+/// Plan index under which requests are counted once [`MAX_KINDS`] combinations are in use.
+const OVERFLOW_PLAN: u16 = u16::MAX;
+/// Name under which requests are counted once [`MAX_KINDS`] names are in use.
+const OVERFLOW_NAME: &str = "/";
 
-/// How a request ended, as it is counted here.
+/// How a counted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served, after so many microseconds.
+    /// Served, with the latency in microseconds.
     Served(u64),
-    /// Rejected inside its quota.
+    /// Rejected although the customer was within the quota.
     Rejected,
-    /// Failed.
+    /// Ended with a failure.
     Failed,
 }
 
-/// A class on a plan, by their places in the settings.
+/// A combination of class and plan, by their indexes in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Place {
+struct RequestKind {
     class: u8,
     plan: u16,
 }
 
-/// The counts of a member.
+/// Request counts and latencies of a member since its start.
 #[derive(Debug, Default)]
 pub struct RequestCounter {
-    /// By place, since the names of the places last changed.
-    places: HashMap<Place, RequestCounts>,
-    place_latencies: HashMap<u8, Histogram<u64>>,
-    /// By name.
-    named: BTreeMap<String, RequestCounts>,
-    named_latencies: BTreeMap<String, Histogram<u64>>,
+    /// Counts by index, since the last call of [`RequestCounter::assign_names`].
+    by_index: HashMap<RequestKind, RequestCounts>,
+    /// Latencies by class index, since the last call of [`RequestCounter::assign_names`].
+    latencies_by_index: HashMap<u8, Histogram<u64>>,
+    /// Counts by name, in the form `class/plan`.
+    by_name: BTreeMap<String, RequestCounts>,
+    /// Latencies by class name.
+    latencies_by_name: BTreeMap<String, Histogram<u64>>,
 }
 
 impl RequestCounter {
-    /// A request of a class on a plan, by their places, has ended; its weight in parts of [`crate::WEIGHT_SCALE`].
+    /// Counts a request that has ended. `class` and `plan` are indexes in the settings; `weight` is in units of
+    /// 1 / [`crate::WEIGHT_SCALE`].
     pub fn record(&mut self, class: u8, plan: u16, weight: u64, outcome: RequestOutcome) {
-        let mut place = Place { class, plan };
-        if self.places.len() >= MAX_KINDS && !self.places.contains_key(&place) {
-            place.plan = OTHER_PLANS;
+        let mut kind = RequestKind { class, plan };
+        if self.by_index.len() >= MAX_KINDS && !self.by_index.contains_key(&kind) {
+            kind.plan = OVERFLOW_PLAN;
         }
-        let counts = self.places.entry(place).or_default();
+        let counts = self.by_index.entry(kind).or_default();
         counts.weight = weight;
         counts.total += 1;
         counts.rejected += u64::from(outcome == RequestOutcome::Rejected);
@@ -66,52 +69,54 @@
     }
 
     fn record_latency(&mut self, class: u8, latency_us: u64) {
-        let known = self.place_latencies.contains_key(&class);
-        if !known && self.place_latencies.len() >= MAX_CLASSES {
+        let known = self.latencies_by_index.contains_key(&class);
+        if !known && self.latencies_by_index.len() >= MAX_CLASSES {
             return;
         }
         if !known {
             let bounds = Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS);
-            self.place_latencies.extend(bounds.ok().map(|h| (class, h)));
+            self.latencies_by_index
+                .extend(bounds.ok().map(|h| (class, h)));
         }
-        if let Some(latencies) = self.place_latencies.get_mut(&class) {
+        if let Some(latencies) = self.latencies_by_index.get_mut(&class) {
             latencies.saturating_record(latency_us);
         }
     }
 
-    /// Puts what was counted by places under the names that these have: before they change, and for a look.
+    /// Moves all counts from indexes to names. Call this before the settings change the meaning of an index, and before
+    /// [`RequestCounter::metrics`].
     pub fn assign_names<'a>(
         &mut self,
         class: impl Fn(u8) -> Option<&'a str>,
         plan: impl Fn(u16) -> Option<&'a str>,
     ) {
-        for (place, counts) in self.places.drain() {
-            let class = class(place.class).unwrap_or("");
-            // An account with a quota of its own is on a plan of its own, named after the one that it is made from.
-            let plan = plan(place.plan).and_then(|name| name.split(OWN_PLAN_SEPARATOR).next());
+        for (kind, counts) in self.by_index.drain() {
+            let class = class(kind.class).unwrap_or("");
+            // An account with its own quota is on its own plan, which is named after the plan that it is derived from.
+            let plan = plan(kind.plan).and_then(|name| name.split(ACCOUNT_PLAN_SEPARATOR).next());
             let mut name = format!("{class}/{}", plan.unwrap_or(""));
-            if self.named.len() >= MAX_KINDS && !self.named.contains_key(&name) {
-                name = OTHER_NAMES.into();
+            if self.by_name.len() >= MAX_KINDS && !self.by_name.contains_key(&name) {
+                name = OVERFLOW_NAME.into();
             }
-            self.named.entry(name).or_default().add(&counts);
+            self.by_name.entry(name).or_default().add(&counts);
         }
-        for (place, latencies) in self.place_latencies.drain() {
-            let name = class(place).unwrap_or("").to_string();
-            let has_room = self.named_latencies.len() < MAX_CLASSES;
-            match self.named_latencies.get_mut(&name) {
-                // Both have the same bounds.
+        for (index, latencies) in self.latencies_by_index.drain() {
+            let name = class(index).unwrap_or("").to_string();
+            let has_room = self.latencies_by_name.len() < MAX_CLASSES;
+            match self.latencies_by_name.get_mut(&name) {
+                // `add` can't fail, as both histograms have the same bounds.
                 Some(known) => drop(known.add(&latencies)),
-                None if has_room => drop(self.named_latencies.insert(name, latencies)),
+                None if has_room => drop(self.latencies_by_name.insert(name, latencies)),
                 None => {}
             }
         }
     }
 
-    /// What has names: the requests and the latencies of a member's metrics.
+    /// Returns metrics with the named requests and latencies; all other fields have their default values.
     pub fn metrics(&self) -> MemberMetrics {
-        let latencies = self.named_latencies.iter();
+        let latencies = self.latencies_by_name.iter();
         MemberMetrics {
-            requests: self.named.clone(),
+            requests: self.by_name.clone(),
             latencies: latencies
                 .map(|(name, latencies)| (name.clone(), buckets(latencies)))
                 .collect(),
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,6 +1,5 @@
-//! What the members keep of a rollout. It is a part of the state that stands in their group: each step is decided by a majority,
-//! as one version after the other, so that of two who want to take one at the same time one does, and the other finds that it
-//! has been taken.
+//! Stored state of a rollout. It is part of the group state: the members decide each step by majority, as the next version of
+//! that state. If two controllers try to take the same step, one succeeds and the other finds that it has been taken.
 
 use crate::change::Change;
 use crate::error::{InvalidRollout, UnexpectedValue};
@@ -13,49 +12,49 @@
 use std::fmt;
 use wrenfork_commit::state::{Digest, State};
 
-/// One of the two versions that a rollout has side by side.
+/// One of the two versions that run side by side during a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
-    /// What was enforced before it.
+    /// The version before the rollout.
     Old,
-    /// What it brings.
+    /// The version that the rollout introduces.
     New,
 }
 
-/// How a rollout is taken back.
+/// How a rollout is rolled back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rollback {
     /// Stage by stage, the last one first.
     Stepwise,
-    /// Everywhere in one step.
+    /// All stages in one step.
     Immediate,
 }
 
-/// A rollout.
+/// Stored state of a rollout.
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The plan that it carries out.
+    /// Identity of the plan that the rollout carries out.
     pub id: Digest,
-    /// Who began it.
+    /// Who started the rollout.
     pub author: String,
-    /// What is asked of each stage.
+    /// Time limits and statistical bounds of each stage.
     #[serde(rename = "terms")]
     pub policy: RolloutPolicy,
-    /// The members of each stage.
+    /// Names of the members of each stage, in the order of the stages.
     pub stages: Vec<Vec<String>>,
-    /// What differs, each once.
+    /// All distinct changes; members with the same change share an entry.
     pub changes: Vec<Change>,
-    /// Which of these is a member's.
+    /// Index into `changes` by member name.
     #[serde(rename = "of")]
     pub change_of: BTreeMap<String, usize>,
-    /// Where it stands.
+    /// Current phase.
     pub phase: RolloutPhase,
-    /// Why it stands there, where that is not the next step of a good one.
+    /// Why the rollout is in this phase; empty if it simply advanced.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// In the written form of the first version: the digest of a group's decision covers it.
+/// Uses the names of the first version. The digest of a group state covers this output, so it must not change.
 impl fmt::Debug for Rollout {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.debug_struct("Record")
@@ -72,7 +71,7 @@
 }
 
 impl Rollout {
-    /// So many stages have the new version.
+    /// Returns the number of stages that have the new version.
     pub fn updated_stages(&self) -> usize {
         match self.phase {
             RolloutPhase::Active { stage } | RolloutPhase::Paused { stage } => stage + 1,
@@ -82,12 +81,12 @@
         }
     }
 
-    /// The members of all stages.
+    /// Returns the members of all stages, in the order of the stages.
     pub fn members(&self) -> impl Iterator<Item = &String> {
         self.stages.iter().flatten()
     }
 
-    /// The members that have the new version.
+    /// Returns the members that have the new version in the current phase.
     pub fn updated_members(&self) -> BTreeSet<&str> {
         let updated = self.stages.iter().take(self.updated_stages());
         updated.flatten().map(String::as_str).collect()
@@ -97,14 +96,15 @@
         self.changes.get(*self.change_of.get(member)?)
     }
 
-    /// Whether it changes the program of a member, besides what that enforces.
+    /// Returns whether the rollout changes the program of any member.
     pub fn changes_programs(&self) -> bool {
         self.changes
             .iter()
             .any(|change| change.contains_key(PROGRAM_KEY))
     }
 
-    /// Whether a member that runs this program runs what it is to run in this phase; one of which nothing is said does.
+    /// Returns whether `program` is the one that the member must run in the current phase. Any program is right for a member
+    /// whose program the rollout does not change.
     pub fn expects_program(&self, member: &str, program: &str) -> bool {
         let change = self.change(member).and_then(|c| c.get(PROGRAM_KEY));
         let Some(change) = change else {
@@ -120,7 +120,7 @@
             .is_none_or(|expected| is_same_program(expected, program))
     }
 
-    /// The same rollout in another phase.
+    /// Returns the same rollout in another phase.
     pub fn with_phase(&self, phase: RolloutPhase, reason: impl Into<String>) -> Rollout {
         Rollout {
             phase,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The first step of taking it back.
+    /// Returns the state after the first rollback step.
     pub fn roll_back(&self, how: Rollback, reason: impl Into<String>) -> Rollout {
         let remaining = self.updated_stages().saturating_sub(1);
         let phase = if how == Rollback::Immediate || remaining == 0 {
@@ -140,11 +140,11 @@
         self.with_phase(phase, reason)
     }
 
-    /// What a member enforces in one version, made from what it enforces now in any.
+    /// Returns the state that a member enforces in a version, derived from its current state in either version.
     ///
     /// # Errors
     ///
-    /// Where that is neither the one nor the other.
+    /// If a value of the current state is neither the old nor the new one.
     pub fn member_state(
         &self,
         member: &str,
@@ -172,7 +172,7 @@
         Ok(state)
     }
 
-    /// Checks a rollout that came from elsewhere.
+    /// Checks that the stages, changes, policy and phase are consistent.
     ///
     /// # Errors
     ///
@@ -185,13 +185,13 @@
         if self.stages.iter().any(Vec::is_empty) {
             return Err(InvalidRollout::EmptyStage);
         }
-        let mut seen = BTreeSet::new();
-        if let Some(twice) = self.members().find(|name| !seen.insert(name.as_str())) {
-            return Err(InvalidRollout::TwoStages(twice.clone()));
+        let mut names = BTreeSet::new();
+        if let Some(duplicate) = self.members().find(|name| !names.insert(name.as_str())) {
+            return Err(InvalidRollout::DuplicateMember(duplicate.clone()));
         }
         let mut changed = self.change_of.iter();
-        let unknown =
-            changed.find(|(name, n)| !seen.contains(name.as_str()) || **n >= self.changes.len());
+        let unknown = changed
+            .find(|(name, index)| !names.contains(name.as_str()) || **index >= self.changes.len());
         if let Some((name, _)) = unknown {
             return Err(InvalidRollout::NoStageOrChange(name.clone()));
         }
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -1,4 +1,4 @@
-//! Which member belongs to which stage.
+//! Assignment of members to stages.
 
 use crate::error::{InvalidScope, StageAssignmentError};
 use crate::limits::MAX_STAGES;
@@ -6,23 +6,23 @@
 use std::str::FromStr;
 use wrenfork_commit::state::Digest;
 
-/// Up to where a stage goes, with all stages before it.
+/// Which members a stage includes, together with all earlier stages.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StageScope {
-    /// So many members.
+    /// This number of members in total.
     Count(usize),
-    /// Such a fraction of them, rounded up.
+    /// This fraction of all members in total, rounded up to a whole member.
     Fraction(f64),
-    /// All of a zone group besides those before.
+    /// All members of a zone group, in addition to those of earlier stages.
     ZoneGroup(String),
-    /// All.
+    /// All members.
     All,
 }
 
 impl FromStr for StageScope {
     type Err = InvalidScope;
 
-    /// Reads `1`, `10%`, `hall:NAME` or `all`.
+    /// Parses `1`, `10%`, `hall:NAME` or `all`.
     fn from_str(text: &str) -> Result<StageScope, InvalidScope> {
         let scope = if text == "all" {
             Some(StageScope::All)
@@ -40,17 +40,17 @@
     }
 }
 
-/// The order in which members are updated: drawn by the rollout's identity, one zone group after the other in turn, so that each
-/// has both versions for as long as it can. A member whose zone group is not known is unavailable, and comes last: there is
-/// nothing to learn from it.
+/// Returns the order in which members are updated: pseudo-random by the rollout's identity, taking one member of each zone group
+/// in turn, so that each zone group has both versions for as long as possible. A member whose zone group is unknown is
+/// unavailable and comes last, as it gives no metrics to compare.
 fn update_order(id: &Digest, zone_groups: &BTreeMap<String, String>) -> Vec<String> {
     let mut by_zone_group: BTreeMap<&str, Vec<(Digest, &String)>> = BTreeMap::new();
     for (name, zone_group) in zone_groups {
-        let lot = Digest::of(format!("{id:?} {name}").as_bytes());
+        let sort_key = Digest::of(format!("{id:?} {name}").as_bytes());
         by_zone_group
             .entry(zone_group)
             .or_default()
-            .push((lot, name));
+            .push((sort_key, name));
     }
     let mut lists: Vec<Vec<(Digest, &String)>> = by_zone_group.into_values().collect();
     lists.iter_mut().for_each(|list| list.sort());
@@ -63,7 +63,7 @@
     available.into_iter().chain(unavailable).cloned().collect()
 }
 
-/// Assigns the members, by their names with their zone groups, to stages.
+/// Assigns members to stages. `zone_groups` has the zone group of each member by member name; it is empty if unknown.
 ///
 /// # Errors
 ///
@@ -79,23 +79,22 @@
     let mut remaining = update_order(id, zone_groups);
     let members = remaining.len();
     let mut stages: Vec<Vec<String>> = Vec::new();
-    for (n, scope) in scopes.iter().enumerate() {
-        let stage =
-            match scope {
-                StageScope::ZoneGroup(name) => members_of(&remaining, name, zone_groups)
-                    .ok_or_else(|| StageAssignmentError::EmptyZoneGroup {
-                        stage: n + 1,
-                        zone_group: name.clone(),
-                    })?,
-                StageScope::All => remaining.clone(),
-                StageScope::Count(count) => up_to(&remaining, members, *count),
-                StageScope::Fraction(fraction) => {
-                    let count = (members as f64 * fraction).ceil() as usize;
-                    up_to(&remaining, members, count)
-                }
-            };
+    for (index, scope) in scopes.iter().enumerate() {
+        let stage = match scope {
+            StageScope::ZoneGroup(name) => members_of_zone_group(&remaining, name, zone_groups)
+                .ok_or_else(|| StageAssignmentError::EmptyZoneGroup {
+                    stage: index + 1,
+                    zone_group: name.clone(),
+                })?,
+            StageScope::All => remaining.clone(),
+            StageScope::Count(count) => fill_up_to(&remaining, members, *count),
+            StageScope::Fraction(fraction) => {
+                let count = (members as f64 * fraction).ceil() as usize;
+                fill_up_to(&remaining, members, count)
+            }
+        };
         remaining.retain(|name| !stage.contains(name));
-        // Of few members several stages may come to the same: `10%` of three is the one that `1` was.
+        // With few members a stage may add nobody and is dropped: `10%` of three members is one, the same as `1`.
         if !stage.is_empty() {
             stages.push(stage);
         }
@@ -109,22 +108,22 @@
     })
 }
 
-/// Those of the remaining members with which so many of all are updated.
-fn up_to(remaining: &[String], members: usize, count: usize) -> Vec<String> {
-    let updated = members - remaining.len();
-    let more = count.saturating_sub(updated).min(remaining.len());
-    remaining[..more].to_vec()
+/// Returns the first remaining members that bring the number of assigned members to `count`.
+fn fill_up_to(remaining: &[String], members: usize, count: usize) -> Vec<String> {
+    let assigned = members - remaining.len();
+    let additional = count.saturating_sub(assigned).min(remaining.len());
+    remaining[..additional].to_vec()
 }
 
-/// Those of the remaining members that are of a zone group; none where that has no member at all.
-fn members_of(
+/// Returns the remaining members of a zone group; none if the zone group has no members at all.
+fn members_of_zone_group(
     remaining: &[String],
     zone_group: &String,
     zone_groups: &BTreeMap<String, String>,
 ) -> Option<Vec<String>> {
-    if !zone_groups.values().any(|of| of == zone_group) {
+    if !zone_groups.values().any(|name| name == zone_group) {
         return None;
     }
-    let is_of = |name: &&String| zone_groups.get(*name) == Some(zone_group);
-    Some(remaining.iter().filter(is_of).cloned().collect())
+    let is_in_zone_group = |name: &&String| zone_groups.get(*name) == Some(zone_group);
+    Some(remaining.iter().filter(is_in_zone_group).cloned().collect())
 }
--- a/crates/rollout/src/transition.rs
+++ b/crates/rollout/src/transition.rs
@@ -1,12 +1,12 @@
-//! Which state of a rollout may follow which.
+//! Allowed transitions between states of a rollout.
 
 use crate::error::TransitionError;
 use crate::phase::RolloutPhase;
 use crate::rollout::Rollout;
 
-/// Checks whether what a group has of a rollout may follow what it had. The members ask this before they accept anything, so
-/// that no command and no controller, of whatever version, gets past it: one rollout at a time, no stage after a stop, none
-/// left out, and always an end with one policy everywhere.
+/// Checks whether a rollout state may follow the previous one in a group. The members check this before they accept a new group
+/// state, so that no command or controller of any version can bypass it. It guarantees that there is one rollout at a time,
+/// that no stage is skipped, that no stage begins after a stop, and that a rollout ends with one version on all members.
 ///
 /// # Errors
 ///
@@ -18,11 +18,11 @@
     let active = before.filter(|rollout| !rollout.phase.ended());
     let after = match (active, after) {
         (None, None) => return Ok(()),
-        (Some(_), None) => return Err(TransitionError::LeftOut),
+        (Some(_), None) => return Err(TransitionError::RolloutOmitted),
         (_, Some(after)) => after,
     };
     if before == Some(after) {
-        // Something else is decided.
+        // The new group state changes something else, not the rollout.
         return Ok(());
     }
     after.validate()?;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Checks a step of a rollout that is under way.
+/// Checks the next state of a rollout that is under way.
 fn check_step(active: &Rollout, after: &Rollout) -> Result<(), TransitionError> {
     if active.id != after.id {
         return Err(TransitionError::AnotherUnderWay {
@@ -42,7 +42,7 @@
         });
     }
     if active.with_phase(after.phase.clone(), after.reason.clone()) != *after {
-        return Err(TransitionError::Altered);
+        return Err(TransitionError::Modified);
     }
     let last_stage = active.stages.len() - 1;
     if may_follow(&active.phase, &after.phase, last_stage) {
