--- a/crates/rollout/tests/closed_world.rs
+++ b/crates/rollout/tests/closed_world.rs
@@ -1,5 +1,5 @@
-//! A world without processes: members whose requests fail by draws, a second at a time, and the watch over them. What the
-//! terms promise is counted over many draws.
+//! Simulated members whose requests fail at random, one second at a time, and a monitor that observes them. Counts over many
+//! seeds how often the monitor stops or continues a rollout, to check the error bounds of the policy.
 
 use fastrand::Rng;
 use std::collections::BTreeMap;
@@ -9,46 +9,46 @@
 use wrenfork_rollout::{Observations, StageMonitor};
 use wrenfork_rollout::{Rollout, RolloutPhase, RolloutPolicy};
 
-/// How the members fare.
+/// Parameters of the simulation.
 #[derive(Clone, Copy)]
-struct World {
-    /// Members of each side.
-    each: usize,
-    /// Requests a second at a member.
+struct Simulation {
+    /// Number of members in each stage, of which the first has the new version.
+    members_per_version: usize,
+    /// Mean number of requests per second and member.
     rate: u64,
-    /// The share that is lost anyway.
-    base: f64,
-    /// By how much that swells and ebbs for all, from second to second.
-    swell: f64,
-    /// The share that the new one loses besides.
-    worse: f64,
-    /// Seconds that are looked at.
+    /// Fraction of the requests lost with either version, at the start.
+    base_loss: f64,
+    /// Maximum relative change of that fraction from one second to the next, the same for all members.
+    fluctuation: f64,
+    /// Additional fraction of the requests that the new version loses.
+    additional_loss: f64,
+    /// Maximum duration of the simulation, in seconds.
     seconds: u64,
 }
 
-/// Of so many, how many: a draw that is quick and near enough (the normal one where there are many).
-fn lost(rng: &mut Rng, of: u64, share: f64) -> u64 {
-    if share * (of as f64) < 10.0 {
-        return (0..of).filter(|_| rng.f64() < share).count() as u64;
+/// Draws the number of lost requests; for large numbers a normal distribution approximates the binomial one, which is faster.
+fn draw_losses(rng: &mut Rng, requests: u64, fraction: f64) -> u64 {
+    if fraction * (requests as f64) < 10.0 {
+        return (0..requests).filter(|_| rng.f64() < fraction).count() as u64;
     }
-    let scatter = (of as f64 * share * (1.0 - share)).sqrt();
+    let deviation = (requests as f64 * fraction * (1.0 - fraction)).sqrt();
     let normal: f64 = (0..12).map(|_| rng.f64()).sum::<f64>() - 6.0;
-    (of as f64 * share + scatter * normal)
+    (requests as f64 * fraction + deviation * normal)
         .round()
-        .clamp(0.0, of as f64) as u64
+        .clamp(0.0, requests as f64) as u64
 }
 
-fn record(world: &World, terms: RolloutPolicy) -> Rollout {
+fn rollout(simulation: &Simulation, policy: RolloutPolicy) -> Rollout {
     let names = |from: usize| {
-        (from..from + world.each)
+        (from..from + simulation.members_per_version)
             .map(|n| format!("n{n}"))
             .collect::<Vec<_>>()
     };
     Rollout {
         id: Digest::of(b"draw"),
         author: "ann".into(),
-        policy: terms,
-        stages: vec![names(0), names(world.each)],
+        policy,
+        stages: vec![names(0), names(simulation.members_per_version)],
         changes: Vec::new(),
         change_of: BTreeMap::new(),
         phase: RolloutPhase::Active { stage: 0 },
@@ -56,12 +56,16 @@
     }
 }
 
-/// Plays one stage; where it came to, and after how many seconds.
-fn play(world: &World, terms: RolloutPolicy, seed: u64) -> (Option<RolloutPhase>, u64) {
+/// Simulates one stage, and returns the next phase, if there is one, and the seconds until then.
+fn simulate_stage(
+    simulation: &Simulation,
+    policy: RolloutPolicy,
+    seed: u64,
+) -> (Option<RolloutPhase>, u64) {
     let mut rng = Rng::with_seed(seed);
-    let record = record(world, terms);
-    let mut watch = StageMonitor::new(record, 7, Duration::ZERO);
-    let mut tallies: Vec<MemberMetrics> = (0..2 * world.each)
+    let rollout = rollout(simulation, policy);
+    let mut monitor = StageMonitor::new(rollout, 7, Duration::ZERO);
+    let mut members: Vec<MemberMetrics> = (0..2 * simulation.members_per_version)
         .map(|n| MemberMetrics {
             incarnation: n as u64 + 1,
             uptime_ms: 60_000,
@@ -70,166 +74,176 @@
             ..MemberMetrics::default()
         })
         .collect();
-    let mut base = world.base;
-    for second in 0..=world.seconds {
-        base = f64::clamp(
-            base * (1.0 + world.swell * (rng.f64() * 2.0 - 1.0)),
-            world.base / 4.0,
+    let mut loss = simulation.base_loss;
+    for second in 0..=simulation.seconds {
+        loss = f64::clamp(
+            loss * (1.0 + simulation.fluctuation * (rng.f64() * 2.0 - 1.0)),
+            simulation.base_loss / 4.0,
             0.4,
         );
-        for (n, tally) in tallies.iter_mut().enumerate() {
-            let share = base + if n < world.each { world.worse } else { 0.0 };
-            let asked = world.rate * (80 + rng.u64(0..41)) / 100;
-            let failed = lost(&mut rng, asked, share);
-            let kind = tally.requests.entry("quote/a".into()).or_default();
-            *kind = RequestCounts {
+        for (n, metrics) in members.iter_mut().enumerate() {
+            let fraction = loss
+                + if n < simulation.members_per_version {
+                    simulation.additional_loss
+                } else {
+                    0.0
+                };
+            let requests = simulation.rate * (80 + rng.u64(0..41)) / 100;
+            let failed = draw_losses(&mut rng, requests, fraction);
+            let counts = metrics.requests.entry("quote/a".into()).or_default();
+            *counts = RequestCounts {
                 weight: 2_000,
-                total: kind.total + asked,
+                total: counts.total + requests,
                 rejected: 0,
-                failed: kind.failed + failed,
+                failed: counts.failed + failed,
             };
-            tally.uptime_ms += 1_000;
+            metrics.uptime_ms += 1_000;
         }
-        let seen: Observations = tallies
+        let observations: Observations = members
             .iter()
             .enumerate()
-            .map(|(n, t)| (format!("n{n}"), Some(t.clone())))
+            .map(|(n, metrics)| (format!("n{n}"), Some(metrics.clone())))
             .collect();
-        if let Some(next) = watch.look(Duration::from_secs(second), &seen) {
+        if let Some(next) = monitor.observe(Duration::from_secs(second), &observations) {
             return (Some(next.phase), second);
         }
     }
-    (None, world.seconds)
+    (None, simulation.seconds)
 }
 
-fn terms() -> RolloutPolicy {
+fn policy() -> RolloutPolicy {
     RolloutPolicy {
         min_watch_ms: 10_000,
         ..RolloutPolicy::default()
     }
 }
 
-/// Over many draws: how many were stopped, went on, and neither; the seconds of the median.
-fn over(draws: u64, world: &World) -> ([u64; 3], u64) {
-    let (mut counts, mut took) = ([0; 3], Vec::new());
-    for seed in 0..draws {
-        let (phase, seconds) = play(world, terms(), seed);
+/// Simulates a stage with many seeds. Returns how many were stopped, continued, and undecided, and the median of the seconds.
+fn simulate_many(seeds: u64, simulation: &Simulation) -> ([u64; 3], u64) {
+    let (mut outcomes, mut durations) = ([0; 3], Vec::new());
+    for seed in 0..seeds {
+        let (phase, seconds) = simulate_stage(simulation, policy(), seed);
         match phase {
-            Some(RolloutPhase::RolledBack | RolloutPhase::RollingBack { .. }) => counts[0] += 1,
-            Some(RolloutPhase::Active { .. } | RolloutPhase::Completed) => counts[1] += 1,
-            _ => counts[2] += 1,
+            Some(RolloutPhase::RolledBack | RolloutPhase::RollingBack { .. }) => outcomes[0] += 1,
+            Some(RolloutPhase::Active { .. } | RolloutPhase::Completed) => outcomes[1] += 1,
+            _ => outcomes[2] += 1,
         }
-        took.push(seconds);
+        durations.push(seconds);
     }
-    took.sort_unstable();
-    (counts, took[took.len() / 2])
+    durations.sort_unstable();
+    (outcomes, durations[durations.len() / 2])
 }
 
-const CALM: World = World {
-    each: 1,
+const STEADY: Simulation = Simulation {
+    members_per_version: 1,
     rate: 200,
-    base: 0.01,
-    swell: 0.0,
-    worse: 0.0,
+    base_loss: 0.01,
+    fluctuation: 0.0,
+    additional_loss: 0.0,
     seconds: 300,
 };
 
 #[test]
-fn an_equal_version_goes_on_and_one_that_loses_more_is_stopped() {
-    let (equal, _) = over(200, &CALM);
-    assert!(equal[0] <= 2, "stopped, went on, neither: {equal:?}");
-    assert!(equal[1] >= 190, "stopped, went on, neither: {equal:?}");
-    let (bad, median) = over(
+fn equal_version_continues_and_worse_version_is_stopped() {
+    let (equal, _) = simulate_many(200, &STEADY);
+    assert!(equal[0] <= 2, "stopped, continued, undecided: {equal:?}");
+    assert!(equal[1] >= 190, "stopped, continued, undecided: {equal:?}");
+    let (worse, median) = simulate_many(
         200,
-        &World {
-            worse: 0.04,
-            ..CALM
+        &Simulation {
+            additional_loss: 0.04,
+            ..STEADY
         },
     );
-    assert!(bad[0] >= 198, "stopped, went on, neither: {bad:?}");
-    assert!(median <= 60, "found after {median} s");
+    assert!(worse[0] >= 198, "stopped, continued, undecided: {worse:?}");
+    assert!(median <= 60, "median time until the stop: {median} s");
 }
 
-/// Too little to go by is never good.
 #[test]
-fn a_stage_with_too_little_traffic_is_never_good() {
-    let (few, _) = over(
+fn stage_with_too_little_traffic_never_counts_as_good() {
+    let (outcomes, _) = simulate_many(
         50,
-        &World {
+        &Simulation {
             rate: 1,
             seconds: 600,
-            ..CALM
+            ..STEADY
         },
     );
-    assert_eq!(few[1], 0, "stopped, went on, neither: {few:?}");
+    assert_eq!(
+        outcomes[1], 0,
+        "stopped, continued, undecided: {outcomes:?}"
+    );
 }
 
 #[test]
-fn a_crash_of_the_new_version_stops_at_once_and_one_of_the_old_does_not() {
-    for (who, stops) in [(0, true), (1, false)] {
-        let mut watch = StageMonitor::new(record(&CALM, terms()), 7, Duration::ZERO);
-        let of = |n: usize, life| MemberMetrics {
-            incarnation: life,
+fn crash_of_the_new_version_stops_the_rollout_and_crash_of_the_old_does_not() {
+    for (restarted, stops) in [(0, true), (1, false)] {
+        let mut monitor = StageMonitor::new(rollout(&STEADY, policy()), 7, Duration::ZERO);
+        let member = |n: usize, incarnation| MemberMetrics {
+            incarnation,
             uptime_ms: 60_000,
             group_version: 7,
             zone_group: "a".into(),
-            ..tally_of(n)
+            ..metrics_with_cpu(n)
         };
-        let look = |lives: [u64; 2]| -> Observations {
+        let observations = |incarnations: [u64; 2]| -> Observations {
             (0..2)
-                .map(|n| (format!("n{n}"), Some(of(n, lives[n]))))
+                .map(|n| (format!("n{n}"), Some(member(n, incarnations[n]))))
                 .collect()
         };
-        assert_eq!(watch.look(Duration::from_secs(1), &look([1, 2])), None);
-        let mut lives = [1, 2];
-        lives[who] = 9;
-        let next = watch.look(Duration::from_secs(2), &look(lives));
+        assert_eq!(
+            monitor.observe(Duration::from_secs(1), &observations([1, 2])),
+            None
+        );
+        let mut incarnations = [1, 2];
+        incarnations[restarted] = 9;
+        let next = monitor.observe(Duration::from_secs(2), &observations(incarnations));
         assert_eq!(
             next.map(|r| r.phase),
             stops.then_some(RolloutPhase::RolledBack),
-            "n{who}"
+            "n{restarted}"
         );
     }
-    // Another driver, that has seen nothing before: the member says that it began under this very decree.
-    for (began, stops) in [(6, false), (7, true)] {
-        let mut watch = StageMonitor::new(record(&CALM, terms()), 7, Duration::ZERO);
-        let seen = [(
+    // A new controller has no earlier observations: here the member itself reports under which version it started.
+    for (start_version, stops) in [(6, false), (7, true)] {
+        let mut monitor = StageMonitor::new(rollout(&STEADY, policy()), 7, Duration::ZERO);
+        let observations = [(
             "n0".to_string(),
             Some(MemberMetrics {
                 incarnation: 1,
                 group_version: 7,
-                version_at_start: began,
+                version_at_start: start_version,
                 ..MemberMetrics::default()
             }),
         )]
         .into();
-        let next = watch.look(Duration::from_secs(1), &seen);
+        let next = monitor.observe(Duration::from_secs(1), &observations);
         assert_eq!(
             next.map(|r| r.phase),
             stops.then_some(RolloutPhase::RolledBack),
-            "began under {began}"
+            "started under version {start_version}"
         );
     }
 }
 
-fn tally_of(n: usize) -> MemberMetrics {
+fn metrics_with_cpu(n: usize) -> MemberMetrics {
     MemberMetrics {
         cpu_us: n as u64,
         ..MemberMetrics::default()
     }
 }
 
-/// One that is away holds up, however good the rest is; it is not judged.
+/// An unavailable member prevents the next stage, however good the other members are.
 #[test]
-fn a_stage_with_too_many_unavailable_members_is_paused_and_names_them() {
-    let terms = RolloutPolicy {
+fn stage_with_too_many_unavailable_members_is_paused_and_names_them() {
+    let policy = RolloutPolicy {
         max_unavailable: 0,
         timeout_ms: 20_000,
-        ..terms()
+        ..policy()
     };
-    let mut watch = StageMonitor::new(record(&CALM, terms), 7, Duration::ZERO);
+    let mut monitor = StageMonitor::new(rollout(&STEADY, policy), 7, Duration::ZERO);
     for second in 0..20 {
-        let seen: Observations = [
+        let observations: Observations = [
             (
                 "n0".to_string(),
                 Some(MemberMetrics {
@@ -241,26 +255,29 @@
             ("n1".to_string(), None),
         ]
         .into();
-        assert_eq!(watch.look(Duration::from_secs(second), &seen), None);
+        assert_eq!(
+            monitor.observe(Duration::from_secs(second), &observations),
+            None
+        );
     }
-    let held = watch
-        .look(Duration::from_secs(20), &BTreeMap::new())
+    let paused = monitor
+        .observe(Duration::from_secs(20), &BTreeMap::new())
         .unwrap();
-    assert_eq!(held.phase, RolloutPhase::Paused { stage: 0 });
-    assert!(held.reason.contains("n1"), "{}", held.reason);
+    assert_eq!(paused.phase, RolloutPhase::Paused { stage: 0 });
+    assert!(paused.reason.contains("n1"), "{}", paused.reason);
 }
 
 #[test]
-fn a_rollback_goes_stage_by_stage_after_the_interval() {
-    let back =
-        record(&CALM, terms()).with_phase(RolloutPhase::RollingBack { remaining: 1 }, "worse");
-    let mut watch = StageMonitor::new(back, 9, Duration::ZERO);
+fn rollback_takes_the_next_step_after_the_interval() {
+    let rolling_back =
+        rollout(&STEADY, policy()).with_phase(RolloutPhase::RollingBack { remaining: 1 }, "worse");
+    let mut monitor = StageMonitor::new(rolling_back, 9, Duration::ZERO);
     assert_eq!(
-        watch.look(Duration::from_millis(1_900), &BTreeMap::new()),
+        monitor.observe(Duration::from_millis(1_900), &BTreeMap::new()),
         None
     );
-    let next = watch
-        .look(Duration::from_millis(2_000), &BTreeMap::new())
+    let next = monitor
+        .observe(Duration::from_millis(2_000), &BTreeMap::new())
         .unwrap();
     assert_eq!(
         (next.phase, next.reason.as_str()),
@@ -268,71 +285,74 @@
     );
 }
 
-fn measured_worlds() -> Vec<(&'static str, World)> {
-    let crowd = World {
-        each: 5,
+fn measured_simulations() -> Vec<(&'static str, Simulation)> {
+    let many_members = Simulation {
+        members_per_version: 5,
         rate: 40,
-        base: 0.05,
-        swell: 0.5,
-        ..CALM
+        base_loss: 0.05,
+        fluctuation: 0.5,
+        ..STEADY
     };
     vec![
-        ("equal", CALM),
+        ("equal", STEADY),
         (
-            "equal, losses that swell",
-            World {
-                swell: 0.5,
-                base: 0.05,
-                ..CALM
+            "equal, fluctuating losses",
+            Simulation {
+                fluctuation: 0.5,
+                base_loss: 0.05,
+                ..STEADY
             },
         ),
-        ("equal, five of each", crowd),
-        ("equal, 20 a second", World { rate: 20, ..CALM }),
+        ("equal, five members each", many_members),
+        (
+            "equal, 20 requests per second",
+            Simulation { rate: 20, ..STEADY },
+        ),
         (
             "1% worse",
-            World {
-                worse: 0.01,
-                ..CALM
+            Simulation {
+                additional_loss: 0.01,
+                ..STEADY
             },
         ),
         (
             "2% worse",
-            World {
-                worse: 0.02,
-                ..CALM
+            Simulation {
+                additional_loss: 0.02,
+                ..STEADY
             },
         ),
         (
-            "2% worse, losses that swell",
-            World {
-                worse: 0.02,
-                ..crowd
+            "2% worse, fluctuating losses",
+            Simulation {
+                additional_loss: 0.02,
+                ..many_members
             },
         ),
         (
             "3% worse",
-            World {
-                worse: 0.03,
-                ..CALM
+            Simulation {
+                additional_loss: 0.03,
+                ..STEADY
             },
         ),
         (
             "5% worse",
-            World {
-                worse: 0.05,
-                ..CALM
+            Simulation {
+                additional_loss: 0.05,
+                ..STEADY
             },
         ),
     ]
 }
 
-/// The stated errors by ten thousand draws: `cargo test --release -p wrenfork-rollout -- --ignored --nocapture`.
+/// Measures the error rates over ten thousand seeds: `cargo test --release -p wrenfork-rollout -- --ignored --nocapture`.
 #[test]
-#[ignore = "a measurement of some minutes"]
-fn measure_the_errors_by_ten_thousand_draws() {
-    println!("world: stopped, went on, neither of 10,000; median seconds");
-    for (name, world) in measured_worlds() {
-        let (counts, median) = over(10_000, &world);
-        println!("{name}: {counts:?} {median}");
+#[ignore = "a measurement that takes some minutes"]
+fn measure_error_rates_over_ten_thousand_seeds() {
+    println!("simulation: stopped, continued, undecided of 10,000; median seconds");
+    for (name, simulation) in measured_simulations() {
+        let (outcomes, median) = simulate_many(10_000, &simulation);
+        println!("{name}: {outcomes:?} {median}");
     }
 }
--- a/crates/rollout/tests/comparison.rs
+++ b/crates/rollout/tests/comparison.rs
@@ -1,4 +1,4 @@
-//! What two cohorts differ by, and how requests are counted.
+//! Differences between two cohorts, and counting of requests.
 
 use wrenfork_rollout::comparison::{
     latency_baseline, ClassBaseline, Cohort, CohortPair, ComparisonBlock, LatencyBaseline, Measure,
@@ -33,7 +33,7 @@
     }
 }
 
-/// A cohort of one member, whose memory has grown by so much.
+/// Creates a cohort of one member whose memory has grown by `growth_kb`.
 fn cohort(member: &MemberMetrics, growth_kb: u64) -> Cohort {
     let before = MemberMetrics {
         memory_kb: member.memory_kb - growth_kb,
@@ -54,74 +54,79 @@
     pair(cohort(new, 0), cohort(old, 0))
 }
 
-/// Guards against a cohort that is blamed for its customers: one with more of those whose requests fail anyway.
+/// Guards against a cohort that counts as worse only because it has more customers whose requests fail with any version.
 #[test]
-fn requests_are_compared_with_those_of_the_same_class_and_plan() {
-    let none = LatencyBaseline::new();
-    let mixed = metrics(
+fn requests_are_compared_within_the_same_class_and_plan() {
+    let no_baseline = LatencyBaseline::new();
+    let mostly_failing_plan = metrics(
         &[
             ("quote/a", counts(10, 0, 0)),
             ("quote/b", counts(190, 0, 95)),
         ],
         &[],
     );
-    let other = metrics(
+    let mostly_healthy_plan = metrics(
         &[
             ("quote/a", counts(190, 0, 0)),
             ("quote/b", counts(10, 0, 5)),
         ],
         &[],
     );
-    let found = block(&mixed, &other).differences(&none);
-    assert_eq!(found[&Measure::Failed], 0.0);
-    assert_eq!(found[&Measure::Lost], 0.0);
+    let differences = block(&mostly_failing_plan, &mostly_healthy_plan).differences(&no_baseline);
+    assert_eq!(differences[&Measure::Failed], 0.0);
+    assert_eq!(differences[&Measure::Lost], 0.0);
     let worse = metrics(&[("quote/a", counts(100, 4, 0))], &[]);
-    let good = metrics(&[("quote/a", counts(100, 0, 0))], &[]);
-    let found = block(&worse, &good).differences(&none);
-    assert!((found[&Measure::Lost] - 0.04).abs() < 1e-9 && found[&Measure::Failed] == 0.0);
+    let healthy = metrics(&[("quote/a", counts(100, 0, 0))], &[]);
+    let differences = block(&worse, &healthy).differences(&no_baseline);
+    assert!(
+        (differences[&Measure::Lost] - 0.04).abs() < 1e-9 && differences[&Measure::Failed] == 0.0
+    );
     assert!((block(&worse, &worse).weight() - 100.0).abs() < 1e-9);
-    let nothing = block(&worse, &MemberMetrics::default()).differences(&none);
-    assert!(!nothing.contains_key(&Measure::Lost));
+    let without_old_requests = block(&worse, &MemberMetrics::default()).differences(&no_baseline);
+    assert!(!without_old_requests.contains_key(&Measure::Lost));
 }
 
 #[test]
 fn late_responses_cpu_and_memory_are_compared() {
     let requests = [("quote/a", counts(100, 0, 0))];
-    let quick = metrics(&requests, &[(1_000, 60), (2_000, 39), (9_000, 1)]);
+    let fast = metrics(&requests, &[(1_000, 60), (2_000, 39), (9_000, 1)]);
     let slow = metrics(
         &requests,
         &[(1_000, 60), (2_000, 37), (9_000, 1), (40_000, 2)],
     );
-    let baseline = latency_baseline(&[("n0".to_string(), quick.clone())].into());
+    let baseline = latency_baseline(&[("n0".to_string(), fast.clone())].into());
     let expected = ClassBaseline {
         median_us: 1_000,
         percentile_99_us: 2_000,
     };
     assert_eq!(baseline["quote"], expected);
-    let found = block(&slow, &quick).differences(&baseline);
-    assert!((found[&Measure::Percentile99] - 0.02).abs() < 1e-9);
-    assert!(found[&Measure::Median].abs() < 1e-9);
+    let differences = block(&slow, &fast).differences(&baseline);
+    assert!((differences[&Measure::Percentile99] - 0.02).abs() < 1e-9);
+    assert!(differences[&Measure::Median].abs() < 1e-9);
 
     let expensive = MemberMetrics {
         cpu_us: 3_000,
-        ..quick.clone()
+        ..fast.clone()
     };
-    let found = block(&expensive, &quick).differences(&baseline);
-    assert!((found[&Measure::Cpu] - 1.0).abs() < 1e-9);
-    let idle = MemberMetrics {
+    let differences = block(&expensive, &fast).differences(&baseline);
+    assert!((differences[&Measure::Cpu] - 1.0).abs() < 1e-9);
+    let half_load = MemberMetrics {
         requests: metrics(&[("quote/a", counts(50, 0, 0))], &[]).requests,
         ..expensive
     };
-    let found = block(&idle, &quick).differences(&baseline);
-    assert!(!found.contains_key(&Measure::Cpu), "half as busy");
+    let differences = block(&half_load, &fast).differences(&baseline);
+    assert!(
+        !differences.contains_key(&Measure::Cpu),
+        "processor time must not be compared if one cohort has half the requests"
+    );
 
-    let leaking = pair(cohort(&quick, 1_024), cohort(&quick, 0));
-    let grown = leaking.differences(&baseline)[&Measure::MemoryGrowth];
-    assert!((grown - 1_024.0 / 30_000.0).abs() < 1e-3, "{grown}");
+    let leaking = pair(cohort(&fast, 1_024), cohort(&fast, 0));
+    let growth = leaking.differences(&baseline)[&Measure::MemoryGrowth];
+    assert!((growth - 1_024.0 / 30_000.0).abs() < 1e-3, "{growth}");
 }
 
 #[test]
-fn counts_by_place_stay_under_their_names_when_the_places_change() {
+fn counts_keep_their_names_when_the_settings_change() {
     let mut counter = RequestCounter::default();
     counter.record(0, 0, 2_000, RequestOutcome::Served(1_500));
     counter.record(0, 1, 2_000, RequestOutcome::Rejected);
@@ -133,20 +138,20 @@
     counter.assign_names(|_| Some("refer"), |_| Some("starter"));
     let metrics = counter.metrics();
     assert_eq!(metrics.requests["quote/starter"], counts(2, 1, 0));
-    let refer = RequestCounts {
+    let refer_counts = RequestCounts {
         weight: 3_000,
         ..counts(1, 0, 1)
     };
-    assert_eq!(metrics.requests["refer/starter"], refer);
+    assert_eq!(metrics.requests["refer/starter"], refer_counts);
     let responses: u64 = metrics.latencies["quote"].iter().map(|b| b.count).sum();
     assert_eq!(responses, 1);
     let text = serde_json::to_string(&metrics).unwrap();
-    let read: MemberMetrics = serde_json::from_str(&text).unwrap();
-    assert_eq!(read, metrics);
+    let decoded: MemberMetrics = serde_json::from_str(&text).unwrap();
+    assert_eq!(decoded, metrics);
 }
 
 #[test]
-fn kinds_of_requests_stay_bounded() {
+fn number_of_request_kinds_is_bounded() {
     let mut counter = RequestCounter::default();
     for plan in 0..2_000 {
         counter.record(0, plan, 1, RequestOutcome::Failed);
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -1,7 +1,8 @@
-//! The stored and sent forms of this package, byte for byte. A group's members keep a record and send each other tallies, and
-//! the digest of what they decide covers a record's `Debug` form, so neither names nor order may change unnoticed.
+//! Compares every stored and sent format of this package byte for byte with the files in `golden/`. The members of a group store
+//! rollouts and send each other metrics, and the digest of the group state covers the `Debug` output of a rollout, so neither
+//! names nor order may change unnoticed.
 //!
-//! The files in `golden/` are written by hand alone: `cargo test -p wrenfork-rollout --test golden -- --ignored`.
+//! The files are only rewritten by hand: `cargo test -p wrenfork-rollout --test golden -- --ignored`.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -20,19 +21,19 @@
         .collect()
 }
 
-fn golden(name: &str) -> String {
+fn read_golden(name: &str) -> String {
     fs::read_to_string(path(name)).unwrap()
 }
 
-fn record(phase: RolloutPhase, why: &str) -> Rollout {
+fn rollout(phase: RolloutPhase, reason: &str) -> Rollout {
     let text = |value: &str| Some(value.to_string());
     let change = |old, new| ValueChange { old, new };
-    let changed = [
+    let first_change = [
         ("added".to_string(), change(None, text("new"))),
         ("changed".to_string(), change(text("old"), text("new"))),
         ("removed".to_string(), change(text("old"), None)),
     ];
-    let other = [(
+    let second_change = [(
         "program".to_string(),
         change(text("r-1@11"), text("r-2 \"x\"@22")),
     )];
@@ -48,26 +49,26 @@
             false_alarm_ppm: 10_001,
         },
         stages: vec![vec!["n0".into()], vec!["n1".into(), "n2".into()]],
-        changes: vec![changed.into(), other.into()],
+        changes: vec![first_change.into(), second_change.into()],
         change_of: [("n0", 0), ("n1", 1), ("n2", 0)]
-            .map(|(name, change)| (name.to_string(), change))
+            .map(|(name, index)| (name.to_string(), index))
             .into(),
         phase,
-        reason: why.into(),
+        reason: reason.into(),
     }
 }
 
-fn records() -> Vec<Rollout> {
+fn rollouts() -> Vec<Rollout> {
     vec![
-        record(RolloutPhase::Active { stage: 0 }, ""),
-        record(RolloutPhase::Paused { stage: 1 }, "not known to be good"),
-        record(RolloutPhase::RollingBack { remaining: 1 }, "worse"),
-        record(RolloutPhase::RolledBack, "asked for by bob"),
-        record(RolloutPhase::Completed, ""),
+        rollout(RolloutPhase::Active { stage: 0 }, ""),
+        rollout(RolloutPhase::Paused { stage: 1 }, "not known to be good"),
+        rollout(RolloutPhase::RollingBack { remaining: 1 }, "worse"),
+        rollout(RolloutPhase::RolledBack, "asked for by bob"),
+        rollout(RolloutPhase::Completed, ""),
     ]
 }
 
-fn tallies() -> Vec<MemberMetrics> {
+fn member_metrics() -> Vec<MemberMetrics> {
     let counts = RequestCounts {
         weight: 2_000,
         total: 41,
@@ -93,26 +94,26 @@
     vec![full, MemberMetrics::default()]
 }
 
-fn evidence() -> SequentialTest {
-    let mut evidence = SequentialTest::default();
+fn sequential_test() -> SequentialTest {
+    let mut test = SequentialTest::default();
     for difference in [0.25, -0.125, 0.5] {
-        evidence.add(difference);
+        test.add(difference);
     }
-    evidence
+    test
 }
 
-/// Which member has which stage rests on how an identity is written in the lots.
-fn assigned() -> Vec<Vec<String>> {
-    let halls: BTreeMap<String, String> = (0..12)
+/// The assignment of members to stages depends on the `Debug` output of the rollout's identity.
+fn assigned_stages() -> Vec<Vec<String>> {
+    let zone_groups: BTreeMap<String, String> = (0..12)
         .map(|n| (format!("n{n}"), format!("hall-{}", n % 3)))
         .collect();
-    let reach = [
+    let scopes = [
         StageScope::Count(1),
         StageScope::Fraction(0.25),
         StageScope::ZoneGroup("hall-1".into()),
         StageScope::All,
     ];
-    assign_stages(&Digest::of(b"golden"), &reach, &halls).unwrap()
+    assign_stages(&Digest::of(b"golden"), &scopes, &zone_groups).unwrap()
 }
 
 fn json<T: Serialize>(value: &T) -> String {
@@ -120,52 +121,55 @@
 }
 
 fn files() -> Vec<(&'static str, String)> {
-    let debug: String = records().iter().map(|r| format!("{r:?}\n")).collect();
-    let displayed: String = records().iter().map(|r| format!("{}\n", r.phase)).collect();
+    let debug: String = rollouts().iter().map(|r| format!("{r:?}\n")).collect();
+    let displayed: String = rollouts()
+        .iter()
+        .map(|r| format!("{}\n", r.phase))
+        .collect();
     vec![
-        ("records.json", json(&records())),
+        ("records.json", json(&rollouts())),
         ("records.debug.txt", debug),
         ("phases.txt", displayed),
         ("terms.json", json(&RolloutPolicy::default())),
-        ("tallies.json", json(&tallies())),
-        ("evidence.json", json(&evidence())),
-        ("stages.json", json(&assigned())),
+        ("tallies.json", json(&member_metrics())),
+        ("evidence.json", json(&sequential_test())),
+        ("stages.json", json(&assigned_stages())),
     ]
 }
 
-fn reads_back<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(
+fn assert_round_trip<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(
     name: &str,
     expected: &T,
 ) {
-    let text = golden(name);
+    let text = read_golden(name);
     let value: T = serde_json::from_str(&text).unwrap();
     assert_eq!(&value, expected, "{name}");
     assert_eq!(json(&value), text, "{name}");
 }
 
 #[test]
-fn every_form_is_written_as_in_its_golden_file() {
+fn every_format_matches_its_golden_file() {
     for (name, text) in files() {
-        assert_eq!(text, golden(name), "{name}");
+        assert_eq!(text, read_golden(name), "{name}");
     }
 }
 
 #[test]
-fn every_golden_file_reads_back_and_is_written_again_the_same() {
-    reads_back("records.json", &records());
-    reads_back("terms.json", &RolloutPolicy::default());
-    reads_back("tallies.json", &tallies());
-    reads_back("evidence.json", &evidence());
+fn golden_files_round_trip_to_the_same_bytes() {
+    assert_round_trip("records.json", &rollouts());
+    assert_round_trip("terms.json", &RolloutPolicy::default());
+    assert_round_trip("tallies.json", &member_metrics());
+    assert_round_trip("evidence.json", &sequential_test());
 }
 
 #[test]
-fn metrics_with_missing_fields_read_as_defaults() {
-    let tally: MemberMetrics = serde_json::from_str("{}").unwrap();
-    assert_eq!(tally, MemberMetrics::default());
+fn missing_metrics_fields_get_default_values() {
+    let metrics: MemberMetrics = serde_json::from_str("{}").unwrap();
+    assert_eq!(metrics, MemberMetrics::default());
 }
 
 #[test]
-#[ignore = "writes the golden files: run by hand, before a form is changed on purpose"]
+#[ignore = "writes the golden files; run it by hand when a format changes on purpose"]
 fn write_the_golden_files() {
     for (name, text) in files() {
         fs::write(path(name), text).unwrap();
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -1,40 +1,42 @@
-//! A search through all orders of what may happen to a rollout: two drivers that look, are slow, die and come back, an operator
-//! who holds it, lets it go on, stops it and begins another one, a member that crashes. What a group decides is one number
-//! after the other, each once (`wrenfork-consensus`, searched there); here it is a register that a proposal may follow in or not.
+//! Exhaustive search over all orders of events in a rollout: two controllers that observe, are slow, crash and restart, an
+//! operator who pauses, resumes and stops the rollout and starts another one, and a member that crashes. Consensus is not
+//! modelled here (`wrenfork-consensus` has its own search): the group state is a register with a version number, which a
+//! proposal replaces or not.
 
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 use wrenfork_commit::state::Digest;
 use wrenfork_rollout::{check_transition, Rollback, Rollout, RolloutPhase, RolloutPolicy};
 
-/// What keeps it safe; each is left out on purpose below.
+/// The checks that make rollouts safe. A test leaves out each of them on purpose.
 #[derive(Clone, Copy, Debug)]
 struct Guards {
-    /// A proposal is for the number after the one that was looked at, and a number is decided once.
-    numbered: bool,
-    /// The members ask whether a record may follow.
-    followed: bool,
+    /// A proposal is only accepted if the observed version is still the current one.
+    versioned: bool,
+    /// The members check that the new rollout state may follow the current one.
+    transitions_checked: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    number: u32,
-    record: Rollout,
-    /// What each driver has looked at, and wants; none while it is dead or has seen nothing.
-    drivers: [Option<(u32, Rollout)>; 2],
-    /// Steps that have been taken on each number by somebody.
-    acted: BTreeMap<u32, u32>,
-    /// A step back was taken in this rollout.
-    back: bool,
-    /// What must not be, by name.
-    wrong: Option<&'static str>,
-    /// What the operator may still do.
-    operator: u8,
-    /// Deaths of drivers that may still be.
-    deaths: u8,
+    version: u32,
+    rollout: Rollout,
+    /// The version that each controller has observed, and the state it will propose; none before its first observation and
+    /// after a crash.
+    controllers: [Option<(u32, Rollout)>; 2],
+    /// Number of steps taken from each version.
+    steps: BTreeMap<u32, u32>,
+    /// Whether a rollback step has been taken in this rollout.
+    rolling_back: bool,
+    /// The first violation found, if any.
+    violation: Option<&'static str>,
+    /// Number of actions that the operator may still take.
+    operator_actions: u8,
+    /// Number of controller crashes that may still happen.
+    crashes: u8,
 }
 
-/// What a driver judges of the phase that it looks at.
+/// A controller's verdict on the observed phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Verdict {
     Good,
@@ -45,15 +47,15 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    Look(usize, Verdict),
+    Observe(usize, Verdict),
     Propose(usize),
-    Die(usize),
+    CrashController(usize),
     Operator(&'static str),
 }
 
-struct World(Guards);
+struct RolloutModel(Guards);
 
-fn record(id: &[u8]) -> Rollout {
+fn rollout(id: &[u8]) -> Rollout {
     Rollout {
         id: Digest::of(id),
         author: String::new(),
@@ -66,23 +68,27 @@
     }
 }
 
-/// What a driver wants, as `StageMonitor` does.
-fn wanted(r: &Rollout, verdict: Verdict) -> Option<Rollout> {
-    let last = r.stages.len() - 1;
-    match (&r.phase, verdict) {
-        (RolloutPhase::Active { stage }, Verdict::Good) if *stage == last => {
-            Some(r.with_phase(RolloutPhase::Completed, ""))
+/// Returns the next state for a verdict, following the same rules as `StageMonitor`.
+fn next_rollout(current: &Rollout, verdict: Verdict) -> Option<Rollout> {
+    let last_stage = current.stages.len() - 1;
+    match (&current.phase, verdict) {
+        (RolloutPhase::Active { stage }, Verdict::Good) if *stage == last_stage => {
+            Some(current.with_phase(RolloutPhase::Completed, ""))
         }
         (RolloutPhase::Active { stage }, Verdict::Good) => {
-            Some(r.with_phase(RolloutPhase::Active { stage: stage + 1 }, ""))
+            Some(current.with_phase(RolloutPhase::Active { stage: stage + 1 }, ""))
+        }
+        (RolloutPhase::Active { .. }, Verdict::Worse) => {
+            Some(current.roll_back(Rollback::Stepwise, ""))
+        }
+        (RolloutPhase::Active { .. }, Verdict::Crash) => {
+            Some(current.roll_back(Rollback::Immediate, ""))
         }
-        (RolloutPhase::Active { .. }, Verdict::Worse) => Some(r.roll_back(Rollback::Stepwise, "")),
-        (RolloutPhase::Active { .. }, Verdict::Crash) => Some(r.roll_back(Rollback::Immediate, "")),
         (RolloutPhase::Active { stage }, Verdict::Unknown) => {
-            Some(r.with_phase(RolloutPhase::Paused { stage: *stage }, ""))
+            Some(current.with_phase(RolloutPhase::Paused { stage: *stage }, ""))
         }
         (RolloutPhase::RollingBack { remaining }, Verdict::Good) if *remaining > 1 => {
-            Some(r.with_phase(
+            Some(current.with_phase(
                 RolloutPhase::RollingBack {
                     remaining: remaining - 1,
                 },
@@ -90,191 +96,202 @@
             ))
         }
         (RolloutPhase::RollingBack { .. }, Verdict::Good) => {
-            Some(r.with_phase(RolloutPhase::RolledBack, ""))
+            Some(current.with_phase(RolloutPhase::RolledBack, ""))
         }
         _ => None,
     }
 }
 
-impl World {
-    /// The group decides a record, or does not.
-    fn decide(&self, s: &mut State, seen: u32, next: Rollout) {
-        if self.0.numbered && seen != s.number {
+impl RolloutModel {
+    /// The group accepts or rejects a proposed state.
+    fn decide(&self, state: &mut State, observed: u32, next: Rollout) {
+        if self.0.versioned && observed != state.version {
             return;
         }
-        if self.0.followed && check_transition(Some(&s.record), Some(&next)).is_err() {
+        if self.0.transitions_checked
+            && check_transition(Some(&state.rollout), Some(&next)).is_err()
+        {
             return;
         }
-        let acted = s.acted.entry(seen).or_default();
-        *acted += 1;
-        if *acted > 1 {
-            s.wrong = Some("two acted on what stood");
+        let steps = state.steps.entry(observed).or_default();
+        *steps += 1;
+        if *steps > 1 {
+            state.violation = Some("two steps were taken from the same version");
         }
-        let other = next.id != s.record.id;
-        if other && !s.record.phase.ended() {
-            s.wrong = Some("another began before one had ended");
+        let is_other = next.id != state.rollout.id;
+        if is_other && !state.rollout.phase.ended() {
+            state.violation = Some("a rollout began before the previous one had ended");
         }
-        s.back &= !other;
-        if s.back && next.updated_stages() > s.record.updated_stages() {
-            s.wrong = Some("a stage began after a step back");
+        state.rolling_back &= !is_other;
+        if state.rolling_back && next.updated_stages() > state.rollout.updated_stages() {
+            state.violation = Some("a stage began after a rollback step");
         }
-        if next.updated_stages() > s.record.updated_stages() + 1 && !other {
-            s.wrong = Some("a stage was left out");
+        if next.updated_stages() > state.rollout.updated_stages() + 1 && !is_other {
+            state.violation = Some("a stage was skipped");
         }
-        s.back |= matches!(
+        state.rolling_back |= matches!(
             next.phase,
             RolloutPhase::RollingBack { .. } | RolloutPhase::RolledBack
         );
-        s.record = next;
-        s.number += 1;
+        state.rollout = next;
+        state.version += 1;
     }
 }
 
-impl Model for World {
+impl Model for RolloutModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
-            number: 1,
-            record: record(b"one"),
-            drivers: [None, None],
-            acted: BTreeMap::new(),
-            back: false,
-            wrong: None,
-            operator: 2,
-            deaths: 2,
+            version: 1,
+            rollout: rollout(b"one"),
+            controllers: [None, None],
+            steps: BTreeMap::new(),
+            rolling_back: false,
+            violation: None,
+            operator_actions: 2,
+            crashes: 2,
         }]
     }
 
-    fn actions(&self, s: &State, actions: &mut Vec<Action>) {
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for n in 0..2 {
-            if let Some((seen, _)) = &s.drivers[n] {
+            if let Some((observed, _)) = &state.controllers[n] {
                 actions.push(Action::Propose(n));
-                if s.deaths > 0 {
-                    actions.push(Action::Die(n));
+                if state.crashes > 0 {
+                    actions.push(Action::CrashController(n));
                 }
-                // What it wants is what it saw last; it looks again where something else stands.
-                if *seen == s.number {
+                // A controller with a pending proposal only observes again if the version has changed.
+                if *observed == state.version {
                     continue;
                 }
             }
-            if !s.record.phase.ended() {
+            if !state.rollout.phase.ended() {
                 for verdict in [
                     Verdict::Good,
                     Verdict::Worse,
                     Verdict::Crash,
                     Verdict::Unknown,
                 ] {
-                    if wanted(&s.record, verdict).is_some() {
-                        actions.push(Action::Look(n, verdict));
+                    if next_rollout(&state.rollout, verdict).is_some() {
+                        actions.push(Action::Observe(n, verdict));
                     }
                 }
             }
         }
-        if s.operator > 0 {
-            actions.extend(["hold", "resume", "stop", "another"].map(Action::Operator));
-        } else if matches!(s.record.phase, RolloutPhase::Paused { .. }) {
-            actions.push(Action::Operator("stop")); // somebody comes, at last
+        if state.operator_actions > 0 {
+            actions.extend(["pause", "resume", "stop", "start another"].map(Action::Operator));
+        } else if matches!(state.rollout.phase, RolloutPhase::Paused { .. }) {
+            // An operator eventually stops a paused rollout, so that it can end.
+            actions.push(Action::Operator("stop"));
         }
     }
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
-        let mut s = last.clone();
+        let mut state = last.clone();
         match action {
-            Action::Look(n, verdict) => {
-                s.drivers[n] = Some((s.number, wanted(&s.record, verdict)?))
+            Action::Observe(n, verdict) => {
+                state.controllers[n] = Some((state.version, next_rollout(&state.rollout, verdict)?))
             }
             Action::Propose(n) => {
-                let (seen, next) = s.drivers[n].take()?;
-                self.decide(&mut s, seen, next);
+                let (observed, next) = state.controllers[n].take()?;
+                self.decide(&mut state, observed, next);
             }
-            Action::Die(n) => {
-                s.drivers[n] = None;
-                s.deaths -= 1;
+            Action::CrashController(n) => {
+                state.controllers[n] = None;
+                state.crashes -= 1;
             }
-            Action::Operator(what) => {
-                s.operator = s.operator.saturating_sub(1);
-                let next = match (what, &s.record.phase) {
-                    ("hold", RolloutPhase::Active { stage }) => s
-                        .record
+            Action::Operator(command) => {
+                state.operator_actions = state.operator_actions.saturating_sub(1);
+                let next = match (command, &state.rollout.phase) {
+                    ("pause", RolloutPhase::Active { stage }) => state
+                        .rollout
                         .with_phase(RolloutPhase::Paused { stage: *stage }, ""),
-                    ("resume", RolloutPhase::Paused { stage }) => s
-                        .record
+                    ("resume", RolloutPhase::Paused { stage }) => state
+                        .rollout
                         .with_phase(RolloutPhase::Active { stage: *stage }, ""),
                     ("stop", RolloutPhase::Active { .. } | RolloutPhase::Paused { .. }) => {
-                        s.record.roll_back(Rollback::Stepwise, "")
+                        state.rollout.roll_back(Rollback::Stepwise, "")
+                    }
+                    ("start another", _) if state.rollout.id == Digest::of(b"one") => {
+                        rollout(b"two")
                     }
-                    ("another", _) if s.record.id == Digest::of(b"one") => record(b"two"),
                     _ => return None,
                 };
-                let seen = s.number;
-                self.decide(&mut s, seen, next);
+                let observed = state.version;
+                self.decide(&mut state, observed, next);
             }
         }
-        (s != *last).then_some(s)
+        (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing is wrong", |_, s: &State| s.wrong.is_none()),
-            Property::eventually("it ends", |_, s: &State| s.record.phase.ended()),
-            Property::sometimes("one goes through", |_, s: &State| {
-                s.record.phase == RolloutPhase::Completed
+            Property::always("no violation", |_, state: &State| state.violation.is_none()),
+            Property::eventually("the rollout ends", |_, state: &State| {
+                state.rollout.phase.ended()
             }),
-            Property::sometimes("one is taken back step by step", |_, s: &State| {
-                s.record.phase == RolloutPhase::RollingBack { remaining: 1 }
+            Property::sometimes("a rollout completes", |_, state: &State| {
+                state.rollout.phase == RolloutPhase::Completed
             }),
             Property::sometimes(
-                "another goes through behind one that was stopped",
-                |_, s: &State| {
-                    s.record.id == Digest::of(b"two") && s.record.phase == RolloutPhase::Completed
+                "a rollout is rolled back step by step",
+                |_, state: &State| {
+                    state.rollout.phase == RolloutPhase::RollingBack { remaining: 1 }
+                },
+            ),
+            Property::sometimes(
+                "a second rollout completes after the first one was stopped",
+                |_, state: &State| {
+                    state.rollout.id == Digest::of(b"two")
+                        && state.rollout.phase == RolloutPhase::Completed
                 },
             ),
         ]
     }
 
-    fn within_boundary(&self, s: &State) -> bool {
-        s.number < 12
+    fn within_boundary(&self, state: &State) -> bool {
+        state.version < 12
     }
 }
 
 fn search(guards: Guards) -> (usize, bool) {
-    let checker = World(guards).checker().threads(4).spawn_bfs().join();
+    let checker = RolloutModel(guards).checker().threads(4).spawn_bfs().join();
     (
         checker.unique_state_count(),
-        checker.discovery("nothing is wrong").is_some(),
+        checker.discovery("no violation").is_some(),
     )
 }
 
 #[test]
-fn every_order_of_events_is_safe_and_ends() {
-    let checker = World(Guards {
-        numbered: true,
-        followed: true,
+fn every_order_of_events_is_safe_and_terminates() {
+    let checker = RolloutModel(Guards {
+        versioned: true,
+        transitions_checked: true,
     })
     .checker()
     .threads(4)
     .spawn_bfs()
     .join();
     checker.assert_properties();
-    println!("{} states", checker.unique_state_count());
+    println!("{} states searched", checker.unique_state_count());
     assert!(checker.unique_state_count() > 1_000);
 }
 
 #[test]
-fn a_missing_guard_is_found_by_the_search() {
+fn search_finds_a_violation_without_each_guard() {
     for guards in [
         Guards {
-            numbered: false,
-            followed: true,
+            versioned: false,
+            transitions_checked: true,
         },
         Guards {
-            numbered: true,
-            followed: false,
+            versioned: true,
+            transitions_checked: false,
         },
     ] {
         let (states, found) = search(guards);
-        assert!(found, "{guards:?}: nothing is wrong in {states} states");
+        assert!(found, "{guards:?}: no violation found in {states} states");
     }
 }
--- a/crates/rollout/tests/programs.rs
+++ b/crates/rollout/tests/programs.rs
@@ -1,4 +1,4 @@
-//! Rollouts of programs, as whoever drives one sees them: turns, starts that are meant and starts that are crashes.
+//! Rollouts of programs, as observed by a controller: turns of members, and telling expected restarts from crashes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 const OLD: &str = "r-1@1111111111111111111111111111111111111111111111111111111111111111";
 const NEW: &str = "r-2@2222222222222222222222222222222222222222222222222222222222222222";
 const MEMBERS: usize = 6;
-/// The decree that is driven.
-const NUMBER: u64 = 7;
+/// Version of the group state that contains the rollout.
+const GROUP_VERSION: u64 = 7;
 
 fn name(n: usize) -> String {
     format!("n{n}")
 }
 
-/// Two in the first stage of three.
-fn record(terms: RolloutPolicy) -> Rollout {
+/// A rollout of a new program in three stages of two members each.
+fn rollout(policy: RolloutPolicy) -> Rollout {
     let stages = vec![
         vec![name(0), name(1)],
         vec![name(2), name(3)],
@@ -35,7 +35,7 @@
     Rollout {
         id: Digest::of(b"plan"),
         author: "ann".into(),
-        policy: terms,
+        policy,
         stages,
         changes: vec![change],
         change_of: (0..MEMBERS).map(|n| (name(n), 0)).collect(),
@@ -44,198 +44,209 @@
     }
 }
 
-fn terms(away: usize) -> RolloutPolicy {
+fn policy(max_unavailable: usize) -> RolloutPolicy {
     RolloutPolicy {
         min_watch_ms: 2_000,
         timeout_ms: 60_000,
         rollback_interval_ms: 1_000,
-        max_unavailable: away,
+        max_unavailable,
         ..RolloutPolicy::default()
     }
 }
 
-/// A member: its life, what it runs, and how it came to.
-fn tally(incarnation: u64, program: &str, changed: bool, began: u64) -> MemberMetrics {
+/// Metrics of a member: its process, the program it runs, and how the process was started.
+fn metrics(
+    incarnation: u64,
+    program: &str,
+    is_replacement: bool,
+    version_at_start: u64,
+) -> MemberMetrics {
     MemberMetrics {
         incarnation,
         program: program.into(),
-        is_replacement: changed,
-        version_at_start: began,
-        group_version: NUMBER,
+        is_replacement,
+        version_at_start,
+        group_version: GROUP_VERSION,
         zone_group: "a".into(),
         ..MemberMetrics::default()
     }
 }
 
-struct World {
-    watch: StageMonitor,
+struct Group {
+    monitor: StageMonitor,
     members: Observations,
     now: Duration,
 }
 
-impl World {
-    fn new(record: Rollout) -> World {
+impl Group {
+    fn new(rollout: Rollout) -> Group {
         let members = (0..MEMBERS)
-            .map(|n| (name(n), Some(tally(n as u64, OLD, false, 0))))
+            .map(|n| (name(n), Some(metrics(n as u64, OLD, false, 0))))
             .collect();
-        World {
-            watch: StageMonitor::new(record, NUMBER, Duration::ZERO),
+        Group {
+            monitor: StageMonitor::new(rollout, GROUP_VERSION, Duration::ZERO),
             members,
             now: Duration::ZERO,
         }
     }
 
-    /// A second later: what is to be decided, and whose turn it is.
-    fn look(&mut self) -> (Option<Rollout>, Vec<String>) {
+    /// Observes all members one second later. Returns the next state to decide, and the members that get their turn.
+    fn observe(&mut self) -> (Option<Rollout>, Vec<String>) {
         self.now += Duration::from_secs(1);
-        let next = self.watch.look(self.now, &self.members);
-        (next, self.watch.take_turns(&self.members))
+        let next = self.monitor.observe(self.now, &self.members);
+        (next, self.monitor.grant_turns(&self.members))
     }
 
-    fn set(&mut self, n: usize, seen: Option<MemberMetrics>) {
-        self.members.insert(name(n), seen);
+    fn set(&mut self, n: usize, metrics: Option<MemberMetrics>) {
+        self.members.insert(name(n), metrics);
     }
 
-    /// A member has changed to the new program, as is meant.
-    fn changes(&mut self, n: usize) {
-        self.set(n, Some(tally(100 + n as u64, NEW, true, NUMBER)));
+    /// A member has changed to the new program as expected.
+    fn change_program(&mut self, n: usize) {
+        self.set(n, Some(metrics(100 + n as u64, NEW, true, GROUP_VERSION)));
     }
 }
 
 #[test]
-fn members_change_their_program_one_at_a_time_even_if_one_does_not_answer() {
-    let mut world = World::new(record(terms(1)));
-    assert_eq!(world.look(), (None, vec![name(0)]));
-    // It has not heard; then it has, and nobody else is told meanwhile.
-    assert_eq!(world.look(), (None, vec![name(0)]));
-    world.set(
+fn members_change_their_program_one_at_a_time_even_if_one_does_not_respond() {
+    let mut group = Group::new(rollout(policy(1)));
+    assert_eq!(group.observe(), (None, vec![name(0)]));
+    // The first member has not been told yet. Once it has been told, no other member gets a turn.
+    assert_eq!(group.observe(), (None, vec![name(0)]));
+    group.set(
         0,
         Some(MemberMetrics {
             has_turn: true,
-            ..tally(0, OLD, false, 0)
+            ..metrics(0, OLD, false, 0)
         }),
     );
-    assert_eq!(world.look(), (None, vec![]));
-    world.set(0, None);
-    assert_eq!(world.look(), (None, vec![]));
-    world.changes(0);
-    assert_eq!(world.look(), (None, vec![name(1)]));
-    assert_eq!(world.watch.report().changing, [name(1)]);
-    world.changes(1);
-    assert_eq!(world.look(), (None, vec![]));
-    assert!(world.watch.report().changing.is_empty());
+    assert_eq!(group.observe(), (None, vec![]));
+    group.set(0, None);
+    assert_eq!(group.observe(), (None, vec![]));
+    group.change_program(0);
+    assert_eq!(group.observe(), (None, vec![name(1)]));
+    assert_eq!(group.monitor.report().changing, [name(1)]);
+    group.change_program(1);
+    assert_eq!(group.observe(), (None, vec![]));
+    assert!(group.monitor.report().changing.is_empty());
 }
 
 #[test]
-fn as_many_members_change_at_once_as_may_be_unavailable() {
-    for away in [0, 1, 2] {
-        let mut world = World::new(record(terms(away)));
-        assert_eq!(world.look().1.len(), away.max(1));
+fn at_most_max_unavailable_members_change_at_once() {
+    for max_unavailable in [0, 1, 2] {
+        let mut group = Group::new(rollout(policy(max_unavailable)));
+        assert_eq!(group.observe().1.len(), max_unavailable.max(1));
     }
-    // Another driver sees whose turn an earlier one gave.
-    let mut world = World::new(record(terms(1)));
-    world.set(
+    // A new controller finds the turn that an earlier one has granted.
+    let mut group = Group::new(rollout(policy(1)));
+    group.set(
         1,
         Some(MemberMetrics {
             has_turn: true,
-            ..tally(1, OLD, false, 0)
+            ..metrics(1, OLD, false, 0)
         }),
     );
-    assert_eq!(world.look(), (None, vec![]));
+    assert_eq!(group.observe(), (None, vec![]));
 }
 
 #[test]
-fn a_wanted_start_is_no_crash_and_any_other_start_is() {
-    let mut world = World::new(record(terms(1)));
-    world.look();
-    world.changes(0);
-    assert_eq!(world.look().0, None);
-    let crashed = |world: &mut World, seen: MemberMetrics| {
-        world.set(0, Some(seen));
-        let next = world.look().0.expect("it is stopped");
+fn only_an_expected_start_is_not_a_crash() {
+    let mut group = Group::new(rollout(policy(1)));
+    group.observe();
+    group.change_program(0);
+    assert_eq!(group.observe().0, None);
+    let crashed = |group: &mut Group, metrics: MemberMetrics| {
+        group.set(0, Some(metrics));
+        let next = group.observe().0.expect("the rollout must be rolled back");
         assert_eq!(next.phase, RolloutPhase::RolledBack);
         assert!(
-            next.reason.contains("n0 has the new one and started again"),
+            next.reason
+                .contains("n0 has the new version and started again"),
             "{}",
             next.reason
         );
     };
-    // Again, by whoever keeps it.
-    crashed(&mut world, tally(200, NEW, false, NUMBER));
-    // Another life that says it was meant: the first one was.
-    let mut world = World::new(record(terms(1)));
-    world.changes(0);
-    world.look();
-    crashed(&mut world, tally(201, NEW, true, NUMBER));
-    // The old program, which was gone back to here alone.
-    let mut world = World::new(record(terms(1)));
-    world.look();
-    crashed(&mut world, tally(202, OLD, false, NUMBER));
+    // The new program was started again after a crash.
+    crashed(&mut group, metrics(200, NEW, false, GROUP_VERSION));
+    // A second new process also reports that it was started as a replacement, but only the first one was expected.
+    let mut group = Group::new(rollout(policy(1)));
+    group.change_program(0);
+    group.observe();
+    crashed(&mut group, metrics(201, NEW, true, GROUP_VERSION));
+    // The member alone went back to the old program.
+    let mut group = Group::new(rollout(policy(1)));
+    group.observe();
+    crashed(&mut group, metrics(202, OLD, false, GROUP_VERSION));
 }
 
 #[test]
-fn a_program_that_does_not_come_into_service_stops_the_rollout_at_once() {
-    let mut world = World::new(record(terms(1)));
-    world.look();
-    // One of the old side has nothing to say of it.
-    world.set(
+fn program_that_fails_to_come_into_service_stops_the_rollout() {
+    let mut group = Group::new(rollout(policy(1)));
+    group.observe();
+    // A failure on a member that keeps the old version does not matter.
+    group.set(
         4,
         Some(MemberMetrics {
             unfit_reason: "no file".into(),
-            ..tally(4, OLD, false, 0)
+            ..metrics(4, OLD, false, 0)
         }),
     );
-    assert_eq!(world.look().0, None);
-    world.set(
+    assert_eq!(group.observe().0, None);
+    group.set(
         1,
         Some(MemberMetrics {
-            unfit_reason: "it never answered".into(),
-            ..tally(1, OLD, false, 0)
+            unfit_reason: "it never responded".into(),
+            ..metrics(1, OLD, false, 0)
         }),
     );
-    let next = world.look().0.expect("it is stopped");
+    let next = group.observe().0.expect("the rollout must be rolled back");
     assert_eq!(
         (next.phase, next.reason.as_str()),
-        (RolloutPhase::RolledBack, "n1: it never answered")
+        (RolloutPhase::RolledBack, "n1: it never responded")
     );
 }
 
 #[test]
-fn a_rollback_step_waits_for_members_up_to_the_timeout() {
-    let back = record(terms(1)).with_phase(RolloutPhase::RollingBack { remaining: 1 }, "worse");
-    let mut world = World::new(back.clone());
+fn rollback_step_waits_for_members_up_to_the_timeout() {
+    let rolling_back =
+        rollout(policy(1)).with_phase(RolloutPhase::RollingBack { remaining: 1 }, "worse");
+    let mut group = Group::new(rolling_back.clone());
     for n in 0..4 {
-        world.changes(n);
+        group.change_program(n);
     }
-    // The second stage goes back, the first one has the new one still.
-    assert_eq!(world.look(), (None, vec![name(2)]));
-    world.set(2, Some(tally(302, OLD, true, NUMBER)));
-    assert_eq!(world.look(), (None, vec![name(3)]));
-    world.set(3, Some(tally(303, OLD, true, NUMBER)));
+    // The second stage is rolled back while the first one still has the new program.
+    assert_eq!(group.observe(), (None, vec![name(2)]));
+    group.set(2, Some(metrics(302, OLD, true, GROUP_VERSION)));
+    assert_eq!(group.observe(), (None, vec![name(3)]));
+    group.set(3, Some(metrics(303, OLD, true, GROUP_VERSION)));
     assert_eq!(
-        world.look().0.expect("the next step").phase,
+        group
+            .observe()
+            .0
+            .expect("the next rollback step is due")
+            .phase,
         RolloutPhase::RolledBack
     );
-    let mut world = World::new(back);
+    let mut group = Group::new(rolling_back);
     for n in 0..4 {
-        world.changes(n);
+        group.change_program(n);
     }
-    let steps = (0..100).filter(|_| world.look().0.is_some()).count();
+    let steps = (0..100).filter(|_| group.observe().0.is_some()).count();
     assert!(
         steps > 0,
-        "one that can't go back must not keep the others from it"
+        "a member that can't go back must not delay the others after the timeout"
     );
 }
 
 #[test]
-fn a_stage_ends_only_once_all_members_that_answer_run_the_program() {
-    // All members in one stage: it is watched for crashes alone.
-    let mut one = record(terms(1));
-    one.stages = vec![(0..MEMBERS).map(name).collect()];
-    let mut world = World::new(one);
+fn stage_ends_only_after_all_responding_members_run_the_program() {
+    // All members are in one stage, where only crashes are detected.
+    let mut single_stage = rollout(policy(1));
+    single_stage.stages = vec![(0..MEMBERS).map(name).collect()];
+    let mut group = Group::new(single_stage);
     let mut changed = BTreeSet::new();
     for second in 0..50 {
-        let (next, turns) = world.look();
+        let (next, turns) = group.observe();
         if let Some(next) = next {
             assert_eq!(
                 (next.phase, changed.len()),
@@ -246,9 +257,9 @@
         }
         for turn in turns {
             let n: usize = turn[1..].parse().unwrap();
-            world.changes(n);
+            group.change_program(n);
             changed.insert(n);
         }
     }
-    panic!("it never ends");
+    panic!("the stage has not ended after 50 s");
 }
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! What a rollout says of its members, what is valid, and which state may follow which.
+//! The expected versions of a rollout's members, validation, and transitions between states.
 
 use proptest::prelude::{prop_assert, prop_oneof, proptest, Just, Strategy};
 use wrenfork_commit::state::{Digest, State};
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_member_gets_the_version_of_its_stage_and_gets_back_what_it_had() {
+fn member_state_can_be_updated_and_rolled_back() {
     let rollout = rollout();
     let old = state(&[("a", "1"), ("gone", "x"), ("k", "v")]);
     let new = state(&[("a", "2"), ("new", "y"), ("k", "v")]);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_phase_says_which_members_have_the_new_version() {
+fn phase_determines_which_members_have_the_new_version() {
     let rollout = rollout();
     let updated = rollout.updated_members();
     assert_eq!(updated.into_iter().collect::<Vec<_>>(), ["n0"]);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn each_version_has_its_own_program() {
+fn expected_program_depends_on_the_version() {
     let old = format!("r-1@{}", "1".repeat(64));
     let new = format!("r-2@{}", "2".repeat(64));
     let same = format!("other-name@{}", "2".repeat(64));
@@ -78,9 +78,9 @@
     assert!(!rollout.expects_program("n0", &old) && !rollout.expects_program("n0", ""));
     assert!(rollout.expects_program("n1", &old) && !rollout.expects_program("n1", &new));
     assert!(rollout.expects_program("elsewhere", ""));
-    let back = rollout.with_phase(RolloutPhase::RolledBack, "");
-    assert!(back.expects_program("n0", &old) && !back.expects_program("n0", &new));
-    // Nobody said before what was to run.
+    let rolled_back = rollout.with_phase(RolloutPhase::RolledBack, "");
+    assert!(rolled_back.expects_program("n0", &old) && !rolled_back.expects_program("n0", &new));
+    // The old state does not name a program, so any program is accepted before the update.
     let first = ValueChange {
         old: None,
         new: Some(new.clone()),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_invalid_rollout_is_rejected_with_the_reason() {
+fn invalid_rollout_is_rejected_with_the_reason() {
     let reason = |change: &dyn Fn(&mut Rollout)| {
         let mut rollout = rollout();
         change(&mut rollout);
@@ -112,7 +112,7 @@
     assert!(reason(&|r| r.policy.false_alarm_ppm = 0).contains("error"));
 }
 
-/// Why one may not follow the other; none where it may.
+/// Returns why the transition is rejected; none if it is allowed.
 fn rejection(before: &Rollout, after: Option<&Rollout>) -> Option<String> {
     let checked = check_transition(Some(before), after);
     checked.err().map(|error| error.to_string())
@@ -123,32 +123,32 @@
 }
 
 #[test]
-fn stages_follow_each_other_and_none_begins_after_a_stop() {
+fn stages_advance_in_order_and_none_begins_after_a_stop() {
     let first = rollout();
     let active = |stage| first.with_phase(RolloutPhase::Active { stage }, "");
     let in_phase = |phase| first.with_phase(phase, "");
     assert_eq!(check_transition(None, Some(&first)), Ok(()));
     assert_eq!(check_transition(None, None), Ok(()));
     let second = check_transition(None, Some(&active(1)));
-    assert!(second.is_err(), "it begins with its first stage");
+    assert!(second.is_err(), "a rollout must begin with its first stage");
     assert!(is_allowed(&active(0), &active(1)));
     assert!(!is_allowed(&active(0), &active(2)) && !is_allowed(&active(1), &active(0)));
     assert!(is_allowed(&active(2), &in_phase(RolloutPhase::Completed)));
     assert!(!is_allowed(&active(1), &in_phase(RolloutPhase::Completed)));
     assert!(!is_allowed(&in_phase(RolloutPhase::RolledBack), &active(1)));
-    let back = in_phase(RolloutPhase::RollingBack { remaining: 1 });
-    assert!(!is_allowed(&back, &active(1)));
+    let rolling_back = in_phase(RolloutPhase::RollingBack { remaining: 1 });
+    assert!(!is_allowed(&rolling_back, &active(1)));
     assert!(
         is_allowed(&first, &first),
-        "something else is decided meanwhile"
+        "the group state may change without a change of the rollout"
     );
 }
 
 #[test]
-fn there_is_one_rollout_at_a_time_and_it_stays_as_it_was_begun() {
+fn active_rollout_cannot_be_replaced_omitted_or_modified() {
     let first = rollout();
     let left_out = rejection(&first, None).unwrap();
-    assert!(left_out.contains("knows nothing"), "{left_out}");
+    assert!(left_out.contains("omits it"), "{left_out}");
     let other = Rollout {
         id: Digest::of(b"other"),
         author: "bob".into(),
@@ -159,16 +159,16 @@
     let stopped = first.with_phase(RolloutPhase::RolledBack, "worse");
     assert!(is_allowed(&stopped, &other));
     assert_eq!(rejection(&stopped, None), None);
-    let altered = Rollout {
+    let modified = Rollout {
         stages: vec![["n0", "n1", "n2", "n3"].map(String::from).into()],
         ..first.clone()
     };
-    let changed = rejection(&first, Some(&altered)).unwrap();
-    assert!(changed.contains("stays as it was begun"), "{changed}");
+    let error = rejection(&first, Some(&modified)).unwrap();
+    assert!(error.contains("can't be modified"), "{error}");
 }
 
 #[test]
-fn a_rollback_is_stepwise_or_immediate() {
+fn rollback_is_stepwise_or_immediate() {
     let rolled_back = |stage, how| {
         let active = rollout().with_phase(RolloutPhase::Active { stage }, "");
         active.roll_back(how, "").phase
@@ -193,10 +193,10 @@
 }
 
 proptest! {
-    /// Whoever wants what, in whatever order: once a step back was taken, nobody gets the new version any more; one stage at
-    /// a time; and what has ended stays so.
+    /// For any sequence of requested phases: no member gets the new version after the first rollback step, stages advance one at
+    /// a time, and a final phase never changes.
     #[test]
-    fn no_stage_is_left_out_and_none_begins_after_a_stop(
+    fn no_stage_is_skipped_and_none_begins_after_a_stop(
         phases in proptest::collection::vec(any_phase(), 0..60),
     ) {
         let mut current = rollout();
--- a/crates/rollout/tests/whole_rollouts.rs
+++ b/crates/rollout/tests/whole_rollouts.rs
@@ -1,5 +1,6 @@
-//! Whole rollouts in a world without processes: twenty members in four halls, four stages, the new one bad in many ways, and
-//! equals while something else goes wrong. Who is stopped, in which stage, after how long, and what was lost by then.
+//! Simulations of complete rollouts: twenty members in four zone groups, and four stages. The new version is either faulty in one
+//! of several ways, or equal to the old one while something else goes wrong. The tests check which rollouts are stopped, in
+//! which stage, after how long, and how many requests were lost by then.
 
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,83 +14,92 @@
 use wrenfork_rollout::{Observations, StageMonitor};
 
 const MEMBERS: usize = 20;
-const HALLS: usize = 4;
-/// Requests a second at a member, and what is lost of them anyway.
-const RATE: f64 = 200.0;
-const BASE: f64 = 0.01;
-/// The longest that a rollout is looked at, in seconds.
-const LONGEST: u64 = 900;
-/// Kinds of requests: class, plan and their share.
-const KINDS: [(&str, &str, f64); 4] = [
+const ZONE_GROUPS: usize = 4;
+/// Mean number of requests per second and member.
+const REQUEST_RATE: f64 = 200.0;
+/// Fraction of the requests lost with either version.
+const BASE_LOSS: f64 = 0.01;
+/// Maximum duration of a simulation, in seconds.
+const MAX_SECONDS: u64 = 900;
+/// Kinds of requests: class, plan, and fraction of all requests.
+const REQUEST_KINDS: [(&str, &str, f64); 4] = [
     ("quote", "a", 0.5),
     ("quote", "b", 0.3),
     ("refer", "a", 0.15),
     ("refer", "b", 0.05),
 ];
 
-/// What is wrong with the new one, or with the world.
+/// What goes wrong in a simulation, either in the new version or elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Odd {
-    Nothing,
-    // The new one:
+enum Fault {
+    None,
+    // Faults of the new version:
     Loses(f64),
     LosesUnderLoad,
     LosesClass,
     LosesPlan,
-    SlowAtTheEnd,
-    DiesAfter20,
-    Leaks,
-    Dear,
-    // The world, alike for old and new:
-    HotAtTheNew,
-    HalfOfAllBad,
-    HallLost,
-    Swells,
-    OldOnesDie,
+    Slow,
+    CrashesAfter20Seconds,
+    LeaksMemory,
+    NeedsMoreCpu,
+    // Problems that are not faults of the new version:
+    MoreLoadOnNewVersion,
+    TemporaryLossesEverywhere,
+    LossesInOneZoneGroup,
+    FluctuatingLosses,
+    OldVersionCrashes,
 }
 
-/// What of a kind's requests is lost at a member.
-fn share(odd: Odd, new: bool, kind: usize, zone_group: usize, second: u64, swell: f64) -> f64 {
-    let (class, plan, _) = KINDS[kind];
-    let world = match odd {
-        Odd::HalfOfAllBad if (20..50).contains(&second) => 0.4,
-        Odd::HallLost if zone_group == 1 && second >= 15 => 0.5,
-        Odd::Swells => swell,
-        _ => BASE,
+/// Returns the fraction of the requests of a kind that a member loses.
+fn loss_fraction(
+    fault: Fault,
+    new: bool,
+    kind: usize,
+    zone_group: usize,
+    second: u64,
+    fluctuating_loss: f64,
+) -> f64 {
+    let (class, plan, _) = REQUEST_KINDS[kind];
+    let shared_loss = match fault {
+        Fault::TemporaryLossesEverywhere if (20..50).contains(&second) => 0.4,
+        Fault::LossesInOneZoneGroup if zone_group == 1 && second >= 15 => 0.5,
+        Fault::FluctuatingLosses => fluctuating_loss,
+        _ => BASE_LOSS,
     };
-    let own = match odd {
-        Odd::Loses(share) => share,
-        Odd::LosesUnderLoad if second % 60 >= 30 => 0.06,
-        Odd::LosesClass if class == "refer" => 0.15,
-        Odd::LosesPlan if plan == "b" => 0.1,
+    let version_loss = match fault {
+        Fault::Loses(fraction) => fraction,
+        Fault::LosesUnderLoad if second % 60 >= 30 => 0.06,
+        Fault::LosesClass if class == "refer" => 0.15,
+        Fault::LosesPlan if plan == "b" => 0.1,
         _ => 0.0,
     };
-    (world + if new { own } else { 0.0 }).min(0.95)
+    (shared_loss + if new { version_loss } else { 0.0 }).min(0.95)
 }
 
-fn drawn(rng: &mut Rng, of: u64, share: f64) -> u64 {
-    let scatter = (of as f64 * share * (1.0 - share)).sqrt();
-    if scatter < 3.0 {
-        return (0..of).filter(|_| rng.f64() < share).count() as u64;
+/// Draws the number of requests that are lost, or that have some other property with this probability.
+fn draw_count(rng: &mut Rng, requests: u64, fraction: f64) -> u64 {
+    let deviation = (requests as f64 * fraction * (1.0 - fraction)).sqrt();
+    if deviation < 3.0 {
+        return (0..requests).filter(|_| rng.f64() < fraction).count() as u64;
     }
     let normal: f64 = (0..12).map(|_| rng.f64()).sum::<f64>() - 6.0;
-    (of as f64 * share + scatter * normal)
+    (requests as f64 * fraction + deviation * normal)
         .round()
-        .clamp(0.0, of as f64) as u64
+        .clamp(0.0, requests as f64) as u64
 }
 
 fn name(n: usize) -> String {
     format!("n{n:02}")
 }
 
-fn begun(seed: u64, policy: RolloutPolicy) -> Rollout {
-    let halls: BTreeMap<String, String> = (0..MEMBERS)
-        .map(|n| (name(n), format!("h{}", n % HALLS)))
+fn new_rollout(seed: u64, policy: RolloutPolicy) -> Rollout {
+    let zone_groups: BTreeMap<String, String> = (0..MEMBERS)
+        .map(|n| (name(n), format!("h{}", n % ZONE_GROUPS)))
         .collect();
     let scopes = ["1", "10%", "50%", "all"].map(|text| text.parse::<StageScope>().unwrap());
     let id = Digest::of(&seed.to_le_bytes());
     Rollout {
-        stages: assign_stages(&id, &scopes, &halls).unwrap(),
+        stages: assign_stages(&id, &scopes, &zone_groups).unwrap(),
         id,
         author: String::new(),
         policy,
@@ -100,55 +110,65 @@
     }
 }
 
-/// How a rollout ended.
-struct End {
-    /// Where it stood at last, and the last stage that had the new one.
+/// Result of a simulated rollout.
+struct Outcome {
+    /// Last phase.
     phase: RolloutPhase,
+    /// Index of the last stage that had the new version.
     stage: usize,
     seconds: u64,
-    /// Requests that the new one lost beside the old, and as many as it would have had it gone to all at once.
+    /// Requests lost because of the new version.
     lost: f64,
-    at_once: f64,
+    /// Requests that would have been lost if all members had got the new version at once.
+    lost_without_stages: f64,
 }
 
-/// One second of a member.
-fn live(
-    tally: &mut MemberMetrics,
+/// Simulates one second of a member.
+fn simulate_member(
+    metrics: &mut MemberMetrics,
     rng: &mut Rng,
-    odd: Odd,
+    fault: Fault,
     new: bool,
     n: usize,
     second: u64,
-    swell: f64,
+    fluctuating_loss: f64,
 ) {
-    let load = match odd {
-        Odd::LosesUnderLoad if second % 60 >= 30 => 1.5,
-        Odd::HotAtTheNew if new && second >= 10 => 2.0,
+    let load = match fault {
+        Fault::LosesUnderLoad if second % 60 >= 30 => 1.5,
+        Fault::MoreLoadOnNewVersion if new && second >= 10 => 2.0,
         _ => 1.0,
     };
-    let mut answered = 0;
-    for (k, (class, plan, part)) in KINDS.iter().enumerate() {
-        // The hot account is of one plan.
-        let load = if odd == Odd::HotAtTheNew && *plan != "b" {
+    let mut responses = 0;
+    for (kind, (class, plan, fraction)) in REQUEST_KINDS.iter().enumerate() {
+        // The account with the additional load is on one plan.
+        let load = if fault == Fault::MoreLoadOnNewVersion && *plan != "b" {
             1.0
         } else {
             load
         };
-        let asked = (RATE * part * load * (0.9 + 0.2 * rng.f64())).round() as u64;
-        let failed = drawn(rng, asked, share(odd, new, k, n % HALLS, second, swell));
-        let kind = tally.requests.entry(format!("{class}/{plan}")).or_default();
-        *kind = RequestCounts {
+        let requests = (REQUEST_RATE * fraction * load * (0.9 + 0.2 * rng.f64())).round() as u64;
+        let failed = draw_count(
+            rng,
+            requests,
+            loss_fraction(fault, new, kind, n % ZONE_GROUPS, second, fluctuating_loss),
+        );
+        let counts = metrics
+            .requests
+            .entry(format!("{class}/{plan}"))
+            .or_default();
+        *counts = RequestCounts {
             weight: 2_000,
-            total: kind.total + asked,
+            total: counts.total + requests,
             rejected: 0,
-            failed: kind.failed + failed,
+            failed: counts.failed + failed,
         };
-        answered += asked - failed;
+        responses += requests - failed;
     }
-    // Answers at 5, 20 and 60 ms; a slow one has 30 ms more for the last of a hundred.
-    let late = drawn(rng, answered, 0.02);
-    let mid = drawn(rng, answered - late, 0.3);
-    let times = tally.latencies.entry("quote".into()).or_insert_with(|| {
+    // Latencies are 5, 20 and 60 ms. A version with a slow tail has 90 ms instead of 60 ms for the
+    // slowest 2%.
+    let slow = draw_count(rng, responses, 0.02);
+    let medium = draw_count(rng, responses - slow, 0.3);
+    let latencies = metrics.latencies.entry("quote".into()).or_insert_with(|| {
         [5_000, 20_000, 60_000, 90_000]
             .map(|latency_us| LatencyBucket {
                 latency_us,
@@ -156,39 +176,43 @@
             })
             .to_vec()
     });
-    times[0].count += answered - late - mid;
-    times[1].count += mid;
-    let slowest = if new && odd == Odd::SlowAtTheEnd {
-        3
+    latencies[0].count += responses - slow - medium;
+    latencies[1].count += medium;
+    let slow_bucket = if new && fault == Fault::Slow { 3 } else { 2 };
+    latencies[slow_bucket].count += slow;
+    let cpu_factor = if new && fault == Fault::NeedsMoreCpu {
+        1.4
+    } else {
+        1.0
+    };
+    metrics.cpu_us += (responses as f64 * 60.0 * cpu_factor * (0.97 + 0.06 * rng.f64())) as u64;
+    let growth_kb = if new && fault == Fault::LeaksMemory {
+        1_024
     } else {
-        2
+        0
     };
-    times[slowest].count += late;
-    let dear = if new && odd == Odd::Dear { 1.4 } else { 1.0 };
-    tally.cpu_us += (answered as f64 * 60.0 * dear * (0.97 + 0.06 * rng.f64())) as u64;
-    let grown = if new && odd == Odd::Leaks { 1_024 } else { 0 };
-    tally.memory_kb =
-        tally.memory_kb + grown + rng.u64(0..64) - rng.u64(0..64).min(tally.memory_kb / 2);
-    tally.uptime_ms += 1_000;
+    metrics.memory_kb =
+        metrics.memory_kb + growth_kb + rng.u64(0..64) - rng.u64(0..64).min(metrics.memory_kb / 2);
+    metrics.uptime_ms += 1_000;
 }
 
-/// A rollout that is played.
-struct Play {
-    odd: Odd,
+/// State of a simulated rollout.
+struct Simulation {
+    fault: Fault,
     rng: Rng,
     rollout: Rollout,
-    /// The version of the group's state.
+    /// Version of the group state.
     version: u64,
-    /// Since when that stands, in seconds.
-    since: u64,
-    tallies: Vec<MemberMetrics>,
-    /// What is lost anyway, where that swells and ebbs.
-    swell: f64,
+    /// Time since which that version is current, in seconds.
+    version_since: u64,
+    members: Vec<MemberMetrics>,
+    /// Fraction of the requests lost with either version, if that fraction fluctuates.
+    fluctuating_loss: f64,
     lost: f64,
-    at_once: f64,
+    lost_without_stages: f64,
 }
 
-fn started(incarnation: u64, uptime_ms: u64, zone_group: String) -> MemberMetrics {
+fn initial_metrics(incarnation: u64, uptime_ms: u64, zone_group: String) -> MemberMetrics {
     MemberMetrics {
         incarnation,
         uptime_ms,
@@ -198,191 +222,218 @@
     }
 }
 
-impl Play {
-    fn new(odd: Odd, seed: u64) -> Play {
+impl Simulation {
+    fn new(fault: Fault, seed: u64) -> Simulation {
         let policy = RolloutPolicy {
             min_watch_ms: 15_000,
             timeout_ms: 300_000,
             ..RolloutPolicy::default()
         };
-        let member = |n: usize| started(n as u64 + 1, 600_000, format!("h{}", n % HALLS));
-        Play {
-            odd,
+        let member =
+            |n: usize| initial_metrics(n as u64 + 1, 600_000, format!("h{}", n % ZONE_GROUPS));
+        Simulation {
+            fault,
             rng: Rng::with_seed(seed),
-            rollout: begun(seed, policy),
+            rollout: new_rollout(seed, policy),
             version: 2,
-            since: 0,
-            tallies: (0..MEMBERS).map(member).collect(),
-            swell: BASE,
+            version_since: 0,
+            members: (0..MEMBERS).map(member).collect(),
+            fluctuating_loss: BASE_LOSS,
             lost: 0.0,
-            at_once: 0.0,
+            lost_without_stages: 0.0,
         }
     }
 
-    /// Requests a second that a member loses more with the new one.
-    fn worse(&self, n: usize, second: u64) -> f64 {
-        let kinds = KINDS.iter().enumerate();
+    /// Returns the additional requests per second that a member loses with the new version.
+    fn additional_losses(&self, n: usize, second: u64) -> f64 {
+        let kinds = REQUEST_KINDS.iter().enumerate();
         kinds
-            .map(|(k, kind)| {
-                let of = |new| share(self.odd, new, k, n % HALLS, second, self.swell);
-                kind.2 * RATE * (of(true) - of(false))
+            .map(|(kind, (_, _, fraction))| {
+                let loss = |is_new| {
+                    loss_fraction(
+                        self.fault,
+                        is_new,
+                        kind,
+                        n % ZONE_GROUPS,
+                        second,
+                        self.fluctuating_loss,
+                    )
+                };
+                fraction * REQUEST_RATE * (loss(true) - loss(false))
             })
             .sum()
     }
 
-    fn dies(&self, n: usize, is_new: bool, second: u64) -> bool {
-        match self.odd {
-            Odd::DiesAfter20 => is_new && second >= self.since + 20,
-            Odd::OldOnesDie => !is_new && second % 40 == 39 && n % 7 == 3,
+    fn crashes(&self, n: usize, is_new: bool, second: u64) -> bool {
+        match self.fault {
+            Fault::CrashesAfter20Seconds => is_new && second >= self.version_since + 20,
+            Fault::OldVersionCrashes => !is_new && second % 40 == 39 && n % 7 == 3,
             _ => false,
         }
     }
 
-    /// One second of all members.
-    fn live(&mut self, second: u64) {
-        self.swell = (self.swell * (0.7 + 0.65 * self.rng.f64())).clamp(0.002, 0.3);
-        let new = self.rollout.updated_members();
-        let new: BTreeSet<String> = new.into_iter().map(String::from).collect();
+    /// Simulates one second of all members.
+    fn simulate_second(&mut self, second: u64) {
+        self.fluctuating_loss =
+            (self.fluctuating_loss * (0.7 + 0.65 * self.rng.f64())).clamp(0.002, 0.3);
+        let updated = self.rollout.updated_members();
+        let updated: BTreeSet<String> = updated.into_iter().map(String::from).collect();
         for n in 0..MEMBERS {
-            let is_new = new.contains(&name(n));
-            let tally = &mut self.tallies[n];
-            live(
-                tally,
+            let is_new = updated.contains(&name(n));
+            let metrics = &mut self.members[n];
+            simulate_member(
+                metrics,
                 &mut self.rng,
-                self.odd,
+                self.fault,
                 is_new,
                 n,
                 second,
-                self.swell,
+                self.fluctuating_loss,
             );
-            let worse = self.worse(n, second);
-            self.at_once += worse;
-            self.lost += if is_new { worse } else { 0.0 };
-            let dies = self.dies(n, is_new, second);
-            let tally = &mut self.tallies[n];
-            if dies {
-                *tally = started(tally.incarnation + 1_000, 1, tally.zone_group.clone());
+            let additional = self.additional_losses(n, second);
+            self.lost_without_stages += additional;
+            self.lost += if is_new { additional } else { 0.0 };
+            let crashes = self.crashes(n, is_new, second);
+            let metrics = &mut self.members[n];
+            if crashes {
+                *metrics =
+                    initial_metrics(metrics.incarnation + 1_000, 1, metrics.zone_group.clone());
             }
-            tally.group_version = self.version;
+            metrics.group_version = self.version;
         }
     }
 
     fn observations(&self) -> Observations {
-        let members = self.tallies.iter().enumerate();
-        members.map(|(n, t)| (name(n), Some(t.clone()))).collect()
+        let members = self.members.iter().enumerate();
+        members
+            .map(|(n, metrics)| (name(n), Some(metrics.clone())))
+            .collect()
     }
 
-    fn end(self, stage: usize, seconds: u64) -> End {
-        End {
+    fn outcome(self, stage: usize, seconds: u64) -> Outcome {
+        Outcome {
             phase: self.rollout.phase,
             stage,
             seconds,
             lost: self.lost,
-            at_once: self.at_once,
+            lost_without_stages: self.lost_without_stages,
         }
     }
 }
 
-fn play(odd: Odd, seed: u64) -> End {
-    let mut play = Play::new(odd, seed);
+fn simulate(fault: Fault, seed: u64) -> Outcome {
+    let mut simulation = Simulation::new(fault, seed);
     let mut stage = 0;
-    let mut watch = StageMonitor::new(play.rollout.clone(), play.version, Duration::ZERO);
-    for second in 0..LONGEST {
-        play.live(second);
+    let mut monitor = StageMonitor::new(
+        simulation.rollout.clone(),
+        simulation.version,
+        Duration::ZERO,
+    );
+    for second in 0..MAX_SECONDS {
+        simulation.simulate_second(second);
         let now = Duration::from_secs(second);
-        let Some(next) = watch.look(now, &play.observations()) else {
+        let Some(next) = monitor.observe(now, &simulation.observations()) else {
             continue;
         };
-        let checked = check_transition(Some(&play.rollout), Some(&next));
-        assert_eq!(checked, Ok(()), "{odd:?} {seed}");
-        play.rollout = next;
-        play.version += 1;
-        play.since = second;
-        stage = stage.max(play.rollout.updated_stages().saturating_sub(1));
-        let phase = &play.rollout.phase;
+        let transition = check_transition(Some(&simulation.rollout), Some(&next));
+        assert_eq!(transition, Ok(()), "{fault:?}, seed {seed}");
+        simulation.rollout = next;
+        simulation.version += 1;
+        simulation.version_since = second;
+        stage = stage.max(simulation.rollout.updated_stages().saturating_sub(1));
+        let phase = &simulation.rollout.phase;
         if phase.ended() || matches!(phase, RolloutPhase::Paused { .. }) {
-            return play.end(stage, second);
+            return simulation.outcome(stage, second);
         }
-        watch = StageMonitor::new(play.rollout.clone(), play.version, now);
+        monitor = StageMonitor::new(simulation.rollout.clone(), simulation.version, now);
     }
-    play.end(stage, LONGEST)
+    simulation.outcome(stage, MAX_SECONDS)
 }
 
-const BAD: [Odd; 9] = [
-    Odd::Loses(0.02),
-    Odd::Loses(0.1),
-    Odd::LosesUnderLoad,
-    Odd::LosesClass,
-    Odd::LosesPlan,
-    Odd::SlowAtTheEnd,
-    Odd::DiesAfter20,
-    Odd::Leaks,
-    Odd::Dear,
+const FAULTY: [Fault; 9] = [
+    Fault::Loses(0.02),
+    Fault::Loses(0.1),
+    Fault::LosesUnderLoad,
+    Fault::LosesClass,
+    Fault::LosesPlan,
+    Fault::Slow,
+    Fault::CrashesAfter20Seconds,
+    Fault::LeaksMemory,
+    Fault::NeedsMoreCpu,
 ];
-const EQUAL: [Odd; 6] = [
-    Odd::Nothing,
-    Odd::HotAtTheNew,
-    Odd::HalfOfAllBad,
-    Odd::HallLost,
-    Odd::Swells,
-    Odd::OldOnesDie,
+const EQUAL: [Fault; 6] = [
+    Fault::None,
+    Fault::MoreLoadOnNewVersion,
+    Fault::TemporaryLossesEverywhere,
+    Fault::LossesInOneZoneGroup,
+    Fault::FluctuatingLosses,
+    Fault::OldVersionCrashes,
 ];
 
-/// A line of the table.
-fn row(odd: Odd, seeds: u64) -> (Vec<End>, String) {
-    let ends: Vec<End> = (0..seeds).map(|seed| play(odd, seed)).collect();
-    let count = |is: &dyn Fn(&End) -> bool| ends.iter().filter(|e| is(e)).count();
-    let stopped = count(&|e| e.phase == RolloutPhase::RolledBack);
-    let (done, held) = (
-        count(&|e| e.phase == RolloutPhase::Completed),
-        count(&|e| matches!(e.phase, RolloutPhase::Paused { .. })),
+/// Simulates rollouts with several seeds, and returns their outcomes and a line of the result table.
+fn simulate_many(fault: Fault, seeds: u64) -> (Vec<Outcome>, String) {
+    let outcomes: Vec<Outcome> = (0..seeds).map(|seed| simulate(fault, seed)).collect();
+    let count = |matches: &dyn Fn(&Outcome) -> bool| outcomes.iter().filter(|o| matches(o)).count();
+    let stopped = count(&|o| o.phase == RolloutPhase::RolledBack);
+    let (completed, paused) = (
+        count(&|o| o.phase == RolloutPhase::Completed),
+        count(&|o| matches!(o.phase, RolloutPhase::Paused { .. })),
     );
-    let mut seconds: Vec<u64> = ends.iter().map(|e| e.seconds).collect();
+    let mut seconds: Vec<u64> = outcomes.iter().map(|o| o.seconds).collect();
     seconds.sort_unstable();
-    let last = ends.iter().map(|e| e.stage + 1).max().unwrap_or(0);
-    let (lost, all): (f64, f64) = ends
-        .iter()
-        .fold((0.0, 0.0), |s, e| (s.0 + e.lost, s.1 + e.at_once));
-    let many = ends.len() as f64;
-    let text = format!(
-        "{odd:?}: stopped {stopped}, done {done}, held {held}; last stage {last}; median {} s; lost {:.0}, at once {:.0}",
+    let last_stage = outcomes.iter().map(|o| o.stage + 1).max().unwrap_or(0);
+    let (lost, lost_without_stages): (f64, f64) = outcomes.iter().fold((0.0, 0.0), |sum, o| {
+        (sum.0 + o.lost, sum.1 + o.lost_without_stages)
+    });
+    let runs = outcomes.len() as f64;
+    let summary = format!(
+        "{fault:?}: stopped {stopped}, completed {completed}, paused {paused}; last stage {last_stage}; median {} s; lost {:.0}, without stages {:.0}",
         seconds[seconds.len() / 2],
-        lost / many,
-        all / many
+        lost / runs,
+        lost_without_stages / runs
     );
-    (ends, text)
+    (outcomes, summary)
 }
 
 #[test]
-fn each_bad_version_is_stopped_before_half_have_it_and_no_equal_is() {
-    for odd in BAD {
-        let (ends, text) = row(odd, 4);
+fn faulty_versions_are_stopped_before_half_the_members_have_them_and_equal_ones_complete() {
+    for fault in FAULTY {
+        let (outcomes, summary) = simulate_many(fault, 4);
+        assert!(
+            outcomes
+                .iter()
+                .all(|o| o.phase == RolloutPhase::RolledBack && o.stage < 2),
+            "{summary}"
+        );
         assert!(
-            ends.iter()
-                .all(|e| e.phase == RolloutPhase::RolledBack && e.stage < 2),
-            "{text}"
+            outcomes
+                .iter()
+                .all(|o| o.lost <= o.lost_without_stages / 4.0),
+            "{summary}"
         );
-        assert!(ends.iter().all(|e| e.lost <= e.at_once / 4.0), "{text}");
     }
-    for odd in EQUAL {
-        let (ends, text) = row(odd, 4);
+    for fault in EQUAL {
+        let (outcomes, summary) = simulate_many(fault, 4);
         assert!(
-            ends.iter().all(|e| e.phase == RolloutPhase::Completed),
-            "{text}"
+            outcomes.iter().all(|o| o.phase == RolloutPhase::Completed),
+            "{summary}"
         );
     }
 }
 
-/// The table of `docs/measurements/rollout.md`.
+/// Prints the table in `docs/measurements/rollout.md`.
 #[test]
-#[ignore = "a measurement of some minutes"]
+#[ignore = "a measurement that takes some minutes"]
 fn measure_whole_rollouts_over_many_seeds() {
     let rows: Vec<String> = std::thread::scope(|scope| {
-        let all = BAD.into_iter().chain(EQUAL);
-        let at_work: Vec<_> = all
-            .map(|odd| scope.spawn(move || row(odd, 200).1))
+        let all_faults = FAULTY.into_iter().chain(EQUAL);
+        let threads: Vec<_> = all_faults
+            .map(|fault| scope.spawn(move || simulate_many(fault, 200).1))
             .collect();
-        at_work.into_iter().map(|one| one.join().unwrap()).collect()
+        threads
+            .into_iter()
+            .map(|thread| thread.join().unwrap())
+            .collect()
     });
-    rows.iter().for_each(|r| println!("{r}"));
+    rows.iter().for_each(|row| println!("{row}"));
 }
