--- a/crates/rollout/tests/whole_rollouts.rs
+++ b/crates/rollout/tests/whole_rollouts.rs
@@ -248,18 +248,18 @@
     fn additional_losses(&self, n: usize, second: u64) -> f64 {
         let kinds = REQUEST_KINDS.iter().enumerate();
         kinds
-            .map(|(kind, (_, _, fraction))| {
+            .map(|(index, kind)| {
                 let loss = |is_new| {
                     loss_fraction(
                         self.fault,
                         is_new,
-                        kind,
+                        index,
                         n % ZONE_GROUPS,
                         second,
                         self.fluctuating_loss,
                     )
                 };
-                fraction * REQUEST_RATE * (loss(true) - loss(false))
+                kind.2 * REQUEST_RATE * (loss(true) - loss(false))
             })
             .sum()
     }
