--- a/crates/handover/src/caller.rs
+++ b/crates/handover/src/caller.rs
@@ -1,4 +1,4 @@
-//! Who connects to a process that serves: its successor, or its supervisor.
+//! The process that connects to a serving process: its successor or its supervisor.
 
 use crate::connection;
 use crate::error::HandoverError;
@@ -8,26 +8,26 @@
 use std::ops::RangeInclusive;
 use std::os::unix::net::UnixStream;
 
-/// Whoever connects to a process that serves.
+/// The process at the other end of an accepted connection.
 #[derive(Debug)]
 pub enum Caller {
-    /// The process that comes after.
+    /// A successor that asks for the state.
     Successor {
-        /// The process.
+        /// The connection to the successor.
         successor: Successor,
-        /// The layout of the state that it reads.
+        /// The layout of the state that the successor asks for.
         layout: u32,
     },
-    /// The supervisor of this process: it has lost the listening socket, and is lent it again.
+    /// The supervisor of this process, which has lost the listening socket and borrows it again.
     Supervisor(ListenerLender),
 }
 
 impl Caller {
-    /// Reads the hello of whoever connected; `layouts` are those of the state that are written here.
+    /// Reads the caller's hello. `layouts` are the state layouts that this process can write.
     ///
     /// # Errors
     ///
-    /// Where it is no process of this user's, or speaks another protocol or layout.
+    /// If the caller runs as another user, sends no valid hello in time, or asks for another protocol or layout.
     pub fn accept(
         mut stream: UnixStream,
         layouts: RangeInclusive<u32>,
--- a/crates/handover/src/connection.rs
+++ b/crates/handover/src/connection.rs
@@ -1,5 +1,5 @@
-//! The Unix socket between two processes of one ingress, which is their user's alone. Both ends block, each for a stated time at
-//! most.
+//! The Unix socket between two processes of one ingress. Only processes of the same user may connect. Both ends use blocking I/O
+//! with timeouts.
 
 use crate::error::HandoverError;
 use rustix::net::sockopt::socket_peercred;
@@ -10,22 +10,22 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How long the old process waits for each step of the new one: it serves nobody meanwhile.
+/// How long the predecessor waits for each step of the successor; short, because no requests are served during the wait.
 const PREDECESSOR_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long the new process waits for each step of the old one, whose event loop may be in a long turn.
+/// How long the successor waits for each step of the predecessor, whose event loop may be in a long iteration.
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Where the ingress that listens at an address offers itself to its successor: `$TMPDIR` is shared by its processes, whatever
-/// supervises them, and nobody else.
+/// Path of the socket on which the ingress that listens at `listen` waits for its successor. The path is in `$TMPDIR`, which the
+/// processes of one ingress share with no other program, whatever supervises them.
 pub fn socket_path(listen: SocketAddr) -> PathBuf {
     std::env::temp_dir().join(format!("wrenfork-{listen}.next"))
 }
 
-/// Connects to the process that listens at a path; none if there is no process.
+/// Connects to the process that listens on `path`; `None` if there is no such process.
 ///
 /// # Errors
 ///
-/// Where it can't be connected to, or is another user's.
+/// If the connection fails, or the process runs as another user.
 pub fn connect(path: &Path) -> Result<Option<UnixStream>, HandoverError> {
     let stream = match UnixStream::connect(path) {
         Ok(stream) => stream,
@@ -46,11 +46,11 @@
     )
 }
 
-/// Prepares the connection of whoever has connected.
+/// Sets the timeouts of an accepted connection and checks the peer's user.
 ///
 /// # Errors
 ///
-/// Where it is another user's.
+/// If the peer runs as another user, or the system refuses a setting.
 pub fn accept(stream: &UnixStream) -> Result<(), HandoverError> {
     prepare(stream, PREDECESSOR_TIMEOUT)
 }
@@ -70,11 +70,11 @@
     stream.set_write_timeout(Some(timeout))
 }
 
-/// Whose process is at the other end.
+/// The credentials of the process at the other end.
 ///
 /// # Errors
 ///
-/// Where the system does not say.
+/// If the system can't provide them.
 pub fn peer_credentials(stream: &UnixStream) -> Result<UCred, HandoverError> {
     socket_peercred(stream).map_err(|errno| HandoverError::UnknownPeer(errno.into()))
 }
--- a/crates/handover/src/descriptors.rs
+++ b/crates/handover/src/descriptors.rs
@@ -1,4 +1,4 @@
-//! Descriptors on their way between two processes, as ancillary data (`SCM_RIGHTS`).
+//! Transfer of file descriptors between two processes as ancillary data (`SCM_RIGHTS`).
 
 use rustix::io::Errno;
 use rustix::net::{
@@ -11,15 +11,16 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
 
-/// Descriptors in a message: the kernel takes 253 at most.
-const BATCH: usize = 64;
-/// How long descriptors may be held up on their way, and the pause before they are sent again.
+/// Maximum number of descriptors per message; the kernel allows at most 253.
+const MAX_PER_MESSAGE: usize = 64;
+/// How long to retry while too many descriptors are in flight.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Pause between two attempts to send a message.
 const RETRY_PAUSE: Duration = Duration::from_millis(1);
 
-/// Sends one message of descriptors, a batch at the most; its only byte is their number.
+/// Sends one message with at most [`MAX_PER_MESSAGE`] descriptors. The payload is one byte: the number of descriptors.
 pub fn send(stream: &UnixStream, batch: &[BorrowedFd]) -> Result<(), Errno> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(BATCH))];
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PER_MESSAGE))];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
     ancillary.push(SendAncillaryMessage::ScmRights(batch));
     let count = [batch.len() as u8];
@@ -27,16 +28,16 @@
     sendmsg(stream, &payload, &mut ancillary, SendFlags::NOSIGNAL).map(drop)
 }
 
-/// Sends descriptors, each closed here as soon as it is on its way.
+/// Sends descriptors and closes each one in this process once it has been sent.
 ///
 /// # Errors
 ///
-/// Where the other process is gone or takes none: those that are left are closed.
+/// If the other process is gone or does not receive descriptors in time. The remaining descriptors are closed.
 pub fn send_all(stream: &UnixStream, descriptors: Vec<OwnedFd>) -> Result<(), Errno> {
     let deadline = Instant::now() + SEND_TIMEOUT;
     let mut remaining = descriptors.into_iter();
     loop {
-        let batch: Vec<OwnedFd> = remaining.by_ref().take(BATCH).collect();
+        let batch: Vec<OwnedFd> = remaining.by_ref().take(MAX_PER_MESSAGE).collect();
         if batch.is_empty() {
             return Ok(());
         }
@@ -45,7 +46,7 @@
     }
 }
 
-/// Sends a message again for as long as too many descriptors are on their way.
+/// Sends a message, retrying until `deadline` while too many descriptors are in flight.
 fn send_until(stream: &UnixStream, batch: &[BorrowedFd], deadline: Instant) -> Result<(), Errno> {
     loop {
         match send(stream, batch) {
@@ -57,11 +58,11 @@
     }
 }
 
-/// Receives so many descriptors, or as many as came before the other process was gone.
+/// Receives `count` descriptors, or fewer if the other process ends or an error occurs before.
 pub fn receive(stream: &UnixStream, count: usize) -> Vec<OwnedFd> {
     let mut received = Vec::with_capacity(count);
     while received.len() < count {
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(BATCH))];
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PER_MESSAGE))];
         let mut ancillary = RecvAncillaryBuffer::new(&mut space);
         let mut byte = [0];
         let mut payload = [IoSliceMut::new(&mut byte)];
@@ -72,12 +73,12 @@
             RecvFlags::CMSG_CLOEXEC,
         ) {
             Ok(message) if message.bytes > 0 => {
-                for part in ancillary.drain() {
-                    if let RecvAncillaryMessage::ScmRights(descriptors) = part {
+                for message in ancillary.drain() {
+                    if let RecvAncillaryMessage::ScmRights(descriptors) = message {
                         received.extend(descriptors);
                     }
                 }
-                // One is missing in the order: what comes behind it would be taken for another.
+                // A descriptor is missing, so all later ones would be matched to the wrong connections.
                 if message.flags.contains(ReturnFlags::CTRUNC) {
                     break;
                 }
--- a/crates/handover/src/error.rs
+++ b/crates/handover/src/error.rs
@@ -1,132 +1,137 @@
-//! Why a handover, or the taking of a listener, fails.
+//! Errors of the handover and of taking a passed listener.
 
 use std::fmt;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a handover fails, or the lending of the listener. Each message is for the log of the process that gets it.
+/// Why a handover or the lending of the listener failed. The messages describe the other process from the point of view of the
+/// process that logs them.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
-    /// The connection breaks, or nothing comes in time.
+    /// The connection failed or timed out.
     #[error("{step}: {}", ConnectionFailure(source))]
     Connection {
-        /// What was to be read or written.
+        /// The message that was being read or written.
         step: &'static str,
-        /// The error.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The socket can't be connected to.
-    #[error("{}: {source}", path.display())]
+    /// Connecting to the socket failed.
+    #[error("cannot connect to {}: {source}", path.display())]
     Connect {
         /// The socket's path.
         path: PathBuf,
-        /// The error.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The timeouts of the connection can't be set.
-    #[error("cannot wait: {0}")]
+    /// Setting the timeouts of the connection failed.
+    #[error("cannot set the timeouts of the connection: {0}")]
     Timeouts(#[source] io::Error),
-    /// The system does not say whose process is at the other end.
-    #[error("cannot tell who is there: {0}")]
+    /// The credentials of the peer can't be read.
+    #[error("cannot read the peer's credentials: {0}")]
     UnknownPeer(#[source] io::Error),
-    /// Another user's process is at the other end.
-    #[error("a process of user {0} is there")]
+    /// The peer runs as another user; the number is that user's id.
+    #[error("the peer runs as another user (uid {0})")]
     OtherUser(u32),
-    /// The caller speaks another protocol.
-    #[error("it speaks another version of the channel")]
+    /// The caller uses another protocol or protocol version.
+    #[error("the caller uses another protocol version")]
     OtherProtocol,
-    /// The caller reads states of a layout that is not written here.
-    #[error("it reads states of layout {wanted}, this one writes up to {highest}")]
+    /// The caller asked for a state layout that this process does not write.
+    #[error(
+        "the caller asks for state layout {wanted}, this process writes layouts up to {highest}"
+    )]
     UnknownLayout {
-        /// What it reads.
+        /// The layout that the caller asked for.
         wanted: u32,
-        /// The highest layout that is written here.
+        /// The highest layout that this process writes.
         highest: u32,
     },
-    /// The successor rejects the state.
-    #[error("it does not take the state: {0}")]
+    /// The successor rejected the state; the string is its reason.
+    #[error("the successor rejected the state: {0}")]
     StateRejected(String),
-    /// The predecessor gives no state.
-    #[error("it gives no state: {0}")]
+    /// The predecessor did not send a state; the string is its reason.
+    #[error("the predecessor offers no state: {0}")]
     NoState(String),
-    /// The state is too large.
-    #[error("a state of {length} bytes, {limit} at most")]
+    /// The state exceeds the size limit.
+    #[error("the state has {length} bytes, at most {limit} are accepted")]
     StateTooLarge {
-        /// Bytes of the state.
+        /// Size of the state in bytes.
         length: u64,
-        /// The most that are taken.
+        /// Maximum accepted size in bytes.
         limit: usize,
     },
-    /// The state is cut, or not what its digest says.
-    #[error("the state is not whole")]
+    /// The state is truncated or does not match its digest.
+    #[error("the state is truncated or does not match its digest")]
     StateDamaged,
-    /// Another word came than the one that ends the handover.
-    #[error("yours: another word came")]
-    UnexpectedWord,
-    /// Descriptors can't be sent.
-    #[error("descriptors: {0}")]
+    /// The predecessor sent another message in place of the ownership message.
+    #[error("ownership: the predecessor sent an unexpected message")]
+    UnexpectedMessage,
+    /// Sending descriptors failed.
+    #[error("cannot send descriptors: {0}")]
     Descriptors(#[source] io::Error),
-    /// The listener can't be lent.
-    #[error("the listener: {0}")]
+    /// Sending the listener to the supervisor failed.
+    #[error("cannot lend the listener: {0}")]
     Lend(#[source] io::Error),
-    /// The process that serves lends no listener.
-    #[error("it lends no listener")]
+    /// The serving process did not send its listener.
+    #[error("the serving process did not lend its listener")]
     NoListener,
 }
 
 impl HandoverError {
-    /// The connection failed in that step.
+    /// Maps an I/O error to a failure of the connection at `step`.
     pub(crate) fn connection(step: &'static str) -> impl Fn(io::Error) -> HandoverError {
         move |source| HandoverError::Connection { step, source }
     }
 }
 
-/// An error of a connection, in words.
+/// Formats an I/O error of a connection.
 struct ConnectionFailure<'a>(&'a io::Error);
 
 impl fmt::Display for ConnectionFailure<'_> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.0.kind() {
-            ErrorKind::WouldBlock | ErrorKind::TimedOut => f.write_str("no word in time"),
-            ErrorKind::UnexpectedEof => f.write_str("the other process is gone"),
+            ErrorKind::WouldBlock | ErrorKind::TimedOut => {
+                f.write_str("timed out waiting for the other process")
+            }
+            ErrorKind::UnexpectedEof => f.write_str("the other process closed the connection"),
             _ => write!(f, "{}", self.0),
         }
     }
 }
 
-/// Why the listener that the platform passes can't be taken.
+/// Why the listener passed by the platform can't be used.
 #[derive(Debug, thiserror::Error)]
 #[error("LB_PASSED_SOCKET: descriptor {number}: {problem}")]
 pub struct PassedListenerError {
-    /// The descriptor's number, as it was written.
+    /// The descriptor number as given in the setting.
     pub number: String,
-    /// What is wrong with it.
+    /// What is wrong with the descriptor.
     #[source]
     pub problem: PassedListenerProblem,
 }
 
-/// What is wrong with a passed listener.
+/// What is wrong with a passed descriptor.
 #[derive(Debug, thiserror::Error)]
 pub enum PassedListenerProblem {
-    /// The text is no number of a descriptor behind the standard streams.
-    #[error("not a number of a passed descriptor")]
+    /// The text is not a number in the accepted range, which starts after the standard streams.
+    #[error("not a valid descriptor number")]
     NotANumber,
-    /// No descriptor has the number.
-    #[error("there is none")]
+    /// No descriptor with this number is open.
+    #[error("no such descriptor")]
     Missing,
-    /// The socket does not listen.
-    #[error("it does not listen")]
+    /// The socket is not in the listening state.
+    #[error("the socket is not listening")]
     NotListening,
     /// The socket listens at another address.
-    #[error("it listens at {actual}, not at {expected}")]
+    #[error("the socket listens at {actual}, not at {expected}")]
     OtherAddress {
-        /// Where it listens.
+        /// The address of the socket.
         actual: SocketAddr,
-        /// Where it is to listen.
+        /// The configured address.
         expected: SocketAddr,
     },
-    /// It is no TCP socket, or the system refuses a step.
+    /// The descriptor is not a TCP socket, or a system call failed.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
--- a/crates/handover/src/frame.rs
+++ b/crates/handover/src/frame.rs
@@ -1,39 +1,39 @@
-//! The bytes of the channel. A hello has eight bytes that name the protocol, the last one its version, and a layout in four;
-//! what follows begins with a word of one byte. Numbers are in network order.
+//! The wire format of the channel. A hello consists of eight bytes that name the protocol, the last of which is its version, and
+//! four bytes for the layout. Every later message begins with a type byte. Numbers are in network byte order.
 
 use sha2::{Digest, Sha256};
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// What a successor and its predecessor begin with.
+/// Protocol name in the hello of a successor.
 pub const HANDOVER_PROTOCOL: [u8; PROTOCOL_BYTES] = *b"wrenhnd1";
-/// What a supervisor says in its place, to be lent the listening socket.
+/// Protocol name in the hello of a supervisor that borrows the listening socket.
 pub const SUPERVISOR_PROTOCOL: [u8; PROTOCOL_BYTES] = *b"wrenkpr1";
 const PROTOCOL_BYTES: usize = 8;
 const LAYOUT_BYTES: usize = 4;
 const LENGTH_BYTES: usize = 8;
 const DIGEST_BYTES: usize = 32;
 
-/// The most bytes of a reason.
+/// Maximum length of a rejection's reason in bytes.
 const MAX_REASON_BYTES: usize = 512;
 
-/// The state follows: length, digest, bytes.
+/// Message type: the state, followed by its length, digest and bytes.
 pub const STATE: u8 = b'S';
-/// A rejection; the reason follows.
-pub const NO: u8 = b'N';
-/// A rejection because of the layout; the highest one that the predecessor writes follows.
+/// Message type: a rejection, followed by the reason.
+pub const REJECTED: u8 = b'N';
+/// Message type: a rejection of the layout, followed by the highest layout that the predecessor writes.
 pub const LAYOUT: u8 = b'L';
-/// The successor has read the state and can go on with it.
+/// Message type: the successor has read the state and is ready to take over.
 pub const READY: u8 = b'R';
-/// All is the successor's from now on.
-pub const YOURS: u8 = b'Y';
+/// Message type: the successor owns the state from now on.
+pub const OWNERSHIP: u8 = b'Y';
 
-/// What a caller begins with.
+/// The first message of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hello {
-    /// One of the protocols, or an unknown one.
+    /// [`HANDOVER_PROTOCOL`], [`SUPERVISOR_PROTOCOL`] or an unknown protocol.
     pub protocol: [u8; PROTOCOL_BYTES],
-    /// The layout of the state that is asked for; 0 of a supervisor.
+    /// The requested layout of the state; 0 in the hello of a supervisor.
     pub layout: u32,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// What stands before the bytes of a state.
+/// The header before the bytes of a state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateHeader {
     pub length: u64,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Reads it, behind the word [`STATE`].
+    /// Reads the header that follows the type byte [`STATE`].
     pub fn read(stream: &mut UnixStream) -> io::Result<StateHeader> {
         let mut length = [0; LENGTH_BYTES];
         stream.read_exact(&mut length)?;
@@ -81,7 +81,7 @@
         })
     }
 
-    /// The word [`STATE`] and the header.
+    /// Encodes the type byte [`STATE`] and the header.
     pub fn to_bytes(self) -> Vec<u8> {
         let mut bytes = vec![STATE];
         bytes.extend_from_slice(&self.length.to_be_bytes());
@@ -90,10 +90,10 @@
     }
 }
 
-pub fn read_word(stream: &mut UnixStream) -> io::Result<u8> {
-    let mut word = [0];
-    stream.read_exact(&mut word)?;
-    Ok(word[0])
+pub fn read_message_type(stream: &mut UnixStream) -> io::Result<u8> {
+    let mut message_type = [0];
+    stream.read_exact(&mut message_type)?;
+    Ok(message_type[0])
 }
 
 pub fn read_layout(stream: &mut UnixStream) -> io::Result<u32> {
@@ -102,22 +102,22 @@
     Ok(u32::from_be_bytes(layout))
 }
 
-/// Rejects a layout, and says which one is the highest that is written here. A peer that is gone needs no answer.
+/// Rejects a layout and sends the highest one that this process writes. Write errors are ignored: the peer is gone then.
 pub fn reject_layout(stream: &mut UnixStream, highest: u32) {
     let _ = stream
         .write_all(&[LAYOUT])
         .and_then(|()| stream.write_all(&highest.to_be_bytes()));
 }
 
-/// Rejects what the other side wants. A peer that is gone needs no answer.
+/// Sends a rejection with a reason. Write errors are ignored: the peer is gone then.
 pub fn reject(stream: &mut UnixStream, reason: &str) {
     let bytes = &reason.as_bytes()[..reason.len().min(MAX_REASON_BYTES)];
     let _ = stream
-        .write_all(&[NO])
+        .write_all(&[REJECTED])
         .and_then(|()| stream.write_all(bytes));
 }
 
-/// Reads the reason of a rejection, as far as it comes.
+/// Reads the reason of a rejection; returns what was received if the connection fails.
 pub fn read_reason(stream: &mut UnixStream) -> String {
     let mut bytes = Vec::new();
     let _ = Read::by_ref(stream)
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,22 +1,24 @@
-//! How a running ingress hands all that it has over to the process that comes after it. One process decides at any moment: the
-//! old one until it has said that all is the new one's, the new one from then on. Before that moment the old one can go on as
-//! if nothing had happened; after it, it only passes its sockets on.
+//! Handover of a running ingress to its successor, the next process of the same ingress. Exactly one process owns the state at any
+//! time: the predecessor until it has sent the ownership message, the successor from then on. Until that message the predecessor
+//! can continue as if no handover had started; afterwards it only passes its sockets on.
 //!
 //! ```text
-//! successor: hello (layout)   ->
-//!                             <-  state (length, digest, bytes), or no and why, or the layout to ask for
-//!            ready, or no     ->
-//!                             <-  yours
-//!                             <-  descriptors, in the order that the state tells
+//! successor                         predecessor
+//! hello (layout)                ->
+//!                               <-  state (length, digest, bytes), or rejected (reason), or layout (the highest one supported)
+//! ready, or rejected (reason)   ->
+//!                               <-  ownership
+//!                               <-  descriptors, in the order that the state defines
 //! ```
 //!
-//! Every wait has a timeout. A successor that waits in vain for `yours` shuts its reading down first and then looks whether the
-//! word is there: after that the predecessor can't say it any more, so that never both decide and never neither.
+//! Every wait has a timeout. A successor whose wait for `ownership` times out first shuts down its reading side and then checks
+//! whether the message has arrived. After the shutdown the predecessor's attempt to send the message fails, so it never happens
+//! that both processes own the state, or neither.
 //!
-//! - [`caller`]: who connects to a process that serves.
-//! - [`successor`]: the process that comes after, as the old one sees it.
-//! - [`predecessor`]: the process that was there before, as the new one sees it.
-//! - [`listener`]: the listening socket, as it is lent to a supervisor and as every process inherits it.
+//! - [`caller`]: the process that connects to a serving process.
+//! - [`successor`]: the successor, from the predecessor's side.
+//! - [`predecessor`]: the predecessor, from the successor's side.
+//! - [`listener`]: the listening socket, lent to a supervisor and inherited by each process.
 
 pub mod caller;
 mod connection;
--- a/crates/handover/src/listener.rs
+++ b/crates/handover/src/listener.rs
@@ -1,5 +1,5 @@
-//! The listening socket. The platform, or a supervisor in its place, holds it and every process inherits it; a supervisor that
-//! was restarted is lent it again by the process that serves.
+//! The listening socket. The platform, or a supervisor in its place, holds the socket and each process inherits it. A supervisor
+//! that was restarted borrows the socket from the serving process.
 
 use crate::connection::{connect, peer_credentials};
 use crate::descriptors;
@@ -11,10 +11,10 @@
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 
-/// The first descriptor behind the standard streams.
+/// The first descriptor after the standard streams.
 const FIRST_DESCRIPTOR: usize = 3;
-/// More descriptors than any platform passes.
-const MAX_PASSED: usize = 64;
+/// Maximum number of passed descriptors to accept; no platform passes this many.
+const MAX_PASSED_DESCRIPTORS: usize = 64;
 
 /// Lends the listening socket to the supervisor of this process.
 #[derive(Debug)]
@@ -25,30 +25,30 @@
         ListenerLender(stream)
     }
 
-    /// Lends it.
+    /// Sends the listening socket to the supervisor; this process keeps using it.
     ///
     /// # Errors
     ///
-    /// Where the supervisor is gone.
+    /// If the supervisor is gone.
     pub fn lend(self, listener: BorrowedFd) -> Result<(), HandoverError> {
         descriptors::send(&self.0, &[listener]).map_err(|errno| HandoverError::Lend(errno.into()))
     }
 }
 
-/// A listening socket that was lent.
+/// A listening socket borrowed from the serving process.
 #[derive(Debug)]
 pub struct BorrowedListener {
-    /// The socket.
+    /// The listening socket.
     pub listener: OwnedFd,
-    /// The process that serves with it.
+    /// The id of the process that serves with this socket.
     pub process_id: u32,
 }
 
-/// Asks the process that listens at a path for its listening socket; none if there is no process.
+/// Borrows the listening socket of the process that waits for callers on `path`; `None` if there is no such process.
 ///
 /// # Errors
 ///
-/// Where it does not answer, or is another user's.
+/// If the process does not respond, or runs as another user.
 pub fn borrow(path: &Path) -> Result<Option<BorrowedListener>, HandoverError> {
     let Some(mut stream) = connect(path)? else {
         return Ok(None);
@@ -70,29 +70,33 @@
     }))
 }
 
-/// Takes the listener that the platform passes as the descriptor of that number; it must listen at an address.
+/// Takes the listener that the platform passes as descriptor `number`; it must listen at `address`.
 ///
 /// # Errors
 ///
-/// Where the number is none, or what it names is closed, no listening TCP socket, or one of another address.
+/// If `number` is not a valid descriptor number, or the descriptor is closed, is not a listening TCP socket or listens at another
+/// address.
 pub fn take_passed(number: &str, address: SocketAddr) -> Result<TcpListener, PassedListenerError> {
-    take(number, address).map_err(|problem| PassedListenerError {
+    take_descriptor(number, address).map_err(|problem| PassedListenerError {
         number: number.into(),
         problem,
     })
 }
 
-fn take(number: &str, expected: SocketAddr) -> Result<TcpListener, PassedListenerProblem> {
-    let descriptor = number.trim().parse::<usize>().ok();
-    let place = descriptor
-        .filter(|n| (FIRST_DESCRIPTOR..FIRST_DESCRIPTOR + MAX_PASSED).contains(n))
+fn take_descriptor(
+    number: &str,
+    expected: SocketAddr,
+) -> Result<TcpListener, PassedListenerProblem> {
+    let parsed = number.trim().parse::<usize>().ok();
+    let index = parsed
+        .filter(|n| (FIRST_DESCRIPTOR..FIRST_DESCRIPTOR + MAX_PASSED_DESCRIPTORS).contains(n))
         .map(|n| n - FIRST_DESCRIPTOR)
         .ok_or(PassedListenerProblem::NotANumber)?;
-    // The crate takes descriptors by systemd's protocol, which counts them from 3 and names the process meant.
+    // `listenfd` implements systemd's protocol: descriptors are numbered from 3, and LISTEN_PID names the receiving process.
     std::env::set_var("LISTEN_PID", std::process::id().to_string());
-    std::env::set_var("LISTEN_FDS", (place + 1).to_string());
+    std::env::set_var("LISTEN_FDS", (index + 1).to_string());
     let listener = listenfd::ListenFd::from_env()
-        .take_tcp_listener(place)?
+        .take_tcp_listener(index)?
         .ok_or(PassedListenerProblem::Missing)?;
     if !socket_acceptconn(&listener).unwrap_or(false) {
         return Err(PassedListenerProblem::NotListening);
--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -1,11 +1,11 @@
-//! The process that was there before, as the new one sees it.
+//! The successor's side of a handover: the connection to the predecessor.
 
 use crate::connection::connect;
 use crate::descriptors;
 use crate::error::HandoverError;
 use crate::frame::{
-    read_layout, read_reason, read_word, reject, Hello, StateHeader, HANDOVER_PROTOCOL, LAYOUT, NO,
-    READY, STATE, YOURS,
+    read_layout, read_message_type, read_reason, reject, Hello, StateHeader, HANDOVER_PROTOCOL,
+    LAYOUT, OWNERSHIP, READY, REJECTED, STATE,
 };
 use std::io::{Read, Write};
 use std::net::Shutdown;
@@ -14,41 +14,41 @@
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 
-/// What the reason of a rejection begins with that is because of the layout, from a process that knows no [`LAYOUT`].
+/// Prefix of the reason with which a process that predates [`LAYOUT`] rejects a layout.
 const LAYOUT_REASON: &str = "state of layout ";
 
-/// The process that was there before.
+/// The connection to the predecessor.
 #[derive(Debug)]
 pub struct Predecessor(UnixStream);
 
-/// A state that a predecessor offers. It is the predecessor's until [`Predecessor::take_over`].
+/// A state that the predecessor offers. The predecessor owns the state until [`Predecessor::take_over`] succeeds.
 #[derive(Debug)]
 pub struct OfferedState {
-    /// Who offers it.
+    /// The connection to the predecessor.
     pub predecessor: Predecessor,
-    /// Its layout.
+    /// The layout of the state, at most the highest one asked for.
     pub layout: u32,
-    /// The state, complete.
+    /// The complete state, with its digest verified.
     pub state: Vec<u8>,
 }
 
-/// What a predecessor answers to a hello.
-enum Answer {
-    /// The state follows.
+/// The result of sending a hello.
+enum HelloResult {
+    /// The predecessor sends its state next on this connection.
     State(UnixStream),
-    /// Nobody is there.
+    /// No predecessor is running.
     Absent,
-    /// Another layout is to be asked for.
+    /// The layout was rejected; try this lower one.
     Retry(u32),
 }
 
 impl Predecessor {
-    /// Asks the process that listens at a path for its state, of the highest of `layouts` that it writes; none if there is no
-    /// process. A state has `max_bytes` at most.
+    /// Requests the state of the process that listens on `path`, in the highest of `layouts` that the process writes; `None` if
+    /// there is no such process. The state may have at most `max_bytes`.
     ///
     /// # Errors
     ///
-    /// Where it does not answer, or does not give a complete state of one of the layouts.
+    /// If the process does not respond, or does not send a complete state in one of the layouts.
     pub fn request_state(
         path: &Path,
         layouts: RangeInclusive<u32>,
@@ -56,11 +56,11 @@
     ) -> Result<Option<OfferedState>, HandoverError> {
         let mut layout = *layouts.end();
         let mut stream = loop {
-            match ask(path, layout, &layouts)? {
-                Answer::State(stream) => break stream,
-                Answer::Absent => return Ok(None),
-                // Always lower than before, so that this comes to an end.
-                Answer::Retry(lower) => layout = lower,
+            match send_hello(path, layout, &layouts)? {
+                HelloResult::State(stream) => break stream,
+                HelloResult::Absent => return Ok(None),
+                // The layout decreases with each retry, so the loop terminates.
+                HelloResult::Retry(lower) => layout = lower,
             }
         };
         let state = read_state(&mut stream, max_bytes)?;
@@ -71,47 +71,53 @@
         }))
     }
 
-    /// Declines the state: it stays the predecessor's.
+    /// Declines the state; the predecessor keeps it.
     pub fn decline(mut self, reason: &str) {
         reject(&mut self.0, reason);
     }
 
-    /// Takes the state over. If this succeeds all is this process's; if not it is the predecessor's, for good.
+    /// Takes over the state. On success this process owns the state; on failure the predecessor keeps it, and this connection
+    /// can't be used to take over any more.
     ///
     /// # Errors
     ///
-    /// Why it is not this process's.
+    /// Why the predecessor keeps the state.
     pub fn take_over(&mut self) -> Result<(), HandoverError> {
         self.0
             .write_all(&[READY])
             .map_err(HandoverError::connection("ready"))?;
-        match read_word(&mut self.0) {
-            Ok(YOURS) => Ok(()),
-            Ok(_) => Err(HandoverError::UnexpectedWord),
-            Err(_) if self.said_yours_late() => Ok(()),
-            Err(error) => Err(HandoverError::connection("yours")(error)),
+        match read_message_type(&mut self.0) {
+            Ok(OWNERSHIP) => Ok(()),
+            Ok(_) => Err(HandoverError::UnexpectedMessage),
+            Err(_) if self.received_ownership_late() => Ok(()),
+            Err(error) => Err(HandoverError::connection("ownership")(error)),
         }
     }
 
-    /// Whether the predecessor has said the last word behind the timeout. From here on it can't say it any more; if it has, all
-    /// is this process's, but for the sockets that were still to come.
-    fn said_yours_late(&mut self) -> bool {
+    /// Checks after a timeout whether the ownership message has arrived meanwhile. Shuts down reading first, so that the
+    /// predecessor can't send the message later. If it has arrived, this process owns the state, but can't receive the
+    /// predecessor's sockets any more.
+    fn received_ownership_late(&mut self) -> bool {
         let _ = self.0.shutdown(Shutdown::Read);
         let _ = self.0.set_nonblocking(true);
-        let mut word = [0];
-        self.0.read(&mut word).is_ok_and(|count| count == 1) && word[0] == YOURS
+        let mut message_type = [0];
+        self.0.read(&mut message_type).is_ok_and(|count| count == 1) && message_type[0] == OWNERSHIP
     }
 
-    /// Receives so many descriptors, or as many as came before the predecessor was gone.
+    /// Receives `count` descriptors, or fewer if the predecessor ends before it has sent them all.
     pub fn receive_descriptors(&mut self, count: usize) -> Vec<OwnedFd> {
         descriptors::receive(&self.0, count)
     }
 }
 
-/// Says hello, and reads whether the state follows.
-fn ask(path: &Path, layout: u32, layouts: &RangeInclusive<u32>) -> Result<Answer, HandoverError> {
+/// Connects, sends a hello for `layout` and reads the type of the response.
+fn send_hello(
+    path: &Path,
+    layout: u32,
+    layouts: &RangeInclusive<u32>,
+) -> Result<HelloResult, HandoverError> {
     let Some(mut stream) = connect(path)? else {
-        return Ok(Answer::Absent);
+        return Ok(HelloResult::Absent);
     };
     let hello = Hello {
         protocol: HANDOVER_PROTOCOL,
@@ -120,26 +126,27 @@
     hello
         .write(&mut stream)
         .map_err(HandoverError::connection("hello"))?;
-    let word = read_word(&mut stream).map_err(HandoverError::connection("state"))?;
-    let reason = match word {
-        STATE => return Ok(Answer::State(stream)),
+    let message_type =
+        read_message_type(&mut stream).map_err(HandoverError::connection("state"))?;
+    let reason = match message_type {
+        STATE => return Ok(HelloResult::State(stream)),
         LAYOUT => {
             let highest = read_layout(&mut stream).map_err(HandoverError::connection("layout"))?;
             if layouts.contains(&highest) && highest < layout {
-                return Ok(Answer::Retry(highest));
+                return Ok(HelloResult::Retry(highest));
             }
             format!("{LAYOUT_REASON}{highest}, not {layout}")
         }
         _ => read_reason(&mut stream),
     };
-    // A process from before there was more than one layout rejects any other in words.
-    if word == NO && layout > *layouts.start() && reason.starts_with(LAYOUT_REASON) {
-        return Ok(Answer::Retry(layout - 1));
+    // A process that predates the LAYOUT message rejects unknown layouts with a textual reason.
+    if message_type == REJECTED && layout > *layouts.start() && reason.starts_with(LAYOUT_REASON) {
+        return Ok(HelloResult::Retry(layout - 1));
     }
     Err(HandoverError::NoState(reason))
 }
 
-/// Reads the state behind the word [`STATE`].
+/// Reads the state that follows the type byte [`STATE`].
 fn read_state(stream: &mut UnixStream, max_bytes: usize) -> Result<Vec<u8>, HandoverError> {
     let header = StateHeader::read(stream).map_err(HandoverError::connection("state"))?;
     if usize::try_from(header.length).map_or(true, |length| length > max_bytes) {
