--- a/crates/control-plane/src/audit_log.rs
+++ b/crates/control-plane/src/audit_log.rs
@@ -1,29 +1,29 @@
-//! The records of the audit log: who had what planned, promised, made, given up and rejected, and when.
+//! Audit log records: which change was prepared, committed, aborted, fenced or rejected, by whom and when.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 use wrenfork_commit::participant::Participant;
 use wrenfork_commit::protocol::{AuditRecord, CommitRequest, CommitResponse, CommitStatus};
 use wrenfork_consensus::group_state::GroupState;
 
-/// What the event of a rollout step's record begins with.
+/// Prefix of the event of a rollout step's record.
 pub const ROLLOUT_RECORD: &str = "rollout";
 
-/// The event of a record about a request that was rejected.
-const REJECTED: &str = "refused";
-/// The event of a record about a change that was promised.
-const PROMISED: &str = "promised";
-/// The event of a record about a change that is in force.
-const MADE: &str = "made";
+/// Event of a rejected request.
+const REJECTED_EVENT: &str = "refused";
+/// Event of a change that this ingress has voted for (prepared or accepted).
+const PROMISED_EVENT: &str = "promised";
+/// Event of a committed change.
+const COMMITTED_EVENT: &str = "made";
 
-/// Seconds of Unix time.
+/// The current Unix time in seconds.
 pub fn unix_seconds() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_secs())
 }
 
-/// A record of this moment.
-pub fn record(event: &str, detail: impl Into<String>) -> AuditRecord {
+/// Creates a record with the current time.
+pub fn new_record(event: &str, detail: impl Into<String>) -> AuditRecord {
     AuditRecord {
         at: unix_seconds(),
         event: event.into(),
@@ -32,51 +32,51 @@
     }
 }
 
-/// A record of a request of a group's member that was rejected.
-pub fn rejection(reason: String) -> AuditRecord {
-    record(REJECTED, reason)
+/// Creates a record of a rejected group request.
+pub fn rejection_record(reason: String) -> AuditRecord {
+    new_record(REJECTED_EVENT, reason)
 }
 
-/// The record of a request that prepares, fences or decides a change, without what came of it; none for other requests. Author
-/// and generation are those of the promise that it is about.
+/// Creates the record of a request that prepares, fences or decides a change, without its outcome; `None` for other requests.
+/// Author and generation are taken from the prepared vote that the request refers to.
 pub fn record_of_request(
     request: &CommitRequest,
     participant: &Participant,
 ) -> Option<AuditRecord> {
-    let promised = participant.state().prepared.as_ref().map(|p| &p.vote);
-    let (change, promise) = match request {
+    let prepared_vote = participant.state().prepared.as_ref().map(|p| &p.vote);
+    let (change, vote) = match request {
         CommitRequest::Prepare { vote, .. } => (&vote.change, Some(vote)),
         CommitRequest::Decide { change, .. } | CommitRequest::Fence { change, .. } => {
-            (change, promised.filter(|p| p.change == *change))
+            (change, prepared_vote.filter(|vote| vote.change == *change))
         }
         _ => return None,
     };
     Some(AuditRecord {
         at: unix_seconds(),
         change: change.clone(),
-        author: promise.map_or_else(String::new, |p| p.author.clone()),
-        generation: promise.map_or(0, |p| p.next.number),
+        author: vote.map_or_else(String::new, |vote| vote.author.clone()),
+        generation: vote.map_or(0, |vote| vote.next.number),
         ..AuditRecord::default()
     })
 }
 
-/// The same record, of a request that was rejected.
-pub fn rejected(record: AuditRecord, reason: &str) -> AuditRecord {
+/// Completes the record of a request that was rejected.
+pub fn with_rejection(record: AuditRecord, reason: &str) -> AuditRecord {
     AuditRecord {
-        event: REJECTED.into(),
+        event: REJECTED_EVENT.into(),
         detail: reason.into(),
         ..record
     }
 }
 
-/// The same record, of a request that was carried out and is answered so.
-pub fn carried_out(record: AuditRecord, response: &CommitResponse) -> AuditRecord {
+/// Completes the record of a request that was carried out, with the event that the response implies.
+pub fn with_outcome(record: AuditRecord, response: &CommitResponse) -> AuditRecord {
     let event = match response {
-        CommitResponse::Prepared => PROMISED,
+        CommitResponse::Prepared => PROMISED_EVENT,
         CommitResponse::ChangeStatus {
             status: CommitStatus::Committed,
             ..
-        } => MADE,
+        } => COMMITTED_EVENT,
         CommitResponse::ChangeStatus {
             status: CommitStatus::Aborted,
             ..
@@ -89,14 +89,14 @@
     }
 }
 
-/// The record of a group's state that a member has accepted.
-pub fn accepted(state: &GroupState) -> AuditRecord {
-    of_group_state(state, PROMISED.into(), String::new())
+/// Creates the record of a group state that this member has accepted.
+pub fn accepted_record(state: &GroupState) -> AuditRecord {
+    group_state_record(state, PROMISED_EVENT.into(), String::new())
 }
 
-/// The record of a group's state that is decided, after `before`.
-pub fn decided(state: &GroupState, before: Option<&GroupState>) -> AuditRecord {
-    let previous_step = before.and_then(|b| b.rollout.as_deref());
+/// Creates the record of a decided group state that replaces `previous`.
+pub fn decided_record(state: &GroupState, previous: Option<&GroupState>) -> AuditRecord {
+    let previous_step = previous.and_then(|previous| previous.rollout.as_deref());
     let step = state
         .rollout
         .as_deref()
@@ -104,13 +104,13 @@
     match step {
         Some(step) => {
             let event = format!("{ROLLOUT_RECORD}: {}", step.phase);
-            of_group_state(state, event, step.reason.clone())
+            group_state_record(state, event, step.reason.clone())
         }
-        None => of_group_state(state, MADE.into(), String::new()),
+        None => group_state_record(state, COMMITTED_EVENT.into(), String::new()),
     }
 }
 
-fn of_group_state(state: &GroupState, event: String, detail: String) -> AuditRecord {
+fn group_state_record(state: &GroupState, event: String, detail: String) -> AuditRecord {
     AuditRecord {
         at: unix_seconds(),
         event,
--- a/crates/control-plane/src/client.rs
+++ b/crates/control-plane/src/client.rs
@@ -1,5 +1,5 @@
-//! A client of control sockets: one request and its response, within a time. Which protocol it is, that of changes or that of
-//! groups, is the caller's choice.
+//! A client for control sockets: sends one request and waits for its response, with a timeout. The caller's types choose the
+//! protocol: two-phase commit or group.
 
 use serde::{Deserialize, Serialize};
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
@@ -8,39 +8,39 @@
 use std::time::Duration;
 use wrenfork_commit::protocol;
 
-/// The most bytes of a response: a state of some hundred thousand accounts.
+/// Maximum size of a response in bytes; fits a state with several hundred thousand accounts.
 const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// Why there is no response. What was requested may have been done all the same.
+/// Why there is no response. The request may have been carried out nevertheless.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// Nothing came in time.
-    #[error("it does not answer")]
+    /// No response arrived within the timeout.
+    #[error("no response within the timeout")]
     TimedOut,
-    /// The socket does not exist.
-    #[error("{}: there is no such socket", path.display())]
+    /// No file exists at the socket's path.
+    #[error("{}: socket does not exist", path.display())]
     NoSuchSocket {
-        /// Where it was looked for.
+        /// The path of the missing socket.
         path: PathBuf,
     },
-    /// The socket exists, and no process listens there.
-    #[error("{}: nobody listens there", path.display())]
+    /// The socket file exists, but no process listens on it.
+    #[error("{}: no process listens on this socket", path.display())]
     NotListening {
         /// The socket's path.
         path: PathBuf,
     },
-    /// Another error of the system.
+    /// Another I/O error.
     #[error("{}: {source}", path.display())]
     Io {
         /// The socket's path.
         path: PathBuf,
-        /// The error.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The connection ended in the middle of the response.
-    #[error("it ended in the middle of its answer")]
+    /// The connection was closed before the response was complete, or the response exceeds the size limit.
+    #[error("the response was incomplete when the connection closed, or too long")]
     Truncated,
-    /// The response is none of this protocol, or of another version.
+    /// The response can't be decoded, or belongs to another protocol version; the string says why.
     #[error("{0}")]
     InvalidResponse(String),
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Sends a request to the control socket at a path and waits for the response, `timeout` for each step on the way.
+/// Sends a request to the control socket at `path` and waits for the response. `timeout` applies to each read and write.
 ///
 /// # Errors
 ///
@@ -75,7 +75,7 @@
     protocol::decode_line(&line).map_err(|error| ClientError::InvalidResponse(error.to_string()))
 }
 
-/// Writes a line and reads one.
+/// Sends one line and reads one line back.
 fn exchange(path: &Path, line: &str, timeout: Duration) -> io::Result<String> {
     let mut stream = UnixStream::connect(path)?;
     stream.set_read_timeout(Some(timeout))?;
--- a/crates/control-plane/src/clock.rs
+++ b/crates/control-plane/src/clock.rs
@@ -1,15 +1,15 @@
-//! The clock of leases. It counts from the machine's start, runs on while a process is stopped or the machine sleeps, and is not
-//! affected by changes of the system's time.
+//! The clock of leases. It counts from the boot of the machine, continues while a process is stopped or the machine is suspended,
+//! and is not affected by changes of the system time.
 
 use rustix::time::{clock_gettime, ClockId, Timespec};
 use std::time::Duration;
 
-/// The time since the machine's start (`CLOCK_BOOTTIME`).
+/// Time since the machine booted (`CLOCK_BOOTTIME`).
 pub fn now() -> Duration {
     duration(clock_gettime(ClockId::Boottime))
 }
 
-/// The processor time that this process has used.
+/// CPU time that this process has used (`CLOCK_PROCESS_CPUTIME_ID`).
 pub fn cpu_time() -> Duration {
     duration(clock_gettime(ClockId::ProcessCPUTime))
 }
@@ -18,12 +18,12 @@
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec as u32)
 }
 
-/// Whole microseconds of a duration.
+/// Converts a duration to whole microseconds, saturating at `u64::MAX`.
 pub(crate) fn micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Whole milliseconds of a duration.
+/// Converts a duration to whole milliseconds, saturating at `u64::MAX`.
 pub(crate) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/control-plane/src/connection_handler.rs
+++ b/crates/control-plane/src/connection_handler.rs
@@ -1,4 +1,4 @@
-//! Serves one connection of the control socket: reads a request a line, has it carried out, and writes the response.
+//! Serves one connection of the control socket: reads one request per line, executes the request and writes the response.
 
 use crate::connection_table::Connection;
 use crate::consensus_requests;
@@ -15,19 +15,19 @@
 use wrenfork_commit::protocol::{self, CommitRequest, CommitResponse};
 use wrenfork_consensus::protocol::{is_group_request, GroupRequest, GroupResponse};
 
-/// How long a connection may be idle, or read nothing.
+/// How long a read of the next request or a write of a response may block.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The failpoint name of what is no request of the two protocols.
-const OTHER: &str = "other";
+/// Failpoint name used for messages that belong to neither protocol.
+const OTHER_FAILPOINT: &str = "other";
 
-/// What a connection's requests are carried out on.
+/// Handles the requests of control connections.
 pub struct ConnectionHandler<D> {
     pub state: Arc<Mutex<ControlState<D>>>,
-    /// Of a member of a group.
+    /// `None` if the ingress is not a member of a group.
     pub lease: Option<Arc<SharedLease>>,
 }
 
-// By hand: the derived one would want the data plane itself to be cloned.
+// Implemented by hand because `derive(Clone)` would require `D: Clone`.
 impl<D> Clone for ConnectionHandler<D> {
     fn clone(&self) -> Self {
         ConnectionHandler {
@@ -37,33 +37,33 @@
     }
 }
 
-/// A line that came.
+/// The result of reading a line.
 enum Line {
     Request(String),
-    /// Longer than this many bytes.
+    /// The line exceeds this limit in bytes.
     TooLong(usize),
-    /// The peer is gone, maybe in the middle of a line: nobody waits for a response.
+    /// The peer closed the connection, possibly in the middle of a line; no response is needed.
     End,
 }
 
-/// A response, and what is to be passed once it is written.
-struct Answer<R> {
+/// A response with the failpoint to hit once it has been written.
+struct PendingResponse<R> {
     response: R,
     failpoints: Failpoints,
     failpoint: &'static str,
 }
 
-impl<R> Answer<R> {
-    fn plain(response: R) -> Answer<R> {
-        Answer {
+impl<R> PendingResponse<R> {
+    fn without_failpoint(response: R) -> PendingResponse<R> {
+        PendingResponse {
             response,
             failpoints: Failpoints::default(),
-            failpoint: OTHER,
+            failpoint: OTHER_FAILPOINT,
         }
     }
 }
 
-impl<R: Serialize> Answer<R> {
+impl<R: Serialize> PendingResponse<R> {
     fn write(&self, stream: &UnixStream) -> io::Result<()> {
         write_line(stream, &self.response)?;
         self.failpoints.hit(self.failpoint, "answered");
@@ -75,19 +75,19 @@
     stream.write_all(protocol::encode_line(response).as_bytes())
 }
 
-/// Writes that a connection is not admitted.
+/// Rejects a connection because the connection limit has been reached.
 pub fn reject_connection(stream: &UnixStream) {
     let reason = "too many control connections: try again".to_string();
-    // A peer that is gone needs no reason.
+    // If the peer is gone, the reason is not needed.
     let _ = write_line(stream, &CommitResponse::Rejected { reason });
 }
 
 impl<D: DataPlane> ConnectionHandler<D> {
-    /// Serves a connection to its end.
+    /// Serves a connection until the peer closes it.
     ///
     /// # Errors
     ///
-    /// Where the connection breaks or is idle for too long; its peer connects again.
+    /// If the connection fails or times out; the peer is expected to reconnect.
     pub fn serve(&self, connection: &Connection) -> io::Result<()> {
         let stream: &UnixStream = &connection.stream;
         stream.set_read_timeout(Some(IDLE_TIMEOUT))?;
@@ -98,9 +98,9 @@
             connection.set_idle();
             let line = read_line(&mut reader, max_bytes, connection)?;
             match line {
-                Line::Request(text) => self.answer(text, stream)?,
+                Line::Request(text) => self.handle_line(text, stream)?,
                 Line::TooLong(limit) => {
-                    let reason = format!("the message is longer than {limit} bytes, which is what this ingress's memory allows");
+                    let reason = format!("the message exceeds the limit of {limit} bytes, which is set by the memory of this ingress");
                     return write_line(stream, &CommitResponse::Rejected { reason });
                 }
                 Line::End => return Ok(()),
@@ -108,59 +108,61 @@
         }
     }
 
-    /// Carries out a request and writes the response.
-    fn answer(&self, text: String, stream: &UnixStream) -> io::Result<()> {
+    /// Decodes and executes one request and writes the response.
+    fn handle_line(&self, text: String, stream: &UnixStream) -> io::Result<()> {
         if is_group_request(&text) {
             let request = protocol::decode_line::<GroupRequest>(&text);
             drop(text);
             return match request {
-                Ok(request) => self.answer_group(request).write(stream),
+                Ok(request) => self.handle_group_request(request).write(stream),
                 Err(error) => {
                     let reason = error.to_string();
-                    Answer::plain(GroupResponse::Rejected { reason }).write(stream)
+                    PendingResponse::without_failpoint(GroupResponse::Rejected { reason })
+                        .write(stream)
                 }
             };
         }
         let request = protocol::decode_line::<CommitRequest>(&text);
         drop(text);
         match request {
-            Ok(request) => self.answer_change(request).write(stream),
+            Ok(request) => self.handle_commit_request(request).write(stream),
             Err(error) => {
                 let reason = error.to_string();
-                Answer::plain(CommitResponse::Rejected { reason }).write(stream)
+                PendingResponse::without_failpoint(CommitResponse::Rejected { reason })
+                    .write(stream)
             }
         }
     }
 
-    /// A request of the protocol of changes.
-    fn answer_change(&self, request: CommitRequest) -> Answer<CommitResponse> {
+    /// Executes a request of the two-phase commit protocol.
+    fn handle_commit_request(&self, request: CommitRequest) -> PendingResponse<CommitResponse> {
         let failpoint = ingress_requests::failpoint_name(&request);
         let mut state = lock(&self.state);
         state.failpoints.hit(failpoint, "heard");
         let response = state.handle(request, failpoint);
         state.failpoints.hit(failpoint, "unanswered");
-        Answer {
+        PendingResponse {
             response,
             failpoints: state.failpoints.clone(),
             failpoint,
         }
     }
 
-    /// A request of the protocol of groups. A renewal waits for nothing that another request does: neither for a disk nor for
-    /// a large change that is read.
-    fn answer_group(&self, request: GroupRequest) -> Answer<GroupResponse> {
+    /// Executes a request of the group protocol. A lease renewal does not take the lock of the control state, so it is never
+    /// delayed by a disk write or a large change of another request.
+    fn handle_group_request(&self, request: GroupRequest) -> PendingResponse<GroupResponse> {
         let Some(lease) = &self.lease else {
-            return Answer::plain(consensus_requests::no_group());
+            return PendingResponse::without_failpoint(consensus_requests::no_group());
         };
         if matches!(request, GroupRequest::Renew { .. }) {
-            return Answer::plain(lease.renew(&request));
+            return PendingResponse::without_failpoint(lease.handle_renewal(&request));
         }
         let failpoint = consensus_requests::failpoint_name(&request);
         let mut state = lock(&self.state);
         state.failpoints.hit(failpoint, "heard");
         let response = state.handle_group(request, failpoint);
         state.failpoints.hit(failpoint, "unanswered");
-        Answer {
+        PendingResponse {
             response,
             failpoints: state.failpoints.clone(),
             failpoint,
@@ -168,7 +170,7 @@
     }
 }
 
-/// Reads a line of bounded length; the connection is busy once one has come.
+/// Reads a line of at most `max_bytes` and marks the connection as busy once data has arrived.
 fn read_line(
     reader: &mut BufReader<&UnixStream>,
     max_bytes: usize,
--- a/crates/control-plane/src/connection_table.rs
+++ b/crates/control-plane/src/connection_table.rs
@@ -1,5 +1,5 @@
-//! The open connections of a control socket, bounded in number. Where there are too many, the one that has been idle for longest
-//! is closed for the new one: a peer behind a link that drops everything leaves connections open that it has given up.
+//! The open connections of a control socket, bounded in number. When the table is full, the longest idle connection is closed to
+//! admit a new one: a peer whose network drops all packets leaves connections open that it has already abandoned.
 
 use crate::clock;
 use std::collections::BTreeMap;
@@ -8,37 +8,39 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
+/// An open connection in the table.
 #[derive(Debug)]
 struct Entry {
     stream: Arc<UnixStream>,
-    /// Since when it has been idle; none while a request of it is carried out.
+    /// When the connection became idle; `None` while one of its requests is being handled.
     idle_since: Option<Duration>,
 }
 
+/// The table's contents: connections by id, in the order of admission.
 #[derive(Debug, Default)]
 struct Entries {
     by_id: BTreeMap<u64, Entry>,
     last_id: u64,
 }
 
-/// The connections that are open.
+/// The open connections of a control socket; clones share one table.
 #[derive(Clone, Debug)]
 pub struct ConnectionTable {
     capacity: usize,
     entries: Arc<Mutex<Entries>>,
 }
 
-/// An open connection; its slot is free again once it is dropped.
+/// An open connection; dropping it frees its slot in the table.
 #[derive(Debug)]
 pub struct Connection {
     table: ConnectionTable,
     id: u64,
-    /// To read from and to write to.
+    /// The connection's socket.
     pub stream: Arc<UnixStream>,
 }
 
 impl ConnectionTable {
-    /// An empty table of that capacity.
+    /// Creates an empty table for at most `capacity` connections.
     pub fn new(capacity: usize) -> ConnectionTable {
         ConnectionTable {
             capacity,
@@ -50,11 +52,11 @@
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Admits a connection, in the place of the one that has been idle for longest where the table is full.
+    /// Admits a connection. If the table is full, closes the longest idle connection first.
     ///
     /// # Errors
     ///
-    /// The connection itself, where the table is full and none is idle.
+    /// Returns `stream` if the table is full and no connection is idle.
     pub fn admit(&self, stream: UnixStream) -> Result<Connection, UnixStream> {
         let mut entries = self.entries();
         if entries.by_id.len() >= self.capacity && !close_longest_idle(&mut entries) {
@@ -75,14 +77,14 @@
         })
     }
 
-    /// The ids of the open connections, in the order of their admission.
+    /// The ids of the open connections, in order of admission.
     #[cfg(test)]
     pub fn ids(&self) -> Vec<u64> {
         self.entries().by_id.keys().copied().collect()
     }
 }
 
-/// Closes the connection that has been idle for longest; false where none is idle.
+/// Closes the longest idle connection; returns false if none is idle.
 fn close_longest_idle(entries: &mut Entries) -> bool {
     let idle = entries
         .by_id
@@ -92,19 +94,19 @@
         return false;
     };
     if let Some(entry) = entries.by_id.remove(&id) {
-        // The thread that reads from it sees the end of the stream.
+        // The thread that serves the connection reads the end of the stream and exits.
         let _ = entry.stream.shutdown(Shutdown::Both);
     }
     true
 }
 
 impl Connection {
-    /// A request of this connection begins.
+    /// Marks the connection as busy with a request, so that it is not closed for a new one.
     pub fn set_busy(&self) {
         self.set_idle_since(None);
     }
 
-    /// The connection waits for the next request.
+    /// Marks the connection as waiting for its next request.
     pub fn set_idle(&self) {
         self.set_idle_since(Some(clock::now()));
     }
--- a/crates/control-plane/src/consensus_requests.rs
+++ b/crates/control-plane/src/consensus_requests.rs
@@ -1,4 +1,4 @@
-//! The requests of the protocol of groups (`wrenfork_consensus::protocol`), with this ingress as a member.
+//! Requests of the group protocol (`wrenfork_consensus::protocol`), with this ingress as a member.
 
 use crate::audit_log;
 use crate::clock;
@@ -15,16 +15,16 @@
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse, GroupStatus};
 use wrenfork_rollout::{is_same_program, MemberMetrics};
 
-/// The most characters of a reason that is kept and passed on.
+/// Maximum length in characters of a supervisor's reason; longer reasons are truncated.
 const MAX_REASON_CHARS: usize = 300;
-/// The event of a record about the group itself.
-const GROUP_RECORD: &str = "group";
-/// The event of a record about a program that does not come into service.
-const PROGRAM_RECORD: &str = "program";
-/// Why a request of a group is rejected by an ingress that has none.
-const NO_GROUP: &str = "this ingress belongs to no group";
+/// Event of an audit record about the group itself.
+const GROUP_EVENT: &str = "group";
+/// Event of an audit record about a program that failed to start serving.
+const PROGRAM_EVENT: &str = "program";
+/// Why an ingress without a group rejects a request of the group protocol.
+const NO_GROUP: &str = "this ingress is not a member of a group";
 
-/// The name of a request among the failpoints.
+/// The failpoint name of a request.
 pub fn failpoint_name(request: &GroupRequest) -> &'static str {
     match request {
         GroupRequest::Prepare { .. } => "promise",
@@ -34,7 +34,7 @@
     }
 }
 
-/// The response of an ingress without a group.
+/// The response to any group request if this ingress is not in a group.
 pub fn no_group() -> GroupResponse {
     rejection(NO_GROUP)
 }
@@ -45,17 +45,17 @@
     }
 }
 
-/// A change of what the acceptor remembers, to be written and then carried out.
+/// A change of the acceptor's state that must be written before it takes effect.
 struct Change {
     member: PersistentState,
     response: GroupResponse,
-    /// What is enforced after it, where that is another state than before.
+    /// The participant's new state; `None` if the enforced state does not change.
     enforced: Option<ParticipantState>,
     record: Option<AuditRecord>,
 }
 
 impl<D: DataPlane> ControlState<D> {
-    /// Carries out a request that is no renewal of a lease; `failpoint` is its name among the failpoints.
+    /// Executes a group request other than a lease renewal; `failpoint` is its failpoint name.
     pub fn handle_group(
         &mut self,
         request: GroupRequest,
@@ -65,21 +65,23 @@
             return no_group();
         };
         match request {
-            GroupRequest::Tally => self.tally(),
+            GroupRequest::Tally => self.report_metrics(),
             GroupRequest::UpgradeTurn { version } if version == member.version() => {
                 member.turn_version = version;
                 GroupResponse::Acknowledged
             }
-            GroupRequest::UpgradeTurn { .. } => rejection("another decree stands here"),
+            GroupRequest::UpgradeTurn { .. } => {
+                rejection("this member has another group state in force")
+            }
             GroupRequest::ProgramUnfit { program, reason } => {
-                self.note_unfit_program(program, &reason)
+                self.record_unfit_program(program, &reason)
             }
-            request => self.take_part_in_group(request, failpoint),
+            request => self.handle_as_acceptor(request, failpoint),
         }
     }
 
-    /// The counts by which a rollout compares members.
-    fn tally(&self) -> GroupResponse {
+    /// Responds with the metrics by which a rollout compares members.
+    fn report_metrics(&self) -> GroupResponse {
         let Some(member) = &self.member else {
             return no_group();
         };
@@ -93,22 +95,23 @@
         }))
     }
 
-    /// A supervisor says that a program does not come into service here.
-    fn note_unfit_program(&mut self, program: String, reason: &str) -> GroupResponse {
+    /// Records a supervisor's report that a program failed to start serving on this ingress.
+    fn record_unfit_program(&mut self, program: String, reason: &str) -> GroupResponse {
         let known = self.unfit_program.as_ref();
         if known.is_some_and(|unfit| is_same_program(&unfit.program, &program)) {
-            // The first reason stands: it is said again until it has been heard.
+            // Keep the first reason: the supervisor repeats the report until it is acknowledged.
             return GroupResponse::Acknowledged;
         }
         let reason: String = reason.chars().take(MAX_REASON_CHARS).collect();
-        let why = format!("{program}: {reason}");
-        self.data_plane.log(&audit_log::record(PROGRAM_RECORD, why));
+        let detail = format!("{program}: {reason}");
+        self.data_plane
+            .log(&audit_log::new_record(PROGRAM_EVENT, detail));
         self.unfit_program = Some(UnfitProgram { program, reason });
         GroupResponse::Acknowledged
     }
 
-    /// Has the acceptor take a request.
-    fn take_part_in_group(
+    /// Passes a request to the acceptor and carries out its result.
+    fn handle_as_acceptor(
         &mut self,
         request: GroupRequest,
         failpoint: &'static str,
@@ -116,7 +119,7 @@
         let Some(member) = &self.member else {
             return no_group();
         };
-        let proposed = update_lease_before(member, &request);
+        let proposed = update_lease_for_request(member, &request);
         let may_vote = member.lease.manager().check_vote_eligibility();
         let data_plane = &self.data_plane;
         let check = |state: &_| {
@@ -124,52 +127,53 @@
             result.map_err(|error| NotEnforceable::new(error.to_string()))
         };
         match member.acceptor.handle(request, may_vote, check) {
-            Step::Respond(response) => self.complete_group(response),
+            Step::Respond(response) => self.complete_group_response(response),
             Step::Persist {
                 state,
                 response,
                 applies,
             } => {
                 let change = match applies {
-                    true => self.decided(*state, response),
+                    true => self.decided_change(*state, response),
                     false => Change {
                         member: *state,
                         response,
                         enforced: None,
-                        record: proposed.map(|proposed| audit_log::accepted(&proposed)),
+                        record: proposed.map(|proposed| audit_log::accepted_record(&proposed)),
                     },
                 };
-                self.carry_out_in_group(change, failpoint)
+                self.apply_group_change(change, failpoint)
             }
         }
     }
 
-    /// The change by which a decided state of the group comes into force.
-    fn decided(&self, member: PersistentState, response: GroupResponse) -> Change {
-        let before = self.member.as_ref().and_then(GroupMember::state);
+    /// The change that puts a decided group state into force.
+    fn decided_change(&self, member: PersistentState, response: GroupResponse) -> Change {
+        let previous = self.member.as_ref().and_then(GroupMember::state);
         let decided = member.group_state.as_deref();
         Change {
-            enforced: decided.and_then(|state| self.enforced_under(state)),
-            record: decided.map(|state| audit_log::decided(state, before.map(Arc::as_ref))),
+            enforced: decided.and_then(|state| self.participant_under(state)),
+            record: decided
+                .map(|state| audit_log::decided_record(state, previous.map(Arc::as_ref))),
             member,
             response,
         }
     }
 
-    /// What the participant remembers once a state of the group is in force; none where it enforces the same as before.
-    fn enforced_under(&self, state: &GroupState) -> Option<ParticipantState> {
+    /// The participant's state under a group state; `None` if it enforces the same generation as before.
+    fn participant_under(&self, state: &GroupState) -> Option<ParticipantState> {
         let (enforced, own_state) = state.enforced_by(&self.name)?;
-        let before = self.participant.state();
-        (enforced != before.enforced).then(|| ParticipantState {
+        let current = self.participant.state();
+        (enforced != current.enforced).then(|| ParticipantState {
             enforced,
             state: Arc::new(own_state),
             prepared: None,
-            ..before.clone()
+            ..current.clone()
         })
     }
 
-    /// Completes a response that changes nothing: a status has the lease and the program, a rejection is recorded.
-    fn complete_group(&mut self, response: GroupResponse) -> GroupResponse {
+    /// Completes a response that changes no state: adds lease and program to a status, and records a rejection.
+    fn complete_group_response(&mut self, response: GroupResponse) -> GroupResponse {
         if let Some(member) = &self.member {
             member.update_lease();
         }
@@ -178,7 +182,7 @@
                 GroupResponse::Status(Box::new(self.complete_status(*status)))
             }
             GroupResponse::Rejected { reason } => {
-                let record = audit_log::rejection(reason);
+                let record = audit_log::rejection_record(reason);
                 self.log_and_append(&record);
                 GroupResponse::Rejected {
                     reason: record.detail,
@@ -201,28 +205,28 @@
         }
     }
 
-    /// Writes a change, enforces it, and gives the response.
-    fn carry_out_in_group(&mut self, change: Change, failpoint: &'static str) -> GroupResponse {
+    /// Writes a change, enforces it and returns the response.
+    fn apply_group_change(&mut self, change: Change, failpoint: &'static str) -> GroupResponse {
         self.failpoints.hit(failpoint, "unwritten");
-        let written = self.durable.commit(&Update {
+        let stored = self.durable.commit(&Update {
             member: Some(&change.member),
-            memory: change.enforced.as_ref(),
+            participant: change.enforced.as_ref(),
             new_generation: change.enforced.is_some(),
             record: change.record.as_ref(),
         });
         let Some(member) = &mut self.member else {
             return no_group();
         };
-        if let Err(error) = written {
+        if let Err(error) = stored {
             member.update_lease();
-            let reason = self.cannot_store(&error);
+            let reason = self.store_failure_reason(&error);
             return GroupResponse::Unavailable { reason };
         }
         self.failpoints.hit(failpoint, "written");
         member.acceptor.persisted(change.member);
         if let Some(enforced) = change.enforced {
             if let Err(error) = self.activate(enforced) {
-                // The ingress ends; it starts again with what is written.
+                // The data plane has stopped, so the process exits and restarts with the state written above.
                 return rejection(error.to_string());
             }
             self.failpoints.hit(failpoint, "switched");
@@ -236,7 +240,7 @@
         change.response
     }
 
-    /// Enforces what is written already.
+    /// Enforces a state that has already been written.
     fn activate(&mut self, enforced: ParticipantState) -> Result<(), DataPlaneError> {
         let state = enforced.state.clone();
         self.participant.persisted(enforced);
@@ -244,34 +248,38 @@
         self.data_plane.activate(&state)
     }
 
-    /// Gives up the votes of this member's folder, which turned out to be an older copy; what it knows of the group stays.
+    /// Gives up this member's vote by taking a new replica id, because its folder is an older copy (other members have seen a
+    /// later write). The known group state is kept.
     pub fn give_up_votes(&mut self) {
         let Some(member) = &mut self.member else {
             return;
         };
-        let memory = member.acceptor.state().with_new_replica(random_id());
-        let why = "the folder is an older copy of what others have seen: it has no vote; wrenctl roster replace gives it one";
-        let record = audit_log::record(GROUP_RECORD, why);
-        let written = self.durable.commit(&Update {
-            member: Some(&memory),
+        let persistent = member.acceptor.state().with_new_replica(random_id());
+        let detail = "the state folder is an older copy than other members have seen: it has no vote; restore the vote with wrenctl roster replace";
+        let record = audit_log::new_record(GROUP_EVENT, detail);
+        let stored = self.durable.commit(&Update {
+            member: Some(&persistent),
             record: Some(&record),
             ..Update::default()
         });
-        if written.is_ok() {
-            member.acceptor.persisted(memory);
+        if stored.is_ok() {
+            member.acceptor.persisted(persistent);
             member.update_lease();
             self.data_plane.log(&record);
         }
     }
 }
 
-/// Updates the lease before the acceptor takes a request; the state that is proposed to be accepted, if one is.
-fn update_lease_before(member: &GroupMember, request: &GroupRequest) -> Option<Arc<GroupState>> {
+/// Updates the lease manager before the acceptor handles a request. Returns the proposed group state of an accept request.
+fn update_lease_for_request(
+    member: &GroupMember,
+    request: &GroupRequest,
+) -> Option<Arc<GroupState>> {
     let now = clock::now();
     let mut manager = member.lease.manager();
     match request {
-        // From here on nobody who has not accepted it is granted a lease under the state before; if it is not accepted after
-        // all, `SharedLease::follow` takes that back.
+        // From here on, members that have not accepted the proposed state are granted no lease under the previous state. If this
+        // member does not accept the proposal after all, `SharedLease::apply_state` lifts the block.
         GroupRequest::Accept { ballot, state } if state.version == member.version() + 1 => {
             manager.block_grants(*ballot, &state.digest, now);
             Some(state.clone())
--- a/crates/control-plane/src/durable_state.rs
+++ b/crates/control-plane/src/durable_state.rs
@@ -1,6 +1,6 @@
-//! What an ingress must not forget: what it enforces and has promised, the generations that it enforced before, what it has
-//! promised as a member of a group, and the audit log. In the store of a folder, where there is one; else in memory, for as long
-//! as the process lives.
+//! State that an ingress must not lose: the enforced state and the prepared vote, past generations, its promises as a member of a
+//! group, and the audit log. It is kept in the store of a folder if one is configured, otherwise in memory until the process
+//! exits.
 
 mod error;
 mod rows;
@@ -16,19 +16,19 @@
 use wrenfork_consensus::acceptor::PersistentState;
 use wrenfork_store::Batch;
 
-/// Generations before that are kept where there is no folder.
+/// Maximum number of generations to keep without a folder.
 const MAX_GENERATIONS_IN_MEMORY: usize = 4;
 
-/// What is to be written together: all of it or nothing.
+/// Values to write atomically.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Update<'a> {
-    /// What is enforced and promised here.
-    pub memory: Option<&'a ParticipantState>,
-    /// Whether `memory` enforces another generation than before, which is kept to be gone back to.
+    /// The participant's state: what is enforced and prepared.
+    pub participant: Option<&'a ParticipantState>,
+    /// Whether `participant` enforces a new generation, which is then kept for rollback.
     pub new_generation: bool,
-    /// What a member of a group has promised and accepted.
+    /// The group member's persistent state: what it has promised and accepted.
     pub member: Option<&'a PersistentState>,
-    /// A record for the audit log.
+    /// A record to append to the audit log.
     pub record: Option<&'a AuditRecord>,
 }
 
@@ -37,38 +37,40 @@
 pub struct DurableState {
     rows: Option<Rows>,
     closed: bool,
-    memory: ParticipantState,
-    /// Without a folder: generations and records, the oldest first.
+    participant: ParticipantState,
+    /// Past generations, oldest first; used only without a folder.
     past: VecDeque<PastGeneration>,
+    /// Audit records, oldest first; used only without a folder.
     records: VecDeque<AuditRecord>,
     audit_numbers: AuditNumbers,
 }
 
 impl DurableState {
-    /// Opens the store of a folder, or begins in memory without one. `first` is what is enforced where nothing is stored.
+    /// Opens the store of a folder, or keeps the state in memory without one. `initial` gives the state to enforce if nothing is
+    /// stored yet.
     ///
     /// # Errors
     ///
-    /// Where the folder can't be used, or what is stored can't be read.
+    /// If the folder can't be opened, or the stored state can't be read.
     pub fn open(
         folder: Option<&Path>,
-        first: impl FnOnce() -> ParticipantState,
+        initial: impl FnOnce() -> ParticipantState,
     ) -> Result<DurableState, DurableStateError> {
         let rows = folder.map(Rows::open).transpose()?;
-        let stored = rows.as_ref().map(Rows::memory).transpose()?.flatten();
+        let stored = rows.as_ref().map(Rows::participant).transpose()?.flatten();
         let audit_numbers = rows.as_ref().map(Rows::audit_numbers).transpose()?;
         let mut durable = DurableState {
             rows,
             closed: false,
-            memory: ParticipantState::default(),
+            participant: ParticipantState::default(),
             past: VecDeque::new(),
             records: VecDeque::new(),
             audit_numbers: audit_numbers.unwrap_or_default(),
         };
         match stored {
-            Some(memory) => durable.memory = memory,
+            Some(participant) => durable.participant = participant,
             None => durable.commit(&Update {
-                memory: Some(&first()),
+                participant: Some(&initial()),
                 new_generation: true,
                 ..Update::default()
             })?,
@@ -76,16 +78,16 @@
         Ok(durable)
     }
 
-    /// What is enforced and promised here.
-    pub fn memory(&self) -> &ParticipantState {
-        &self.memory
+    /// The participant's state: what is enforced and prepared.
+    pub fn participant(&self) -> &ParticipantState {
+        &self.participant
     }
 
-    /// What this folder's member of a group has promised and accepted; none where it never was one.
+    /// The persistent state of the group member that this folder belongs to; `None` if it never joined a group.
     ///
     /// # Errors
     ///
-    /// Where the store fails, or what is stored can't be read.
+    /// If the store fails, or the stored state can't be read.
     pub fn member(&self) -> Result<Option<PersistentState>, DurableStateError> {
         match &self.rows {
             Some(rows) => rows.member(),
@@ -93,35 +95,35 @@
         }
     }
 
-    /// Writes an update.
+    /// Writes an update atomically.
     ///
     /// # Errors
     ///
-    /// Where the store fails, or is closed: nothing has changed then.
+    /// If the store fails or is closed. Nothing has changed then.
     pub fn commit(&mut self, update: &Update) -> Result<(), DurableStateError> {
         if self.closed {
             return Err(DurableStateError::Closed);
         }
         if let Some(rows) = &self.rows {
             let batch = rows.put_member(Batch::new(), update.member)?;
-            let batch = rows.put_memory(batch, update.memory, update.new_generation)?;
-            let batch = self.audit_numbers.put(batch, update.record)?;
+            let batch = rows.put_participant(batch, update.participant, update.new_generation)?;
+            let batch = self.audit_numbers.put_record(batch, update.record)?;
             rows.commit(&batch)?;
         }
-        if let Some(memory) = update.memory {
-            self.remember(memory, update.new_generation);
+        if let Some(participant) = update.participant {
+            self.set_participant(participant, update.new_generation);
         }
         if let Some(record) = update.record {
-            self.remember_record(record);
+            self.keep_record(record);
         }
         Ok(())
     }
 
-    /// Writes a record alone.
+    /// Appends a record to the audit log.
     ///
     /// # Errors
     ///
-    /// As [`DurableState::commit`].
+    /// Same as [`DurableState::commit`].
     pub fn append_record(&mut self, record: &AuditRecord) -> Result<(), DurableStateError> {
         self.commit(&Update {
             record: Some(record),
@@ -129,18 +131,18 @@
         })
     }
 
-    fn remember(&mut self, memory: &ParticipantState, new_generation: bool) {
+    fn set_participant(&mut self, participant: &ParticipantState, new_generation: bool) {
         if self.rows.is_none() && new_generation {
             self.past.push_back(PastGeneration {
-                generation: memory.enforced.clone(),
-                state: memory.state.clone(),
+                generation: participant.enforced.clone(),
+                state: participant.state.clone(),
             });
             drop_oldest(&mut self.past, MAX_GENERATIONS_IN_MEMORY);
         }
-        self.memory = memory.clone();
+        self.participant = participant.clone();
     }
 
-    fn remember_record(&mut self, record: &AuditRecord) {
+    fn keep_record(&mut self, record: &AuditRecord) {
         if self.rows.is_some() {
             self.audit_numbers.advance();
             return;
@@ -149,11 +151,11 @@
         drop_oldest(&mut self.records, MAX_AUDIT_RECORDS);
     }
 
-    /// A generation that was enforced here, if it is still kept.
+    /// A past generation, if it is still kept.
     ///
     /// # Errors
     ///
-    /// Where the store fails, or what is stored can't be read.
+    /// If the store fails, or the stored generation can't be read.
     pub fn generation(&self, number: u64) -> Result<Option<PastGeneration>, DurableStateError> {
         match &self.rows {
             Some(rows) => rows.generation(number),
@@ -164,22 +166,22 @@
         }
     }
 
-    /// The last records of the audit log, the oldest first.
+    /// The last `limit` records of the audit log, oldest first.
     ///
     /// # Errors
     ///
-    /// Where the store fails, or what is stored can't be read.
+    /// If the store fails, or the stored records can't be read.
     pub fn records(&self, limit: usize) -> Result<Vec<AuditRecord>, DurableStateError> {
         match &self.rows {
             Some(rows) => rows.records(limit),
             None => {
-                let older = self.records.len().saturating_sub(limit);
-                Ok(self.records.iter().skip(older).cloned().collect())
+                let skipped = self.records.len().saturating_sub(limit);
+                Ok(self.records.iter().skip(skipped).cloned().collect())
             }
         }
     }
 
-    /// Closes the store, so that a later start need not repair it. Nothing can be written any more.
+    /// Closes the store cleanly, so that the next start needs no recovery. Later writes fail.
     pub fn close(&mut self) {
         self.closed = true;
         self.rows = None;
--- a/crates/control-plane/src/durable_state/error.rs
+++ b/crates/control-plane/src/durable_state/error.rs
@@ -1,43 +1,43 @@
-//! Why the durable state can't be read or written.
+//! Errors of reading and writing the durable state.
 
 use wrenfork_store::StoreError;
 
-/// Why the durable state can't be read or written.
+/// An error of reading or writing the durable state.
 #[derive(Debug, thiserror::Error)]
 pub enum DurableStateError {
-    /// It was closed: the process is ending, or has handed over.
-    #[error("it is stopping")]
+    /// The durable state was closed: the process is shutting down or has handed over.
+    #[error("the durable state is closed: the process is stopping or has handed over")]
     Closed,
-    /// The store fails.
+    /// The store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// What is to be written has no JSON form, or a record or generation can't be read.
+    /// A value can't be encoded as JSON, or a stored record or generation can't be decoded.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// What is enforced can't be read.
-    #[error("what is kept can't be read: {0}")]
+    /// The stored state of the participant can't be decoded.
+    #[error("the stored participant state can't be decoded: {0}")]
     UnreadableMemory(#[source] serde_json::Error),
-    /// What is enforced is not what its digest says.
-    #[error("what is kept does not have its own digest")]
+    /// The stored enforced state does not match its digest.
+    #[error("the stored enforced state does not match its digest")]
     WrongDigest,
-    /// What a member of a group has promised can't be read.
-    #[error("what is kept of the group can't be read: {0}")]
+    /// The stored state of the group member can't be read.
+    #[error("the stored group member state can't be read: {0}")]
     UnreadableMember(#[from] MemberError),
 }
 
-/// Why what a member of a group has promised can't be read.
+/// An error of reading the persistent state of a group member.
 #[derive(Debug, thiserror::Error)]
 pub enum MemberError {
-    /// The store fails.
+    /// The store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// It is no JSON of this form.
+    /// The stored JSON can't be decoded.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A state of the group that it names is not stored.
-    #[error("a decree is missing")]
+    /// A referenced group state is not in the store.
+    #[error("a referenced group state is missing from the store")]
     MissingGroupState,
-    /// A state of the group is not what its digest says, or not valid.
+    /// A stored group state is invalid or does not match its digest; the message says why.
     #[error("{0}")]
     InvalidGroupState(String),
 }
--- a/crates/control-plane/src/durable_state/rows.rs
+++ b/crates/control-plane/src/durable_state/rows.rs
@@ -1,5 +1,5 @@
-//! The rows of the durable state in the store of a folder. A state of a group may be of some megabytes: it is a row of its own,
-//! written once and not with each promise.
+//! The rows of the durable state in the store of a folder. A group state may be several megabytes long, so each one has its own
+//! row, which is written once rather than with every promise.
 
 use super::error::{DurableStateError, MemberError};
 use serde::{Deserialize, Serialize};
@@ -14,45 +14,47 @@
 use wrenfork_consensus::protocol::{AcceptedState, Ballot};
 use wrenfork_store::{Batch, NamedRecord, RecordKind, Store};
 
-/// Records of the audit log that are kept.
+/// Maximum number of audit records to keep.
 pub const MAX_AUDIT_RECORDS: usize = 1_000;
-/// Generations that are kept to be gone back to.
+/// Maximum number of generations to keep for rollback.
 pub const MAX_GENERATIONS: usize = 16;
 
-/// The row of what is enforced and promised.
-const MEMORY_ROW: &str = "memory";
-/// The row of what a member of a group has promised.
+/// Row of the participant's state: what is enforced and prepared.
+const PARTICIPANT_ROW: &str = "memory";
+/// Row of the group member's persistent state.
 const MEMBER_ROW: &str = "group";
-/// What the rows of a group's states begin with.
+/// Prefix of the rows of group states, followed by the digest.
 pub const GROUP_STATE_PREFIX: &str = "decree/";
-/// What the rows of generations begin with.
+/// Prefix of the rows of past generations, followed by the zero-padded number.
 const GENERATION_PREFIX: &str = "past/";
 
-/// What a member of a group has promised, as it is stored: states of the group by their digests.
+/// Stored form of a group member's persistent state. Group states are referenced by digest.
 #[derive(Serialize, Deserialize)]
 struct StoredMember {
     name: String,
-    folder: ReplicaId,
+    #[serde(rename = "folder")]
+    replica: ReplicaId,
     writes: u64,
-    decree: Option<Digest>,
+    #[serde(rename = "decree")]
+    group_state: Option<Digest>,
     promised: Ballot,
     accepted: Option<StoredProposal>,
 }
 
-/// An accepted proposal, as it is stored.
+/// Stored form of an accepted proposal: its ballot and the digest of its group state.
 #[derive(Serialize, Deserialize)]
 struct StoredProposal(Ballot, Digest);
 
-/// A generation that was enforced here.
+/// A generation that was enforced by this ingress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PastGeneration {
-    /// Its number and digest.
+    /// The generation's number and digest.
     pub generation: Generation,
-    /// What was enforced.
+    /// The state that was enforced.
     pub state: Arc<State>,
 }
 
-/// A generation, as it is read.
+/// Stored form of a generation.
 #[derive(Deserialize)]
 struct StoredGeneration(Generation, Arc<State>);
 
@@ -68,7 +70,7 @@
     format!("{number:020}")
 }
 
-/// The store of a folder.
+/// The rows of the durable state in a store.
 #[derive(Debug)]
 pub struct Rows(Store);
 
@@ -81,38 +83,39 @@
         Ok(self.0.commit(batch)?)
     }
 
-    /// What is enforced and promised.
-    pub fn memory(&self) -> Result<Option<ParticipantState>, DurableStateError> {
-        let Some(text) = self.0.get(RecordKind::Control, MEMORY_ROW)? else {
+    /// Reads the participant's state and verifies its digest; `None` if nothing is stored.
+    pub fn participant(&self) -> Result<Option<ParticipantState>, DurableStateError> {
+        let Some(text) = self.0.get(RecordKind::Control, PARTICIPANT_ROW)? else {
             return Ok(None);
         };
-        let memory: ParticipantState =
+        let participant: ParticipantState =
             serde_json::from_slice(&text).map_err(DurableStateError::UnreadableMemory)?;
-        if memory.state.digest() != memory.enforced.digest {
+        if participant.state.digest() != participant.enforced.digest {
             return Err(DurableStateError::WrongDigest);
         }
-        Ok(Some(memory))
+        Ok(Some(participant))
     }
 
-    /// Adds what is enforced and promised to a batch, and its generation where that is new; the oldest generations go.
-    pub fn put_memory(
+    /// Adds the participant's state to a batch. With `new_generation`, also adds the enforced generation and deletes the oldest
+    /// generations beyond [`MAX_GENERATIONS`].
+    pub fn put_participant(
         &self,
         batch: Batch,
-        memory: Option<&ParticipantState>,
+        participant: Option<&ParticipantState>,
         new_generation: bool,
     ) -> Result<Batch, DurableStateError> {
-        let Some(memory) = memory else {
+        let Some(participant) = participant else {
             return Ok(batch);
         };
-        let text = serde_json::to_vec(memory)?;
-        let batch = batch.put(RecordKind::Control, MEMORY_ROW, text);
+        let text = serde_json::to_vec(participant)?;
+        let batch = batch.put(RecordKind::Control, PARTICIPANT_ROW, text);
         if !new_generation {
             return Ok(batch);
         }
-        let text = serde_json::to_vec(&(&memory.enforced, &memory.state))?;
+        let text = serde_json::to_vec(&(&participant.enforced, &participant.state))?;
         let mut batch = batch.put(
             RecordKind::Control,
-            &generation_row(memory.enforced.number),
+            &generation_row(participant.enforced.number),
             text,
         );
         let names = self.0.names(RecordKind::Control)?;
@@ -128,7 +131,7 @@
         Ok(batch)
     }
 
-    /// A generation, if it is stored.
+    /// Reads a past generation; `None` if it is not stored.
     pub fn generation(&self, number: u64) -> Result<Option<PastGeneration>, DurableStateError> {
         let Some(text) = self.0.get(RecordKind::Control, &generation_row(number))? else {
             return Ok(None);
@@ -137,7 +140,7 @@
         Ok(Some(PastGeneration { generation, state }))
     }
 
-    /// What a member of a group has promised and accepted.
+    /// Reads the group member's persistent state; `None` if nothing is stored.
     pub fn member(&self) -> Result<Option<PersistentState>, DurableStateError> {
         Ok(self.read_member()?)
     }
@@ -154,16 +157,17 @@
             }),
             None => None,
         };
-        let standing = stored.decree.as_ref();
-        let group_state = standing
+        let current_digest = stored.group_state.as_ref();
+        let group_state = current_digest
             .map(|digest| self.group_state(digest))
             .transpose()?;
         Ok(Some(PersistentState {
             name: stored.name,
-            replica: stored.folder,
+            replica: stored.replica,
             writes: stored.writes,
             group_state,
-            // From which ballot the switch was made is not stored: whoever needs it after a restart waits for leases instead.
+            // The ballot of the last switch is not stored. After a restart, a proposer that needs this ballot waits
+            // for leases to expire instead.
             accepted_in: None,
             promised: stored.promised,
             accepted,
@@ -180,7 +184,7 @@
         Ok(Arc::new(state))
     }
 
-    /// Adds what a member has promised and accepted to a batch, with the states of the group that it names; others go.
+    /// Adds a member's persistent state and the group states that it references to a batch; other group states are deleted.
     pub fn put_member(
         &self,
         batch: Batch,
@@ -192,9 +196,9 @@
         let accepted = member.accepted.as_ref();
         let stored = StoredMember {
             name: member.name.clone(),
-            folder: member.replica,
+            replica: member.replica,
             writes: member.writes,
-            decree: member
+            group_state: member
                 .group_state
                 .as_ref()
                 .map(|state| state.digest.clone()),
@@ -225,26 +229,27 @@
             }
             rows.push(row);
         }
-        let old = stored
+        let unreferenced = stored
             .iter()
             .filter(|name| name.starts_with(GROUP_STATE_PREFIX) && !rows.contains(name));
-        for name in old {
+        for name in unreferenced {
             batch = batch.delete(RecordKind::Control, name);
         }
         Ok(batch)
     }
 
-    /// The numbers of the records that are stored.
+    /// Reads the number range of the stored audit records.
     pub fn audit_numbers(&self) -> Result<AuditNumbers, DurableStateError> {
         let rows = self.0.list(RecordKind::Audit, MAX_AUDIT_RECORDS)?;
-        let number = |row: Option<&NamedRecord>| row.and_then(|r| r.name.parse::<u64>().ok());
+        let record_number =
+            |row: Option<&NamedRecord>| row.and_then(|row| row.name.parse::<u64>().ok());
         Ok(AuditNumbers {
-            first: number(rows.first()).unwrap_or(0),
-            next: number(rows.last()).map_or(0, |last| last + 1),
+            first: record_number(rows.first()).unwrap_or(0),
+            next: record_number(rows.last()).map_or(0, |last| last + 1),
         })
     }
 
-    /// The last records, the oldest first.
+    /// Reads the last `limit` audit records, oldest first.
     pub fn records(&self, limit: usize) -> Result<Vec<AuditRecord>, DurableStateError> {
         let rows = self
             .0
@@ -254,7 +259,7 @@
             .collect()
     }
 
-    /// The names of the rows of a group's states.
+    /// The names of the rows that hold group states.
     #[cfg(test)]
     pub fn group_state_rows(&self) -> Vec<String> {
         let mut names = self.0.names(RecordKind::Control).unwrap();
@@ -263,18 +268,18 @@
     }
 }
 
-/// The numbers of the audit log's records in the store, each one higher than the one before.
+/// The range of record numbers of the audit log in the store. Numbers are consecutive.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AuditNumbers {
-    /// The oldest record's.
+    /// Number of the oldest stored record.
     first: u64,
-    /// The next record's.
+    /// Number for the next record.
     next: u64,
 }
 
 impl AuditNumbers {
-    /// Adds a record to a batch; the oldest one goes where there are too many.
-    pub fn put(
+    /// Adds a record to a batch, and deletes the oldest one if the log is full.
+    pub fn put_record(
         &self,
         batch: Batch,
         record: Option<&AuditRecord>,
@@ -291,7 +296,7 @@
         })
     }
 
-    /// A record was written.
+    /// Updates the range after a record has been written.
     pub fn advance(&mut self) {
         self.next += 1;
         let oldest_kept = self.next.saturating_sub(MAX_AUDIT_RECORDS as u64);
--- a/crates/control-plane/src/durable_state/tests.rs
+++ b/crates/control-plane/src/durable_state/tests.rs
@@ -1,4 +1,4 @@
-//! What a restart finds, and what is dropped.
+//! Which durable state survives a restart, and which old rows are dropped.
 
 use super::rows::{MAX_AUDIT_RECORDS, MAX_GENERATIONS};
 use super::{DurableState, Update};
@@ -16,44 +16,47 @@
     State([("quota".to_string(), value.to_string())].into())
 }
 
-fn memory(number: u64) -> ParticipantState {
+fn participant_at(number: u64) -> ParticipantState {
     ParticipantState::new(number, state(&number.to_string()))
 }
 
 fn open(folder: Option<&Path>) -> DurableState {
-    DurableState::open(folder, || memory(1)).unwrap()
+    DurableState::open(folder, || participant_at(1)).unwrap()
 }
 
 fn reopen(folder: &Path) -> DurableState {
-    DurableState::open(Some(folder), || unreachable!("it is stored")).unwrap()
+    DurableState::open(Some(folder), || unreachable!("the store is not empty")).unwrap()
 }
 
-fn new_generation<'a>(memory: &'a ParticipantState, record: Option<&'a AuditRecord>) -> Update<'a> {
+fn new_generation<'a>(
+    participant: &'a ParticipantState,
+    record: Option<&'a AuditRecord>,
+) -> Update<'a> {
     Update {
-        memory: Some(memory),
+        participant: Some(participant),
         new_generation: true,
         record,
         ..Update::default()
     }
 }
 
-fn record(what: &str, generation: u64) -> AuditRecord {
+fn record(event: &str, generation: u64) -> AuditRecord {
     AuditRecord {
-        event: what.into(),
+        event: event.into(),
         generation,
         ..AuditRecord::default()
     }
 }
 
 #[test]
-fn generations_and_records_survive_a_restart_and_stay_bounded() {
+fn generations_and_audit_records_survive_a_restart_and_stay_bounded() {
     let folder = tempfile::tempdir().unwrap();
     let mut durable = open(Some(folder.path()));
     for number in 2..40 {
-        let made = record("made", number);
-        let memory = memory(number);
+        let committed = record("made", number);
+        let participant = participant_at(number);
         durable
-            .commit(&new_generation(&memory, Some(&made)))
+            .commit(&new_generation(&participant, Some(&committed)))
             .unwrap();
     }
     for _ in 0..MAX_AUDIT_RECORDS {
@@ -66,12 +69,12 @@
     drop(durable);
 
     let durable = reopen(folder.path());
-    assert_eq!(durable.memory().enforced.number, 39);
-    let stored = |number| durable.generation(number).unwrap();
-    assert_eq!(stored(39).unwrap().state, state("39").into());
+    assert_eq!(durable.participant().enforced.number, 39);
+    let stored_generation = |number| durable.generation(number).unwrap();
+    assert_eq!(stored_generation(39).unwrap().state, state("39").into());
     let oldest = 39 - MAX_GENERATIONS as u64 + 1;
-    assert_eq!(stored(oldest).unwrap().state, state("24").into());
-    assert_eq!(stored(23), None);
+    assert_eq!(stored_generation(oldest).unwrap().state, state("24").into());
+    assert_eq!(stored_generation(23), None);
     assert_eq!(
         durable.records(usize::MAX).unwrap().len(),
         MAX_AUDIT_RECORDS
@@ -81,20 +84,20 @@
 }
 
 fn first_group_state() -> GroupState {
-    let seat = GroupMember {
+    let member = GroupMember {
         name: "a".into(),
         replica: 7,
         role: MemberRole::Ingress,
         votes: true,
     };
-    let roster = Membership::new(1, 1_500, vec![seat]).unwrap();
+    let membership = Membership::new(1, 1_500, vec![member]).unwrap();
     let states = [("a".to_string(), Arc::new(state("1")))].into();
     let policy = Policy::from_states(&states);
-    GroupState::new(1, 1, Digest::default(), "ann", roster, policy)
+    GroupState::new(1, 1, Digest::default(), "ann", membership, policy)
 }
 
 #[test]
-fn a_members_promises_survive_a_restart_and_old_group_states_are_dropped() {
+fn member_state_survives_a_restart_and_unreferenced_group_states_are_deleted() {
     let folder = tempfile::tempdir().unwrap();
     let mut group_state = Arc::new(first_group_state());
     let mut durable = open(Some(folder.path()));
@@ -120,7 +123,7 @@
         durable.commit(&update).unwrap();
         group_state = next;
     }
-    let enforced = memory(4);
+    let enforced = participant_at(4);
     let update = Update {
         member: Some(&member),
         ..new_generation(&enforced, None)
@@ -131,17 +134,17 @@
 
     let durable = reopen(folder.path());
     assert_eq!(durable.member().unwrap(), Some(member));
-    assert_eq!(durable.memory(), &enforced);
+    assert_eq!(durable.participant(), &enforced);
     let rows = durable.rows.as_ref().unwrap();
     assert_eq!(rows.group_state_rows().len(), 2);
 }
 
 #[test]
-fn without_a_folder_the_last_generations_are_kept_in_memory() {
+fn latest_generations_are_kept_in_memory_without_a_folder() {
     let mut durable = open(None);
     for number in 2..10 {
-        let memory = memory(number);
-        durable.commit(&new_generation(&memory, None)).unwrap();
+        let participant = participant_at(number);
+        durable.commit(&new_generation(&participant, None)).unwrap();
     }
     let last = durable.generation(9).unwrap().unwrap();
     assert_eq!(last.state, state("9").into());
--- a/crates/control-plane/src/error.rs
+++ b/crates/control-plane/src/error.rs
@@ -1,27 +1,27 @@
-//! Why the control plane can't be started or handed over.
+//! Errors of starting and handing over the control plane.
 
 use crate::durable_state::DurableStateError;
 use std::io;
 
-/// Why a control server can't be started.
+/// Why a control server failed to start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The system gives no thread.
-    #[error("control: no thread: {0}")]
+    /// A thread can't be spawned.
+    #[error("control: failed to spawn a thread: {0}")]
     Thread(#[source] io::Error),
-    /// The pair of sockets that wakes the renewing thread can't be made.
-    #[error("control: no wake-up: {0}")]
+    /// The pair of sockets that wakes the lease renewer can't be created.
+    #[error("control: failed to create the wake-up sockets: {0}")]
     WakeUp(#[source] io::Error),
     /// The durable state can't be read or written.
     #[error("state: {0}")]
     State(#[from] DurableStateError),
 }
 
-/// Why the control plane was not handed over; it goes on as before.
+/// Why the control plane was not handed over; it continues as before.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError<E> {
-    /// A request is being carried out and takes too long.
-    #[error("a change is being made")]
+    /// A control request in progress did not finish within the handover timeout.
+    #[error("a control request is still in progress")]
     Busy,
     /// The transfer itself failed.
     #[error(transparent)]
--- a/crates/control-plane/src/failpoints.rs
+++ b/crates/control-plane/src/failpoints.rs
@@ -1,7 +1,8 @@
-//! Failpoints: places at which a test has the process end as by a crash.
+//! Failpoints: places in the code at which a test makes the process crash or stop.
 //!
-//! `WRENFORK_FAULT=decide.written` aborts the process the first time that it passes there, `decide.written:2` the second time;
-//! `decide.written:2:stop` stops it there by SIGSTOP, until it is continued. Without the variable nothing is looked at again.
+//! `WRENFORK_FAULT=decide.written` aborts the process the first time it reaches that failpoint, `decide.written:2` the second
+//! time. `decide.written:2:stop` stops the process with SIGSTOP instead, until it receives SIGCONT. The variable is read only by
+//! [`Failpoints::from_env`].
 
 use rustix::process::{getpid, kill_process, Signal};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -10,7 +11,7 @@
 /// The environment variable that sets a failpoint.
 pub const VARIABLE: &str = "WRENFORK_FAULT";
 
-/// Every failpoint of an ingress, in the order in which a request passes them.
+/// All failpoints of an ingress as a participant, in the order in which a request reaches them.
 pub const INGRESS_POINTS: [&str; 12] = [
     "prepare.heard",
     "prepare.unwritten",
@@ -26,7 +27,7 @@
     "fence.written",
 ];
 
-/// Every failpoint of a member of a group, in the order in which a request passes them.
+/// All failpoints of a group member, in the order in which a request reaches them.
 pub const GROUP_POINTS: [&str; 15] = [
     "promise.heard",
     "promise.unwritten",
@@ -45,18 +46,20 @@
     "decided.answered",
 ];
 
-/// The failpoint that is set, if any.
+/// The failpoint that is set, if any; clones share its counter.
 #[derive(Clone, Debug, Default)]
 pub struct Failpoints(Option<Failpoint>);
 
+/// A failpoint set by the environment.
 #[derive(Clone, Debug)]
 struct Failpoint {
     name: String,
-    /// Passes that are left until it takes effect, this one included.
-    remaining: Arc<AtomicU32>,
+    /// Number of hits until the failpoint takes effect, including that hit.
+    remaining_hits: Arc<AtomicU32>,
     effect: Effect,
 }
 
+/// What the process does at the failpoint.
 #[derive(Clone, Copy, Debug)]
 enum Effect {
     Abort,
@@ -64,7 +67,7 @@
 }
 
 impl Failpoints {
-    /// What the environment sets.
+    /// Reads the failpoint from the environment variable [`VARIABLE`].
     pub fn from_env() -> Failpoints {
         let setting = std::env::var(VARIABLE).ok();
         Failpoints(
@@ -79,7 +82,7 @@
         self.0.is_some()
     }
 
-    /// Passes the point `request.step`; the process ends there if it is set and due.
+    /// Counts a hit of the failpoint `request.step`; aborts or stops the process if that failpoint is set and due.
     pub fn hit(&self, request: &str, step: &str) {
         let Some(failpoint) = &self.0 else {
             return;
@@ -87,7 +90,7 @@
         if failpoint.name.split_once('.') != Some((request, step)) {
             return;
         }
-        if failpoint.remaining.fetch_sub(1, Ordering::SeqCst) != 1 {
+        if failpoint.remaining_hits.fetch_sub(1, Ordering::SeqCst) != 1 {
             return;
         }
         match failpoint.effect {
@@ -102,14 +105,14 @@
 fn parse(text: &str) -> Failpoint {
     let mut parts = text.split(':');
     let name = parts.next().unwrap_or_default().to_string();
-    let passes = parts.next().and_then(|n| n.parse().ok()).unwrap_or(1);
+    let hits = parts.next().and_then(|n| n.parse().ok()).unwrap_or(1);
     let effect = match parts.next() {
         Some("stop") => Effect::Stop,
         _ => Effect::Abort,
     };
     Failpoint {
         name,
-        remaining: Arc::new(AtomicU32::new(passes)),
+        remaining_hits: Arc::new(AtomicU32::new(hits)),
         effect,
     }
 }
--- a/crates/control-plane/src/ingress_requests.rs
+++ b/crates/control-plane/src/ingress_requests.rs
@@ -1,5 +1,5 @@
-//! The requests of the protocol of changes (`wrenfork_commit::protocol`): status, history, and two-phase commit with this ingress
-//! as a participant.
+//! Requests of the two-phase commit protocol (`wrenfork_commit::protocol`): status, history, and commits with this ingress as a
+//! participant.
 
 use crate::audit_log;
 use crate::control_state::ControlState;
@@ -10,11 +10,11 @@
 use wrenfork_commit::reason::NotEnforceable;
 use wrenfork_commit::step::Step;
 
-/// Why a member of a group takes no part in two-phase commit.
-const GROUP_DECIDES: &str =
-    "it belongs to a group, which decides its changes: use a wrenctl that knows rosters";
+/// Why a member of a group rejects requests of two-phase commit.
+const MEMBER_OF_GROUP: &str =
+    "this ingress is a member of a group, which decides its changes: use a wrenctl that supports rosters";
 
-/// The name of a request among the failpoints.
+/// The failpoint name of a request.
 pub fn failpoint_name(request: &CommitRequest) -> &'static str {
     match request {
         CommitRequest::Prepare { .. } => "prepare",
@@ -30,45 +30,47 @@
     }
 }
 
-/// A change of what the participant remembers, to be written and then carried out.
+/// A change of the participant's state that must be written before it takes effect.
 struct Change {
     state: ParticipantState,
     response: CommitResponse,
-    /// Whether another state is enforced after it.
+    /// Whether the change puts another state into force.
     activates: bool,
 }
 
 impl<D: DataPlane> ControlState<D> {
-    /// Carries out a request; `failpoint` is its name among the failpoints.
+    /// Executes a request; `failpoint` is its failpoint name.
     pub fn handle(&mut self, request: CommitRequest, failpoint: &'static str) -> CommitResponse {
         match request {
-            CommitRequest::FetchGeneration { generation } => self.recall(generation),
+            CommitRequest::FetchGeneration { generation } => self.fetch_generation(generation),
             CommitRequest::History { limit } => self.history(limit),
-            CommitRequest::AppendRecord { record } => self.note(record),
+            CommitRequest::AppendRecord { record } => self.append_record(record),
             CommitRequest::Prepare { .. }
             | CommitRequest::Fence { .. }
             | CommitRequest::Decide { .. }
                 if self.member.is_some() =>
             {
-                rejection(GROUP_DECIDES)
+                rejection(MEMBER_OF_GROUP)
             }
-            request => self.take_part(request, failpoint),
+            request => self.handle_as_participant(request, failpoint),
         }
     }
 
-    /// A generation that was enforced before.
-    fn recall(&self, number: u64) -> CommitResponse {
+    /// Responds with a generation that was enforced before.
+    fn fetch_generation(&self, number: u64) -> CommitResponse {
         match self.durable.generation(number) {
             Ok(Some(past)) => CommitResponse::PastGeneration {
                 generation: past.generation,
                 state: past.state,
             },
-            Ok(None) => rejection(format!("generation {number} is not kept here any more")),
+            Ok(None) => rejection(format!(
+                "generation {number} is no longer stored on this ingress"
+            )),
             Err(error) => rejection(error.to_string()),
         }
     }
 
-    /// The last records of the audit log.
+    /// Responds with the last `limit` records of the audit log.
     fn history(&self, limit: usize) -> CommitResponse {
         match self.durable.records(limit) {
             Ok(records) => CommitResponse::Records { records },
@@ -76,8 +78,8 @@
         }
     }
 
-    /// Keeps a record of what somebody did.
-    fn note(&mut self, record: AuditRecord) -> CommitResponse {
+    /// Appends a client's record to the audit log, with the current time.
+    fn append_record(&mut self, record: AuditRecord) -> CommitResponse {
         let record = AuditRecord {
             at: audit_log::unix_seconds(),
             ..record
@@ -89,16 +91,20 @@
         }
     }
 
-    /// Has the participant take a request.
-    fn take_part(&mut self, request: CommitRequest, failpoint: &'static str) -> CommitResponse {
+    /// Passes a request to the participant and carries out its result.
+    fn handle_as_participant(
+        &mut self,
+        request: CommitRequest,
+        failpoint: &'static str,
+    ) -> CommitResponse {
         let record = audit_log::record_of_request(&request, &self.participant);
         let data_plane = &self.data_plane;
         let check = |state: &_| {
-            let checked = data_plane.check(state);
-            checked.map_err(|error| NotEnforceable::new(error.to_string()))
+            let result = data_plane.check(state);
+            result.map_err(|error| NotEnforceable::new(error.to_string()))
         };
         match self.participant.handle(request, check) {
-            Step::Respond(response) => self.complete(response, record),
+            Step::Respond(response) => self.complete_response(response, record),
             Step::Persist {
                 state,
                 response,
@@ -109,13 +115,13 @@
                     response,
                     activates: applies,
                 };
-                self.carry_out(change, record, failpoint)
+                self.apply_change(change, record, failpoint)
             }
         }
     }
 
-    /// Completes a response that changes nothing: a status has the metrics, a rejection is recorded.
-    fn complete(
+    /// Completes a response that changes no state: adds the metrics to a status, and records a rejection.
+    fn complete_response(
         &mut self,
         response: CommitResponse,
         record: Option<AuditRecord>,
@@ -132,11 +138,11 @@
                 generation,
                 state,
                 prepared,
-                metrics: self.data_plane.figures(),
+                metrics: self.data_plane.ingress_metrics(),
             },
             CommitResponse::Rejected { reason } => {
                 if let Some(record) = record {
-                    let record = audit_log::rejected(record, &reason);
+                    let record = audit_log::with_rejection(record, &reason);
                     self.log_and_append(&record);
                 }
                 CommitResponse::Rejected { reason }
@@ -145,24 +151,24 @@
         }
     }
 
-    /// Writes a change, enforces it, and gives the response.
-    fn carry_out(
+    /// Writes a change, enforces it and returns the response.
+    fn apply_change(
         &mut self,
         change: Change,
         record: Option<AuditRecord>,
         failpoint: &'static str,
     ) -> CommitResponse {
-        let record = record.map(|record| audit_log::carried_out(record, &change.response));
+        let record = record.map(|record| audit_log::with_outcome(record, &change.response));
         self.failpoints.hit(failpoint, "unwritten");
-        let written = self.durable.commit(&Update {
-            memory: Some(&change.state),
+        let stored = self.durable.commit(&Update {
+            participant: Some(&change.state),
             new_generation: change.activates,
             record: record.as_ref(),
             ..Update::default()
         });
-        if let Err(error) = written {
-            // Nothing has happened, and all goes on as before.
-            let reason = self.cannot_store(&error);
+        if let Err(error) = stored {
+            // Nothing has changed; the participant continues with its previous state.
+            let reason = self.store_failure_reason(&error);
             return CommitResponse::Unavailable { reason };
         }
         self.failpoints.hit(failpoint, "written");
@@ -170,7 +176,7 @@
         if change.activates {
             let state = &self.participant.state().state;
             if let Err(error) = self.data_plane.activate(state) {
-                // The ingress ends; it starts again with what is written.
+                // The data plane has stopped, so the process exits and restarts with the state written above.
                 return rejection(error.to_string());
             }
             self.failpoints.hit(failpoint, "switched");
--- a/crates/control-plane/src/lease_guard.rs
+++ b/crates/control-plane/src/lease_guard.rs
@@ -1,16 +1,17 @@
-//! The admission check under a lease, as the event loop sees it.
+//! The lease check that the event loop makes for each request.
 
 use crate::clock::{self, micros};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// The deadline of a guard that admits requests without a lease.
+/// Deadline value of a guard that admits requests without a lease.
 pub(crate) const NO_DEADLINE: u64 = u64::MAX;
 
-/// The deadline up to which requests may be admitted. The renewing thread moves it; the event loop reads it for each request.
+/// The deadline until which requests may be admitted. The lease renewer updates the deadline; the event loop reads it for each
+/// request. Clones share one deadline.
 #[derive(Clone, Debug)]
 pub struct LeaseGuard {
-    /// Microseconds of [`clock::now`]; [`NO_DEADLINE`] where the member serves on without a lease.
+    /// Microseconds of [`clock::now`]; [`NO_DEADLINE`] if the member serves without a lease.
     deadline: Arc<AtomicU64>,
     retry_after_ms: u64,
 }
@@ -23,8 +24,8 @@
         }
     }
 
-    /// Whether a request may be admitted at this moment. The clock is read each time: the process may have been stopped since
-    /// it was read last.
+    /// Whether a request may be admitted now. Reads the clock on each call, because the process may have been stopped since the
+    /// previous call.
     pub fn admits(&self) -> bool {
         match self.deadline() {
             NO_DEADLINE => true,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Milliseconds after which a rejected client should retry: the time between two renewals.
+    /// Milliseconds after which a rejected client should retry: the interval between two renewals.
     pub fn retry_after_ms(&self) -> u64 {
         self.retry_after_ms
     }
--- a/crates/control-plane/src/lease_renewer.rs
+++ b/crates/control-plane/src/lease_renewer.rs
@@ -1,5 +1,6 @@
-//! The thread of a member that renews its lease, learns the group's state from others, settles what was left half decided, forms
-//! the group, and starts the controller of a rollout. What may take long runs on threads of its own, so that renewals go on.
+//! The background thread of a group member. It renews the lease, learns the group state from other members, recovers unfinished
+//! proposals, forms the group and starts the rollout controller. Slow work runs on separate threads, so that renewals are not
+//! delayed.
 
 use crate::clock;
 use crate::control_state::{lock, ControlState};
@@ -9,7 +10,7 @@
 use crate::proposal::run_proposal;
 use crate::rollout_controller::{rollout_under_way, RolloutController};
 use crate::shared_lease::{random_id, SharedLease};
-use crate::thread::spawn_messenger;
+use crate::thread::spawn_message_thread;
 use std::os::unix::net::UnixStream;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -20,10 +21,10 @@
 use wrenfork_consensus::proposer::{ProposalGoal, ProposalOutcome, Proposer};
 use wrenfork_consensus::protocol::{Ballot, GroupRequest, GroupResponse};
 
-/// Leases in which a settlement must have come to an end, or it is begun anew.
-const SETTLEMENT_LEASES: u32 = 4;
+/// Timeout of a proposal that recovers a decision or forms the group, in lease durations; it is retried afterwards.
+const RECOVERY_TIMEOUT_LEASES: u32 = 4;
 
-/// The thread that renews a member's lease.
+/// Renews a member's lease and keeps the member up to date with its group.
 pub struct LeaseRenewer<D> {
     name: String,
     group: GroupConfig,
@@ -32,30 +33,30 @@
     control: Arc<Mutex<ControlState<D>>>,
     max_message_bytes: usize,
     tasks: Tasks,
-    /// When the next renewal is due.
+    /// When the next renewal is due, by [`clock::now`].
     renewal_due: Duration,
-    /// The version of the group's state at the last look.
+    /// The version of the group state in the last snapshot.
     version: u64,
-    /// Whether there was a lease at the last look; none before there was one.
+    /// Whether the last logged event was that the lease is held; `None` until the member has held a lease.
     had_lease: Option<bool>,
-    /// When the group may be formed.
+    /// Earliest time of the next attempt to form the group.
     form_at: Duration,
 }
 
-/// The work on other threads.
+/// Tasks that run on other threads.
 #[derive(Default)]
 struct Tasks {
-    /// A group's state is taken over from another member.
+    /// Applies a group state learned from another member.
     learning: Task,
-    /// A state that was left half decided is settled, or the group is formed.
+    /// Recovers an unfinished proposal, or forms the group.
     proposing: Task,
-    /// A rollout is driven from here.
+    /// Runs the rollout controller.
     rollout: Task,
-    /// The highest round of a ballot that outbid one of here.
+    /// The highest round of a ballot by which a proposal of this member was outbid.
     highest_round: Arc<AtomicU64>,
 }
 
-/// Work that runs once at a time.
+/// A task of which at most one instance runs at a time. Holds whether it is running.
 #[derive(Clone, Default)]
 struct Task(Arc<AtomicBool>);
 
@@ -64,8 +65,8 @@
         self.0.load(Ordering::Acquire)
     }
 
-    /// Starts the work on a thread of that name, unless it is running; `lease` is woken behind it, so that its renewer looks
-    /// again.
+    /// Starts `work` on a thread with the given name, unless the task is already running. Wakes the lease renewer when `work`
+    /// has finished.
     fn start(&self, thread: &str, lease: &Arc<SharedLease>, work: impl FnOnce() + Send + 'static) {
         if self.0.swap(true, Ordering::AcqRel) {
             return;
@@ -77,7 +78,7 @@
             task.finish();
             lease.wake();
         };
-        if spawn_messenger(thread, run).is_err() {
+        if spawn_message_thread(thread, run).is_err() {
             self.finish();
         }
     }
@@ -87,31 +88,33 @@
     }
 }
 
-/// What the lease says at one look.
-struct Look {
+/// The state of the lease at the start of one iteration of the renewer.
+struct LeaseSnapshot {
     now: Duration,
     renewal: GroupRequest,
-    /// The members that a renewal is to be sent to; none where it is not due.
+    /// The members to send a renewal to; empty if no renewal is due.
     recipients: Vec<String>,
-    interval: Duration,
-    settle_at: Option<Duration>,
-    may_form: bool,
-    lease_until: Option<Duration>,
+    renewal_interval: Duration,
+    /// When an unfinished proposal is to be recovered; `None` if there is none.
+    recovery_deadline: Option<Duration>,
+    can_form_group: bool,
+    lease_deadline: Option<Duration>,
     group_state: Option<Arc<GroupState>>,
 }
 
-impl Look {
+impl LeaseSnapshot {
     fn has_lease(&self) -> bool {
-        self.lease_until.is_some_and(|until| until > self.now)
+        self.lease_deadline
+            .is_some_and(|deadline| deadline > self.now)
     }
 
-    fn lease_time(&self) -> Duration {
-        self.interval * RENEWALS_PER_LEASE
+    fn lease_duration(&self) -> Duration {
+        self.renewal_interval * RENEWALS_PER_LEASE
     }
 }
 
 impl<D: DataPlane> LeaseRenewer<D> {
-    /// The renewer of a member; `wake_up` becomes readable when it is to look again.
+    /// Creates the renewer of a member. `wake_up` becomes readable when the renewer must check the lease again.
     pub fn new(
         group: GroupConfig,
         lease: Arc<SharedLease>,
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Renews until the lease is closed.
+    /// Runs until the lease is closed.
     pub fn run(mut self) {
         let others = self.group.control_sockets.iter();
         let mut links: Vec<MemberLink> = others
@@ -145,32 +148,32 @@
             .map(|(name, path)| MemberLink::new(name, path.clone()))
             .collect();
         while !self.lease.is_closed() {
-            let look = self.look();
-            self.send_renewals(&mut links, &look);
-            self.log_lease_change(&look);
-            self.drive_rollout(&look);
-            self.propose_if_due(&look);
+            let snapshot = self.take_snapshot();
+            self.send_renewals(&mut links, &snapshot);
+            self.log_lease_change(&snapshot);
+            self.start_rollout_controller(&snapshot);
+            self.propose_if_due(&snapshot);
             let limits = WaitLimits {
-                deadline: self.wait_deadline(&look),
-                // A response that takes longer than a lease is worth nothing.
-                timeout: look.lease_time(),
+                deadline: self.wait_deadline(&snapshot),
+                // A response that takes longer than a lease is useless: the lease would have expired.
+                timeout: snapshot.lease_duration(),
                 max_bytes: self.max_message_bytes,
             };
             for response in member_links::wait(&mut links, &self.wake_up, limits) {
                 let link = response.link;
-                self.handle(&mut links[link], &response, look.group_state.as_ref());
+                self.handle_response(&mut links[link], &response, snapshot.group_state.as_ref());
             }
         }
     }
 
-    /// Looks at the lease, and publishes its deadline.
-    fn look(&mut self) -> Look {
+    /// Reads the state of the lease and publishes its deadline to the guard.
+    fn take_snapshot(&mut self) -> LeaseSnapshot {
         let now = clock::now();
         let mut manager = self.lease.manager();
         let version = manager.group_state().map_or(0, |state| state.version);
         if version != self.version {
             self.version = version;
-            // A lease under the new state is needed at once.
+            // A lease under the new group state is needed immediately.
             self.renewal_due = now;
         }
         let mut recipients = Vec::new();
@@ -179,36 +182,36 @@
             recipients = manager.renewal_targets(now);
         }
         self.lease.publish(&manager, now);
-        Look {
+        LeaseSnapshot {
             now,
             renewal: GroupRequest::Renew(manager.renewal_request()),
             recipients,
-            interval: manager.renewal_interval(),
-            settle_at: manager.recovery_deadline(),
-            may_form: manager.can_form_group(now),
-            lease_until: manager.lease_deadline(),
+            renewal_interval: manager.renewal_interval(),
+            recovery_deadline: manager.recovery_deadline(),
+            can_form_group: manager.can_form_group(now),
+            lease_deadline: manager.lease_deadline(),
             group_state: manager.group_state().cloned(),
         }
     }
 
-    fn send_renewals(&mut self, links: &mut [MemberLink], look: &Look) {
-        if self.renewal_due > look.now {
+    fn send_renewals(&mut self, links: &mut [MemberLink], snapshot: &LeaseSnapshot) {
+        if self.renewal_due > snapshot.now {
             return;
         }
-        self.renewal_due = look.now + look.interval;
+        self.renewal_due = snapshot.now + snapshot.renewal_interval;
         let recipients = links
             .iter_mut()
-            .filter(|link| look.recipients.contains(&link.name) && link.is_ready(look.now));
+            .filter(|link| snapshot.recipients.contains(&link.name) && link.is_ready(snapshot.now));
         for link in recipients {
-            link.send(look.renewal.clone(), look.now);
+            link.send(snapshot.renewal.clone(), snapshot.now);
         }
     }
 
-    /// Logs that the lease was lost, or is there.
-    fn log_lease_change(&mut self, look: &Look) {
-        let has_lease = look.has_lease();
-        let first_without = self.had_lease.is_none() && !has_lease;
-        if self.had_lease == Some(has_lease) || first_without {
+    /// Logs when the lease has been acquired or lost.
+    fn log_lease_change(&mut self, snapshot: &LeaseSnapshot) {
+        let has_lease = snapshot.has_lease();
+        let never_held = self.had_lease.is_none() && !has_lease;
+        if self.had_lease == Some(has_lease) || never_held {
             return;
         }
         self.had_lease = Some(has_lease);
@@ -216,11 +219,11 @@
             (true, _) => self.log("lease held", ""),
             (false, WithoutLease::Reject) => self.log(
                 "lease lost",
-                "too few members answer: requests are turned away",
+                "too few members respond: requests are rejected",
             ),
             (false, WithoutLease::ServeLastKnown) => self.log(
                 "lease lost",
-                "too few members answer: serving on as known, and a change may be missed",
+                "too few members respond: serving under the last known state, which may miss a change",
             ),
         }
     }
@@ -236,9 +239,13 @@
         lock(&self.control).data_plane.log(&record);
     }
 
-    /// Drives the rollout that stands from here, if there is one and a lease.
-    fn drive_rollout(&self, look: &Look) {
-        let Some(state) = look.group_state.as_ref().filter(|_| look.has_lease()) else {
+    /// Starts the rollout controller if a rollout is under way and this member holds a lease.
+    fn start_rollout_controller(&self, snapshot: &LeaseSnapshot) {
+        let Some(state) = snapshot
+            .group_state
+            .as_ref()
+            .filter(|_| snapshot.has_lease())
+        else {
             return;
         };
         if rollout_under_way(state).is_none() || self.tasks.rollout.is_running() {
@@ -257,21 +264,24 @@
             .start("rollout", &self.lease, move || controller.run());
     }
 
-    /// Settles what was left half decided, or forms the group, where it is time.
-    fn propose_if_due(&mut self, look: &Look) {
+    /// Recovers an unfinished proposal or forms the group, if either is due.
+    fn propose_if_due(&mut self, snapshot: &LeaseSnapshot) {
         if self.tasks.proposing.is_running() {
             return;
         }
-        if look.settle_at.is_some_and(|at| at <= look.now) {
-            self.propose(look.group_state.as_ref(), look);
-        } else if look.may_form && self.form_at <= look.now {
-            self.form_at = look.now + look.interval;
-            self.propose(None, look);
+        if snapshot
+            .recovery_deadline
+            .is_some_and(|deadline| deadline <= snapshot.now)
+        {
+            self.propose(snapshot.group_state.as_ref(), snapshot);
+        } else if snapshot.can_form_group && self.form_at <= snapshot.now {
+            self.form_at = snapshot.now + snapshot.renewal_interval;
+            self.propose(None, snapshot);
         }
     }
 
-    /// Proposes on a thread of its own: to settle what follows `base`, or the first state of a group that has none.
-    fn propose(&self, base: Option<&Arc<GroupState>>, look: &Look) {
+    /// Runs a proposal on a separate thread: with `base`, recovers the proposal that follows `base`; without, forms the group.
+    fn propose(&self, base: Option<&Arc<GroupState>>, snapshot: &LeaseSnapshot) {
         let promised_round = lock(&self.control).promised_round();
         let outbid_by = self.tasks.highest_round.load(Ordering::Acquire);
         let ballot = Ballot {
@@ -279,7 +289,7 @@
             proposer: random_id(),
         };
         let now = clock::now();
-        // All members must take part in the first state.
+        // Every initial member must take part in forming the group.
         let mut proposer = match base {
             Some(base) => Proposer::new(base.clone(), ProposalGoal::Recover, ballot, now),
             None => Proposer::form_group(self.group.initial_members.clone(), ballot, now),
@@ -295,28 +305,33 @@
         let lease = self.lease.clone();
         let control_sockets = self.group.control_sockets.clone();
         let highest_round = self.tasks.highest_round.clone();
-        let timeout = look.lease_time() * SETTLEMENT_LEASES;
+        let timeout = snapshot.lease_duration() * RECOVERY_TIMEOUT_LEASES;
         self.tasks.proposing.start("group", &self.lease, move || {
-            let end = run_proposal(&mut proposer, &control_sockets, timeout, |_| {});
-            if let ProposalOutcome::HigherBallot(by) = end {
-                highest_round.fetch_max(by.round, Ordering::AcqRel);
+            let outcome = run_proposal(&mut proposer, &control_sockets, timeout, |_| {});
+            if let ProposalOutcome::HigherBallot(ballot) = outcome {
+                highest_round.fetch_max(ballot.round, Ordering::AcqRel);
             }
             lease.manager().postpone_recovery(clock::now());
         });
     }
 
-    /// Until when there is nothing to do, unless something comes.
-    fn wait_deadline(&self, look: &Look) -> Duration {
-        let upcoming = [look.settle_at, look.lease_until];
-        upcoming
+    /// When the next renewal, recovery or lease expiry is due.
+    fn wait_deadline(&self, snapshot: &LeaseSnapshot) -> Duration {
+        let deadlines = [snapshot.recovery_deadline, snapshot.lease_deadline];
+        deadlines
             .into_iter()
             .flatten()
-            .filter(|at| *at > look.now)
+            .filter(|deadline| *deadline > snapshot.now)
             .fold(self.renewal_due, Duration::min)
     }
 
-    /// Takes a response of another member; `state` is the group's state at the last look.
-    fn handle(&self, link: &mut MemberLink, response: &Response, state: Option<&Arc<GroupState>>) {
+    /// Handles a response from another member; `state` is the group state of the current snapshot.
+    fn handle_response(
+        &self,
+        link: &mut MemberLink,
+        response: &Response,
+        state: Option<&Arc<GroupState>>,
+    ) {
         match (&response.request, &response.response) {
             (GroupRequest::Renew { .. }, GroupResponse::Renewed { .. }) => {
                 self.handle_renewal(link, response, state)
@@ -324,9 +339,9 @@
             (
                 GroupRequest::Learn,
                 GroupResponse::State {
-                    state: Some(learnt),
+                    state: Some(learned),
                 },
-            ) => self.learn(learnt.clone()),
+            ) => self.apply_learned_state(learned.clone()),
             _ => {}
         }
     }
@@ -343,35 +358,37 @@
             return;
         };
         let now = clock::now();
-        let verdict = {
+        let result = {
             let mut manager = self.lease.manager();
             let sent = SentRenewal {
                 at: response.sent_at,
                 writes: Some(request.replica_version.writes),
             };
-            let verdict = manager.handle_response(&link.name, sent, renewed, now);
+            let result = manager.handle_response(&link.name, sent, renewed, now);
             self.lease.publish(&manager, now);
-            verdict
+            result
         };
-        match (verdict, state) {
+        match (result, state) {
             (RenewalResult::FetchState, _) => link.send(GroupRequest::Learn, now),
-            (RenewalResult::SendState, Some(state)) => link.send(decided(state.clone()), now),
+            (RenewalResult::SendState, Some(state)) => {
+                link.send(decided_request(state.clone()), now)
+            }
             (RenewalResult::StaleReplica, _) => lock(&self.control).give_up_votes(),
             _ => {}
         }
     }
 
-    /// Takes over the group's state that another member says stands, on a thread of its own.
-    fn learn(&self, state: Arc<GroupState>) {
+    /// Applies a group state that another member reports as decided, on a separate thread.
+    fn apply_learned_state(&self, state: Arc<GroupState>) {
         let control = self.control.clone();
         self.tasks.learning.start("group", &self.lease, move || {
-            lock(&control).handle_group(decided(state), "learn");
+            lock(&control).handle_group(decided_request(state), "learn");
         });
     }
 }
 
-/// Says that a state of the group is decided, and what it is.
-fn decided(state: Arc<GroupState>) -> GroupRequest {
+/// Builds the request that reports a group state as decided.
+fn decided_request(state: Arc<GroupState>) -> GroupRequest {
     GroupRequest::Decided {
         version: state.version,
         digest: state.digest.clone(),
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,13 +1,16 @@
 //! The control plane of one ingress.
 //!
-//! It runs on threads of its own, off the event loop that serves requests: reading a change of some megabytes, hashing it and
-//! waiting for the disk would delay requests. The two meet at the trait [`DataPlane`] and at the [`LeaseGuard`] alone.
+//! The control plane runs on its own threads, not on the event loop that serves requests: parsing and hashing a change of
+//! several megabytes and waiting for the disk would delay requests. The control plane and the data plane share only the trait
+//! [`DataPlane`] and the [`LeaseGuard`].
 //!
-//! A [`ControlServer`] accepts connections at a Unix socket ([`socket`]). Each request is a line of JSON, of the protocol of
-//! `wrenfork-commit` (two-phase commit, one ingress as a participant) or of `wrenfork-consensus` (a member of a group). What
-//! a request changes is written to the disk ([`durable_state`]) before it takes effect, and takes effect before it is answered.
+//! A [`ControlServer`] accepts connections on a Unix socket ([`socket`]). Each request is one line of JSON, in the protocol of
+//! `wrenfork-commit` (two-phase commit with the ingress as a participant) or of `wrenfork-consensus` (the ingress as a member
+//! of a group). A change is written to disk ([`durable_state`]) before it takes effect, and takes effect before the response is
+//! sent.
 //!
-//! A member of a group ([`group`]) admits requests only under a lease, which a thread renews at the other members.
+//! A member of a group ([`group`]) admits requests only while it holds a lease, which a background thread renews with the other
+//! members.
 
 mod audit_log;
 pub mod client;
@@ -38,7 +41,7 @@
 pub use lease_guard::LeaseGuard;
 pub use server::{max_descriptors, ControlServer, ServerConfig};
 
-/// The environment variable by which a supervisor tells a process which program it runs, written `NAME@SHA256`.
+/// Environment variable in which a supervisor passes the identity of the running program, in the form `NAME@SHA256`.
 pub const PROGRAM_VARIABLE: &str = "WRENFORK_RUNS";
-/// The environment variable by which a supervisor says that it started the process on purpose in place of another program.
+/// Environment variable that a supervisor sets when it deliberately started this process to replace another program.
 pub const REPLACEMENT_VARIABLE: &str = "WRENFORK_CHANGED";
--- a/crates/control-plane/src/member_links.rs
+++ b/crates/control-plane/src/member_links.rs
@@ -1,5 +1,5 @@
-//! Links to the other members' control sockets: each one connection that stays open, with one request in flight at most. One
-//! thread serves all of them by polling: renewals are many and small.
+//! Links to the other members' control sockets. Each link is one persistent connection with at most one request in flight. A
+//! single thread polls all links, since renewals are small and frequent.
 
 use crate::clock;
 use rustix::event::{poll, PollFd, PollFlags};
@@ -14,25 +14,25 @@
 use wrenfork_commit::protocol;
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse};
 
-/// Bytes that are read at once.
+/// Size of the read buffer in bytes.
 const READ_BYTES: usize = 16 << 10;
-/// The first delay before a socket where nobody listens is tried again; it doubles with each failure in a row.
-const FIRST_BACKOFF: Duration = Duration::from_millis(10);
-/// The longest of these delays.
+/// Base of the reconnection delay, which doubles with each consecutive failure.
+const BASE_BACKOFF: Duration = Duration::from_millis(10);
+/// Upper bound of the reconnection delay.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// Failures in a row up to which the delay doubles.
+/// Consecutive failures after which the delay stops doubling; also bounds the shift of the delay.
 const MAX_DOUBLINGS: u32 = 8;
-/// The pause where polling itself fails.
+/// Pause after `poll` fails, so that the loop does not spin.
 const POLL_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
-/// A request in flight.
+/// A request that has been sent and has no response yet.
 #[derive(Debug)]
 struct InFlight {
     request: GroupRequest,
     sent_at: Duration,
 }
 
-/// A link to one member.
+/// A persistent connection to one member's control socket.
 #[derive(Debug)]
 pub struct MemberLink {
     /// The member's name.
@@ -46,32 +46,32 @@
     retry_at: Duration,
 }
 
-/// A response that came over a link.
+/// A response received over a link.
 #[derive(Debug)]
 pub struct Response {
-    /// The link's place in the list that was waited for.
+    /// Index of the link in the slice passed to [`wait`].
     pub link: usize,
-    /// What was requested.
+    /// The request that this response answers.
     pub request: GroupRequest,
-    /// When, by [`clock::now`].
+    /// When the request was sent, by [`clock::now`].
     pub sent_at: Duration,
-    /// What came.
+    /// The decoded response.
     pub response: GroupResponse,
 }
 
-/// How long and for how much to wait.
+/// Time and size limits of [`wait`].
 #[derive(Clone, Copy, Debug)]
 pub struct WaitLimits {
-    /// Until when, by [`clock::now`].
+    /// When to stop waiting, by [`clock::now`].
     pub deadline: Duration,
-    /// How long a request may be in flight.
+    /// How long a request may stay in flight before its connection is closed.
     pub timeout: Duration,
-    /// The most bytes of a response.
+    /// Maximum size of a response in bytes.
     pub max_bytes: usize,
 }
 
 impl MemberLink {
-    /// A link to a member's socket; nothing is connected yet.
+    /// Creates a link to a member's socket; the connection is opened by the first [`MemberLink::send`].
     pub fn new(name: &str, path: PathBuf) -> MemberLink {
         MemberLink {
             name: name.into(),
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Whether a request can be sent now.
+    /// Whether a request can be sent now: none is in flight and the reconnection delay is over.
     pub fn is_ready(&self, now: Duration) -> bool {
         self.in_flight.is_none() && self.retry_at <= now
     }
 
-    /// Sends a request; its response comes by [`wait`].
+    /// Sends a request; [`wait`] returns the response.
     pub fn send(&mut self, request: GroupRequest, now: Duration) {
         if self.stream.is_none() {
             match self.connect() {
@@ -113,14 +113,14 @@
         Ok(UnixStream::from(socket))
     }
 
-    /// Closes the connection; the request in flight is lost.
+    /// Closes the connection, drops the request in flight and schedules the next attempt to connect.
     fn fail(&mut self, now: Duration) {
         self.stream = None;
         self.in_flight = None;
         self.outgoing = Vec::new();
         self.incoming = Vec::new();
         self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
-        let backoff = (FIRST_BACKOFF * (1 << self.failures)).min(MAX_BACKOFF);
+        let backoff = (BASE_BACKOFF * (1 << self.failures)).min(MAX_BACKOFF);
         self.retry_at = now + backoff;
     }
 
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Reads what has come; the response once it is complete. One that is none, or longer than `max_bytes`, closes the
-    /// connection.
+    /// Reads available bytes and returns the response once it is complete. An invalid response, or one longer than
+    /// `max_bytes`, closes the connection.
     fn read(&mut self, now: Duration, max_bytes: usize) -> Option<(InFlight, GroupResponse)> {
         match self.read_line(max_bytes) {
             ReadLine::Incomplete => return None,
@@ -150,7 +150,7 @@
                     self.failures = 0;
                     return Some((in_flight, response));
                 }
-                // Another version, or another program: as if nobody were there.
+                // The peer speaks another protocol version or is another program: treat it as unreachable.
                 self.fail(now);
             }
         }
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Closes the connection where the request in flight has had no response for too long.
+    /// Closes the connection if the request in flight has timed out.
     fn expire(&mut self, now: Duration, timeout: Duration) {
         let in_flight = self.in_flight.as_ref();
         if in_flight.is_some_and(|request| now > request.sent_at + timeout) {
@@ -191,16 +191,17 @@
     }
 }
 
+/// The result of reading from a link.
 enum ReadLine {
     Complete(String),
     Incomplete,
     Failed,
 }
 
-/// Waits until a response comes, `wake_up` becomes readable, or time is over; the responses that came.
+/// Waits until a response arrives, `wake_up` becomes readable, or the deadline has passed. Returns the received responses.
 pub fn wait(links: &mut [MemberLink], wake_up: &UnixStream, limits: WaitLimits) -> Vec<Response> {
     poll_links(links, wake_up, limits);
-    // It does not block; that something came is all that it says.
+    // Drain the wake-up bytes; the socket is nonblocking, and the bytes carry no information.
     let _ = (&*wake_up).read(&mut [0; 64]);
     let now = clock::now();
     let mut responses = Vec::new();
@@ -208,11 +209,11 @@
         .iter_mut()
         .enumerate()
         .filter(|(_, link)| link.in_flight.is_some());
-    for (place, link) in in_flight {
+    for (index, link) in in_flight {
         link.write(now);
         if let Some((InFlight { request, sent_at }, response)) = link.read(now, limits.max_bytes) {
             responses.push(Response {
-                link: place,
+                link: index,
                 request,
                 sent_at,
                 response,
@@ -227,13 +228,13 @@
     let waiting = links.iter().filter(|link| link.in_flight.is_some());
     let mut descriptors: Vec<PollFd> = waiting.filter_map(poll_descriptor).collect();
     descriptors.push(PollFd::new(wake_up, PollFlags::IN));
-    let expires = links
+    let earliest_expiry = links
         .iter()
         .filter_map(|link| link.in_flight.as_ref())
         .map(|request| request.sent_at + limits.timeout)
         .min();
-    let deadline = expires.map_or(limits.deadline, |at| at.min(limits.deadline));
-    // A millisecond more: the time that is waited for is over then, whatever the clock's steps.
+    let deadline = earliest_expiry.map_or(limits.deadline, |at| at.min(limits.deadline));
+    // One extra millisecond, so that the deadline has passed on return whatever the clock's resolution.
     let remaining = deadline.saturating_sub(clock::now()) + Duration::from_millis(1);
     let remaining = Timespec {
         tv_sec: remaining.as_secs() as i64,
--- a/crates/control-plane/src/rollout_controller.rs
+++ b/crates/control-plane/src/rollout_controller.rs
@@ -1,8 +1,8 @@
-//! Drives the rollout that stands in a group, on a thread of its own: looks at all members once a second, has `wrenfork-rollout`
-//! judge, and has the group decide what that wants.
+//! Drives the current rollout of a group on a separate thread. Once a second, the controller collects metrics from all members,
+//! passes them to `wrenfork-rollout`, and proposes the resulting step to the group.
 //!
-//! The voters have an order drawn by the rollout; the first of them that has a lease drives. Two that both believe to be it do no
-//! harm: what they want has one version, and is decided once.
+//! The rollout's id determines an order of the voters; the first voter in that order that holds a lease drives the rollout. If two
+//! members drive at the same time, no harm is done: both propose the same version of the group state, and only one is decided.
 
 use crate::audit_log::ROLLOUT_RECORD;
 use crate::client;
@@ -25,16 +25,16 @@
 use wrenfork_consensus::protocol::{Ballot, GroupRequest, GroupResponse};
 use wrenfork_rollout::{Observations, Rollout, RolloutPhase, StageMonitor};
 
-/// Between two looks. A block of the comparison is as long at the least.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a look waits for a member: half the time to the next one.
+/// Interval between two observations of the members; also the minimum length of a block of the comparison.
+const OBSERVATION_INTERVAL: Duration = Duration::from_secs(1);
+/// How long an observation waits for a member: half of [`OBSERVATION_INTERVAL`].
 const MEMBER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Between two looks at whether the rollout still stands.
+/// Interval of the checks whether the rollout's group state is still in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Leases in which a step must have been decided, or it is proposed anew.
-const DECISION_LEASES: u32 = 4;
+/// Timeout of the proposal of a step, in lease durations; the step is proposed again afterwards.
+const DECISION_TIMEOUT_LEASES: u32 = 4;
 
-/// The rollout of a group's state, if there is something to drive.
+/// The rollout of a group state, if it is active or being rolled back.
 pub fn rollout_under_way(state: &GroupState) -> Option<&Rollout> {
     let rollout = state.rollout.as_deref()?;
     matches!(
@@ -44,71 +44,71 @@
     .then_some(rollout)
 }
 
-/// All that the thread works with.
+/// Drives one rollout from this member.
 pub struct RolloutController<D> {
     /// This member's name.
     pub name: String,
-    /// The group's state whose rollout it is.
+    /// The group state that contains the rollout.
     pub group_state: Arc<GroupState>,
-    /// The members' control sockets, this one's among them.
+    /// Control sockets by member name, including this member's own.
     pub control_sockets: BTreeMap<String, PathBuf>,
     pub lease: Arc<SharedLease>,
     pub control: Arc<Mutex<ControlState<D>>>,
-    /// The most bytes of a response.
+    /// Maximum size of a response in bytes.
     pub max_message_bytes: usize,
 }
 
-/// The connections to the members that serve.
+/// Connections to the members that serve requests (not to witnesses).
 struct Links {
     links: Vec<MemberLink>,
     wake_up: UnixStream,
-    /// Nothing is written to it: it keeps `wake_up` silent for as long as it is open.
+    /// The other end of `wake_up`. Never written to, but kept open so that `wake_up` does not become readable.
     _wake: UnixStream,
 }
 
 impl<D: DataPlane> RolloutController<D> {
-    /// Drives until another state stands in the group, or this member ends.
+    /// Drives the rollout until another group state is in force or this member's lease is closed.
     pub fn run(self) {
         let Some(rollout) = rollout_under_way(&self.group_state).cloned() else {
             return;
         };
-        let Some(mut links) = self.links() else {
+        let Some(mut links) = self.create_links() else {
             return;
         };
         let mut monitor: Option<StageMonitor> = None;
         let mut highest_round = 0;
-        while self.stands() {
+        while self.is_current() {
             let started = clock::now();
-            if self.lease.remaining_ms().is_none() || self.is_led_by_another(&rollout) {
-                // What another sees meanwhile is not known here.
+            if self.lease.remaining_ms().is_none() || self.is_driven_by_another(&rollout) {
+                // The observations of the other driver are not known here, so start anew after it.
                 monitor = None;
             } else {
-                let seen = self.look(&mut links);
+                let observations = self.observe(&mut links);
                 let monitor = monitor.get_or_insert_with(|| {
                     self.log(&rollout.phase.to_string(), "driven from here");
                     StageMonitor::new(rollout.clone(), self.group_state.version, started)
                 });
-                let next = monitor.look(clock::now(), &seen);
-                self.grant_turns(&rollout, monitor.take_turns(&seen));
-                if let Some(next) = next {
-                    highest_round = self.decide(next, highest_round);
+                let next_step = monitor.look(clock::now(), &observations);
+                self.grant_turns(&rollout, monitor.take_turns(&observations));
+                if let Some(next_step) = next_step {
+                    highest_round = self.propose_step(next_step, highest_round);
                 }
             }
-            self.wait_until(started + LOOK_INTERVAL);
+            self.wait_until(started + OBSERVATION_INTERVAL);
         }
     }
 
-    fn links(&self) -> Option<Links> {
+    fn create_links(&self) -> Option<Links> {
         let (wake, wake_up) = UnixStream::pair().ok()?;
         wake_up.set_nonblocking(true).ok()?;
-        let serves = |name: &str| {
+        let is_ingress = |name: &str| {
             let member = self.group_state.membership.member(name);
             member.is_some_and(|member| member.role == MemberRole::Ingress)
         };
         let links = self
             .control_sockets
             .iter()
-            .filter(|(name, _)| serves(name))
+            .filter(|(name, _)| is_ingress(name))
             .map(|(name, path)| MemberLink::new(name, path.clone()))
             .collect();
         Some(Links {
@@ -119,13 +119,13 @@
     }
 
     fn wait_until(&self, deadline: Duration) {
-        while clock::now() < deadline && self.stands() {
+        while clock::now() < deadline && self.is_current() {
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Whether what is driven still stands.
-    fn stands(&self) -> bool {
+    /// Whether the rollout's group state is still in force and the lease is open.
+    fn is_current(&self) -> bool {
         !self.lease.is_closed() && self.lease.group_version() == self.group_state.version
     }
 
@@ -140,19 +140,20 @@
         lock(&self.control).data_plane.log(&record);
     }
 
-    /// Whether a voter that comes before this one in the order has a lease.
-    fn is_led_by_another(&self, rollout: &Rollout) -> bool {
-        let lot = |name: &str| Digest::of(format!("{:?} drives {name}", rollout.id).as_bytes());
-        let own_lot = lot(&self.name);
+    /// Whether a voter that precedes this member in the rollout's order holds a lease.
+    fn is_driven_by_another(&self, rollout: &Rollout) -> bool {
+        let order_key =
+            |name: &str| Digest::of(format!("{:?} drives {name}", rollout.id).as_bytes());
+        let own_key = order_key(&self.name);
         let voters = self.group_state.membership.voters();
-        let before: Vec<&PathBuf> = voters
-            .filter(|voter| lot(&voter.name) < own_lot)
+        let earlier_sockets: Vec<&PathBuf> = voters
+            .filter(|voter| order_key(&voter.name) < own_key)
             .filter_map(|voter| self.control_sockets.get(&voter.name))
             .collect();
         std::thread::scope(|scope| {
-            let queries: Vec<_> = before
+            let queries: Vec<_> = earlier_sockets
                 .iter()
-                .map(|path| scope.spawn(|| self.may_lead(path)))
+                .map(|path| scope.spawn(|| self.may_drive(path)))
                 .collect();
             queries
                 .into_iter()
@@ -160,8 +161,8 @@
         })
     }
 
-    /// Whether the member at a socket is under the same state of the group and has a lease.
-    fn may_lead(&self, path: &Path) -> bool {
+    /// Whether the member at a socket has the same group state in force and holds a lease.
+    fn may_drive(&self, path: &Path) -> bool {
         match client::request(path, &GroupRequest::Status, MEMBER_TIMEOUT) {
             Ok(GroupResponse::Status(status)) => {
                 status.version == self.group_state.version && status.lease_ms.is_some()
@@ -170,11 +171,11 @@
         }
     }
 
-    /// What each member that serves has counted so far, or that it does not answer.
-    fn look(&self, links: &mut Links) -> Observations {
+    /// Collects the metrics of each serving member; `None` for a member that does not respond in time.
+    fn observe(&self, links: &mut Links) -> Observations {
         let started = clock::now();
         let names = links.links.iter().map(|link| link.name.clone());
-        let mut seen: Observations = names.map(|name| (name, None)).collect();
+        let mut observations: Observations = names.map(|name| (name, None)).collect();
         let mut outstanding = 0;
         for link in links.links.iter_mut().filter(|l| l.is_ready(started)) {
             link.send(GroupRequest::Tally, started);
@@ -194,16 +195,16 @@
                     response,
                     ..
                 } = response;
-                // What was requested before this look is too old to be compared with the others'.
+                // The response to an earlier observation is too old to compare with the other members' metrics.
                 if let (GroupResponse::Tallied(tally), true) = (response, sent_at >= started) {
-                    seen.insert(links.links[link].name.clone(), Some(*tally));
+                    observations.insert(links.links[link].name.clone(), Some(*tally));
                 }
             }
         }
-        seen
+        observations
     }
 
-    /// Tells members that it is their turn to change their program.
+    /// Grants members their turn to change their program.
     fn grant_turns(&self, rollout: &Rollout, members: Vec<String>) {
         let turn = GroupRequest::UpgradeTurn {
             version: self.group_state.version,
@@ -212,24 +213,24 @@
             let Some(path) = self.control_sockets.get(&name) else {
                 continue;
             };
-            // One that is not reached is told at the next look.
+            // A member that can't be reached is granted its turn at the next observation.
             if let Ok(GroupResponse::Acknowledged) = client::request(path, &turn, MEMBER_TIMEOUT) {
-                let why = format!("{name}'s turn to change its program");
-                self.log(&rollout.phase.to_string(), &why);
+                let detail = format!("{name}'s turn to change its program");
+                self.log(&rollout.phase.to_string(), &detail);
             }
         }
     }
 
-    /// Has the group decide a step; the highest round of a ballot that was heard of.
-    fn decide(&self, next: Rollout, highest_round: u64) -> u64 {
-        let (what, why) = (next.phase.to_string(), next.reason.clone());
+    /// Proposes a step to the group. Returns the highest ballot round seen so far.
+    fn propose_step(&self, next_step: Rollout, highest_round: u64) -> u64 {
+        let (phase, reason) = (next_step.phase.to_string(), next_step.reason.clone());
         let state = match self
             .group_state
-            .with_rollout(&self.group_state.author, next)
+            .with_rollout(&self.group_state.author, next_step)
         {
             Ok(state) => Arc::new(state),
             Err(error) => {
-                self.log(&what, &format!("can't be: {error}"));
+                self.log(&phase, &format!("the step is invalid: {error}"));
                 return highest_round;
             }
         };
@@ -240,18 +241,18 @@
         };
         let base = self.group_state.clone();
         let mut proposer = Proposer::new(base, ProposalGoal::Change(state), ballot, clock::now());
-        let timeout = self.group_state.membership.lease() * DECISION_LEASES;
+        let timeout = self.group_state.membership.lease() * DECISION_TIMEOUT_LEASES;
         match run_proposal(&mut proposer, &self.control_sockets, timeout, |_| {}) {
-            ProposalOutcome::Committed => self.log(&what, &why),
-            ProposalOutcome::HigherBallot(by) => return by.round,
+            ProposalOutcome::Committed => self.log(&phase, &reason),
+            ProposalOutcome::HigherBallot(ballot) => return ballot.round,
             ProposalOutcome::Rejected(members) => {
                 let reasons: Vec<String> = members
                     .into_iter()
                     .map(|member| format!("{}: {}", member.member, member.reason))
                     .collect();
-                self.log(&what, &format!("refused: {}", reasons.join("; ")));
+                self.log(&phase, &format!("rejected: {}", reasons.join("; ")));
             }
-            // Somebody else was first, or the members settle it; either way it shows in what stands.
+            // Another proposal was first, or the members recover this one. Either way the group state in force shows the outcome.
             ProposalOutcome::NoQuorum { .. }
             | ProposalOutcome::Superseded(_)
             | ProposalOutcome::TimedOut => {}
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -1,4 +1,4 @@
-//! The control server: opens the connections of the control socket, and ends or hands over the control plane.
+//! The control server: accepts connections on the control socket, and shuts down or hands over the control plane.
 
 use crate::audit_log;
 use crate::clock;
@@ -23,51 +23,51 @@
 use wrenfork_consensus::membership::MemberRole;
 use wrenfork_consensus::protocol::EnforcedState;
 
-/// Connections that are served at once, besides one for each other member of the group.
+/// Maximum number of concurrent connections, in addition to one for each member of the group.
 const MAX_CONNECTIONS: usize = 8;
-/// Descriptors for each member: a connection from it, one to it, and one of a rollout that is driven here.
+/// File descriptors per member: one connection from the member, one to the member, and one of the rollout controller.
 const DESCRIPTORS_PER_MEMBER: usize = 3;
-/// How long a handover waits for a request that is carried out: the next process waits for a second at each step.
+/// How long a handover waits for a request in progress. Must be well below the one second that the successor waits per step.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Between two attempts of a handover to have the lock.
-const HANDOVER_RETRY: Duration = Duration::from_millis(1);
+/// Delay between two attempts of a handover to acquire the lock.
+const HANDOVER_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// What a control server is started with.
+/// Configuration of a [`ControlServer`].
 pub struct ServerConfig<D> {
     /// The ingress's name.
     pub name: String,
-    /// The control socket.
+    /// The bound control socket.
     pub socket: BoundSocket,
-    /// What is remembered.
+    /// The durable state of this ingress.
     pub durable: DurableState,
-    /// What serves requests.
+    /// The data plane that enforces states.
     pub data_plane: D,
-    /// The most bytes of a message.
+    /// Maximum size of a message in bytes.
     pub max_message_bytes: usize,
-    /// The group that the ingress is a member of, if it is.
+    /// The group configuration; `None` if the ingress is not a member of a group.
     pub group: Option<GroupConfig>,
 }
 
-/// The control plane of an ingress.
+/// A running control plane of an ingress.
 pub struct ControlServer<D> {
     state: Arc<Mutex<ControlState<D>>>,
     lease: Option<Arc<SharedLease>>,
     socket_file: SocketFile,
 }
 
-/// A member at its start, with the socket that wakes its renewing thread.
-struct JoinedMember {
+/// A group member at its start, with the socket that wakes its lease renewer.
+struct StartedMember {
     member: GroupMember,
     wake_up: UnixStream,
 }
 
-/// The descriptors that a member of a group of that size may take.
+/// Maximum number of file descriptors that the control plane uses in a group of `members` members.
 pub fn max_descriptors(members: usize) -> usize {
     MAX_CONNECTIONS + DESCRIPTORS_PER_MEMBER * members
 }
 
 impl<D: DataPlane> ControlServer<D> {
-    /// Serves the socket from now on, and renews the lease of a member of a group.
+    /// Starts serving the control socket and, for a group member, renewing its lease.
     ///
     /// # Errors
     ///
@@ -81,14 +81,16 @@
             max_message_bytes,
             group,
         } = config;
-        let joined = match &group {
-            Some(group) => Some(join(&name, &mut durable, group, &data_plane)?),
+        let started = match &group {
+            Some(group) => Some(start_member(&name, &mut durable, group, &data_plane)?),
             None => None,
         };
-        let (member, wake_up) = joined.map(|j| (j.member, j.wake_up)).unzip();
+        let (member, wake_up) = started
+            .map(|started| (started.member, started.wake_up))
+            .unzip();
         let lease = member.as_ref().map(|member| member.lease.clone());
         let state = Arc::new(Mutex::new(ControlState {
-            participant: Participant::new(&name, durable.memory().clone()),
+            participant: Participant::new(&name, durable.participant().clone()),
             name,
             member,
             durable,
@@ -97,7 +99,7 @@
             max_message_bytes,
             unfit_program: None,
         }));
-        let peers = group
+        let member_count = group
             .as_ref()
             .map_or(0, |group| group.control_sockets.len());
         if let (Some(lease), Some(wake_up), Some(group)) = (&lease, wake_up, group) {
@@ -109,7 +111,8 @@
             lease: lease.clone(),
         };
         let listener = socket.listener;
-        let accept = move || accept_connections(&listener, &handler, MAX_CONNECTIONS + peers);
+        let accept =
+            move || accept_connections(&listener, &handler, MAX_CONNECTIONS + member_count);
         spawn_background("control", accept).map_err(StartError::Thread)?;
         Ok(ControlServer {
             state,
@@ -118,27 +121,27 @@
         })
     }
 
-    /// The guard of requests, where the ingress is a member of a group.
+    /// The guard that admits requests under the lease; `None` if the ingress is not a member of a group.
     pub fn lease_guard(&self) -> Option<LeaseGuard> {
         self.lease.as_ref().map(|lease| lease.guard())
     }
 
-    /// Hands the control plane over to the next process of this ingress. `transfer` does it, with the lease as it stands:
-    /// while it runs nothing is promised, written or enforced here, and if it succeeds nothing ever is again. `meanwhile` is
-    /// called while a request is carried out, which may wait for the event loop.
+    /// Hands the control plane over to the successor. `transfer` sends the state, including the given lease. While `transfer`
+    /// runs, this process promises, writes and enforces nothing; if it succeeds, this process never does so again.
+    /// `while_waiting` is called repeatedly while a request is in progress, since that request may wait for the event loop.
     ///
     /// # Errors
     ///
-    /// Where `transfer` fails, or a request takes too long: all goes on as before.
+    /// If `transfer` fails, or a request takes too long. The control plane then continues as before.
     pub fn hand_over<T, E>(
         &self,
-        meanwhile: impl FnMut(),
+        while_waiting: impl FnMut(),
         transfer: impl FnOnce(Option<InheritedLease>) -> Result<T, E>,
     ) -> Result<T, HandoverError<E>> {
         let mut state = self
-            .lock_within(HANDOVER_TIMEOUT, meanwhile)
+            .lock_within(HANDOVER_TIMEOUT, while_waiting)
             .ok_or(HandoverError::Busy)?;
-        let lease = self.lease.as_ref().map(|lease| lease.to_inherit());
+        let lease = self.lease.as_ref().map(|lease| lease.inherited_lease());
         let transferred = transfer(lease).map_err(HandoverError::Transfer)?;
         self.shut_down(&mut state);
         Ok(transferred)
@@ -147,7 +150,7 @@
     fn lock_within(
         &self,
         timeout: Duration,
-        mut meanwhile: impl FnMut(),
+        mut while_waiting: impl FnMut(),
     ) -> Option<MutexGuard<'_, ControlState<D>>> {
         let deadline = clock::now() + timeout;
         loop {
@@ -155,15 +158,16 @@
                 Ok(state) => return Some(state),
                 Err(TryLockError::Poisoned(state)) => return Some(PoisonError::into_inner(state)),
                 Err(TryLockError::WouldBlock) if clock::now() < deadline => {
-                    meanwhile();
-                    std::thread::sleep(HANDOVER_RETRY);
+                    while_waiting();
+                    std::thread::sleep(HANDOVER_RETRY_DELAY);
                 }
                 Err(TryLockError::WouldBlock) => return None,
             }
         }
     }
 
-    /// Ends the grants first, then closes the store, whose lock is what the next process waits for.
+    /// Stops granting leases before closing the store: the successor waits for the store's lock, so it starts only once this
+    /// process grants nothing more.
     fn shut_down(&self, state: &mut ControlState<D>) {
         if let Some(lease) = &self.lease {
             lease.close();
@@ -172,14 +176,14 @@
         self.socket_file.remove();
     }
 
-    /// Ends the control plane: requests are rejected from now on, the store is closed, and the socket's file is removed if it
-    /// is still this one's.
+    /// Shuts the control plane down: rejects requests from now on, closes the store, and removes the socket file unless it has
+    /// been replaced.
     pub fn close(self) {
         self.shut_down(&mut lock(&self.state));
     }
 }
 
-/// Accepts connections, each served by a thread of its own.
+/// Accepts connections and serves each on its own thread.
 fn accept_connections<D: DataPlane>(
     listener: &UnixListener,
     handler: &ConnectionHandler<D>,
@@ -196,62 +200,63 @@
         };
         let handler = handler.clone();
         let serve = move || {
-            // A connection that breaks is made again by its peer.
+            // If the connection fails, the peer reconnects.
             let _ = handler.serve(&connection);
         };
-        // Where the system gives no thread, the connection ends.
+        // If no thread can be spawned, the connection is dropped and closed.
         let _ = spawn_background("control", serve);
     }
 }
 
-/// What a member starts with: what it has promised, if the folder is its own, and that it has started again, written down.
-fn join<D: DataPlane>(
+/// Restores a member from its stored state, if the folder belongs to this member, and records the start by increasing the write
+/// count.
+fn start_member<D: DataPlane>(
     name: &str,
     durable: &mut DurableState,
     group: &GroupConfig,
     data_plane: &D,
-) -> Result<JoinedMember, StartError> {
+) -> Result<StartedMember, StartError> {
     let stored = stored_member(name, durable, data_plane)?;
-    let memory = PersistentState {
+    let persistent = PersistentState {
         writes: stored.writes + 1,
         ..stored
     };
     durable.commit(&Update {
-        member: Some(&memory),
+        member: Some(&persistent),
         ..Update::default()
     })?;
     let member = group.initial_members.member(name);
-    let serves = member.is_none_or(|member| member.role == MemberRole::Ingress);
-    let enforced = durable.memory();
-    let own = serves.then(|| EnforcedState {
-        generation: enforced.enforced.number,
-        state: enforced.state.clone(),
+    let is_ingress = member.is_none_or(|member| member.role == MemberRole::Ingress);
+    let participant = durable.participant();
+    let enforced_state = is_ingress.then(|| EnforcedState {
+        generation: participant.enforced.number,
+        state: participant.state.clone(),
     });
-    let NewLease { lease, wake_up } = SharedLease::start(name, &memory, group)?;
-    let version_at_start = memory.version();
+    let NewLease { lease, wake_up } = SharedLease::start(name, &persistent, group)?;
+    let version_at_start = persistent.version();
     let member = GroupMember {
-        acceptor: Acceptor::new(memory, own),
+        acceptor: Acceptor::new(persistent, enforced_state),
         lease,
         version_at_start,
         turn_version: 0,
     };
-    Ok(JoinedMember { member, wake_up })
+    Ok(StartedMember { member, wake_up })
 }
 
-/// What a member has promised; nothing where the folder is another member's or none's yet.
+/// Reads the member's persistent state; a new one with a new replica id if the folder is empty or belongs to another member.
 fn stored_member<D: DataPlane>(
     name: &str,
     durable: &DurableState,
     data_plane: &D,
 ) -> Result<PersistentState, StartError> {
     match durable.member()? {
-        Some(memory) if memory.name == name => return Ok(memory),
+        Some(stored) if stored.name == name => return Ok(stored),
         Some(other) => {
-            let why = format!(
-                "the folder is {}'s: it is used as an empty one, without a vote",
+            let detail = format!(
+                "the state folder belongs to member {}: treating it as empty, without a vote",
                 other.name
             );
-            data_plane.log(&audit_log::record("group", why));
+            data_plane.log(&audit_log::new_record("group", detail));
         }
         None => {}
     }
--- a/crates/control-plane/src/shared_lease.rs
+++ b/crates/control-plane/src/shared_lease.rs
@@ -1,8 +1,8 @@
-//! The lease of a member, as the threads of the control plane share it.
+//! A member's lease, shared by the threads of the control plane.
 //!
 //! A lease is a promise for a limited time (Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed
-//! File Cache Consistency", SOSP 1989). Here a majority of the members promises to decide nothing new before it has run out;
-//! the rules are those of `wrenfork_consensus::lease`.
+//! File Cache Consistency", SOSP 1989). Here a majority of the members promises not to decide a new group state before the
+//! lease expires. The rules are implemented in `wrenfork_consensus::lease`.
 
 use crate::clock::{self, micros, millis};
 use crate::error::StartError;
@@ -19,15 +19,16 @@
 use wrenfork_consensus::lease::LeaseManager;
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse};
 
-/// Leases after its start in which a member that serves on without a lease waits for one.
+/// Lease durations that a member with [`WithoutLease::ServeLastKnown`] waits for a lease after its start, before it serves
+/// without one.
 const CATCH_UP_LEASES: u32 = 2;
 
-/// A random number, never 0.
+/// Returns a random nonzero id.
 pub fn random_id() -> u64 {
     RandomState::new().hash_one(0) | 1
 }
 
-/// A member's lease, and what wakes the thread that renews it.
+/// A member's lease, with the socket that wakes the lease renewer.
 #[derive(Debug)]
 pub struct SharedLease {
     manager: Mutex<LeaseManager>,
@@ -38,18 +39,18 @@
     closed: AtomicBool,
 }
 
-/// A lease together with the socket that becomes readable when its renewing thread is to look again.
+/// A lease together with the socket that becomes readable when the lease renewer must check the lease again.
 pub struct NewLease {
     pub lease: Arc<SharedLease>,
     pub wake_up: UnixStream,
 }
 
 impl SharedLease {
-    /// Of a member that starts with this persistent state.
+    /// Creates the lease of a member that starts with the given persistent state.
     ///
     /// # Errors
     ///
-    /// [`StartError::WakeUp`] where the system gives no sockets.
+    /// [`StartError::WakeUp`] if the pair of wake-up sockets can't be created.
     pub fn start(
         name: &str,
         member: &PersistentState,
@@ -64,14 +65,19 @@
             let version = inherited.map_or(0, |lease| lease.group_version);
             manager.inherit_lease(version, expires_at);
         }
-        // One that was serving on without a lease goes on so.
-        let was_without = inherited.is_some_and(|lease| lease.admission_deadline == NO_DEADLINE);
+        // If the predecessor served without a lease, this process does so at once, without waiting for a lease first.
+        let served_without_lease =
+            inherited.is_some_and(|lease| lease.admission_deadline == NO_DEADLINE);
         let guard = LeaseGuard::new(0, millis(manager.renewal_interval()));
         let lease = SharedLease {
             manager: Mutex::new(manager),
             guard,
             without_lease: group.without_lease,
-            started: if was_without { Duration::ZERO } else { now },
+            started: if served_without_lease {
+                Duration::ZERO
+            } else {
+                now
+            },
             wake,
             closed: AtomicBool::new(false),
         };
@@ -82,29 +88,29 @@
         })
     }
 
-    /// The rules of the lease, locked.
+    /// Locks the lease manager.
     pub fn manager(&self) -> MutexGuard<'_, LeaseManager> {
         self.manager.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The guard of requests under this lease.
+    /// The guard that admits requests under this lease.
     pub fn guard(&self) -> LeaseGuard {
         self.guard.clone()
     }
 
-    /// The group's state that stands, as the lease knows it.
+    /// The group state in force, as known to the lease manager.
     pub fn group_state(&self) -> Option<Arc<GroupState>> {
         self.manager().group_state().cloned()
     }
 
-    /// The version of the group's state that stands; 0 where none does.
+    /// The version of the group state in force; 0 if there is none.
     pub fn group_version(&self) -> u64 {
         self.manager()
             .group_state()
             .map_or(0, |state| state.version)
     }
 
-    /// Moves the deadline of the guard to what the lease says now.
+    /// Sets the guard's deadline from the lease manager.
     pub fn publish(&self, manager: &LeaseManager, now: Duration) {
         let catch_up = manager.renewal_interval() * RENEWALS_PER_LEASE * CATCH_UP_LEASES;
         let caught_up = now >= self.started + catch_up;
@@ -115,8 +121,8 @@
         self.guard.set_deadline(deadline);
     }
 
-    /// Follows the member's persistent state after a change of it, or after a change that failed.
-    pub fn follow(&self, member: &PersistentState) {
+    /// Updates the lease from the member's persistent state, after a change was made or has failed, and wakes the renewer.
+    pub fn apply_state(&self, member: &PersistentState) {
         let now = clock::now();
         let mut manager = self.manager();
         manager.apply_state(member, now);
@@ -125,18 +131,18 @@
         self.wake();
     }
 
-    /// Wakes the thread that renews.
+    /// Wakes the lease renewer.
     pub fn wake(&self) {
-        // A full buffer means that it is awake already.
+        // If the buffer is full, a wake-up is already pending.
         let _ = (&self.wake).write(&[0]);
     }
 
-    /// Whether [`SharedLease::close`] was called.
+    /// Whether [`SharedLease::close`] has been called.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::Acquire)
     }
 
-    /// Ends the lease. Nothing is granted to other members any more once this has returned.
+    /// Closes the lease: after this returns, no more leases are granted to other members.
     pub fn close(&self) {
         let manager = self.manager();
         self.closed.store(true, Ordering::Release);
@@ -144,24 +150,24 @@
         self.wake();
     }
 
-    /// Answers another member's renewal.
-    pub fn renew(&self, request: &GroupRequest) -> GroupResponse {
+    /// Handles a lease renewal request from another member.
+    pub fn handle_renewal(&self, request: &GroupRequest) -> GroupResponse {
         let GroupRequest::Renew(renewal) = request else {
             return GroupResponse::Rejected {
-                reason: "this is no renewal".into(),
+                reason: "not a lease renewal request".into(),
             };
         };
         let mut manager = self.manager();
         if self.is_closed() {
             return GroupResponse::Rejected {
-                reason: "it is stopping".into(),
+                reason: "the control plane is stopping".into(),
             };
         }
         GroupResponse::Renewed(manager.handle_renewal(renewal, clock::now()))
     }
 
-    /// The lease as it stands now, for the next process of this member.
-    pub fn to_inherit(&self) -> InheritedLease {
+    /// The current lease, in the form that is passed to the successor.
+    pub fn inherited_lease(&self) -> InheritedLease {
         let manager = self.manager();
         InheritedLease {
             group_version: manager.group_state().map_or(0, |state| state.version),
@@ -170,7 +176,7 @@
         }
     }
 
-    /// Milliseconds for which this member may still serve by its lease; none where it has none.
+    /// Milliseconds until the lease expires; `None` without a valid lease.
     pub fn remaining_ms(&self) -> Option<u64> {
         let remaining = self.manager().lease_deadline()?.checked_sub(clock::now())?;
         Some(millis(remaining)).filter(|ms| *ms > 0)
--- a/crates/control-plane/src/socket.rs
+++ b/crates/control-plane/src/socket.rs
@@ -1,5 +1,5 @@
-//! A Unix socket that only its owner may use, from the first moment on. One that a crash left behind is replaced, a live one is
-//! not, and at the end the file is removed only if it is still the same.
+//! A Unix socket whose file mode is in effect before any client can connect. A socket file left by a crash is replaced, one in use
+//! is not, and on shutdown the file is removed only if it is still the one created here.
 
 use rustix::fs::{flock, FlockOperation};
 use std::fs::{self, File, OpenOptions, Permissions};
@@ -8,46 +8,46 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
-/// The mode of the lock file.
+/// File mode of the lock file.
 const LOCK_MODE: u32 = 0o600;
 
-/// Why a socket can't be listened at.
+/// Why a process can't listen on a socket path.
 #[derive(Debug, thiserror::Error)]
 pub enum SocketError {
-    /// Another process listens at the path.
+    /// Another process listens on this path.
     #[error("{}: another process listens there", path.display())]
     InUse {
-        /// The path.
+        /// The socket's path.
         path: PathBuf,
     },
-    /// The path names a file that is no socket.
-    #[error("{}: something that is no socket is there", path.display())]
+    /// The path names a file that is not a socket.
+    #[error("{}: the file at this path is not a socket", path.display())]
     NotASocket {
-        /// The path.
+        /// The socket's path.
         path: PathBuf,
     },
-    /// The system refuses a step.
+    /// A system call failed.
     #[error("{}: {step}: {source}", path.display())]
     Io {
-        /// The path.
+        /// The socket's path.
         path: PathBuf,
-        /// The step, in words.
+        /// The step that failed, as shown in the message.
         step: &'static str,
-        /// The error.
+        /// The underlying I/O error.
         source: io::Error,
     },
 }
 
-/// A listener together with its file.
+/// A listener together with its socket file.
 #[derive(Debug)]
 pub struct BoundSocket {
-    /// Accepts connections.
+    /// The listener of the socket.
     pub listener: UnixListener,
-    /// The file, locked for as long as this exists.
+    /// The socket file, locked until this value is dropped.
     pub file: SocketFile,
 }
 
-/// Which file it is, whatever its name.
+/// Identifies a file independently of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileId {
     device: u64,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The file of a socket.
+/// The file of a bound socket, with the lock that protects the path.
 #[derive(Debug)]
 pub struct SocketFile {
     path: PathBuf,
@@ -73,7 +73,7 @@
 }
 
 impl SocketFile {
-    /// Removes the file, unless another has taken its place.
+    /// Removes the socket file, unless it has been replaced by another file.
     pub fn remove(&self) {
         if FileId::of(&self.path).is_ok_and(|found| found == self.created) {
             let _ = fs::remove_file(&self.path);
@@ -81,24 +81,26 @@
     }
 }
 
-/// Listens at a path, with a mode that holds before anybody can connect.
+/// Listens on a Unix socket at `path`, whose file mode is set before any client can connect.
 ///
 /// # Errors
 ///
 /// See [`SocketError`].
 pub fn listen(path: &Path, mode: u32) -> Result<BoundSocket, SocketError> {
-    // Held for as long as the socket is: of two that start at once, not both may find the old one dead.
+    // Held as long as the socket exists: otherwise two processes that start together could both find the old socket stale
+    // and replace it.
     let lock = lock(path)?;
     check_replaceable(path)?;
-    // Bound under another name, so that its mode is set before it has the one that others know.
+    // Bound under a temporary name, so that the mode is set before the socket appears under its real name.
     let temporary = with_suffix(path, ".new");
     remove_leftover(path, &temporary)?;
-    let failed = |step| move |source| io_error(path, step, source);
-    let listener = UnixListener::bind(&temporary).map_err(failed("cannot listen"))?;
+    let error_in = |step| move |source| io_error(path, step, source);
+    let listener = UnixListener::bind(&temporary).map_err(error_in("cannot listen"))?;
     fs::set_permissions(&temporary, Permissions::from_mode(mode))
-        .map_err(failed("cannot set its mode"))?;
-    let created = FileId::of(&temporary).map_err(failed("cannot look at it"))?;
-    fs::rename(&temporary, path).map_err(failed("cannot give it its name"))?;
+        .map_err(error_in("cannot set the mode of the socket file"))?;
+    let created =
+        FileId::of(&temporary).map_err(error_in("cannot read the metadata of the socket file"))?;
+    fs::rename(&temporary, path).map_err(error_in("cannot rename the socket file into place"))?;
     let file = SocketFile {
         path: path.into(),
         created,
@@ -128,17 +130,23 @@
         .truncate(false)
         .mode(LOCK_MODE)
         .open(with_suffix(path, ".lock"))
-        .map_err(|error| io_error(path, "cannot open its lock", error))?;
+        .map_err(|error| io_error(path, "cannot open the lock file", error))?;
     flock(&lock, FlockOperation::NonBlockingLockExclusive)
         .map_err(|_| SocketError::InUse { path: path.into() })?;
     Ok(lock)
 }
 
-/// Checks that nothing is at the path but what a crash may have left.
+/// Checks that the path is free, or holds only a stale socket left by a crash.
 fn check_replaceable(path: &Path) -> Result<(), SocketError> {
     match fs::symlink_metadata(path) {
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(()),
-        Err(error) => return Err(io_error(path, "cannot look at it", error)),
+        Err(error) => {
+            return Err(io_error(
+                path,
+                "cannot read the metadata of the socket file",
+                error,
+            ))
+        }
         Ok(found) if !found.file_type().is_socket() => {
             return Err(SocketError::NotASocket { path: path.into() });
         }
@@ -146,10 +154,10 @@
     }
     match UnixStream::connect(path) {
         Ok(_) => Err(SocketError::InUse { path: path.into() }),
-        // Left by a crash.
+        // A stale socket left by a crash.
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => Ok(()),
         Err(error) => {
-            let step = "cannot tell whether somebody listens there";
+            let step = "cannot determine whether a process listens on the socket";
             Err(io_error(path, step, error))
         }
     }
@@ -157,9 +165,11 @@
 
 fn remove_leftover(path: &Path, temporary: &Path) -> Result<(), SocketError> {
     match fs::remove_file(temporary) {
-        Err(error) if error.kind() != ErrorKind::NotFound => {
-            Err(io_error(path, "cannot clear what a crash left", error))
-        }
+        Err(error) if error.kind() != ErrorKind::NotFound => Err(io_error(
+            path,
+            "cannot remove the temporary socket file left by a crash",
+            error,
+        )),
         _ => Ok(()),
     }
 }
--- a/crates/control-plane/src/thread.rs
+++ b/crates/control-plane/src/thread.rs
@@ -1,26 +1,26 @@
-//! The threads of the control plane: small stacks, and a low priority for those that parse and hash.
+//! Threads of the control plane, with small stacks; threads that parse and hash run at a lower priority.
 
 use std::io;
 use std::thread::{Builder, JoinHandle};
 
-/// Bytes of stack of a thread that parses and hashes.
-const REQUEST_STACK: usize = 512 << 10;
-/// Bytes of stack of a thread that reads and writes lines; large states are on the heap.
-const MESSAGE_STACK: usize = 256 << 10;
-/// The nice value of background threads.
+/// Stack size in bytes of a background thread, which parses and hashes requests.
+const BACKGROUND_STACK_BYTES: usize = 512 << 10;
+/// Stack size in bytes of a thread that exchanges messages; large states are on the heap.
+const MESSAGE_STACK_BYTES: usize = 256 << 10;
+/// Nice value of background threads.
 const BACKGROUND_NICENESS: i32 = 10;
 
-/// Starts a thread that yields the processor to the event loop: on a machine with one core, requests come first.
+/// Spawns a thread of lower priority than the event loop, so that on a machine with one core customer requests come first.
 ///
 /// # Errors
 ///
-/// Where the system gives no thread.
+/// If the thread can't be spawned.
 pub fn spawn_background(
     name: &str,
     work: impl FnOnce() + Send + 'static,
 ) -> io::Result<JoinHandle<()>> {
     let run = move || {
-        // Where a lower priority is not granted, the thread runs at the usual one.
+        // If the system denies the lower priority, the thread runs at the default one.
         let _ = rustix::process::setpriority_process(
             Some(rustix::thread::gettid()),
             BACKGROUND_NICENESS,
@@ -29,21 +29,21 @@
     };
     Builder::new()
         .name(name.into())
-        .stack_size(REQUEST_STACK)
+        .stack_size(BACKGROUND_STACK_BYTES)
         .spawn(run)
 }
 
-/// Starts a thread that exchanges messages with other members.
+/// Spawns a thread that exchanges messages with other members.
 ///
 /// # Errors
 ///
-/// Where the system gives no thread.
-pub fn spawn_messenger(
+/// If the thread can't be spawned.
+pub fn spawn_message_thread(
     name: &str,
     work: impl FnOnce() + Send + 'static,
 ) -> io::Result<JoinHandle<()>> {
     Builder::new()
         .name(name.into())
-        .stack_size(MESSAGE_STACK)
+        .stack_size(MESSAGE_STACK_BYTES)
         .spawn(work)
 }
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -1,7 +1,7 @@
-//! What an ingress keeps on its disk, byte for byte: what is enforced and promised, the generations before, what a member of a
-//! group has promised and accepted, and the audit log; and what passes to the next process of an ingress.
+//! Byte-for-byte tests of the stored forms: the participant's state, past generations, the group member's persistent state, the
+//! audit log, and the lease that is passed to the successor.
 //!
-//! The files in `golden/` are written by hand alone: `cargo test -p wrenfork-control-plane --test golden -- --ignored`.
+//! The files in `golden/` are only written on request, by `cargo test -p wrenfork-control-plane --test golden -- --ignored`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -33,10 +33,10 @@
     State(pairs.map(|(k, v)| (k.to_string(), v.to_string())).into())
 }
 
-fn record(what: &str, generation: u64) -> AuditRecord {
+fn record(event: &str, generation: u64) -> AuditRecord {
     AuditRecord {
         at: 1_700_000_000 + generation,
-        event: what.into(),
+        event: event.into(),
         author: "ann \"the first\"".into(),
         change: Digest("0123abcd".into()),
         generation,
@@ -44,11 +44,11 @@
     }
 }
 
-/// What is enforced, with a promise, changes that have ended and fences.
-fn memory() -> ParticipantState {
+/// A participant's state with a prepared vote, ended changes and a fence.
+fn participant() -> ParticipantState {
     let enforced = ParticipantState::new(3, state("3"));
     let next = state("4");
-    let promise = PreparedVote {
+    let vote = PreparedVote {
         change: Digest("feed".into()),
         base: enforced.enforced.clone(),
         next: Generation {
@@ -59,7 +59,7 @@
         members: vec!["n0".into(), "n1".into()],
     };
     ParticipantState {
-        prepared: Some((promise, Arc::new(next)).into()),
+        prepared: Some((vote, Arc::new(next)).into()),
         ended: vec![
             (Digest("aa".into()), true).into(),
             (Digest("bb".into()), false).into(),
@@ -69,19 +69,20 @@
     }
 }
 
-fn decree() -> GroupState {
-    let seat = |name: &str, folder, kind, votes| GroupMember {
+/// A group state without a rollout.
+fn group_state() -> GroupState {
+    let member = |name: &str, replica, role, votes| GroupMember {
         name: name.into(),
-        replica: folder,
-        role: kind,
+        replica,
+        role,
         votes,
     };
-    let seats = vec![
-        seat("n0", 7, MemberRole::Ingress, true),
-        seat("n1", 8, MemberRole::Ingress, false),
-        seat("w0", 9, MemberRole::Witness, true),
+    let members = vec![
+        member("n0", 7, MemberRole::Ingress, true),
+        member("n1", 8, MemberRole::Ingress, false),
+        member("w0", 9, MemberRole::Witness, true),
     ];
-    let roster = Membership::new(2, 1_500, seats).unwrap();
+    let membership = Membership::new(2, 1_500, members).unwrap();
     let states: BTreeMap<String, Arc<State>> = [("n0", "3"), ("n1", "5")]
         .map(|(name, value)| (name.to_string(), Arc::new(state(value))))
         .into();
@@ -90,12 +91,13 @@
         3,
         Digest("feed".into()),
         "ann",
-        roster,
+        membership,
         Policy::from_states(&states),
     )
 }
 
-fn rolled(decree: &GroupState) -> GroupState {
+/// The given group state with an active rollout.
+fn with_rollout(base: &GroupState) -> GroupState {
     let change = [(
         "quota".to_string(),
         ValueChange {
@@ -113,17 +115,17 @@
         phase: RolloutPhase::Active { stage: 0 },
         reason: "its first stage".into(),
     };
-    decree.with_rollout("carol", rollout).unwrap()
+    base.with_rollout("carol", rollout).unwrap()
 }
 
 fn member() -> PersistentState {
-    let decree = decree();
-    let accepted = Arc::new(rolled(&decree));
+    let current = group_state();
+    let accepted = Arc::new(with_rollout(&current));
     PersistentState {
         name: "n0".into(),
         replica: 7,
         writes: 12,
-        group_state: Some(Arc::new(decree)),
+        group_state: Some(Arc::new(current)),
         accepted_in: None,
         promised: Ballot {
             round: 5,
@@ -139,7 +141,7 @@
     }
 }
 
-fn own_records() -> [AuditRecord; 3] {
+fn audit_records() -> [AuditRecord; 3] {
     [
         record("made", 2),
         record("planned", 3),
@@ -147,7 +149,7 @@
     ]
 }
 
-/// All that is in a folder's store: kind, name and record, a line each.
+/// Everything in a folder's store, one line per record: kind, name and contents.
 fn dump(folder: &Path) -> String {
     let store = Store::open(folder).unwrap();
     let mut text = String::new();
@@ -165,32 +167,33 @@
     text
 }
 
-/// Writes a whole life: the first generation, a second one, a record alone, and a member's memory with a third one.
+/// Writes a first generation, a second one with a record, a separate record, and a third generation together with a member's
+/// persistent state.
 fn write_all(
     folder: &Path,
     first: State,
     second: State,
-    own: &ParticipantState,
+    third: &ParticipantState,
     member: &PersistentState,
     records: &[AuditRecord; 3],
 ) {
     let mut durable = DurableState::open(Some(folder), || ParticipantState::new(1, first)).unwrap();
     let second = ParticipantState::new(2, second);
     let enforces_second = Update {
-        memory: Some(&second),
+        participant: Some(&second),
         new_generation: true,
         record: Some(&records[0]),
         ..Update::default()
     };
     durable.commit(&enforces_second).unwrap();
     durable.append_record(&records[1]).unwrap();
-    let enforces_own = Update {
-        memory: Some(own),
+    let enforces_third = Update {
+        participant: Some(third),
         new_generation: true,
         member: Some(member),
         record: Some(&records[2]),
     };
-    durable.commit(&enforces_own).unwrap();
+    durable.commit(&enforces_third).unwrap();
     durable.close();
 }
 
@@ -201,16 +204,16 @@
         folder.path(),
         first,
         second,
-        &memory(),
+        &participant(),
         &member(),
-        &own_records(),
+        &audit_records(),
     );
     dump(folder.path())
 }
 
 fn fresh_store() -> String {
     let folder = tempfile::tempdir().unwrap();
-    let mut durable = DurableState::open(Some(folder.path()), empty_memory).unwrap();
+    let mut durable = DurableState::open(Some(folder.path()), empty_participant).unwrap();
     let member = PersistentState::new("n0", 7);
     let update = Update {
         member: Some(&member),
@@ -222,25 +225,26 @@
     dump(folder.path())
 }
 
-fn empty_memory() -> ParticipantState {
+fn empty_participant() -> ParticipantState {
     ParticipantState::new(1, State::default())
 }
 
-fn inherited() -> [InheritedLease; 2] {
-    let leased = InheritedLease {
+/// A lease of a member of a group, and that of a member that serves without a lease.
+fn inherited_leases() -> [InheritedLease; 2] {
+    let with_lease = InheritedLease {
         group_version: 300,
         expires_at: Some(Duration::new(70_000, 123_456_789)),
         admission_deadline: 70_000_123_456,
     };
-    let alone = InheritedLease {
+    let without_lease = InheritedLease {
         group_version: 0,
         expires_at: None,
         admission_deadline: u64::MAX,
     };
-    [leased, alone]
+    [with_lease, without_lease]
 }
 
-/// The names by which others know something of this package: variables, and the points of the failure injection.
+/// Names that are used outside this package: environment variables, the rollout event and failpoints.
 fn names() -> String {
     let mut names = vec![
         PROGRAM_VARIABLE,
@@ -259,15 +263,18 @@
         ("fresh-store.txt", fresh_store().into()),
         (
             "inherited.postcard",
-            postcard::to_stdvec(&inherited()).unwrap(),
+            postcard::to_stdvec(&inherited_leases()).unwrap(),
+        ),
+        (
+            "inherited.json",
+            serde_json::to_vec(&inherited_leases()).unwrap(),
         ),
-        ("inherited.json", serde_json::to_vec(&inherited()).unwrap()),
         ("names.txt", names().into()),
     ]
 }
 
-/// A folder whose store has what a golden file says.
-fn restored(name: &str) -> tempfile::TempDir {
+/// A folder whose store holds the records of a golden file.
+fn folder_from_golden(name: &str) -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
     let store = Store::open(folder.path()).unwrap();
     let text = fs::read_to_string(path(name)).unwrap();
@@ -286,7 +293,7 @@
 }
 
 #[test]
-fn every_form_is_written_as_in_its_golden_file() {
+fn stored_forms_match_their_golden_files() {
     for (name, bytes) in files() {
         let golden = fs::read(path(name)).unwrap();
         let text = String::from_utf8_lossy(&bytes);
@@ -296,32 +303,38 @@
 }
 
 #[test]
-fn the_golden_store_reads_back_and_is_written_again_the_same() {
-    let folder = restored("full-store.txt");
-    let durable = DurableState::open(Some(folder.path()), || unreachable!("it is kept")).unwrap();
-    assert_eq!(durable.memory(), &memory());
+fn golden_store_is_read_and_rewritten_unchanged() {
+    let folder = folder_from_golden("full-store.txt");
+    let durable = DurableState::open(Some(folder.path()), || {
+        unreachable!("the store is not empty")
+    })
+    .unwrap();
+    assert_eq!(durable.participant(), &participant());
     assert_eq!(durable.member().unwrap(), Some(member()));
     let records = durable.records(usize::MAX).unwrap();
-    assert_eq!(records, own_records());
-    let past = |number| State::clone(&durable.generation(number).unwrap().unwrap().state);
-    let again = tempfile::tempdir().unwrap();
+    assert_eq!(records, audit_records());
+    let past_state = |number| State::clone(&durable.generation(number).unwrap().unwrap().state);
+    let rewritten = tempfile::tempdir().unwrap();
     write_all(
-        again.path(),
-        past(1),
-        past(2),
-        durable.memory(),
+        rewritten.path(),
+        past_state(1),
+        past_state(2),
+        durable.participant(),
         &durable.member().unwrap().unwrap(),
         &records.try_into().unwrap(),
     );
     let golden = fs::read_to_string(path("full-store.txt")).unwrap();
-    assert_eq!(dump(again.path()), golden);
+    assert_eq!(dump(rewritten.path()), golden);
 }
 
 #[test]
-fn the_golden_store_of_a_fresh_member_reads_back() {
-    let folder = restored("fresh-store.txt");
-    let durable = DurableState::open(Some(folder.path()), || unreachable!("it is kept")).unwrap();
-    assert_eq!(durable.memory(), &empty_memory());
+fn golden_store_of_a_new_member_is_read() {
+    let folder = folder_from_golden("fresh-store.txt");
+    let durable = DurableState::open(Some(folder.path()), || {
+        unreachable!("the store is not empty")
+    })
+    .unwrap();
+    assert_eq!(durable.participant(), &empty_participant());
     assert_eq!(
         durable.member().unwrap(),
         Some(PersistentState::new("n0", 7))
@@ -329,15 +342,15 @@
 }
 
 #[test]
-fn what_passes_to_the_next_process_reads_back_and_is_written_again_the_same() {
+fn golden_inherited_lease_is_read_and_rewritten_unchanged() {
     let bytes = fs::read(path("inherited.postcard")).unwrap();
-    let read: [InheritedLease; 2] = postcard::from_bytes(&bytes).unwrap();
-    assert_eq!(read, inherited());
-    assert_eq!(postcard::to_stdvec(&read).unwrap(), bytes);
+    let decoded: [InheritedLease; 2] = postcard::from_bytes(&bytes).unwrap();
+    assert_eq!(decoded, inherited_leases());
+    assert_eq!(postcard::to_stdvec(&decoded).unwrap(), bytes);
 }
 
 #[test]
-#[ignore = "writes the golden files: run by hand, before a form is changed on purpose"]
+#[ignore = "writes the golden files: run by hand after an intended change of a stored form"]
 fn write_the_golden_files() {
     for (name, bytes) in files() {
         fs::write(path(name), bytes).unwrap();
--- a/crates/control-plane/tests/socket.rs
+++ b/crates/control-plane/tests/socket.rs
@@ -1,4 +1,4 @@
-//! Who may listen at a path, and what is removed.
+//! Which socket files are replaced at start and removed at shutdown.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -8,16 +8,16 @@
 const MODE: u32 = 0o600;
 
 #[test]
-fn a_socket_is_the_owners_alone_and_replaced_after_a_crash_but_not_while_it_lives() {
+fn socket_is_private_and_replaced_only_after_a_crash() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("control");
     let socket = listen(&path, MODE).unwrap();
     let mode = fs::metadata(&path).unwrap().permissions().mode();
     assert_eq!(mode & 0o777, MODE);
-    let second = listen(&path, MODE).unwrap_err();
-    assert!(matches!(second, SocketError::InUse { .. }), "{second:?}");
-    assert!(second.to_string().contains("another process"), "{second}");
-    // As by a crash: the file stays.
+    let in_use = listen(&path, MODE).unwrap_err();
+    assert!(matches!(in_use, SocketError::InUse { .. }), "{in_use:?}");
+    assert!(in_use.to_string().contains("another process"), "{in_use}");
+    // Simulate a crash: dropping the socket leaves its file in place.
     drop(socket);
     assert!(path.exists());
     let socket = listen(&path, MODE).unwrap();
@@ -27,12 +27,15 @@
 }
 
 #[test]
-fn a_file_of_another_is_neither_replaced_nor_removed() {
+fn foreign_file_at_the_path_is_neither_replaced_nor_removed() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("control");
     fs::write(&path, "text").unwrap();
-    let refused = listen(&path, MODE).unwrap_err();
-    assert!(refused.to_string().contains("no socket"), "{refused}");
+    let not_a_socket = listen(&path, MODE).unwrap_err();
+    assert!(
+        not_a_socket.to_string().contains("is not a socket"),
+        "{not_a_socket}"
+    );
     fs::remove_file(&path).unwrap();
     let socket = listen(&path, MODE).unwrap();
     fs::remove_file(&path).unwrap();
--- a/crates/ctl/src/group/witness.rs
+++ b/crates/ctl/src/group/witness.rs
@@ -48,7 +48,7 @@
         Ok(())
     }
 
-    fn figures(&self) -> IngressMetrics {
+    fn ingress_metrics(&self) -> IngressMetrics {
         IngressMetrics::default()
     }
 
--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -753,7 +753,10 @@
     let output = site.run(&["apply", "change.plan", "--yes", "--patience", "1s"]);
     let said = told(&output);
     assert_eq!(output.status.code(), Some(3), "{said}");
-    assert!(said.contains("desk/d1 can't keep it: the disk"), "{said}");
+    assert!(
+        said.contains("desk/d1 can't store the change: the disk"),
+        "{said}"
+    );
     assert!(said.contains("nothing has changed"), "{said}");
     assert_eq!(site.agree(), OLD);
     assert!(!site.status(0).1 && !site.status(1).1, "a promise is left");
--- a/crates/ingress/src/control/event_loop_handle.rs
+++ b/crates/ingress/src/control/event_loop_handle.rs
@@ -77,7 +77,7 @@
             .map_err(|e| DataPlaneError::Unavailable(e.to_string()))
     }
 
-    fn figures(&self) -> IngressMetrics {
+    fn ingress_metrics(&self) -> IngressMetrics {
         self.call(ControlCommand::ReportFigures).unwrap_or_default()
     }
 
--- a/crates/ingress/src/control/restored_state.rs
+++ b/crates/ingress/src/control/restored_state.rs
@@ -53,7 +53,7 @@
         }
     };
     let durable = open_durable_state(control.state.as_deref(), first)?;
-    enforce_last(config, durable.memory(), &from_files)?;
+    enforce_last(config, durable.participant(), &from_files)?;
     Ok(Some(RestoredState {
         control,
         fixed: config.source_pairs.fixed.clone(),
@@ -171,7 +171,7 @@
         &self,
         handed_over: &State,
     ) -> Result<Option<NewConfig>, ControlError> {
-        let stored = &self.durable.memory().state;
+        let stored = &self.durable.participant().state;
         if **stored == *handed_over {
             return Ok(None);
         }
