--- a/crates/control-plane/src/rollout_controller.rs
+++ b/crates/control-plane/src/rollout_controller.rs
@@ -88,8 +88,8 @@
                     self.log(&rollout.phase.to_string(), "driven from here");
                     StageMonitor::new(rollout.clone(), self.group_state.version, started)
                 });
-                let next_step = monitor.look(clock::now(), &observations);
-                self.grant_turns(&rollout, monitor.take_turns(&observations));
+                let next_step = monitor.observe(clock::now(), &observations);
+                self.grant_turns(&rollout, monitor.grant_turns(&observations));
                 if let Some(next_step) = next_step {
                     highest_round = self.propose_step(next_step, highest_round);
                 }
