--- a/crates/ingress/tests/accepted.rs
+++ b/crates/ingress/tests/accepted.rs
@@ -1,5 +1,5 @@
-//! What the checker accepts, the ingress runs: files drawn at random within the form are checked, and where they are taken
-//! the built sidecar must start from them, answer, and end well.
+//! Runs what the checker accepts: random configuration files are generated and checked, and the built sidecar must
+//! start from each accepted pair, answer PING and exit cleanly.
 
 use proptest::prelude::{any, prop, Strategy};
 use proptest::strategy::ValueTree;
@@ -210,7 +210,8 @@
     }
 }
 
-/// Guards against a file that is accepted and then not run, and against draws that are nearly all refused and show nothing.
+/// Guards against files that the checker accepts but the sidecar cannot run. The bound on refused draws fails the test
+/// if nearly all generated files are invalid.
 #[test]
 fn files_that_the_checker_accepts_run() {
     let seed = RngSeed::Fixed(19);
--- a/crates/ingress/tests/addresses.rs
+++ b/crates/ingress/tests/addresses.rs
@@ -1,4 +1,5 @@
-//! A node with several addresses, as the built sidecar meets it: connects race, requests never do.
+//! A node with several addresses, seen through the built sidecar: connects to the addresses race, and each request is
+//! written to one connection only.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -15,16 +16,17 @@
 };
 
 const ACCOUNT: &str = "00000000000004d3";
-/// Accounts of which a load-shedding level cuts the same ones for ten seconds, by a hash of account and time: a test whose
-/// requests all come from one would turn on the time of day.
+/// Number of accounts that the tests spread their requests over. A load-shedding level rejects a fixed subset of
+/// accounts for ten seconds, picked by a hash of account and time, so a test with one account would depend on the time
+/// of day.
 const ACCOUNTS: u64 = 20;
 
-/// The account with this number, the first of them [`ACCOUNT`].
+/// The id of account `number` modulo [`ACCOUNTS`]; number 0 is [`ACCOUNT`].
 fn account(number: u64) -> String {
     format!("{:016x}", 0x4d3 + number % ACCOUNTS)
 }
 
-/// Copies until either end closes.
+/// Copies bytes until either side closes, then calls `end`.
 fn copy(mut from: impl Read, mut to: impl Write, end: impl FnOnce()) {
     let mut buf = [0; 4096];
     while let Ok(n @ 1..) = from.read(&mut buf) {
@@ -35,7 +37,7 @@
     end();
 }
 
-/// Another address of a backend.
+/// Proxies a connection to the backend at `to`, which gives the backend a second address.
 fn pass(stream: UnixStream, to: SocketAddr) {
     let Ok(back) = TcpStream::connect(to) else {
         return;
@@ -61,7 +63,8 @@
     came
 }
 
-/// An address that accepts connections, takes what comes and never says a word; the requests that came.
+/// Starts a listener that accepts connections, reads what arrives and never answers. Returns its address and the bytes
+/// received.
 fn silent_door() -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (at, heard) = (
@@ -90,12 +93,12 @@
 }
 
 impl Site {
-    /// A sidecar whose only node has these addresses.
+    /// Starts a sidecar whose only node has these addresses, with a connect timeout of 250 ms.
     fn new(addresses: &[String]) -> Site {
         Site::with(addresses, "250ms")
     }
 
-    /// The same, where a connect may take so long.
+    /// Starts a sidecar whose only node has these addresses, with the given connect timeout.
     fn with(addresses: &[String], connect: &str) -> Site {
         let (folder, at) = (tempfile::tempdir().unwrap(), place());
         let good = |name: &str| {
@@ -173,7 +176,7 @@
     command(&["CALL.POST", account, id, &options, "BODY"])
 }
 
-/// How often each request came to a node.
+/// Counts the attempts that a backend received, by request id.
 fn counts(backend: &Backend) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for args in backend
@@ -189,7 +192,8 @@
     counts
 }
 
-/// Guards against a node that is lost with one of its addresses, and a request that comes twice because connects race.
+/// Guards against losing a node because one of its addresses fails, and against sending a request twice because
+/// connects race.
 #[test]
 fn a_dead_address_costs_nothing_and_each_request_comes_once() {
     let backend = Backend::start(serve);
@@ -214,7 +218,7 @@
         came.load(Ordering::SeqCst) > 0,
         "a socket on this machine comes first"
     );
-    // Its file is gone, and whoever listened there: new connections go over the network.
+    // The socket file and its listener are gone, so new connections go over TCP.
     fs::remove_file(&path).unwrap();
     let before = backend.count();
     for n in 50..60 {
@@ -230,13 +234,13 @@
     drop(site.folder);
 }
 
-/// Guards against a wait for an address that takes no connection and refuses none: the next one is tried meanwhile, and the
-/// request goes to the one that is up first, once.
+/// Guards against waiting for an address that neither accepts nor refuses a connection. The next address is tried
+/// meanwhile, and the request is written once, to whichever connects first.
 #[test]
 fn an_address_that_does_not_connect_is_overtaken_by_the_next() {
     use socket2::{Domain, Socket, Type};
     let backend = Backend::start(serve);
-    // Its queue is full, and nobody takes anything out of it: whoever connects hears nothing.
+    // The listen queue is full and nothing is accepted, so further connects get no reply.
     let full = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     full.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
         .unwrap();
@@ -246,7 +250,7 @@
         .map_while(|_| TcpStream::connect_timeout(&at, Duration::from_millis(100)).ok())
         .collect();
     assert!(held.len() < 8, "the queue has no end");
-    // One connect after the other would take five seconds, and no request here waits for so long.
+    // Connecting to the addresses one after the other would take five seconds, longer than any request here may wait.
     let site = Site::with(&[at.to_string(), backend.at.to_string()], "5s");
     let mut client = site.client();
     for n in 0..10 {
@@ -260,7 +264,7 @@
     );
 }
 
-/// Guards against a request that may have reached a node over one address and is sent again over another.
+/// Guards against a request that may have reached a node over one address being sent again over another.
 #[test]
 fn a_request_taken_by_a_silent_address_is_retried_over_another_only_if_idempotent() {
     let backend = Backend::start(serve);
@@ -279,7 +283,7 @@
         (1, None),
         "it came once, over one address"
     );
-    // The address that was silent comes last from now on.
+    // The silent address is tried last from now on.
     for n in 0..20 {
         let id = format!("c{n}");
         assert_eq!(client.ask(&quote(&id)), format!("value of {id}"));
@@ -287,11 +291,11 @@
     assert_eq!(counts(&backend).len(), 20);
 }
 
-/// A count at the node: of many referrals whose answers are cut off over either address, none comes twice.
+/// Checks, as counted by the node, that no referral arrives twice when answers are cut off over both addresses.
 #[test]
 fn no_referral_comes_twice_over_addresses_that_break() {
     let backend = Backend::start(|args| {
-        // By its id: answered, cut off without a word, or refused.
+        // The id decides whether the request is cut off without an answer, answered or refused.
         match args[2].bytes().map(usize::from).sum::<usize>() % 3 {
             0 => Act::Hang,
             1 => serve(args),
--- a/crates/ingress/tests/crowds.rs
+++ b/crates/ingress/tests/crowds.rs
@@ -1,4 +1,4 @@
-//! Crowds that connect and idle or stop half way, by the ingress's sockets: who makes room for whom.
+//! Many clients that connect and then idle or stop half way: which connections the ingress evicts to make room.
 
 use std::thread;
 use std::time::Duration;
@@ -10,7 +10,7 @@
     setup
 }
 
-/// Whether a connection has ended, without waiting for it.
+/// Whether the ingress has closed this connection; does not block.
 fn has_ended(client: &Client) -> bool {
     client.0.set_nonblocking(true).unwrap();
     let ended = !client
@@ -21,12 +21,13 @@
     ended
 }
 
-/// How many of these connections have been closed.
+/// The number of these connections that the ingress has closed.
 fn closed(clients: &[Client]) -> usize {
     clients.iter().filter(|c| has_ended(c)).count()
 }
 
-/// Guards against a crowd that keeps out whoever has something to ask, and against room made at the cost of those that ask.
+/// Guards against idle connections that keep out clients with requests, and against evicting clients that send
+/// requests.
 #[test]
 fn silent_clients_are_evicted_first_then_partial_commands_then_idle_ones() {
     let backend = Backend::start(serve);
@@ -44,7 +45,7 @@
         client
     };
     let halves: Vec<Client> = (0..6).map(half).collect();
-    // One that asks shows that what came before has been read.
+    // An answered request shows that everything sent earlier has been read.
     let ask = |id: String| {
         assert_eq!(
             ingress.client().ask(&call("refer", &id, 900)),
@@ -52,7 +53,7 @@
         )
     };
     ask("a0".into());
-    // Far more than there are descriptors, all silent: they make room for each other.
+    // Far more silent connections than descriptors: the ingress evicts silent ones to accept others.
     let mut silent: Vec<Client> = Vec::new();
     for n in 0..150 {
         silent.push(ingress.client());
@@ -64,7 +65,7 @@
     assert!(closed(&silent) > 80, "the silent ones make room");
     assert_eq!(closed(&halves), 0, "partial before silent");
     assert_eq!(closed(&served), 0, "served before silent");
-    // Now halves of commands alone: the oldest of them go, and those that were served stay.
+    // Now only partial commands: the oldest of these connections are evicted, and clients that were served stay.
     let mut more: Vec<Client> = Vec::new();
     for n in 6..100 {
         more.push(half(n));
@@ -83,7 +84,8 @@
     drop((silent, more));
 }
 
-/// Guards against a limit on the head that cuts off a client whom the platform allows two seconds.
+/// Guards against a time limit on the command head that cuts off a client within the two seconds that the platform
+/// allows.
 #[test]
 fn a_head_that_takes_two_seconds_is_served() {
     let backend = Backend::start(serve);
@@ -92,7 +94,8 @@
     let parts: Vec<Vec<u8>> = (0..6)
         .map(|n| call("refer", &format!("r{n}"), 900))
         .collect();
-    // In six pieces over two seconds, each client with its own start against the looks at the silent.
+    // Each command is sent in six pieces over two seconds. The clients are staggered against the periodic check for
+    // silent connections.
     for piece in 0..6 {
         for (client, command) in clients.iter_mut().zip(&parts) {
             let (from, to) = (command.len() * piece / 6, command.len() * (piece + 1) / 6);
@@ -108,7 +111,7 @@
     }
 }
 
-/// Guards against an end that waits for a crowd.
+/// Guards against a shutdown that waits for idle connections.
 #[test]
 fn on_sigterm_under_a_crowd_requests_are_answered_and_the_process_exits() {
     let backend = Backend::start(|args| Act::Later(Duration::from_millis(200), served(args)));
--- a/crates/ingress/tests/discovery_delay.rs
+++ b/crates/ingress/tests/discovery_delay.rs
@@ -1,5 +1,5 @@
-//! How long a change of the list may stay unheard: six seconds after discovery had it and could be reached, whatever failed before.
-//! Each test prints what it measured beside the bound.
+//! Bounds the delay until a changed endpoint list reaches the ingress: six seconds after discovery has the change and
+//! is reachable, whatever failed before. Each test prints the measured delay next to the bound.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -9,7 +9,7 @@
     call, command, list, serve, until, Backend, Client, Discovery, Jammed, Setup,
 };
 
-/// Behind this a change counts as told.
+/// Longest allowed time between a change of the endpoint list and its arrival at the ingress.
 const TOLD: Duration = Duration::from_secs(6);
 
 fn setup(backends: &[&Backend], discovery: &Discovery) -> Setup {
@@ -19,7 +19,7 @@
     }
 }
 
-/// Changes the list, and measures how long the ingress takes to hear of it from a moment on.
+/// Changes the endpoint list and asserts that the ingress receives the change within [`MAX_DELAY`] of `since`.
 fn heard(what: &str, discovery: &Discovery, since: Instant) {
     let index = discovery.change(Backend::start(serve).entry("s-7", "up"));
     until("the change is heard", || discovery.heard(index));
@@ -32,7 +32,7 @@
     discovery.calls.load(Ordering::SeqCst)
 }
 
-/// Guards against pauses that outlast it: the fourth refusal in a row was followed by one of up to 12 s.
+/// Guards against retry pauses longer than the bound: the pause after the fourth rejection in a row was up to 12 s.
 #[test]
 fn a_change_is_reported_in_time_behind_rejected_polls() {
     let (one, discovery) = (Backend::start(serve), Discovery::start());
@@ -45,7 +45,7 @@
     heard("turned away four times", &discovery, Instant::now());
 }
 
-/// A watch that falls silent and stays open.
+/// Guards against waiting on a watch connection that stays open but sends nothing more.
 #[test]
 fn a_change_is_reported_in_time_behind_a_silent_watch() {
     let (one, discovery) = (Backend::start(serve), Discovery::start());
@@ -56,8 +56,8 @@
     heard("a watch that fell silent", &discovery, Instant::now());
 }
 
-/// A service that is down, and one that is silent, for longer than the first pauses last; either is back at a moment at which the
-/// ingress may just have failed.
+/// Guards against late updates after discovery was down or silent for longer than the initial retry pauses. Discovery
+/// returns at a moment when the ingress may just have failed another attempt.
 #[test]
 fn a_change_is_reported_in_time_behind_a_service_that_was_down_or_silent() {
     for (what, fail) in [
@@ -80,7 +80,7 @@
     }
 }
 
-/// Connections that don't come up, until they do.
+/// Guards against late updates after connects to discovery that got no reply at first.
 #[test]
 fn a_change_is_reported_in_time_behind_silent_connects() {
     let (one, jammed) = (Backend::start(serve), Jammed::start());
@@ -92,8 +92,9 @@
     heard("a connect that stayed silent", &discovery, Instant::now());
 }
 
-/// Guards against idle clients that leave no descriptor for the new watch, nor for a backend: more of them than there are
-/// descriptors come while discovery is down, by the platform's limit and by a lower one of the system's.
+/// Guards against idle clients that leave no descriptor for a new watch or a backend connection. While discovery is
+/// down, more clients connect than there are descriptors, limited once by the platform's setting and once by a lower
+/// `ulimit`.
 #[test]
 fn a_change_is_reported_in_time_behind_a_crowd_of_retries() {
     for (sockets, ulimit) in [(96, 96), (1024, 64)] {
@@ -111,7 +112,8 @@
         until("the watch begins", || calls(&discovery) > 0);
         discovery.down(true);
         let mut crowd: Vec<Client> = (0..3 * ulimit).map(|_| ingress.client()).collect();
-        // Half of them have been served; one of these shows that those before have been taken in.
+        // Half of the clients have sent a request; one further answered request shows that the earlier connections were
+        // accepted.
         for client in crowd.iter_mut().skip(1).step_by(2) {
             let _ = std::io::Write::write_all(&mut client.0, &command(&["PING"]));
         }
@@ -136,8 +138,8 @@
     }
 }
 
-/// Guards against a list that is thrown away with its connection: it has come whole, and been told, when a reset comes right behind
-/// it. Nothing can be asked any more, so what drains would go on being sent to.
+/// Guards against discarding a complete list because its connection was reset right after it. Discovery is unreachable
+/// afterwards, so a draining backend would keep getting requests.
 #[test]
 fn a_list_that_was_complete_before_a_reset_is_applied() {
     let (drains, stays) = (Backend::start(serve), Backend::start(serve));
@@ -152,7 +154,7 @@
         let n = watch.read(&mut chunk).unwrap();
         call_out.extend_from_slice(&chunk[..n]);
     }
-    // Both are there when it looks again.
+    // The process is stopped, so the list and the reset are both pending when it reads again.
     ingress.signal("STOP");
     let body = list(2, false, &[drains.entry("s-0", "draining")]);
     write!(
--- a/crates/ingress/tests/endings.rs
+++ b/crates/ingress/tests/endings.rs
@@ -1,6 +1,6 @@
-//! The instants at which something ends: a client that leaves, a connection that comes up late, a drain that is told while a
-//! connect is under way, an ingress that is told to stop. The peers here hold, close and write at a given step, so that the bad
-//! order happens every time. `docs/design/0013-endings.md` lists these paths.
+//! Races at the end of a connection, a request or the process: a client that disconnects, a connection that comes up
+//! late, a drain announced during a connect, an ingress told to stop. The peers hold, close and write at fixed steps,
+//! so the unfavourable order happens on every run. `docs/design/0013-endings.md` lists these paths.
 
 use std::io::{ErrorKind, Read};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,7 +13,8 @@
     Ingress, Jammed, Setup, FIN_WAIT_1, LONG,
 };
 
-/// A setup whose connections to backends may take three seconds to come up: longer than the kernel takes to try again.
+/// A setup whose connects to backends may take three seconds, longer than the kernel's first SYN retransmission
+/// timeout.
 fn patient(backends: &[&Backend]) -> Setup {
     let mut setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends);
     let patient = r#""connect_timeout_us":3000000"#;
@@ -24,14 +25,14 @@
     setup
 }
 
-/// The same with another value of a setting.
+/// Replaces one value in the settings of a setup.
 fn with(mut setup: Setup, was: &str, is: &str) -> Setup {
     assert!(setup.settings.contains(was), "{was}");
     setup.settings = setup.settings.replace(was, is);
     setup
 }
 
-/// The ids that a backend was given whole.
+/// The ids of the requests that a backend received completely.
 fn ids(backend: &Backend) -> Vec<String> {
     backend
         .seen
@@ -45,8 +46,9 @@
 
 // ---- Keyed requests ----
 
-/// Guards against a repeat that begins in time and is written too late: the second attempt's connection comes up a second later,
-/// when the backends of the group have forgotten the key (`zone+brink` of the users' bench, seed 8: sent again outside its window).
+/// Guards against a retry that starts within the key's window but is written after it. The second attempt's connection
+/// comes up a second later, when the backends of the group have forgotten the key (scenario `zone+brink` of the users'
+/// bench, seed 8).
 #[test]
 fn a_keyed_request_is_not_written_once_its_window_is_over() {
     let (hang, jammed, discovery) = (
@@ -61,7 +63,7 @@
         });
         Act::Hang
     });
-    // Two tries: a third one, a copy, would find the line cleared and come up in time.
+    // Two attempts at most: a third one, hedged, would connect at once after the jam is cleared.
     let setup = with(patient(&[&first]), r#""most_tries":3"#, r#""most_tries":2"#);
     let mut setup = with(setup, r#""window_us":3000000"#, r#""window_us":900000"#);
     setup.discovery = Some(discovery.at);
@@ -74,15 +76,15 @@
     hang.store(true, Ordering::SeqCst);
     until("the second attempt is on its way", || jammed.tried());
     let second = Backend::on(jammed.clear(), serve);
-    // It may have run, and nobody who knows its key can be reached in time.
+    // The request may have run, and no backend that knows its key can be reached in time.
     assert_eq!(client.answer(), "-ERR failed");
     assert_eq!(ids(&second), Vec::<String>::new());
 }
 
 // ---- Clients that leave ----
 
-/// Guards against an attempt that begins after its client has left, where attempts are not called off: one that is not written
-/// has not begun, and is dropped.
+/// Guards against an attempt that starts after its client has disconnected while cancelling is off. An attempt that is
+/// not yet written has not started, and is dropped.
 #[test]
 fn an_unsent_request_whose_client_disconnected_is_never_written() {
     let jammed = Jammed::start();
@@ -95,7 +97,8 @@
     let ingress = setup.start();
     let mut gone = ingress.client();
     gone.send(&call("refer", "gone", 5000));
-    // Read behind it: by now both are on their way to the backend, the first one's next try before the second one's.
+    // The PING shows that the request was read. Both requests now wait for a connect, and the first one's SYN is
+    // retransmitted first.
     let mut stays = ingress.client();
     assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG");
     stays.send(&call("refer", "stays", 5000));
@@ -107,7 +110,8 @@
     assert_eq!(ids(&backend), ["stays"]);
 }
 
-/// Guards against a turn that writes what came up while the ingress stood still before it sees who has left meanwhile.
+/// Guards against writing to connections that came up during a stall before noticing which clients disconnected
+/// meanwhile.
 #[test]
 fn after_a_stall_disconnected_clients_are_seen_before_anything_is_sent() {
     let jammed = Jammed::start();
@@ -129,8 +133,8 @@
     assert_eq!(String::from_utf8_lossy(&came), "");
 }
 
-/// Guards against an end that is not seen since the connection is not read: its line of answers is full, and what it asked for
-/// goes on being sent for nobody.
+/// Guards against missing a disconnect because the connection is not being read: its pipeline of answers is full, and
+/// its requests would still be sent to backends.
 #[test]
 fn a_client_that_disconnects_behind_a_full_pipeline_is_noticed() {
     let open = Arc::new(AtomicBool::new(false));
@@ -146,7 +150,7 @@
     setup.more = format!(r#""management":"{at}","#);
     let ingress = setup.start();
     let mut client = ingress.client();
-    // More than a line holds: some are out, some wait for a place, most are refused behind these.
+    // More requests than the pipeline holds: some are sent, some wait for a slot, most are rejected in turn.
     let many: Vec<u8> = (0..400)
         .flat_map(|n| call("refer", &format!("r{n}"), 8000))
         .collect();
@@ -163,7 +167,7 @@
     );
     let sent = figure(at, "ingress.relayed");
     open.store(true, Ordering::SeqCst);
-    // What is sent in the places that come free would come before this.
+    // A withdrawn request that was sent after all would reach the backend before this one.
     assert_eq!(
         ingress.client().ask(&call("refer", "last", 8000)),
         "value of last"
@@ -176,16 +180,16 @@
     );
 }
 
-/// Guards against a first command that is broken off half way because its connection had rested before it: its client is still
-/// sending, and what it asked for would be lost with the rest.
+/// Guards against timing a client's first command from the accept of the connection: a client that idled first would be
+/// cut off while it is still sending.
 #[test]
 fn a_first_command_is_timed_from_its_first_byte() {
     let backend = Backend::start(serve);
     let ingress = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]).start();
     let mut client = ingress.client();
     let mut silent = ingress.client();
-    // It rests for less than a connection may that says nothing, and goes on once the other one, accepted behind it, has been
-    // closed for that.
+    // The client idles for less than the limit on silent connections, and continues once the other connection, accepted
+    // after it, was closed at that limit.
     thread::sleep(Duration::from_millis(1500));
     let asked = call("refer", "r1", 5000);
     client.send(&asked[..40]);
@@ -194,8 +198,8 @@
     assert_eq!(client.answer(), "value of r1");
 }
 
-/// Guards against requests that are dropped behind the first one where a connection was taken in beyond the descriptors, only to be
-/// told so: what is read has an answer, also what was asked in the same moment.
+/// Guards against dropping pipelined requests after the first one on a connection that was accepted beyond the
+/// descriptor limit only to be rejected. Each request read gets an answer.
 #[test]
 fn beyond_the_descriptors_a_whole_pipeline_is_rejected() {
     let backend = Backend::start(serve);
@@ -204,7 +208,8 @@
         ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend])
     };
     let ingress = setup.start();
-    // As many as clients may have of 64 descriptors, each told of a bad command, and left to read that: none makes room meanwhile.
+    // The maximum of client connections with 64 descriptors. Each got a protocol error and is left to read it, so none
+    // of them can be evicted.
     let mut full: Vec<Client> = (0..27).map(|_| ingress.client()).collect();
     for client in &mut full {
         client.send(b"*1\r\n$60000000\r\n");
@@ -224,7 +229,8 @@
 
 // ---- Connections that come up late ----
 
-/// Guards against a command that tells its backend more time than its client has left: it was made out when the connect began.
+/// Guards against sending the backend a deadline computed when the connect began, which is longer than the time the
+/// client has left.
 #[test]
 fn an_attempt_that_connects_late_sends_the_time_left_by_then() {
     let jammed = Jammed::start();
@@ -253,8 +259,8 @@
 
 // ---- Backends that say more than they were asked ----
 
-/// Guards against half a line that comes while a connection rests, or after it has rested: read as the head of the next answer,
-/// it would spoil that one.
+/// Guards against a partial line that arrives while a connection is idle, or after it was idle, being read as the start
+/// of the next answer.
 #[test]
 fn a_partial_line_behind_an_answer_spoils_no_other_request() {
     for pause in [Duration::from_micros(300), Duration::from_millis(5)] {
@@ -273,7 +279,7 @@
                 client.ask(&call("refer", &format!("h{n}"), 2000)),
                 format!("value of h{n}")
             );
-            // Seen by the backend's end of the connection: it was closed, and not used again.
+            // The backend sees its connection closed, which shows that the ingress does not reuse it.
             until("the connection is given up", || {
                 backend.seen.ended.load(Ordering::SeqCst) > n
             });
@@ -284,7 +290,7 @@
 
 // ---- Drains ----
 
-/// Guards against a connection that comes up after its backend was told to drain, and against waiting for it.
+/// Guards against using a connection that comes up after its backend began to drain, and against waiting for it.
 #[test]
 fn an_unsent_request_is_retried_elsewhere_when_its_backend_drains() {
     let (jammed, other, discovery) = (Jammed::start(), Backend::start(serve), Discovery::start());
@@ -307,7 +313,8 @@
 
 // ---- The end of the ingress ----
 
-/// A client that takes in little at a time, so that the kernel holds the rest of its answer, with the answer to `r1` on its way.
+/// Connects a client with a small receive buffer, so that the kernel holds the rest of its answer, and waits until the
+/// answer to `r1` is in flight.
 fn with_an_answer_on_its_way(ingress: &Ingress, backend: &Backend) -> Client {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
@@ -321,8 +328,8 @@
     client
 }
 
-/// Sends a request once the end of its connection stands behind an answer that is not taken in yet: that one has to come whole,
-/// and the request, never read, must not be sent on.
+/// Sends a request once the ingress has queued its FIN after an answer that the client has not read yet. The answer
+/// must arrive completely, and the request must not be forwarded.
 fn a_request_that_crosses(ingress: &Ingress, client: &mut Client, answer: &str) {
     let ours = client.0.local_addr().unwrap();
     until("the connection is being closed", || {
@@ -333,7 +340,7 @@
     assert!(client.ended());
 }
 
-/// A backend whose value for `r1` is longer than a client's kernel takes in here, and the value.
+/// Starts a backend whose value for `r1` is longer than the client's receive buffer. Returns the backend and the value.
 fn with_a_long_value() -> (Backend, String) {
     let value = "v".repeat(60_000);
     let answer = format!("*3\r\n$60000\r\n{value}\r\n$-1\r\n$-1\r\n").into_bytes();
@@ -347,8 +354,8 @@
     (Backend::start(act), value)
 }
 
-/// Guards against an answer that is lost on its way: closed over a request that crosses the close, the connection would be reset,
-/// and what its client has not taken in yet be gone.
+/// Guards against losing an answer in flight. Closing a socket with an unread request resets the connection, which
+/// discards what the client has not read yet.
 #[test]
 fn an_answer_in_flight_survives_a_request_that_crosses_the_shutdown() {
     let (backend, value) = with_a_long_value();
@@ -360,7 +367,8 @@
     assert_eq!(ids(&backend), ["r1"], "read behind the end, it was sent on");
 }
 
-/// Guards against the same where an ingress that goes on serving ends an idle connection: of 120 descriptors a sixth may be idle.
+/// Guards against the same loss when a running ingress evicts an idle connection: with 120 descriptors, a sixth may be
+/// idle.
 #[test]
 fn an_answer_in_flight_survives_a_request_that_crosses_an_eviction() {
     let (backend, value) = with_a_long_value();
@@ -389,14 +397,14 @@
     drop(others);
 }
 
-/// Guards against an exit over what has been read and not answered: requests behind a full line of answers are taken up as the
-/// line is answered, and that is at the last moment here.
+/// Guards against exiting with requests that were read and not answered. Requests after a full pipeline are handled as
+/// answers leave it, which here happens at the last moment.
 #[test]
 fn requests_read_behind_a_full_pipeline_are_answered_before_the_exit() {
     let backend = Backend::start(|_| Act::Silent);
     let mut ingress = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]).start();
     let mut client = ingress.client();
-    // A line holds 256; the first ones stay with the backend until the time to stop is over.
+    // The pipeline holds 256 requests; the first ones stay with the backend until the shutdown timeout.
     let many: Vec<u8> = (0..400)
         .flat_map(|n| call("refer", &format!("r{n}"), 8000))
         .collect();
@@ -414,7 +422,7 @@
     assert_eq!(ingress.exit().code(), Some(0));
 }
 
-/// Guards against a half-close that keeps the ingress from its end: a client that never closes is left after a second.
+/// Guards against a half-close that delays the exit: the ingress waits one second for a client that never closes.
 #[test]
 fn clients_that_never_close_do_not_delay_the_exit() {
     let backend = Backend::start(serve);
--- a/crates/ingress/tests/handover/main.rs
+++ b/crates/ingress/tests/handover/main.rs
@@ -1,5 +1,5 @@
-//! A new version under load: processes of one ingress after each other on one listening socket that the test holds, as a
-//! platform would. A connection that a client keeps must never end, and each request has one answer and one effect.
+//! Upgrades under load: successive processes of one ingress share a listening socket that the test holds, as a platform
+//! would. A client's connection must never be closed, and each request has one answer and at most one effect.
 
 mod support;
 
@@ -15,8 +15,8 @@
     call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Jammed,
 };
 
-/// Guards against connections that are closed or left unread, answers that go missing and effects that come twice, over two
-/// upgrades on end under load, with the limits half of them would break.
+/// Guards against connections that are closed or not read, missing answers and duplicate effects during two consecutive
+/// upgrades under load, and against exceeding the limits on descriptors and memory.
 #[test]
 fn under_load_every_request_has_one_answer_on_the_connection_it_came_on() {
     let slow = |args: &[String]| Act::Later(Duration::from_millis(15), served(args));
@@ -50,7 +50,7 @@
     let (memory, descriptors) = seen.stop();
     let before = asked.load(Ordering::SeqCst);
     until("it serves", || asked.load(Ordering::SeqCst) > before + 200);
-    // It takes the place of the one before at its next look, up to half a second later.
+    // The second process binds the handover channel at its next check, up to half a second later.
     until("the second can be found", || {
         UnixStream::connect(platform.channel()).is_ok()
     });
@@ -60,13 +60,13 @@
     until("it serves", || asked.load(Ordering::SeqCst) > before + 200);
     stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
-    // For the page of measurements (--nocapture); whoever counts on a time fails on a busy machine.
+    // Printed with --nocapture only: an asserted time would fail on a busy machine.
     let pause = longest_pause(&answered_at.lock().unwrap());
     println!(
         "both processes: {memory} KiB resident, {descriptors} descriptors; longest pause {pause:?}"
     );
     assert!(descriptors < 1024 && memory < 192 * 1024);
-    // What backends have had: each unsafe request once, and each that was served.
+    // Each request reached the backends once at most, and each served one exactly once.
     let had = attempts_by_id(&backends);
     assert!(had.values().all(|n| *n == 1), "an effect came twice");
     let served_ids = served_ids.lock().unwrap();
@@ -74,7 +74,7 @@
     assert_eq!(third.figure("ingress.open_requests"), 0);
 }
 
-/// Guards against what was under way at the moment of the change: requests out, halves of commands, answers unread, quotas.
+/// Guards against losing state at the handover: requests in flight, partial commands, unread answers, used quota.
 #[test]
 fn requests_in_flight_continue_in_the_next_process() {
     let held = Arc::new(AtomicUsize::new(0));
@@ -89,7 +89,7 @@
     let platform = Platform::new(&[&backend]);
     let mut first = platform.start();
     let client = || Client::connect(platform.at);
-    // A customer that has used up its store.
+    // A customer that has used up its quota tokens.
     let (mut spent, mut served_before) = (client(), 0);
     for n in 0..9 {
         served_before += usize::from(
@@ -118,7 +118,7 @@
     );
     assert_eq!(half.answer(), "value of r1");
     assert_eq!(held.load(Ordering::SeqCst), 2, "nothing is sent again");
-    // Its quota is no new one, and an id that is known stays known.
+    // The used quota and the known ids carry over.
     assert!(spent
         .ask(&call_of(99, "quote", "q10", 900))
         .starts_with("-BUSY"));
@@ -133,8 +133,9 @@
     assert_eq!(second.figure("ingress.open_requests"), 0);
 }
 
-/// Guards against a key's window that ends with the process that knew it: a repeat whose connection is still coming up passes on,
-/// and is not written by the next process a second later, when its key is forgotten. What may begin anew is begun anew.
+/// Guards against a key's window that is lost with the old process: a retry whose connection is still coming up is
+/// handed over, and the new process must not write it a second later, when its key is forgotten. A request that cannot
+/// have run is started again.
 #[test]
 fn requests_unsent_at_a_handover_begin_anew_or_not_at_all() {
     for (class, answer) in [("save", "-ERR failed"), ("refer", "value of u1")] {
@@ -177,7 +178,7 @@
     }
 }
 
-/// Guards against a long answer that ends with the process that had begun to pass it on.
+/// Guards against breaking a long answer that the old process had begun to stream.
 #[test]
 fn a_streamed_answer_continues_in_the_next_process() {
     let go = Arc::new(AtomicBool::new(false));
@@ -185,7 +186,8 @@
     let platform = Platform::new(&backends.each_ref());
     let count = || backends.iter().map(Backend::count).sum::<usize>();
     let mut first = platform.start();
-    // Two that pass on as they come, and two lines of two, which are read whole first; all stand in the middle.
+    // Two requests alone on their connections, whose answers are streamed, and two pipelines of two, whose answers are
+    // buffered first. All are half way.
     let mut clients = [(); 4].map(|()| Client::connect(platform.at));
     let ids = |n: usize| {
         if n < 2 {
@@ -205,7 +207,7 @@
             n >= 2 || client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
         });
     }
-    // And a long body of which half has come.
+    // One more client has sent half of a long body.
     let (mut sender, body) = (Client::connect(platform.at), "y".repeat(1 << 20));
     let options = "c=refer,t=starter,d=8000,units=1,spread=1,first=0";
     let asked = command(&["CALL.POST", "00000000000fffff", "n0", options, &body]);
@@ -240,7 +242,7 @@
     assert_eq!(count(), 7, "none was sent again");
 }
 
-/// Guards against a drain that was told to the old process and not to the new, whose configuration holds an older list.
+/// Guards against losing a drain that only the old process knows: the new process's configuration holds an older list.
 #[test]
 fn drains_and_changed_settings_survive_a_handover() {
     let (one, two, discovery) = (
@@ -253,7 +255,7 @@
     let mut first = platform.start();
     discovery.tell(two.entry("s-1", "draining"));
     discovery.silence(true);
-    // Two classes change places in the file; those that are enforced keep theirs.
+    // A class in the file is replaced by another one. The enforced settings keep their positions.
     let settings = platform.setup.settings.clone();
     platform.setup.settings = settings.replace(r#""name":"quote""#, r#""name":"report""#);
     let file = platform.folder.path().join("config.json");
@@ -289,7 +291,7 @@
     );
 }
 
-/// Guards against whoever asks and does not go on: the old process must serve as if nothing had been.
+/// Guards against a failed handover that affects the old process: it must serve on unchanged.
 #[test]
 fn a_successor_that_fails_changes_nothing() {
     let backend = Backend::start(serve);
@@ -327,7 +329,7 @@
             format!("value of r{n}")
         );
     }
-    // One that takes the state and turns it down.
+    // A successor that reads the state and rejects it.
     let mut channel = UnixStream::connect(platform.channel()).unwrap();
     channel.write_all(&good).unwrap();
     channel.read_exact(&mut [0; 200]).unwrap();
@@ -344,7 +346,8 @@
     drop(next);
 }
 
-/// Guards against a start that waits for an old process that is frozen or dead; the one after it finds the way again.
+/// Guards against a start that waits for a frozen or dead process. The process started after it is handed over to as
+/// usual.
 #[test]
 fn beside_a_frozen_or_dead_process_the_successor_begins_anew() {
     let backend = Backend::start(serve);
@@ -352,21 +355,21 @@
     let mut frozen = platform.start();
     frozen.signal("STOP");
     let mut second = platform.start();
-    // New connections may be taken by either, once the old one goes on; until then by the new one.
+    // Once the old process continues, either process may accept a new connection; until then only the new one does.
     let mut client = Client::connect(platform.at);
     assert_eq!(client.ask(&call("refer", "r1", 2900)), "value of r1");
     frozen.signal("CONT");
     frozen.signal("TERM");
     assert!(!frozen.ended().contains("handed over"));
     assert_eq!(client.ask(&call("refer", "r2", 2900)), "value of r2");
-    // With the old one gone the second takes its place, and hands over as any other.
+    // After the old process has exited, the second one binds the channel and hands over as usual.
     until("the second can be found", || {
         UnixStream::connect(platform.channel()).is_ok()
     });
     let mut third = platform.start();
     assert_eq!(client.ask(&call("refer", "r3", 2900)), "value of r3");
     assert!(second.ended().contains("handed over"));
-    // A crash leaves the file of its channel behind.
+    // A crash leaves the channel's socket file behind.
     third.child.kill().unwrap();
     third.child.wait().unwrap();
     assert!(platform.channel().exists());
@@ -377,7 +380,7 @@
     );
 }
 
-/// Guards against signals in the midst: told to stop, a process is no way for the next one, which begins anew.
+/// Guards against a handover from a process that was told to stop: its successor starts without state.
 #[test]
 fn a_process_that_shuts_down_hands_nothing_over_and_answers_all() {
     let backend = Backend::start(|args| Act::Later(Duration::from_millis(300), served(args)));
@@ -401,7 +404,7 @@
     );
 }
 
-/// Guards against a descriptor that is taken for what it is not.
+/// Guards against using a passed descriptor that is not the expected listener.
 #[test]
 fn an_invalid_descriptor_is_logged_and_the_address_bound() {
     let backend = Backend::start(serve);
--- a/crates/ingress/tests/handover/support.rs
+++ b/crates/ingress/tests/handover/support.rs
@@ -1,4 +1,4 @@
-//! The platform, processes of the ingress, and load on them.
+//! The platform, processes of the ingress and clients that load them.
 
 use std::collections::{HashMap, HashSet};
 use std::io::{Read, Write};
@@ -12,7 +12,8 @@
 use std::time::{Duration, Instant};
 use wrenfork_testbed::small::{call, place, until, Act, Backend, Client, Setup, LONG};
 
-/// The platform: the clients' socket, the folder that all processes share, and the configuration.
+/// Stands in for the platform: holds the clients' listening socket, the folder that all processes share, and the
+/// configuration.
 pub struct Platform {
     pub listener: TcpListener,
     pub at: SocketAddr,
@@ -20,7 +21,7 @@
     pub setup: Setup,
 }
 
-/// A process of the ingress.
+/// A running ingress with its management address.
 pub struct Process {
     pub child: Child,
     management: SocketAddr,
@@ -45,7 +46,7 @@
             .join(format!("wrenfork-{}.next", self.at))
     }
 
-    /// Starts `run` once more; the descriptor is passed as 3 unless another redirection is wanted.
+    /// Starts a process. The shell redirection `redirect` sets up descriptor 3; `3<&0` passes the listening socket.
     pub fn run(&self, redirect: &str) -> Process {
         let (file, management) = (self.folder.path().join("config.json"), place());
         std::fs::write(&file, self.setup.config(self.at)).unwrap();
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Starts a process and waits until it says yes.
+    /// Starts a process with the listening socket and waits until it is ready.
     pub fn start(&self) -> Process {
         let process = self.run("3<&0");
         until("it says yes", || process.ask("readyz").starts_with("+OK"));
@@ -108,7 +109,7 @@
             .success());
     }
 
-    /// Waits for its end, which must be a good one; its log.
+    /// Waits for the process to exit with code 0 and returns its log.
     pub fn ended(&mut self) -> String {
         let mut status = None;
         until("the process ends", || {
@@ -127,7 +128,7 @@
     }
 }
 
-/// Looks at two processes together, for the most that they hold at one moment.
+/// Samples the combined memory and descriptor use of two processes and keeps the peak.
 pub struct Sampler {
     pub second: Arc<AtomicU32>,
     pub stop: Arc<AtomicBool>,
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The most KiB resident, and the most descriptors.
+    /// Stops sampling. Returns the peak resident memory in KiB and the peak number of descriptors.
     pub fn stop(self) -> (usize, usize) {
         self.stop.store(true, Ordering::SeqCst);
         self.looking.join().unwrap()
@@ -189,7 +190,7 @@
     }
 }
 
-/// Clients that ask all the time, and what they saw.
+/// Clients that send requests continuously, and the answers they recorded.
 #[derive(Clone)]
 pub struct Load {
     pub at: SocketAddr,
@@ -200,7 +201,7 @@
 }
 
 impl Load {
-    /// Asks for two requests at once, over and over, as the client with this number.
+    /// Sends two requests at a time, in a loop, as client `number`.
     pub fn run(&self, number: usize) {
         let mut client = Client::connect(self.at);
         for n in 0.. {
@@ -229,7 +230,7 @@
     }
 }
 
-/// The longest time between two answers.
+/// The longest time between two consecutive answers.
 pub fn longest_pause(answered_at: &[Instant]) -> Duration {
     let pauses = answered_at.windows(2);
     pauses
@@ -238,7 +239,7 @@
         .unwrap()
 }
 
-/// How often the backends were given each request, by its id.
+/// The number of attempts that the backends received for each request id.
 pub fn attempts_by_id(backends: &[Backend]) -> HashMap<String, usize> {
     let mut attempts = HashMap::new();
     for backend in backends {
@@ -249,12 +250,12 @@
     attempts
 }
 
-/// The value of a request, three MiB of its id.
+/// The value for a request: its id repeated to 3 MiB.
 pub fn long_value(id: &str) -> String {
     id.bytes().cycle().take(3 << 20).map(char::from).collect()
 }
 
-/// A backend that gives half of a long value, and the rest when told to go on.
+/// A backend that sends half of a long answer, and the rest once `go` is set.
 pub fn half_way_until(go: Arc<AtomicBool>) -> Backend {
     Backend::start(move |args| {
         let text = long_value(&args[2]);
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -1,5 +1,5 @@
-//! Callers of the built sidecar: who proves nothing, too little or something forged is turned away with the reason, whoever
-//! proves enough is served, also while keys change.
+//! Authentication of callers by the built sidecar: a caller without a valid token is denied with the reason, a caller
+//! with sufficient rights is served, also while keys are rotated.
 
 use ed25519_dalek::SigningKey;
 use std::fs;
@@ -130,7 +130,7 @@
     ])
 }
 
-/// What proves too little, with the code of its refusal.
+/// Credentials that prove too little: a description, the token and the code of the expected denial.
 fn insufficient() -> [(&'static str, String, &'static str); 10] {
     [
         ("nothing", String::new(), "I100"),
@@ -170,13 +170,13 @@
     ]
 }
 
-/// A request's own token counts for it alone, and may say less than the tenant has.
+/// Asserts that a token sent with a request counts for that request alone and may narrow the rights of its tenant.
 fn assert_tokens_of_requests_count_alone(client: &mut Client) {
     let (all, narrow) = (
         token(|c| c.tenant = "all".into(), 1),
         token(|c| c.accounts = Some(vec![7]), 1),
     );
-    // An account that is new here has what its ceiling has let through since the start, which is little at first.
+    // An account that is new to this process starts with few ceiling tokens.
     let mut asked = 0;
     until("the other account is served", || {
         asked += 1;
@@ -191,7 +191,7 @@
         .ask(&quote(OWN, "r7", &narrow))
         .starts_with("-DENIED I202"));
     assert_eq!(client.ask(&quote(OWN, "r8", "")), "value of r8");
-    // One that fails to be somebody else is nobody.
+    // A failed AUTH leaves the connection without an identity.
     assert!(client
         .ask(&command(&["AUTH", "letmein"]))
         .starts_with("-DENIED I101"));
@@ -200,7 +200,7 @@
         .starts_with("-DENIED I100"));
 }
 
-/// Guards against a caller that is taken for another one, and a token that reaches a backend or the log.
+/// Guards against taking a caller for another one, and against forwarding or logging a token.
 #[test]
 fn callers_without_rights_are_denied_with_the_reason_and_no_token_is_forwarded() {
     let backend = Backend::start(serve);
@@ -252,11 +252,12 @@
     );
 }
 
-/// Guards against a key that is still taken behind its withdrawal, a request that was taken and is lost with it, and an honest
-/// caller that fails in between.
+/// Guards against accepting a key after its withdrawal, losing a request that was admitted before it, and denying a
+/// caller with a valid token during the rotation.
 #[test]
 fn a_key_rotation_ends_only_what_the_old_key_signed() {
-    // Slow for the one that is to be out alone: if all were, the ladder would cut callers by a lot that is drawn with the time.
+    // Only `k2` is slow, because it must be in flight during the change. If all requests were slow, load shedding would
+    // reject callers by a hash that depends on the time.
     let backend = Backend::start(|args| match &args[2][..] {
         "k2" => Act::Later(Duration::from_millis(300), served(args)),
         _ => serve(args),
@@ -269,7 +270,7 @@
         fs::write(site.folder.path().join("app.toml"), app(site.at, keys)).unwrap();
         site.ingress.signal("HUP");
     };
-    // The new key is trusted before it is used; the old one goes on.
+    // The new key is trusted before it is used, and the old one stays valid.
     assert!(site
         .client()
         .ask(&command(&["AUTH", &new]))
@@ -279,7 +280,8 @@
         site.client().ask(&command(&["AUTH", &new])) == "+OK"
     });
     assert_eq!(client.ask(&quote(OWN, "k1", "")), "value of k1");
-    // The old one is withdrawn with a request of its caller out: that one ends, and nothing new is taken from it.
+    // The old key is withdrawn while a request of its caller is in flight: that request completes, and no new one is
+    // admitted.
     let before = backend.count();
     client.send(&quote(OWN, "k2", ""));
     until("it is with the backend", || backend.count() > before);
@@ -294,10 +296,10 @@
     assert!(client
         .ask(&quote(OWN, "k3", ""))
         .starts_with("-DENIED I106"));
-    // Its caller shows a token of the new key, and goes on over the same connection.
+    // The caller authenticates with a token of the new key on the same connection.
     assert_eq!(client.ask(&command(&["AUTH", &new])), "+OK");
     assert_eq!(client.ask(&quote(OWN, "k4", "")), "value of k4");
-    // A broken file keeps what was there.
+    // An invalid file leaves the current keys in place.
     reload(
         &site,
         "[[identity.issuer.key]]\nname = \"two\"\npublic = \"12\"\n",
@@ -310,7 +312,8 @@
     assert!(log.contains("C115"), "{log}");
 }
 
-/// Guards against a flood of forged tokens that has each one's signature checked, and that shuts out who was here before.
+/// Guards against verifying the signature of every token in a flood of forged ones, and against denying known callers
+/// during the flood.
 #[test]
 fn a_flood_of_forged_tokens_is_limited_and_known_callers_are_served() {
     let backend = Backend::start(serve);
@@ -324,7 +327,7 @@
         let answer = site.client().ask(&command(&["AUTH", &forged]));
         *codes.entry(answer[..12].to_string()).or_default() += 1;
     }
-    // Twenty at once and two a second: how many came to be checked depends on the time that this took.
+    // Twenty verifications at once and two per second: how many tokens were verified depends on the elapsed time.
     assert_eq!(codes.len(), 2, "{codes:?}");
     assert!(
         codes["-DENIED I105"] >= 20 && codes["-DENIED I111"] >= 40,
--- a/crates/ingress/tests/ingress/answers.rs
+++ b/crates/ingress/tests/ingress/answers.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as clients and backends see them.
+//! Requests and answers as seen by clients and backends.
 
 use crate::support::{is_rejected, setup};
 use std::sync::atomic::Ordering;
@@ -39,7 +39,7 @@
             "k=5c0f6e1a,r=1,units=2,spread=1,first=0,new=x"
         )
     );
-    // It fits the attempt: no longer than the client waits, and not cut to nothing.
+    // The deadline of the attempt is at most the client's, and not cut short without need.
     assert!(
         (2000..=2480).contains(&wait.parse::<u32>().unwrap()),
         "d={wait}"
--- a/crates/ingress/tests/ingress/attempts.rs
+++ b/crates/ingress/tests/ingress/attempts.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request when an attempt at it fails, and of the connection that carried it.
+//! What happens to a request, and to the connection that carried it, when an attempt fails.
 
 use crate::support::{answer_through, is_rejected, new_id, setup};
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_testbed::small::{call, entry, place, serve, served, until, Act, Backend, Client};
 
-/// An unsafe request that a backend was given whole goes to nobody else, whatever becomes of it.
+/// Asserts that an unsafe request that `bad` received completely is not sent again. Returns `bad` and the answer.
 fn may_have_run(bad: Backend) -> (Backend, String) {
     let good = Backend::start(serve);
     let ingress = setup(&[&bad, &good]).start();
@@ -38,7 +38,7 @@
     );
 }
 
-/// Guards against taking a break behind the last byte for a connection that never was.
+/// Guards against treating a reset after the last byte of a request as a failed connect.
 #[test]
 fn a_request_that_must_not_run_twice_fails_with_a_reset_after_its_last_byte() {
     assert_eq!(may_have_run(Backend::start(|_| Act::Hang)).1, "-ERR failed");
@@ -55,7 +55,7 @@
     });
 }
 
-/// Guards against waiting for the rest of what will not come until the client's time is over.
+/// Guards against waiting until the client's deadline for the rest of an incomplete answer.
 #[test]
 fn an_answer_without_an_end_times_out() {
     for spoilt in [
@@ -78,8 +78,8 @@
     }
 }
 
-/// Guards against serving a request with the copy of the answer before it: it came once the connection was in its
-/// pool again.
+/// Guards against using a duplicate of the previous answer for the next request: the duplicate arrives when the
+/// connection is in the pool again.
 #[test]
 fn bytes_behind_an_answer_serve_no_other_request() {
     let backend = Backend::start(|args| {
@@ -98,8 +98,8 @@
     }
 }
 
-/// Guards against serving requests with copies that come after any rest: a backend known for them gets a connection
-/// for each request.
+/// Guards against the same where the duplicate arrives after a longer pause: a backend known for duplicates gets a new
+/// connection for each request.
 #[test]
 fn a_backend_that_answers_twice_gets_a_new_connection_for_each_request() {
     let backend = Backend::start(|args| {
@@ -127,7 +127,7 @@
     }
 }
 
-/// Guards against losing a good value to a report that can't be read.
+/// Guards against losing a valid value because its load report is invalid.
 #[test]
 fn a_value_is_served_though_its_load_report_is_invalid() {
     for load in [
@@ -160,7 +160,7 @@
 fn a_request_without_an_answer_fails_before_its_client_times_out() {
     let silent = Backend::start(|_| Act::Silent);
     let ingress = setup(&[&silent]).start();
-    // The answer comes some 10 ms before the client's time is over: a busy machine may miss that once.
+    // The answer comes about 10 ms before the client's deadline, which a busy machine may miss once.
     let soonest = (0..4).map(|n| {
         let start = Instant::now();
         assert_eq!(
@@ -177,8 +177,8 @@
     });
 }
 
-/// Requests of a class that must never run twice are all served, though `bad` lets none in. They come at once:
-/// one after the other they would all go to the backend that answers.
+/// Asserts that requests that must not run twice are all served although `bad` accepts none. They are sent at once: one
+/// after the other they would all go to the working backend. Returns the elapsed time.
 fn never_ran(bad: SocketAddr) -> Duration {
     let good = Backend::start(|args| Act::Later(Duration::from_millis(30), served(args)));
     let mut setup = setup(&[&good]);
@@ -207,14 +207,14 @@
     never_ran(place());
 }
 
-/// Guards against waiting for a connection for as long as for an answer: a machine that is cut off says nothing.
+/// Guards against waiting as long for a connect as for an answer: an unreachable machine sends no reply.
 #[test]
 fn a_connect_without_an_answer_times_out() {
     let silent = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     silent.bind(&place().into()).unwrap();
     silent.listen(0).unwrap();
     let at = silent.local_addr().unwrap().as_socket().unwrap();
-    // What the line holds is taken; the kernel drops whatever comes then.
+    // The listen queue is full; the kernel drops further connects.
     let line: Vec<_> = (0..4)
         .map(|_| {
             let one =
@@ -233,7 +233,8 @@
     drop(line);
 }
 
-/// Guards against calling an attempt off on a connection that goes on: the second copy's answer is the answer.
+/// Guards against cancelling an attempt on a connection that is used further; the hedged attempt's answer is the
+/// result.
 #[test]
 fn an_idempotent_request_is_hedged_and_its_first_attempt_cancelled() {
     let slow = Backend::start(|args| Act::Later(Duration::from_millis(5000), served(args)));
@@ -254,7 +255,7 @@
     });
 }
 
-/// Guards against keeping connections that the backend has ended: what is written to one may have run.
+/// Guards against keeping connections that the backend has closed: a request written to one may have run.
 #[test]
 fn connections_closed_by_a_backend_are_not_reused() {
     let backend = Backend::start(serve);
@@ -275,8 +276,8 @@
     assert_eq!(backend.count(), 5);
 }
 
-/// Guards against connections that are dead after a moment of idleness and say so only under the next request:
-/// a request that must not run twice fails with each. They are found out by how long they were idle.
+/// Guards against connections that die while idle and fail only under the next request, which must not run twice and so
+/// fails. The ingress learns the idle time after which they fail.
 #[test]
 fn connections_that_go_stale_while_idle_are_detected() {
     let backend = Backend::start(serve);
@@ -291,7 +292,7 @@
     let served = (0..30).filter(|_| ask(80)).count();
     assert!(served >= 22, "{served} of 30 served");
     assert!((0..10).all(|_| ask(80)), "found out by now");
-    // Those that were idle for less are used on.
+    // Connections that were idle for a shorter time are still reused.
     let before = backend.seen.opened.load(Ordering::SeqCst);
     assert!((0..10).filter(|_| ask(8)).count() >= 7);
     assert!(
--- a/crates/ingress/tests/ingress/clients.rs
+++ b/crates/ingress/tests/ingress/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: pipelining, errors, timeouts, and clients that leave.
+//! Client connections: pipelining, errors, timeouts and disconnects.
 
 use crate::support::{new_id, setup};
 use std::sync::atomic::Ordering;
@@ -53,7 +53,7 @@
             "+PONG"
         ]
     );
-    // More than one connection's line holds: nothing is lost, nothing is out of order.
+    // More commands than the pipeline of a connection holds: all are answered, in order.
     let pings = 2000;
     client.send(&command(&["PING"]).repeat(pings));
     client.send(&call("quote", "q3", 900));
@@ -61,7 +61,8 @@
     assert_eq!(client.answer(), "value of q3");
 }
 
-/// Guards against a line that stops for good once it is full: requests then wait in the kernel, untold of.
+/// Guards against a pipeline that is not read again once it was full, which would leave requests in the kernel's
+/// buffer.
 #[test]
 fn a_long_pipeline_is_read_to_its_end() {
     let slow = Backend::start(|args| Act::Later(Duration::from_millis(5), served(args)));
@@ -114,7 +115,7 @@
     assert_eq!(backend.count(), 1, "nothing bad reaches a backend");
 }
 
-/// Guards against requests that the module would keep in a usual customer's record, and a backend turn away.
+/// Guards against requests that the decision module would count in a customer's record although backends refuse them.
 #[test]
 fn values_out_of_range_reach_no_backend() {
     let backend = Backend::start(serve);
@@ -138,7 +139,7 @@
     assert_eq!(backend.count(), 1);
 }
 
-/// Guards against a second request under an id that is open: backends would take it for a copy of the first.
+/// Guards against a second request under an open id: backends would take it for another attempt of the first.
 #[test]
 fn a_duplicate_id_is_an_error_and_does_not_disturb_the_first() {
     let backend = Backend::start(|args| Act::Later(Duration::from_millis(400), served(args)));
@@ -151,7 +152,7 @@
         assert!(answer.starts_with("-ERR"), "{answer}");
     }
     assert_eq!(first.answer(), "value of r1");
-    // It may come late by a moment only.
+    // The same id is refused for a moment after the answer too.
     assert!(ingress
         .client()
         .ask(&call("refer", "r1", 4000))
@@ -163,7 +164,7 @@
     assert_eq!(backend.count(), 2);
 }
 
-/// Guards against a client that sends bad commands for as long as its connection stands.
+/// Guards against a client that sends invalid commands without end.
 #[test]
 fn after_some_invalid_commands_the_connection_is_closed() {
     let backend = Backend::start(serve);
@@ -181,8 +182,8 @@
     );
 }
 
-/// Guards against descriptors held by clients that say nothing, or never the whole of a command: each is owed an
-/// error or a close within 3 s. One that has spoken may stay.
+/// Guards against descriptors held by clients that send nothing or never a complete command: each gets an error or a
+/// close within 3 s. A client that has sent a command may stay idle.
 #[test]
 fn clients_that_send_no_complete_command_are_closed() {
     let ingress = setup(&[]).start();
@@ -198,14 +199,15 @@
         start.elapsed()
     );
     assert_eq!(usual.ask(&command(&["PING"])), "+PONG");
-    // Half a command is timed from its first byte, not from the last command.
+    // A partial command is timed from its first byte, not from the last command.
     let ping = command(&["PING"]);
     usual.send(&ping[..5]);
     thread::sleep(Duration::from_millis(1200));
     assert_eq!(usual.ask(&ping[5..]), "+PONG");
 }
 
-/// Guards against an error that a reset takes away: the client is still sending when the connection is given up.
+/// Guards against an error answer that is lost to a reset because the client is still sending when the connection is
+/// closed.
 #[test]
 fn a_huge_value_is_refused_while_it_is_still_sent() {
     let ingress = setup(&[]).start();
@@ -218,7 +220,7 @@
     assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG");
 }
 
-/// Guards against bounds that hold for each connection and not for all: half commands of 64 KiB by the hundred.
+/// Guards against memory limits that hold per connection but not in total: 150 partial commands of 60 kB each.
 #[test]
 fn partial_commands_together_stay_within_the_memory() {
     let backend = Backend::start(serve);
@@ -255,7 +257,7 @@
     ] {
         let (mut client, id) = (ingress.client(), new_id());
         client.send(&call("quote", &id, 900));
-        // What follows is more than the kernel would forgive at a close with unread bytes.
+        // More unread bytes than the kernel discards without a reset at a close.
         client.send(&[bad.as_bytes(), &[b'x'; 40_000]].concat());
         assert_eq!(client.answer(), format!("value of {id}"), "{bad:?}");
         assert!(
@@ -267,14 +269,14 @@
     assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG");
 }
 
-/// Guards against carrying out what nobody waits for: an ingress that stood still finds requests whose clients have
-/// given up and gone, with the end of the connection right behind them.
+/// Guards against sending requests that no client waits for: after a stall, the ingress finds requests followed
+/// directly by the end of their connection.
 #[test]
 fn a_request_whose_client_disconnected_before_it_was_read_reaches_no_backend() {
     let backend = Backend::start(serve);
     let ingress = setup(&[&backend]).start();
     let mut other = ingress.client();
-    // An idle connection to the backend, over which a request would go at once.
+    // An idle connection to the backend, on which the next request could be written at once.
     assert_eq!(other.ask(&call("quote", "q1", 900)), "value of q1");
     std::thread::sleep(Duration::from_millis(20));
     let mut gone = ingress.client();
--- a/crates/ingress/tests/ingress/descriptors.rs
+++ b/crates/ingress/tests/ingress/descriptors.rs
@@ -1,11 +1,11 @@
-//! The budget of file descriptors.
+//! The limit on file descriptors.
 
 use crate::support::{is_rejected, setup};
 use std::thread;
 use std::time::{Duration, Instant};
 use wrenfork_testbed::small::{call, command, serve, until, Act, Backend, Client, Setup};
 
-/// More clients than descriptors: idle ones make room, and everyone who asks is answered.
+/// More clients than descriptors: the ingress closes idle connections, and every request is answered.
 fn crowd(setup: &Setup) {
     let ingress = setup.start();
     let mut clients: Vec<Client> = Vec::new();
@@ -37,7 +37,7 @@
     crowd(&setup);
 }
 
-/// Guards against a limit of the system's that is lower than the one told: EMFILE at each accept.
+/// Guards against a system limit lower than the configured one: accept fails with EMFILE.
 #[test]
 fn running_out_of_descriptors_is_survived() {
     let backend = Backend::start(serve);
@@ -46,7 +46,7 @@
     crowd(&setup);
 }
 
-/// Guards against clients that hang, accepted by the kernel and by nobody else, while all places are busy.
+/// Guards against clients that hang in the kernel's accept queue while all descriptors are in use.
 #[test]
 fn without_a_free_descriptor_a_client_is_rejected() {
     let slow = Backend::start(|_| Act::Silent);
@@ -65,8 +65,9 @@
     assert!(start.elapsed() < Duration::from_secs(2));
 }
 
-/// Guards against clients that ask once and keep their connection for good: the front, which may hold a third of the
-/// descriptors for requests, could open no new one (the incident r6317a1, where a third of the requests reached nobody).
+/// Guards against clients that send one request and keep their connection: the client of the ingress, which may use a
+/// third of the descriptors, could open no new connection (incident r6317a1, in which a third of the requests were
+/// never received).
 #[test]
 fn idle_clients_leave_descriptors_for_others() {
     let backend = Backend::start(serve);
@@ -91,7 +92,7 @@
         client.0.set_nonblocking(false).unwrap();
         kept
     };
-    // A sixth of the descriptors may be idle; the next to come finds one more that has just had its answer.
+    // A sixth of the descriptors may be idle, plus one connection that was just answered.
     until("the longest idle are closed", || {
         stay.iter().filter(|c| open(c)).count() <= 21
     });
--- a/crates/ingress/tests/ingress/discovery.rs
+++ b/crates/ingress/tests/ingress/discovery.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists that change, and discovery that fails.
+//! Changes of the endpoint list, and failures of discovery.
 
 use crate::support::{answer_through, setup};
 use std::sync::atomic::Ordering;
@@ -60,7 +60,8 @@
     assert_eq!((old.count(), new.count()), (1, 1));
 }
 
-/// Without discovery the list stays as it is; once it is back, what changed meanwhile is heard.
+/// Asserts that the endpoint list stays in use while discovery fails, and that changes made meanwhile arrive once
+/// discovery is back.
 fn survives(fail: impl Fn(&Discovery, bool)) {
     let (one, two, discovery) = (
         Backend::start(serve),
@@ -98,8 +99,8 @@
     survives(Discovery::silence);
 }
 
-/// Guards against an overbooked discovery that is kept so by those whom it turns away: each of a hundred called again
-/// within 50 ms and then once a second, and after a mass restart most had no list for the rest of the day.
+/// Guards against retries that keep an overloaded discovery overloaded: each of a hundred ingresses called again within
+/// 50 ms and then once a second, and after a mass restart most had no list for the rest of the day.
 #[test]
 fn a_discovery_that_rejects_polls_is_polled_seldom() {
     let (one, two, discovery) = (
@@ -113,7 +114,7 @@
     let ingress = setup.start();
     until("it is asked", || discovery.calls.load(Ordering::SeqCst) > 0);
     thread::sleep(Duration::from_millis(3000));
-    // At once, after half a second at the soonest, and after one more at the soonest.
+    // One call at once, a second after at least 0.5 s, a third after at least another second.
     let calls = discovery.calls.load(Ordering::SeqCst);
     assert!(calls <= 3, "{calls} calls in three seconds");
     assert_eq!(
--- a/crates/ingress/tests/ingress/main.rs
+++ b/crates/ingress/tests/ingress/main.rs
@@ -1,4 +1,4 @@
-//! The ingress by its sockets: the built binary between small backends, discovery, peers and clients.
+//! The ingress seen through its sockets: the built binary with stand-in backends, discovery, peers and clients.
 
 mod answers;
 mod attempts;
@@ -13,7 +13,7 @@
 use support::setup;
 use wrenfork_testbed::small::{call, place, serve, Backend, Ingress};
 
-/// The command in deploy/balancer.toml; `.ci/run` hands it in.
+/// Starts the ingress with the command in deploy/balancer.toml, which `.ci/run` passes in `WRENFORK_RUN`.
 #[test]
 #[ignore = "wants the command in WRENFORK_RUN"]
 fn the_deploy_command_starts() {
--- a/crates/ingress/tests/ingress/peers.rs
+++ b/crates/ingress/tests/ingress/peers.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_testbed::small::{call, place, serve, until, Backend, LONG};
 
-/// A socket that is read for 0.1 s.
+/// A UDP socket with a read timeout of 0.1 s.
 fn udp() -> UdpSocket {
     let socket = UdpSocket::bind(place()).unwrap();
     let timeout = Duration::from_millis(100);
@@ -38,7 +38,7 @@
             buf[..n].to_vec()
         })
     };
-    // A request of a customer with both for gateways: its use is told to the other one.
+    // A request of a customer that both gateways serve: its usage is sent to the peer.
     let mut client = ingress.client();
     let asked = String::from_utf8(call("quote", "q1", 900))
         .unwrap()
@@ -51,7 +51,7 @@
         told.is_some() || start.elapsed() > LONG
     });
     assert_eq!(client.answer(), "value of q1");
-    // The same message, asking for news, brings an answer if it comes from the peer, and only then.
+    // The same message with the query bit set is answered if it comes from the peer, and otherwise ignored.
     let mut question = told.unwrap();
     let first = 9 + 4 * usize::from(question[1] >> 2);
     question[first + 8] |= 2;
--- a/crates/ingress/tests/ingress/reload.rs
+++ b/crates/ingress/tests/ingress/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration is read again.
+//! SIGHUP reloads the configuration.
 
 use crate::support::setup;
 use std::sync::atomic::Ordering;
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_testbed::small::{call, serve, until, Backend, Discovery};
 
-/// Guards against SIGHUP for an end, and against news that wait for the old discovery's call to run out.
+/// Guards against SIGHUP ending the process, and against a reload that waits for the pending call to the old discovery.
 #[test]
 fn on_sighup_the_watch_moves_to_the_address_in_the_new_file() {
     let (one, two, three) = (
@@ -23,7 +23,7 @@
     });
     old.silence(true);
     new.change(two.entry("s-7", "up"));
-    // Half a file is none: the ingress serves on, and looks again by itself.
+    // A truncated file is not applied: the ingress keeps serving and reads the file again by itself.
     setup.discovery = Some(new.at);
     let config = setup.config(ingress.at);
     ingress.configure(&config[..config.len() / 2]);
@@ -38,7 +38,8 @@
     until("the new one is asked", || {
         new.calls.load(Ordering::SeqCst) > 1
     });
-    // Its list is whole: who is not in it is gone. Later news come from there as well.
+    // The new discovery's list is complete, so backends that are not in it are removed. Later changes come from there
+    // too.
     assert_eq!(
         ingress.client().ask(&call("refer", "r2", 2000)),
         "value of r2"
@@ -61,7 +62,7 @@
     );
 }
 
-/// A signal behind a reading that failed does not wait for that one's pause.
+/// Guards against a second SIGHUP that waits for the pause after a failed read.
 #[test]
 fn a_second_sighup_waits_for_no_backoff() {
     let (one, two, new) = (
--- a/crates/ingress/tests/ingress/shutdown.rs
+++ b/crates/ingress/tests/ingress/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown at SIGTERM.
+//! Graceful shutdown at SIGTERM.
 
 use crate::support::{new_id, setup};
 use std::thread;
@@ -7,7 +7,8 @@
 
 #[test]
 fn on_sigterm_admitted_requests_and_new_ones_are_served() {
-    // As many as have room for all at once: what waits in line may be refused, by a lot that is drawn with the time.
+    // Enough backends to run all requests at once: a waiting request may be rejected by load shedding, which depends on
+    // the time.
     let backends = [(); 3]
         .map(|()| Backend::start(|args| Act::Later(Duration::from_millis(400), served(args))));
     let mut ingress = setup(&backends.each_ref()).start();
@@ -44,7 +45,7 @@
     assert!(!ingress.log().contains("panicked"));
 }
 
-/// Guards against a port that is closed while clients still come, who have not heard that it stops: each was refused.
+/// Guards against closing the port while clients that have not heard of the shutdown still connect: each was refused.
 #[test]
 fn on_sigterm_connections_are_accepted_while_clients_come() {
     let backend = Backend::start(serve);
@@ -65,8 +66,8 @@
     assert_eq!(ingress.exit().code(), Some(0));
 }
 
-/// Guards against a request that is still out when SIGKILL comes, 0.7 s after the longest deadline but no later
-/// than 3.7 s: by then it has failed, or it is lost.
+/// Guards against a request that is still open when SIGKILL comes, 0.7 s after the longest deadline but no later than
+/// 3.7 s: it must have failed by then, or its answer is lost.
 #[test]
 fn requests_open_at_the_end_of_the_shutdown_fail() {
     let silent = Backend::start(|_| Act::Silent);
@@ -83,7 +84,7 @@
     assert!(took < Duration::from_millis(6000), "it took {took:?}");
 }
 
-/// A client that never ends its request must not keep a stopping ingress.
+/// Guards against a client that never completes its request delaying the exit.
 #[test]
 fn a_partial_request_does_not_delay_the_exit() {
     let mut ingress = setup(&[]).start();
@@ -94,7 +95,8 @@
     assert_eq!(ingress.exit().code(), Some(0));
 }
 
-/// Guards against waiting for a client that asks and never reads, until the ingress is killed with others' answers.
+/// Guards against waiting for a client that sends requests and never reads, until SIGKILL loses the answers of other
+/// clients.
 #[test]
 fn unread_answers_do_not_delay_the_exit() {
     let mut ingress = setup(&[]).start();
--- a/crates/ingress/tests/ingress/support.rs
+++ b/crates/ingress/tests/ingress/support.rs
@@ -1,11 +1,11 @@
-//! What the tests of this folder share.
+//! Helpers shared by the tests in this folder.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 use std::time::Duration;
 use wrenfork_testbed::small::{call, Backend, Ingress, Setup};
 
-/// A setup round the program as it was built for the tests.
+/// A setup with the program as built for the tests.
 pub fn setup(backends: &[&Backend]) -> Setup {
     Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends)
 }
@@ -15,14 +15,14 @@
     answer.starts_with("-BUSY")
 }
 
-/// An id is new with every request.
+/// A new request id on each call.
 pub fn new_id() -> String {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     format!("n{}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// Asks for two requests at once, again and again, until `wanted` has had one, and gives the answer to that. One
-/// after the other they might all go to the backend that answered first.
+/// Sends two requests at a time until `wanted` has received one, and returns the answer to that one. Sent one after the
+/// other, they might all go to the backend that answered first.
 pub fn answer_through(ingress: &Ingress, class: &str, wanted: &Backend) -> String {
     let (mut client, before) = (ingress.client(), wanted.count());
     for _ in 0..200 {
--- a/crates/ingress/tests/long.rs
+++ b/crates/ingress/tests/long.rs
@@ -1,4 +1,5 @@
-//! Answers too long to be kept whole, by the ingress's sockets: they pass on as they come, with both ends slow, broken or gone.
+//! Answers too long to be buffered, seen through the ingress's sockets: they are streamed while either end is slow,
+//! broken or gone.
 
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
@@ -16,7 +17,7 @@
     Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends)
 }
 
-/// A value that is its request's own, of so many bytes.
+/// A value of `length` bytes made from the request's id.
 fn value(id: &str, length: usize) -> String {
     id.bytes().cycle().take(length).map(char::from).collect()
 }
@@ -29,7 +30,7 @@
     .into_bytes()
 }
 
-/// The most memory that a process has had resident, in KiB.
+/// The peak resident memory of the process in KiB.
 fn peak(ingress: &Ingress) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", ingress.child.id())).unwrap();
     let line = status
@@ -39,7 +40,7 @@
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
-/// Reads on until the end of what comes, or so many bytes; how many came, and whether the connection has ended.
+/// Reads until the end of the stream or `limit` bytes. Returns the bytes read and whether the connection has ended.
 fn read_some(stream: &mut TcpStream, most: usize) -> (usize, bool) {
     let (mut had, mut chunk) = (0, vec![0; 64 * 1024]);
     while had < most {
@@ -54,7 +55,8 @@
     (had, false)
 }
 
-/// Guards against values that are kept whole: 32 of 4 MiB at once, to readers that take nothing for a while, in 24 MiB.
+/// Guards against buffering whole values: 32 of 4 MiB at once, to clients that do not read for a while, with a memory
+/// limit of 24 MiB.
 #[test]
 fn many_of_the_longest_answers_stream_through_a_small_memory() {
     let backend = Backend::start(|args| Act::Say(long(args, LONGEST)));
@@ -66,7 +68,8 @@
     let mut clients: Vec<Client> = (0..32).map(|_| ingress.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&call("refer", &format!("r{n}"), 7000));
-        // One after the other begins, and nobody reads: those that have begun keep no place from the next.
+        // The answers begin one after the other and no client reads: the streams that have begun leave room for the
+        // next one.
         until("it has begun", || {
             client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
         });
@@ -82,7 +85,8 @@
     assert_eq!(small.count(), 0);
 }
 
-/// Guards against a slow reader, or a value behind others, that keeps anybody else from being served or changes the order.
+/// Guards against a slow reader, or a long value in a pipeline, that delays other clients or changes the order of
+/// answers.
 #[test]
 fn a_slow_reader_delays_no_other_client_and_answers_stay_in_order() {
     let backend = Backend::start(|args| match &args[2][..1] {
@@ -101,7 +105,8 @@
             .map(|id| call("refer", id, 2500))
             .concat(),
     );
-    // Five at once are more than one backend has places for: whoever asks while one waits may be refused by lot.
+    // Five at once exceed the backend's concurrency limit: a request sent while one waits may be rejected by load
+    // shedding.
     until("all are with the backend", || backend.count() == 6);
     for n in 0..20 {
         assert_eq!(
@@ -119,7 +124,7 @@
     assert_eq!(slow.ask(&call("refer", "q9", 900)), "value of q9");
 }
 
-/// Guards against a deadline, or a second copy, that ends an answer which comes slowly but comes.
+/// Guards against a deadline or a hedged request that ends an answer which arrives slowly but steadily.
 #[test]
 fn a_streamed_answer_ends_early_only_when_it_stalls() {
     let backend = Backend::start(|args| {
@@ -132,13 +137,14 @@
     });
     let other = Backend::start(|args| Act::Say(long(args, 300_000)));
     let ingress = setup(&[&backend]).start();
-    // 900 ms, and a repeatable class: neither its end nor a second copy comes in between.
+    // 900 ms in a repeatable class: neither the deadline nor a hedged request ends the stream.
     assert!(ingress.client().ask(&call("quote", "q1", 900)) == value("q1", 300_000));
     assert!(ingress.client().ask(&call("quote", "q2", 900)) == value("q2", 300_000));
     assert_eq!((backend.count(), other.count()), (2, 0));
 }
 
-/// Guards against half a value that seems whole, and a second try of what the client has begun to read.
+/// Guards against a truncated value that looks complete, and against a retry after the client has received part of the
+/// answer.
 #[test]
 fn an_answer_that_breaks_in_the_middle_closes_the_clients_connection() {
     let (cut, id) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(0)));
@@ -183,10 +189,10 @@
         );
         assert_eq!(backend.count(), before + 1, "it was sent again");
     }
-    // What comes behind a whole one spoils nothing but its connection.
+    // Extra bytes after a complete answer end the backend connection and affect nothing else.
     cut.store(2, Ordering::SeqCst);
     assert!(ingress.client().ask(&call("quote", "b9", 5000)) == value("b9", 200_000));
-    // Beyond the bound nothing is passed on.
+    // A value over the length limit is not forwarded.
     let huge = Backend::start(|args| Act::Say(long(args, LONGEST + 1)));
     let ingress = setup(&[&huge]).start();
     assert_eq!(
@@ -195,7 +201,7 @@
     );
 }
 
-/// A backend whose answers to `l…` stop in the middle, until it hangs up, and to `w…` pause there.
+/// A backend whose answers to `l…` stop half way until it hangs up, and whose answers to `w…` pause half way.
 fn breaking() -> Backend {
     Backend::start(|args| match &args[2][..1] {
         "l" => Act::Parts(
@@ -208,7 +214,7 @@
     })
 }
 
-/// Guards against an answer that breaks in the middle and takes with it what others on its connection are owed.
+/// Guards against an answer that breaks half way and takes the other answers on its client connection with it.
 #[test]
 fn an_answer_that_breaks_in_the_middle_loses_no_other_answer() {
     let backend = breaking();
@@ -226,7 +232,7 @@
         ["value of q1", "-ERR failed", "value of q3"]
     );
     backend.seen.hang_up.store(false, Ordering::SeqCst);
-    // A sound one among others comes whole, and one that would be late has failed in time.
+    // A complete long answer in a pipeline arrives whole, and one that would be late fails in time.
     client.send(
         &["q4", "w5", "q6"]
             .map(|id| call("refer", id, 5000))
@@ -242,8 +248,8 @@
     );
 }
 
-/// Guards against a request that is read behind an answer which passes on as it comes: if that breaks, its connection ends, and
-/// whatever came of the request would be lost. Unread, it is one that its client sends again.
+/// Guards against reading a request while an answer is streamed before it. If the stream breaks, the connection is
+/// closed and the result of the request would be lost; if it was not read, the client can safely send it again.
 #[test]
 fn nothing_is_read_behind_a_streamed_answer() {
     let backend = breaking();
@@ -265,7 +271,7 @@
     assert_eq!(backend.count(), 3, "what came behind it was sent on");
 }
 
-/// Guards against a backend that goes on for a client that has left, and against one that stands still for ever.
+/// Guards against a backend that keeps sending after the client disconnected, and against one that stalls for ever.
 #[test]
 fn streaming_ends_when_the_client_disconnects_or_the_backend_stalls() {
     let backend = Backend::start(|args| {
@@ -290,7 +296,7 @@
     assert!(ended && (50_000..200_000).contains(&had), "{had}");
 }
 
-/// Guards against a place in the answer where a cut of the bytes is taken for something else.
+/// Guards against misreading an answer that is split at an unusual byte.
 #[test]
 fn an_answer_may_be_cut_anywhere() {
     let backend = Backend::start(|args| {
@@ -320,13 +326,13 @@
     command(&["CALL.POST", &customer, id, &options, body])
 }
 
-/// What a backend was given as the body of a request.
+/// The body of the request that a backend received under this id.
 fn body_at(backend: &Backend, id: &str) -> Option<String> {
     let seen = backend.seen.commands.lock().unwrap();
     seen.iter().find(|c| c[2] == id).map(|c| c[4].clone())
 }
 
-/// Guards against bodies that fill the memory: a dozen of 4 MiB at once, in pieces, where there is room for one or two.
+/// Guards against bodies that exhaust the memory: a dozen of 4 MiB at once, in pieces, with room for one or two.
 #[test]
 fn long_bodies_wait_for_memory_and_arrive_complete() {
     let backend = Backend::start(serve);
@@ -339,7 +345,7 @@
             thread::spawn(move || {
                 let id = format!("b{n}");
                 let asked = post("refer", &id, &value(&id, LONGEST - n));
-                // The head in pieces, and the body at once or in halves; a small one waits behind it.
+                // The head arrives in pieces, the body in two halves; a small request follows on the connection.
                 let cut = 3 + n * 7;
                 client.send(&asked[..cut]);
                 client.send(&asked[cut..asked.len() / 2]);
@@ -365,10 +371,12 @@
     assert!(peak < 24 * 1024, "{peak} KiB resident");
 }
 
-/// Guards against a body that is repeated in part, or not at all where its class allows it; lengths round the border.
+/// Guards against a retry with an incomplete body, or no retry where the class allows one. The lengths are around the
+/// buffer limits.
 #[test]
 fn a_long_body_is_retried_completely() {
-    // It turns two away, no more: where it turned all away the ladder would cut customers by a lot drawn with the time.
+    // The backend rejects two requests only: if it rejected all, load shedding would reject customers by a hash that
+    // depends on the time.
     let turned = AtomicUsize::new(0);
     let bad = Backend::start(move |args| match turned.fetch_add(1, Ordering::SeqCst) {
         0 | 1 => Act::Say(b"-BUSY\r\n".to_vec()),
@@ -395,7 +403,8 @@
             "{length} bytes came otherwise"
         );
     }
-    // Until one has been turned away, and so repeated, whichever backends were chosen above.
+    // Repeats until the first backend has rejected a request, so that a retry happens whichever backends were picked
+    // above.
     for n in 0.. {
         if bad.count() > 0 {
             break;
@@ -409,7 +418,7 @@
     }
 }
 
-/// Guards against a body that nobody has room for, or that never comes, and holds up the others for ever.
+/// Guards against a body that exceeds the memory, or that never completes, blocking other requests for ever.
 #[test]
 fn a_body_too_long_or_too_late_is_refused() {
     let backend = Backend::start(serve);
@@ -427,7 +436,8 @@
     let mut client = ingress.client();
     client.send(&head(LONGEST));
     assert!(client.answer().contains("longer than there is memory for"));
-    // One that stops half way keeps its grant for as long as a head may take; the next one is served then.
+    // A body that stops half way keeps its memory grant for as long as a head may take; then the next request is
+    // served.
     let (mut stopped, mut next) = (ingress.client(), ingress.client());
     stopped.send(&head(3 << 20));
     thread::sleep(Duration::from_millis(50));
@@ -435,7 +445,7 @@
     assert_eq!(next.answer(), "value of n1");
     assert!(stopped.answer().contains("did not come in time"));
     assert_eq!(backend.count(), 1);
-    // What is turned down is read to its end, and what comes behind it is served.
+    // The body of a refused request is read to its end, and the request after it is served.
     let mut client = ingress.client();
     client.send(
         &[
--- a/crates/ingress/tests/management.rs
+++ b/crates/ingress/tests/management.rs
@@ -1,4 +1,5 @@
-//! The operators' address by its sockets, and settings that change while requests are open: the built binary between stand-ins.
+//! The management address seen through its sockets, and settings that change while requests are open: the built binary
+//! with stand-in backends and discovery.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -11,7 +12,7 @@
     call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Setup,
 };
 
-/// A setup whose ingress listens for operators.
+/// A setup whose ingress listens for operators; returns it with the management address.
 fn setup(backends: &[&Backend]) -> (Setup, SocketAddr) {
     let (mut setup, at) = (Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends), place());
     setup.more = format!(r#""management":"{at}","#);
@@ -27,7 +28,7 @@
 
 const CLASSES: [&str; 3] = ["quote", "save", "refer"];
 
-/// How an answer counts: as served, rejected or failed.
+/// The index of an answer's outcome: 0 served, 1 rejected, 2 failed.
 fn end_of(answer: &str) -> usize {
     if answer.starts_with("value") {
         0
@@ -36,7 +37,8 @@
     }
 }
 
-/// Guards against figures that are guessed beside what happened: each is held against what clients and backends counted.
+/// Guards against telemetry that differs from what happened: each figure is compared with the counts of clients and
+/// backends.
 #[test]
 fn telemetry_matches_what_clients_and_backends_counted() {
     let held = Arc::new(AtomicUsize::new(0));
@@ -54,7 +56,7 @@
     let mut client = ingress.client();
     let mut saw = [[0; 3]; 3]; // by class: served, refused, failed
     for n in 0..40 {
-        // A burst of 7 lets some of one customer's through; the others have a customer each.
+        // The `q` requests share one customer, whose burst of 7 admits some of them; all others have a customer each.
         let (class, kind) = [
             ("quote", "a"),
             ("save", "b"),
@@ -70,7 +72,7 @@
         let place = CLASSES.iter().position(|c| *c == class).unwrap();
         saw[place][end_of(&client.ask(&asked))] += 1;
     }
-    // An id that is not new is answered here, and counts as failed.
+    // A duplicate id is answered by the ingress and counts as failed.
     assert!(client.ask(&call("save", "b37", 900)).starts_with("-ERR"));
     saw[1][2] += 1;
     assert!(saw[0][1] > 0 && saw[2][2] > 0, "{saw:?}");
@@ -87,9 +89,9 @@
     for n in 0..5 {
         client.send(&call("refer", &format!("h{n}"), 2900));
     }
-    // Some wait for a place, which is open as well.
+    // Requests that wait for a concurrency slot count as open too.
     until("all are open", || figure(at, "ingress.open_requests") == 5);
-    // Open here is not yet heard there: the backend reads in its own time.
+    // A request open in the ingress may not have been read by the backend yet.
     until("one is with the backend", || {
         held.load(Ordering::SeqCst) > 0
     });
@@ -97,7 +99,7 @@
     assert_eq!(figure(at, "ingress.open_requests"), 0);
 }
 
-/// Guards against a backend that counts as used while nothing is sent to it.
+/// Guards against counting a backend as in rotation while it gets no requests.
 #[test]
 fn a_draining_backend_is_listed_and_out_of_rotation() {
     let (one, two, discovery) = (
@@ -139,7 +141,7 @@
     ] {
         assert!(ask(at, bad).starts_with("-ERR "), "{bad}");
     }
-    // In pieces.
+    // The line arrives in pieces.
     let mut stream = TcpStream::connect(at).unwrap();
     for piece in ["rea", "dy", "z\n"] {
         stream.write_all(piece.as_bytes()).unwrap();
@@ -148,7 +150,7 @@
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     assert_eq!(text, "+OK ready\r\n");
-    // Told to stop, it is ready no more; while it still answers.
+    // After SIGTERM the ingress is no longer ready, but still answers.
     let mut client = ingress.client();
     ingress.signal("TERM");
     until("it says that it stops", || {
@@ -159,7 +161,7 @@
     assert_eq!(ingress.exit().code(), Some(0));
 }
 
-/// Guards against callers that say nothing, or go on and on, for whom another call or a client has to wait.
+/// Guards against operator connections that send nothing, or an endless line, delaying other operators or clients.
 #[test]
 fn endless_connections_of_operators_keep_out_neither_operators_nor_clients() {
     let backend = Backend::start(serve);
@@ -182,13 +184,13 @@
             );
         }
     }
-    // And with no descriptor left for clients.
+    // Operators are answered also with no descriptor left for clients.
     let held: Vec<Client> = (0..60).map(|_| ingress.client()).collect();
     assert_eq!(ask(at, "readyz\n"), "+OK ready\r\n");
     drop((silent, held));
 }
 
-/// Guards against a caller that ends its sending behind its line, as many tools do, and has no answer for it.
+/// Guards against leaving an operator unanswered who half-closes the connection after the line, as many tools do.
 #[test]
 fn an_operator_that_half_closed_gets_its_answer() {
     let backend = Backend::start(serve);
@@ -213,7 +215,8 @@
 
 // ---- Settings that change ----
 
-/// What a platform's retuning does: quote goes, report comes and is unsafe, save is safe to repeat now, one attempt is left.
+/// Applies a platform's change of settings: `quote` is replaced by the unsafe class `report`, `save` becomes safe to
+/// repeat, and one attempt is allowed.
 fn retuned(settings: &str) -> String {
     settings
         .replace(
@@ -227,12 +230,13 @@
         .replace(r#""most_tries":3"#, r#""most_tries":1"#)
 }
 
-/// Guards against requests that change their rules while they are open, and against classes that mix with others' places.
+/// Guards against applying new rules to open requests, and against mixing up the counters of classes whose position
+/// changed.
 #[test]
 fn classes_change_and_open_requests_keep_their_settings() {
     let held = Arc::new(AtomicUsize::new(0));
     let holding = held.clone();
-    // The first attempt at what begins with an h is held, then fails; a second one is served.
+    // The first attempt at a request whose id begins with `h` is delayed and then fails; the second one is served.
     let backend = Backend::start(move |args| {
         if args[2].starts_with('h') && holding.fetch_add(1, Ordering::SeqCst) == 0 {
             return Act::Later(Duration::from_millis(250), b"-ERR failed\r\n".to_vec());
@@ -252,7 +256,7 @@
     until("the file is taken", || {
         figure(at, "ingress.cfg_accepted") == 1
     });
-    // Open, it is still repeatable and may have three attempts.
+    // The open request is still repeatable and may have three attempts.
     assert_eq!(client.answer(), "value of h1");
     assert!(client
         .ask(&call("quote", "q2", 900))
@@ -276,14 +280,14 @@
         ([2, 0, 0], [1, 0, 0]),
         "counts go with the name"
     );
-    // One attempt: what fails is not sent again.
+    // One attempt is allowed, so a failed request is not retried.
     held.store(0, Ordering::SeqCst);
     assert!(!client.ask(&get("save", "h2")).starts_with("value"));
     assert_eq!(held.load(Ordering::SeqCst), 1);
     assert_eq!(other.count(), 0);
 }
 
-/// What is wrong in a file: a part of a good one, what stands there instead, and what the log has to name.
+/// Faults in a file: a part of a valid file, its replacement, and the text that the log must contain.
 const BROKEN: [(&str, &str, &str); 17] = [
     (
         r#""give_up_us":1000000"#,
@@ -344,7 +348,8 @@
     (r#""known":"#, r#""known_":"#, "known is missing"),
 ];
 
-/// Guards against a slip that stops the service: of a broken file nothing is taken, it counts once, and the log names its place.
+/// Guards against a mistake in the file that stops the service: nothing of an invalid file is applied, it is counted
+/// once, and the log names the faulty key.
 #[test]
 fn a_broken_file_changes_nothing() {
     let (one, two) = (Backend::start(serve), Backend::start(serve));
@@ -390,7 +395,7 @@
     assert_each_is_named(&ingress.log(), &broken);
 }
 
-/// Whether the log has a line for each refused file, with what is wrong in it.
+/// Asserts that the log has a line for each refused file that names its fault.
 fn assert_each_is_named(log: &str, broken: &[(String, &str)]) {
     let lines: Vec<&str> = log
         .lines()
@@ -402,7 +407,7 @@
     }
 }
 
-/// Guards against an answer that waits for a turn that is busy: thousands of requests at once, and calls among them.
+/// Guards against management calls that wait for a busy event loop: calls are made between thousands of requests.
 #[test]
 fn operators_are_answered_under_load() {
     let backend = Backend::start(serve);
--- a/crates/ingress/tests/pools.rs
+++ b/crates/ingress/tests/pools.rs
@@ -1,5 +1,6 @@
-//! Pools and routes under load, with real processes and the judge of the rules: whatever happens to a pool, each request has
-//! one answer, nothing runs twice over all pools, drains and ceilings are kept, and no cold node is pushed over.
+//! Pools and routes under load, with real processes and the judge that checks the rules: whatever happens to a pool,
+//! each request has one answer, none runs twice in any pool, drains and ceilings are kept, and no cold node is
+//! overloaded.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -11,13 +12,13 @@
 use wrenfork_testbed::rig::{play, Run};
 use wrenfork_testbed::scenario::Scenario;
 
-/// One at a time: a rig wants its core.
+/// Serializes the tests, because each rig needs a core for itself.
 static ALONE: Mutex<()> = Mutex::new(());
 
-/// A run in which the machine held the rig up has no verdict, and is played again.
+/// A run that the machine delayed too much has no verdict and is repeated, up to this number of runs.
 const TRIES: usize = 5;
 
-/// Quotes at home in hall-a, referrals in hall-b; eight nodes.
+/// Quotes have their pool in hall-a, referrals in hall-b; eight nodes.
 const WORLD: &str = r#"
 version = 1
 about = "Two pools"
@@ -103,7 +104,8 @@
     (folder, program, file)
 }
 
-/// Plays the world with pools, routes and faults. `later` is written in place of the operator's file after so long.
+/// Plays the scenario with these pools, routes and faults. After the duration in `later`, its text replaces the
+/// operator's file.
 fn run(operator: &str, world: &str, faults: &str, later: Option<(Duration, &str)>) -> Report {
     let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
     let scenario = Scenario::parse("pools.toml", &format!("{world}{faults}"))
@@ -138,7 +140,7 @@
     panic!("the machine is too busy for the rig");
 }
 
-/// No rule is broken, and there was something to break it with.
+/// Asserts that no rule was broken and that enough requests were served to break one.
 fn held(report: &Report) {
     let found: Vec<_> = report.violations.iter().take(10).collect();
     assert_eq!(
@@ -170,8 +172,8 @@
 
 const FALLBACK: &str = "fallback = \"b\"\n";
 
-/// A pool that dies whole, under load, with one to fall back on that is warm or has just started: what falls back pushes nobody
-/// over and takes little from those whose pool it is; without a fallback more is lost, so the fallback carries something.
+/// Guards against a lost pool that overloads its warm or just started fallback or takes much capacity from the requests
+/// routed to it. Without a fallback more requests fail, which shows that the fallback serves some.
 #[test]
 fn a_lost_pool_falls_back_without_harm_to_the_other() {
     let cold = WORLD.replace("model = \"small-2c\"", "model = \"small-2c\"\ncold = true");
@@ -193,8 +195,8 @@
     }
 }
 
-/// Referrals whose answers are cut off in their first pool are not sent on into the next one; quotes are. A pool that
-/// drains whole in one second and one that comes and goes each second.
+/// Guards against sending referrals on to the fallback pool after their answer was cut off in the first one; quotes may
+/// go there. Covers a pool that drains as a whole and comes back twice within seconds.
 #[test]
 fn requests_that_may_have_run_stay_in_their_pool_while_pools_drain_or_flap() {
     let routes = pools(FALLBACK).replace(
@@ -217,8 +219,8 @@
     assert!(report.goodput > 0.6, "{:?}", report.classes);
 }
 
-/// A trial pool of one node that falls silent, in a pool that shares nodes with another; and a file that takes the route
-/// under load away, read at SIGHUP by every ingress.
+/// Covers a trial pool of one node that stops answering and shares its node with another pool, and a file read by every
+/// ingress at SIGHUP that removes the routes under load.
 #[test]
 fn a_silent_trial_and_a_removed_route_break_no_rule_under_load() {
     let trial = "trial = \"t\"\nshare = 0.2\n";
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Many ingresses that are restarted at once at one discovery: how soon they are ready.
+//! Many ingresses that restart at the same time with one discovery service: how soon they are ready.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,12 +6,13 @@
     call, command, place, serve, until, Backend, Client, Discovery, Ingress, Setup,
 };
 
-/// As many as the machines of the tests bear; the users run some hundreds.
+/// As many processes as the test machines can run; the users run some hundreds.
 const PROCESSES: usize = 100;
-/// Within this nine in ten have to be ready.
+/// Time within which nine in ten processes must be ready.
 const READY: Duration = Duration::from_secs(10);
 
-/// Starts one at each address, all at once, and gives how long each took to answer a PING, the quickest first.
+/// Starts one process at each address, all at once. Returns them with the time that each took to answer a PING, sorted
+/// ascending.
 fn start(setup: &Setup, places: &[SocketAddr]) -> (Vec<Ingress>, Vec<Duration>) {
     let started = Instant::now();
     let program = format!("exec '{}'", setup.program);
@@ -37,8 +38,8 @@
     (all, ready)
 }
 
-/// Guards against a start that waits for discovery, or for others that do: it turns all of them away, and they are ready by the
-/// list that they were given.
+/// Guards against a start that waits for discovery. Discovery rejects all calls, and each process must be ready with
+/// the endpoint list in its configuration.
 #[test]
 fn nine_in_ten_of_a_hundred_simultaneous_restarts_are_ready_in_time() {
     let (backend, discovery) = (Backend::start(serve), Discovery::start());
--- a/crates/ingress/tests/scenarios.rs
+++ b/crates/ingress/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! The scenarios that ship, played with the built ingress: no rule may break while parts die. They are long, so they
-//! run one after the other and alone in this file.
+//! Plays every scenario in the repository with the built ingress: no rule may be broken while components fail. The
+//! scenarios are long, so they run one after the other in a file of their own.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::AtomicBool;
@@ -7,7 +7,7 @@
 use wrenfork_testbed::rig::{play, Run};
 use wrenfork_testbed::scenario::Scenario;
 
-/// A run in which the machine held the rig up has no verdict, and is played again.
+/// A run that the machine delayed too much has no verdict and is repeated, up to this number of runs.
 const TRIES: usize = 5;
 
 #[test]
@@ -17,7 +17,7 @@
         .unwrap()
         .map(|e| e.unwrap().path())
         .collect();
-    // The demonstration is played by the tests of `wrenctl`.
+    // The tests of `wrenctl` play the demonstration.
     files.retain(|f| !f.ends_with("demo.toml"));
     files.sort();
     assert!(files.len() >= 12);
@@ -49,7 +49,7 @@
             "{}: {:?}, goodput {:.3}",
             scenario.name, report.verdict, report.goodput
         );
-        // What the judge found counts, and that there was something to judge.
+        // A scenario passes if the judge found no violation and enough requests were served.
         if report.verdict != Verdict::Held || report.served < 50 {
             let found: Vec<String> = report
                 .violations
@@ -68,8 +68,8 @@
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
 }
 
-/// Guards against links of a scenario that fail in words alone: members that hear of no other turn requests away once their
-/// leases have run out, and serve again.
+/// Guards against link faults of a scenario that have no effect: group members that cannot reach each other reject
+/// requests once their leases have expired, and serve again afterwards.
 #[test]
 fn a_partitioned_group_rejects_requests_and_serves_again() {
     let calm = include_str!("../../testbed/scenarios/calm.toml");
--- a/crates/ingress/tests/sidecar.rs
+++ b/crates/ingress/tests/sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar: the built ingress that runs from an application's files.
+//! The sidecar: the built ingress started from an application's files.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
     .unwrap()
 }
 
-/// An application's folder, with its site and the nodes that there are.
+/// A folder with an application's file, its site file and the endpoint list.
 struct Folder(tempfile::TempDir);
 
 impl Folder {
@@ -50,7 +50,7 @@
         self.start_until(at, more, "+PONG")
     }
 
-    /// Starts it, and waits until it answers a PING with that.
+    /// Starts the sidecar and waits until its answer to a PING begins with `answer`.
     fn start_until(&self, at: SocketAddr, more: &str, answer: &str) -> Ingress {
         let ingress = Ingress::run("", at, &self.command(more));
         until("the sidecar is ready", || {
@@ -61,12 +61,12 @@
     }
 }
 
-/// The application without routes, listening at a place.
+/// The application file without routes, listening at `at`.
 fn app(at: SocketAddr) -> String {
     good("with-site-no-routes.toml").replace("127.0.0.1:7600", &at.to_string())
 }
 
-/// Guards against a request that spends another's plan, or more than its share, by saying so.
+/// Guards against a request that claims another plan, or a larger share of the quota.
 #[test]
 fn claims_of_plan_and_spread_are_ignored() {
     let (at, backend) = (place(), Backend::start(serve));
@@ -86,7 +86,7 @@
     );
 }
 
-/// The starter plan lets 7 through at once, whatever plan is claimed.
+/// The starter plan admits a burst of 7, whatever plan the request claims.
 #[test]
 fn the_quota_is_that_of_the_accounts_own_plan() {
     let (at, backend) = (place(), Backend::start(serve));
@@ -104,7 +104,8 @@
     };
     let answers: Vec<String> = (0..20).map(|n| ask(&mut client, n)).collect();
     let served = answers.iter().filter(|a| a.starts_with("value")).count();
-    // Some more where the machine stands still; the plan that was claimed would have let 16 through at once.
+    // The claimed plan would have admitted a burst of 16. A stalled machine lets the quota refill, so a few more than 7
+    // are possible.
     assert!((7..14).contains(&served), "{served} of 20: {answers:?}");
     assert!(
         answers.last().is_some_and(|a| a.starts_with("-BUSY")),
@@ -137,14 +138,15 @@
     );
     assert!(class.contains("may not send"), "{class}");
     assert_eq!(backend.count(), 0);
-    // An account without a ceiling: one that has counts from nothing at a start.
+    // This account has no ceiling; one with a ceiling starts without ceiling tokens.
     assert_eq!(
         ask(&mut client, "CALL.GET", "00000000000004d3", "quote"),
         "value of r1"
     );
 }
 
-/// Guards against a sidecar that runs from a file that the check refuses, or does not say what is wrong with it.
+/// Guards against a sidecar that starts from a file that the checker refuses, or that does not report what is wrong
+/// with it.
 #[test]
 fn a_refused_file_starts_nothing_and_reports_all_errors() {
     let at = place();
@@ -166,7 +168,7 @@
     assert!(std::net::TcpStream::connect(at).is_err());
 }
 
-/// What the check takes, a sidecar starts with.
+/// The sidecar starts with every file that the checker accepts.
 #[test]
 fn every_good_application_starts() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../config/tests/good");
@@ -180,7 +182,7 @@
     for name in names {
         let at = place();
         let text = good(&name).replace("127.0.0.1:7600", &at.to_string());
-        // One of a group alone starts, and turns away what comes.
+        // A single member of a group starts and rejects requests.
         let (two, grouped) = (name.contains("two-sidecars"), name.contains("roster"));
         let text = (7946..=7949).fold(text, |text, port| {
             text.replace(&format!("127.0.0.1:{port}"), &place().to_string())
@@ -207,7 +209,7 @@
     assert!(started >= 12, "only {started}");
 }
 
-/// A node's entry, of a model.
+/// The endpoint entry of a backend with the given model and status.
 fn entry_of(backend: &Backend, name: &str, model: &str, status: &str) -> String {
     let entry = backend.entry(name, status);
     let at = entry.find("\"type\":\"").unwrap() + 8;
@@ -215,14 +217,14 @@
     format!("{}{model}{}", &entry[..at], &entry[end..])
 }
 
-/// A folder with an application whose starter plan has this quota.
+/// A folder with an application whose starter plan has this quota and burst.
 fn with_quota(app: &str, quota: &str, burst: u32) -> Folder {
     let plan = "plan = \"starter\"";
     let limits = format!("{plan}\nquota = \"{quota}\"\nburst = {burst}");
     Folder::new(&app.replace(plan, &limits), &[])
 }
 
-/// Has the first list and discovery tell of these nodes.
+/// Writes these entries to the initial list and publishes them in discovery.
 fn publish(folder: &Folder, discovery: &Discovery, entries: &[String]) {
     folder.write("fleet.json", &list(1, true, entries));
     for entry in entries {
@@ -230,7 +232,7 @@
     }
 }
 
-/// A request of a class, which only quotes have no key and body for.
+/// A request of a class; all classes but `quote` carry a key and a body.
 fn call_of_class(class: &str, id: &str) -> Vec<u8> {
     let options = |key: &str| format!("c={class},t=starter,d=900{key},units=1,spread=1,first=0");
     let account = "00000000000004d3";
@@ -241,7 +243,7 @@
     }
 }
 
-/// Guards against a route that is checked and then ignored: two classes in two pools, and the fallback of one.
+/// Guards against a route that is checked and then ignored: two classes in two pools, and the fallback of one pool.
 #[test]
 fn requests_go_to_the_pools_of_their_routes_and_fall_back_when_these_drain() {
     let (at, fast, slow, other) = (
@@ -296,7 +298,7 @@
     );
 }
 
-/// What the log has of the files that are refused, and of the one that is taken.
+/// Texts that the log must contain for the refused files and the applied one.
 const RELOADS: [&str; 4] = [
     "stater",
     "enforcing the new files",
@@ -304,7 +306,7 @@
     "tick_us is fixed",
 ];
 
-/// Guards against a new file of which only a part is taken, or none, or which ends what is under way.
+/// Guards against a new file that is applied in part or not at all, or that ends requests in flight.
 #[test]
 fn on_sighup_a_new_file_is_applied_completely_or_not_at_all() {
     let (at, backend) = (
@@ -324,7 +326,7 @@
     let knows = |client: &mut Client, account: &str| !client.ask(&bytes(account)).contains(unknown);
     let (old, new) = ("00000000000004d3", "00000000000004d5");
     assert!(knows(&mut client, old) && !knows(&mut client, new));
-    // A request is under way while its account goes and another comes.
+    // A request is in flight while its account is removed and another one is added.
     let before = backend.count();
     open.send(&bytes(old));
     until("it is with the backend", || backend.count() > before);
@@ -336,7 +338,7 @@
         open.answer().starts_with("value"),
         "what was under way ends"
     );
-    // A file that is refused, one that changes what is fixed, one cut in half: nothing of them is taken.
+    // An invalid file, a truncated one, and one that changes a fixed setting: nothing of them is applied.
     let elsewhere = app(at).replace(&at.to_string(), "127.0.0.1:9");
     for text in [
         app(at).replace("starter", "stater"),
@@ -365,7 +367,7 @@
     assert_reloads_are_logged(&mut ingress);
 }
 
-/// Ends the ingress; its log has each of [`RELOADS`].
+/// Stops the ingress and asserts that its log contains each of [`RELOADS`].
 fn assert_reloads_are_logged(ingress: &mut Ingress) {
     ingress.signal("TERM");
     assert!(ingress.exit().success());
@@ -375,7 +377,7 @@
     }
 }
 
-/// A Unix socket is its owner's from the first moment, serves as TCP does, and is gone at the end.
+/// A Unix socket is accessible to its owner only from the start, serves as TCP does, and is removed at exit.
 #[test]
 fn a_unix_socket_serves_and_is_removed_at_exit() {
     use std::io::{Read, Write};
@@ -385,7 +387,7 @@
     let path = run.path().join("desk.sock");
     let text = app(at).replace(&at.to_string(), &format!("unix:{}", path.display()));
     let folder = Folder::new(&text, &[&backend]);
-    // One that a crash left is taken over.
+    // A socket file left by a crash is replaced.
     drop(std::os::unix::net::UnixListener::bind(&path).unwrap());
     let mut ingress = Ingress::run("", at, &folder.command(""));
     until("the sidecar listens", || UnixStream::connect(&path).is_ok());
@@ -409,7 +411,7 @@
             format!("value of u{n}")
         );
     }
-    // A second one there is refused, and the first serves on.
+    // A second process on the same socket is refused, and the first one keeps serving.
     let mut second = Ingress::run("", at, &folder.command(""));
     assert_eq!(second.exit().code(), Some(1));
     assert!(second.log().contains("another process listens there"));
@@ -421,8 +423,8 @@
     assert!(stream.read(&mut [0]).map_or(true, |n| n == 0));
 }
 
-/// Guards against a list of users that is checked and then ignored: whoever is not on it is let go at once, and those who are
-/// are served.
+/// Guards against a list of users that is checked and then ignored: connections of users not on the list are closed at
+/// once, and users on it are served.
 #[test]
 fn a_unix_socket_serves_only_the_users_on_its_list() {
     use std::io::{Read, Write};
@@ -439,7 +441,7 @@
         for n in 0..5 {
             let mut stream = UnixStream::connect(&path).unwrap();
             let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
-            // One that is let go may be gone before it is written to.
+            // A refused connection may already be closed at the write.
             let _ = stream.write_all(&command(&[
                 "CALL.GET",
                 "00000000000004d3",
@@ -471,8 +473,8 @@
     assert!(log.contains("C408"), "{log}");
 }
 
-/// Guards against halls that are all alike to a class without a route: it stays in its own hall, goes to the nearest one
-/// that has somebody when its own drains, and comes back.
+/// Guards against ignoring zones for a class without a route: its requests stay in the own hall, go to the nearest hall
+/// with a backend while the own one drains, and return afterwards.
 #[test]
 fn a_class_without_a_route_prefers_its_own_zone_then_the_nearest() {
     let (at, home, next, far) = (
