--- a/crates/ingress/tests/accepted.rs
+++ b/crates/ingress/tests/accepted.rs
@@ -32,7 +32,7 @@
 type Trial = Option<(usize, u32)>;
 
 #[derive(Clone, Debug)]
-struct Drawn {
+struct GeneratedFiles {
     halls: usize,
     near: Vec<(usize, Vec<usize>)>,
     classes: Vec<Class>,
@@ -69,7 +69,7 @@
     })
 }
 
-fn drawn() -> impl Strategy<Value = Drawn> {
+fn generated_files() -> impl Strategy<Value = GeneratedFiles> {
     let near = prop::collection::vec((0usize..6, prop::collection::vec(0usize..6, 1..5)), 0..2);
     let classes = prop::collection::vec(class(), 1..6);
     let plans = prop::collection::vec(plan(), 1..4);
@@ -99,7 +99,7 @@
         prop::collection::vec(pool, 0..5),
         prop::collection::vec(route, 0..4),
     );
-    (site, limits, cold, app).prop_map(|(site, limits, cold, app)| Drawn {
+    (site, limits, cold, app).prop_map(|(site, limits, cold, app)| GeneratedFiles {
         halls: site.0,
         near: site.1,
         classes: site.2,
@@ -115,7 +115,7 @@
     })
 }
 
-impl Drawn {
+impl GeneratedFiles {
     fn site(&self) -> String {
         let halls: Vec<String> = (0..self.halls).map(|h| format!("\"h{h}\"")).collect();
         let mut text = format!(
@@ -213,7 +213,7 @@
 /// Guards against files that the checker accepts but the sidecar cannot run. The bound on refused draws fails the test
 /// if nearly all generated files are invalid.
 #[test]
-fn files_that_the_checker_accepts_run() {
+fn files_accepted_by_the_checker_start_the_sidecar() {
     let seed = RngSeed::Fixed(19);
     let config = Config {
         rng_seed: seed,
@@ -221,12 +221,12 @@
         ..Config::default()
     };
     let mut runner = proptest::test_runner::TestRunner::new(config);
-    let (folder, strategy) = (tempfile::tempdir().unwrap(), drawn());
-    let (mut taken, mut refused, mut with_pools) = (0, 0, 0);
-    while taken < 24 || with_pools < 8 {
+    let (folder, strategy) = (tempfile::tempdir().unwrap(), generated_files());
+    let (mut accepted_count, mut refused_count, mut with_pools) = (0, 0, 0);
+    while accepted_count < 24 || with_pools < 8 {
         assert!(
-            refused < 5_000,
-            "{taken} of {refused} are taken, {with_pools} with pools"
+            refused_count < 5_000,
+            "{accepted_count} generated files accepted ({with_pools} with pools), {refused_count} refused"
         );
         let files = strategy.new_tree(&mut runner).unwrap().current();
         let at = place();
@@ -237,11 +237,14 @@
         ])
         .refused()
         {
-            refused += 1;
+            refused_count += 1;
             continue;
         }
-        (taken, with_pools) = (taken + 1, with_pools + usize::from(!files.pools.is_empty()));
-        if taken > 24 && files.pools.is_empty() {
+        (accepted_count, with_pools) = (
+            accepted_count + 1,
+            with_pools + usize::from(!files.pools.is_empty()),
+        );
+        if accepted_count > 24 && files.pools.is_empty() {
             continue;
         }
         let write = |name: &str, text: &str| fs::write(folder.path().join(name), text).unwrap();
@@ -257,19 +260,26 @@
         let ready = loop {
             let pong =
                 TcpStream::connect(at).is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG");
-            let over = ingress.child.try_wait().unwrap().is_some()
+            let gave_up = ingress.child.try_wait().unwrap().is_some()
                 || start.elapsed() > Duration::from_secs(20);
-            if pong || over {
+            if pong || gave_up {
                 break pong;
             }
             std::thread::sleep(Duration::from_millis(5));
         };
         if ready {
             ingress.signal("TERM");
-            assert!(ingress.exit().success(), "{}\n{site}\n{app}", ingress.log());
+            assert!(
+                ingress.exit().success(),
+                "the sidecar exited with an error: {}\n{site}\n{app}",
+                ingress.log()
+            );
         } else {
             let _ = ingress.child.kill();
-            panic!("it does not run: {}\n{site}\n{app}", ingress.log());
+            panic!(
+                "the sidecar does not start from accepted files: {}\n{site}\n{app}",
+                ingress.log()
+            );
         }
     }
 }
--- a/crates/ingress/tests/addresses.rs
+++ b/crates/ingress/tests/addresses.rs
@@ -27,51 +27,55 @@
 }
 
 /// Copies bytes until either side closes, then calls `end`.
-fn copy(mut from: impl Read, mut to: impl Write, end: impl FnOnce()) {
+fn copy_until_closed(mut from: impl Read, mut to: impl Write, on_close: impl FnOnce()) {
     let mut buf = [0; 4096];
     while let Ok(n @ 1..) = from.read(&mut buf) {
         if to.write_all(&buf[..n]).is_err() {
             break;
         }
     }
-    end();
+    on_close();
 }
 
 /// Proxies a connection to the backend at `to`, which gives the backend a second address.
-fn pass(stream: UnixStream, to: SocketAddr) {
-    let Ok(back) = TcpStream::connect(to) else {
+fn proxy(stream: UnixStream, to: SocketAddr) {
+    let Ok(upstream) = TcpStream::connect(to) else {
         return;
     };
-    let (inner, outer) = (back.try_clone().unwrap(), stream.try_clone().unwrap());
-    let (ends, end) = (back.try_clone().unwrap(), stream.try_clone().unwrap());
-    thread::spawn(move || copy(outer, inner, move || drop(ends.shutdown(Shutdown::Both))));
-    thread::spawn(move || copy(back, stream, move || drop(end.shutdown(Shutdown::Both))));
+    let (inner, outer) = (upstream.try_clone().unwrap(), stream.try_clone().unwrap());
+    let (ends, end) = (upstream.try_clone().unwrap(), stream.try_clone().unwrap());
+    thread::spawn(move || {
+        copy_until_closed(outer, inner, move || drop(ends.shutdown(Shutdown::Both)))
+    });
+    thread::spawn(move || {
+        copy_until_closed(upstream, stream, move || drop(end.shutdown(Shutdown::Both)))
+    });
 }
 
-fn unix_door(path: &Path, to: SocketAddr) -> Arc<AtomicUsize> {
-    let (listener, came) = (
+fn start_unix_proxy(path: &Path, to: SocketAddr) -> Arc<AtomicUsize> {
+    let (listener, connection_count) = (
         UnixListener::bind(path).unwrap(),
         Arc::new(AtomicUsize::new(0)),
     );
-    let count = came.clone();
+    let count = connection_count.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             count.fetch_add(1, Ordering::SeqCst);
-            pass(stream, to);
+            proxy(stream, to);
         }
     });
-    came
+    connection_count
 }
 
 /// Starts a listener that accepts connections, reads what arrives and never answers. Returns its address and the bytes
 /// received.
-fn silent_door() -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
+fn start_silent_listener() -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (at, heard) = (
+    let (at, received_bytes) = (
         listener.local_addr().unwrap(),
         Arc::new(Mutex::new(Vec::new())),
     );
-    let all = heard.clone();
+    let all = received_bytes.clone();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let all = all.clone();
@@ -83,7 +87,7 @@
             });
         }
     });
-    (at, heard)
+    (at, received_bytes)
 }
 
 struct Site {
@@ -177,8 +181,8 @@
 }
 
 /// Counts the attempts that a backend received, by request id.
-fn counts(backend: &Backend) -> BTreeMap<String, usize> {
-    let mut counts = BTreeMap::new();
+fn attempts_by_id(backend: &Backend) -> BTreeMap<String, usize> {
+    let mut attempts_by_id = BTreeMap::new();
     for args in backend
         .seen
         .commands
@@ -187,24 +191,24 @@
         .iter()
         .filter(|args| args.len() > 2)
     {
-        *counts.entry(args[2].clone()).or_default() += 1;
+        *attempts_by_id.entry(args[2].clone()).or_default() += 1;
     }
-    counts
+    attempts_by_id
 }
 
 /// Guards against losing a node because one of its addresses fails, and against sending a request twice because
 /// connects race.
 #[test]
-fn a_dead_address_costs_nothing_and_each_request_comes_once() {
+fn unreachable_addresses_fail_no_request_and_duplicate_none() {
     let backend = Backend::start(serve);
     let folder = tempfile::tempdir().unwrap();
-    let (path, gone) = (folder.path().join("node"), folder.path().join("nobody"));
-    let came = unix_door(&path, backend.at);
+    let (path, missing_path) = (folder.path().join("node"), folder.path().join("missing"));
+    let connection_count = start_unix_proxy(&path, backend.at);
     let dead = place();
     let unix = |p: &Path| format!("unix:{}", p.display());
     let site = Site::new(&[
         dead.to_string(),
-        unix(&gone),
+        unix(&missing_path),
         "[::1]:9".into(),
         unix(&path),
         backend.at.to_string(),
@@ -215,8 +219,8 @@
         assert_eq!(client.ask(&referral(&id, 5_000)), format!("value of {id}"));
     }
     assert!(
-        came.load(Ordering::SeqCst) > 0,
-        "a socket on this machine comes first"
+        connection_count.load(Ordering::SeqCst) > 0,
+        "the Unix socket must be tried before the TCP address"
     );
     // The socket file and its listener are gone, so new connections go over TCP.
     fs::remove_file(&path).unwrap();
@@ -227,9 +231,9 @@
     }
     assert_eq!(backend.count() - before, 10);
     assert!(
-        counts(&backend).values().all(|n| *n == 1),
+        attempts_by_id(&backend).values().all(|n| *n == 1),
         "{:?}",
-        counts(&backend)
+        attempts_by_id(&backend)
     );
     drop(site.folder);
 }
@@ -237,7 +241,7 @@
 /// Guards against waiting for an address that neither accepts nor refuses a connection. The next address is tried
 /// meanwhile, and the request is written once, to whichever connects first.
 #[test]
-fn an_address_that_does_not_connect_is_overtaken_by_the_next() {
+fn the_next_address_is_tried_while_one_does_not_connect() {
     use socket2::{Domain, Socket, Type};
     let backend = Backend::start(serve);
     // The listen queue is full and nothing is accepted, so further connects get no reply.
@@ -249,7 +253,10 @@
     let held: Vec<TcpStream> = (0..8)
         .map_while(|_| TcpStream::connect_timeout(&at, Duration::from_millis(100)).ok())
         .collect();
-    assert!(held.len() < 8, "the queue has no end");
+    assert!(
+        held.len() < 8,
+        "all connects succeeded, the listen queue is not full"
+    );
     // Connecting to the addresses one after the other would take five seconds, longer than any request here may wait.
     let site = Site::with(&[at.to_string(), backend.at.to_string()], "5s");
     let mut client = site.client();
@@ -258,42 +265,45 @@
         assert_eq!(client.ask(&referral(&id, 3_000)), format!("value of {id}"));
     }
     assert!(
-        counts(&backend).values().all(|n| *n == 1),
+        attempts_by_id(&backend).values().all(|n| *n == 1),
         "{:?}",
-        counts(&backend)
+        attempts_by_id(&backend)
     );
 }
 
 /// Guards against a request that may have reached a node over one address being sent again over another.
 #[test]
-fn a_request_taken_by_a_silent_address_is_retried_over_another_only_if_idempotent() {
+fn a_request_read_by_a_silent_address_is_retried_over_another_only_if_idempotent() {
     let backend = Backend::start(serve);
-    let (silent, heard) = silent_door();
+    let (silent, received_bytes) = start_silent_listener();
     let site = Site::new(&[silent.to_string(), backend.at.to_string()]);
     let mut client = site.client();
     let answer = client.ask(&referral("once", 700));
     assert!(answer.starts_with("-ERR"), "{answer}");
-    let heard_of = |id: &str| {
-        String::from_utf8_lossy(&heard.lock().unwrap())
+    let received_count = |id: &str| {
+        String::from_utf8_lossy(&received_bytes.lock().unwrap())
             .matches(id)
             .count()
     };
     assert_eq!(
-        (heard_of("once"), counts(&backend).get("once").copied()),
+        (
+            received_count("once"),
+            attempts_by_id(&backend).get("once").copied()
+        ),
         (1, None),
-        "it came once, over one address"
+        "the request must arrive once, over the silent address only"
     );
     // The silent address is tried last from now on.
     for n in 0..20 {
         let id = format!("c{n}");
         assert_eq!(client.ask(&quote(&id)), format!("value of {id}"));
     }
-    assert_eq!(counts(&backend).len(), 20);
+    assert_eq!(attempts_by_id(&backend).len(), 20);
 }
 
 /// Checks, as counted by the node, that no referral arrives twice when answers are cut off over both addresses.
 #[test]
-fn no_referral_comes_twice_over_addresses_that_break() {
+fn no_referral_is_sent_twice_over_breaking_connections() {
     let backend = Backend::start(|args| {
         // The id decides whether the request is cut off without an answer, answered or refused.
         match args[2].bytes().map(usize::from).sum::<usize>() % 3 {
@@ -304,7 +314,7 @@
     });
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("node");
-    unix_door(&path, backend.at);
+    start_unix_proxy(&path, backend.at);
     let mut site = Site::new(&[format!("unix:{}", path.display()), backend.at.to_string()]);
     let clients: Vec<_> = (0..4)
         .map(|c| {
@@ -322,14 +332,18 @@
         })
         .collect();
     clients.into_iter().for_each(|c| c.join().unwrap());
-    let counts = counts(&backend);
+    let attempts_by_id = attempts_by_id(&backend);
     let refused = |id: &str| id.bytes().map(usize::from).sum::<usize>() % 3 == 2;
-    assert!(counts.len() > 100, "{} came at all", counts.len());
-    let twice: Vec<_> = counts
+    assert!(
+        attempts_by_id.len() > 100,
+        "only {} referrals reached the backend",
+        attempts_by_id.len()
+    );
+    let repeated: Vec<_> = attempts_by_id
         .iter()
         .filter(|(id, n)| **n > 1 && !refused(id))
         .collect();
-    assert!(twice.is_empty(), "{twice:?}");
+    assert!(repeated.is_empty(), "sent more than once: {repeated:?}");
     let mut ingress = site.ingress.take().unwrap();
     ingress.signal("TERM");
     assert!(ingress.exit().success());
--- a/crates/ingress/tests/crowds.rs
+++ b/crates/ingress/tests/crowds.rs
@@ -22,7 +22,7 @@
 }
 
 /// The number of these connections that the ingress has closed.
-fn closed(clients: &[Client]) -> usize {
+fn count_closed(clients: &[Client]) -> usize {
     clients.iter().filter(|c| has_ended(c)).count()
 }
 
@@ -39,12 +39,12 @@
             format!("value of s{n}")
         );
     }
-    let half = |n: usize| {
+    let send_partial = |n: usize| {
         let mut client = ingress.client();
         client.send(&call("refer", &format!("h{n}"), 900)[..20 + n % 50]);
         client
     };
-    let halves: Vec<Client> = (0..6).map(half).collect();
+    let partial_clients: Vec<Client> = (0..6).map(send_partial).collect();
     // An answered request shows that everything sent earlier has been read.
     let ask = |id: String| {
         assert_eq!(
@@ -58,23 +58,40 @@
     for n in 0..150 {
         silent.push(ingress.client());
         if n % 25 == 24 {
-            thread::sleep(Duration::from_millis(15)); // or they would count as too fresh to be judged
+            thread::sleep(Duration::from_millis(15)); // newer connections are not evicted yet
             ask(format!("b{n}"));
         }
     }
-    assert!(closed(&silent) > 80, "the silent ones make room");
-    assert_eq!(closed(&halves), 0, "partial before silent");
-    assert_eq!(closed(&served), 0, "served before silent");
+    assert!(
+        count_closed(&silent) > 80,
+        "silent connections must be evicted first"
+    );
+    assert_eq!(
+        count_closed(&partial_clients),
+        0,
+        "a partial command was evicted before silent connections"
+    );
+    assert_eq!(
+        count_closed(&served),
+        0,
+        "a served client was evicted before silent connections"
+    );
     // Now only partial commands: the oldest of these connections are evicted, and clients that were served stay.
     let mut more: Vec<Client> = Vec::new();
     for n in 6..100 {
-        more.push(half(n));
+        more.push(send_partial(n));
         if n % 5 == 0 {
-            ask(format!("c{n}")); // what came before is read, and no more than half
+            ask(format!("c{n}")); // the partial commands sent earlier have been read
         }
     }
-    until("the oldest half goes", || has_ended(&halves[0]));
-    assert_eq!(closed(&served), 0, "served before partial");
+    until("the oldest partial command is evicted", || {
+        has_ended(&partial_clients[0])
+    });
+    assert_eq!(
+        count_closed(&served),
+        0,
+        "a served client was evicted before partial commands"
+    );
     for (n, client) in served.iter_mut().enumerate() {
         assert_eq!(
             client.ask(&call("refer", &format!("t{n}"), 900)),
@@ -87,17 +104,17 @@
 /// Guards against a time limit on the command head that cuts off a client within the two seconds that the platform
 /// allows.
 #[test]
-fn a_head_that_takes_two_seconds_is_served() {
+fn a_command_head_sent_over_two_seconds_is_served() {
     let backend = Backend::start(serve);
     let ingress = setup(&backend, 256).start();
     let mut clients: Vec<Client> = (0..6).map(|_| ingress.client()).collect();
-    let parts: Vec<Vec<u8>> = (0..6)
+    let requests: Vec<Vec<u8>> = (0..6)
         .map(|n| call("refer", &format!("r{n}"), 900))
         .collect();
     // Each command is sent in six pieces over two seconds. The clients are staggered against the periodic check for
     // silent connections.
     for piece in 0..6 {
-        for (client, command) in clients.iter_mut().zip(&parts) {
+        for (client, command) in clients.iter_mut().zip(&requests) {
             let (from, to) = (command.len() * piece / 6, command.len() * (piece + 1) / 6);
             client.send(&command[from..to]);
             thread::sleep(Duration::from_millis(13));
@@ -113,20 +130,20 @@
 
 /// Guards against a shutdown that waits for idle connections.
 #[test]
-fn on_sigterm_under_a_crowd_requests_are_answered_and_the_process_exits() {
+fn on_sigterm_with_many_idle_clients_requests_are_answered_and_the_process_exits() {
     let backend = Backend::start(|args| Act::Later(Duration::from_millis(200), served(args)));
     let mut ingress = setup(&backend, 128).start();
     let crowd: Vec<Client> = (0..200).map(|_| ingress.client()).collect();
-    let mut halves: Vec<Client> = (0..20).map(|_| ingress.client()).collect();
-    halves
+    let mut partial_clients: Vec<Client> = (0..20).map(|_| ingress.client()).collect();
+    partial_clients
         .iter_mut()
         .for_each(|c| drop(std::io::Write::write(&mut c.0, b"*4\r\n$8\r\nCALL")));
     let mut client = ingress.client();
     client.send(&call("refer", "r1", 2000));
-    until("it is with the backend", || backend.count() == 1);
+    until("the request reaches the backend", || backend.count() == 1);
     ingress.signal("TERM");
     assert_eq!(client.answer(), "value of r1");
     drop(client);
     assert_eq!(ingress.exit().code(), Some(0));
-    drop((crowd, halves));
+    drop((crowd, partial_clients));
 }
--- a/crates/ingress/tests/endings.rs
+++ b/crates/ingress/tests/endings.rs
@@ -15,25 +15,25 @@
 
 /// A setup whose connects to backends may take three seconds, longer than the kernel's first SYN retransmission
 /// timeout.
-fn patient(backends: &[&Backend]) -> Setup {
+fn with_slow_connects(backends: &[&Backend]) -> Setup {
     let mut setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends);
-    let patient = r#""connect_timeout_us":3000000"#;
+    let timeout = r#""connect_timeout_us":3000000"#;
     setup.settings = setup
         .settings
-        .replace(r#""connect_timeout_us":250000"#, patient);
-    assert!(setup.settings.contains(patient));
+        .replace(r#""connect_timeout_us":250000"#, timeout);
+    assert!(setup.settings.contains(timeout));
     setup
 }
 
 /// Replaces one value in the settings of a setup.
-fn with(mut setup: Setup, was: &str, is: &str) -> Setup {
-    assert!(setup.settings.contains(was), "{was}");
-    setup.settings = setup.settings.replace(was, is);
+fn replace_setting(mut setup: Setup, from: &str, to: &str) -> Setup {
+    assert!(setup.settings.contains(from), "no {from} in the settings");
+    setup.settings = setup.settings.replace(from, to);
     setup
 }
 
 /// The ids of the requests that a backend received completely.
-fn ids(backend: &Backend) -> Vec<String> {
+fn received_ids(backend: &Backend) -> Vec<String> {
     backend
         .seen
         .commands
@@ -50,46 +50,52 @@
 /// comes up a second later, when the backends of the group have forgotten the key (scenario `zone+brink` of the users'
 /// bench, seed 8).
 #[test]
-fn a_keyed_request_is_not_written_once_its_window_is_over() {
+fn a_keyed_request_is_not_written_after_its_window() {
     let (hang, jammed, discovery) = (
         Arc::new(AtomicBool::new(false)),
         Jammed::start(),
         Discovery::start(),
     );
-    let told = hang.clone();
+    let may_fail = hang.clone();
     let first = Backend::start(move |_| {
-        until("the first attempt may break", || {
-            told.load(Ordering::SeqCst)
+        until("the first attempt may fail", || {
+            may_fail.load(Ordering::SeqCst)
         });
         Act::Hang
     });
     // Two attempts at most: a third one, hedged, would connect at once after the jam is cleared.
-    let setup = with(patient(&[&first]), r#""most_tries":3"#, r#""most_tries":2"#);
-    let mut setup = with(setup, r#""window_us":3000000"#, r#""window_us":900000"#);
+    let setup = replace_setting(
+        with_slow_connects(&[&first]),
+        r#""most_tries":3"#,
+        r#""most_tries":2"#,
+    );
+    let mut setup = replace_setting(setup, r#""window_us":3000000"#, r#""window_us":900000"#);
     setup.discovery = Some(discovery.at);
     let ingress = setup.start();
     let mut client = ingress.client();
     client.send(&call("save", "k1", 2800));
-    until("the first attempt is out", || first.count() == 1);
+    until("the first attempt reaches the backend", || {
+        first.count() == 1
+    });
     discovery.tell(jammed.entry("s-1", "up"));
     discovery.tell(first.entry("s-0", "draining"));
     hang.store(true, Ordering::SeqCst);
-    until("the second attempt is on its way", || jammed.tried());
+    until("the second attempt connects", || jammed.tried());
     let second = Backend::on(jammed.clear(), serve);
     // The request may have run, and no backend that knows its key can be reached in time.
     assert_eq!(client.answer(), "-ERR failed");
-    assert_eq!(ids(&second), Vec::<String>::new());
+    assert_eq!(received_ids(&second), Vec::<String>::new());
 }
 
-// ---- Clients that leave ----
+// ---- Clients that disconnect ----
 
 /// Guards against an attempt that starts after its client has disconnected while cancelling is off. An attempt that is
 /// not yet written has not started, and is dropped.
 #[test]
 fn an_unsent_request_whose_client_disconnected_is_never_written() {
     let jammed = Jammed::start();
-    let mut setup = with(
-        patient(&[]),
+    let mut setup = replace_setting(
+        with_slow_connects(&[]),
         r#""cancelling":true"#,
         r#""cancelling":false"#,
     );
@@ -99,23 +105,23 @@
     gone.send(&call("refer", "gone", 5000));
     // The PING shows that the request was read. Both requests now wait for a connect, and the first one's SYN is
     // retransmitted first.
-    let mut stays = ingress.client();
+    let mut remaining_client = ingress.client();
     assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG");
-    stays.send(&call("refer", "stays", 5000));
+    remaining_client.send(&call("refer", "stays", 5000));
     assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG");
     leave(gone);
     assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG");
     let backend = Backend::on(jammed.clear(), serve);
-    assert_eq!(stays.answer(), "value of stays");
-    assert_eq!(ids(&backend), ["stays"]);
+    assert_eq!(remaining_client.answer(), "value of stays");
+    assert_eq!(received_ids(&backend), ["stays"]);
 }
 
 /// Guards against writing to connections that came up during a stall before noticing which clients disconnected
 /// meanwhile.
 #[test]
-fn after_a_stall_disconnected_clients_are_seen_before_anything_is_sent() {
+fn after_a_stall_disconnects_are_noticed_before_requests_are_written() {
     let jammed = Jammed::start();
-    let mut setup = patient(&[]);
+    let mut setup = with_slow_connects(&[]);
     setup.known = vec![jammed.entry("s-0", "up")];
     let ingress = setup.start();
     let mut gone = ingress.client();
@@ -123,24 +129,26 @@
     assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG");
     ingress.signal("STOP");
     let listener = jammed.clear();
-    let (mut connection, _) = listener.accept().unwrap(); // the kernel's next try
+    let (mut connection, _) = listener.accept().unwrap(); // the kernel's SYN retransmission
     leave(gone);
     ingress.signal("CONT");
-    let mut came = Vec::new();
+    let mut received_bytes = Vec::new();
     connection.set_read_timeout(Some(LONG)).unwrap();
-    let end = connection.read_to_end(&mut came);
+    let end = connection.read_to_end(&mut received_bytes);
     assert!(end.is_ok() || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset));
-    assert_eq!(String::from_utf8_lossy(&came), "");
+    assert_eq!(String::from_utf8_lossy(&received_bytes), "");
 }
 
 /// Guards against missing a disconnect because the connection is not being read: its pipeline of answers is full, and
 /// its requests would still be sent to backends.
 #[test]
-fn a_client_that_disconnects_behind_a_full_pipeline_is_noticed() {
+fn a_disconnect_with_a_full_pipeline_is_noticed() {
     let open = Arc::new(AtomicBool::new(false));
-    let told = open.clone();
+    let may_answer = open.clone();
     let backend = Backend::start(move |args| {
-        until("answers may go", || told.load(Ordering::SeqCst));
+        until("the backend may answer", || {
+            may_answer.load(Ordering::SeqCst)
+        });
         Act::Say(served(args))
     });
     let (mut setup, at) = (
@@ -155,14 +163,14 @@
         .flat_map(|n| call("refer", &format!("r{n}"), 8000))
         .collect();
     client.send(&many);
-    until("the places are taken", || backend.count() >= 4);
+    until("the concurrency limit is reached", || backend.count() >= 4);
     let closed = Instant::now();
     leave(client);
-    until("all that it asked for is withdrawn", || {
+    until("all requests of the client are withdrawn", || {
         figure(at, "ingress.open_requests") == 0
     });
     println!(
-        "withdrawn {:.2?} after the close, of 0.1 s",
+        "withdrawn {:.2?} after the close, limit 0.1 s",
         closed.elapsed()
     );
     let sent = figure(at, "ingress.relayed");
@@ -176,7 +184,7 @@
         figure(at, "ingress.relayed"),
         sent + 1,
         "{:?}",
-        ids(&backend)
+        received_ids(&backend)
     );
 }
 
@@ -201,7 +209,7 @@
 /// Guards against dropping pipelined requests after the first one on a connection that was accepted beyond the
 /// descriptor limit only to be rejected. Each request read gets an answer.
 #[test]
-fn beyond_the_descriptors_a_whole_pipeline_is_rejected() {
+fn each_pipelined_request_beyond_the_descriptor_limit_is_rejected() {
     let backend = Backend::start(serve);
     let setup = Setup {
         sockets: 64,
@@ -234,35 +242,35 @@
 #[test]
 fn an_attempt_that_connects_late_sends_the_time_left_by_then() {
     let jammed = Jammed::start();
-    let mut setup = patient(&[]);
+    let mut setup = with_slow_connects(&[]);
     setup.known = vec![jammed.entry("s-0", "up")];
     let ingress = setup.start();
     let (mut client, asked) = (ingress.client(), Instant::now());
     client.send(&call("refer", "r1", 5000));
-    until("it is on its way", || {
+    until("the attempt connects", || {
         jammed.tried() && asked.elapsed() > Duration::from_millis(300)
     });
     let held = asked.elapsed().as_millis();
     let backend = Backend::on(jammed.clear(), serve);
     assert_eq!(client.answer(), "value of r1");
     let commands = backend.seen.commands.lock().unwrap();
-    let told = commands[0][3]
+    let sent_ms = commands[0][3]
         .split(',')
         .find_map(|o| o.strip_prefix("d="))
         .unwrap();
-    println!("told {told} ms of 5000, {held} ms after it was asked for or later");
+    println!("sent deadline {sent_ms} ms of 5000, at least {held} ms after the request");
     assert!(
-        told.parse::<u128>().unwrap() <= 5000 - held,
-        "{told} ms, {held} ms after it was asked for"
+        sent_ms.parse::<u128>().unwrap() <= 5000 - held,
+        "sent deadline {sent_ms} ms, at least {held} ms after the request"
     );
 }
 
-// ---- Backends that say more than they were asked ----
+// ---- Backends that send more than the answer ----
 
 /// Guards against a partial line that arrives while a connection is idle, or after it was idle, being read as the start
 /// of the next answer.
 #[test]
-fn a_partial_line_behind_an_answer_spoils_no_other_request() {
+fn a_partial_line_after_an_answer_affects_no_other_request() {
     for pause in [Duration::from_micros(300), Duration::from_millis(5)] {
         let backend = Backend::start(move |args| {
             let whole = served(args);
@@ -280,7 +288,7 @@
                 format!("value of h{n}")
             );
             // The backend sees its connection closed, which shows that the ingress does not reuse it.
-            until("the connection is given up", || {
+            until("the backend connection is closed", || {
                 backend.seen.ended.load(Ordering::SeqCst) > n
             });
         }
@@ -294,7 +302,7 @@
 #[test]
 fn an_unsent_request_is_retried_elsewhere_when_its_backend_drains() {
     let (jammed, other, discovery) = (Jammed::start(), Backend::start(serve), Discovery::start());
-    let mut setup = patient(&[]);
+    let mut setup = with_slow_connects(&[]);
     setup.known = vec![jammed.entry("s-0", "up")];
     setup.discovery = Some(discovery.at);
     let ingress = setup.start();
@@ -306,23 +314,23 @@
     let drained = Backend::on(jammed.clear(), serve);
     assert_eq!(client.answer(), "value of r1");
     assert_eq!(
-        (ids(&drained), ids(&other)),
+        (received_ids(&drained), received_ids(&other)),
         (vec![], vec!["r1".to_string()])
     );
 }
 
-// ---- The end of the ingress ----
+// ---- Shutdown of the ingress ----
 
 /// Connects a client with a small receive buffer, so that the kernel holds the rest of its answer, and waits until the
 /// answer to `r1` is in flight.
-fn with_an_answer_on_its_way(ingress: &Ingress, backend: &Backend) -> Client {
+fn connect_with_answer_in_flight(ingress: &Ingress, backend: &Backend) -> Client {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&ingress.at.into()).unwrap();
     socket.set_read_timeout(Some(LONG)).unwrap();
     let mut client = Client(socket.into());
     client.send(&call("refer", "r1", 5000));
-    until("it is answered", || {
+    until("the answer begins to arrive", || {
         backend.count() == 1 && client.0.peek(&mut [0]).is_ok_and(|n| n == 1)
     });
     client
@@ -330,18 +338,21 @@
 
 /// Sends a request once the ingress has queued its FIN after an answer that the client has not read yet. The answer
 /// must arrive completely, and the request must not be forwarded.
-fn a_request_that_crosses(ingress: &Ingress, client: &mut Client, answer: &str) {
+fn send_request_crossing_close(ingress: &Ingress, client: &mut Client, answer: &str) {
     let ours = client.0.local_addr().unwrap();
     until("the connection is being closed", || {
         stands_in(FIN_WAIT_1, Some(ingress.at), ours)
     });
     client.send(&call("refer", "crosses", 5000));
-    assert!(client.answer() == answer, "the answer did not come whole");
+    assert!(
+        client.answer() == answer,
+        "the answer did not arrive completely"
+    );
     assert!(client.ended());
 }
 
 /// Starts a backend whose value for `r1` is longer than the client's receive buffer. Returns the backend and the value.
-fn with_a_long_value() -> (Backend, String) {
+fn backend_with_long_value() -> (Backend, String) {
     let value = "v".repeat(60_000);
     let answer = format!("*3\r\n$60000\r\n{value}\r\n$-1\r\n$-1\r\n").into_bytes();
     let act = move |args: &[String]| {
@@ -358,26 +369,30 @@
 /// discards what the client has not read yet.
 #[test]
 fn an_answer_in_flight_survives_a_request_that_crosses_the_shutdown() {
-    let (backend, value) = with_a_long_value();
+    let (backend, value) = backend_with_long_value();
     let mut ingress = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]).start();
-    let mut client = with_an_answer_on_its_way(&ingress, &backend);
+    let mut client = connect_with_answer_in_flight(&ingress, &backend);
     ingress.signal("TERM");
-    a_request_that_crosses(&ingress, &mut client, &value);
+    send_request_crossing_close(&ingress, &mut client, &value);
     assert_eq!(ingress.exit().code(), Some(0));
-    assert_eq!(ids(&backend), ["r1"], "read behind the end, it was sent on");
+    assert_eq!(
+        received_ids(&backend),
+        ["r1"],
+        "a request read after the close was forwarded"
+    );
 }
 
 /// Guards against the same loss when a running ingress evicts an idle connection: with 120 descriptors, a sixth may be
 /// idle.
 #[test]
 fn an_answer_in_flight_survives_a_request_that_crosses_an_eviction() {
-    let (backend, value) = with_a_long_value();
+    let (backend, value) = backend_with_long_value();
     let setup = Setup {
         sockets: 120,
         ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend])
     };
     let ingress = setup.start();
-    let mut client = with_an_answer_on_its_way(&ingress, &backend);
+    let mut client = connect_with_answer_in_flight(&ingress, &backend);
     let stay = |n: usize| {
         let mut client = ingress.client();
         assert_eq!(
@@ -387,12 +402,12 @@
         client
     };
     let others: Vec<Client> = (0..24).map(stay).collect();
-    a_request_that_crosses(&ingress, &mut client, &value);
+    send_request_crossing_close(&ingress, &mut client, &value);
     let mut last = ingress.client();
     assert_eq!(last.ask(&call("refer", "last", 900)), "value of last");
     assert!(
-        !ids(&backend).contains(&"crosses".to_string()),
-        "read behind the end, it was sent on"
+        !received_ids(&backend).contains(&"crosses".to_string()),
+        "a request read after the close was forwarded"
     );
     drop(others);
 }
@@ -400,7 +415,7 @@
 /// Guards against exiting with requests that were read and not answered. Requests after a full pipeline are handled as
 /// answers leave it, which here happens at the last moment.
 #[test]
-fn requests_read_behind_a_full_pipeline_are_answered_before_the_exit() {
+fn requests_read_after_a_full_pipeline_are_answered_before_the_exit() {
     let backend = Backend::start(|_| Act::Silent);
     let mut ingress = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]).start();
     let mut client = ingress.client();
@@ -409,13 +424,13 @@
         .flat_map(|n| call("refer", &format!("r{n}"), 8000))
         .collect();
     client.send(&many);
-    until("some are with the backend", || backend.count() > 0);
+    until("some requests reach the backend", || backend.count() > 0);
     ingress.signal("TERM");
     for n in 0..400 {
         let answer = client.answer();
         assert!(
             answer.starts_with("-BUSY") || answer.starts_with("-ERR"),
-            "{n}: '{answer}'"
+            "request {n}: unexpected answer {answer:?}"
         );
     }
     assert!(client.ended());
--- a/crates/ingress/tests/handover/main.rs
+++ b/crates/ingress/tests/handover/main.rs
@@ -10,7 +10,9 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
-use support::{attempts_by_id, half_way_until, long_value, longest_pause, Load, Platform, Sampler};
+use support::{
+    attempts_by_id, backend_pausing_half_way, long_value, longest_pause, Load, Platform, Sampler,
+};
 use wrenfork_testbed::small::{
     call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Jammed,
 };
@@ -18,12 +20,12 @@
 /// Guards against connections that are closed or not read, missing answers and duplicate effects during two consecutive
 /// upgrades under load, and against exceeding the limits on descriptors and memory.
 #[test]
-fn under_load_every_request_has_one_answer_on_the_connection_it_came_on() {
+fn requests_under_load_are_answered_once_on_their_connection_across_handovers() {
     let slow = |args: &[String]| Act::Later(Duration::from_millis(15), served(args));
     let backends = [(); 3].map(|()| Backend::start(slow));
     let platform = Platform::new(&backends.each_ref());
     let mut first = platform.start();
-    let (stop, asked) = (
+    let (stop, answered_count) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicUsize::new(0)),
     );
@@ -32,7 +34,7 @@
     let load = Load {
         at: platform.at,
         stop: stop.clone(),
-        asked: asked.clone(),
+        answered_count: answered_count.clone(),
         served_ids: served_ids.clone(),
         answered_at: answered_at.clone(),
     };
@@ -41,23 +43,31 @@
         thread::spawn(move || load.run(number))
     };
     let clients: Vec<_> = (0..12).map(client).collect();
-    until("there is load", || asked.load(Ordering::SeqCst) > 200);
+    until("requests are answered under load", || {
+        answered_count.load(Ordering::SeqCst) > 200
+    });
     let seen = Sampler::start(first.child.id());
     let mut second = platform.run("3<&0");
     seen.second.store(second.child.id(), Ordering::SeqCst);
-    until("it says yes", || second.ask("readyz").starts_with("+OK"));
+    until("the process is ready", || {
+        second.ask("readyz").starts_with("+OK")
+    });
     assert!(first.ended().contains("handed over"));
     let (memory, descriptors) = seen.stop();
-    let before = asked.load(Ordering::SeqCst);
-    until("it serves", || asked.load(Ordering::SeqCst) > before + 200);
+    let before = answered_count.load(Ordering::SeqCst);
+    until("the new process answers requests", || {
+        answered_count.load(Ordering::SeqCst) > before + 200
+    });
     // The second process binds the handover channel at its next check, up to half a second later.
-    until("the second can be found", || {
+    until("the second process binds the handover channel", || {
         UnixStream::connect(platform.channel()).is_ok()
     });
     let third = platform.start();
     assert!(second.ended().contains("handed over"));
-    let before = asked.load(Ordering::SeqCst);
-    until("it serves", || asked.load(Ordering::SeqCst) > before + 200);
+    let before = answered_count.load(Ordering::SeqCst);
+    until("the new process answers requests", || {
+        answered_count.load(Ordering::SeqCst) > before + 200
+    });
     stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
     // Printed with --nocapture only: an asserted time would fail on a busy machine.
@@ -67,10 +77,13 @@
     );
     assert!(descriptors < 1024 && memory < 192 * 1024);
     // Each request reached the backends once at most, and each served one exactly once.
-    let had = attempts_by_id(&backends);
-    assert!(had.values().all(|n| *n == 1), "an effect came twice");
+    let attempts = attempts_by_id(&backends);
+    assert!(
+        attempts.values().all(|n| *n == 1),
+        "a request reached the backends more than once"
+    );
     let served_ids = served_ids.lock().unwrap();
-    assert!(served_ids.iter().all(|id| had.contains_key(id)) && served_ids.len() > 300);
+    assert!(served_ids.iter().all(|id| attempts.contains_key(id)) && served_ids.len() > 300);
     assert_eq!(third.figure("ingress.open_requests"), 0);
 }
 
@@ -90,36 +103,40 @@
     let mut first = platform.start();
     let client = || Client::connect(platform.at);
     // A customer that has used up its quota tokens.
-    let (mut spent, mut served_before) = (client(), 0);
+    let (mut over_quota, mut served_before) = (client(), 0);
     for n in 0..9 {
         served_before += usize::from(
-            spent
+            over_quota
                 .ask(&call_of(99, "quote", &format!("q{n}"), 900))
                 .starts_with("value"),
         );
     }
     assert!(served_before < 9);
-    let (mut out, mut half, mut behind) = (client(), client(), client());
-    out.send(&call("refer", "h1", 2500));
-    behind.send(&[call("refer", "h2", 2500), call("quote", "q20", 900)].concat());
+    let (mut in_flight, mut partial, mut pipelined) = (client(), client(), client());
+    in_flight.send(&call("refer", "h1", 2500));
+    pipelined.send(&[call("refer", "h2", 2500), call("quote", "q20", 900)].concat());
     let command = call("refer", "r1", 2500);
-    half.send(&command[..40]);
-    until("two are with the backend", || {
+    partial.send(&command[..40]);
+    until("two requests reach the backend", || {
         held.load(Ordering::SeqCst) == 2
     });
     let second = platform.start();
     first.ended();
     assert!(backend.seen.commands.lock().unwrap().len() < 20 && held.load(Ordering::SeqCst) == 2);
-    half.send(&command[40..]);
-    assert_eq!(out.answer(), "value of h1");
+    partial.send(&command[40..]);
+    assert_eq!(in_flight.answer(), "value of h1");
     assert_eq!(
-        [behind.answer(), behind.answer()],
+        [pipelined.answer(), pipelined.answer()],
         ["value of h2", "value of q20"]
     );
-    assert_eq!(half.answer(), "value of r1");
-    assert_eq!(held.load(Ordering::SeqCst), 2, "nothing is sent again");
+    assert_eq!(partial.answer(), "value of r1");
+    assert_eq!(
+        held.load(Ordering::SeqCst),
+        2,
+        "a request in flight was sent again"
+    );
     // The used quota and the known ids carry over.
-    assert!(spent
+    assert!(over_quota
         .ask(&call_of(99, "quote", "q10", 900))
         .starts_with("-BUSY"));
     assert!(client()
@@ -128,7 +145,7 @@
     assert_eq!(
         backend.seen.ended.load(Ordering::SeqCst),
         0,
-        "connections to backends pass on as well"
+        "connections to backends must be handed over too"
     );
     assert_eq!(second.figure("ingress.open_requests"), 0);
 }
@@ -137,17 +154,17 @@
 /// handed over, and the new process must not write it a second later, when its key is forgotten. A request that cannot
 /// have run is started again.
 #[test]
-fn requests_unsent_at_a_handover_begin_anew_or_not_at_all() {
+fn requests_unsent_at_a_handover_are_restarted_or_failed() {
     for (class, answer) in [("save", "-ERR failed"), ("refer", "value of u1")] {
         let (hang, jammed) = (Arc::new(AtomicBool::new(false)), Jammed::start());
-        let told = hang.clone();
-        let taken = Backend::start(move |_| {
-            until("the first attempt may break", || {
-                told.load(Ordering::SeqCst)
+        let may_fail = hang.clone();
+        let draining = Backend::start(move |_| {
+            until("the first attempt may fail", || {
+                may_fail.load(Ordering::SeqCst)
             });
             Act::Hang
         });
-        let mut platform = Platform::new(&[&taken]);
+        let mut platform = Platform::new(&[&draining]);
         let settings = &mut platform.setup.settings;
         *settings = settings.replace(
             r#""connect_timeout_us":250000"#,
@@ -164,25 +181,31 @@
         let mut client = Client::connect(platform.at);
         client.send(&call(class, "u1", 2800));
         if class == "save" {
-            until("the first attempt is out", || taken.count() == 1);
+            until("the first attempt reaches the backend", || {
+                draining.count() == 1
+            });
             discovery.tell(jammed.entry("s-1", "up"));
-            discovery.tell(taken.entry("s-0", "draining"));
+            discovery.tell(draining.entry("s-0", "draining"));
             hang.store(true, Ordering::SeqCst);
         }
-        until("an attempt is on its way", || jammed.tried());
+        until("an attempt connects", || jammed.tried());
         let _second = platform.start();
         first.ended();
-        let late = Backend::on(jammed.clear(), serve);
+        let jammed_backend = Backend::on(jammed.clear(), serve);
         assert_eq!(client.answer(), answer, "{class}");
-        assert_eq!(late.count(), usize::from(class == "refer"), "{class}");
+        assert_eq!(
+            jammed_backend.count(),
+            usize::from(class == "refer"),
+            "{class}"
+        );
     }
 }
 
 /// Guards against breaking a long answer that the old process had begun to stream.
 #[test]
 fn a_streamed_answer_continues_in_the_next_process() {
-    let go = Arc::new(AtomicBool::new(false));
-    let backends = [(); 4].map(|()| half_way_until(go.clone()));
+    let resume = Arc::new(AtomicBool::new(false));
+    let backends = [(); 4].map(|()| backend_pausing_half_way(resume.clone()));
     let platform = Platform::new(&backends.each_ref());
     let count = || backends.iter().map(Backend::count).sum::<usize>();
     let mut first = platform.start();
@@ -200,24 +223,24 @@
         let before = count();
         let calls = ids(n).into_iter().flat_map(|id| call("refer", &id, 8000));
         client.send(&calls.collect::<Vec<u8>>());
-        until("all of them are with a backend", || {
+        until("the requests reach a backend", || {
             count() == before + ids(n).len()
         });
-        until("it has begun", || {
+        until("the answer begins to arrive", || {
             n >= 2 || client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
         });
     }
     // One more client has sent half of a long body.
     let (mut sender, body) = (Client::connect(platform.at), "y".repeat(1 << 20));
     let options = "c=refer,t=starter,d=8000,units=1,spread=1,first=0";
-    let asked = command(&["CALL.POST", "00000000000fffff", "n0", options, &body]);
-    sender.send(&asked[..600_000]);
+    let post = command(&["CALL.POST", "00000000000fffff", "n0", options, &body]);
+    sender.send(&post[..600_000]);
     let second = platform.start();
     first.ended();
-    go.store(true, Ordering::SeqCst);
-    sender.send(&asked[600_000..]);
+    resume.store(true, Ordering::SeqCst);
+    sender.send(&post[600_000..]);
     assert!(sender.answer() == long_value("n0"));
-    let whole = |b: &Backend| {
+    let has_whole_body = |b: &Backend| {
         b.seen
             .commands
             .lock()
@@ -225,21 +248,21 @@
             .iter()
             .any(|c| c[2] == "n0" && c[4] == body)
     };
-    assert!(backends.iter().any(whole));
+    assert!(backends.iter().any(has_whole_body));
     for (n, client) in clients.iter_mut().enumerate() {
         for id in ids(n) {
             assert!(
                 client.answer() == long_value(&id),
-                "{id} is not what its backend gave"
+                "the value of {id} differs from the backend's"
             );
         }
     }
     assert_eq!(
         second.figure("ingress.operations.refer.fulfilled"),
         7,
-        "all of them ended here"
+        "the new process must count all requests as fulfilled"
     );
-    assert_eq!(count(), 7, "none was sent again");
+    assert_eq!(count(), 7, "a request was sent again");
 }
 
 /// Guards against losing a drain that only the old process knows: the new process's configuration holds an older list.
@@ -261,7 +284,7 @@
     let file = platform.folder.path().join("config.json");
     std::fs::write(&file, platform.setup.config(platform.at)).unwrap();
     first.signal("HUP");
-    until("the file is taken", || {
+    until("the file is applied", || {
         first.figure("ingress.cfg_accepted") == 1
     });
     let second = platform.start();
@@ -287,7 +310,7 @@
     assert_eq!(
         second.figure("ingress.operations.refer.fulfilled"),
         10,
-        "counts begin with the process"
+        "counts must start at zero in the new process"
     );
 }
 
@@ -298,29 +321,29 @@
     let platform = Platform::new(&[&backend]);
     let mut process = platform.start();
     let mut client = Client::connect(platform.at);
-    let hello = |layout: u32| [&b"wrenhnd1"[..], &layout.to_be_bytes()].concat();
-    let good = hello(4);
-    for (n, (says, reads)) in [
+    let successor_hello = |layout: u32| [&b"wrenhnd1"[..], &layout.to_be_bytes()].concat();
+    let valid_hello = successor_hello(4);
+    for (n, (sent, read_length)) in [
         (&b""[..], 0),
         (b"wren", 0),
         (b"GET / HTTP/1.1\r\n\r\n", 1),
-        (&hello(9_999), 1),
-        (&good, 0),     // it dies with the state on its way
-        (&good, 10),    // or in the middle of it
-        (&good, 9_999), // or has it all and says nothing
+        (&successor_hello(9_999), 1),
+        (&valid_hello, 0),     // disconnects before reading the state
+        (&valid_hello, 10),    // disconnects part way through the state
+        (&valid_hello, 9_999), // reads the whole state and sends no verdict
     ]
     .into_iter()
     .enumerate()
     {
         let mut channel = UnixStream::connect(platform.channel()).unwrap();
-        channel.write_all(says).unwrap();
+        channel.write_all(sent).unwrap();
         channel
             .set_read_timeout(Some(Duration::from_millis(100)))
             .unwrap();
-        let mut had = vec![0; reads];
-        let _ = channel.read(&mut had);
+        let mut buf = vec![0; read_length];
+        let _ = channel.read(&mut buf);
         if n % 2 == 0 {
-            drop(channel); // one vanishes, the next is silent until it is given up
+            drop(channel); // every second one stays silent until it is closed
         } else {
             let _ = channel.read_to_end(&mut Vec::new());
         }
@@ -331,7 +354,7 @@
     }
     // A successor that reads the state and rejects it.
     let mut channel = UnixStream::connect(platform.channel()).unwrap();
-    channel.write_all(&good).unwrap();
+    channel.write_all(&valid_hello).unwrap();
     channel.read_exact(&mut [0; 200]).unwrap();
     channel.write_all(b"Nno use for it").unwrap();
     assert_eq!(client.ask(&call("refer", "last", 2900)), "value of last");
@@ -349,7 +372,7 @@
 /// Guards against a start that waits for a frozen or dead process. The process started after it is handed over to as
 /// usual.
 #[test]
-fn beside_a_frozen_or_dead_process_the_successor_begins_anew() {
+fn a_successor_of_a_frozen_or_dead_process_starts_without_state() {
     let backend = Backend::start(serve);
     let platform = Platform::new(&[&backend]);
     let mut frozen = platform.start();
@@ -363,7 +386,7 @@
     assert!(!frozen.ended().contains("handed over"));
     assert_eq!(client.ask(&call("refer", "r2", 2900)), "value of r2");
     // After the old process has exited, the second one binds the channel and hands over as usual.
-    until("the second can be found", || {
+    until("the second process binds the handover channel", || {
         UnixStream::connect(platform.channel()).is_ok()
     });
     let mut third = platform.start();
@@ -382,16 +405,16 @@
 
 /// Guards against a handover from a process that was told to stop: its successor starts without state.
 #[test]
-fn a_process_that_shuts_down_hands_nothing_over_and_answers_all() {
+fn a_process_that_shuts_down_hands_nothing_over_and_answers_its_requests() {
     let backend = Backend::start(|args| Act::Later(Duration::from_millis(300), served(args)));
     let platform = Platform::new(&[&backend]);
     let mut first = platform.start();
     let mut client = Client::connect(platform.at);
     client.send(&call("refer", "r1", 2500));
-    until("it is with the backend", || backend.count() == 1);
+    until("the request reaches the backend", || backend.count() == 1);
     first.signal("HUP");
     first.signal("TERM");
-    until("it stops", || {
+    until("the process reports that it is stopping", || {
         first.ask("readyz").starts_with("-ERR stopping")
     });
     let _second = platform.start();
@@ -408,22 +431,24 @@
 #[test]
 fn an_invalid_descriptor_is_logged_and_the_address_bound() {
     let backend = Backend::start(serve);
-    for (redirect, why) in [
+    for (redirect, reason) in [
         ("3</dev/null", "descriptor 3"),
         ("3<&-", "descriptor 3"),
-        ("3<&0", "not at"), // a listener of another address
+        ("3<&0", "not at"), // a listener on another address
     ] {
         let mut platform = Platform::new(&[&backend]);
         let own = place();
         platform.at = own;
         let mut process = platform.run(redirect);
-        until("it says yes", || process.ask("readyz").starts_with("+OK"));
-        let asked = Client::connect(own).ask(&call("refer", "r1", 2500));
-        assert_eq!(asked, "value of r1");
+        until("the process is ready", || {
+            process.ask("readyz").starts_with("+OK")
+        });
+        let answer = Client::connect(own).ask(&call("refer", "r1", 2500));
+        assert_eq!(answer, "value of r1");
         process.signal("TERM");
         let log = process.ended();
         assert!(
-            log.contains("LB_PASSED_SOCKET") && log.contains(why),
+            log.contains("LB_PASSED_SOCKET") && log.contains(reason),
             "{redirect}: {log}"
         );
     }
--- a/crates/ingress/tests/handover/support.rs
+++ b/crates/ingress/tests/handover/support.rs
@@ -74,7 +74,9 @@
     /// Starts a process with the listening socket and waits until it is ready.
     pub fn start(&self) -> Process {
         let process = self.run("3<&0");
-        until("it says yes", || process.ask("readyz").starts_with("+OK"));
+        until("the process is ready", || {
+            process.ask("readyz").starts_with("+OK")
+        });
         process
     }
 }
@@ -95,7 +97,7 @@
         let line = text
             .lines()
             .find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
-        line.unwrap_or_else(|| panic!("no {name} in {text}"))
+        line.unwrap_or_else(|| panic!("telemetry has no {name}: {text}"))
             .parse()
             .unwrap()
     }
@@ -132,7 +134,7 @@
 pub struct Sampler {
     pub second: Arc<AtomicU32>,
     pub stop: Arc<AtomicBool>,
-    looking: thread::JoinHandle<(usize, usize)>,
+    sampler: thread::JoinHandle<(usize, usize)>,
 }
 
 impl Sampler {
@@ -142,8 +144,8 @@
             Arc::new(AtomicBool::new(false)),
         );
         let (other, end) = (second.clone(), stop.clone());
-        let looking = thread::spawn(move || {
-            let mut most = (0, 0);
+        let sampler = thread::spawn(move || {
+            let mut peak = (0, 0);
             while !end.load(Ordering::SeqCst) {
                 let now = [first, other.load(Ordering::SeqCst)].map(|id| {
                     let status =
@@ -152,34 +154,34 @@
                         .lines()
                         .find_map(|l| l.strip_prefix("VmRSS:"))
                         .unwrap_or("0 kB");
-                    let held =
+                    let descriptors =
                         std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
                     (
                         line.trim()
                             .trim_end_matches(" kB")
                             .parse::<usize>()
                             .unwrap(),
-                        held,
+                        descriptors,
                     )
                 });
-                most = (
-                    most.0.max(now[0].0 + now[1].0),
-                    most.1.max(now[0].1 + now[1].1),
+                peak = (
+                    peak.0.max(now[0].0 + now[1].0),
+                    peak.1.max(now[0].1 + now[1].1),
                 );
             }
-            most
+            peak
         });
         Sampler {
             second,
             stop,
-            looking,
+            sampler,
         }
     }
 
     /// Stops sampling. Returns the peak resident memory in KiB and the peak number of descriptors.
     pub fn stop(self) -> (usize, usize) {
         self.stop.store(true, Ordering::SeqCst);
-        self.looking.join().unwrap()
+        self.sampler.join().unwrap()
     }
 }
 
@@ -195,7 +197,7 @@
 pub struct Load {
     pub at: SocketAddr,
     pub stop: Arc<AtomicBool>,
-    pub asked: Arc<AtomicUsize>,
+    pub answered_count: Arc<AtomicUsize>,
     pub served_ids: Arc<Mutex<HashSet<String>>>,
     pub answered_at: Arc<Mutex<Vec<Instant>>>,
 }
@@ -209,18 +211,18 @@
                 return;
             }
             if number % 4 == 3 {
-                client = Client::connect(self.at); // and new ones come all the time
+                client = Client::connect(self.at); // every fourth client reconnects for each pair
             }
             let ids = [0, 1].map(|i| format!("c{number}-{n}-{i}"));
             client.send(&ids.clone().map(|id| call("refer", &id, 2500)).concat());
             for id in ids {
-                self.note(&client.answer(), id);
+                self.record_answer(&client.answer(), id);
             }
         }
     }
 
-    fn note(&self, answer: &str, id: String) {
-        self.asked.fetch_add(1, Ordering::SeqCst);
+    fn record_answer(&self, answer: &str, id: String) {
+        self.answered_count.fetch_add(1, Ordering::SeqCst);
         self.answered_at.lock().unwrap().push(Instant::now());
         if answer == format!("value of {id}") {
             self.served_ids.lock().unwrap().insert(id);
@@ -256,10 +258,10 @@
 }
 
 /// A backend that sends half of a long answer, and the rest once `go` is set.
-pub fn half_way_until(go: Arc<AtomicBool>) -> Backend {
+pub fn backend_pausing_half_way(resume: Arc<AtomicBool>) -> Backend {
     Backend::start(move |args| {
         let text = long_value(&args[2]);
         let bytes = format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes();
-        Act::Until(bytes.len() / 2, go.clone(), bytes)
+        Act::Until(bytes.len() / 2, resume.clone(), bytes)
     })
 }
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -36,7 +36,7 @@
     fn new(backend: &Backend, keys: &str) -> Site {
         let (folder, at) = (tempfile::tempdir().unwrap(), place());
         let write = |name: &str, text: &str| fs::write(folder.path().join(name), text).unwrap();
-        write("site.toml", &good("site.toml"));
+        write("site.toml", &read_good_file("site.toml"));
         write("app.toml", &app(at, keys));
         write(
             "fleet.json",
@@ -63,7 +63,7 @@
     }
 }
 
-fn good(name: &str) -> String {
+fn read_good_file(name: &str) -> String {
     fs::read_to_string(
         Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("../config/tests/good")
@@ -73,7 +73,8 @@
 }
 
 fn app(at: SocketAddr, keys: &str) -> String {
-    let text = good("with-site-no-routes.toml").replace("127.0.0.1:7600", &at.to_string());
+    let text =
+        read_good_file("with-site-no-routes.toml").replace("127.0.0.1:7600", &at.to_string());
     let text = text.replace(
         "plan = \"starter\"",
         "plan = \"starter\"\nquota = \"90/s\"\nburst = 600",
@@ -85,7 +86,7 @@
     )
 }
 
-fn listed(name: &str, n: u8, more: &str) -> String {
+fn listed_key(name: &str, n: u8, more: &str) -> String {
     let public = written(&key(n).verifying_key());
     format!("[[identity.issuer.key]]\nname = \"{name}\"\npublic = \"{public}\"\n{more}")
 }
@@ -131,39 +132,39 @@
 }
 
 /// Credentials that prove too little: a description, the token and the code of the expected denial.
-fn insufficient() -> [(&'static str, String, &'static str); 10] {
+fn insufficient_credentials() -> [(&'static str, String, &'static str); 10] {
     [
-        ("nothing", String::new(), "I100"),
-        ("no token", "letmein".into(), "I101"),
+        ("no credentials", String::new(), "I100"),
+        ("not a token", "letmein".into(), "I101"),
         ("a JWT", "eyJhbGciOiJub25lIn0.e30.".into(), "I102"),
-        ("another's signature", token(|_| (), 2), "I105"),
+        ("a signature of another key", token(|_| (), 2), "I105"),
         (
             "an unknown issuer",
             token(|c| c.issuer = "shop".into(), 1),
             "I104",
         ),
         (
-            "for another place",
+            "for another audience",
             token(|c| c.audience = "odense".into(), 1),
             "I107",
         ),
         (
-            "over",
+            "expired",
             token(|c| (c.from, c.until) = (now() - 900, now() - 100), 1),
             "I108",
         ),
         (
-            "to come",
+            "not yet valid",
             token(|c| (c.from, c.until) = (now() + 900, now() + 1_000), 1),
             "I109",
         ),
         (
-            "for a week",
+            "valid for too long",
             token(|c| c.until = now() + 7 * 86_400, 1),
             "I110",
         ),
         (
-            "no tenant",
+            "an unknown tenant",
             token(|c| c.tenant = "nobody".into(), 1),
             "I201",
         ),
@@ -171,7 +172,7 @@
 }
 
 /// Asserts that a token sent with a request counts for that request alone and may narrow the rights of its tenant.
-fn assert_tokens_of_requests_count_alone(client: &mut Client) {
+fn assert_request_token_applies_to_its_request_only(client: &mut Client) {
     let (all, narrow) = (
         token(|c| c.tenant = "all".into(), 1),
         token(|c| c.accounts = Some(vec![7]), 1),
@@ -204,39 +205,39 @@
 #[test]
 fn callers_without_rights_are_denied_with_the_reason_and_no_token_is_forwarded() {
     let backend = Backend::start(serve);
-    let mut site = Site::new(&backend, &listed("one", 1, ""));
-    let good = token(|_| (), 1);
-    for (what, forged, code) in insufficient() {
+    let mut site = Site::new(&backend, &listed_key("one", 1, ""));
+    let valid_token = token(|_| (), 1);
+    for (case, forged, code) in insufficient_credentials() {
         let denied = |answer: &str| answer.starts_with(&format!("-DENIED {code}:"));
         let answer = site.client().ask(&quote(OWN, "r1", &forged));
-        assert!(denied(&answer), "{what}, with a request: {answer}");
+        assert!(denied(&answer), "{case}, token in a request: {answer}");
         let mut client = site.client();
         if !forged.is_empty() {
             let answer = client.ask(&command(&["AUTH", &forged]));
-            assert!(denied(&answer), "{what}, for a connection: {answer}");
+            assert!(denied(&answer), "{case}, token in AUTH: {answer}");
         }
         assert!(
             client
                 .ask(&quote(OWN, "r2", ""))
                 .starts_with("-DENIED I100"),
-            "{what}: nothing was proved"
+            "{case}: the connection must stay unauthenticated"
         );
     }
-    assert_eq!(backend.count(), 0, "something of it went on");
+    assert_eq!(backend.count(), 0, "a denied request was forwarded");
     let mut client = site.client();
-    assert_eq!(client.ask(&command(&["AUTH", &good])), "+OK");
+    assert_eq!(client.ask(&command(&["AUTH", &valid_token])), "+OK");
     assert_eq!(client.ask(&quote(OWN, "r3", "")), "value of r3");
     assert!(
         client
             .ask(&quote(OTHER, "r4", ""))
             .starts_with("-DENIED I202"),
-        "another's account"
+        "an account of another tenant must be denied"
     );
     assert!(
         client.ask(&save("r5")).starts_with("-DENIED I203"),
-        "a class that it may not send"
+        "a class that the tenant may not send must be denied"
     );
-    assert_tokens_of_requests_count_alone(&mut client);
+    assert_request_token_applies_to_its_request_only(&mut client);
     let seen = format!("{:?}", backend.seen.commands.lock().unwrap());
     assert_eq!(backend.count(), 3);
     assert!(
@@ -247,7 +248,7 @@
     assert!(site.ingress.exit().success());
     let log = site.ingress.log();
     assert!(
-        !log.contains("v4.") && !log.contains(&good[20..60]),
+        !log.contains("v4.") && !log.contains(&valid_token[20..60]),
         "{log}"
     );
 }
@@ -255,14 +256,14 @@
 /// Guards against accepting a key after its withdrawal, losing a request that was admitted before it, and denying a
 /// caller with a valid token during the rotation.
 #[test]
-fn a_key_rotation_ends_only_what_the_old_key_signed() {
+fn withdrawing_a_key_affects_only_tokens_it_signed() {
     // Only `k2` is slow, because it must be in flight during the change. If all requests were slow, load shedding would
     // reject callers by a hash that depends on the time.
     let backend = Backend::start(|args| match &args[2][..] {
         "k2" => Act::Later(Duration::from_millis(300), served(args)),
         _ => serve(args),
     });
-    let mut site = Site::new(&backend, &listed("one", 1, ""));
+    let mut site = Site::new(&backend, &listed_key("one", 1, ""));
     let (old, new) = (token(|_| (), 1), token(|c| c.key = "two".into(), 2));
     let mut client = site.client();
     assert_eq!(client.ask(&command(&["AUTH", &old])), "+OK");
@@ -275,7 +276,10 @@
         .client()
         .ask(&command(&["AUTH", &new]))
         .starts_with("-DENIED I104"));
-    reload(&site, &(listed("one", 1, "") + &listed("two", 2, "")));
+    reload(
+        &site,
+        &(listed_key("one", 1, "") + &listed_key("two", 2, "")),
+    );
     until("the new key is trusted", || {
         site.client().ask(&command(&["AUTH", &new])) == "+OK"
     });
@@ -284,9 +288,14 @@
     // admitted.
     let before = backend.count();
     client.send(&quote(OWN, "k2", ""));
-    until("it is with the backend", || backend.count() > before);
+    until("the request reaches the backend", || {
+        backend.count() > before
+    });
     let ended = format!("until = \"{}\"\n", told(now() - 1));
-    reload(&site, &(listed("one", 1, &ended) + &listed("two", 2, "")));
+    reload(
+        &site,
+        &(listed_key("one", 1, &ended) + &listed_key("two", 2, "")),
+    );
     until("the old key is withdrawn", || {
         site.client()
             .ask(&command(&["AUTH", &old]))
@@ -317,10 +326,10 @@
 #[test]
 fn a_flood_of_forged_tokens_is_limited_and_known_callers_are_served() {
     let backend = Backend::start(serve);
-    let site = Site::new(&backend, &listed("one", 1, ""));
-    let good = token(|_| (), 1);
+    let site = Site::new(&backend, &listed_key("one", 1, ""));
+    let valid_token = token(|_| (), 1);
     let mut known = site.client();
-    assert_eq!(known.ask(&command(&["AUTH", &good])), "+OK");
+    assert_eq!(known.ask(&command(&["AUTH", &valid_token])), "+OK");
     let mut codes = std::collections::BTreeMap::<String, usize>::new();
     for n in 0..120 {
         let forged = token(|c| c.tenant = format!("t{n}"), 2);
@@ -336,11 +345,11 @@
     assert_eq!(
         known.ask(&quote(OWN, "f1", "")),
         "value of f1",
-        "its connection has proved enough"
+        "an authenticated connection must be served"
     );
     assert_eq!(
-        site.client().ask(&quote(OWN, "f2", &good)),
+        site.client().ask(&quote(OWN, "f2", &valid_token)),
         "value of f2",
-        "its token was checked before"
+        "a token verified before must be served"
     );
 }
--- a/crates/ingress/tests/ingress/answers.rs
+++ b/crates/ingress/tests/ingress/answers.rs
@@ -7,7 +7,7 @@
 use wrenfork_testbed::small::{call, call_of, command, serve, Backend};
 
 #[test]
-fn a_request_is_forwarded_as_it_came_and_its_value_returned_as_it_was_given() {
+fn requests_and_values_are_forwarded_unchanged() {
     let backend = Backend::start(serve);
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
@@ -21,7 +21,7 @@
     assert_eq!(client.ask(&asked), "value of 9b1f03aa5c7e2d41");
     let seen = backend.seen.commands.lock().unwrap().clone();
     let [args] = &seen[..] else {
-        panic!("one attempt: {seen:?}")
+        panic!("the backend must get exactly one attempt: {seen:?}")
     };
     assert_eq!(
         (&args[..3].join(" "), &args[4]),
@@ -31,7 +31,7 @@
         )
     );
     let (before, rest) = args[3].split_once("d=").unwrap();
-    let (wait, after) = rest.split_once(',').unwrap();
+    let (deadline_ms, after) = rest.split_once(',').unwrap();
     assert_eq!(
         (before, after),
         (
@@ -41,8 +41,8 @@
     );
     // The deadline of the attempt is at most the client's, and not cut short without need.
     assert!(
-        (2000..=2480).contains(&wait.parse::<u32>().unwrap()),
-        "d={wait}"
+        (2000..=2480).contains(&deadline_ms.parse::<u32>().unwrap()),
+        "d={deadline_ms}"
     );
 }
 
@@ -56,41 +56,44 @@
             client.ask(&call("quote", &format!("q{n}"), 900)),
             format!("value of q{n}")
         );
-        thread::sleep(Duration::from_millis(10)); // a connection rests for a moment behind an answer
+        thread::sleep(Duration::from_millis(10)); // a connection is not reused right after an answer
     }
     assert_eq!(
         backend.seen.opened.load(Ordering::SeqCst),
         1,
-        "the newest idle connection is used again"
+        "an idle backend connection must be reused"
     );
 }
 
 #[test]
-fn beyond_the_quota_a_request_is_rejected_at_once_with_a_retry_after() {
+fn a_request_over_the_quota_is_rejected_at_once_with_a_retry_after() {
     let backend = Backend::start(serve);
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
-    let mut refusals = Vec::new();
+    let mut rejections = Vec::new();
     for n in 0..12 {
         let start = Instant::now();
         let answer = client.ask(&call_of(4711, "quote", &format!("q{n}"), 900));
         if is_rejected(&answer) {
-            refusals.push((answer, start.elapsed()));
+            rejections.push((answer, start.elapsed()));
         }
     }
-    assert!(refusals.len() >= 3, "a burst of 7 lets 12 through");
+    assert!(
+        rejections.len() >= 3,
+        "a burst of 7 must reject at least 3 of 12 requests"
+    );
     assert_eq!(
         backend.count(),
-        12 - refusals.len(),
-        "what is refused reaches no backend"
+        12 - rejections.len(),
+        "a rejected request must reach no backend"
     );
-    for (answer, took) in refusals {
-        let pause: u32 = answer
+    for (answer, took) in rejections {
+        let retry_after_ms: u32 = answer
             .trim_start_matches("-BUSY ")
             .parse()
             .unwrap_or_else(|_| panic!("{answer}"));
         assert!(
-            (1..=2000).contains(&pause) && took < Duration::from_millis(450),
+            (1..=2000).contains(&retry_after_ms) && took < Duration::from_millis(450),
             "{answer} after {took:?}"
         );
     }
--- a/crates/ingress/tests/ingress/attempts.rs
+++ b/crates/ingress/tests/ingress/attempts.rs
@@ -8,7 +8,7 @@
 use wrenfork_testbed::small::{call, entry, place, serve, served, until, Act, Backend, Client};
 
 /// Asserts that an unsafe request that `bad` received completely is not sent again. Returns `bad` and the answer.
-fn may_have_run(bad: Backend) -> (Backend, String) {
+fn assert_not_sent_again(bad: Backend) -> (Backend, String) {
     let good = Backend::start(serve);
     let ingress = setup(&[&bad, &good]).start();
     let answer = answer_through(&ingress, "refer", &bad);
@@ -20,33 +20,40 @@
             .unwrap()
             .iter()
             .all(|c| c[2] != id),
-        "it was sent again"
+        "the request was sent to another backend"
+    );
+    assert_eq!(
+        bad.count(),
+        1,
+        "the request was sent to the same backend again"
     );
-    assert_eq!(bad.count(), 1, "it was sent again to the same one");
     assert!(
         !is_rejected(&answer),
-        "a refusal says that it is harmless to try again"
+        "a rejection would allow the client to retry, but the request may have run"
     );
     (bad, answer)
 }
 
 #[test]
-fn a_request_that_must_not_run_twice_fails_with_an_error_answer() {
+fn an_unsafe_request_fails_on_an_error_answer() {
     assert_eq!(
-        may_have_run(Backend::start(|_| Act::Say(b"-ERR failed\r\n".to_vec()))).1,
+        assert_not_sent_again(Backend::start(|_| Act::Say(b"-ERR failed\r\n".to_vec()))).1,
         "-ERR failed"
     );
 }
 
 /// Guards against treating a reset after the last byte of a request as a failed connect.
 #[test]
-fn a_request_that_must_not_run_twice_fails_with_a_reset_after_its_last_byte() {
-    assert_eq!(may_have_run(Backend::start(|_| Act::Hang)).1, "-ERR failed");
+fn an_unsafe_request_fails_on_a_reset_after_its_last_byte() {
+    assert_eq!(
+        assert_not_sent_again(Backend::start(|_| Act::Hang)).1,
+        "-ERR failed"
+    );
 }
 
 #[test]
 fn a_garbled_answer_counts_as_a_reset_and_ends_its_connection() {
-    let (bad, answer) = may_have_run(Backend::start(|_| {
+    let (bad, answer) = assert_not_sent_again(Backend::start(|_| {
         Act::Say(b"*3\r\n$2\r\nvalue\r\n".to_vec())
     }));
     assert_eq!(answer, "-ERR failed");
@@ -58,12 +65,12 @@
 /// Guards against waiting until the client's deadline for the rest of an incomplete answer.
 #[test]
 fn an_answer_without_an_end_times_out() {
-    for spoilt in [
+    for incomplete in [
         &b"*3\r\n$40000\r\nabc\r\n"[..],
         b"-ERR and so on",
         b"*3\r\n",
     ] {
-        let bad = Backend::start(|_| Act::Say(spoilt.to_vec()));
+        let bad = Backend::start(|_| Act::Say(incomplete.to_vec()));
         let ingress = setup(&[&bad]).start();
         let start = Instant::now();
         assert_eq!(
@@ -72,7 +79,7 @@
         );
         assert!(
             start.elapsed() < Duration::from_secs(4),
-            "waited for {:?}",
+            "the error answer took {:?}",
             start.elapsed()
         );
     }
@@ -81,11 +88,11 @@
 /// Guards against using a duplicate of the previous answer for the next request: the duplicate arrives when the
 /// connection is in the pool again.
 #[test]
-fn bytes_behind_an_answer_serve_no_other_request() {
+fn bytes_after_an_answer_serve_no_other_request() {
     let backend = Backend::start(|args| {
-        let mut twice = served(args);
-        twice.extend_from_slice(&served(args));
-        Act::Parts(twice.len() / 2, Duration::from_micros(300), twice)
+        let mut duplicated = served(args);
+        duplicated.extend_from_slice(&served(args));
+        Act::Parts(duplicated.len() / 2, Duration::from_micros(300), duplicated)
     });
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
@@ -103,9 +110,9 @@
 #[test]
 fn a_backend_that_answers_twice_gets_a_new_connection_for_each_request() {
     let backend = Backend::start(|args| {
-        let mut twice = served(args);
-        twice.extend_from_slice(&served(args));
-        Act::Parts(twice.len() / 2, Duration::from_millis(6), twice)
+        let mut duplicated = served(args);
+        duplicated.extend_from_slice(&served(args));
+        Act::Parts(duplicated.len() / 2, Duration::from_millis(6), duplicated)
     });
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
@@ -117,7 +124,7 @@
     };
     for n in 0..4 {
         ask(n);
-        until("the copy is seen", || {
+        until("the duplicate closes the connection", || {
             backend.seen.ended.load(Ordering::SeqCst) > n
         });
     }
@@ -129,7 +136,7 @@
 
 /// Guards against losing a valid value because its load report is invalid.
 #[test]
-fn a_value_is_served_though_its_load_report_is_invalid() {
+fn a_value_with_an_invalid_load_report_is_served() {
     for load in [
         "$3\r\n=,=\r\n",
         "$9\r\nutil=-1e9\r\n",
@@ -149,8 +156,8 @@
 }
 
 #[test]
-fn an_answer_of_another_form_fails() {
-    let (_, answer) = may_have_run(Backend::start(|_| {
+fn an_answer_without_a_value_fails() {
+    let (_, answer) = assert_not_sent_again(Backend::start(|_| {
         Act::Say(b"*3\r\n$-1\r\n$-1\r\n$-1\r\n".to_vec())
     }));
     assert_eq!(answer, "-ERR failed");
@@ -170,16 +177,19 @@
         start.elapsed().as_millis()
     });
     let soonest = soonest.min().unwrap_or_default();
-    assert!((1400..1500).contains(&soonest), "after {soonest} ms");
+    assert!(
+        (1400..1500).contains(&soonest),
+        "the earliest error answer came after {soonest} ms"
+    );
     assert_eq!(silent.count(), 4);
-    until("the attempts are given up", || {
+    until("the attempts are cancelled", || {
         silent.seen.ended.load(Ordering::SeqCst) == 4
     });
 }
 
 /// Asserts that requests that must not run twice are all served although `bad` accepts none. They are sent at once: one
 /// after the other they would all go to the working backend. Returns the elapsed time.
-fn never_ran(bad: SocketAddr) -> Duration {
+fn assert_all_served_despite(bad: SocketAddr) -> Duration {
     let good = Backend::start(|args| Act::Later(Duration::from_millis(30), served(args)));
     let mut setup = setup(&[&good]);
     setup.known.push(entry("s-9", bad, "up"));
@@ -198,13 +208,13 @@
 #[test]
 fn a_rejected_request_is_retried_elsewhere() {
     let bad = Backend::start(|_| Act::Say(b"-BUSY util=0.99\r\n".to_vec()));
-    never_ran(bad.at);
-    assert!(bad.count() > 0, "it was never tried");
+    assert_all_served_despite(bad.at);
+    assert!(bad.count() > 0, "the rejecting backend got no request");
 }
 
 #[test]
 fn a_request_to_a_closed_port_is_retried_elsewhere() {
-    never_ran(place());
+    assert_all_served_despite(place());
 }
 
 /// Guards against waiting as long for a connect as for an answer: an unreachable machine sends no reply.
@@ -215,22 +225,22 @@
     silent.listen(0).unwrap();
     let at = silent.local_addr().unwrap().as_socket().unwrap();
     // The listen queue is full; the kernel drops further connects.
-    let line: Vec<_> = (0..4)
+    let queued: Vec<_> = (0..4)
         .map(|_| {
-            let one =
+            let socket =
                 socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-            one.set_nonblocking(true).unwrap();
-            let _ = one.connect(&at.into());
-            one
+            socket.set_nonblocking(true).unwrap();
+            let _ = socket.connect(&at.into());
+            socket
         })
         .collect();
     thread::sleep(Duration::from_millis(50));
-    let longest = never_ran(at);
+    let longest = assert_all_served_despite(at);
     assert!(
         longest >= Duration::from_millis(250),
-        "it was never tried, or not waited for: {longest:?}"
+        "no request waited for the connect timeout: {longest:?}"
     );
-    drop(line);
+    drop(queued);
 }
 
 /// Guards against cancelling an attempt on a connection that is used further; the hedged attempt's answer is the
@@ -250,7 +260,7 @@
         .unwrap()
         .iter()
         .any(|c| c[2] == id));
-    until("the first copy is called off", || {
+    until("the first attempt is cancelled", || {
         slow.seen.ended.load(Ordering::SeqCst) == 1
     });
 }
@@ -267,7 +277,7 @@
             format!("value of r{n}")
         );
         backend.seen.hang_up.store(true, Ordering::SeqCst);
-        until("the backend hangs up", || {
+        until("the backend closes the connection", || {
             backend.seen.ended.load(Ordering::SeqCst) == n + 1
         });
         backend.seen.hang_up.store(false, Ordering::SeqCst);
@@ -291,18 +301,21 @@
     };
     let served = (0..30).filter(|_| ask(80)).count();
     assert!(served >= 22, "{served} of 30 served");
-    assert!((0..10).all(|_| ask(80)), "found out by now");
+    assert!(
+        (0..10).all(|_| ask(80)),
+        "the stale connections must be detected by now"
+    );
     // Connections that were idle for a shorter time are still reused.
     let before = backend.seen.opened.load(Ordering::SeqCst);
     assert!((0..10).filter(|_| ask(8)).count() >= 7);
     assert!(
         backend.seen.opened.load(Ordering::SeqCst) <= before + 7,
-        "each request has a new one"
+        "connections idle for a short time are not reused"
     );
 }
 
 #[test]
-fn idle_connections_are_closed_before_the_backend_does() {
+fn idle_connections_are_closed_after_the_idle_timeout() {
     let backend = Backend::start(serve);
     let mut setup = setup(&[&backend]);
     setup.settings = setup.settings.replace("15000000", "1000000");
@@ -311,7 +324,7 @@
         ingress.client().ask(&call("quote", "q1", 900)),
         "value of q1"
     );
-    until("it is closed", || {
+    until("the idle connection is closed", || {
         backend.seen.ended.load(Ordering::SeqCst) == 1
     });
 }
--- a/crates/ingress/tests/ingress/clients.rs
+++ b/crates/ingress/tests/ingress/clients.rs
@@ -14,9 +14,9 @@
     let ingress = setup(&[&slow]).start();
     let mut client = ingress.client();
     client.send(&call("refer", "r1", 5000));
-    until("it is sent", || slow.count() == 1);
+    until("the request reaches the backend", || slow.count() == 1);
     leave(client);
-    until("it is called off", || {
+    until("the attempt is cancelled", || {
         slow.seen.ended.load(Ordering::SeqCst) == 1
     });
     assert_eq!(
@@ -33,12 +33,12 @@
     });
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
-    let bad = command(&["GET", "x"]);
+    let invalid = command(&["GET", "x"]);
     client.send(
         &[
             call("save", "s1", 2000),
             call("quote", "q2", 900),
-            bad,
+            invalid,
             command(&["PING"]),
         ]
         .concat(),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_request_that_comes_byte_by_byte_is_served() {
+fn a_request_sent_byte_by_byte_is_served() {
     let backend = Backend::start(serve);
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn an_invalid_request_gets_an_error_and_the_connection_goes_on() {
+fn an_invalid_request_gets_an_error_and_its_connection_stays_open() {
     let backend = Backend::start(serve);
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
@@ -112,7 +112,7 @@
         assert!(answer.starts_with("-ERR"), "{to}: {answer}");
     }
     assert_eq!(client.ask(&call("quote", "q2", 900)), "value of q2");
-    assert_eq!(backend.count(), 1, "nothing bad reaches a backend");
+    assert_eq!(backend.count(), 1, "an invalid request reached the backend");
 }
 
 /// Guards against requests that the decision module would count in a customer's record although backends refuse them.
@@ -141,12 +141,12 @@
 
 /// Guards against a second request under an open id: backends would take it for another attempt of the first.
 #[test]
-fn a_duplicate_id_is_an_error_and_does_not_disturb_the_first() {
+fn a_duplicate_id_is_refused_and_the_first_request_completes() {
     let backend = Backend::start(|args| Act::Later(Duration::from_millis(400), served(args)));
     let ingress = setup(&[&backend]).start();
     let mut first = ingress.client();
     first.send(&call("refer", "r1", 4000));
-    until("it is sent", || backend.count() == 1);
+    until("the request reaches the backend", || backend.count() == 1);
     for id in ["r1", "r1"] {
         let answer = ingress.client().ask(&call("refer", id, 4000));
         assert!(answer.starts_with("-ERR"), "{answer}");
@@ -166,7 +166,7 @@
 
 /// Guards against a client that sends invalid commands without end.
 #[test]
-fn after_some_invalid_commands_the_connection_is_closed() {
+fn a_connection_with_many_invalid_commands_is_closed() {
     let backend = Backend::start(serve);
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
@@ -187,29 +187,30 @@
 #[test]
 fn clients_that_send_no_complete_command_are_closed() {
     let ingress = setup(&[]).start();
-    let (mut usual, mut silent, mut half) = (ingress.client(), ingress.client(), ingress.client());
+    let (mut active, mut silent, mut partial) =
+        (ingress.client(), ingress.client(), ingress.client());
     let start = Instant::now();
-    assert_eq!(usual.ask(&command(&["PING"])), "+PONG");
-    half.send(b"*4\r\n$8\r\nCALL");
-    assert!(half.answer().starts_with("-ERR"));
-    assert!(half.ended() && silent.ended());
+    assert_eq!(active.ask(&command(&["PING"])), "+PONG");
+    partial.send(b"*4\r\n$8\r\nCALL");
+    assert!(partial.answer().starts_with("-ERR"));
+    assert!(partial.ended() && silent.ended());
     assert!(
         start.elapsed() < Duration::from_secs(5),
-        "it took {:?}",
+        "closing the connections took {:?}",
         start.elapsed()
     );
-    assert_eq!(usual.ask(&command(&["PING"])), "+PONG");
+    assert_eq!(active.ask(&command(&["PING"])), "+PONG");
     // A partial command is timed from its first byte, not from the last command.
     let ping = command(&["PING"]);
-    usual.send(&ping[..5]);
+    active.send(&ping[..5]);
     thread::sleep(Duration::from_millis(1200));
-    assert_eq!(usual.ask(&ping[5..]), "+PONG");
+    assert_eq!(active.ask(&ping[5..]), "+PONG");
 }
 
 /// Guards against an error answer that is lost to a reset because the client is still sending when the connection is
 /// closed.
 #[test]
-fn a_huge_value_is_refused_while_it_is_still_sent() {
+fn a_huge_value_is_refused_while_it_is_being_sent() {
     let ingress = setup(&[]).start();
     let mut client = ingress.client();
     client.send(b"*1\r\n$60000000\r\n");
@@ -222,16 +223,16 @@
 
 /// Guards against memory limits that hold per connection but not in total: 150 partial commands of 60 kB each.
 #[test]
-fn partial_commands_together_stay_within_the_memory() {
+fn partial_commands_stay_within_the_memory_limit_in_total() {
     let backend = Backend::start(serve);
     let mut setup = setup(&[&backend]);
     setup.memory_mb = 16;
     let ingress = setup.start();
-    let half = [&b"*2\r\n$65536\r\n"[..], &[b'x'; 60_000]].concat();
+    let partial = [&b"*2\r\n$65536\r\n"[..], &[b'x'; 60_000]].concat();
     let mut clients: Vec<Client> = (0..150).map(|_| ingress.client()).collect();
     clients
         .iter_mut()
-        .for_each(|c| drop(std::io::Write::write_all(&mut c.0, &half)));
+        .for_each(|c| drop(std::io::Write::write_all(&mut c.0, &partial)));
     let answer = ingress.client().ask(&call("quote", "q1", 2000));
     assert_eq!(answer, "value of q1");
     let status = std::fs::read_to_string(format!("/proc/{}/status", ingress.child.id())).unwrap();
@@ -240,14 +241,14 @@
         .find_map(|l| l.strip_prefix("VmHWM:"))
         .unwrap();
     let peak: usize = peak.trim().trim_end_matches(" kB").parse().unwrap();
-    assert!(peak < 14_000, "{peak} kB");
+    assert!(peak < 14_000, "peak of {peak} kB resident");
 }
 
 #[test]
-fn malformed_input_gets_an_error_and_a_close_behind_earlier_answers() {
+fn malformed_input_gets_an_error_and_a_close_after_earlier_answers() {
     let backend = Backend::start(|args| Act::Later(Duration::from_millis(100), served(args)));
     let ingress = setup(&[&backend]).start();
-    for bad in [
+    for invalid in [
         "PING\r\n",
         "*1\r\n$70000\r\n",
         "*2000000000\r\n",
@@ -258,13 +259,13 @@
         let (mut client, id) = (ingress.client(), new_id());
         client.send(&call("quote", &id, 900));
         // More unread bytes than the kernel discards without a reset at a close.
-        client.send(&[bad.as_bytes(), &[b'x'; 40_000]].concat());
-        assert_eq!(client.answer(), format!("value of {id}"), "{bad:?}");
+        client.send(&[invalid.as_bytes(), &[b'x'; 40_000]].concat());
+        assert_eq!(client.answer(), format!("value of {id}"), "{invalid:?}");
         assert!(
             client.answer().starts_with("-ERR protocol error"),
-            "{bad:?}"
+            "{invalid:?}"
         );
-        assert!(client.ended(), "{bad:?}");
+        assert!(client.ended(), "{invalid:?}");
     }
     assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG");
 }
@@ -279,11 +280,11 @@
     // An idle connection to the backend, on which the next request could be written at once.
     assert_eq!(other.ask(&call("quote", "q1", 900)), "value of q1");
     std::thread::sleep(Duration::from_millis(20));
-    let mut gone = ingress.client();
-    assert_eq!(gone.ask(&command(&["PING"])), "+PONG");
+    let mut disconnecting = ingress.client();
+    assert_eq!(disconnecting.ask(&command(&["PING"])), "+PONG");
     ingress.signal("STOP");
-    gone.send(&call("refer", "r1", 5000));
-    leave(gone);
+    disconnecting.send(&call("refer", "r1", 5000));
+    leave(disconnecting);
     ingress.signal("CONT");
     assert_eq!(other.ask(&call("quote", "q2", 900)), "value of q2");
     let ids: Vec<String> = backend
--- a/crates/ingress/tests/ingress/descriptors.rs
+++ b/crates/ingress/tests/ingress/descriptors.rs
@@ -6,7 +6,7 @@
 use wrenfork_testbed::small::{call, command, serve, until, Act, Backend, Client, Setup};
 
 /// More clients than descriptors: the ingress closes idle connections, and every request is answered.
-fn crowd(setup: &Setup) {
+fn assert_idle_clients_make_room(setup: &Setup) {
     let ingress = setup.start();
     let mut clients: Vec<Client> = Vec::new();
     for n in 0..80 {
@@ -18,15 +18,22 @@
     assert_eq!(last.ask(&call("refer", "r1", 3000)), "value of r1");
     assert!(
         clients[0].ended(),
-        "the one that was idle for longest made room"
+        "the connection idle for longest must be closed"
     );
     let open = std::fs::read_dir(format!("/proc/{}/fd", ingress.child.id()))
         .unwrap()
         .count();
-    assert!(open <= setup.sockets, "{open} descriptors");
+    assert!(
+        open <= setup.sockets,
+        "{open} descriptors open, limit {}",
+        setup.sockets
+    );
     let before = ingress.cpu();
     thread::sleep(Duration::from_millis(1000));
-    assert!(ingress.cpu() - before < 50, "it spins");
+    assert!(
+        ingress.cpu() - before < 50,
+        "the process uses CPU time while idle"
+    );
 }
 
 #[test]
@@ -34,7 +41,7 @@
     let backend = Backend::start(serve);
     let mut setup = setup(&[&backend]);
     setup.sockets = 64;
-    crowd(&setup);
+    assert_idle_clients_make_room(&setup);
 }
 
 /// Guards against a system limit lower than the configured one: accept fails with EMFILE.
@@ -43,12 +50,12 @@
     let backend = Backend::start(serve);
     let mut setup = setup(&[&backend]);
     setup.ulimit = Some(40);
-    crowd(&setup);
+    assert_idle_clients_make_room(&setup);
 }
 
 /// Guards against clients that hang in the kernel's accept queue while all descriptors are in use.
 #[test]
-fn without_a_free_descriptor_a_client_is_rejected() {
+fn a_request_without_a_free_descriptor_is_rejected() {
     let slow = Backend::start(|_| Act::Silent);
     let mut setup = setup(&[&slow]);
     setup.sockets = 64;
@@ -57,7 +64,7 @@
     for (n, client) in busy.iter_mut().enumerate() {
         client.send(&[&call("refer", &format!("r{n}"), 8000)[..], b"*1\r\n"].concat());
     }
-    until("they are with the backend", || slow.count() > 3);
+    until("the requests reach the backend", || slow.count() > 3);
     let start = Instant::now();
     assert!(is_rejected(
         &ingress.client().ask(&call("refer", "r99", 8000))
@@ -65,25 +72,25 @@
     assert!(start.elapsed() < Duration::from_secs(2));
 }
 
-/// Guards against clients that send one request and keep their connection: the client of the ingress, which may use a
+/// Guards against clients that send one request and keep their connection: a front end, which may use a
 /// third of the descriptors, could open no new connection (incident r6317a1, in which a third of the requests were
 /// never received).
 #[test]
-fn idle_clients_leave_descriptors_for_others() {
+fn idle_connections_are_limited_to_leave_descriptors_for_others() {
     let backend = Backend::start(serve);
     let ingress = Setup {
         sockets: 120,
         ..setup(&[&backend])
     }
     .start();
-    let mut stay = Vec::new();
+    let mut clients = Vec::new();
     for n in 0..60 {
         let mut client = ingress.client();
         assert_eq!(
             client.ask(&call("quote", &format!("o{n}"), 900)),
             format!("value of o{n}")
         );
-        stay.push(client);
+        clients.push(client);
     }
     let open = |client: &Client| {
         client.0.set_nonblocking(true).unwrap();
@@ -94,10 +101,10 @@
     };
     // A sixth of the descriptors may be idle, plus one connection that was just answered.
     until("the longest idle are closed", || {
-        stay.iter().filter(|c| open(c)).count() <= 21
+        clients.iter().filter(|c| open(c)).count() <= 21
     });
     assert!(
-        stay.iter().rev().take(15).all(open),
-        "those that asked last are kept"
+        clients.iter().rev().take(15).all(open),
+        "the most recently active connections must stay open"
     );
 }
--- a/crates/ingress/tests/ingress/discovery.rs
+++ b/crates/ingress/tests/ingress/discovery.rs
@@ -28,9 +28,10 @@
         );
     }
     assert_eq!(one.count(), before);
-    until("its idle connections are closed", || {
-        one.seen.ended.load(Ordering::SeqCst) == one.seen.opened.load(Ordering::SeqCst)
-    });
+    until(
+        "idle connections to the draining backend are closed",
+        || one.seen.ended.load(Ordering::SeqCst) == one.seen.opened.load(Ordering::SeqCst),
+    );
     discovery.tell(one.entry("s-0", "up"));
     answer_through(&ingress, "quote", &one);
 }
@@ -62,7 +63,7 @@
 
 /// Asserts that the endpoint list stays in use while discovery fails, and that changes made meanwhile arrive once
 /// discovery is back.
-fn survives(fail: impl Fn(&Discovery, bool)) {
+fn assert_list_survives(fail: impl Fn(&Discovery, bool)) {
     let (one, two, discovery) = (
         Backend::start(serve),
         Backend::start(serve),
@@ -71,7 +72,7 @@
     let mut setup = setup(&[&one]);
     setup.discovery = Some(discovery.at);
     let ingress = setup.start();
-    until("the watch begins", || {
+    until("the watch starts", || {
         discovery.calls.load(Ordering::SeqCst) > 0
     });
     fail(&discovery, true);
@@ -81,22 +82,29 @@
         ingress.client().ask(&call("refer", "r1", 2000)),
         "value of r1"
     );
-    assert_eq!(two.count(), 0, "nobody can have told of it");
-    let busy = ingress.cpu();
+    assert_eq!(
+        two.count(),
+        0,
+        "a change was applied while discovery was failing"
+    );
+    let cpu_before = ingress.cpu();
     thread::sleep(Duration::from_millis(1000));
-    assert!(ingress.cpu() - busy < 50, "it is busy with asking");
+    assert!(
+        ingress.cpu() - cpu_before < 50,
+        "the process uses CPU time while discovery fails"
+    );
     fail(&discovery, false);
     answer_through(&ingress, "quote", &two);
 }
 
 #[test]
 fn the_endpoint_list_survives_a_discovery_that_is_down() {
-    survives(Discovery::down);
+    assert_list_survives(Discovery::down);
 }
 
 #[test]
 fn the_endpoint_list_survives_a_discovery_that_is_silent() {
-    survives(Discovery::silence);
+    assert_list_survives(Discovery::silence);
 }
 
 /// Guards against retries that keep an overloaded discovery overloaded: each of a hundred ingresses called again within
@@ -112,7 +120,9 @@
     setup.discovery = Some(discovery.at);
     discovery.overbooked(true);
     let ingress = setup.start();
-    until("it is asked", || discovery.calls.load(Ordering::SeqCst) > 0);
+    until("discovery is polled", || {
+        discovery.calls.load(Ordering::SeqCst) > 0
+    });
     thread::sleep(Duration::from_millis(3000));
     // One call at once, a second after at least 0.5 s, a third after at least another second.
     let calls = discovery.calls.load(Ordering::SeqCst);
@@ -124,7 +134,7 @@
     discovery.change(two.entry("s-1", "up"));
     discovery.overbooked(false);
     let calls = discovery.calls.load(Ordering::SeqCst);
-    until("it is asked again", || {
+    until("discovery is polled again", || {
         discovery.calls.load(Ordering::SeqCst) > calls
     });
     answer_through(&ingress, "quote", &two);
--- a/crates/ingress/tests/ingress/main.rs
+++ b/crates/ingress/tests/ingress/main.rs
@@ -15,9 +15,9 @@
 
 /// Starts the ingress with the command in deploy/balancer.toml, which `.ci/run` passes in `WRENFORK_RUN`.
 #[test]
-#[ignore = "wants the command in WRENFORK_RUN"]
+#[ignore = "needs the command in WRENFORK_RUN"]
 fn the_deploy_command_starts() {
-    let command = std::env::var("WRENFORK_RUN").expect("WRENFORK_RUN is the command");
+    let command = std::env::var("WRENFORK_RUN").expect("WRENFORK_RUN must hold the command");
     let command = format!("cd '{}/../..' && {command}", env!("CARGO_MANIFEST_DIR"));
     let backend = Backend::start(serve);
     let mut ingress = setup(&[&backend]).start_with(&command);
@@ -57,7 +57,7 @@
         let log = ingress.log();
         assert!(
             log.contains(key) && log.lines().count() == 1,
-            "{key}: {log}"
+            "the log must be one line that names {key}: {log}"
         );
     }
 }
--- a/crates/ingress/tests/ingress/peers.rs
+++ b/crates/ingress/tests/ingress/peers.rs
@@ -6,7 +6,7 @@
 use wrenfork_testbed::small::{call, place, serve, until, Backend, LONG};
 
 /// A UDP socket with a read timeout of 0.1 s.
-fn udp() -> UdpSocket {
+fn udp_socket() -> UdpSocket {
     let socket = UdpSocket::bind(place()).unwrap();
     let timeout = Duration::from_millis(100);
     socket.set_read_timeout(Some(timeout)).unwrap();
@@ -14,10 +14,10 @@
 }
 
 #[test]
-fn only_peers_are_believed_and_messages_are_short() {
+fn only_valid_messages_from_peers_are_answered_and_messages_are_short() {
     let backend = Backend::start(serve);
     let mut setup = setup(&[&backend]);
-    let (peer, stranger, own) = (udp(), udp(), place());
+    let (peer, stranger, own) = (udp_socket(), udp_socket(), place());
     setup.settings = setup.settings.replace(
         "\"may_probe\":true,\"peers\":false",
         "\"may_probe\":true,\"peers\":true",
@@ -31,7 +31,7 @@
         peer.local_addr().unwrap()
     );
     let ingress = setup.start();
-    let hear = |socket: &UdpSocket| {
+    let receive = |socket: &UdpSocket| {
         let mut buf = [0; 2000];
         socket.recv_from(&mut buf).ok().map(|(n, from)| {
             assert!(from == own && n <= 256, "{n} bytes from {from}");
@@ -45,30 +45,36 @@
         .replace("spread=1", "spread=2");
     let start = Instant::now();
     client.send(asked.as_bytes());
-    let mut told = None;
-    until("the peer is told", || {
-        told = hear(&peer).filter(|m| m[1] & 3 == 0 && m[8] > 0);
-        told.is_some() || start.elapsed() > LONG
+    let mut usage_message = None;
+    until("the peer receives a usage message", || {
+        usage_message = receive(&peer).filter(|m| m[1] & 3 == 0 && m[8] > 0);
+        usage_message.is_some() || start.elapsed() > LONG
     });
     assert_eq!(client.answer(), "value of q1");
     // The same message with the query bit set is answered if it comes from the peer, and otherwise ignored.
-    let mut question = told.unwrap();
-    let first = 9 + 4 * usize::from(question[1] >> 2);
-    question[first + 8] |= 2;
+    let mut query = usage_message.unwrap();
+    let header_len = 9 + 4 * usize::from(query[1] >> 2);
+    query[header_len + 8] |= 2;
     let answered = |from: &UdpSocket, bytes: &[u8]| {
         from.send_to(bytes, own).unwrap();
-        (0..5).filter_map(|_| hear(&peer)).any(|m| m[1] & 3 == 1)
+        (0..5).filter_map(|_| receive(&peer)).any(|m| m[1] & 3 == 1)
     };
-    while hear(&peer).is_some() {}
-    assert!(!answered(&stranger, &question), "a stranger was believed");
+    while receive(&peer).is_some() {}
     assert!(
-        !answered(&peer, &question[..question.len() - 1]),
-        "half a message was believed"
+        !answered(&stranger, &query),
+        "a query from an unknown address was answered"
     );
     assert!(
-        !answered(&peer, &[&question[..], &[0; 1000]].concat()),
-        "a long message was believed"
+        !answered(&peer, &query[..query.len() - 1]),
+        "a truncated query was answered"
+    );
+    assert!(
+        !answered(&peer, &[&query[..], &[0; 1000]].concat()),
+        "an oversized query was answered"
+    );
+    assert!(
+        answered(&peer, &query),
+        "the query of the peer was not answered"
     );
-    assert!(answered(&peer, &question), "the peer was not heard");
     assert_eq!(client.ask(&call("quote", "q2", 900)), "value of q2");
 }
--- a/crates/ingress/tests/ingress/reload.rs
+++ b/crates/ingress/tests/ingress/reload.rs
@@ -18,7 +18,7 @@
     let mut setup = setup(&[&one]);
     setup.discovery = Some(old.at);
     let mut ingress = setup.start();
-    until("the old one is asked", || {
+    until("the old discovery is polled", || {
         old.calls.load(Ordering::SeqCst) > 0
     });
     old.silence(true);
@@ -35,7 +35,7 @@
     );
     assert_eq!((one.count(), new.calls.load(Ordering::SeqCst)), (1, 0));
     ingress.configure(&config);
-    until("the new one is asked", || {
+    until("the new discovery is polled", || {
         new.calls.load(Ordering::SeqCst) > 1
     });
     // The new discovery's list is complete, so backends that are not in it are removed. Later changes come from there
@@ -58,13 +58,13 @@
     assert_eq!(
         log.matches("reload: ").count(),
         2,
-        "a line for the bad file, one for the good: {log}"
+        "the log must have one line for the invalid file and one for the valid one: {log}"
     );
 }
 
 /// Guards against a second SIGHUP that waits for the pause after a failed read.
 #[test]
-fn a_second_sighup_waits_for_no_backoff() {
+fn a_second_sighup_reloads_without_waiting_for_the_backoff() {
     let (one, two, new) = (
         Backend::start(serve),
         Backend::start(serve),
@@ -74,13 +74,13 @@
     let ingress = setup.start();
     ingress.configure("{");
     ingress.signal("HUP");
-    thread::sleep(Duration::from_millis(3400)); // by now the pause is 2 s, and just begun
+    thread::sleep(Duration::from_millis(3400)); // by now a pause of 2 s has just started
     new.change(two.entry("s-7", "up"));
     setup.discovery = Some(new.at);
     ingress.configure(&setup.config(ingress.at));
     let start = Instant::now();
     ingress.signal("HUP");
-    until("the new one is asked", || {
+    until("the new discovery is polled", || {
         new.calls.load(Ordering::SeqCst) > 1
     });
     assert!(start.elapsed() < Duration::from_millis(1300));
--- a/crates/ingress/tests/ingress/shutdown.rs
+++ b/crates/ingress/tests/ingress/shutdown.rs
@@ -13,29 +13,29 @@
         .map(|()| Backend::start(|args| Act::Later(Duration::from_millis(400), served(args))));
     let mut ingress = setup(&backends.each_ref()).start();
     let idle = ingress.client();
-    let mut taken: Vec<Client> = (0..8).map(|_| ingress.client()).collect();
-    for (n, client) in taken.iter_mut().enumerate().take(4) {
+    let mut clients: Vec<Client> = (0..8).map(|_| ingress.client()).collect();
+    for (n, client) in clients.iter_mut().enumerate().take(4) {
         client.send(&call("refer", &format!("r{n}"), 2500));
     }
-    until("they are with the backends", || {
+    until("the requests reach the backends", || {
         backends.iter().map(Backend::count).sum::<usize>() == 4
     });
     let start = Instant::now();
     ingress.signal("TERM");
-    for (n, client) in taken.iter_mut().enumerate().skip(4) {
+    for (n, client) in clients.iter_mut().enumerate().skip(4) {
         client.send(&call("refer", &format!("r{n}"), 2500));
     }
     thread::sleep(Duration::from_millis(200));
-    let mut late = ingress.client();
-    assert_eq!(late.ask(&command(&["PING"])), "+PONG");
-    late.send(&call("refer", "late", 2500));
-    for (n, client) in taken.iter_mut().enumerate() {
+    let mut late_client = ingress.client();
+    assert_eq!(late_client.ask(&command(&["PING"])), "+PONG");
+    late_client.send(&call("refer", "late", 2500));
+    for (n, client) in clients.iter_mut().enumerate() {
         assert_eq!(client.answer(), format!("value of r{n}"));
     }
-    assert_eq!(late.answer(), "value of late");
+    assert_eq!(late_client.answer(), "value of late");
     assert!(
-        late.ended() && Client(idle.0).ended(),
-        "connections are closed between requests"
+        late_client.ended() && Client(idle.0).ended(),
+        "idle connections must be closed"
     );
     assert_eq!(ingress.exit().code(), Some(0));
     assert!(
@@ -47,7 +47,7 @@
 
 /// Guards against closing the port while clients that have not heard of the shutdown still connect: each was refused.
 #[test]
-fn on_sigterm_connections_are_accepted_while_clients_come() {
+fn on_sigterm_connections_are_accepted_while_clients_connect() {
     let backend = Backend::start(serve);
     let mut ingress = setup(&[&backend]).start();
     ingress.signal("TERM");
@@ -74,14 +74,20 @@
     let mut ingress = setup(&[&silent]).start();
     let mut client = ingress.client();
     client.send(&call("refer", "r1", 7900));
-    until("it is sent", || silent.count() == 1);
+    until("the request reaches the backend", || silent.count() == 1);
     let start = Instant::now();
     ingress.signal("TERM");
     assert_eq!(client.answer(), "-ERR failed");
     assert_eq!(ingress.exit().code(), Some(0));
     let took = start.elapsed();
-    assert!(took > Duration::from_secs(3), "it gave up after {took:?}");
-    assert!(took < Duration::from_millis(6000), "it took {took:?}");
+    assert!(
+        took > Duration::from_secs(3),
+        "the request failed too early, after {took:?}"
+    );
+    assert!(
+        took < Duration::from_millis(6000),
+        "the shutdown took {took:?}"
+    );
 }
 
 /// Guards against a client that never completes its request delaying the exit.
@@ -102,14 +108,17 @@
     let mut ingress = setup(&[]).start();
     let mut client = ingress.client();
     client.0.set_nonblocking(true).unwrap();
-    let (pings, mut stuck) = (command(&["PING"]).repeat(10_000), None);
+    let (pings, mut blocked_since) = (command(&["PING"]).repeat(10_000), None);
     until("both directions are full", || {
         match std::io::Write::write(&mut client.0, &pings) {
             Ok(_) => {
-                stuck = None;
+                blocked_since = None;
                 false
             }
-            Err(_) => stuck.get_or_insert_with(Instant::now).elapsed() > Duration::from_millis(500),
+            Err(_) => {
+                blocked_since.get_or_insert_with(Instant::now).elapsed()
+                    > Duration::from_millis(500)
+            }
         }
     });
     ingress.signal("TERM");
--- a/crates/ingress/tests/ingress/support.rs
+++ b/crates/ingress/tests/ingress/support.rs
@@ -29,14 +29,17 @@
         let ids = [new_id(), new_id()];
         client.send(&ids.clone().map(|id| call(class, &id, 1500)).concat());
         let answers = ids.map(|id| (client.answer(), id));
-        let had = wanted
+        let received_id = wanted
             .seen
             .commands
             .lock()
             .unwrap()
             .get(before)
             .map(|c| c[2].clone());
-        if let Some((answer, _)) = answers.iter().find(|(_, id)| Some(id) == had.as_ref()) {
+        if let Some((answer, _)) = answers
+            .iter()
+            .find(|(_, id)| Some(id) == received_id.as_ref())
+        {
             return answer.clone();
         }
         answers
@@ -44,5 +47,5 @@
             .for_each(|(answer, id)| assert_eq!(*answer, format!("value of {id}")));
         thread::sleep(Duration::from_millis(5));
     }
-    panic!("400 requests passed it by");
+    panic!("none of 400 requests was sent to the wanted backend");
 }
--- a/crates/ingress/tests/long.rs
+++ b/crates/ingress/tests/long.rs
@@ -11,7 +11,7 @@
     call, command, serve, served, until, Act, Backend, Client, Ingress, Setup,
 };
 
-const LONGEST: usize = 4 << 20;
+const MAX_VALUE_BYTES: usize = 4 << 20;
 
 fn setup(backends: &[&Backend]) -> Setup {
     Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends)
@@ -22,7 +22,7 @@
     id.bytes().cycle().take(length).map(char::from).collect()
 }
 
-fn long(args: &[String], length: usize) -> Vec<u8> {
+fn long_answer(args: &[String], length: usize) -> Vec<u8> {
     format!(
         "*3\r\n${length}\r\n{}\r\n$-1\r\n$9\r\nutil=0.25\r\n",
         value(&args[2], length)
@@ -31,7 +31,7 @@
 }
 
 /// The peak resident memory of the process in KiB.
-fn peak(ingress: &Ingress) -> usize {
+fn peak_rss_kib(ingress: &Ingress) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", ingress.child.id())).unwrap();
     let line = status
         .lines()
@@ -41,26 +41,27 @@
 }
 
 /// Reads until the end of the stream or `limit` bytes. Returns the bytes read and whether the connection has ended.
-fn read_some(stream: &mut TcpStream, most: usize) -> (usize, bool) {
-    let (mut had, mut chunk) = (0, vec![0; 64 * 1024]);
-    while had < most {
-        let room = chunk.len().min(most - had);
+fn read_some(stream: &mut TcpStream, max_bytes: usize) -> (usize, bool) {
+    let (mut read_bytes, mut chunk) = (0, vec![0; 64 * 1024]);
+    while read_bytes < max_bytes {
+        let room = chunk.len().min(max_bytes - read_bytes);
         match stream.read(&mut chunk[..room]) {
-            Ok(0) => return (had, true),
-            Ok(n) => had += n,
-            Err(e) if e.kind() == ErrorKind::ConnectionReset => return (had, true),
+            Ok(0) => return (read_bytes, true),
+            Ok(n) => read_bytes += n,
+            Err(e) if e.kind() == ErrorKind::ConnectionReset => return (read_bytes, true),
             Err(e) => panic!("{e}"),
         }
     }
-    (had, false)
+    (read_bytes, false)
 }
 
 /// Guards against buffering whole values: 32 of 4 MiB at once, to clients that do not read for a while, with a memory
 /// limit of 24 MiB.
 #[test]
-fn many_of_the_longest_answers_stream_through_a_small_memory() {
-    let backend = Backend::start(|args| Act::Say(long(args, LONGEST)));
-    let others = [(); 3].map(|()| Backend::start(|args| Act::Say(long(args, LONGEST))));
+fn many_answers_of_maximum_length_stream_within_a_small_memory_limit() {
+    let backend = Backend::start(|args| Act::Say(long_answer(args, MAX_VALUE_BYTES)));
+    let others =
+        [(); 3].map(|()| Backend::start(|args| Act::Say(long_answer(args, MAX_VALUE_BYTES))));
     let small = Backend::start(serve);
     let mut setup = setup(&[&backend, &others[0], &others[1], &others[2]]);
     setup.memory_mb = 24;
@@ -70,18 +71,18 @@
         client.send(&call("refer", &format!("r{n}"), 7000));
         // The answers begin one after the other and no client reads: the streams that have begun leave room for the
         // next one.
-        until("it has begun", || {
+        until("the answer begins to arrive", || {
             client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
         });
     }
     for (n, client) in clients.iter_mut().enumerate() {
         assert!(
-            client.answer() == value(&format!("r{n}"), LONGEST),
-            "r{n} is not what its backend gave"
+            client.answer() == value(&format!("r{n}"), MAX_VALUE_BYTES),
+            "the value of r{n} differs from the backend's"
         );
     }
-    let peak = peak(&ingress);
-    assert!(peak < 24 * 1024, "{peak} KiB resident");
+    let peak_kib = peak_rss_kib(&ingress);
+    assert!(peak_kib < 24 * 1024, "peak of {peak_kib} KiB resident");
     assert_eq!(small.count(), 0);
 }
 
@@ -90,14 +91,14 @@
 #[test]
 fn a_slow_reader_delays_no_other_client_and_answers_stay_in_order() {
     let backend = Backend::start(|args| match &args[2][..1] {
-        "l" => Act::Say(long(args, 1 << 20)),
+        "l" => Act::Say(long_answer(args, 1 << 20)),
         "s" => Act::Later(Duration::from_millis(400), served(args)),
         _ => serve(args),
     });
     let ingress = setup(&[&backend]).start();
     let (mut slow, mut line) = (ingress.client(), ingress.client());
     slow.send(&call("refer", "l0", 2000));
-    until("it has begun", || {
+    until("the answer begins to arrive", || {
         slow.0.peek(&mut [0]).is_ok_and(|n| n > 0)
     });
     line.send(
@@ -107,7 +108,7 @@
     );
     // Five at once exceed the backend's concurrency limit: a request sent while one waits may be rejected by load
     // shedding.
-    until("all are with the backend", || backend.count() == 6);
+    until("all requests reach the backend", || backend.count() == 6);
     for n in 0..20 {
         assert_eq!(
             ingress.client().ask(&call("refer", &format!("q1{n}"), 900)),
@@ -119,7 +120,7 @@
     assert_eq!(line.answer(), "value of q3");
     assert!(line.answer() == value("l4", 1 << 20));
     assert_eq!(line.answer(), "value of q5");
-    thread::sleep(Duration::from_millis(2500)); // past its deadline, which was for the first byte
+    thread::sleep(Duration::from_millis(2500)); // past the deadline, which applies to the first byte only
     assert!(slow.answer() == value("l0", 1 << 20));
     assert_eq!(slow.ask(&call("refer", "q9", 900)), "value of q9");
 }
@@ -128,14 +129,14 @@
 #[test]
 fn a_streamed_answer_ends_early_only_when_it_stalls() {
     let backend = Backend::start(|args| {
-        let bytes = long(args, 300_000);
+        let bytes = long_answer(args, 300_000);
         Act::Parts(
             if args[2] == "q1" { 100_000 } else { 20 },
             Duration::from_millis(1400),
             bytes,
         )
     });
-    let other = Backend::start(|args| Act::Say(long(args, 300_000)));
+    let other = Backend::start(|args| Act::Say(long_answer(args, 300_000)));
     let ingress = setup(&[&backend]).start();
     // 900 ms in a repeatable class: neither the deadline nor a hedged request ends the stream.
     assert!(ingress.client().ask(&call("quote", "q1", 900)) == value("q1", 300_000));
@@ -146,15 +147,15 @@
 /// Guards against a truncated value that looks complete, and against a retry after the client has received part of the
 /// answer.
 #[test]
-fn an_answer_that_breaks_in_the_middle_closes_the_clients_connection() {
+fn an_answer_that_breaks_half_way_closes_the_client_connection() {
     let (cut, id) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(0)));
     let at = cut.clone();
     let backend = Backend::start(move |args| {
-        let mut bytes = long(args, 200_000);
+        let mut bytes = long_answer(args, 200_000);
         let at = at.load(Ordering::SeqCst);
         match at {
             1 => {
-                let end = bytes.len() - 22; // the end of the value is another
+                let end = bytes.len() - 22; // the value's terminator is wrong
                 bytes[end] = b'x';
             }
             2 => bytes.extend_from_slice(&[b'z'; 10]),
@@ -174,26 +175,32 @@
         };
         let before = backend.count();
         client.send(&call("quote", &name, 5000));
-        until("the backend has it", || backend.count() == before + 1);
+        until("the request reaches the backend", || {
+            backend.count() == before + 1
+        });
         if at > 1 {
-            until("it has begun", || {
+            until("the answer begins to arrive", || {
                 client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
             });
             backend.seen.hang_up.store(true, Ordering::SeqCst);
         }
-        let (had, ended) = read_some(&mut client.0, LONGEST);
+        let (read_bytes, ended) = read_some(&mut client.0, MAX_VALUE_BYTES);
         backend.seen.hang_up.store(false, Ordering::SeqCst);
         assert!(
-            ended && had < "$200000\r\n".len() + 200_002,
-            "cut at {at}: {had} bytes, ended: {ended}"
+            ended && read_bytes < "$200000\r\n".len() + 200_002,
+            "cut at {at}: {read_bytes} bytes read, connection ended: {ended}"
+        );
+        assert_eq!(
+            backend.count(),
+            before + 1,
+            "a request whose answer had begun was sent again"
         );
-        assert_eq!(backend.count(), before + 1, "it was sent again");
     }
     // Extra bytes after a complete answer end the backend connection and affect nothing else.
     cut.store(2, Ordering::SeqCst);
     assert!(ingress.client().ask(&call("quote", "b9", 5000)) == value("b9", 200_000));
     // A value over the length limit is not forwarded.
-    let huge = Backend::start(|args| Act::Say(long(args, LONGEST + 1)));
+    let huge = Backend::start(|args| Act::Say(long_answer(args, MAX_VALUE_BYTES + 1)));
     let ingress = setup(&[&huge]).start();
     assert_eq!(
         ingress.client().ask(&call("refer", "r1", 2000)),
@@ -202,22 +209,26 @@
 }
 
 /// A backend whose answers to `l…` stop half way until it hangs up, and whose answers to `w…` pause half way.
-fn breaking() -> Backend {
+fn backend_that_breaks() -> Backend {
     Backend::start(|args| match &args[2][..1] {
         "l" => Act::Parts(
             150_000,
             Duration::ZERO,
-            long(args, 200_000)[..150_000].to_vec(),
+            long_answer(args, 200_000)[..150_000].to_vec(),
+        ),
+        "w" => Act::Parts(
+            100_000,
+            Duration::from_millis(300),
+            long_answer(args, 200_000),
         ),
-        "w" => Act::Parts(100_000, Duration::from_millis(300), long(args, 200_000)),
         _ => serve(args),
     })
 }
 
 /// Guards against an answer that breaks half way and takes the other answers on its client connection with it.
 #[test]
-fn an_answer_that_breaks_in_the_middle_loses_no_other_answer() {
-    let backend = breaking();
+fn an_answer_that_breaks_half_way_loses_no_other_answer() {
+    let backend = backend_that_breaks();
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
     client.send(
@@ -225,7 +236,7 @@
             .map(|id| call("refer", id, 5000))
             .concat(),
     );
-    until("all are with the backend", || backend.count() == 3);
+    until("all requests reach the backend", || backend.count() == 3);
     backend.seen.hang_up.store(true, Ordering::SeqCst);
     assert_eq!(
         ["q1", "l2", "q3"].map(|_| client.answer()),
@@ -251,24 +262,31 @@
 /// Guards against reading a request while an answer is streamed before it. If the stream breaks, the connection is
 /// closed and the result of the request would be lost; if it was not read, the client can safely send it again.
 #[test]
-fn nothing_is_read_behind_a_streamed_answer() {
-    let backend = breaking();
+fn no_request_is_read_while_an_answer_is_streamed() {
+    let backend = backend_that_breaks();
     let ingress = setup(&[&backend]).start();
     let begun = |client: &Client| client.0.peek(&mut [0]).is_ok_and(|n| n > 0);
     let mut client = ingress.client();
     client.send(&call("refer", "w1", 5000));
-    until("it has begun", || begun(&client));
+    until("the answer begins to arrive", || begun(&client));
     client.send(&call("refer", "q2", 5000));
     assert!(client.answer() == value("w1", 200_000));
     assert_eq!(client.answer(), "value of q2");
     client.send(&call("refer", "l3", 5000));
-    until("it has begun", || begun(&client));
+    until("the answer begins to arrive", || begun(&client));
     client.send(&call("refer", "q4", 5000));
     (0..2).for_each(|_| assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG"));
     backend.seen.hang_up.store(true, Ordering::SeqCst);
-    let (had, ended) = read_some(&mut client.0, LONGEST);
-    assert!(ended && had < 200_000, "{had}");
-    assert_eq!(backend.count(), 3, "what came behind it was sent on");
+    let (read_bytes, ended) = read_some(&mut client.0, MAX_VALUE_BYTES);
+    assert!(
+        ended && read_bytes < 200_000,
+        "{read_bytes} bytes read, connection ended: {ended}"
+    );
+    assert_eq!(
+        backend.count(),
+        3,
+        "a request after a broken stream was forwarded"
+    );
 }
 
 /// Guards against a backend that keeps sending after the client disconnected, and against one that stalls for ever.
@@ -276,14 +294,14 @@
 fn streaming_ends_when_the_client_disconnects_or_the_backend_stalls() {
     let backend = Backend::start(|args| {
         if args[2] == "still" {
-            return Act::Parts(100_000, Duration::from_secs(60), long(args, 200_000));
+            return Act::Parts(100_000, Duration::from_secs(60), long_answer(args, 200_000));
         }
-        Act::Say(long(args, LONGEST))
+        Act::Say(long_answer(args, MAX_VALUE_BYTES))
     });
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
     client.send(&call("refer", "l1", 2000));
-    until("it has begun", || {
+    until("the answer begins to arrive", || {
         client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
     });
     drop(client);
@@ -292,15 +310,18 @@
     });
     let mut client = ingress.client();
     client.send(&call("refer", "still", 2000));
-    let (had, ended) = read_some(&mut client.0, LONGEST);
-    assert!(ended && (50_000..200_000).contains(&had), "{had}");
+    let (read_bytes, ended) = read_some(&mut client.0, MAX_VALUE_BYTES);
+    assert!(
+        ended && (50_000..200_000).contains(&read_bytes),
+        "{read_bytes} bytes read, connection ended: {ended}"
+    );
 }
 
 /// Guards against misreading an answer that is split at an unusual byte.
 #[test]
-fn an_answer_may_be_cut_anywhere() {
+fn an_answer_may_be_split_at_any_byte() {
     let backend = Backend::start(|args| {
-        let bytes = long(args, 500_000);
+        let bytes = long_answer(args, 500_000);
         let at = args[2][1..].parse::<usize>().unwrap();
         Act::Parts(at, Duration::from_millis(20), bytes)
     });
@@ -344,7 +365,7 @@
             let mut client = ingress.client();
             thread::spawn(move || {
                 let id = format!("b{n}");
-                let asked = post("refer", &id, &value(&id, LONGEST - n));
+                let asked = post("refer", &id, &value(&id, MAX_VALUE_BYTES - n));
                 // The head arrives in pieces, the body in two halves; a small request follows on the connection.
                 let cut = 3 + n * 7;
                 client.send(&asked[..cut]);
@@ -363,30 +384,40 @@
         );
         let id = format!("b{n}");
         assert!(
-            body_at(&backend, &id) == Some(value(&id, LONGEST - n)),
-            "{id} came otherwise"
+            body_at(&backend, &id) == Some(value(&id, MAX_VALUE_BYTES - n)),
+            "the body of {id} arrived changed"
         );
     }
-    let peak = peak(&ingress);
-    assert!(peak < 24 * 1024, "{peak} KiB resident");
+    let peak_kib = peak_rss_kib(&ingress);
+    assert!(peak_kib < 24 * 1024, "peak of {peak_kib} KiB resident");
 }
 
 /// Guards against a retry with an incomplete body, or no retry where the class allows one. The lengths are around the
 /// buffer limits.
 #[test]
-fn a_long_body_is_retried_completely() {
+fn a_long_body_is_retried_in_full() {
     // The backend rejects two requests only: if it rejected all, load shedding would reject customers by a hash that
     // depends on the time.
-    let turned = AtomicUsize::new(0);
-    let bad = Backend::start(move |args| match turned.fetch_add(1, Ordering::SeqCst) {
-        0 | 1 => Act::Say(b"-BUSY\r\n".to_vec()),
-        _ => serve(args),
-    });
+    let rejections = AtomicUsize::new(0);
+    let bad = Backend::start(
+        move |args| match rejections.fetch_add(1, Ordering::SeqCst) {
+            0 | 1 => Act::Say(b"-BUSY\r\n".to_vec()),
+            _ => serve(args),
+        },
+    );
     let good = Backend::start(serve);
     let ingress = setup(&[&bad, &good]).start();
     let mut client = ingress.client();
     for (n, length) in [
-        65_535, 65_536, 65_537, 66_000, 70_000, 73_728, 73_729, 200_000, LONGEST,
+        65_535,
+        65_536,
+        65_537,
+        66_000,
+        70_000,
+        73_728,
+        73_729,
+        200_000,
+        MAX_VALUE_BYTES,
     ]
     .into_iter()
     .enumerate()
@@ -397,10 +428,10 @@
             format!("value of {id}"),
             "{length} bytes"
         );
-        let had = body_at(&good, &id).or_else(|| body_at(&bad, &id));
+        let received = body_at(&good, &id).or_else(|| body_at(&bad, &id));
         assert!(
-            had == Some(value(&id, length)),
-            "{length} bytes came otherwise"
+            received == Some(value(&id, length)),
+            "a body of {length} bytes arrived changed"
         );
     }
     // Repeats until the first backend has rejected a request, so that a retry happens whichever backends were picked
@@ -409,7 +440,10 @@
         if bad.count() > 0 {
             break;
         }
-        assert!(n < 200, "200 requests passed it by");
+        assert!(
+            n < 200,
+            "none of 200 requests was sent to the rejecting backend"
+        );
         let id = format!("w{n}");
         assert_eq!(
             client.ask(&post("save", &id, &value(&id, 70_000))),
@@ -423,7 +457,7 @@
 fn a_body_too_long_or_too_late_is_refused() {
     let backend = Backend::start(serve);
     let mut small = setup(&[&backend]);
-    small.memory_mb = 16; // a quarter of it is less than the longest and its head
+    small.memory_mb = 16; // a quarter of it is less than the longest body and its head
     let ingress = small.start();
     let mut client = ingress.client();
     let head = |length: usize| {
@@ -431,10 +465,10 @@
         let at = whole.windows(8).position(|w| w == b"$70000\r\n").unwrap();
         [&whole[..at], format!("${length}\r\n").as_bytes()].concat()
     };
-    client.send(&head(LONGEST + 1));
+    client.send(&head(MAX_VALUE_BYTES + 1));
     assert!(client.answer().contains("over the limit"));
     let mut client = ingress.client();
-    client.send(&head(LONGEST));
+    client.send(&head(MAX_VALUE_BYTES));
     assert!(client.answer().contains("longer than there is memory for"));
     // A body that stops half way keeps its memory grant for as long as a head may take; then the next request is
     // served.
--- a/crates/ingress/tests/management.rs
+++ b/crates/ingress/tests/management.rs
@@ -19,17 +19,17 @@
     (setup, at)
 }
 
-fn ended(at: SocketAddr, class: &str) -> [u64; 3] {
+fn outcome_counts(at: SocketAddr, class: &str) -> [u64; 3] {
     ["fulfilled", "throttled", "faulted"]
         .map(|end| figure(at, &format!("ingress.operations.{class}.{end}")))
 }
 
-// ---- Figures ----
+// ---- Telemetry ----
 
 const CLASSES: [&str; 3] = ["quote", "save", "refer"];
 
 /// The index of an answer's outcome: 0 served, 1 rejected, 2 failed.
-fn end_of(answer: &str) -> usize {
+fn outcome_index(answer: &str) -> usize {
     if answer.starts_with("value") {
         0
     } else {
@@ -54,7 +54,7 @@
     let (setup, at) = setup(&[&backend]);
     let ingress = setup.start();
     let mut client = ingress.client();
-    let mut saw = [[0; 3]; 3]; // by class: served, refused, failed
+    let mut observed = [[0; 3]; 3]; // by class: served, rejected, failed
     for n in 0..40 {
         // The `q` requests share one customer, whose burst of 7 admits some of them; all others have a customer each.
         let (class, kind) = [
@@ -69,15 +69,15 @@
         } else {
             call(class, &id, 900)
         };
-        let place = CLASSES.iter().position(|c| *c == class).unwrap();
-        saw[place][end_of(&client.ask(&asked))] += 1;
+        let class_index = CLASSES.iter().position(|c| *c == class).unwrap();
+        observed[class_index][outcome_index(&client.ask(&asked))] += 1;
     }
     // A duplicate id is answered by the ingress and counts as failed.
     assert!(client.ask(&call("save", "b37", 900)).starts_with("-ERR"));
-    saw[1][2] += 1;
-    assert!(saw[0][1] > 0 && saw[2][2] > 0, "{saw:?}");
-    let had = CLASSES.map(|class| ended(at, class));
-    assert_eq!(had, saw);
+    observed[1][2] += 1;
+    assert!(observed[0][1] > 0 && observed[2][2] > 0, "{observed:?}");
+    let reported = CLASSES.map(|class| outcome_counts(at, class));
+    assert_eq!(reported, observed);
     assert_eq!(figure(at, "ingress.relayed"), backend.count() as u64);
     assert_eq!(
         (
@@ -90,9 +90,11 @@
         client.send(&call("refer", &format!("h{n}"), 2900));
     }
     // Requests that wait for a concurrency slot count as open too.
-    until("all are open", || figure(at, "ingress.open_requests") == 5);
+    until("all requests are open", || {
+        figure(at, "ingress.open_requests") == 5
+    });
     // A request open in the ingress may not have been read by the backend yet.
-    until("one is with the backend", || {
+    until("one request reaches the backend", || {
         held.load(Ordering::SeqCst) > 0
     });
     (0..5).for_each(|n| assert_eq!(client.answer(), format!("value of h{n}")));
@@ -116,17 +118,17 @@
             figure(at, "ingress.out_of_rotation"),
         )
     };
-    until("the list holds", || rotation() == (2, 0));
+    until("the endpoint list is applied", || rotation() == (2, 0));
     discovery.tell(two.entry("s-1", "draining"));
     assert_eq!(rotation(), (2, 1));
     discovery.tell(two.entry("s-1", "removed"));
     assert_eq!(rotation(), (1, 0));
 }
 
-// ---- Calls ----
+// ---- Management calls ----
 
 #[test]
-fn an_invalid_line_is_refused_and_a_good_one_needs_no_end_of_input() {
+fn an_invalid_line_is_refused_and_a_valid_one_needs_no_end_of_input() {
     let backend = Backend::start(serve);
     let (setup, at) = setup(&[&backend]);
     let mut ingress = setup.start();
@@ -153,7 +155,7 @@
     // After SIGTERM the ingress is no longer ready, but still answers.
     let mut client = ingress.client();
     ingress.signal("TERM");
-    until("it says that it stops", || {
+    until("the ingress reports that it is stopping", || {
         ask(at, "readyz\n").starts_with("-ERR stopping")
     });
     assert_eq!(client.ask(&call("quote", "q1", 900)), "value of q1");
@@ -163,7 +165,7 @@
 
 /// Guards against operator connections that send nothing, or an endless line, delaying other operators or clients.
 #[test]
-fn endless_connections_of_operators_keep_out_neither_operators_nor_clients() {
+fn idle_operator_connections_block_neither_operators_nor_clients() {
     let backend = Backend::start(serve);
     let (mut setup, at) = setup(&[&backend]);
     setup.sockets = 64;
@@ -172,7 +174,7 @@
     for n in 0..60 {
         let mut stream = TcpStream::connect(at).unwrap();
         if n % 2 == 1 {
-            let _ = stream.write_all(b"telem"); // half a line; it may have been made to go already
+            let _ = stream.write_all(b"telem"); // half a line; the connection may already be evicted
         }
         silent.push(stream);
         if n % 10 == 9 {
@@ -207,7 +209,7 @@
 }
 
 #[test]
-fn without_endpoints_it_is_not_ready() {
+fn an_ingress_without_endpoints_is_not_ready() {
     let (setup, at) = setup(&[]);
     let _ingress = setup.start();
     assert!(ask(at, "readyz\n").starts_with("-ERR no backend"));
@@ -217,7 +219,7 @@
 
 /// Applies a platform's change of settings: `quote` is replaced by the unsafe class `report`, `save` becomes safe to
 /// repeat, and one attempt is allowed.
-fn retuned(settings: &str) -> String {
+fn with_changed_classes(settings: &str) -> String {
     settings
         .replace(
             r#""name":"quote","effect":"repeatable""#,
@@ -249,11 +251,13 @@
     let mut client = ingress.client();
     assert_eq!(client.ask(&call("quote", "q1", 900)), "value of q1");
     client.send(&call("quote", "h1", 900));
-    until("it is held", || held.load(Ordering::SeqCst) == 1);
-    setup.settings = retuned(&setup.settings);
+    until("the attempt reaches the backend", || {
+        held.load(Ordering::SeqCst) == 1
+    });
+    setup.settings = with_changed_classes(&setup.settings);
     ingress.configure(&setup.config(ingress.at));
     ingress.signal("HUP");
-    until("the file is taken", || {
+    until("the file is applied", || {
         figure(at, "ingress.cfg_accepted") == 1
     });
     // The open request is still repeatable and may have three attempts.
@@ -273,12 +277,12 @@
     assert_eq!(client.ask(&get("save", "s1")), "value of s1");
     assert!(
         client.ask(&post("save", "s2")).starts_with("-ERR"),
-        "it is safe to repeat now"
+        "a class that became safe to repeat must refuse CALL.POST"
     );
     assert_eq!(
-        (ended(at, "quote"), ended(at, "report")),
+        (outcome_counts(at, "quote"), outcome_counts(at, "report")),
         ([2, 0, 0], [1, 0, 0]),
-        "counts go with the name"
+        "the counts must follow the class name"
     );
     // One attempt is allowed, so a failed request is not retried.
     held.store(0, Ordering::SeqCst);
@@ -358,23 +362,24 @@
     trap.change(two.entry("s-7", "up"));
     let mut ingress = setup.start();
     let good = setup.config(ingress.at);
-    setup.discovery = Some(trap.at); // what would be taken of a broken file
-    let told = setup.config(ingress.at);
+    setup.discovery = Some(trap.at); // reached only if an invalid file is applied
+    let complete = setup.config(ingress.at);
     let mut broken: Vec<(String, &str)> = BROKEN
-        .map(|(from, to, why)| (told.replace(from, to), why))
+        .map(|(from, to, why)| (complete.replace(from, to), why))
         .to_vec();
     broken.extend([
         (String::new(), "cut off"),
         ("[]".into(), "settings is missing"),
         ("nonsense".into(), "no JSON"),
     ]);
-    broken.extend((1..8).map(|part| (told[..told.len() * part / 8].to_string(), "cut off")));
+    broken
+        .extend((1..8).map(|part| (complete[..complete.len() * part / 8].to_string(), "cut off")));
     let mut client = ingress.client();
     for (n, (file, _)) in broken.iter().enumerate() {
-        assert_ne!(*file, told, "file {n} is not broken");
+        assert_ne!(*file, complete, "replacement {n} does not change the file");
         ingress.configure(file);
         ingress.signal("HUP");
-        until("the file has its verdict", || {
+        until("the file is counted as invalid", || {
             figure(at, "ingress.cfg_invalid") == n as u64 + 1
         });
         assert_eq!(
@@ -384,7 +389,7 @@
     }
     ingress.configure(&good);
     ingress.signal("HUP");
-    until("a good one is taken", || {
+    until("the valid file is applied", || {
         figure(at, "ingress.cfg_accepted") == 1
     });
     assert_eq!(figure(at, "ingress.cfg_invalid"), broken.len() as u64);
@@ -392,18 +397,25 @@
     ingress.signal("TERM");
     drop(client);
     assert_eq!(ingress.exit().code(), Some(0));
-    assert_each_is_named(&ingress.log(), &broken);
+    assert_each_fault_is_logged(&ingress.log(), &broken);
 }
 
 /// Asserts that the log has a line for each refused file that names its fault.
-fn assert_each_is_named(log: &str, broken: &[(String, &str)]) {
+fn assert_each_fault_is_logged(log: &str, broken: &[(String, &str)]) {
     let lines: Vec<&str> = log
         .lines()
         .filter(|l| l.contains("reload: ") && l.contains("WARN"))
         .collect();
-    assert_eq!(lines.len(), broken.len(), "a line for each: {log}");
+    assert_eq!(
+        lines.len(),
+        broken.len(),
+        "the log must have one line for each invalid file: {log}"
+    );
     for ((_, why), line) in broken.iter().zip(lines) {
-        assert!(line.contains(why), "{why} is not named: {line}");
+        assert!(
+            line.contains(why),
+            "the log line does not contain {why:?}: {line}"
+        );
     }
 }
 
@@ -433,9 +445,9 @@
         calls += 1;
     }
     flood.join().unwrap();
-    let all: u64 = ended(at, "quote").iter().sum();
+    let all: u64 = outcome_counts(at, "quote").iter().sum();
     assert_eq!(
         all, 4000,
-        "each has one end; the slowest call took {slowest:?}"
+        "each request must be counted once; the slowest call took {slowest:?}"
     );
 }
--- a/crates/ingress/tests/pools.rs
+++ b/crates/ingress/tests/pools.rs
@@ -13,13 +13,13 @@
 use wrenfork_testbed::scenario::Scenario;
 
 /// Serializes the tests, because each rig needs a core for itself.
-static ALONE: Mutex<()> = Mutex::new(());
+static RIG_LOCK: Mutex<()> = Mutex::new(());
 
 /// A run that the machine delayed too much has no verdict and is repeated, up to this number of runs.
-const TRIES: usize = 5;
+const MAX_RUNS: usize = 5;
 
 /// Quotes have their pool in hall-a, referrals in hall-b; eight nodes.
-const WORLD: &str = r#"
+const SCENARIO: &str = r#"
 version = 1
 about = "Two pools"
 seed = 31
@@ -83,7 +83,7 @@
 pod = 2
 "#;
 
-fn files(name: &str, operator: &str) -> (tempfile::TempDir, PathBuf, PathBuf) {
+fn write_program(name: &str, operator: &str) -> (tempfile::TempDir, PathBuf, PathBuf) {
     let folder = tempfile::tempdir().unwrap();
     let (program, file) = (
         folder.path().join(name),
@@ -106,12 +106,17 @@
 
 /// Plays the scenario with these pools, routes and faults. After the duration in `later`, its text replaces the
 /// operator's file.
-fn run(operator: &str, world: &str, faults: &str, later: Option<(Duration, &str)>) -> Report {
-    let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
-    let scenario = Scenario::parse("pools.toml", &format!("{world}{faults}"))
+fn run(
+    operator: &str,
+    scenario_text: &str,
+    faults: &str,
+    later: Option<(Duration, &str)>,
+) -> Report {
+    let _lock = RIG_LOCK.lock().unwrap_or_else(|e| e.into_inner());
+    let scenario = Scenario::parse("pools.toml", &format!("{scenario_text}{faults}"))
         .unwrap_or_else(|e| panic!("{}", e[0]));
-    for _ in 0..TRIES {
-        let (_folder, program, file) = files("ingress", operator);
+    for _ in 0..MAX_RUNS {
+        let (_folder, program, file) = write_program("ingress", operator);
         let later =
             later.map(|(after, text)| (after, format!("version = 1\nkind = \"ingress\"\n{text}")));
         let writer = later.map(|(after, text)| {
@@ -137,20 +142,24 @@
             return report;
         }
     }
-    panic!("the machine is too busy for the rig");
+    panic!("each of {MAX_RUNS} runs was too delayed by the machine for a verdict");
 }
 
 /// Asserts that no rule was broken and that enough requests were served to break one.
-fn held(report: &Report) {
-    let found: Vec<_> = report.violations.iter().take(10).collect();
+fn assert_held(report: &Report) {
+    let first_violations: Vec<_> = report.violations.iter().take(10).collect();
     assert_eq!(
         report.verdict,
         Verdict::Held,
-        "{found:?} {:?} {:?}",
+        "{first_violations:?} {:?} {:?}",
         report.crashes,
         report.ingress_logs
     );
-    assert!(report.served > 200, "only {} were served", report.served);
+    assert!(
+        report.served > 200,
+        "only {} requests were served",
+        report.served
+    );
 }
 
 fn share(report: &Report, class: &str) -> f64 {
@@ -175,22 +184,26 @@
 /// Guards against a lost pool that overloads its warm or just started fallback or takes much capacity from the requests
 /// routed to it. Without a fallback more requests fail, which shows that the fallback serves some.
 #[test]
-fn a_lost_pool_falls_back_without_harm_to_the_other() {
-    let cold = WORLD.replace("model = \"small-2c\"", "model = \"small-2c\"\ncold = true");
-    let lost = "[[at]]\nat = \"2s\"\nwhat = \"die\"\nbackend = [0, 1, 2, 3]\ndown = \"4s\"\n";
-    let (warm, cold, without) = (
-        run(&pools(FALLBACK), WORLD, lost, None),
-        run(&pools(FALLBACK), &cold, lost, None),
-        run(&pools(""), WORLD, lost, None),
+fn a_lost_pool_falls_back_without_overloading_its_fallback() {
+    let cold_fallback =
+        SCENARIO.replace("model = \"small-2c\"", "model = \"small-2c\"\ncold = true");
+    let loss_faults =
+        "[[at]]\nat = \"2s\"\nwhat = \"die\"\nbackend = [0, 1, 2, 3]\ndown = \"4s\"\n";
+    let (warm_fallback, cold_fallback, no_fallback) = (
+        run(&pools(FALLBACK), SCENARIO, loss_faults, None),
+        run(&pools(FALLBACK), &cold_fallback, loss_faults, None),
+        run(&pools(""), SCENARIO, loss_faults, None),
     );
-    [&warm, &cold, &without].into_iter().for_each(held);
+    [&warm_fallback, &cold_fallback, &no_fallback]
+        .into_iter()
+        .for_each(assert_held);
     assert!(
-        warm.goodput > without.goodput,
+        warm_fallback.goodput > no_fallback.goodput,
         "{:?}\n{:?}",
-        warm.classes,
-        without.classes
+        warm_fallback.classes,
+        no_fallback.classes
     );
-    for with in [&warm, &cold] {
+    for with in [&warm_fallback, &cold_fallback] {
         assert!(share(with, "referral") > 0.8, "{:?}", with.classes);
     }
 }
@@ -214,8 +227,8 @@
     ] {
         faults += &format!("[[at]]\nat = \"{at}ms\"\nwhat = \"{what}\"\nbackend = [0, 1, 2, 3]\n");
     }
-    let report = run(&routes, WORLD, &faults, None);
-    held(&report);
+    let report = run(&routes, SCENARIO, &faults, None);
+    assert_held(&report);
     assert!(report.goodput > 0.6, "{:?}", report.classes);
 }
 
@@ -230,14 +243,19 @@
     ) + "[[pool]]\nname = \"t\"\nnodes = [\"s-0007\"]\n";
     let faults = "[[at]]\nat = \"1s\"\nwhat = \"hang\"\nbackend = 7\nfor = \"2s\"\n\
                   [[at]]\nat = \"4s\"\nwhat = \"move-discovery\"\ningress = [0, 1, 2]\n";
-    let all = "[[pool]]\nname = \"c\"\nhalls = [\"hall-b\"]\n[[route]]\nclass = \"referral\"\npool = \"c\"\n";
-    let report = run(&routes, WORLD, faults, Some((Duration::from_secs(3), all)));
-    held(&report);
+    let new_routes = "[[pool]]\nname = \"c\"\nhalls = [\"hall-b\"]\n[[route]]\nclass = \"referral\"\npool = \"c\"\n";
+    let report = run(
+        &routes,
+        SCENARIO,
+        faults,
+        Some((Duration::from_secs(3), new_routes)),
+    );
+    assert_held(&report);
     assert!(report.goodput > 0.6, "{:?}", report.classes);
-    let taken = report
+    let reloads = report
         .ingress_logs
         .iter()
         .filter(|l| l.contains("enforcing the new files"))
         .count();
-    assert_eq!(taken, 3, "{:?}", report.ingress_logs);
+    assert_eq!(reloads, 3, "{:?}", report.ingress_logs);
 }
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -9,20 +9,20 @@
 /// As many processes as the test machines can run; the users run some hundreds.
 const PROCESSES: usize = 100;
 /// Time within which nine in ten processes must be ready.
-const READY: Duration = Duration::from_secs(10);
+const MAX_READY_TIME: Duration = Duration::from_secs(10);
 
 /// Starts one process at each address, all at once. Returns them with the time that each took to answer a PING, sorted
 /// ascending.
-fn start(setup: &Setup, places: &[SocketAddr]) -> (Vec<Ingress>, Vec<Duration>) {
+fn start_all(setup: &Setup, addresses: &[SocketAddr]) -> (Vec<Ingress>, Vec<Duration>) {
     let started = Instant::now();
     let program = format!("exec '{}'", setup.program);
-    let all: Vec<Ingress> = places
+    let all: Vec<Ingress> = addresses
         .iter()
         .map(|at| Ingress::run(&setup.config(*at), *at, &program))
         .collect();
     let mut ready: Vec<Option<Duration>> = vec![None; all.len()];
-    until("all are ready", || {
-        for (at, ready) in places
+    until("all processes are ready", || {
+        for (at, ready) in addresses
             .iter()
             .zip(&mut ready)
             .filter(|(_, ready)| ready.is_none())
@@ -48,8 +48,8 @@
         discovery: Some(discovery.at),
         ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend])
     };
-    let places: Vec<SocketAddr> = (0..PROCESSES).map(|_| place()).collect();
-    let (mut first, _) = start(&setup, &places);
+    let addresses: Vec<SocketAddr> = (0..PROCESSES).map(|_| place()).collect();
+    let (mut first, _) = start_all(&setup, &addresses);
     for (n, ingress) in first.iter_mut().enumerate() {
         if n % 2 == 0 {
             ingress.signal("TERM");
@@ -61,10 +61,13 @@
         ingress.exit();
     }
     drop(first);
-    let (again, ready) = start(&setup, &places);
-    let (median, ninth) = (ready[PROCESSES / 2], ready[PROCESSES * 9 / 10]);
-    println!("{PROCESSES} restarted: half ready in {median:.2?}, nine in ten in {ninth:.2?} of {READY:.0?}");
-    assert!(ninth < READY, "nine in ten are ready only after {ninth:?}");
+    let (again, ready) = start_all(&setup, &addresses);
+    let (median, p90) = (ready[PROCESSES / 2], ready[PROCESSES * 9 / 10]);
+    println!("{PROCESSES} restarted: half ready in {median:.2?}, nine in ten in {p90:.2?}, limit {MAX_READY_TIME:.0?}");
+    assert!(
+        p90 < MAX_READY_TIME,
+        "nine in ten processes were ready only after {p90:?}"
+    );
     for (n, ingress) in again.iter().enumerate().step_by(10) {
         assert_eq!(
             ingress.client().ask(&call("refer", &format!("r{n}"), 3000)),
--- a/crates/ingress/tests/scenarios.rs
+++ b/crates/ingress/tests/scenarios.rs
@@ -8,7 +8,7 @@
 use wrenfork_testbed::scenario::Scenario;
 
 /// A run that the machine delayed too much has no verdict and is repeated, up to this number of runs.
-const TRIES: usize = 5;
+const MAX_RUNS: usize = 5;
 
 #[test]
 fn every_rule_holds_in_every_scenario() {
@@ -22,10 +22,11 @@
     files.sort();
     assert!(files.len() >= 12);
     let program = Path::new(env!("CARGO_BIN_EXE_wrenfork"));
-    let mut wrong = Vec::new();
+    let mut failures = Vec::new();
     for file in files {
-        let scenario = Scenario::read(&file).unwrap_or_else(|found| panic!("{}", found[0]));
-        let played = (0..TRIES).map(|_| {
+        let scenario = Scenario::read(&file)
+            .unwrap_or_else(|first_violations| panic!("{}", first_violations[0]));
+        let played = (0..MAX_RUNS).map(|_| {
             let stop = AtomicBool::new(false);
             play(
                 &scenario,
@@ -39,8 +40,8 @@
         });
         let report = played.into_iter().find(|r| r.verdict != Verdict::Late);
         let Some(report) = report else {
-            wrong.push(format!(
-                "{}: the machine is too busy for the rig",
+            failures.push(format!(
+                "{}: each run was too delayed by the machine for a verdict",
                 scenario.name
             ));
             continue;
@@ -51,21 +52,21 @@
         );
         // A scenario passes if the judge found no violation and enough requests were served.
         if report.verdict != Verdict::Held || report.served < 50 {
-            let found: Vec<String> = report
+            let first_violations: Vec<String> = report
                 .violations
                 .iter()
                 .take(10)
                 .map(|v| format!("{v:?}"))
                 .collect();
-            wrong.push(format!(
+            failures.push(format!(
                 "{}: {} {:?}",
                 scenario.name,
-                found.join("\n  "),
+                first_violations.join("\n  "),
                 report.crashes
             ));
         }
     }
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 /// Guards against link faults of a scenario that have no effect: group members that cannot reach each other reject
@@ -80,10 +81,10 @@
     );
     let fault = "\n[[at]]\nat = \"500ms\"\nwhat = \"link\"\nfrom = [0, 1, 2]\nto = [0, 1, 2]\nfault = \"dropped\"\nfor = \"2s\"\n";
     let program = Path::new(env!("CARGO_BIN_EXE_wrenfork"));
-    let [whole, cut] = [grouped.clone(), grouped + fault].map(|text| {
-        let scenario =
-            Scenario::parse("group.toml", &text).unwrap_or_else(|found| panic!("{}", found[0]));
-        let played = (0..TRIES).map(|_| {
+    let [connected, partitioned] = [grouped.clone(), grouped + fault].map(|text| {
+        let scenario = Scenario::parse("group.toml", &text)
+            .unwrap_or_else(|first_violations| panic!("{}", first_violations[0]));
+        let played = (0..MAX_RUNS).map(|_| {
             let stop = AtomicBool::new(false);
             play(
                 &scenario,
@@ -98,7 +99,7 @@
         let report = played
             .into_iter()
             .find(|r| r.verdict != Verdict::Late)
-            .expect("a run in time");
+            .expect("each run was too delayed by the machine for a verdict");
         assert_eq!(
             report.verdict,
             Verdict::Held,
@@ -109,15 +110,15 @@
         report
     });
     assert!(
-        cut.refused > whole.refused + 20,
-        "{} and {} refused",
-        whole.refused,
-        cut.refused
+        partitioned.refused > connected.refused + 20,
+        "{} requests refused without the partition, {} with it",
+        connected.refused,
+        partitioned.refused
     );
     assert!(
-        cut.served > 150,
-        "{} served, {} refused",
-        cut.served,
-        cut.refused
+        partitioned.served > 150,
+        "{} requests served, {} refused",
+        partitioned.served,
+        partitioned.refused
     );
 }
--- a/crates/ingress/tests/sidecar.rs
+++ b/crates/ingress/tests/sidecar.rs
@@ -9,7 +9,7 @@
     Ingress,
 };
 
-fn good(name: &str) -> String {
+fn read_good_file(name: &str) -> String {
     fs::read_to_string(
         Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("../config/tests/good")
@@ -24,7 +24,7 @@
 impl Folder {
     fn new(app: &str, backends: &[&Backend]) -> Folder {
         let folder = Folder(tempfile::tempdir().unwrap());
-        folder.write("site.toml", &good("site.toml"));
+        folder.write("site.toml", &read_good_file("site.toml"));
         folder.write("app.toml", app);
         let nodes: Vec<String> = backends
             .iter()
@@ -41,18 +41,20 @@
         path
     }
 
-    fn command(&self, more: &str) -> String {
+    fn command(&self, extra_args: &str) -> String {
         let (program, folder) = (env!("CARGO_BIN_EXE_wrenfork"), self.0.path().display());
-        format!("exec '{program}' --app '{folder}/app.toml' --fleet '{folder}/fleet.json' {more}")
+        format!(
+            "exec '{program}' --app '{folder}/app.toml' --fleet '{folder}/fleet.json' {extra_args}"
+        )
     }
 
-    fn start(&self, at: SocketAddr, more: &str) -> Ingress {
-        self.start_until(at, more, "+PONG")
+    fn start(&self, at: SocketAddr, extra_args: &str) -> Ingress {
+        self.start_until(at, extra_args, "+PONG")
     }
 
     /// Starts the sidecar and waits until its answer to a PING begins with `answer`.
-    fn start_until(&self, at: SocketAddr, more: &str, answer: &str) -> Ingress {
-        let ingress = Ingress::run("", at, &self.command(more));
+    fn start_until(&self, at: SocketAddr, extra_args: &str, answer: &str) -> Ingress {
+        let ingress = Ingress::run("", at, &self.command(extra_args));
         until("the sidecar is ready", || {
             std::net::TcpStream::connect(at)
                 .is_ok_and(|stream| Client(stream).ask(&command(&["PING"])).starts_with(answer))
@@ -63,12 +65,12 @@
 
 /// The application file without routes, listening at `at`.
 fn app(at: SocketAddr) -> String {
-    good("with-site-no-routes.toml").replace("127.0.0.1:7600", &at.to_string())
+    read_good_file("with-site-no-routes.toml").replace("127.0.0.1:7600", &at.to_string())
 }
 
 /// Guards against a request that claims another plan, or a larger share of the quota.
 #[test]
-fn claims_of_plan_and_spread_are_ignored() {
+fn claimed_plan_and_spread_are_ignored() {
     let (at, backend) = (place(), Backend::start(serve));
     let folder = Folder::new(&app(at), &[&backend]);
     let ingress = folder.start(at, "");
@@ -160,17 +162,20 @@
         .args(["-c", &folder.command("")])
         .output()
         .unwrap();
-    let said = String::from_utf8(out.stderr).unwrap();
+    let stderr = String::from_utf8(out.stderr).unwrap();
     assert_eq!(out.status.code(), Some(1));
     for part in ["app.toml:19:9: C106", "app.toml:23:8: C203", "\"stater\""] {
-        assert!(said.contains(part), "{part} is not in:\n{said}");
+        assert!(
+            stderr.contains(part),
+            "{part:?} is missing from the error output:\n{stderr}"
+        );
     }
     assert!(std::net::TcpStream::connect(at).is_err());
 }
 
 /// The sidecar starts with every file that the checker accepts.
 #[test]
-fn every_good_application_starts() {
+fn every_valid_application_file_starts() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../config/tests/good");
     let mut started = 0;
     let mut names: Vec<String> = fs::read_dir(folder)
@@ -181,7 +186,7 @@
     names.sort();
     for name in names {
         let at = place();
-        let text = good(&name).replace("127.0.0.1:7600", &at.to_string());
+        let text = read_good_file(&name).replace("127.0.0.1:7600", &at.to_string());
         // A single member of a group starts and rejects requests.
         let (two, grouped) = (name.contains("two-sidecars"), name.contains("roster"));
         let text = (7946..=7949).fold(text, |text, port| {
@@ -195,22 +200,23 @@
                 &own.path().join("state").display().to_string(),
             );
         let folder = Folder::new(&text, &[]);
-        folder.write("fleet.json", &good("fleet.json"));
-        let more = if two || grouped {
+        folder.write("fleet.json", &read_good_file("fleet.json"));
+        let extra_args = if two || grouped {
             "--sidecar desk-1"
         } else {
             ""
         };
-        let mut ingress = folder.start_until(at, more, if grouped { "-BUSY " } else { "+PONG" });
+        let mut ingress =
+            folder.start_until(at, extra_args, if grouped { "-BUSY " } else { "+PONG" });
         ingress.signal("TERM");
         assert!(ingress.exit().success(), "{name}");
         started += 1;
     }
-    assert!(started >= 12, "only {started}");
+    assert!(started >= 12, "only {started} files were started");
 }
 
 /// The endpoint entry of a backend with the given model and status.
-fn entry_of(backend: &Backend, name: &str, model: &str, status: &str) -> String {
+fn entry_with_model(backend: &Backend, name: &str, model: &str, status: &str) -> String {
     let entry = backend.entry(name, status);
     let at = entry.find("\"type\":\"").unwrap() + 8;
     let end = at + entry[at..].find('"').unwrap();
@@ -225,7 +231,7 @@
 }
 
 /// Writes these entries to the initial list and publishes them in discovery.
-fn publish(folder: &Folder, discovery: &Discovery, entries: &[String]) {
+fn publish_entries(folder: &Folder, discovery: &Discovery, entries: &[String]) {
     folder.write("fleet.json", &list(1, true, entries));
     for entry in entries {
         discovery.change(entry.clone());
@@ -259,11 +265,11 @@
         + "\n[[route]]\nclass = \"quote\"\npool = \"fast\"\n\n[[route]]\nclass = \"save-scenario\"\npool = \"slow\"\n";
     let folder = with_quota(&text, "9/s", 60);
     let entries = [
-        entry_of(&fast, "s-fast", "std-3c", "up"),
-        entry_of(&slow, "s-slow", "small-2c", "up"),
-        entry_of(&other, "s-other", "old-1c", "up"),
+        entry_with_model(&fast, "s-fast", "std-3c", "up"),
+        entry_with_model(&slow, "s-slow", "small-2c", "up"),
+        entry_with_model(&other, "s-other", "old-1c", "up"),
     ];
-    publish(&folder, &discovery, &entries);
+    publish_entries(&folder, &discovery, &entries);
     let ingress = folder.start(at, "");
     let mut client = ingress.client();
     let mut next = 0;
@@ -281,8 +287,8 @@
     }
     let after = counts();
     assert_eq!((after.0 - before.0, after.1 - before.1), (10, 10));
-    discovery.change(entry_of(&fast, "s-fast", "std-3c", "draining"));
-    until("it falls back", || {
+    discovery.change(entry_with_model(&fast, "s-fast", "std-3c", "draining"));
+    until("quotes go to the fallback pool", || {
         let (had, answer) = (slow.count(), ask("quote"));
         answer.starts_with("value") && slow.count() > had
     });
@@ -294,7 +300,7 @@
     assert_eq!(
         (after.0, after.1 - before.1, after.2),
         (before.0, 10, 0),
-        "the one in neither pool has had nothing"
+        "a backend in neither pool must get no request"
     );
 }
 
@@ -315,28 +321,39 @@
     );
     let folder = Folder::new(&app(at), &[&backend]);
     let mut ingress = folder.start(at, "");
-    let asked = std::cell::Cell::new(0);
-    let bytes = |account: &str| {
-        asked.set(asked.get() + 1);
+    let request_count = std::cell::Cell::new(0);
+    let quote_request = |account: &str| {
+        request_count.set(request_count.get() + 1);
         let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
-        command(&["CALL.GET", account, &format!("s{}", asked.get()), options])
+        command(&[
+            "CALL.GET",
+            account,
+            &format!("s{}", request_count.get()),
+            options,
+        ])
     };
     let (mut client, mut open) = (ingress.client(), ingress.client());
     let unknown = "not this application's";
-    let knows = |client: &mut Client, account: &str| !client.ask(&bytes(account)).contains(unknown);
+    let is_known =
+        |client: &mut Client, account: &str| !client.ask(&quote_request(account)).contains(unknown);
     let (old, new) = ("00000000000004d3", "00000000000004d5");
-    assert!(knows(&mut client, old) && !knows(&mut client, new));
+    assert!(is_known(&mut client, old) && !is_known(&mut client, new));
     // A request is in flight while its account is removed and another one is added.
     let before = backend.count();
-    open.send(&bytes(old));
-    until("it is with the backend", || backend.count() > before);
+    open.send(&quote_request(old));
+    until("the request reaches the backend", || {
+        backend.count() > before
+    });
     folder.write("app.toml", &app(at).replace(old, new));
     ingress.signal("HUP");
-    until("the new account is known", || knows(&mut client, new));
-    assert!(!knows(&mut client, old), "half of the file was taken");
+    until("the new account is known", || is_known(&mut client, new));
+    assert!(
+        !is_known(&mut client, old),
+        "the removed account is still known: the file was applied in part"
+    );
     assert!(
         open.answer().starts_with("value"),
-        "what was under way ends"
+        "a request in flight must complete"
     );
     // An invalid file, a truncated one, and one that changes a fixed setting: nothing of them is applied.
     let elsewhere = app(at).replace(&at.to_string(), "127.0.0.1:9");
@@ -348,21 +365,27 @@
         folder.write("app.toml", &text);
         (0..10).for_each(|_| ingress.signal("HUP"));
         std::thread::sleep(std::time::Duration::from_millis(150));
-        assert!(knows(&mut client, new), "it went on as before");
+        assert!(
+            is_known(&mut client, new),
+            "an invalid file must leave the settings unchanged"
+        );
     }
-    let good_site = good("site.toml");
+    let good_site = read_good_file("site.toml");
     let other_tick = good_site.replace("[limits]", "[limits]\ntick = \"8ms\"");
     folder.write("site.toml", &other_tick);
     folder.write("app.toml", &app(at));
     ingress.signal("HUP");
     std::thread::sleep(std::time::Duration::from_millis(150));
-    assert!(knows(&mut client, new), "the tick takes a restart");
+    assert!(
+        is_known(&mut client, new),
+        "a changed tick must not be applied at SIGHUP"
+    );
     folder.write("site.toml", &good_site);
     let fewer_classes = app(at).replace("[\"quote\", \"save-scenario\"]", "[\"save-scenario\"]");
     folder.write("app.toml", &fewer_classes.replace(old, new));
     ingress.signal("HUP");
-    until("quotes may not be sent any more", || {
-        client.ask(&bytes(new)).contains("may not send")
+    until("quotes are refused", || {
+        client.ask(&quote_request(new)).contains("may not send")
     });
     assert_reloads_are_logged(&mut ingress);
 }
@@ -373,7 +396,10 @@
     assert!(ingress.exit().success());
     let log = ingress.log();
     for part in RELOADS {
-        assert!(log.contains(part), "{part} is not in:\n{log}");
+        assert!(
+            log.contains(part),
+            "{part:?} is missing from the log:\n{log}"
+        );
     }
 }
 
@@ -419,7 +445,7 @@
     assert_eq!(read_value(&mut stream).unwrap().concat(), "+PONG");
     ingress.signal("TERM");
     assert!(ingress.exit().success());
-    assert!(!path.exists(), "its file is left behind");
+    assert!(!path.exists(), "the socket file was not removed");
     assert!(stream.read(&mut [0]).map_or(true, |n| n == 0));
 }
 
@@ -433,7 +459,7 @@
     let (at, backend, run) = (place(), Backend::start(serve), tempfile::tempdir().unwrap());
     let path = run.path().join("desk.sock");
     let listen = format!("\"{at}\"");
-    for (users, lets) in [(vec![own + 1, own], true), (vec![own + 1], false)] {
+    for (users, allowed) in [(vec![own + 1, own], true), (vec![own + 1], false)] {
         let socket = format!("\"unix:{}\"\nusers = {users:?}", path.display());
         let folder = Folder::new(&app(at).replace(&listen, &socket), &[&backend]);
         let mut ingress = Ingress::run("", at, &folder.command(""));
@@ -448,7 +474,7 @@
                 &format!("u{n}"),
                 options,
             ]));
-            if lets {
+            if allowed {
                 assert_eq!(
                     read_value(&mut stream).unwrap().concat(),
                     format!("value of u{n}")
@@ -456,13 +482,13 @@
             } else {
                 assert!(
                     stream.read(&mut [0]).map_or(true, |n| n == 0),
-                    "it was answered"
+                    "a user not on the list was answered"
                 );
             }
         }
         ingress.signal("TERM");
         assert!(ingress.exit().success());
-        assert_eq!(ingress.log().contains("may not connect"), !lets);
+        assert_eq!(ingress.log().contains("may not connect"), !allowed);
     }
     assert_eq!(backend.count(), 5);
     let refused = app(at).replace(&listen, &format!("\"{at}\"\nusers = [{own}]"));
@@ -476,7 +502,7 @@
 /// Guards against ignoring zones for a class without a route: its requests stay in the own hall, go to the nearest hall
 /// with a backend while the own one drains, and return afterwards.
 #[test]
-fn a_class_without_a_route_prefers_its_own_zone_then_the_nearest() {
+fn a_class_without_a_route_prefers_its_own_hall_then_the_nearest() {
     let (at, home, next, far) = (
         place(),
         Backend::start(serve),
@@ -486,7 +512,7 @@
     let discovery = Discovery::start();
     let text = app(at).replace("127.0.0.1:8500", &discovery.at.to_string());
     let folder = with_quota(&text, "90/s", 600);
-    let site = good("site.toml").replace("\"hall-b\"]", "\"hall-b\", \"hall-c\"]");
+    let site = read_good_file("site.toml").replace("\"hall-b\"]", "\"hall-b\", \"hall-c\"]");
     folder.write(
         "site.toml",
         &format!("{site}\n[[near]]\nhall = \"hall-a\"\nothers = [\"hall-c\", \"hall-b\"]\n"),
@@ -499,17 +525,17 @@
         node(&next, "s-2", "hall-c", "up"),
         node(&far, "s-3", "hall-b", "up"),
     ];
-    publish(&folder, &discovery, &entries);
+    publish_entries(&folder, &discovery, &entries);
     let ingress = folder.start(at, "");
     let mut client = ingress.client();
-    let mut asked = 0;
+    let mut request_count = 0;
     let mut ask = || {
-        asked += 1;
+        request_count += 1;
         let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
         let answer = client.ask(&command(&[
             "CALL.GET",
             "00000000000004d3",
-            &format!("n{asked}"),
+            &format!("n{request_count}"),
             options,
         ]));
         assert!(answer.starts_with("value"), "{answer}");
@@ -518,7 +544,7 @@
     (0..10).for_each(|_| ask());
     assert_eq!(counts(), [10, 0, 0]);
     discovery.change(node(&home, "s-1", "hall-a", "draining"));
-    until("the nearest takes over", || {
+    until("the nearest hall gets requests", || {
         ask();
         next.count() > 0
     });
@@ -527,10 +553,10 @@
     assert_eq!(
         counts(),
         [before[0], before[1] + 10, 0],
-        "hall-b is further"
+        "hall-b is further away and must get none"
     );
     discovery.change(node(&home, "s-1", "hall-a", "up"));
-    until("home is back", || {
+    until("the own hall gets requests again", || {
         ask();
         home.count() > before[0]
     });
