--- a/crates/ingress/tests/accepted.rs
+++ b/crates/ingress/tests/accepted.rs
@@ -222,11 +222,11 @@
     };
     let mut runner = proptest::test_runner::TestRunner::new(config);
     let (folder, strategy) = (tempfile::tempdir().unwrap(), generated_files());
-    let (mut accepted_count, mut refused_count, mut with_pools) = (0, 0, 0);
-    while accepted_count < 24 || with_pools < 8 {
+    let (mut valid, mut refused, mut with_pools) = (0, 0, 0);
+    while valid < 24 || with_pools < 8 {
         assert!(
-            refused_count < 5_000,
-            "{accepted_count} generated files accepted ({with_pools} with pools), {refused_count} refused"
+            refused < 5_000,
+            "{valid} accepted ({with_pools} with pools), {refused} refused"
         );
         let files = strategy.new_tree(&mut runner).unwrap().current();
         let at = place();
@@ -237,22 +237,19 @@
         ])
         .refused()
         {
-            refused_count += 1;
+            refused += 1;
             continue;
         }
-        (accepted_count, with_pools) = (
-            accepted_count + 1,
-            with_pools + usize::from(!files.pools.is_empty()),
-        );
-        if accepted_count > 24 && files.pools.is_empty() {
+        (valid, with_pools) = (valid + 1, with_pools + usize::from(!files.pools.is_empty()));
+        if valid > 24 && files.pools.is_empty() {
             continue;
         }
         let write = |name: &str, text: &str| fs::write(folder.path().join(name), text).unwrap();
         write("site.toml", &site);
         write("app.toml", &app);
-        let shown = folder.path().display();
+        let path = folder.path().display();
         let line = format!(
-            "exec '{}' --app '{shown}/app.toml'",
+            "exec '{}' --app '{path}/app.toml'",
             env!("CARGO_BIN_EXE_wrenfork")
         );
         let mut ingress = Ingress::run("", at, &line);
@@ -269,17 +266,10 @@
         };
         if ready {
             ingress.signal("TERM");
-            assert!(
-                ingress.exit().success(),
-                "the sidecar exited with an error: {}\n{site}\n{app}",
-                ingress.log()
-            );
+            assert!(ingress.exit().success(), "{}\n{site}\n{app}", ingress.log());
         } else {
             let _ = ingress.child.kill();
-            panic!(
-                "the sidecar does not start from accepted files: {}\n{site}\n{app}",
-                ingress.log()
-            );
+            panic!("sidecar did not start: {}\n{site}\n{app}", ingress.log());
         }
     }
 }
--- a/crates/ingress/tests/addresses.rs
+++ b/crates/ingress/tests/addresses.rs
@@ -140,12 +140,12 @@
             &format!("\"{}\",\"addresses\":[{}]", addresses[0], more.join(",")),
         );
         write("fleet.json", &list(1, true, &[entry]));
-        let shown = folder.path().display();
-        let line = format!(
-            "exec '{}' --app '{shown}/app.toml' --fleet '{shown}/fleet.json'",
+        let folder_path = folder.path().display();
+        let command_line = format!(
+            "exec '{}' --app '{folder_path}/app.toml' --fleet '{folder_path}/fleet.json'",
             env!("CARGO_BIN_EXE_wrenfork")
         );
-        let ingress = Ingress::run("", at, &line);
+        let ingress = Ingress::run("", at, &command_line);
         until("the sidecar is ready", || {
             TcpStream::connect(at)
                 .is_ok_and(|stream| Client(stream).ask(&command(&["PING"])) == "+PONG")
@@ -204,10 +204,10 @@
     let folder = tempfile::tempdir().unwrap();
     let (path, missing_path) = (folder.path().join("node"), folder.path().join("missing"));
     let connection_count = start_unix_proxy(&path, backend.at);
-    let dead = place();
+    let closed_address = place();
     let unix = |p: &Path| format!("unix:{}", p.display());
     let site = Site::new(&[
-        dead.to_string(),
+        closed_address.to_string(),
         unix(&missing_path),
         "[::1]:9".into(),
         unix(&path),
--- a/crates/ingress/tests/crowds.rs
+++ b/crates/ingress/tests/crowds.rs
@@ -11,7 +11,7 @@
 }
 
 /// Whether the ingress has closed this connection; does not block.
-fn has_ended(client: &Client) -> bool {
+fn is_closed(client: &Client) -> bool {
     client.0.set_nonblocking(true).unwrap();
     let ended = !client
         .0
@@ -22,8 +22,8 @@
 }
 
 /// The number of these connections that the ingress has closed.
-fn count_closed(clients: &[Client]) -> usize {
-    clients.iter().filter(|c| has_ended(c)).count()
+fn evicted(clients: &[Client]) -> usize {
+    clients.iter().filter(|c| is_closed(c)).count()
 }
 
 /// Guards against idle connections that keep out clients with requests, and against evicting clients that send
@@ -44,7 +44,7 @@
         client.send(&call("refer", &format!("h{n}"), 900)[..20 + n % 50]);
         client
     };
-    let partial_clients: Vec<Client> = (0..6).map(send_partial).collect();
+    let partial: Vec<Client> = (0..6).map(send_partial).collect();
     // An answered request shows that everything sent earlier has been read.
     let ask = |id: String| {
         assert_eq!(
@@ -62,20 +62,9 @@
             ask(format!("b{n}"));
         }
     }
-    assert!(
-        count_closed(&silent) > 80,
-        "silent connections must be evicted first"
-    );
-    assert_eq!(
-        count_closed(&partial_clients),
-        0,
-        "a partial command was evicted before silent connections"
-    );
-    assert_eq!(
-        count_closed(&served),
-        0,
-        "a served client was evicted before silent connections"
-    );
+    assert!(evicted(&silent) > 80, "silent clients not evicted");
+    assert_eq!(evicted(&partial), 0, "evicted before silent ones");
+    assert_eq!(evicted(&served), 0, "evicted before silent ones");
     // Now only partial commands: the oldest of these connections are evicted, and clients that were served stay.
     let mut more: Vec<Client> = Vec::new();
     for n in 6..100 {
@@ -84,14 +73,8 @@
             ask(format!("c{n}")); // the partial commands sent earlier have been read
         }
     }
-    until("the oldest partial command is evicted", || {
-        has_ended(&partial_clients[0])
-    });
-    assert_eq!(
-        count_closed(&served),
-        0,
-        "a served client was evicted before partial commands"
-    );
+    until("the oldest is evicted", || is_closed(&partial[0]));
+    assert_eq!(evicted(&served), 0, "evicted before partial ones");
     for (n, client) in served.iter_mut().enumerate() {
         assert_eq!(
             client.ask(&call("refer", &format!("t{n}"), 900)),
@@ -134,8 +117,8 @@
     let backend = Backend::start(|args| Act::Later(Duration::from_millis(200), served(args)));
     let mut ingress = setup(&backend, 128).start();
     let crowd: Vec<Client> = (0..200).map(|_| ingress.client()).collect();
-    let mut partial_clients: Vec<Client> = (0..20).map(|_| ingress.client()).collect();
-    partial_clients
+    let mut partial: Vec<Client> = (0..20).map(|_| ingress.client()).collect();
+    partial
         .iter_mut()
         .for_each(|c| drop(std::io::Write::write(&mut c.0, b"*4\r\n$8\r\nCALL")));
     let mut client = ingress.client();
@@ -145,5 +128,5 @@
     assert_eq!(client.answer(), "value of r1");
     drop(client);
     assert_eq!(ingress.exit().code(), Some(0));
-    drop((crowd, partial_clients));
+    drop((crowd, partial));
 }
--- a/crates/ingress/tests/endings.rs
+++ b/crates/ingress/tests/endings.rs
@@ -101,15 +101,15 @@
     );
     setup.known = vec![jammed.entry("s-0", "up")];
     let ingress = setup.start();
-    let mut gone = ingress.client();
-    gone.send(&call("refer", "gone", 5000));
+    let mut disconnecting_client = ingress.client();
+    disconnecting_client.send(&call("refer", "gone", 5000));
     // The PING shows that the request was read. Both requests now wait for a connect, and the first one's SYN is
     // retransmitted first.
     let mut remaining_client = ingress.client();
     assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG");
     remaining_client.send(&call("refer", "stays", 5000));
     assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG");
-    leave(gone);
+    leave(disconnecting_client);
     assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG");
     let backend = Backend::on(jammed.clear(), serve);
     assert_eq!(remaining_client.answer(), "value of stays");
@@ -124,13 +124,13 @@
     let mut setup = with_slow_connects(&[]);
     setup.known = vec![jammed.entry("s-0", "up")];
     let ingress = setup.start();
-    let mut gone = ingress.client();
-    gone.send(&call("refer", "gone", 5000));
+    let mut disconnecting_client = ingress.client();
+    disconnecting_client.send(&call("refer", "gone", 5000));
     assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG");
     ingress.signal("STOP");
     let listener = jammed.clear();
     let (mut connection, _) = listener.accept().unwrap(); // the kernel's SYN retransmission
-    leave(gone);
+    leave(disconnecting_client);
     ingress.signal("CONT");
     let mut received_bytes = Vec::new();
     connection.set_read_timeout(Some(LONG)).unwrap();
@@ -159,10 +159,10 @@
     let ingress = setup.start();
     let mut client = ingress.client();
     // More requests than the pipeline holds: some are sent, some wait for a slot, most are rejected in turn.
-    let many: Vec<u8> = (0..400)
+    let burst: Vec<u8> = (0..400)
         .flat_map(|n| call("refer", &format!("r{n}"), 8000))
         .collect();
-    client.send(&many);
+    client.send(&burst);
     until("the concurrency limit is reached", || backend.count() >= 4);
     let closed = Instant::now();
     leave(client);
@@ -218,20 +218,23 @@
     let ingress = setup.start();
     // The maximum of client connections with 64 descriptors. Each got a protocol error and is left to read it, so none
     // of them can be evicted.
-    let mut full: Vec<Client> = (0..27).map(|_| ingress.client()).collect();
-    for client in &mut full {
+    let mut connected: Vec<Client> = (0..27).map(|_| ingress.client()).collect();
+    for client in &mut connected {
         client.send(b"*1\r\n$60000000\r\n");
         let answer = client.answer();
         assert!(answer.starts_with("-ERR protocol error"), "{answer}");
     }
-    let mut line = ingress.client();
-    line.send(
+    let mut pipelining_client = ingress.client();
+    pipelining_client.send(
         &["r1", "r2", "r3"]
             .map(|id| call("refer", id, 5000))
             .concat(),
     );
-    assert_eq!(["r1", "r2", "r3"].map(|_| line.answer()), ["-BUSY"; 3]);
-    assert!(line.ended());
+    assert_eq!(
+        ["r1", "r2", "r3"].map(|_| pipelining_client.answer()),
+        ["-BUSY"; 3]
+    );
+    assert!(pipelining_client.ended());
     assert_eq!(backend.count(), 0);
 }
 
@@ -250,7 +253,7 @@
     until("the attempt connects", || {
         jammed.tried() && asked.elapsed() > Duration::from_millis(300)
     });
-    let held = asked.elapsed().as_millis();
+    let held_ms = asked.elapsed().as_millis();
     let backend = Backend::on(jammed.clear(), serve);
     assert_eq!(client.answer(), "value of r1");
     let commands = backend.seen.commands.lock().unwrap();
@@ -258,10 +261,10 @@
         .split(',')
         .find_map(|o| o.strip_prefix("d="))
         .unwrap();
-    println!("sent deadline {sent_ms} ms of 5000, at least {held} ms after the request");
+    println!("sent deadline {sent_ms} ms of 5000, at least {held_ms} ms after the request");
     assert!(
-        sent_ms.parse::<u128>().unwrap() <= 5000 - held,
-        "sent deadline {sent_ms} ms, at least {held} ms after the request"
+        sent_ms.parse::<u128>().unwrap() <= 5000 - held_ms,
+        "sent deadline {sent_ms} ms, at least {held_ms} ms after the request"
     );
 }
 
@@ -339,9 +342,9 @@
 /// Sends a request once the ingress has queued its FIN after an answer that the client has not read yet. The answer
 /// must arrive completely, and the request must not be forwarded.
 fn send_request_crossing_close(ingress: &Ingress, client: &mut Client, answer: &str) {
-    let ours = client.0.local_addr().unwrap();
+    let client_address = client.0.local_addr().unwrap();
     until("the connection is being closed", || {
-        stands_in(FIN_WAIT_1, Some(ingress.at), ours)
+        stands_in(FIN_WAIT_1, Some(ingress.at), client_address)
     });
     client.send(&call("refer", "crosses", 5000));
     assert!(
@@ -393,7 +396,7 @@
     };
     let ingress = setup.start();
     let mut client = connect_with_answer_in_flight(&ingress, &backend);
-    let stay = |n: usize| {
+    let connect_and_ask = |n: usize| {
         let mut client = ingress.client();
         assert_eq!(
             client.ask(&call("refer", &format!("s{n}"), 900)),
@@ -401,7 +404,7 @@
         );
         client
     };
-    let others: Vec<Client> = (0..24).map(stay).collect();
+    let others: Vec<Client> = (0..24).map(connect_and_ask).collect();
     send_request_crossing_close(&ingress, &mut client, &value);
     let mut last = ingress.client();
     assert_eq!(last.ask(&call("refer", "last", 900)), "value of last");
@@ -420,10 +423,10 @@
     let mut ingress = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]).start();
     let mut client = ingress.client();
     // The pipeline holds 256 requests; the first ones stay with the backend until the shutdown timeout.
-    let many: Vec<u8> = (0..400)
+    let burst: Vec<u8> = (0..400)
         .flat_map(|n| call("refer", &format!("r{n}"), 8000))
         .collect();
-    client.send(&many);
+    client.send(&burst);
     until("some requests reach the backend", || backend.count() > 0);
     ingress.signal("TERM");
     for n in 0..400 {
--- a/crates/ingress/tests/handover/main.rs
+++ b/crates/ingress/tests/handover/main.rs
@@ -25,7 +25,7 @@
     let backends = [(); 3].map(|()| Backend::start(slow));
     let platform = Platform::new(&backends.each_ref());
     let mut first = platform.start();
-    let (stop, answered_count) = (
+    let (stop, answered) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicUsize::new(0)),
     );
@@ -34,7 +34,7 @@
     let load = Load {
         at: platform.at,
         stop: stop.clone(),
-        answered_count: answered_count.clone(),
+        answered: answered.clone(),
         served_ids: served_ids.clone(),
         answered_at: answered_at.clone(),
     };
@@ -43,20 +43,18 @@
         thread::spawn(move || load.run(number))
     };
     let clients: Vec<_> = (0..12).map(client).collect();
-    until("requests are answered under load", || {
-        answered_count.load(Ordering::SeqCst) > 200
+    until("requests are answered", || {
+        answered.load(Ordering::SeqCst) > 200
     });
-    let seen = Sampler::start(first.child.id());
+    let sampler = Sampler::start(first.child.id());
     let mut second = platform.run("3<&0");
-    seen.second.store(second.child.id(), Ordering::SeqCst);
-    until("the process is ready", || {
-        second.ask("readyz").starts_with("+OK")
-    });
+    sampler.second.store(second.child.id(), Ordering::SeqCst);
+    until("readyz is OK", || second.ask("readyz").starts_with("+OK"));
     assert!(first.ended().contains("handed over"));
-    let (memory, descriptors) = seen.stop();
-    let before = answered_count.load(Ordering::SeqCst);
-    until("the new process answers requests", || {
-        answered_count.load(Ordering::SeqCst) > before + 200
+    let (memory, descriptors) = sampler.stop();
+    let before = answered.load(Ordering::SeqCst);
+    until("more are answered", || {
+        answered.load(Ordering::SeqCst) > before + 200
     });
     // The second process binds the handover channel at its next check, up to half a second later.
     until("the second process binds the handover channel", || {
@@ -64,9 +62,9 @@
     });
     let third = platform.start();
     assert!(second.ended().contains("handed over"));
-    let before = answered_count.load(Ordering::SeqCst);
-    until("the new process answers requests", || {
-        answered_count.load(Ordering::SeqCst) > before + 200
+    let before = answered.load(Ordering::SeqCst);
+    until("more are answered", || {
+        answered.load(Ordering::SeqCst) > before + 200
     });
     stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
@@ -90,11 +88,11 @@
 /// Guards against losing state at the handover: requests in flight, partial commands, unread answers, used quota.
 #[test]
 fn requests_in_flight_continue_in_the_next_process() {
-    let held = Arc::new(AtomicUsize::new(0));
-    let holding = held.clone();
+    let held_count = Arc::new(AtomicUsize::new(0));
+    let held_counter = held_count.clone();
     let backend = Backend::start(move |args| match &args[2][..1] {
         "h" => {
-            holding.fetch_add(1, Ordering::SeqCst);
+            held_counter.fetch_add(1, Ordering::SeqCst);
             Act::Later(Duration::from_millis(600), served(args))
         }
         _ => serve(args),
@@ -118,11 +116,13 @@
     let command = call("refer", "r1", 2500);
     partial.send(&command[..40]);
     until("two requests reach the backend", || {
-        held.load(Ordering::SeqCst) == 2
+        held_count.load(Ordering::SeqCst) == 2
     });
     let second = platform.start();
     first.ended();
-    assert!(backend.seen.commands.lock().unwrap().len() < 20 && held.load(Ordering::SeqCst) == 2);
+    assert!(
+        backend.seen.commands.lock().unwrap().len() < 20 && held_count.load(Ordering::SeqCst) == 2
+    );
     partial.send(&command[40..]);
     assert_eq!(in_flight.answer(), "value of h1");
     assert_eq!(
@@ -131,7 +131,7 @@
     );
     assert_eq!(partial.answer(), "value of r1");
     assert_eq!(
-        held.load(Ordering::SeqCst),
+        held_count.load(Ordering::SeqCst),
         2,
         "a request in flight was sent again"
     );
@@ -440,9 +440,7 @@
         let own = place();
         platform.at = own;
         let mut process = platform.run(redirect);
-        until("the process is ready", || {
-            process.ask("readyz").starts_with("+OK")
-        });
+        until("readyz is OK", || process.ask("readyz").starts_with("+OK"));
         let answer = Client::connect(own).ask(&call("refer", "r1", 2500));
         assert_eq!(answer, "value of r1");
         process.signal("TERM");
--- a/crates/ingress/tests/handover/support.rs
+++ b/crates/ingress/tests/handover/support.rs
@@ -74,9 +74,7 @@
     /// Starts a process with the listening socket and waits until it is ready.
     pub fn start(&self) -> Process {
         let process = self.run("3<&0");
-        until("the process is ready", || {
-            process.ask("readyz").starts_with("+OK")
-        });
+        until("readyz is OK", || process.ask("readyz").starts_with("+OK"));
         process
     }
 }
@@ -197,7 +195,7 @@
 pub struct Load {
     pub at: SocketAddr,
     pub stop: Arc<AtomicBool>,
-    pub answered_count: Arc<AtomicUsize>,
+    pub answered: Arc<AtomicUsize>,
     pub served_ids: Arc<Mutex<HashSet<String>>>,
     pub answered_at: Arc<Mutex<Vec<Instant>>>,
 }
@@ -222,7 +220,7 @@
     }
 
     fn record_answer(&self, answer: &str, id: String) {
-        self.answered_count.fetch_add(1, Ordering::SeqCst);
+        self.answered.fetch_add(1, Ordering::SeqCst);
         self.answered_at.lock().unwrap().push(Instant::now());
         if answer == format!("value of {id}") {
             self.served_ids.lock().unwrap().insert(id);
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -42,12 +42,12 @@
             "fleet.json",
             &list(1, true, &[backend.entry("s-0001", "up")]),
         );
-        let shown = folder.path().display();
-        let line = format!(
-            "exec '{}' --app '{shown}/app.toml' --fleet '{shown}/fleet.json'",
+        let folder_path = folder.path().display();
+        let command_line = format!(
+            "exec '{}' --app '{folder_path}/app.toml' --fleet '{folder_path}/fleet.json'",
             env!("CARGO_BIN_EXE_wrenfork")
         );
-        let ingress = Ingress::run("", at, &line);
+        let ingress = Ingress::run("", at, &command_line);
         until("the sidecar is ready", || {
             TcpStream::connect(at).is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG")
         });
@@ -207,13 +207,13 @@
     let backend = Backend::start(serve);
     let mut site = Site::new(&backend, &listed_key("one", 1, ""));
     let valid_token = token(|_| (), 1);
-    for (case, forged, code) in insufficient_credentials() {
+    for (case, credential, code) in insufficient_credentials() {
         let denied = |answer: &str| answer.starts_with(&format!("-DENIED {code}:"));
-        let answer = site.client().ask(&quote(OWN, "r1", &forged));
+        let answer = site.client().ask(&quote(OWN, "r1", &credential));
         assert!(denied(&answer), "{case}, token in a request: {answer}");
         let mut client = site.client();
-        if !forged.is_empty() {
-            let answer = client.ask(&command(&["AUTH", &forged]));
+        if !credential.is_empty() {
+            let answer = client.ask(&command(&["AUTH", &credential]));
             assert!(denied(&answer), "{case}, token in AUTH: {answer}");
         }
         assert!(
@@ -332,8 +332,8 @@
     assert_eq!(known.ask(&command(&["AUTH", &valid_token])), "+OK");
     let mut codes = std::collections::BTreeMap::<String, usize>::new();
     for n in 0..120 {
-        let forged = token(|c| c.tenant = format!("t{n}"), 2);
-        let answer = site.client().ask(&command(&["AUTH", &forged]));
+        let credential = token(|c| c.tenant = format!("t{n}"), 2);
+        let answer = site.client().ask(&command(&["AUTH", &credential]));
         *codes.entry(answer[..12].to_string()).or_default() += 1;
     }
     // Twenty verifications at once and two per second: how many tokens were verified depends on the elapsed time.
--- a/crates/ingress/tests/ingress/attempts.rs
+++ b/crates/ingress/tests/ingress/attempts.rs
@@ -168,7 +168,7 @@
     let silent = Backend::start(|_| Act::Silent);
     let ingress = setup(&[&silent]).start();
     // The answer comes about 10 ms before the client's deadline, which a busy machine may miss once.
-    let soonest = (0..4).map(|n| {
+    let earliest_ms = (0..4).map(|n| {
         let start = Instant::now();
         assert_eq!(
             ingress.client().ask(&call("refer", &format!("r{n}"), 1500)),
@@ -176,10 +176,10 @@
         );
         start.elapsed().as_millis()
     });
-    let soonest = soonest.min().unwrap_or_default();
+    let earliest_ms = earliest_ms.min().unwrap_or_default();
     assert!(
-        (1400..1500).contains(&soonest),
-        "the earliest error answer came after {soonest} ms"
+        (1400..1500).contains(&earliest_ms),
+        "the earliest error answer came after {earliest_ms} ms"
     );
     assert_eq!(silent.count(), 4);
     until("the attempts are cancelled", || {
@@ -235,10 +235,10 @@
         })
         .collect();
     thread::sleep(Duration::from_millis(50));
-    let longest = assert_all_served_despite(at);
+    let elapsed = assert_all_served_despite(at);
     assert!(
-        longest >= Duration::from_millis(250),
-        "no request waited for the connect timeout: {longest:?}"
+        elapsed >= Duration::from_millis(250),
+        "no request waited for the connect timeout: {elapsed:?}"
     );
     drop(queued);
 }
--- a/crates/ingress/tests/ingress/descriptors.rs
+++ b/crates/ingress/tests/ingress/descriptors.rs
@@ -60,8 +60,8 @@
     let mut setup = setup(&[&slow]);
     setup.sockets = 64;
     let ingress = setup.start();
-    let mut busy: Vec<Client> = (0..27).map(|_| ingress.client()).collect();
-    for (n, client) in busy.iter_mut().enumerate() {
+    let mut busy_clients: Vec<Client> = (0..27).map(|_| ingress.client()).collect();
+    for (n, client) in busy_clients.iter_mut().enumerate() {
         client.send(&[&call("refer", &format!("r{n}"), 8000)[..], b"*1\r\n"].concat());
     }
     until("the requests reach the backend", || slow.count() > 3);
--- a/crates/ingress/tests/ingress/peers.rs
+++ b/crates/ingress/tests/ingress/peers.rs
@@ -17,7 +17,7 @@
 fn only_valid_messages_from_peers_are_answered_and_messages_are_short() {
     let backend = Backend::start(serve);
     let mut setup = setup(&[&backend]);
-    let (peer, stranger, own) = (udp_socket(), udp_socket(), place());
+    let (peer, stranger, own_address) = (udp_socket(), udp_socket(), place());
     setup.settings = setup.settings.replace(
         "\"may_probe\":true,\"peers\":false",
         "\"may_probe\":true,\"peers\":true",
@@ -26,7 +26,7 @@
         .settings
         .replace("\"n_instances\":1", "\"n_instances\":2");
     setup.more = format!(
-        r#""peer_listen":"{own}","peers":["{own}","{}"],"peers_all":"{}","#,
+        r#""peer_listen":"{own_address}","peers":["{own_address}","{}"],"peers_all":"{}","#,
         peer.local_addr().unwrap(),
         peer.local_addr().unwrap()
     );
@@ -34,17 +34,17 @@
     let receive = |socket: &UdpSocket| {
         let mut buf = [0; 2000];
         socket.recv_from(&mut buf).ok().map(|(n, from)| {
-            assert!(from == own && n <= 256, "{n} bytes from {from}");
+            assert!(from == own_address && n <= 256, "{n} bytes from {from}");
             buf[..n].to_vec()
         })
     };
     // A request of a customer that both gateways serve: its usage is sent to the peer.
     let mut client = ingress.client();
-    let asked = String::from_utf8(call("quote", "q1", 900))
+    let request = String::from_utf8(call("quote", "q1", 900))
         .unwrap()
         .replace("spread=1", "spread=2");
     let start = Instant::now();
-    client.send(asked.as_bytes());
+    client.send(request.as_bytes());
     let mut usage_message = None;
     until("the peer receives a usage message", || {
         usage_message = receive(&peer).filter(|m| m[1] & 3 == 0 && m[8] > 0);
@@ -56,7 +56,7 @@
     let header_len = 9 + 4 * usize::from(query[1] >> 2);
     query[header_len + 8] |= 2;
     let answered = |from: &UdpSocket, bytes: &[u8]| {
-        from.send_to(bytes, own).unwrap();
+        from.send_to(bytes, own_address).unwrap();
         (0..5).filter_map(|_| receive(&peer)).any(|m| m[1] & 3 == 1)
     };
     while receive(&peer).is_some() {}
--- a/crates/ingress/tests/ingress/shutdown.rs
+++ b/crates/ingress/tests/ingress/shutdown.rs
@@ -12,7 +12,7 @@
     let backends = [(); 3]
         .map(|()| Backend::start(|args| Act::Later(Duration::from_millis(400), served(args))));
     let mut ingress = setup(&backends.each_ref()).start();
-    let idle = ingress.client();
+    let idle_client = ingress.client();
     let mut clients: Vec<Client> = (0..8).map(|_| ingress.client()).collect();
     for (n, client) in clients.iter_mut().enumerate().take(4) {
         client.send(&call("refer", &format!("r{n}"), 2500));
@@ -34,7 +34,7 @@
     }
     assert_eq!(late_client.answer(), "value of late");
     assert!(
-        late_client.ended() && Client(idle.0).ended(),
+        late_client.ended() && Client(idle_client.0).ended(),
         "idle connections must be closed"
     );
     assert_eq!(ingress.exit().code(), Some(0));
--- a/crates/ingress/tests/management.rs
+++ b/crates/ingress/tests/management.rs
@@ -41,12 +41,12 @@
 /// backends.
 #[test]
 fn telemetry_matches_what_clients_and_backends_counted() {
-    let held = Arc::new(AtomicUsize::new(0));
-    let holding = held.clone();
+    let attempt_count = Arc::new(AtomicUsize::new(0));
+    let attempt_counter = attempt_count.clone();
     let backend = Backend::start(move |args| match &args[2][..1] {
         "f" => Act::Say(b"-ERR failed\r\n".to_vec()),
         "h" => {
-            holding.fetch_add(1, Ordering::SeqCst);
+            attempt_counter.fetch_add(1, Ordering::SeqCst);
             Act::Later(Duration::from_millis(700), served(args))
         }
         _ => serve(args),
@@ -95,7 +95,7 @@
     });
     // A request open in the ingress may not have been read by the backend yet.
     until("one request reaches the backend", || {
-        held.load(Ordering::SeqCst) > 0
+        attempt_count.load(Ordering::SeqCst) > 0
     });
     (0..5).for_each(|n| assert_eq!(client.answer(), format!("value of h{n}")));
     assert_eq!(figure(at, "ingress.open_requests"), 0);
@@ -134,14 +134,14 @@
     let mut ingress = setup.start();
     assert_eq!(ask(at, "readyz\n"), "+OK ready\r\n");
     assert_eq!(ask(at, "readyz\r\nand more\n"), "+OK ready\r\n");
-    for bad in [
+    for invalid_line in [
         "\n",
         "ready\n",
         "*1\r\n$4\r\nPING\r\n",
         &format!("{}\n", "x".repeat(300)),
         &"y".repeat(4000),
     ] {
-        assert!(ask(at, bad).starts_with("-ERR "), "{bad}");
+        assert!(ask(at, invalid_line).starts_with("-ERR "), "{invalid_line}");
     }
     // The line arrives in pieces.
     let mut stream = TcpStream::connect(at).unwrap();
@@ -187,9 +187,9 @@
         }
     }
     // Operators are answered also with no descriptor left for clients.
-    let held: Vec<Client> = (0..60).map(|_| ingress.client()).collect();
+    let attempt_count: Vec<Client> = (0..60).map(|_| ingress.client()).collect();
     assert_eq!(ask(at, "readyz\n"), "+OK ready\r\n");
-    drop((silent, held));
+    drop((silent, attempt_count));
 }
 
 /// Guards against leaving an operator unanswered who half-closes the connection after the line, as many tools do.
@@ -236,11 +236,11 @@
 /// changed.
 #[test]
 fn classes_change_and_open_requests_keep_their_settings() {
-    let held = Arc::new(AtomicUsize::new(0));
-    let holding = held.clone();
+    let attempt_count = Arc::new(AtomicUsize::new(0));
+    let attempt_counter = attempt_count.clone();
     // The first attempt at a request whose id begins with `h` is delayed and then fails; the second one is served.
     let backend = Backend::start(move |args| {
-        if args[2].starts_with('h') && holding.fetch_add(1, Ordering::SeqCst) == 0 {
+        if args[2].starts_with('h') && attempt_counter.fetch_add(1, Ordering::SeqCst) == 0 {
             return Act::Later(Duration::from_millis(250), b"-ERR failed\r\n".to_vec());
         }
         serve(args)
@@ -252,7 +252,7 @@
     assert_eq!(client.ask(&call("quote", "q1", 900)), "value of q1");
     client.send(&call("quote", "h1", 900));
     until("the attempt reaches the backend", || {
-        held.load(Ordering::SeqCst) == 1
+        attempt_count.load(Ordering::SeqCst) == 1
     });
     setup.settings = with_changed_classes(&setup.settings);
     ingress.configure(&setup.config(ingress.at));
@@ -285,9 +285,9 @@
         "the counts must follow the class name"
     );
     // One attempt is allowed, so a failed request is not retried.
-    held.store(0, Ordering::SeqCst);
+    attempt_count.store(0, Ordering::SeqCst);
     assert!(!client.ask(&get("save", "h2")).starts_with("value"));
-    assert_eq!(held.load(Ordering::SeqCst), 1);
+    assert_eq!(attempt_count.load(Ordering::SeqCst), 1);
     assert_eq!(other.count(), 0);
 }
 
@@ -358,11 +358,11 @@
 fn a_broken_file_changes_nothing() {
     let (one, two) = (Backend::start(serve), Backend::start(serve));
     let (mut setup, at) = setup(&[&one]);
-    let trap = Discovery::start();
-    trap.change(two.entry("s-7", "up"));
+    let unused_discovery = Discovery::start();
+    unused_discovery.change(two.entry("s-7", "up"));
     let mut ingress = setup.start();
     let good = setup.config(ingress.at);
-    setup.discovery = Some(trap.at); // reached only if an invalid file is applied
+    setup.discovery = Some(unused_discovery.at); // reached only if an invalid file is applied
     let complete = setup.config(ingress.at);
     let mut broken: Vec<(String, &str)> = BROKEN
         .map(|(from, to, why)| (complete.replace(from, to), why))
@@ -393,7 +393,10 @@
         figure(at, "ingress.cfg_accepted") == 1
     });
     assert_eq!(figure(at, "ingress.cfg_invalid"), broken.len() as u64);
-    assert_eq!((two.count(), trap.calls.load(Ordering::SeqCst)), (0, 0));
+    assert_eq!(
+        (two.count(), unused_discovery.calls.load(Ordering::SeqCst)),
+        (0, 0)
+    );
     ingress.signal("TERM");
     drop(client);
     assert_eq!(ingress.exit().code(), Some(0));
@@ -429,25 +432,25 @@
         let mut client = ingress.client();
         move || {
             for burst in 0..40 {
-                let many: Vec<u8> = (0..100)
+                let burst_requests: Vec<u8> = (0..100)
                     .flat_map(|n| call("quote", &format!("b{burst}-{n}"), 900))
                     .collect();
-                client.send(&many);
+                client.send(&burst_requests);
                 (0..100).for_each(|_| drop(client.answer()));
             }
         }
     });
-    let (mut calls, mut slowest) = (0, Duration::ZERO);
-    while !flood.is_finished() || calls < 20 {
+    let (mut call_count, mut slowest) = (0, Duration::ZERO);
+    while !flood.is_finished() || call_count < 20 {
         let start = Instant::now();
         assert!(ask(at, "telemetry\n").ends_with("\n.\n"));
         slowest = slowest.max(start.elapsed());
-        calls += 1;
+        call_count += 1;
     }
     flood.join().unwrap();
-    let all: u64 = outcome_counts(at, "quote").iter().sum();
+    let counted: u64 = outcome_counts(at, "quote").iter().sum();
     assert_eq!(
-        all, 4000,
+        counted, 4000,
         "each request must be counted once; the slowest call took {slowest:?}"
     );
 }
--- a/crates/ingress/tests/sidecar.rs
+++ b/crates/ingress/tests/sidecar.rs
@@ -321,39 +321,28 @@
     );
     let folder = Folder::new(&app(at), &[&backend]);
     let mut ingress = folder.start(at, "");
-    let request_count = std::cell::Cell::new(0);
-    let quote_request = |account: &str| {
-        request_count.set(request_count.get() + 1);
+    let sent = std::cell::Cell::new(0);
+    let quote = |account: &str| {
+        sent.set(sent.get() + 1);
         let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
-        command(&[
-            "CALL.GET",
-            account,
-            &format!("s{}", request_count.get()),
-            options,
-        ])
+        command(&["CALL.GET", account, &format!("s{}", sent.get()), options])
     };
     let (mut client, mut open) = (ingress.client(), ingress.client());
     let unknown = "not this application's";
-    let is_known =
-        |client: &mut Client, account: &str| !client.ask(&quote_request(account)).contains(unknown);
+    let known = |client: &mut Client, account: &str| !client.ask(&quote(account)).contains(unknown);
     let (old, new) = ("00000000000004d3", "00000000000004d5");
-    assert!(is_known(&mut client, old) && !is_known(&mut client, new));
+    assert!(known(&mut client, old) && !known(&mut client, new));
     // A request is in flight while its account is removed and another one is added.
     let before = backend.count();
-    open.send(&quote_request(old));
-    until("the request reaches the backend", || {
-        backend.count() > before
-    });
+    open.send(&quote(old));
+    until("the quote is sent", || backend.count() > before);
     folder.write("app.toml", &app(at).replace(old, new));
     ingress.signal("HUP");
-    until("the new account is known", || is_known(&mut client, new));
-    assert!(
-        !is_known(&mut client, old),
-        "the removed account is still known: the file was applied in part"
-    );
+    until("the new account is known", || known(&mut client, new));
+    assert!(!known(&mut client, old), "the file was applied in part");
     assert!(
         open.answer().starts_with("value"),
-        "a request in flight must complete"
+        "an open request was lost"
     );
     // An invalid file, a truncated one, and one that changes a fixed setting: nothing of them is applied.
     let elsewhere = app(at).replace(&at.to_string(), "127.0.0.1:9");
@@ -365,10 +354,7 @@
         folder.write("app.toml", &text);
         (0..10).for_each(|_| ingress.signal("HUP"));
         std::thread::sleep(std::time::Duration::from_millis(150));
-        assert!(
-            is_known(&mut client, new),
-            "an invalid file must leave the settings unchanged"
-        );
+        assert!(known(&mut client, new), "an invalid file was applied");
     }
     let good_site = read_good_file("site.toml");
     let other_tick = good_site.replace("[limits]", "[limits]\ntick = \"8ms\"");
@@ -376,16 +362,13 @@
     folder.write("app.toml", &app(at));
     ingress.signal("HUP");
     std::thread::sleep(std::time::Duration::from_millis(150));
-    assert!(
-        is_known(&mut client, new),
-        "a changed tick must not be applied at SIGHUP"
-    );
+    assert!(known(&mut client, new), "a changed tick was applied");
     folder.write("site.toml", &good_site);
     let fewer_classes = app(at).replace("[\"quote\", \"save-scenario\"]", "[\"save-scenario\"]");
     folder.write("app.toml", &fewer_classes.replace(old, new));
     ingress.signal("HUP");
     until("quotes are refused", || {
-        client.ask(&quote_request(new)).contains("may not send")
+        client.ask(&quote(new)).contains("may not send")
     });
     assert_reloads_are_logged(&mut ingress);
 }
