--- a/crates/ingress/tests/addresses.rs
+++ b/crates/ingress/tests/addresses.rs
@@ -19,14 +19,14 @@
 /// Number of accounts that the tests spread their requests over. A load-shedding level rejects a fixed subset of
 /// accounts for ten seconds, picked by a hash of account and time, so a test with one account would depend on the time
 /// of day.
-const ACCOUNTS: u64 = 20;
+const ACCOUNT_COUNT: u64 = 20;
 
-/// The id of account `number` modulo [`ACCOUNTS`]; number 0 is [`ACCOUNT`].
+/// The id of account `number` modulo [`ACCOUNT_COUNT`]; number 0 is [`ACCOUNT`].
 fn account(number: u64) -> String {
-    format!("{:016x}", 0x4d3 + number % ACCOUNTS)
+    format!("{:016x}", 0x4d3 + number % ACCOUNT_COUNT)
 }
 
-/// Copies bytes until either side closes, then calls `end`.
+/// Copies bytes until either side closes, then calls `on_close`.
 fn copy_until_closed(mut from: impl Read, mut to: impl Write, on_close: impl FnOnce()) {
     let mut buf = [0; 4096];
     while let Ok(n @ 1..) = from.read(&mut buf) {
@@ -123,7 +123,7 @@
                 "\"quote\", \"save-scenario\"",
                 "\"quote\", \"save-scenario\", \"lender-referral\"",
             );
-        let more_accounts: String = (1..ACCOUNTS)
+        let more_accounts: String = (1..ACCOUNT_COUNT)
             .map(|number| {
                 let id = account(number);
                 format!("\n[[account]]\nid = \"{id}\"\nplan = \"starter\"\nquota = \"90/s\"\nburst = 600\n")
--- a/crates/ingress/tests/handover/support.rs
+++ b/crates/ingress/tests/handover/support.rs
@@ -255,7 +255,7 @@
     id.bytes().cycle().take(3 << 20).map(char::from).collect()
 }
 
-/// A backend that sends half of a long answer, and the rest once `go` is set.
+/// A backend that sends half of a long answer, and the rest once `resume` is set.
 pub fn backend_pausing_half_way(resume: Arc<AtomicBool>) -> Backend {
     Backend::start(move |args| {
         let text = long_value(&args[2]);
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -12,8 +12,8 @@
     command, list, place, serve, served, until, Act, Backend, Client, Ingress,
 };
 
-const OWN: &str = "00000000000004d3";
-const OTHER: &str = "00000000000004d2";
+const OWN_ACCOUNT: &str = "00000000000004d3";
+const OTHER_ACCOUNT: &str = "00000000000004d2";
 
 fn now() -> u64 {
     SystemTime::now()
@@ -81,8 +81,8 @@
     );
     format!(
         "{text}\n[identity]\naudience = \"bangna\"\nlongest = \"2h\"\n\n[[identity.issuer]]\nname = \"desk\"\n{keys}\n\
-         [[identity.tenant]]\nname = \"broker\"\naccounts = [\"{OWN}\"]\nclasses = [\"quote\"]\n\n\
-         [[identity.tenant]]\nname = \"all\"\naccounts = [\"{OWN}\", \"{OTHER}\"]\n"
+         [[identity.tenant]]\nname = \"broker\"\naccounts = [\"{OWN_ACCOUNT}\"]\nclasses = [\"quote\"]\n\n\
+         [[identity.tenant]]\nname = \"all\"\naccounts = [\"{OWN_ACCOUNT}\", \"{OTHER_ACCOUNT}\"]\n"
     )
 }
 
@@ -124,7 +124,7 @@
 fn save(id: &str) -> Vec<u8> {
     command(&[
         "CALL.POST",
-        OWN,
+        OWN_ACCOUNT,
         id,
         "c=save-scenario,t=starter,d=900,k=00ff,units=1,spread=1,first=0",
         "BODY",
@@ -181,7 +181,7 @@
     let mut asked = 0;
     until("the other account is served", || {
         asked += 1;
-        let answer = client.ask(&quote(OTHER, &format!("r6-{asked}"), &all));
+        let answer = client.ask(&quote(OTHER_ACCOUNT, &format!("r6-{asked}"), &all));
         assert!(
             answer.starts_with("value of r6-") || answer.starts_with("-BUSY"),
             "{answer}"
@@ -189,15 +189,15 @@
         answer.starts_with("value")
     });
     assert!(client
-        .ask(&quote(OWN, "r7", &narrow))
+        .ask(&quote(OWN_ACCOUNT, "r7", &narrow))
         .starts_with("-DENIED I202"));
-    assert_eq!(client.ask(&quote(OWN, "r8", "")), "value of r8");
+    assert_eq!(client.ask(&quote(OWN_ACCOUNT, "r8", "")), "value of r8");
     // A failed AUTH leaves the connection without an identity.
     assert!(client
         .ask(&command(&["AUTH", "letmein"]))
         .starts_with("-DENIED I101"));
     assert!(client
-        .ask(&quote(OWN, "r9", ""))
+        .ask(&quote(OWN_ACCOUNT, "r9", ""))
         .starts_with("-DENIED I100"));
 }
 
@@ -209,7 +209,7 @@
     let valid_token = token(|_| (), 1);
     for (case, credential, code) in insufficient_credentials() {
         let denied = |answer: &str| answer.starts_with(&format!("-DENIED {code}:"));
-        let answer = site.client().ask(&quote(OWN, "r1", &credential));
+        let answer = site.client().ask(&quote(OWN_ACCOUNT, "r1", &credential));
         assert!(denied(&answer), "{case}, token in a request: {answer}");
         let mut client = site.client();
         if !credential.is_empty() {
@@ -218,7 +218,7 @@
         }
         assert!(
             client
-                .ask(&quote(OWN, "r2", ""))
+                .ask(&quote(OWN_ACCOUNT, "r2", ""))
                 .starts_with("-DENIED I100"),
             "{case}: the connection must stay unauthenticated"
         );
@@ -226,10 +226,10 @@
     assert_eq!(backend.count(), 0, "a denied request was forwarded");
     let mut client = site.client();
     assert_eq!(client.ask(&command(&["AUTH", &valid_token])), "+OK");
-    assert_eq!(client.ask(&quote(OWN, "r3", "")), "value of r3");
+    assert_eq!(client.ask(&quote(OWN_ACCOUNT, "r3", "")), "value of r3");
     assert!(
         client
-            .ask(&quote(OTHER, "r4", ""))
+            .ask(&quote(OTHER_ACCOUNT, "r4", ""))
             .starts_with("-DENIED I202"),
         "an account of another tenant must be denied"
     );
@@ -283,11 +283,11 @@
     until("the new key is trusted", || {
         site.client().ask(&command(&["AUTH", &new])) == "+OK"
     });
-    assert_eq!(client.ask(&quote(OWN, "k1", "")), "value of k1");
+    assert_eq!(client.ask(&quote(OWN_ACCOUNT, "k1", "")), "value of k1");
     // The old key is withdrawn while a request of its caller is in flight: that request completes, and no new one is
     // admitted.
     let before = backend.count();
-    client.send(&quote(OWN, "k2", ""));
+    client.send(&quote(OWN_ACCOUNT, "k2", ""));
     until("the request reaches the backend", || {
         backend.count() > before
     });
@@ -303,18 +303,18 @@
     });
     assert_eq!(client.answer(), "value of k2");
     assert!(client
-        .ask(&quote(OWN, "k3", ""))
+        .ask(&quote(OWN_ACCOUNT, "k3", ""))
         .starts_with("-DENIED I106"));
     // The caller authenticates with a token of the new key on the same connection.
     assert_eq!(client.ask(&command(&["AUTH", &new])), "+OK");
-    assert_eq!(client.ask(&quote(OWN, "k4", "")), "value of k4");
+    assert_eq!(client.ask(&quote(OWN_ACCOUNT, "k4", "")), "value of k4");
     // An invalid file leaves the current keys in place.
     reload(
         &site,
         "[[identity.issuer.key]]\nname = \"two\"\npublic = \"12\"\n",
     );
     std::thread::sleep(Duration::from_millis(200));
-    assert_eq!(client.ask(&quote(OWN, "k5", "")), "value of k5");
+    assert_eq!(client.ask(&quote(OWN_ACCOUNT, "k5", "")), "value of k5");
     site.ingress.signal("TERM");
     assert!(site.ingress.exit().success());
     let log = site.ingress.log();
@@ -328,8 +328,8 @@
     let backend = Backend::start(serve);
     let site = Site::new(&backend, &listed_key("one", 1, ""));
     let valid_token = token(|_| (), 1);
-    let mut known = site.client();
-    assert_eq!(known.ask(&command(&["AUTH", &valid_token])), "+OK");
+    let mut known_client = site.client();
+    assert_eq!(known_client.ask(&command(&["AUTH", &valid_token])), "+OK");
     let mut codes = std::collections::BTreeMap::<String, usize>::new();
     for n in 0..120 {
         let credential = token(|c| c.tenant = format!("t{n}"), 2);
@@ -343,12 +343,12 @@
         "{codes:?}"
     );
     assert_eq!(
-        known.ask(&quote(OWN, "f1", "")),
+        known_client.ask(&quote(OWN_ACCOUNT, "f1", "")),
         "value of f1",
         "an authenticated connection must be served"
     );
     assert_eq!(
-        site.client().ask(&quote(OWN, "f2", &valid_token)),
+        site.client().ask(&quote(OWN_ACCOUNT, "f2", &valid_token)),
         "value of f2",
         "a token verified before must be served"
     );
--- a/crates/ingress/tests/long.rs
+++ b/crates/ingress/tests/long.rs
@@ -11,6 +11,7 @@
     call, command, serve, served, until, Act, Backend, Client, Ingress, Setup,
 };
 
+/// Longest value that the ingress forwards.
 const MAX_VALUE_BYTES: usize = 4 << 20;
 
 fn setup(backends: &[&Backend]) -> Setup {
@@ -40,7 +41,7 @@
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
-/// Reads until the end of the stream or `limit` bytes. Returns the bytes read and whether the connection has ended.
+/// Reads until the end of the stream or `max_bytes`. Returns the bytes read and whether the connection has ended.
 fn read_some(stream: &mut TcpStream, max_bytes: usize) -> (usize, bool) {
     let (mut read_bytes, mut chunk) = (0, vec![0; 64 * 1024]);
     while read_bytes < max_bytes {
@@ -69,8 +70,8 @@
     let mut clients: Vec<Client> = (0..32).map(|_| ingress.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&call("refer", &format!("r{n}"), 7000));
-        // The answers begin one after the other and no client reads: the streams that have begun leave room for the
-        // next one.
+        // The answers begin one after the other and no client reads: the streams that have begun do not hold up
+        // the next one.
         until("the answer begins to arrive", || {
             client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
         });
--- a/crates/ingress/tests/management.rs
+++ b/crates/ingress/tests/management.rs
@@ -187,9 +187,9 @@
         }
     }
     // Operators are answered also with no descriptor left for clients.
-    let attempt_count: Vec<Client> = (0..60).map(|_| ingress.client()).collect();
+    let connected: Vec<Client> = (0..60).map(|_| ingress.client()).collect();
     assert_eq!(ask(at, "readyz\n"), "+OK ready\r\n");
-    drop((silent, attempt_count));
+    drop((silent, connected));
 }
 
 /// Guards against leaving an operator unanswered who half-closes the connection after the line, as many tools do.
@@ -292,7 +292,7 @@
 }
 
 /// Faults in a file: a part of a valid file, its replacement, and the text that the log must contain.
-const BROKEN: [(&str, &str, &str); 17] = [
+const INVALID_FILES: [(&str, &str, &str); 17] = [
     (
         r#""give_up_us":1000000"#,
         r#""give_up_us":0"#,
@@ -355,7 +355,7 @@
 /// Guards against a mistake in the file that stops the service: nothing of an invalid file is applied, it is counted
 /// once, and the log names the faulty key.
 #[test]
-fn a_broken_file_changes_nothing() {
+fn an_invalid_file_changes_nothing() {
     let (one, two) = (Backend::start(serve), Backend::start(serve));
     let (mut setup, at) = setup(&[&one]);
     let unused_discovery = Discovery::start();
@@ -364,18 +364,18 @@
     let good = setup.config(ingress.at);
     setup.discovery = Some(unused_discovery.at); // reached only if an invalid file is applied
     let complete = setup.config(ingress.at);
-    let mut broken: Vec<(String, &str)> = BROKEN
+    let mut invalid: Vec<(String, &str)> = INVALID_FILES
         .map(|(from, to, why)| (complete.replace(from, to), why))
         .to_vec();
-    broken.extend([
+    invalid.extend([
         (String::new(), "cut off"),
         ("[]".into(), "settings is missing"),
         ("nonsense".into(), "no JSON"),
     ]);
-    broken
+    invalid
         .extend((1..8).map(|part| (complete[..complete.len() * part / 8].to_string(), "cut off")));
     let mut client = ingress.client();
-    for (n, (file, _)) in broken.iter().enumerate() {
+    for (n, (file, _)) in invalid.iter().enumerate() {
         assert_ne!(*file, complete, "replacement {n} does not change the file");
         ingress.configure(file);
         ingress.signal("HUP");
@@ -392,7 +392,7 @@
     until("the valid file is applied", || {
         figure(at, "ingress.cfg_accepted") == 1
     });
-    assert_eq!(figure(at, "ingress.cfg_invalid"), broken.len() as u64);
+    assert_eq!(figure(at, "ingress.cfg_invalid"), invalid.len() as u64);
     assert_eq!(
         (two.count(), unused_discovery.calls.load(Ordering::SeqCst)),
         (0, 0)
@@ -400,21 +400,21 @@
     ingress.signal("TERM");
     drop(client);
     assert_eq!(ingress.exit().code(), Some(0));
-    assert_each_fault_is_logged(&ingress.log(), &broken);
+    assert_each_fault_is_logged(&ingress.log(), &invalid);
 }
 
 /// Asserts that the log has a line for each refused file that names its fault.
-fn assert_each_fault_is_logged(log: &str, broken: &[(String, &str)]) {
+fn assert_each_fault_is_logged(log: &str, invalid: &[(String, &str)]) {
     let lines: Vec<&str> = log
         .lines()
         .filter(|l| l.contains("reload: ") && l.contains("WARN"))
         .collect();
     assert_eq!(
         lines.len(),
-        broken.len(),
+        invalid.len(),
         "the log must have one line for each invalid file: {log}"
     );
-    for ((_, why), line) in broken.iter().zip(lines) {
+    for ((_, why), line) in invalid.iter().zip(lines) {
         assert!(
             line.contains(why),
             "the log line does not contain {why:?}: {line}"
@@ -428,7 +428,7 @@
     let backend = Backend::start(serve);
     let (setup, at) = setup(&[&backend]);
     let ingress = setup.start();
-    let flood = thread::spawn({
+    let load_thread = thread::spawn({
         let mut client = ingress.client();
         move || {
             for burst in 0..40 {
@@ -441,13 +441,13 @@
         }
     });
     let (mut call_count, mut slowest) = (0, Duration::ZERO);
-    while !flood.is_finished() || call_count < 20 {
+    while !load_thread.is_finished() || call_count < 20 {
         let start = Instant::now();
         assert!(ask(at, "telemetry\n").ends_with("\n.\n"));
         slowest = slowest.max(start.elapsed());
         call_count += 1;
     }
-    flood.join().unwrap();
+    load_thread.join().unwrap();
     let counted: u64 = outcome_counts(at, "quote").iter().sum();
     assert_eq!(
         counted, 4000,
--- a/crates/ingress/tests/pools.rs
+++ b/crates/ingress/tests/pools.rs
@@ -104,22 +104,22 @@
     (folder, program, file)
 }
 
-/// Plays the scenario with these pools, routes and faults. After the duration in `later`, its text replaces the
+/// Plays the scenario with these pools, routes and faults. After the duration in `replacement`, its text replaces the
 /// operator's file.
 fn run(
     operator: &str,
     scenario_text: &str,
     faults: &str,
-    later: Option<(Duration, &str)>,
+    replacement: Option<(Duration, &str)>,
 ) -> Report {
     let _lock = RIG_LOCK.lock().unwrap_or_else(|e| e.into_inner());
     let scenario = Scenario::parse("pools.toml", &format!("{scenario_text}{faults}"))
         .unwrap_or_else(|e| panic!("{}", e[0]));
     for _ in 0..MAX_RUNS {
         let (_folder, program, file) = write_program("ingress", operator);
-        let later =
-            later.map(|(after, text)| (after, format!("version = 1\nkind = \"ingress\"\n{text}")));
-        let writer = later.map(|(after, text)| {
+        let replacement = replacement
+            .map(|(after, text)| (after, format!("version = 1\nkind = \"ingress\"\n{text}")));
+        let writer = replacement.map(|(after, text)| {
             thread::spawn(move || {
                 thread::sleep(after);
                 let new = file.with_extension("new");
@@ -187,12 +187,11 @@
 fn a_lost_pool_falls_back_without_overloading_its_fallback() {
     let cold_fallback =
         SCENARIO.replace("model = \"small-2c\"", "model = \"small-2c\"\ncold = true");
-    let loss_faults =
-        "[[at]]\nat = \"2s\"\nwhat = \"die\"\nbackend = [0, 1, 2, 3]\ndown = \"4s\"\n";
+    let pool_loss = "[[at]]\nat = \"2s\"\nwhat = \"die\"\nbackend = [0, 1, 2, 3]\ndown = \"4s\"\n";
     let (warm_fallback, cold_fallback, no_fallback) = (
-        run(&pools(FALLBACK), SCENARIO, loss_faults, None),
-        run(&pools(FALLBACK), &cold_fallback, loss_faults, None),
-        run(&pools(""), SCENARIO, loss_faults, None),
+        run(&pools(FALLBACK), SCENARIO, pool_loss, None),
+        run(&pools(FALLBACK), &cold_fallback, pool_loss, None),
+        run(&pools(""), SCENARIO, pool_loss, None),
     );
     [&warm_fallback, &cold_fallback, &no_fallback]
         .into_iter()
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -7,7 +7,7 @@
 };
 
 /// As many processes as the test machines can run; the users run some hundreds.
-const PROCESSES: usize = 100;
+const PROCESS_COUNT: usize = 100;
 /// Time within which nine in ten processes must be ready.
 const MAX_READY_TIME: Duration = Duration::from_secs(10);
 
@@ -16,11 +16,11 @@
 fn start_all(setup: &Setup, addresses: &[SocketAddr]) -> (Vec<Ingress>, Vec<Duration>) {
     let started = Instant::now();
     let program = format!("exec '{}'", setup.program);
-    let all: Vec<Ingress> = addresses
+    let ingresses: Vec<Ingress> = addresses
         .iter()
         .map(|at| Ingress::run(&setup.config(*at), *at, &program))
         .collect();
-    let mut ready: Vec<Option<Duration>> = vec![None; all.len()];
+    let mut ready: Vec<Option<Duration>> = vec![None; ingresses.len()];
     until("all processes are ready", || {
         for (at, ready) in addresses
             .iter()
@@ -35,7 +35,7 @@
     });
     let mut ready: Vec<Duration> = ready.into_iter().flatten().collect();
     ready.sort();
-    (all, ready)
+    (ingresses, ready)
 }
 
 /// Guards against a start that waits for discovery. Discovery rejects all calls, and each process must be ready with
@@ -48,27 +48,27 @@
         discovery: Some(discovery.at),
         ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend])
     };
-    let addresses: Vec<SocketAddr> = (0..PROCESSES).map(|_| place()).collect();
-    let (mut first, _) = start_all(&setup, &addresses);
-    for (n, ingress) in first.iter_mut().enumerate() {
+    let addresses: Vec<SocketAddr> = (0..PROCESS_COUNT).map(|_| place()).collect();
+    let (mut processes, _) = start_all(&setup, &addresses);
+    for (n, ingress) in processes.iter_mut().enumerate() {
         if n % 2 == 0 {
             ingress.signal("TERM");
         } else {
             ingress.child.kill().unwrap();
         }
     }
-    for ingress in &mut first {
+    for ingress in &mut processes {
         ingress.exit();
     }
-    drop(first);
-    let (again, ready) = start_all(&setup, &addresses);
-    let (median, p90) = (ready[PROCESSES / 2], ready[PROCESSES * 9 / 10]);
-    println!("{PROCESSES} restarted: half ready in {median:.2?}, nine in ten in {p90:.2?}, limit {MAX_READY_TIME:.0?}");
+    drop(processes);
+    let (restarted, ready) = start_all(&setup, &addresses);
+    let (median, p90) = (ready[PROCESS_COUNT / 2], ready[PROCESS_COUNT * 9 / 10]);
+    println!("{PROCESS_COUNT} restarted: half ready in {median:.2?}, nine in ten in {p90:.2?}, limit {MAX_READY_TIME:.0?}");
     assert!(
         p90 < MAX_READY_TIME,
         "nine in ten processes were ready only after {p90:?}"
     );
-    for (n, ingress) in again.iter().enumerate().step_by(10) {
+    for (n, ingress) in restarted.iter().enumerate().step_by(10) {
         assert_eq!(
             ingress.client().ask(&call("refer", &format!("r{n}"), 3000)),
             format!("value of r{n}")
--- a/crates/ingress/tests/scenarios.rs
+++ b/crates/ingress/tests/scenarios.rs
@@ -24,9 +24,8 @@
     let program = Path::new(env!("CARGO_BIN_EXE_wrenfork"));
     let mut failures = Vec::new();
     for file in files {
-        let scenario = Scenario::read(&file)
-            .unwrap_or_else(|first_violations| panic!("{}", first_violations[0]));
-        let played = (0..MAX_RUNS).map(|_| {
+        let scenario = Scenario::read(&file).unwrap_or_else(|errors| panic!("{}", errors[0]));
+        let reports = (0..MAX_RUNS).map(|_| {
             let stop = AtomicBool::new(false);
             play(
                 &scenario,
@@ -38,7 +37,7 @@
             )
             .unwrap_or_else(|e| panic!("{e}"))
         });
-        let report = played.into_iter().find(|r| r.verdict != Verdict::Late);
+        let report = reports.into_iter().find(|r| r.verdict != Verdict::Late);
         let Some(report) = report else {
             failures.push(format!(
                 "{}: each run was too delayed by the machine for a verdict",
@@ -73,18 +72,18 @@
 /// requests once their leases have expired, and serve again afterwards.
 #[test]
 fn a_partitioned_group_rejects_requests_and_serves_again() {
-    let calm = include_str!("../../testbed/scenarios/calm.toml");
-    let grouped = calm.replacen(
+    let base_scenario = include_str!("../../testbed/scenarios/calm.toml");
+    let grouped = base_scenario.replacen(
         "count = 3\n",
         "count = 3\n\n[group]\nlease = \"600ms\"\n",
         1,
     );
-    let fault = "\n[[at]]\nat = \"500ms\"\nwhat = \"link\"\nfrom = [0, 1, 2]\nto = [0, 1, 2]\nfault = \"dropped\"\nfor = \"2s\"\n";
+    let partition_fault = "\n[[at]]\nat = \"500ms\"\nwhat = \"link\"\nfrom = [0, 1, 2]\nto = [0, 1, 2]\nfault = \"dropped\"\nfor = \"2s\"\n";
     let program = Path::new(env!("CARGO_BIN_EXE_wrenfork"));
-    let [connected, partitioned] = [grouped.clone(), grouped + fault].map(|text| {
-        let scenario = Scenario::parse("group.toml", &text)
-            .unwrap_or_else(|first_violations| panic!("{}", first_violations[0]));
-        let played = (0..MAX_RUNS).map(|_| {
+    let [connected, partitioned] = [grouped.clone(), grouped + partition_fault].map(|text| {
+        let scenario =
+            Scenario::parse("group.toml", &text).unwrap_or_else(|errors| panic!("{}", errors[0]));
+        let reports = (0..MAX_RUNS).map(|_| {
             let stop = AtomicBool::new(false);
             play(
                 &scenario,
@@ -96,7 +95,7 @@
             )
             .unwrap_or_else(|e| panic!("{e}"))
         });
-        let report = played
+        let report = reports
             .into_iter()
             .find(|r| r.verdict != Verdict::Late)
             .expect("each run was too delayed by the machine for a verdict");
