--- a/crates/ingress/examples/odd.rs
+++ b/crates/ingress/examples/odd.rs
@@ -1,70 +1,76 @@
-//! Versions of the program that are odd on purpose, for tests of rollouts: never shipped. What is odd is a word beside the program's
-//! file, `FILE.odd`: a copy of this program under another name, with its own bytes behind its end, is a version of its own.
+//! Versions of the program with deliberate faults or other format versions, for tests of rollouts; never released. The fault is
+//! read from the file `FILE.odd` beside the program `FILE`. A copy of this program under another name, with extra bytes appended
+//! so that its digest differs, counts as a version of its own.
 //!
-//! - `equal`: nothing.
-//! - `newer`: a handover's layout of its own, one beyond the shipped one.
-//! - `stranger`: newer numbers of everything.
-//! - `fails:PERCENT`, `fails-quote:PERCENT`, `fails-busy:PERCENT`: so many of what was served become failures; of one class; with five
-//!   or more requests open.
-//! - `slow`: one turn of 50 takes 30 ms more.
-//! - `dies:MS`: ends so long after its start.
-//! - `never`: never comes into service.
-//! - `hup`: ends at its first SIGHUP.
-//! - `leaks`: 1 MB a second.
-//! - `chatty`: each message to a peer three times.
+//! - `equal`: no fault.
+//! - `newer`: a handover layout one newer than the shipped one.
+//! - `stranger`: newer versions of all formats.
+//! - `fails:PERCENT`, `fails-quote:PERCENT`, `fails-busy:PERCENT`: fails this percentage of the served requests: of all, of class
+//!   `quote`, or of those that end while five or more requests are open.
+//! - `slow`: every 50th iteration of the event loop takes 30 ms longer.
+//! - `dies:MS`: exits this many milliseconds after the start.
+//! - `never`: never becomes ready.
+//! - `hup`: exits at the first SIGHUP.
+//! - `leaks`: leaks 1 MB of memory per second.
+//! - `chatty`: sends each message to a peer three times.
 
 use std::process::ExitCode;
 use std::thread;
 use std::time::Duration;
 use wrenfork::{ExtensionError, FormatVersions, HandoverFormat, Variant};
 
-/// What is odd.
+/// The fault of this version, and the counters that it needs.
 #[derive(Default)]
-struct Odd {
-    word: String,
-    number: u64,
-    turns: u64,
-    asked: u64,
+struct Fault {
+    kind: String,
+    /// The number after the colon; 0 without one.
+    parameter: u64,
+    /// Iterations of the event loop so far.
+    iterations: u64,
+    /// Served requests that the fault applied to so far.
+    served: u64,
 }
 
-/// Form 6, as a later version might have it: a mark behind all else.
-const MARK: &[u8] = b"odd";
+/// Extension that layout 6 appends to the state, as a later version might do.
+const EXTENSION: &[u8] = b"odd";
 
 fn write_extension(layout: u32, state: &mut Vec<u8>) {
     if layout >= 6 {
-        state.extend_from_slice(MARK);
+        state.extend_from_slice(EXTENSION);
     }
 }
 
 fn read_extension(layout: u32, extension: &[u8]) -> Result<(), ExtensionError> {
-    let wanted: &[u8] = if layout >= 6 { MARK } else { &[] };
-    if extension == wanted {
+    let expected: &[u8] = if layout >= 6 { EXTENSION } else { &[] };
+    if extension == expected {
         Ok(())
     } else {
-        Err(ExtensionError("the mark is missing"))
+        Err(ExtensionError(
+            "the extension of layout 6 is missing or invalid",
+        ))
     }
 }
 
-impl Odd {
-    fn is(&self, word: &str) -> bool {
-        self.word == word
+impl Fault {
+    fn is(&self, kind: &str) -> bool {
+        self.kind == kind
     }
 
-    /// Whether this one of so many in a hundred is spoilt: evenly, not by chance.
-    fn spoilt(&mut self) -> bool {
-        self.asked += 1;
-        self.asked * self.number / 100 != (self.asked - 1) * self.number / 100
+    /// Whether the next served request fails; failures are spread evenly, not at random.
+    fn fails_next(&mut self) -> bool {
+        self.served += 1;
+        self.served * self.parameter / 100 != (self.served - 1) * self.parameter / 100
     }
 
-    fn begun(&mut self) {
-        match self.word.as_str() {
+    fn start(&mut self) {
+        match self.kind.as_str() {
             "never" => loop {
                 thread::sleep(Duration::from_secs(3600));
             },
             "dies" => {
-                let after = Duration::from_millis(self.number);
+                let lifetime = Duration::from_millis(self.parameter);
                 thread::spawn(move || {
-                    thread::sleep(after);
+                    thread::sleep(lifetime);
                     std::process::exit(101);
                 });
             }
@@ -81,9 +87,9 @@
             }
             "leaks" => {
                 thread::spawn(|| {
-                    let mut all: Vec<Vec<u8>> = Vec::new();
+                    let mut leaked: Vec<Vec<u8>> = Vec::new();
                     loop {
-                        all.push(vec![1; 100 << 10]);
+                        leaked.push(vec![1; 100 << 10]);
                         thread::sleep(Duration::from_millis(100));
                     }
                 });
@@ -92,27 +98,27 @@
         }
     }
 
-    fn turned(&mut self) {
-        self.turns += 1;
-        if self.is("slow") && self.turns.is_multiple_of(50) {
+    fn on_iteration(&mut self) {
+        self.iterations += 1;
+        if self.is("slow") && self.iterations.is_multiple_of(50) {
             thread::sleep(Duration::from_millis(30));
         }
     }
 
-    fn spoils(&mut self, class: &str, open: usize) -> bool {
-        match self.word.as_str() {
-            "fails" => self.spoilt(),
-            "fails-quote" => class == "quote" && self.spoilt(),
-            "fails-busy" => open >= 5 && self.spoilt(),
+    fn fails_served(&mut self, class: &str, open: usize) -> bool {
+        match self.kind.as_str() {
+            "fails" => self.fails_next(),
+            "fails-quote" => class == "quote" && self.fails_next(),
+            "fails-busy" => open >= 5 && self.fails_next(),
             _ => false,
         }
     }
 }
 
-/// The same for each layout and number of copies, which the loop is compiled for.
+/// Defines a version with a handover layout and a number of message copies, which are compile-time constants.
 macro_rules! version {
     ($name:ident, $layout:expr, $copies:expr) => {
-        struct $name(Odd);
+        struct $name(Fault);
 
         impl HandoverFormat for $name {
             const LAYOUT: u32 = $layout;
@@ -134,12 +140,12 @@
             fn format_versions(&self) -> FormatVersions {
                 let mut versions = wrenfork::format_versions(Self::VERSION, Self::LAYOUT);
                 if self.0.is("stranger") {
-                    for form in [
+                    for format in [
                         &mut versions.peers,
                         &mut versions.control,
                         &mut versions.group_states,
                     ] {
-                        form.newest += 1;
+                        format.newest += 1;
                     }
                     versions.store.newest += 1;
                     (versions.handover.oldest, versions.handover.newest) = (7, 7);
@@ -148,15 +154,15 @@
             }
 
             fn start(&mut self) {
-                self.0.begun();
+                self.0.start();
             }
 
             fn turn(&mut self) {
-                self.0.turned();
+                self.0.on_iteration();
             }
 
             fn fails_served(&mut self, class: &str, _plan: &str, open: usize) -> bool {
-                self.0.spoils(class, open)
+                self.0.fails_served(class, open)
             }
         }
     };
@@ -167,19 +173,22 @@
 version!(Chatty, 5, 3);
 
 fn main() -> ExitCode {
-    let own = std::env::current_exe().ok();
-    let word = own
-        .and_then(|own| std::fs::read_to_string(own.with_extension("odd")).ok())
+    let program = std::env::current_exe().ok();
+    let description = program
+        .and_then(|program| std::fs::read_to_string(program.with_extension("odd")).ok())
         .unwrap_or_default();
-    let (word, number) = word.trim().split_once(':').unwrap_or((word.trim(), "0"));
-    let odd = Odd {
-        word: word.into(),
-        number: number.parse().unwrap_or(0),
-        ..Odd::default()
+    let (kind, parameter) = description
+        .trim()
+        .split_once(':')
+        .unwrap_or((description.trim(), "0"));
+    let fault = Fault {
+        kind: kind.into(),
+        parameter: parameter.parse().unwrap_or(0),
+        ..Fault::default()
     };
-    match word {
-        "newer" => wrenfork::main(Newer(odd)),
-        "chatty" => wrenfork::main(Chatty(odd)),
-        _ => wrenfork::main(Equal(odd)),
+    match kind {
+        "newer" => wrenfork::main(Newer(fault)),
+        "chatty" => wrenfork::main(Chatty(fault)),
+        _ => wrenfork::main(Equal(fault)),
     }
 }
--- a/crates/ingress/src/arguments.rs
+++ b/crates/ingress/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments. Their doc comments are the help text.
 
 use crate::config::{ConfigSource, SidecarFiles};
 use crate::error::IngressError;
@@ -46,11 +46,12 @@
 }
 
 impl Arguments {
-    /// Where the ingress is configured from; `variable` looks up the environment.
+    /// Returns the source of the configuration, and takes its paths out of the arguments. `variable` looks up environment
+    /// variables.
     ///
     /// # Errors
     ///
-    /// Where neither the arguments nor the environment name a file.
+    /// If neither the arguments nor `LB_CONFIG` name a file.
     pub fn config_source(
         &mut self,
         variable: impl Fn(&str) -> Option<String>,
--- a/crates/ingress/src/authenticator.rs
+++ b/crates/ingress/src/authenticator.rs
@@ -1,5 +1,4 @@
-//! Authentication and authorization of requests: what a connection or a request has proved, checked against the tenants' rights
-//! at each request.
+//! Authentication of connections and requests by tokens, and authorization of each request by the rights of its tenant.
 
 use crate::config::Callers;
 use std::sync::Arc;
@@ -10,39 +9,40 @@
 use wrenfork_identity::token::{holds, Claims};
 use wrenfork_identity::Refusal;
 
-/// Tokens whose signature need not be verified again.
+/// Maximum number of tokens whose verified signature is cached.
 const MAX_CACHED_TOKENS: usize = 4_096;
-/// Token times are in seconds of Unix time.
+/// Conversion to token times, which are in seconds of Unix time.
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Who a connection has proved to be.
+/// The authenticated identity of a connection or request.
 #[derive(Clone)]
 pub struct AuthenticatedCaller {
     claims: Arc<Claims>,
     caller: Caller,
-    /// The authenticator's when it was found: tenants may have changed since.
+    /// Generation of the authenticator when `caller` was resolved; tenants may have changed since.
     generation: u64,
 }
 
-/// A token that a request carries, and where it came from.
+/// A token and the source that sent it.
 #[derive(Clone, Copy)]
 pub struct PresentedToken<'a> {
-    /// The token's text.
+    /// Encoded text of the token.
     pub token: &'a [u8],
-    /// The address or user that sent it: failures are limited by source.
+    /// Address or user that sent the token; failed verifications are limited by source.
     pub source: Source,
 }
 
-/// Decides who may send what.
+/// Authenticates callers and authorizes their requests.
 pub struct Authenticator {
     callers: Callers,
     cache: Cache,
     sources: Sources,
+    /// Increased with each change of `callers`.
     generation: u64,
 }
 
 impl Authenticator {
-    /// For these callers.
+    /// Creates an authenticator for these trusted keys and tenants.
     pub fn new(callers: Callers) -> Authenticator {
         Authenticator {
             callers,
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Has other callers from now on; a token that was verified stays so, and is checked against the new ones with the next
+    /// Replaces the trusted keys and tenants. Verified tokens stay cached, and are checked against the new tenants with the next
     /// request.
     pub fn set_callers(&mut self, callers: Callers) {
         self.callers = callers;
         self.generation += 1;
     }
 
-    fn caller_of(&self, claims: Arc<Claims>) -> Result<AuthenticatedCaller, Refusal> {
+    fn resolve_caller(&self, claims: Arc<Claims>) -> Result<AuthenticatedCaller, Refusal> {
         let caller = self.callers.tenants.by_token(&claims, None)?;
         Ok(AuthenticatedCaller {
             claims,
@@ -68,11 +68,11 @@
         })
     }
 
-    /// Whom a token proves its sender to be.
+    /// Verifies a token and resolves its caller.
     ///
     /// # Errors
     ///
-    /// Where it proves nothing, or its source has failed too often.
+    /// If the token is invalid, or its source has had too many failures.
     pub fn authenticate(
         &mut self,
         presented: PresentedToken<'_>,
@@ -88,14 +88,15 @@
         if claims.is_err() && self.cache.checked > verified_before {
             self.sources.failed(source, now);
         }
-        self.caller_of(claims?)
+        self.resolve_caller(claims?)
     }
 
-    /// Whether a request may be admitted: by its own token, or else by what its connection has proved.
+    /// Checks whether a request may be admitted: by its own token if it has one, otherwise by the authentication of its
+    /// connection.
     ///
     /// # Errors
     ///
-    /// Where neither allows it.
+    /// If the caller is not authenticated or has no right to the request.
     pub fn authorize(
         &mut self,
         connection: &mut Option<AuthenticatedCaller>,
@@ -103,11 +104,11 @@
         request: &Request,
         now: Micros,
     ) -> Result<(), Refusal> {
-        let own;
+        let from_request;
         let caller = match (presented, connection) {
             (Some(presented), _) => {
-                own = self.authenticate(presented, now)?;
-                &own
+                from_request = self.authenticate(presented, now)?;
+                &from_request
             }
             (None, Some(caller)) => {
                 self.refresh(caller, now)?;
@@ -120,10 +121,10 @@
         self.callers.tenants.may(&caller.caller, account, class)
     }
 
-    /// Checks what a connection has proved against the tenants and the time of now.
+    /// Checks the authentication of a connection against the current tenants and the current time.
     fn refresh(&self, caller: &mut AuthenticatedCaller, now: Micros) -> Result<(), Refusal> {
         if caller.generation != self.generation {
-            *caller = self.caller_of(caller.claims.clone())?;
+            *caller = self.resolve_caller(caller.claims.clone())?;
         }
         holds(&caller.claims, &self.callers.trust, now / MICROS_PER_SECOND)
     }
--- a/crates/ingress/src/clock.rs
+++ b/crates/ingress/src/clock.rs
@@ -1,30 +1,32 @@
-//! The ingress's clock.
+//! The clock of the ingress, which is monotonic and survives a handover.
 
 use serde::{Deserialize, Serialize};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 use wrenfork_decision::Micros;
 
-/// The most that a clock goes forward from one process to the next: the system's clock may have been set meanwhile.
+/// Maximum forward step of the clock at a handover, in microseconds. The difference of the system clocks is not trusted beyond
+/// this, since the system clock may have been set meanwhile.
 const MAX_RESUME_STEP: Micros = 1_000_000;
 
-/// The clock: monotonic, but counted from the same moment as Unix time, since backends' starts are told in that
-/// and peers compare theirs. It is set once; later steps of the system's clock do not reach it.
+/// A monotonic clock with the epoch of Unix time, since start times of backends are given in Unix time and peers compare
+/// timestamps. It is set from the system clock once; later steps of the system clock do not affect it.
 pub struct Clock {
     start: Instant,
+    /// Reading of this clock at `start`, in microseconds.
     offset: Micros,
 }
 
-/// An ingress's clock and the system's at one moment, in microseconds of Unix time.
+/// The ingress clock and the system clock read at the same moment, in microseconds of Unix time.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ClockReading {
-    /// The ingress's clock.
+    /// Reading of the ingress clock.
     pub ingress: Micros,
-    /// The system's clock.
+    /// Reading of the system clock.
     pub system: Micros,
 }
 
 impl Clock {
-    /// Sets it by the system's clock.
+    /// Creates a clock set from the system clock.
     pub fn new() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -35,17 +37,17 @@
         }
     }
 
-    /// Goes on from another process's clock. Never back, and by no more than a second.
-    pub fn resume(before: ClockReading) -> Self {
-        let own = Clock::new();
-        let elapsed = own.offset.saturating_sub(before.system);
+    /// Continues the clock of the predecessor. It never goes back, and goes forward by at most [`MAX_RESUME_STEP`].
+    pub fn resume(predecessor: ClockReading) -> Self {
+        let current = Clock::new();
+        let elapsed = current.offset.saturating_sub(predecessor.system);
         Clock {
-            offset: before.ingress + elapsed.min(MAX_RESUME_STEP),
-            ..own
+            offset: predecessor.ingress + elapsed.min(MAX_RESUME_STEP),
+            ..current
         }
     }
 
-    /// This clock and the system's.
+    /// Reads this clock and the system clock.
     pub fn reading(&self) -> ClockReading {
         ClockReading {
             ingress: self.now(),
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Microseconds of Unix time.
+    /// Current time, in microseconds of Unix time.
     pub fn now(&self) -> Micros {
         self.offset + self.start.elapsed().as_micros() as Micros
     }
--- a/crates/ingress/src/cohort_metrics.rs
+++ b/crates/ingress/src/cohort_metrics.rs
@@ -1,4 +1,4 @@
-//! Counts of requests by which a staged rollout compares this ingress with others. Only a member of a group counts.
+//! Request counts with which a staged rollout compares this ingress with others. Only members of a group collect them.
 
 use crate::request_metrics::RequestEnd;
 use crate::requests::OpenRequest;
@@ -6,45 +6,46 @@
 use wrenfork_rollout::{MemberMetrics, RequestCounter, RequestOutcome, WEIGHT_SCALE};
 use wrenfork_wire::call::Vocabulary;
 
-/// The most that one request counts, in units of [`WEIGHT_SCALE`].
+/// Maximum weight of one request, in units of 1 / [`WEIGHT_SCALE`].
 const MAX_WEIGHT: f64 = 1e12;
 
-/// The counts, and the weights of requests.
+/// Request counts for rollouts, with the weights of classes and plans.
 #[derive(Default)]
 pub struct CohortMetrics {
+    /// `None` outside a group: nothing is counted.
     counter: Option<RequestCounter>,
-    /// The priority weight of each class.
+    /// Priority weight of each class, by class index.
     class_weights: Vec<f64>,
-    /// The factor of each plan.
+    /// Weight factor of each plan, by plan index.
     plan_weights: Vec<f64>,
 }
 
 impl CohortMetrics {
-    /// Counts from now on.
+    /// Starts counting.
     pub fn start(&mut self) {
         self.counter = Some(RequestCounter::default());
     }
 
-    /// Has other classes and plans from now on; `vocabulary` has the names of those so far.
+    /// Replaces the weights when classes or plans change; `vocabulary` has the names of the previous classes and plans.
     pub fn set_weights(&mut self, settings: &Settings, vocabulary: &Vocabulary) {
-        self.settle(vocabulary);
+        self.assign_names(vocabulary);
         self.class_weights = settings.classes.iter().map(|c| c.priority_weight).collect();
         self.plan_weights = settings.plans.iter().map(|p| p.weight_factor).collect();
     }
 
-    /// Adds what was counted by index to the counts by name.
-    fn settle(&mut self, vocabulary: &Vocabulary) {
+    /// Moves the counts by index to the counts by name.
+    fn assign_names(&mut self, vocabulary: &Vocabulary) {
         if let Some(counter) = &mut self.counter {
             counter.assign_names(|c| vocabulary.class_name(c), |p| vocabulary.plan_name(p));
         }
     }
 
-    /// Counts the end of an admitted request.
+    /// Counts the outcome of an admitted request.
     pub fn record(&mut self, open: &OpenRequest, end: RequestEnd, now: Micros, gateway: &Gateway) {
         let request = &open.call.request;
         let end = match end {
             RequestEnd::Served => RequestOutcome::Served(now.saturating_sub(open.arrived_at())),
-            // What is beyond its quota is nobody's loss.
+            // Requests beyond their customer's quota are not counted: rejecting those is not a fault of this ingress.
             RequestEnd::Rejected if !gateway.within_quota(request.customer, request.units) => {
                 return
             }
@@ -54,7 +55,7 @@
         self.count(request, end);
     }
 
-    /// Counts a request that was rejected for want of capacity here, before the module saw it.
+    /// Counts a request that this ingress rejected for lack of capacity, before it reached the decision module.
     pub fn record_rejected(&mut self, request: &Request) {
         self.count(request, RequestOutcome::Rejected);
     }
@@ -63,16 +64,16 @@
         let Some(counter) = &mut self.counter else {
             return;
         };
-        let weight_at = |list: &[f64], index: usize| list.get(index).copied().unwrap_or(0.0);
+        let weight_at = |weights: &[f64], index: usize| weights.get(index).copied().unwrap_or(0.0);
         let weight = weight_at(&self.class_weights, request.class.into())
             * weight_at(&self.plan_weights, request.plan.into());
         let units = (weight * WEIGHT_SCALE).clamp(0.0, MAX_WEIGHT) as u64;
         counter.record(request.class, request.plan, units, end);
     }
 
-    /// All counts by name.
+    /// Returns all counts by name; empty outside a group.
     pub fn report(&mut self, vocabulary: &Vocabulary) -> MemberMetrics {
-        self.settle(vocabulary);
+        self.assign_names(vocabulary);
         self.counter
             .as_ref()
             .map_or_else(MemberMetrics::default, RequestCounter::metrics)
--- a/crates/ingress/src/config.rs
+++ b/crates/ingress/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of an ingress: its files, into what the ingress is made from. Whatever is wrong is told by its key.
+//! Reads the configuration files of an ingress into a [`Config`]. Errors name the key that is wrong.
 
 mod active;
 mod error;
@@ -21,71 +21,71 @@
 use wrenfork_control_plane::group::GroupConfig;
 use wrenfork_decision::Micros;
 
-/// What an ingress is configured with.
+/// Configuration of an ingress.
 pub struct Config {
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: ListenAddress,
-    /// Where operators connect; nowhere if none is configured.
+    /// Management address for operators; `None` if there is none.
     pub management: Option<SocketAddr>,
-    /// The descriptor of the listening socket that the platform holds; none where the ingress binds its own.
+    /// Descriptor of the listening socket that the platform passes; `None` if the ingress binds its own.
     pub inherited_listener: Option<String>,
-    /// The seed of the decision module and of backoffs.
+    /// Seed for the random numbers of the decision module and of backoffs.
     pub seed: u64,
-    /// The most file descriptors.
+    /// Maximum number of file descriptors.
     pub max_descriptors: usize,
-    /// The most bytes of memory.
+    /// Memory limit in bytes.
     pub memory: usize,
-    /// Where messages of peers come in; none where the settings allow no messages.
+    /// Addresses for peer messages; `None` if the settings disable them.
     pub peers: Option<PeerAddresses>,
-    /// The endpoint list as it was known last.
+    /// Initial endpoint list, used until discovery has answered.
     pub known_endpoints: EndpointList,
-    /// The count service; none where the settings have none.
+    /// The count service; `None` if the settings disable it.
     pub counter: Option<CounterConfig>,
-    /// What may change while the ingress serves.
+    /// The part that can change while the ingress serves.
     pub active: ActiveConfig,
-    /// The names by which discovery tells zones and machine types.
+    /// Names of zones and machine types in endpoint lists.
     pub location_names: LocationNames,
-    /// The configuration as pairs: what may change later, and what may not.
+    /// The configuration as pairs, split into the changeable state and the fixed settings.
     pub source_pairs: enforced::Told,
-    /// Configured by the platform alone, whose file has no pools.
+    /// Whether only the platform's file configures the ingress; that file has no pools.
     pub platform_only: bool,
-    /// The file that says what became of the last reload.
+    /// Status file for the result of the last reload; `None` if there is none.
     pub status_file: Option<PathBuf>,
-    /// The control port, and where its state is stored; from the application's file.
+    /// Control port and the folder of its state.
     pub control: ControlConfig,
 }
 
-/// The count service.
+/// Connection settings of the count service.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterConfig {
-    /// Its address.
+    /// Address of the service.
     pub address: SocketAddr,
-    /// How long an answer is waited for.
+    /// Time to wait for the answer to a call, in microseconds.
     pub timeout: Micros,
 }
 
-/// The control port of an ingress.
+/// Configuration of the control port.
 #[derive(Clone, Debug, Default)]
 pub struct ControlConfig {
-    /// The name by which changes address this ingress.
+    /// Name by which changes refer to this ingress.
     pub name: String,
-    /// Its socket; none where changes take a restart.
+    /// Path of the control socket; `None` if changes require a restart.
     pub socket: Option<PathBuf>,
-    /// The folder of its durable state.
+    /// Folder for the state that must survive a crash; `None` if nothing is stored.
     pub state: Option<PathBuf>,
-    /// The control sockets of the others that enforce the same.
+    /// Control sockets of the other ingresses with the same configuration.
     pub others: Vec<PathBuf>,
-    /// The group that it belongs to, if any.
+    /// Group that this ingress belongs to, if any.
     pub membership: Option<GroupConfig>,
 }
 
-/// The addresses of the peers of an ingress.
+/// Addresses for messages between ingresses.
 pub struct PeerAddresses {
-    /// Where this one receives.
+    /// Address on which this ingress receives messages.
     pub listen: SocketAddr,
-    /// Those of all by their number, this one among them.
+    /// Addresses of all ingresses, indexed by gateway id; includes this one.
     pub peers: Vec<SocketAddr>,
-    /// Where a message goes to all.
+    /// Address that reaches all ingresses at once; `None` if there is none.
     pub all: Option<SocketAddr>,
 }
 
--- a/crates/ingress/src/config/active.rs
+++ b/crates/ingress/src/config/active.rs
@@ -1,4 +1,4 @@
-//! The part of a configuration that may change while the ingress serves, compiled from pairs.
+//! The part of the configuration that can change while the ingress serves, compiled from key-value pairs.
 
 use super::error::ConfigError;
 use super::json::address;
@@ -13,45 +13,45 @@
 use wrenfork_routes::Table;
 use wrenfork_wire::call::{ClassDefinition, Identity, Vocabulary};
 
-/// Settings that no change changes, as pairs of key and value.
+/// Settings that can only be changed by a restart, as pairs of key and value.
 pub type FixedPairs = Vec<(String, String)>;
 
-/// The configuration that is enforced: all that a change may change.
+/// The enforced configuration, as far as it can change without a restart.
 pub struct ActiveConfig {
-    /// The settings of the decision module.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The names by which requests are parsed.
+    /// Names of classes and plans with which requests are parsed.
     pub vocabulary: Vocabulary,
-    /// Pools and routes.
+    /// Table of pools and routes.
     pub routes: Table,
-    /// Who may send requests; none where nobody is authenticated.
+    /// Trusted keys and tenants; `None` if requests are not authenticated.
     pub callers: Option<Callers>,
-    /// The address of discovery.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// How long a connection to a backend may take to be established.
+    /// Timeout for establishing a connection to a backend, in microseconds.
     pub connect_timeout: Micros,
-    /// How long backends keep an idle connection.
+    /// How long backends keep an idle connection open, in microseconds.
     pub keepalive: Micros,
 }
 
 impl ActiveConfig {
-    /// The longest deadline of a class.
+    /// The longest deadline of any class, in microseconds.
     pub fn longest_deadline(&self) -> Micros {
         longest_deadline(&self.settings)
     }
 }
 
-/// The longest deadline of a class.
+/// The longest deadline of any class, in microseconds; 0 if there are no classes.
 pub fn longest_deadline(settings: &Settings) -> Micros {
     let deadlines = settings.classes.iter().map(|class| class.deadline);
     deadlines.max().unwrap_or(0)
 }
 
-/// Compiles a state for this ingress; `fixed` is what no change changes.
+/// Compiles a state for this ingress; `fixed` has the settings that can only be changed by a restart.
 ///
 /// # Errors
 ///
-/// Names the key that is unknown, missing or invalid.
+/// If a key is unknown, missing or invalid; the error names the key.
 pub fn compile(fixed: &[(String, String)], state: &State) -> Result<ActiveConfig, ConfigError> {
     let conf = enforced::join(fixed, &state.0).map_err(ConfigError::setting)?;
     let mut settings = conf.settings().map_err(ConfigError::setting)?;
@@ -82,7 +82,7 @@
     })
 }
 
-/// The names of classes and plans, and the accounts of a sidecar's application.
+/// Reads the names of classes and plans, and the accounts of a sidecar's application.
 fn vocabulary(conf: &Conf, state: &Pairs, settings: &Settings) -> Result<Vocabulary, ConfigError> {
     let class_names = conf.names("grades").map_err(ConfigError::setting)?;
     let plans = conf.names("contracts").map_err(ConfigError::setting)?;
@@ -124,7 +124,7 @@
     Ok(())
 }
 
-/// The accounts of a sidecar's application, and the classes that it sends.
+/// Reads the accounts of a sidecar's application, and the classes that it may send.
 fn identity(
     sends: &str,
     state: &Pairs,
@@ -132,7 +132,7 @@
     plans: &[String],
 ) -> Result<Identity, ConfigError> {
     let sends: Vec<&str> = sends.split(',').collect();
-    // A quota of its own, behind `~`, is this program's matter: backends know the plan.
+    // A plan name may end in `~` and the name of a separate quota, which backends do not know: they get the part before it.
     let plan_at_backends = |plan: &String| plan.split('~').next().unwrap_or(plan).to_string();
     let may_send = |c: &ClassDefinition| !c.name.is_empty() && sends.contains(&c.name.as_str());
     Ok(Identity {
@@ -142,7 +142,7 @@
     })
 }
 
-/// The index of the plan of each account.
+/// Reads the plan index of each account.
 fn accounts(state: &Pairs, plans: &[String]) -> Result<HashMap<u64, u16>, ConfigError> {
     let indices: HashMap<&str, u16> = plans.iter().map(String::as_str).zip(0..).collect();
     let mut accounts = HashMap::new();
--- a/crates/ingress/src/config/error.rs
+++ b/crates/ingress/src/config/error.rs
@@ -1,110 +1,110 @@
-//! Errors of the configuration, each with the key that is wrong.
+//! Configuration errors, which name the key that is wrong.
 
 use crate::discovery::EndpointListError;
 use crate::error::BoxError;
 use std::io;
 
-/// Why a configuration is refused.
+/// Why a configuration was refused.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The platform's file can't be read.
+    /// The platform's file could not be read.
     #[error("LB_CONFIG: cannot read {path}: {source}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The system's reason.
+        /// Error returned by the operating system.
         source: io::Error,
     },
-    /// Something in a file is wrong.
+    /// An error in the content of a file.
     #[error("{path}: {source}")]
     InFile {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong in it.
+        /// The error itself.
         source: Box<ConfigError>,
     },
-    /// The file ends before its time.
-    #[error("the file is no JSON, it is cut off: {0}")]
+    /// The file ends in the middle of a JSON value.
+    #[error("truncated JSON: {0}")]
     Truncated(#[source] serde_json::Error),
-    /// The file is not in its format.
-    #[error("the file is no JSON: {0}")]
+    /// The file is not valid JSON.
+    #[error("invalid JSON: {0}")]
     NotJson(#[source] serde_json::Error),
     /// A setting is unknown, missing or invalid.
     #[error("{0}")]
     Setting(#[source] BoxError),
-    /// A setting that must not be 0.
-    #[error("setting {0} is 0")]
+    /// A setting that must be positive is 0.
+    #[error("setting {0} must not be 0")]
     Zero(&'static str),
-    /// Two classes or two plans have one name.
-    #[error("setting {list}.{index}.name is there twice: {name}")]
+    /// Two classes or two plans have the same name.
+    #[error("setting {list}.{index}.name: duplicate name {name}")]
     DuplicateName {
-        /// The list of settings.
+        /// Key of the list.
         list: &'static str,
-        /// The index of the second one.
+        /// Index of the second entry with the name.
         index: usize,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
     /// An account is on a plan that does not exist.
-    #[error("account {account:016x} is on plan {plan}, which there is not")]
+    #[error("account {account:016x}: unknown plan {plan}")]
     UnknownPlan {
-        /// The account.
+        /// Number of the account.
         account: u64,
-        /// The plan's name.
+        /// Name of the plan.
         plan: String,
     },
-    /// A key is missing.
+    /// A required key is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A key is missing, or its value is of another type.
-    #[error("{key} is missing or no {expected}")]
+    /// A required key is missing, or its value has the wrong type.
+    #[error("{key} is missing or not a {expected}")]
     MissingOrNot {
-        /// The key.
+        /// Path of the key.
         key: String,
-        /// What its value should be.
+        /// Expected type of the value.
         expected: &'static str,
     },
-    /// A value is no address.
-    #[error("{key} is no address and port: {text}")]
+    /// A value is not a socket address.
+    #[error("{key} is not an address with a port: {text}")]
     NotAnAddress {
-        /// The key or the environment variable.
+        /// Key or environment variable.
         key: String,
-        /// The value.
+        /// The invalid value.
         text: String,
     },
     /// The seed is not hexadecimal.
-    #[error("seed is no hex number: {0}")]
+    #[error("seed is not a hexadecimal number: {0}")]
     Seed(String),
     /// A value is invalid.
     #[error("{key}: {source}")]
     Invalid {
-        /// The key.
+        /// Key of the value.
         key: &'static str,
-        /// Why it is.
+        /// Why the value is invalid.
         source: BoxError,
     },
-    /// The users that may connect are no numbers.
-    #[error("listen_users: not numbers of users")]
+    /// An entry of `listen_users` is not a user id.
+    #[error("listen_users: expected a list of numeric user ids")]
     ListenUsers,
-    /// The endpoint list of the file is invalid.
+    /// The initial endpoint list in the file is invalid.
     #[error("known: {0}")]
     KnownEndpoints(#[source] EndpointListError),
-    /// The peers are not as many as the settings say.
-    #[error("peers does not have one address for each of setting n_instances")]
+    /// The number of peers differs from the number of ingresses in the settings.
+    #[error("the number of addresses in peers differs from setting n_instances")]
     PeerCount,
-    /// The files of a sidecar are refused, with a line for each finding.
-    #[error("refused:\n{0}")]
+    /// The files of a sidecar were refused; the text has a line for each problem.
+    #[error("the configuration files are invalid:\n{0}")]
     SidecarFiles(String),
-    /// A file is no application's.
-    #[error("{0} is no application's file, or its site's is none")]
+    /// The application's file or the site's file is of another kind.
+    #[error("{0} is not an application's file, or its site file is not a site's file")]
     NotAnApplication(String),
-    /// The application has several sidecars, and none is named.
-    #[error("the application has several sidecars: name one with --sidecar")]
+    /// The application has several sidecars, and `--sidecar` is not given.
+    #[error("the application has several sidecars: select one with --sidecar")]
     SidecarNotNamed,
 }
 
 impl ConfigError {
-    /// Whether the file ends before its time: it may be written at this moment.
+    /// Whether the file is truncated, as it is while it is being written.
     pub fn is_truncated(&self) -> bool {
         match self {
             ConfigError::Truncated(_) => true,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// With the file that it is in.
+    /// Adds the path of the file that contains the error.
     pub(super) fn in_file(self, path: &str) -> ConfigError {
         ConfigError::InFile {
             path: path.to_string(),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// An error of `wrenfork-config`, which names the key itself.
+    /// Wraps an error of `wrenfork-config`, whose message already names the key.
     pub(super) fn setting(source: impl Into<BoxError>) -> ConfigError {
         ConfigError::Setting(source.into())
     }
--- a/crates/ingress/src/config/json.rs
+++ b/crates/ingress/src/config/json.rs
@@ -1,10 +1,10 @@
-//! Values of the platform's JSON file by their keys.
+//! Typed access to values of the platform's JSON file.
 
 use super::error::ConfigError;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Parses an address; `key` is where it stands.
+/// Parses an address; `key` is the key or environment variable that errors name.
 pub(super) fn address(text: &str, key: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::NotAnAddress {
         key: key.to_string(),
@@ -12,16 +12,16 @@
     })
 }
 
-/// The text under a key.
+/// Returns the string value of a key.
 pub(super) fn text<'a>(object: &'a Value, key: &str) -> Result<&'a str, ConfigError> {
-    let found = object.get(key).and_then(Value::as_str);
-    found.ok_or_else(|| ConfigError::MissingOrNot {
+    let value = object.get(key).and_then(Value::as_str);
+    value.ok_or_else(|| ConfigError::MissingOrNot {
         key: key.to_string(),
-        expected: "text",
+        expected: "string",
     })
 }
 
-/// The whole number above 0 under a key of an object under a key.
+/// Returns the positive integer at `outer.key`.
 pub(super) fn positive(object: &Value, outer: &str, key: &str) -> Result<usize, ConfigError> {
     let number = object
         .get(outer)
@@ -32,6 +32,6 @@
         .filter(|n| *n > 0)
         .ok_or_else(|| ConfigError::MissingOrNot {
             key: format!("{outer}.{key}"),
-            expected: "whole number above 0",
+            expected: "positive integer",
         })
 }
--- a/crates/ingress/src/config/listen.rs
+++ b/crates/ingress/src/config/listen.rs
@@ -1,4 +1,4 @@
-//! Where clients find an ingress.
+//! The address on which an ingress listens for clients.
 
 use super::error::ConfigError;
 use super::json::{address, text};
@@ -9,21 +9,21 @@
 use std::path::PathBuf;
 use wrenfork_config::values;
 
-/// Permissions of a Unix socket where the file says nothing: its owner's alone.
+/// File mode of a Unix socket if the file has none: access for its owner only.
 const DEFAULT_MODE: &str = "0600";
 
-/// The address at which clients connect.
+/// The address to which clients connect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListenAddress {
-    /// Over TCP.
+    /// TCP address.
     Tcp(SocketAddr),
-    /// At a Unix socket.
+    /// Unix socket.
     Unix {
-        /// The socket's path.
+        /// Path of the socket.
         path: PathBuf,
-        /// Its permissions.
+        /// File mode of the socket.
         mode: u32,
-        /// The numbers of the users that may connect; whoever the mode lets in where none are named.
+        /// Ids of the users that may connect; if empty, the file mode decides.
         users: Vec<u32>,
     },
 }
@@ -38,15 +38,15 @@
 }
 
 impl ListenAddress {
-    /// The address in the platform's file; `variable`, that of the environment, comes before it.
+    /// Reads the address from the platform's file. `variable`, the value of `LB_LISTEN`, overrides it.
     pub(super) fn read(json: &Value, variable: Option<String>) -> Result<Self, ConfigError> {
         if let Some(text) = variable {
             return address(&text, "LB_LISTEN").map(ListenAddress::Tcp);
         }
-        let place = text(json, "listen")?;
-        match place.strip_prefix("unix:") {
+        let listen = text(json, "listen")?;
+        match listen.strip_prefix("unix:") {
             Some(path) => Self::read_unix(json, path),
-            None => address(place, "listen").map(ListenAddress::Tcp),
+            None => address(listen, "listen").map(ListenAddress::Tcp),
         }
     }
 
@@ -71,7 +71,7 @@
     let Some(list) = json.get("listen_users").and_then(Value::as_array) else {
         return Ok(Vec::new());
     };
-    let user = |value: &Value| value.as_u64().and_then(|n| u32::try_from(n).ok());
-    let users: Option<Vec<u32>> = list.iter().map(user).collect();
+    let user_id = |value: &Value| value.as_u64().and_then(|n| u32::try_from(n).ok());
+    let users: Option<Vec<u32>> = list.iter().map(user_id).collect();
     users.ok_or(ConfigError::ListenUsers)
 }
--- a/crates/ingress/src/config/platform.rs
+++ b/crates/ingress/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's file, and what an operator adds to it.
+//! Reads the platform's file and the operator's file that extends it.
 
 use super::active::compile;
 use super::error::ConfigError;
@@ -14,7 +14,7 @@
 use wrenfork_config::settings::Conf;
 
 impl Config {
-    /// Reads the platform's file; `variable` looks up the environment, whose addresses come before the file's.
+    /// Reads the platform's file. `variable` looks up environment variables, whose addresses override those of the file.
     pub(super) fn read_platform(
         path: &str,
         operator: Option<&Path>,
@@ -27,7 +27,9 @@
         let json = parse(&file).map_err(|e| e.in_file(path))?;
         let mut pairs =
             enforced::split(&json).map_err(|e| ConfigError::setting(e).in_file(path))?;
-        let added = operator.map(|at| read_operator(&pairs, at)).transpose()?;
+        let added = operator
+            .map(|path| read_operator(&pairs, path))
+            .transpose()?;
         if let Some(added) = &added {
             pairs.state.extend(added.ways.clone());
         }
@@ -41,8 +43,8 @@
         Ok(config)
     }
 
-    /// Takes a configuration in the platform's form; `variable` looks up the environment, whose addresses come before those
-    /// of the form.
+    /// Builds a configuration from JSON in the platform's format. `variable` looks up environment variables, whose addresses
+    /// override those in the JSON.
     pub(super) fn from_json(
         json: &Value,
         mut pairs: Told,
@@ -107,7 +109,7 @@
     })
 }
 
-/// What an operator adds to the platform's configuration.
+/// Reads the operator's file, which is checked against the zones and classes of the platform's file.
 fn read_operator(pairs: &Told, path: &Path) -> Result<Operator, ConfigError> {
     let conf = enforced::join(&pairs.fixed, &pairs.state).map_err(ConfigError::setting)?;
     let zone = conf.number_or("zone", 0.0).map_err(ConfigError::setting)? as usize;
--- a/crates/ingress/src/config/sidecar.rs
+++ b/crates/ingress/src/config/sidecar.rs
@@ -1,4 +1,4 @@
-//! The files of a sidecar.
+//! Reads the configuration files of a sidecar.
 
 use super::error::ConfigError;
 use super::source::SidecarFiles;
@@ -12,7 +12,7 @@
 use wrenfork_control_plane::group::{GroupConfig, WithoutLease};
 
 impl Config {
-    /// Reads a sidecar's files. Files that are refused are told line by line.
+    /// Reads the files of a sidecar. If they are refused, the error has one line for each problem.
     pub(super) fn read_sidecar(files: &SidecarFiles) -> Result<Config, ConfigError> {
         let set = Set::read(paths(files));
         if set.refused() {
@@ -36,7 +36,7 @@
     }
 }
 
-/// The files, the site's first.
+/// Paths of all files, in the order site, application, fleet snapshot.
 fn paths(files: &SidecarFiles) -> impl Iterator<Item = PathBuf> {
     let site = files.site.clone().unwrap_or_else(|| {
         let folder = files.app.parent().unwrap_or(Path::new(""));
@@ -47,14 +47,14 @@
         .chain(files.fleet.clone())
 }
 
-/// A line for each finding that refuses the files.
+/// Formats the problems for which the files are refused, one per line.
 fn findings(set: &Set) -> String {
     let refusing = set.found.iter().filter(|d| d.refused());
     let lines: Vec<String> = refusing.map(|d| d.line(&set.sources)).collect();
     lines.join("\n")
 }
 
-/// The name of the sidecar that this ingress is.
+/// Name of the sidecar that this ingress runs as.
 fn sidecar_name<'a>(
     files: &'a SidecarFiles,
     app: &'a Application,
@@ -66,7 +66,7 @@
     }
 }
 
-/// The control port of a sidecar.
+/// Control port of the sidecar with this name.
 fn control(app: &Application, name: &str) -> ControlConfig {
     let path = |p: &Option<At<String>>| p.as_ref().map(|p| PathBuf::from(&p.value));
     let own = app.sidecars.iter().find(|s| s.name.value == *name);
@@ -80,7 +80,7 @@
     }
 }
 
-/// The group that a sidecar belongs to, if any.
+/// Group that the sidecar with this name belongs to, if any.
 fn membership(app: &Application, name: &str) -> Option<GroupConfig> {
     let group = group::group(app)?;
     Some(GroupConfig {
--- a/crates/ingress/src/config/source.rs
+++ b/crates/ingress/src/config/source.rs
@@ -1,46 +1,46 @@
-//! Where an ingress is configured from, at its start and at SIGHUP.
+//! The files from which an ingress is configured, at the start and at SIGHUP.
 
 use super::error::ConfigError;
 use super::Config;
 use std::path::PathBuf;
 
-/// The files that a sidecar runs from.
+/// The configuration files of a sidecar.
 pub struct SidecarFiles {
-    /// The application's file.
+    /// Path of the application's file.
     pub app: PathBuf,
-    /// The site's file; beside the application's, under the name `site.toml`, where it is not given.
+    /// Path of the site's file; by default `site.toml` in the folder of the application's file.
     pub site: Option<PathBuf>,
-    /// A fleet snapshot, for the first endpoint list.
+    /// Path of a fleet snapshot, which gives the initial endpoint list.
     pub fleet: Option<PathBuf>,
-    /// The sidecar's name; not needed where the application has but one.
+    /// Name of the sidecar; may be omitted if the application has only one.
     pub sidecar: Option<String>,
 }
 
-/// Where an ingress is configured from.
+/// Source of the configuration.
 pub enum ConfigSource {
-    /// The platform's file, and what an operator adds to it.
+    /// The platform's file, optionally extended by an operator's file.
     Platform {
-        /// The platform's file.
+        /// Path of the platform's file.
         path: String,
-        /// The operator's file.
+        /// Path of the operator's file.
         operator: Option<PathBuf>,
     },
-    /// An operator's files.
+    /// The files of a sidecar.
     Sidecar(SidecarFiles),
 }
 
 impl ConfigSource {
-    /// Whether a file that was refused with this error may only be half written.
+    /// Whether the error may have been caused by a file that is still being written.
     pub fn may_be_half_written(&self, error: &ConfigError) -> bool {
-        // A sidecar's files have a line each for all that is wrong, which a file's early end may be the cause of.
+        // The errors of a sidecar's files are only available as text, and a truncated file can cause any of them.
         matches!(self, ConfigSource::Sidecar(_)) || error.is_truncated()
     }
 
-    /// Reads it anew; `variable` looks up the environment, which overrules the platform's file alone.
+    /// Reads the files. `variable` looks up environment variables, which override only the platform's file.
     ///
     /// # Errors
     ///
-    /// Where a file can't be read or is refused.
+    /// If a file cannot be read or is refused.
     pub fn read(&self, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         match self {
             ConfigSource::Platform { path, operator } => {
--- a/crates/ingress/src/counter.rs
+++ b/crates/ingress/src/counter.rs
@@ -1,6 +1,6 @@
-//! Calls to the count service, where the settings say that there is one: one connection, calls written one behind the
-//! other, answers in their order. The service has no time-out, so this side has its own: a call whose time is over is
-//! reported as unanswered, and its place in the order is kept so that its late answer passes for no other call's.
+//! Client of the count service, if the settings have one: calls are pipelined on one connection, and answers arrive in the
+//! order of the calls. The service has no timeout, so the client has one: a call that times out is reported as unanswered but
+//! stays in the queue, so that its late answer is not taken for the answer to a later call.
 
 use crate::stream::is_not_ready;
 use mio::net::TcpStream;
@@ -14,77 +14,80 @@
 #[cfg(test)]
 mod tests;
 
-/// The most calls without an answer, those that are over among them. A service that is so far behind gets no more to do, and
-/// the queue stays within some ten kilobytes.
+/// Maximum number of unanswered calls, including those that have timed out. A service this far behind gets no further calls,
+/// and the queue stays within about 10 KB.
 const MAX_CALLS: usize = 256;
-/// A connection that has been idle for so long is closed: the service does so after some 10 s, and a call that crosses that
-/// would count as perhaps done.
+/// Idle time after which the client closes the connection, in microseconds. The service closes idle connections after about
+/// 10 s, and for a call sent at that moment it would be unknown whether it was counted.
 const IDLE_TIMEOUT: Micros = 3_000_000;
-/// How long the oldest call of a connection may stay unanswered, in time-outs, until the connection counts as dead.
+/// A connection is considered dead when its oldest call has been unanswered for this many call timeouts.
 const DEAD_AFTER_TIMEOUTS: Micros = 20;
-/// The backoff before a new connection after one that failed, the first and the longest.
+/// Initial backoff before reconnecting after a failure, in microseconds; doubled up to [`MAX_BACKOFF`].
 const FIRST_BACKOFF: Micros = 50_000;
+/// Maximum backoff before reconnecting, in microseconds.
 const MAX_BACKOFF: Micros = 1_000_000;
-/// The most bytes of answers that are read in one turn.
+/// Maximum number of answer bytes buffered in one event loop iteration.
 const MAX_READ: usize = 64 * 1024;
-/// Bytes read at once.
-const CHUNK: usize = 4096;
+/// Size of the buffer for one read call, in bytes.
+const READ_CHUNK: usize = 4096;
 
-/// A call: adds an amount to a number that all ingresses share.
+/// A call that adds an amount to a counter shared by all ingresses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CountCall {
-    /// The number's name.
+    /// Name of the counter.
     pub name: u64,
-    /// What is added to it.
+    /// Amount added to the counter.
     pub amount: f64,
-    /// How long it exists, if it is new.
+    /// Lifetime of the counter in microseconds, if this call creates it.
     pub lifetime: Micros,
 }
 
-/// How a call ended.
+/// Result of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CountResult {
-    /// The number's name.
+    /// Name of the counter.
     pub name: u64,
-    /// What is known of the call.
+    /// Whether the amount was added, was not added, or may have been added.
     pub outcome: Outcome,
-    /// The number behind the call, with [`Outcome::Ok`].
+    /// Value of the counter after the call; meaningful only with [`Outcome::Ok`].
     pub total: f64,
 }
 
-/// A call that was written, or is to be.
+/// A call in the queue, written to the connection or not.
 struct PendingCall {
     name: u64,
     started_at: Micros,
-    /// Where its last byte stands in all that was queued on this connection.
+    /// Position after the call's last byte in the stream of bytes queued on this connection.
     end: u64,
-    /// It has been reported as unanswered.
+    /// Whether the call has been reported as unanswered.
     timed_out: bool,
 }
 
-/// The client of the count service.
+/// Client of the count service with at most one connection.
 pub struct CounterClient {
     address: SocketAddr,
     token: Token,
-    /// How long an answer is waited for.
+    /// Time to wait for the answer to a call, in microseconds.
     timeout: Micros,
     stream: Option<TcpStream>,
     calls: VecDeque<PendingCall>,
     out: Vec<u8>,
-    /// Bytes queued on this connection, and those that the kernel has taken.
+    /// Bytes queued on this connection so far.
     queued: u64,
+    /// Bytes of those that the kernel has accepted.
     written: u64,
     buf: Vec<u8>,
     backoff: Micros,
-    /// No connection is tried before this.
+    /// Earliest time of the next connection attempt.
     retry_at: Micros,
-    used_at: Micros,
-    /// The calls that ended since this was last looked at, in order.
+    last_call_at: Micros,
+    /// Results of calls that have ended; drained by the caller.
     pub results: Vec<CountResult>,
 }
 
 impl CounterClient {
-    /// A client of the service at `address`, which waits `timeout` for an answer.
+    /// Creates a client for the service at `address` that waits `timeout` microseconds for an answer. It connects at the first
+    /// call.
     pub fn new(address: SocketAddr, timeout: Micros, token: Token) -> Self {
         CounterClient {
             address,
@@ -98,7 +101,7 @@
             buf: Vec::new(),
             backoff: FIRST_BACKOFF,
             retry_at: 0,
-            used_at: 0,
+            last_call_at: 0,
             results: Vec::new(),
         }
     }
@@ -111,7 +114,7 @@
         });
     }
 
-    /// Makes a call; gives the time when it is over, unless it has ended at once.
+    /// Queues a call and returns its deadline, or `None` if it failed immediately; the result is then in `results`.
     pub fn call(&mut self, call: CountCall, now: Micros, registry: &Registry) -> Option<Micros> {
         let name = call.name;
         if self.calls.len() >= MAX_CALLS {
@@ -122,19 +125,19 @@
             self.report(name, Outcome::ConnectFailed, 0.0);
             return None;
         }
-        let before = self.out.len();
+        let length_before = self.out.len();
         if !tally::put_call(&mut self.out, name, call.amount, call.lifetime) {
             self.report(name, Outcome::NotSent, 0.0);
             return None;
         }
-        self.queued += (self.out.len() - before) as u64;
+        self.queued += (self.out.len() - length_before) as u64;
         self.calls.push_back(PendingCall {
             name,
             started_at: now,
             end: self.queued,
             timed_out: false,
         });
-        self.used_at = now;
+        self.last_call_at = now;
         self.write(now);
         Some(now + self.timeout)
     }
@@ -154,14 +157,15 @@
 
     fn open(&self, registry: &Registry) -> io::Result<TcpStream> {
         let mut stream = TcpStream::connect(self.address)?;
-        // One call is a few bytes, and the next must not wait for its acknowledgement.
+        // Calls are a few bytes each; with Nagle's algorithm the next one would wait for the acknowledgement of the previous one.
         stream.set_nodelay(true)?;
         let interests = Interest::READABLE | Interest::WRITABLE;
         registry.register(&mut stream, self.token, interests)?;
         Ok(stream)
     }
 
-    /// Gives the connection up. Calls that were written to their last byte may have been added.
+    /// Closes the connection and reports its calls: those written completely may have been counted, the others were not.
+    /// `failed` starts the backoff.
     fn disconnect(&mut self, now: Micros, failed: bool) {
         self.stream = None;
         self.buf.clear();
@@ -186,11 +190,11 @@
         let Some(stream) = &mut self.stream else {
             return;
         };
-        let mut taken = 0;
+        let mut written = 0;
         let mut failed = false;
-        while taken < self.out.len() {
-            match stream.write(&self.out[taken..]) {
-                Ok(n) => taken += n,
+        while written < self.out.len() {
+            match stream.write(&self.out[written..]) {
+                Ok(n) => written += n,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => {
                     failed = !is_not_ready(&e);
@@ -198,30 +202,30 @@
                 }
             }
         }
-        self.out.drain(..taken);
-        self.written += taken as u64;
+        self.out.drain(..written);
+        self.written += written as u64;
         if failed {
             self.disconnect(now, true);
         }
     }
 
-    /// Takes in what the connection has, and writes what is queued.
+    /// Handles readiness of the connection: writes queued calls and processes answers.
     pub fn ready(&mut self, now: Micros) {
         self.write(now);
-        let ended = self.read();
+        let closed = self.read();
         if self.take_answers().is_err() {
             return self.disconnect(now, true);
         }
-        if ended {
-            // Between calls the service may close a connection; in the middle of one it has failed.
+        if closed {
+            // The service may close an idle connection; with calls outstanding, the close is a failure.
             let failed = !self.calls.is_empty();
             self.disconnect(now, failed);
         }
     }
 
-    /// Reads what the connection has, within [`MAX_READ`]; true if the connection has ended.
+    /// Reads available bytes up to [`MAX_READ`]; returns true if the connection is closed or broken.
     fn read(&mut self) -> bool {
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_CHUNK];
         while self.buf.len() < MAX_READ {
             let Some(stream) = &mut self.stream else {
                 return false;
@@ -236,14 +240,14 @@
         false
     }
 
-    /// Takes the answers that have come; an error where they can't be told apart any more.
-    fn take_answers(&mut self) -> Result<(), OutOfOrder> {
-        let mut taken = 0;
+    /// Processes the received answers. Fails if an answer cannot be matched to a call.
+    fn take_answers(&mut self) -> Result<(), ProtocolViolation> {
+        let mut consumed = 0;
         while let Some((answer, length)) =
-            tally::answer(&self.buf[taken..]).map_err(|_| OutOfOrder)?
+            tally::answer(&self.buf[consumed..]).map_err(|_| ProtocolViolation)?
         {
-            taken += length;
-            let call = self.calls.pop_front().ok_or(OutOfOrder)?;
+            consumed += length;
+            let call = self.calls.pop_front().ok_or(ProtocolViolation)?;
             self.backoff = FIRST_BACKOFF;
             if !call.timed_out {
                 let (outcome, total) = match answer {
@@ -254,38 +258,38 @@
                 self.report(call.name, outcome, total);
             }
         }
-        self.buf.drain(..taken);
+        self.buf.drain(..consumed);
         Ok(())
     }
 
-    /// Reports the calls whose time is over, and gives up a connection that has been silent for too long.
+    /// Reports the calls that have timed out, and closes a connection that is considered dead.
     pub fn time_out(&mut self, now: Micros) {
         let timeout = self.timeout;
         let mut timed_out = Vec::new();
-        let due = |call: &&mut PendingCall| call.started_at + timeout <= now;
-        for call in self.calls.iter_mut().take_while(due) {
+        let is_due = |call: &&mut PendingCall| call.started_at + timeout <= now;
+        for call in self.calls.iter_mut().take_while(is_due) {
             if !std::mem::replace(&mut call.timed_out, true) {
                 timed_out.push(call.name);
             }
         }
         for name in timed_out {
-            // It may leave the kernel yet: even one that was not written is no longer known not to be added.
+            // The bytes may still be sent later, so even a call that is not written yet may be counted.
             self.report(name, Outcome::TimedOut, 0.0);
         }
-        let dead = |call: &PendingCall| call.started_at + DEAD_AFTER_TIMEOUTS * timeout <= now;
-        if self.calls.front().is_some_and(dead) {
+        let is_dead = |call: &PendingCall| call.started_at + DEAD_AFTER_TIMEOUTS * timeout <= now;
+        if self.calls.front().is_some_and(is_dead) {
             self.disconnect(now, true);
         }
     }
 
-    /// Closes a connection that has long been idle.
+    /// Closes the connection if it has been idle for [`IDLE_TIMEOUT`].
     pub fn sweep(&mut self, now: Micros) {
         self.time_out(now);
-        if self.calls.is_empty() && now > self.used_at + IDLE_TIMEOUT {
+        if self.calls.is_empty() && now > self.last_call_at + IDLE_TIMEOUT {
             self.disconnect(now, false);
         }
     }
 }
 
-/// Something came that is no answer, or one that no call waits for: whose the next ones are can't be told.
-struct OutOfOrder;
+/// The service sent invalid bytes, or an answer with no outstanding call. Later answers can no longer be matched to calls.
+struct ProtocolViolation;
--- a/crates/ingress/src/descriptor_budget.rs
+++ b/crates/ingress/src/descriptor_budget.rs
@@ -1,54 +1,56 @@
-//! The budget of file descriptors that clients and backends share, and whose idle connection is evicted for another.
+//! The budget of file descriptors shared by client and backend connections, and which idle connection is evicted when it is
+//! used up.
 
 use crate::backend::Backends;
 use crate::client::{Admission, Clients};
 use crate::error::IngressError;
-use crate::management::MAX_CONNECTIONS as MAX_OPERATORS;
+use crate::management::MAX_CONNECTIONS as MAX_MANAGEMENT_CONNECTIONS;
 use rustix::process::{getrlimit, Resource};
 use wrenfork_decision::{BackendId, Micros};
 
-/// Descriptors that are neither clients nor backends: standard streams, poll, listener, signals, discovery,
-/// peers, and some to spare for what is opened before another is closed.
+/// Descriptors that are neither clients nor backends: standard streams, poll, listener, signals, discovery, peers, and a few
+/// spare ones for sockets that are opened before the one they replace is closed.
 const OTHER_DESCRIPTORS: usize = 20;
-/// The operators' listener and their connections.
-const MANAGEMENT_DESCRIPTORS: usize = 1 + MAX_OPERATORS;
-/// Clients that are accepted beyond the budget, only to be told so.
+/// Descriptors of the management listener and its connections.
+const MANAGEMENT_DESCRIPTORS: usize = 1 + MAX_MANAGEMENT_CONNECTIONS;
+/// Clients that are accepted beyond the budget, only to be sent a rejection.
 const MAX_SURPLUS: usize = 8;
-/// The most of the budget that the clients, or the backends, may have to themselves, in eighths.
+/// Largest share of the budget that clients alone, or backends alone, may use, in eighths.
 const MAX_SHARE_EIGHTHS: usize = 6;
-/// The least that must be left for clients and backends.
+/// Minimum number of descriptors that must remain for clients and backends.
 const MIN_SHARED: usize = 8;
 
-/// One part in so many of the descriptors is for clients that are idle behind an answer: some send one request and keep their
-/// connection for good, and a front that may hold a third of the descriptors could reach nobody any more.
-const IDLE_SHARE: usize = 6;
+/// Clients that are idle after an answer may keep at most the descriptor limit divided by this. Some clients send one request
+/// and never close their connection; with a third of the descriptors held that way, the ingress could not connect to backends.
+const IDLE_DIVISOR: usize = 6;
 
-/// The descriptors that clients and backends share.
+/// Limits on the descriptors that clients and backends share.
 #[derive(Clone, Copy)]
 pub struct DescriptorBudget {
-    /// For clients and backends together.
+    /// Descriptors for clients and backends together.
     shared: usize,
-    /// For clients that are idle behind an answer.
+    /// Descriptors for clients that are idle after an answer.
     idle: usize,
 }
 
-/// Who needs descriptors besides clients and backends.
+/// Descriptors that are set aside before clients and backends get theirs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReservedDescriptors {
-    /// Whether operators are listened for.
+    /// Whether the management address is configured.
     pub management: bool,
-    /// Descriptors of a member of a group.
+    /// Number of descriptors that group membership needs; 0 outside a group.
     pub group: usize,
 }
 
 impl DescriptorBudget {
-    /// What is left of the process's limit, in descriptors, for clients and backends.
+    /// Computes the budget for clients and backends from the configured limit and the process's `RLIMIT_NOFILE`, whichever
+    /// is lower.
     ///
     /// # Errors
     ///
-    /// Where that is next to none.
+    /// If fewer than [`MIN_SHARED`] descriptors remain.
     pub fn new(limit: usize, reserved: ReservedDescriptors) -> Result<Self, IngressError> {
-        // Where the system allows less than is configured, what is reserved for discovery and the rest would not be there.
+        // With a system limit below the configured one, the reserved descriptors could not be opened.
         let allowed = getrlimit(Resource::Nofile)
             .current
             .and_then(|n| usize::try_from(n).ok());
@@ -58,30 +60,30 @@
         } else {
             0
         };
-        let others = OTHER_DESCRIPTORS + reserved.group + management + MAX_SURPLUS;
-        let shared = limit.checked_sub(others).filter(|n| *n >= MIN_SHARED);
+        let set_aside = OTHER_DESCRIPTORS + reserved.group + management + MAX_SURPLUS;
+        let shared = limit.checked_sub(set_aside).filter(|n| *n >= MIN_SHARED);
         Ok(DescriptorBudget {
             shared: shared.ok_or(IngressError::TooFewDescriptors(limit))?,
-            idle: limit / IDLE_SHARE,
+            idle: limit / IDLE_DIVISOR,
         })
     }
 
-    /// The most that the clients, or the backends, may have.
+    /// Maximum number of descriptors for clients alone, or backends alone.
     fn max_share(self) -> usize {
         self.shared * MAX_SHARE_EIGHTHS / 8
     }
 
-    fn is_spent(self, clients: &Clients, backends: &Backends) -> bool {
+    fn is_exhausted(self, clients: &Clients, backends: &Backends) -> bool {
         clients.len() + backends.len() >= self.shared
     }
 
-    /// Whether one more connection to a backend may be opened beside another.
+    /// Whether a second connection to the same backend may be opened while the first one is still connecting.
     pub fn allows_another_address(self, clients: &Clients, backends: &Backends) -> bool {
-        backends.len() < self.max_share() && !self.is_spent(clients, backends)
+        backends.len() < self.max_share() && !self.is_exhausted(clients, backends)
     }
 
-    /// Whether one more client may be accepted beside so many connections to backends, some of which may be idle, be it only
-    /// to be told that there is no capacity.
+    /// Whether one more client may be accepted, if only to be sent a rejection. `backends` is the number of backend
+    /// connections, and `any_backend_idle` says whether one of them could be evicted.
     pub fn allows_accept(self, clients: &Clients, backends: usize, any_backend_idle: bool) -> bool {
         let (share, len) = (self.max_share(), clients.len());
         let full = len >= share || len + backends >= self.shared;
@@ -91,7 +93,7 @@
             || clients.surplus() < MAX_SURPLUS
     }
 
-    /// Frees a descriptor for a client that has connected, if need be by evicting an idle connection.
+    /// Frees a descriptor for a newly connected client, evicting an idle connection if necessary.
     pub fn admit_client(
         self,
         clients: &mut Clients,
@@ -99,7 +101,7 @@
         now: Micros,
     ) -> Admission {
         clients.evict_idle_beyond(self.idle, now);
-        let full = clients.len() >= self.max_share() || self.is_spent(clients, backends);
+        let full = clients.len() >= self.max_share() || self.is_exhausted(clients, backends);
         if !full
             || clients.evict_oldest(now)
             || (clients.len() < self.max_share() && backends.evict_oldest())
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Whether work for a backend has a descriptor, if need be by evicting an idle connection.
+    /// Whether an attempt at a backend can get a descriptor, evicting an idle connection if necessary.
     pub fn admit_attempt(
         self,
         backend: BackendId,
@@ -124,6 +126,8 @@
         if backends.len() >= self.max_share() {
             return backends.evict_oldest();
         }
-        !self.is_spent(clients, backends) || backends.evict_oldest() || clients.evict_oldest(now)
+        !self.is_exhausted(clients, backends)
+            || backends.evict_oldest()
+            || clients.evict_oldest(now)
     }
 }
--- a/crates/ingress/src/error.rs
+++ b/crates/ingress/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the ingress can't start, or can't run on.
+//! Errors that prevent the ingress from starting or from running on.
 
 use crate::config::ConfigError;
 use crate::control::ControlError;
@@ -6,66 +6,66 @@
 use std::net::SocketAddr;
 use wrenfork_control_plane::socket::SocketError;
 
-/// An error of `wrenfork-config`, whose errors have no type of their own yet.
+/// An error of `wrenfork-config`, whose functions return errors as text or of several types.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why the ingress can't start, or can't run on.
+/// Why the ingress failed to start or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub enum IngressError {
-    /// The environment names no configuration file.
-    #[error("LB_CONFIG is not set")]
+    /// Neither arguments nor environment name a configuration file.
+    #[error("no configuration: neither --app nor LB_CONFIG is set")]
     ConfigFileNotSet,
-    /// The configuration is refused.
+    /// The configuration was refused.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The control port can't be opened.
+    /// The control port could not be opened.
     #[error(transparent)]
     Control(#[from] ControlError),
-    /// The signals of the process can't be received.
-    #[error("cannot take signals: {0}")]
+    /// Signal handlers could not be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The readiness loop doesn't work.
-    #[error("cannot poll: {0}")]
+    /// Polling for socket readiness failed.
+    #[error("cannot poll sockets: {0}")]
     Poll(#[source] io::Error),
-    /// The address for clients can't be bound.
-    #[error("listen: cannot listen at {address}: {source}")]
+    /// The TCP address for clients could not be bound.
+    #[error("listen: cannot listen on {address}: {source}")]
     ListenTcp {
-        /// The address.
+        /// Address that could not be bound.
         address: SocketAddr,
-        /// The system's reason.
+        /// Error returned by the operating system.
         source: io::Error,
     },
-    /// The Unix socket for clients can't be bound.
+    /// The Unix socket for clients could not be bound.
     #[error("listen: {0}")]
     ListenUnix(#[source] SocketError),
-    /// The Unix socket for clients can't be made non-blocking.
-    #[error("listen: cannot be polled: {0}")]
+    /// The Unix socket for clients could not be made non-blocking.
+    #[error("listen: cannot make the Unix socket non-blocking: {0}")]
     ListenNonblocking(#[source] io::Error),
-    /// The address for messages of peers can't be bound.
+    /// The address for peer messages could not be bound.
     #[error("peer_listen: cannot bind {address}: {source}")]
     PeerListen {
-        /// The address.
+        /// Address that could not be bound.
         address: SocketAddr,
-        /// The system's reason.
+        /// Error returned by the operating system.
         source: io::Error,
     },
-    /// The address for operators can't be bound.
-    #[error("management: cannot listen at {address}: {source}")]
+    /// The management address could not be bound.
+    #[error("management: cannot listen on {address}: {source}")]
     ManagementListen {
-        /// The address.
+        /// Address that could not be bound.
         address: SocketAddr,
-        /// The system's reason.
+        /// Error returned by the operating system.
         source: io::Error,
     },
-    /// The limit leaves next to no descriptor for clients and backends.
-    #[error("limits.sockets is too few: {0}")]
+    /// The descriptor limit leaves too few descriptors for clients and backends.
+    #[error("limits.sockets: a limit of {0} descriptors is too low")]
     TooFewDescriptors(usize),
-    /// The status file can't be written.
-    #[error("status: {path}: {source}")]
+    /// The status file could not be written.
+    #[error("status: cannot write {path}: {source}")]
     StatusFile {
-        /// The file.
+        /// Path of the status file.
         path: String,
-        /// The system's reason.
+        /// Error returned by the operating system.
         source: io::Error,
     },
 }
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -1,5 +1,5 @@
-//! wrenfork, the ingress: clients, backends, discovery and peers on sockets, round the decision module. A library, so that
-//! tests can build versions that are faulty on purpose; the program is [`Shipped`].
+//! wrenfork, the ingress: an event loop that connects clients, backends, discovery and peers to the decision module. It is a
+//! library so that tests can build versions that are faulty on purpose; the released program runs [`Shipped`].
 
 mod admission;
 mod arguments;
@@ -45,7 +45,7 @@
 use reload_status::ReloadStatusFile;
 use std::process::ExitCode;
 
-/// Runs a version of the program with the arguments of this process, until it is told to stop or can't go on.
+/// Runs a version of the program with the command-line arguments of this process, until a signal stops it or an error occurs.
 pub fn main(mut variant: impl Variant) -> ExitCode {
     let arguments = Arguments::parse();
     if arguments.speaks {
@@ -75,7 +75,7 @@
 fn run(variant: impl Variant, mut arguments: Arguments) -> Result<(), IngressError> {
     let variable = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
     let source = arguments.config_source(variable)?;
-    // From here on no signal ends the process: one that comes while it starts is taken up by the event loop.
+    // From here on signals no longer terminate the process: those that arrive during the start are handled by the event loop.
     let signals = receive_signals()?;
     let mut config = source.read(variable)?;
     config.control.socket = arguments.control.or(config.control.socket);
--- a/crates/ingress/src/logging.rs
+++ b/crates/ingress/src/logging.rs
@@ -1,11 +1,11 @@
-//! The log, on standard error: a line for what happens to the ingress, none for a request. A log that can't be written is no
-//! reason to stop.
+//! The log on standard error. It has lines for events of the ingress but not for individual requests. Failures to write the log
+//! are ignored.
 
 use clap::ValueEnum;
 use std::io::IsTerminal;
 use tracing::level_filters::LevelFilter;
 
-/// The format of the log's lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Default, ValueEnum)]
 pub enum LogFormat {
     /// For people: words, and `key=value`
@@ -15,7 +15,7 @@
     Json,
 }
 
-/// What is logged.
+/// Lowest severity that is logged.
 #[derive(Clone, Copy, Default, ValueEnum)]
 pub enum LogLevel {
     /// What ends or refuses something
@@ -29,7 +29,7 @@
     Debug,
 }
 
-/// Starts writing the log; what is logged before is lost.
+/// Initializes logging. Events before this call are not logged.
 pub fn start(format: LogFormat, level: LogLevel) {
     let level = match level {
         LogLevel::Error => LevelFilter::ERROR,
--- a/crates/ingress/src/main.rs
+++ b/crates/ingress/src/main.rs
@@ -1,4 +1,4 @@
-//! The program that ships.
+//! The released program.
 
 fn main() -> std::process::ExitCode {
     wrenfork::main(wrenfork::Shipped)
--- a/crates/ingress/src/management.rs
+++ b/crates/ingress/src/management.rs
@@ -1,5 +1,5 @@
-//! The operators' address: one line to a connection, one answer, and the end of it. Operators have descriptors of their own, few
-//! of them: whoever has not sent its line makes room for the next one, and nobody is waited for.
+//! Server on the management address: a connection carries one query line and one answer, and is then closed. Few descriptors are
+//! reserved for it, so a connection that has not sent its line is closed when another one needs its descriptor.
 
 mod connection;
 
@@ -16,42 +16,46 @@
 
 pub use connection::Query;
 
-/// The most operators at once, and so the descriptors that are reserved for them besides the listener's.
+/// Maximum number of management connections, for which as many descriptors are reserved besides that of the listener.
 pub const MAX_CONNECTIONS: usize = 16;
-/// How long a connection may take from its begin to its end.
+/// Maximum lifetime of a connection, in microseconds.
 const CONNECTION_TIMEOUT: Micros = 5_000_000;
-/// Connections accepted in a turn.
+/// Maximum number of connections accepted per event loop iteration.
 const ACCEPTS_PER_TURN: usize = 32;
 
-/// A query that is to be answered.
+/// A received query that has not been answered yet.
 pub struct PendingQuery {
+    /// Index of the connection.
     key: usize,
+    /// Serial number of the connection, since its index may be reused.
     serial: u64,
-    /// What is asked for.
+    /// The query to answer.
     pub query: Query,
 }
 
-/// The server of the operators' address.
+/// Listener and connections of the management address.
 pub struct ManagementServer {
     listener: TcpListener,
     connections: [Option<Connection>; MAX_CONNECTIONS],
+    /// Serial number of the latest connection.
     serial: u64,
-    tokens: fn(usize) -> Token,
-    /// Queries that are to be answered.
+    /// Poll token for the index of a connection.
+    token_of: fn(usize) -> Token,
+    /// Received queries that have not been answered yet; drained by the caller.
     pub queries: Vec<PendingQuery>,
 }
 
 impl ManagementServer {
-    /// Binds the address; `tokens` names the connections to the poll.
+    /// Binds the address. `token` is the poll token of the listener, and `token_of` gives that of a connection.
     ///
     /// # Errors
     ///
-    /// Where it can't be bound.
+    /// If the address cannot be bound.
     pub fn bind(
         address: SocketAddr,
         registry: &Registry,
         token: Token,
-        tokens: fn(usize) -> Token,
+        token_of: fn(usize) -> Token,
     ) -> Result<ManagementServer, IngressError> {
         let bound = TcpListener::bind(address).and_then(|mut listener| {
             registry.register(&mut listener, token, Interest::READABLE)?;
@@ -64,19 +68,19 @@
             listener,
             connections: Default::default(),
             serial: 0,
-            tokens,
+            token_of,
             queries: Vec::new(),
         })
     }
 
-    /// Accepts who waits; true if there may be more.
+    /// Accepts waiting connections; returns true if more may be waiting.
     pub fn accept(&mut self, registry: &Registry, now: Micros) -> bool {
         for _ in 0..ACCEPTS_PER_TURN {
             match self.listener.accept() {
                 Ok((stream, _)) => self.add(stream, registry, now),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
                 Err(e) if is_transient(e.kind()) => {}
-                // No descriptor in spite of the reserve: whoever waits is looked at again in the next turn.
+                // Out of descriptors in spite of the reserve: free one, and accept again in the next iteration.
                 Err(_) => {
                     self.close_oldest();
                     return true;
@@ -86,8 +90,8 @@
         true
     }
 
-    /// Closes a connection to make room: first those that are answered, then those that have not sent their line; any that
-    /// there is, if need be.
+    /// Closes the connection that is first in [`Connection::eviction_order`], and returns its index; `None` if there is no
+    /// connection.
     fn close_oldest(&mut self) -> Option<usize> {
         let connections = self.connections.iter().enumerate();
         let open = connections.filter_map(|(key, c)| Some((key, c.as_ref()?)));
@@ -102,17 +106,17 @@
             return;
         };
         let interests = Interest::READABLE | Interest::WRITABLE;
-        let token = (self.tokens)(key);
+        let token = (self.token_of)(key);
         if registry.register(&mut stream, token, interests).is_err() {
             return;
         }
         self.serial += 1;
         self.connections[key] = Some(Connection::new(stream, self.serial, now));
-        // What it sent with its connecting is read at once: however many come behind it, it has its answer.
+        // Read immediately: a query that arrived with the connection is answered even if later connections evict this one.
         self.ready(key);
     }
 
-    /// Does what a connection is ready for.
+    /// Handles readiness of a connection: reads its query and writes its answer.
     pub fn ready(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key).and_then(Option::as_mut) else {
             return;
@@ -124,19 +128,22 @@
                 self.write(key);
             }
             Received::Nothing => self.write(key),
-            Received::Gone => self.connections[key] = None,
+            Received::Closed => self.connections[key] = None,
         }
     }
 
-    /// Answers a query: a line that begins with `+OK` or `-ERR`, and what comes behind it.
-    pub fn answer(&mut self, to: &PendingQuery, text: String) {
-        let connection = self.connections.get_mut(to.key).and_then(Option::as_mut);
-        let Some(connection) = connection.filter(|c| c.serial == to.serial) else {
+    /// Answers a query, unless its connection is closed. `text` begins with a line that starts with `+OK` or `-ERR`.
+    pub fn answer(&mut self, pending: &PendingQuery, text: String) {
+        let connection = self
+            .connections
+            .get_mut(pending.key)
+            .and_then(Option::as_mut);
+        let Some(connection) = connection.filter(|c| c.serial == pending.serial) else {
             return;
         };
         if connection.set_answer(text) {
-            self.write(to.key);
-            self.ready(to.key);
+            self.write(pending.key);
+            self.ready(pending.key);
         }
     }
 
@@ -149,18 +156,18 @@
         }
     }
 
-    /// Closes the connections that take too long.
+    /// Closes the connections that are older than [`CONNECTION_TIMEOUT`].
     pub fn sweep(&mut self, now: Micros) {
-        let late = |c: &Connection| now > c.since + CONNECTION_TIMEOUT;
+        let is_expired = |c: &Connection| now > c.accepted_at + CONNECTION_TIMEOUT;
         for connection in &mut self.connections {
-            if connection.as_ref().is_some_and(late) {
+            if connection.as_ref().is_some_and(is_expired) {
                 *connection = None;
             }
         }
     }
 }
 
-/// Whether another connection may be accepted behind an error.
+/// Whether accepting can continue after an error of this kind.
 fn is_transient(kind: ErrorKind) -> bool {
     matches!(kind, ErrorKind::ConnectionAborted | ErrorKind::Interrupted)
 }
--- a/crates/ingress/src/management/connection.rs
+++ b/crates/ingress/src/management/connection.rs
@@ -1,183 +1,188 @@
-//! An operator's connection: its line, and the answer to that.
+//! A management connection: reads one query line and writes the answer.
 
 use mio::net::TcpStream;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::Shutdown;
 use wrenfork_decision::Micros;
 
-/// The most bytes of a line.
+/// Maximum length of a query line in bytes.
 const MAX_LINE: usize = 256;
-/// The most characters of an unknown query that are shown in the answer.
+/// Maximum number of characters of an unknown query that the answer repeats.
 const MAX_SHOWN: usize = 32;
-/// Reads in a turn behind the line.
+/// Maximum number of reads per event loop iteration after the query line.
 const READS_PER_TURN: usize = 8;
 
-/// What an operator asks for.
+/// A query of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// Whether a request that came now would be served.
+    /// Whether the ingress would currently serve a request.
     Readiness,
-    /// The telemetry.
+    /// The current telemetry.
     Telemetry,
 }
 
-/// Why a line is no query.
+/// Why a line is not a valid query.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum QueryError {
     /// The line is empty.
-    #[error("no call: readyz or telemetry is wanted")]
+    #[error("empty query: expected readyz or telemetry")]
     Empty,
-    /// The line is something else.
-    #[error("unknown call {0:?}: readyz or telemetry is wanted")]
+    /// The line is not a known query; the value is its beginning.
+    #[error("unknown query {0:?}: expected readyz or telemetry")]
     Unknown(String),
-    /// The line has no end within [`MAX_LINE`].
-    #[error("a line has {MAX_LINE} bytes at most")]
+    /// The line is longer than [`MAX_LINE`].
+    #[error("query line is longer than {MAX_LINE} bytes")]
     TooLong,
 }
 
-/// Parses a line.
+/// Parses a query line; surrounding whitespace is ignored.
 pub(super) fn parse(line: &[u8]) -> Result<Query, QueryError> {
     match line.trim_ascii() {
         b"readyz" => Ok(Query::Readiness),
         b"telemetry" => Ok(Query::Telemetry),
         b"" => Err(QueryError::Empty),
-        other => {
-            let text = String::from_utf8_lossy(other);
+        unknown => {
+            let text = String::from_utf8_lossy(unknown);
             Err(QueryError::Unknown(text.chars().take(MAX_SHOWN).collect()))
         }
     }
 }
 
-/// What a connection brought.
+/// Result of reading from a connection.
 pub(super) enum Received {
-    /// Nothing that asks for something.
+    /// No complete query.
     Nothing,
-    /// A query to be answered.
+    /// A query that is to be answered.
     Query(Query),
-    /// It is to be closed.
-    Gone,
+    /// The connection is finished or broken and is to be closed.
+    Closed,
 }
 
-/// An operator's connection.
+/// A management connection.
 pub(super) struct Connection {
     stream: TcpStream,
+    /// Serial number, which increases in the order of accepting.
     pub(super) serial: u64,
-    /// When it was accepted.
-    pub(super) since: Micros,
+    /// Time at which the connection was accepted.
+    pub(super) accepted_at: Micros,
+    /// Input received so far, up to the end of the query line.
     line: Vec<u8>,
-    /// Its answer; empty until it has sent its line.
-    out: Vec<u8>,
+    /// The answer; empty until the query has been answered.
+    answer: Vec<u8>,
+    /// Number of bytes of the answer that have been written.
     written: usize,
-    /// Its answer is written: what it still sends is read and dropped, so that the end is no reset.
+    /// Whether the answer has been written completely. Later input is read and discarded, since closing a socket with unread
+    /// input would reset the connection.
     answered: bool,
 }
 
 impl Connection {
-    /// One that was accepted now.
+    /// Creates a connection that was accepted at `now`.
     pub(super) fn new(stream: TcpStream, serial: u64, now: Micros) -> Connection {
         Connection {
             stream,
             serial,
-            since: now,
+            accepted_at: now,
             line: Vec::new(),
-            out: Vec::new(),
+            answer: Vec::new(),
             written: 0,
             answered: false,
         }
     }
 
-    /// Its place among those that are closed to make room, the least first.
+    /// Sort key for evicting connections, lowest first: those that are answered, then those that have not sent their line, then
+    /// those whose answer is being written; the oldest first in each case.
     pub(super) fn eviction_order(&self) -> impl Ord {
-        let answering = !self.out.is_empty() && !self.answered;
-        (answering, !self.answered, self.since, self.serial)
+        let answering = !self.answer.is_empty() && !self.answered;
+        (answering, !self.answered, self.accepted_at, self.serial)
     }
 
-    /// Reads what has come.
+    /// Reads the available input.
     pub(super) fn receive(&mut self) -> Received {
         let mut chunk = [0; MAX_LINE];
         let mut reads_left = READS_PER_TURN;
-        // Whatever it still sends beyond that, it has its answer.
+        // Only input after the query line counts against the limit: the answer is already set, and the input is discarded.
         while reads_left > 0 {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return self.end_of_input(),
-                Ok(_) if !self.out.is_empty() => reads_left -= 1,
+                Ok(_) if !self.answer.is_empty() => reads_left -= 1,
                 Ok(n) => {
                     self.line.extend_from_slice(&chunk[..n]);
-                    if let Some(query) = self.take_line() {
+                    if let Some(query) = self.take_query() {
                         return Received::Query(query);
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Received::Nothing,
-                Err(_) => return Received::Gone,
+                Err(_) => return Received::Closed,
             }
         }
         Received::Nothing
     }
 
-    /// The end of its input is the end of its line, if it has begun one.
+    /// Handles the end of input, which also ends an incomplete query line.
     fn end_of_input(&mut self) -> Received {
-        if self.out.is_empty() && !self.line.is_empty() {
+        if self.answer.is_empty() && !self.line.is_empty() {
             let line = std::mem::take(&mut self.line);
-            if let Some(query) = self.accept(parse(&line)) {
+            if let Some(query) = self.query_or_error_answer(parse(&line)) {
                 return Received::Query(query);
             }
-            // Its refusal is written before the end is read again.
+            // The error answer is written before the end of input is handled.
             return self.receive();
         }
-        if self.out.is_empty() || self.answered {
-            Received::Gone
+        if self.answer.is_empty() || self.answered {
+            Received::Closed
         } else {
             Received::Nothing
         }
     }
 
-    /// The query, once its line has come.
-    fn take_line(&mut self) -> Option<Query> {
+    /// Returns the query once its line is complete.
+    fn take_query(&mut self) -> Option<Query> {
         let end = self.line.iter().position(|byte| *byte == b'\n');
         let parsed = match end {
             Some(end) if end <= MAX_LINE => parse(&self.line[..end]),
             None if self.line.len() <= MAX_LINE => return None,
             _ => Err(QueryError::TooLong),
         };
-        let query = self.accept(parsed);
+        let query = self.query_or_error_answer(parsed);
         if query.is_none() {
             self.line = Vec::new();
         }
         query
     }
 
-    /// Notes the refusal of a line that is no query.
-    fn accept(&mut self, parsed: Result<Query, QueryError>) -> Option<Query> {
+    /// Returns the parsed query, or sets the error answer for an invalid one.
+    fn query_or_error_answer(&mut self, parsed: Result<Query, QueryError>) -> Option<Query> {
         match parsed {
             Ok(query) => Some(query),
             Err(error) => {
-                self.out = format!("-ERR {error}\r\n").into_bytes();
+                self.answer = format!("-ERR {error}\r\n").into_bytes();
                 None
             }
         }
     }
 
-    /// Sets the answer; false where there is one.
+    /// Sets the answer; returns false if there already is one.
     pub(super) fn set_answer(&mut self, text: String) -> bool {
-        if !self.out.is_empty() {
+        if !self.answer.is_empty() {
             return false;
         }
-        self.out = text.into_bytes();
+        self.answer = text.into_bytes();
         true
     }
 
-    /// Writes what is left of the answer, and ends the connection's output behind it.
+    /// Writes the rest of the answer, and then shuts down the write side of the connection.
     pub(super) fn write(&mut self) -> io::Result<()> {
-        while self.written < self.out.len() {
-            match self.stream.write(&self.out[self.written..]) {
+        while self.written < self.answer.len() {
+            match self.stream.write(&self.answer[self.written..]) {
                 Ok(n) => self.written += n,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) => return Err(e),
             }
         }
-        if !self.out.is_empty() && !std::mem::replace(&mut self.answered, true) {
+        if !self.answer.is_empty() && !std::mem::replace(&mut self.answered, true) {
             let _ = self.stream.shutdown(Shutdown::Write);
         }
         Ok(())
--- a/crates/ingress/src/management/tests.rs
+++ b/crates/ingress/src/management/tests.rs
@@ -1,13 +1,13 @@
-//! Lines of operators.
+//! Parsing of query lines.
 
 use super::connection::parse;
 use super::Query;
 
 #[test]
-fn a_line_is_a_query_or_told_why_not() {
+fn invalid_query_line_is_rejected_with_reason() {
     assert_eq!(parse(b"readyz\r"), Ok(Query::Readiness));
     assert_eq!(parse(b" telemetry "), Ok(Query::Telemetry));
-    for bad in [
+    for invalid in [
         &b""[..],
         b"ready",
         b"READYZ",
@@ -15,7 +15,8 @@
         b"telemetry now",
         &[b'x'; 200],
     ] {
-        let refusal = parse(bad).map_err(|error| error.to_string());
-        assert!(refusal.is_err_and(|why| why.contains("readyz or telemetry") && why.len() < 400));
+        let result = parse(invalid).map_err(|error| error.to_string());
+        assert!(result
+            .is_err_and(|reason| reason.contains("readyz or telemetry") && reason.len() < 400));
     }
 }
--- a/crates/ingress/src/peers.rs
+++ b/crates/ingress/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between ingresses: UDP datagrams, known by the address they come from.
+//! Messages between ingresses: UDP datagrams whose sender is identified by its address.
 
 use crate::config::PeerAddresses;
 use mio::net::UdpSocket;
@@ -7,20 +7,21 @@
 use std::os::fd::OwnedFd;
 use wrenfork_decision::GatewayId;
 
-/// The most bytes of a message.
+/// Maximum size of a message in bytes; larger datagrams are dropped.
 const MAX_MESSAGE: usize = 256;
-/// The most datagrams read in one turn, so that a flood of them cannot keep the event loop from its other work.
+/// Maximum number of datagrams read per event loop iteration, so that a flood of datagrams cannot starve other work.
 const READS_PER_TURN: usize = 64;
 
-/// The socket to the peers.
+/// The UDP socket for messages to and from peers.
 pub struct PeerSocket {
-    /// None while another process of this ingress has the address.
+    /// `None` while another process of this ingress still has the address bound.
     socket: Option<UdpSocket>,
     addresses: PeerAddresses,
 }
 
 impl PeerSocket {
-    /// Binds the socket and registers it. Where it `may_wait`, an address that is still taken is bound later.
+    /// Binds the socket and registers it for polling. With `may_wait`, an address that is in use is not an error; it is bound
+    /// later by [`PeerSocket::bind_if_unbound`].
     pub fn bind(
         addresses: PeerAddresses,
         registry: &Registry,
@@ -34,7 +35,7 @@
         match peers.bind_if_unbound(registry, token) {
             Err(e) if may_wait && e.kind() == io::ErrorKind::AddrInUse => {
                 tracing::warn!(
-                    "peer_listen: another process has it, peers are not received until that has ended"
+                    "peer_listen: address in use by another process, no peer messages until that process exits"
                 );
             }
             bound => bound?,
@@ -42,7 +43,7 @@
         Ok(peers)
     }
 
-    /// Binds the socket if there is none.
+    /// Binds the socket if it is not bound yet.
     pub fn bind_if_unbound(&mut self, registry: &Registry, token: Token) -> io::Result<()> {
         if self.socket.is_none() {
             self.adopt(UdpSocket::bind(self.addresses.listen)?, registry, token)?;
@@ -61,7 +62,7 @@
         Ok(())
     }
 
-    /// With the socket that another process had.
+    /// Creates it from the socket that the predecessor handed over.
     pub fn from_descriptor(
         addresses: PeerAddresses,
         descriptor: OwnedFd,
@@ -76,42 +77,42 @@
         Ok(peers)
     }
 
-    /// Whether there is a socket.
+    /// Whether the socket is bound.
     pub fn is_bound(&self) -> bool {
         self.socket.is_some()
     }
 
-    /// The socket alone, for the process that comes next.
+    /// The descriptor of the socket, for handover to the successor.
     pub fn into_descriptor(self) -> Option<OwnedFd> {
         self.socket.map(OwnedFd::from)
     }
 
-    /// Receives the messages that have come, from peers alone; true if more may be waiting.
+    /// Passes received messages to `take`, ignoring datagrams from unknown addresses. Returns true if more may be waiting.
     pub fn receive(&mut self, mut take: impl FnMut(GatewayId, Vec<u8>)) -> bool {
         let Some(socket) = &self.socket else {
             return false;
         };
-        let mut buf = [0; MAX_MESSAGE + 1]; // one more than allowed: a longer datagram shows as such
+        let mut buf = [0; MAX_MESSAGE + 1]; // one byte more than allowed, to detect longer datagrams
         for _ in 0..READS_PER_TURN {
             match socket.recv_from(&mut buf) {
-                Ok((n, from)) => {
+                Ok((length, from)) => {
                     let sender = self.addresses.peers.iter().position(|p| *p == from);
-                    if let Some(no) = sender
+                    if let Some(index) = sender
                         .and_then(|i| u16::try_from(i).ok())
-                        .filter(|_| n <= MAX_MESSAGE)
+                        .filter(|_| length <= MAX_MESSAGE)
                     {
-                        take(GatewayId(no), buf[..n].to_vec());
+                        take(GatewayId(index), buf[..length].to_vec());
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return false,
-                // What an earlier message met on its way (a peer that is down): the next read goes on.
+                // Error caused by an earlier message, for instance to a peer that is down: continue with the next read.
                 Err(_) => {}
             }
         }
         true
     }
 
-    /// Sends a message to one peer or to all; lost where it cannot go, as on the way.
+    /// Sends a message to one peer, or to all for `None`. Send errors are ignored, since datagrams may be lost anyway.
     pub fn send(&self, to: Option<GatewayId>, bytes: &[u8]) {
         let address = match to {
             Some(gateway) => self.addresses.peers.get(usize::from(gateway.0)),
--- a/crates/ingress/src/reload.rs
+++ b/crates/ingress/src/reload.rs
@@ -1,5 +1,6 @@
-//! Reading the configuration anew at SIGHUP, while serving: all that may change is taken, or nothing, through the same path as a
-//! change that is applied. A file has one verdict; one that ends before its time may be half written, and is read again.
+//! Reloading the configuration at SIGHUP while serving. A reload is applied completely or not at all, through the same path as a
+//! change made with `wrenctl apply`. Each file is accepted or refused once; a truncated file may still be in the middle of
+//! being written and is read again.
 
 use crate::config::{compile, ActiveConfig, Config, ConfigError, ConfigSource, ListenAddress};
 use crate::error::BoxError;
@@ -8,54 +9,56 @@
 use wrenfork_config::enforced::{align, Pairs, Told};
 use wrenfork_decision::Micros;
 
-/// The backoff before a file that could not be read is read again, the first and the longest: it may be half written.
+/// Initial backoff before a file that may be half written is read again, in microseconds; doubled up to [`MAX_BACKOFF`].
 const FIRST_BACKOFF: Micros = 50_000;
+/// Maximum backoff before the next reading, in microseconds.
 const MAX_BACKOFF: Micros = 2_000_000;
-/// The list of machine types follows from the pools and the endpoints that are known; nothing is decided by it.
+/// Key of the list of machine types, which is derived from the pools and the known endpoints. It may differ after a reload,
+/// since no decision depends on it.
 const DERIVED_KEY: &str = "skus";
 
-/// Why new files are refused that are good by themselves.
+/// Why a reload is refused.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
-    /// The files are refused.
+    /// The files are invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The new state does not fit to the one enforced.
+    /// The classes and plans of the new state cannot be aligned with those of the enforced state.
     #[error("{0}")]
     Align(#[source] BoxError),
-    /// A setting that no change changes is another one.
-    #[error("{0} is fixed from the start on, and takes a restart")]
+    /// A setting differs that can only be changed by a restart.
+    #[error("setting {0} can only be changed by a restart")]
     FixedSetting(String),
-    /// The address or a limit is another one.
-    #[error("listen, memory and descriptors are fixed from the start on, and take a restart")]
+    /// The listen address or a resource limit differs.
+    #[error("listen, memory and descriptors can only be changed by a restart")]
     FixedLimits,
-    /// Peers address plans and classes by their indices.
+    /// The indices of plans or classes differ. Peers refer to plans and classes by index, so all must change together.
     #[error(
-        "plans or classes have moved, which several ingresses must do together: wrenctl apply"
+        "plans or classes have other indices, which must change at all ingresses at once: use wrenctl apply"
     )]
-    MovedIndices,
+    ChangedIndices,
 }
 
-/// How many files were taken and refused.
+/// Number of reloads that were accepted and refused since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReloadCounts {
-    /// Files that are enforced, or were.
+    /// Reloads that were applied.
     pub accepted: u64,
-    /// Files that were refused.
+    /// Reloads that were refused, each counted once however often its files are read again.
     pub refused: u64,
 }
 
-/// What a reading came to.
+/// Result of reading the files.
 pub enum Reload {
-    /// A configuration to be enforced.
+    /// The configuration is valid and is to be enforced.
     Apply(Box<ActiveConfig>),
-    /// The files are to be read again at this time.
+    /// The files may be half written and are to be read again at this time.
     RetryAt(Micros),
-    /// Nothing is to be done: no reading is due, or another one would find the same.
+    /// No reading is due, or the files were refused and reading them again would give the same result.
     Nothing,
 }
 
-/// What no change changes besides settings.
+/// Values other than settings that can only be changed by a restart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct FixedLimits {
     listen: ListenAddress,
@@ -73,24 +76,24 @@
     }
 }
 
-/// Reads the configuration anew, and knows what is enforced.
+/// Reloads the configuration, and keeps the pairs of the enforced configuration to compare with.
 pub struct ConfigReloader {
     source: ConfigSource,
-    /// What was configured at the start, with what is enforced now.
+    /// The fixed settings from the start, and the state that is enforced now.
     enforced: Told,
     limits: FixedLimits,
     has_peers: bool,
-    /// The backoff before the next reading; none while none is due.
+    /// Backoff after the next failed reading; `None` while no reading is due.
     backoff: Option<Micros>,
     retry_at: Micros,
-    /// The reading that is due has failed before.
-    failed: bool,
+    /// Whether a failure of the current reload has been reported.
+    failure_reported: bool,
     status: ReloadStatusFile,
     counts: ReloadCounts,
 }
 
 impl ConfigReloader {
-    /// Nothing is to be read yet.
+    /// Creates a reloader for a configuration that was just read from `source`. No reading is due.
     pub fn new(source: ConfigSource, config: &Config, status: ReloadStatusFile) -> Self {
         ConfigReloader {
             source,
@@ -99,24 +102,24 @@
             has_peers: config.peers.is_some(),
             backoff: None,
             retry_at: 0,
-            failed: false,
+            failure_reported: false,
             status,
             counts: ReloadCounts::default(),
         }
     }
 
-    /// What is enforced and passes to the next process.
+    /// The enforced configuration as pairs, which is handed over to a successor.
     pub fn enforced(&self) -> &Told {
         &self.enforced
     }
 
-    /// A change was applied: this is enforced, whatever the files say.
+    /// Records the state that was applied through the control port and is now enforced, even if the files differ.
     pub fn set_enforced(&mut self, state: Pairs) {
         self.enforced.state = state;
     }
 
-    /// Goes on with what another process enforced; gives what the files say by now, if that is something else and the files
-    /// decide, as they do without a control port.
+    /// Continues with the configuration that the predecessor enforced. If the files decide what is enforced, as they do without
+    /// a control port, and their content differs, returns the configuration compiled from them.
     pub fn resume(&mut self, enforced: Told, files_decide: bool) -> Option<Box<ActiveConfig>> {
         self.enforced = enforced;
         if !files_decide {
@@ -125,60 +128,60 @@
         match self.read_if_changed() {
             Ok(active) => active.map(Box::new),
             Err(error) => {
-                tracing::warn!(%error, "handover: files refused, enforcing what the other process did");
+                tracing::warn!(%error, "handover: files refused, keeping the configuration of the predecessor");
                 None
             }
         }
     }
 
     fn read_if_changed(&mut self) -> Result<Option<ActiveConfig>, ReloadError> {
-        let wanted = self.source.read(|_| None)?.source_pairs.state;
-        if self.aligned(&wanted)? == self.enforced.state {
+        let requested = self.source.read(|_| None)?.source_pairs.state;
+        if self.align_indices(&requested)? == self.enforced.state {
             return Ok(None);
         }
-        self.enforce(&wanted).map(Some)
+        self.enforce(&requested).map(Some)
     }
 
-    /// A wanted state with the indices that classes and plans have in the one enforced.
-    fn aligned(&self, wanted: &Pairs) -> Result<Pairs, ReloadError> {
-        align(&[&self.enforced.state], wanted).map_err(|e| ReloadError::Align(e.into()))
+    /// Gives classes and plans of a new state the indices that they have in the enforced state.
+    fn align_indices(&self, requested: &Pairs) -> Result<Pairs, ReloadError> {
+        align(&[&self.enforced.state], requested).map_err(|e| ReloadError::Align(e.into()))
     }
 
-    /// The files are to be read, now and until that succeeds.
+    /// Requests a reading of the files, which is repeated while they may be half written.
     pub fn request(&mut self) {
         self.backoff = Some(FIRST_BACKOFF);
         self.retry_at = 0;
-        self.failed = false;
+        self.failure_reported = false;
     }
 
-    /// Refuses to read the files, since they do not decide what is enforced.
-    pub fn refuse(&mut self, why: &str) {
-        tracing::warn!("reload: refused: {why}");
-        self.status.record(ReloadOutcome::Refused, why);
+    /// Reports a reload as refused without reading the files, because they do not decide what is enforced.
+    pub fn refuse(&mut self, reason: &str) {
+        tracing::warn!("reload: refused: {reason}");
+        self.status.record(ReloadOutcome::Refused, reason);
     }
 
-    /// How many files were taken, and how many refused, each once.
+    /// Number of accepted and refused reloads.
     pub fn counts(&self) -> ReloadCounts {
         self.counts
     }
 
-    /// The process ends.
+    /// Removes the status file when the process exits.
     pub fn close(&self) {
         self.status.remove();
     }
 
-    /// Reads the files, if that is due; a later signal's reading may have succeeded meanwhile.
+    /// Reads the files if a reading is due. It may not be: a reading for a later signal may already have succeeded.
     pub fn read(&mut self, now: Micros) -> Reload {
         let Some(backoff) = self.backoff.filter(|_| now >= self.retry_at) else {
             return Reload::Nothing;
         };
         let config = match self.source.read(|_| None) {
             Ok(config) => config,
-            Err(error) => return self.unreadable(&error, backoff, now),
+            Err(error) => return self.handle_read_error(&error, backoff, now),
         };
         self.backoff = None;
         let checked = self.check_fixed(&config);
-        // It is reported once the event loop enforces it, which it does before it looks at anything else.
+        // Reporting success here is safe: the event loop enforces the result before it handles anything else.
         match checked.and_then(|()| self.enforce(&config.source_pairs.state)) {
             Ok(active) => {
                 self.counts.accepted += 1;
@@ -186,7 +189,7 @@
                 Reload::Apply(Box::new(active))
             }
             Err(error) => {
-                tracing::warn!("reload: refused: {error}; going on as before");
+                tracing::warn!("reload: refused: {error}; keeping the current configuration");
                 self.counts.refused += 1;
                 self.status
                     .record(ReloadOutcome::Refused, &error.to_string());
@@ -195,19 +198,20 @@
         }
     }
 
-    /// The files can't be read. The first failure of a reading is reported.
-    fn unreadable(&mut self, error: &ConfigError, backoff: Micros, now: Micros) -> Reload {
+    /// Handles files that cannot be read: reports the first failure of a reload, and schedules another reading if they may be
+    /// half written.
+    fn handle_read_error(&mut self, error: &ConfigError, backoff: Micros, now: Micros) -> Reload {
         let retry = self.source.may_be_half_written(error);
-        if !std::mem::replace(&mut self.failed, true) {
-            let (outcome, next) = if retry {
+        if !std::mem::replace(&mut self.failure_reported, true) {
+            let (outcome, consequence) = if retry {
                 (
                     ReloadOutcome::Retrying,
-                    "going on as before, and trying again",
+                    "keeping the current configuration and reading the files again",
                 )
             } else {
-                (ReloadOutcome::Refused, "going on as before")
+                (ReloadOutcome::Refused, "keeping the current configuration")
             };
-            tracing::warn!("reload: {error}; {next}");
+            tracing::warn!("reload: {error}; {consequence}");
             self.counts.refused += 1;
             self.status.record(outcome, &error.to_string());
         }
@@ -220,8 +224,8 @@
         }
     }
 
-    /// Whether new files change nothing that is fixed from the start on. The platform's says besides how it stands at the
-    /// moment, such as the machine types that there are: what is fixed is not taken from it, and no reason to refuse it.
+    /// Checks that new files change nothing that requires a restart. The platform's file is exempt: it also describes the
+    /// current situation, such as the existing machine types, so differences in its fixed part are ignored.
     fn check_fixed(&self, config: &Config) -> Result<(), ReloadError> {
         if matches!(self.source, ConfigSource::Platform { .. }) {
             return Ok(());
@@ -240,13 +244,13 @@
         Ok(())
     }
 
-    /// Compiles all that may change, from new files.
-    fn enforce(&mut self, wanted: &Pairs) -> Result<ActiveConfig, ReloadError> {
-        let state = self.aligned(wanted)?;
-        // The platform configures all ingresses at once.
+    /// Compiles the state of new files and records it as enforced.
+    fn enforce(&mut self, requested: &Pairs) -> Result<ActiveConfig, ReloadError> {
+        let state = self.align_indices(requested)?;
+        // The platform changes the files of all ingresses at the same time.
         let all_at_once = matches!(self.source, ConfigSource::Platform { .. });
-        if self.has_peers && !all_at_once && moves_indices(&state, wanted) {
-            return Err(ReloadError::MovedIndices);
+        if self.has_peers && !all_at_once && changes_indices(&state, requested) {
+            return Err(ReloadError::ChangedIndices);
         }
         let state = State(state);
         let active = compile(&self.enforced.fixed, &state)?;
@@ -257,13 +261,13 @@
     }
 }
 
-/// Whether a state has other indices of classes or plans than the files have. Peers address these by their indices, and each of
-/// them would find indices of its own; pools are each one's own matter.
-fn moves_indices(aligned: &Pairs, wanted: &Pairs) -> bool {
-    let shared = |key: &str| key.starts_with("contracts.") || key.starts_with("grades.");
-    let differs = |a: &Pairs, b: &Pairs| {
-        a.iter()
-            .any(|(key, value)| shared(key) && b.get(key) != Some(value))
+/// Whether the aligned state has other indices of classes or plans than the files. Peers refer to classes and plans by index,
+/// and each ingress would align them differently. Pools are local to each ingress.
+fn changes_indices(aligned: &Pairs, requested: &Pairs) -> bool {
+    let is_shared = |key: &str| key.starts_with("contracts.") || key.starts_with("grades.");
+    let differs = |left: &Pairs, right: &Pairs| {
+        left.iter()
+            .any(|(key, value)| is_shared(key) && right.get(key) != Some(value))
     };
-    differs(aligned, wanted) || differs(wanted, aligned)
+    differs(aligned, requested) || differs(requested, aligned)
 }
--- a/crates/ingress/src/reload_status.rs
+++ b/crates/ingress/src/reload_status.rs
@@ -1,26 +1,26 @@
-//! What became of the last reading of the configuration, in a file for `wrenctl reload --wait` and for scripts: a signal
-//! tells nobody how it ended.
+//! Status file with the result of the last reload, for `wrenctl reload --wait` and scripts, since the sender of a signal gets no
+//! result.
 
 use crate::error::IngressError;
 use serde_json::json;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// How a reading ended.
+/// Result of a reload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadOutcome {
-    /// Nothing was read since the start.
+    /// No reload since the start.
     Started,
-    /// All of it is enforced.
+    /// The new configuration is enforced.
     Applied,
-    /// Nothing of it is enforced.
+    /// The new configuration was refused; the previous one is still enforced.
     Refused,
-    /// It could not be read, and is read again until it can be.
+    /// The files could not be read and are read again.
     Retrying,
 }
 
 impl ReloadOutcome {
-    /// The word for it in the file.
+    /// Value of `outcome` in the status file.
     fn as_str(self) -> &'static str {
         match self {
             ReloadOutcome::Started => "started",
@@ -31,20 +31,20 @@
     }
 }
 
-/// The status file, if there is to be one.
+/// The status file; does nothing without a path.
 #[derive(Debug, Default)]
 pub struct ReloadStatusFile {
     path: Option<PathBuf>,
-    /// How often the configuration was read since the start.
+    /// Number of reloads since the start.
     readings: u64,
 }
 
 impl ReloadStatusFile {
-    /// Creates the file.
+    /// Creates the file if `path` is given.
     ///
     /// # Errors
     ///
-    /// Where it can't be written.
+    /// If the file cannot be written.
     pub fn create(path: Option<PathBuf>) -> Result<ReloadStatusFile, IngressError> {
         let status = ReloadStatusFile { path, readings: 0 };
         if let Some(path) = &status.path {
@@ -57,22 +57,22 @@
         Ok(status)
     }
 
-    /// Writes how a reading has ended; `why` is for people.
-    pub fn record(&mut self, outcome: ReloadOutcome, why: &str) {
+    /// Writes the result of a reload; `reason` is an explanation for people.
+    pub fn record(&mut self, outcome: ReloadOutcome, reason: &str) {
         self.readings += 1;
         let Some(path) = &self.path else { return };
-        if let Err(error) = self.write(path, outcome, why) {
-            tracing::warn!(%error, path = %path.display(), "status: cannot be written");
+        if let Err(error) = self.write(path, outcome, reason) {
+            tracing::warn!(%error, path = %path.display(), "status: cannot write the status file");
         }
     }
 
-    /// Replaces the file in one step: who reads it never sees half of it.
-    fn write(&self, path: &Path, outcome: ReloadOutcome, why: &str) -> io::Result<()> {
+    /// Replaces the file atomically, so that readers never see an incomplete file.
+    fn write(&self, path: &Path, outcome: ReloadOutcome, reason: &str) -> io::Result<()> {
         let content = json!({
             "process": std::process::id(),
             "readings": self.readings,
             "outcome": outcome.as_str(),
-            "why": why,
+            "why": reason,
         });
         let mut new_name = path.as_os_str().to_owned();
         new_name.push(".new");
@@ -81,7 +81,7 @@
         std::fs::rename(&new, path)
     }
 
-    /// Removes the file: the process ends, and what it says holds no longer.
+    /// Removes the file when the process exits, since its content is then outdated.
     pub fn remove(&self) {
         if let Some(path) = &self.path {
             let _ = std::fs::remove_file(path);
--- a/crates/ingress/src/request_metrics.rs
+++ b/crates/ingress/src/request_metrics.rs
@@ -1,69 +1,70 @@
-//! The telemetry that operators read: how requests ended, by class, and configuration files at SIGHUP. Counted where it happens,
-//! from the start of the process on; no input or output and no clock here.
+//! Telemetry for operators: outcomes of requests by class, and configuration reloads, counted since the start of the process.
+//! This module does no I/O and reads no clock.
 
 use std::fmt::Write;
 
 #[cfg(test)]
 mod tests;
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// With a backend's value.
+    /// The client received the value of a backend.
     Served,
-    /// Rejected before it ran: a retry is harmless.
+    /// Rejected before execution, so that a retry is safe.
     Rejected,
-    /// With anything else.
+    /// Any other outcome.
     Failed,
 }
 
-/// How the requests of a class ended, by [`RequestEnd`].
+/// Outcomes of the requests of a class, indexed by [`RequestEnd`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ClassCounts {
     class: String,
     ended: [u64; 3],
 }
 
-/// Counters of requests and of configuration files.
+/// Counters of requests and configuration reloads.
 #[derive(Debug, Default)]
 pub struct RequestMetrics {
-    /// A class that was dropped keeps its counts, and has them again when it comes back.
+    /// Counts of each class by name. A removed class keeps its counts and continues them when it is added again.
     classes: Vec<ClassCounts>,
-    /// For each index of a class in the settings, the index in `classes`.
+    /// For each class index in the settings, the index of its counts in `classes`.
     by_setting: Vec<usize>,
-    /// Requests handed to the decision module.
+    /// Requests passed to the decision module.
     pub admitted: u64,
-    /// Configuration files taken at SIGHUP.
+    /// Configuration reloads accepted at SIGHUP.
     pub config_accepted: u64,
-    /// Configuration files refused at SIGHUP.
+    /// Configuration reloads refused at SIGHUP.
     pub config_refused: u64,
 }
 
-/// Values of gauges, which are not counted but read when they are asked for.
+/// Values that are sampled when telemetry is requested.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Attempts written to backends to their last byte, since the start.
+    /// Attempts that were written completely to a backend since the start.
     pub relayed: u64,
     /// Requests that still owe an answer.
     pub open_requests: usize,
     /// Backends in the endpoint list.
     pub endpoints: usize,
-    /// Backends in the endpoint list that take no work.
+    /// Backends in the endpoint list that receive no requests.
     pub out_of_rotation: usize,
 }
 
 impl RequestMetrics {
-    /// Counters for these classes, by their indices in the settings; an empty name is the index of a class that was dropped.
+    /// Creates counters for classes in the order of their indices in the settings. An empty name marks the index of a removed
+    /// class.
     pub fn new<'a>(classes: impl IntoIterator<Item = &'a str>) -> RequestMetrics {
         let mut metrics = RequestMetrics::default();
         metrics.set_classes(classes);
         metrics
     }
 
-    /// Has other classes from now on. Open requests of one that was dropped are counted with it.
+    /// Replaces the classes. Open requests of a removed class are still counted for that class.
     pub fn set_classes<'a>(&mut self, classes: impl IntoIterator<Item = &'a str>) {
         for (setting, class) in classes.into_iter().enumerate() {
-            if class.is_empty() && setting < self.by_setting.len() && !self.has(class) {
+            if class.is_empty() && setting < self.by_setting.len() && !self.has_class(class) {
                 continue;
             }
             let index = self.index_of(class);
@@ -75,11 +76,11 @@
         }
     }
 
-    fn has(&self, class: &str) -> bool {
+    fn has_class(&self, class: &str) -> bool {
         self.classes.iter().any(|counts| counts.class == class)
     }
 
-    /// The index of a class's counts, which are added if there are none.
+    /// Index of the counts of a class in `classes`; adds them if the class is new.
     fn index_of(&mut self, class: &str) -> usize {
         let known = self.classes.iter().position(|c| c.class == class);
         known.unwrap_or_else(|| {
@@ -91,7 +92,7 @@
         })
     }
 
-    /// Counts the end of a request of the class at an index of the settings.
+    /// Counts the outcome of a request; `class` is the index of its class in the settings.
     pub fn record(&mut self, class: u8, end: RequestEnd) {
         let index = self.by_setting.get(usize::from(class));
         if let Some(counts) = index.and_then(|index| self.classes.get_mut(*index)) {
@@ -99,12 +100,12 @@
         }
     }
 
-    /// How many requests of all classes ended so.
+    /// Number of requests with this outcome, over all classes.
     pub fn total(&self, end: RequestEnd) -> u64 {
         self.classes.iter().map(|c| c.ended[end as usize]).sum()
     }
 
-    /// The telemetry: a line `NAME=VALUE` for each figure.
+    /// Formats the telemetry as one line `NAME=VALUE` per value.
     pub fn telemetry(&self, gauges: &Gauges) -> String {
         let mut out = String::new();
         let named = self.classes.iter().filter(|c| !c.class.is_empty());
@@ -115,7 +116,7 @@
             let _ = writeln!(out, "ingress.operations.{class}.throttled={rejected}");
             let _ = writeln!(out, "ingress.operations.{class}.faulted={failed}");
         }
-        let figures = [
+        let values = [
             ("relayed", gauges.relayed),
             ("open_requests", gauges.open_requests as u64),
             ("registry_entries", gauges.endpoints as u64),
@@ -123,8 +124,8 @@
             ("cfg_accepted", self.config_accepted),
             ("cfg_invalid", self.config_refused),
         ];
-        for (name, figure) in figures {
-            let _ = writeln!(out, "ingress.{name}={figure}");
+        for (name, value) in values {
+            let _ = writeln!(out, "ingress.{name}={value}");
         }
         out
     }
--- a/crates/ingress/src/request_metrics/tests.rs
+++ b/crates/ingress/src/request_metrics/tests.rs
@@ -1,20 +1,20 @@
-//! Counts of classes that come and go.
+//! Request counts while classes are added and removed.
 
 use super::{Gauges, RequestEnd, RequestMetrics};
 
-/// Guards against a class's counts that pass to another one, or go, when classes come, go and come back.
+/// Guards against counts that are lost or assigned to another class when classes are removed, added and restored.
 #[test]
-fn a_class_keeps_its_counts_whatever_comes_and_goes() {
+fn class_keeps_counts_when_classes_change() {
     let mut metrics = RequestMetrics::new(["quote", "save"]);
     metrics.record(0, RequestEnd::Served);
     metrics.record(1, RequestEnd::Rejected);
     metrics.set_classes(["quote", "", "refer"]);
-    metrics.record(1, RequestEnd::Failed); // one that was open when its class was dropped
+    metrics.record(1, RequestEnd::Failed); // a request that was open when its class was removed
     metrics.record(2, RequestEnd::Served);
     metrics.set_classes(["quote", "new", "refer", "save"]);
     metrics.record(1, RequestEnd::Served);
     metrics.record(3, RequestEnd::Served);
-    metrics.record(200, RequestEnd::Served); // no such index: nobody's
+    metrics.record(200, RequestEnd::Served); // unknown class index: not counted
     let text = metrics.telemetry(&Gauges::default());
     for line in [
         "ingress.operations.quote.fulfilled=1",
@@ -24,7 +24,10 @@
         "ingress.operations.new.fulfilled=1",
         "ingress.operations.refer.fulfilled=1",
     ] {
-        assert!(text.lines().any(|l| l == line), "no {line} in\n{text}");
+        assert!(
+            text.lines().any(|l| l == line),
+            "{line} is missing from the telemetry:\n{text}"
+        );
     }
     assert_eq!(
         [RequestEnd::Served, RequestEnd::Rejected, RequestEnd::Failed]
--- a/crates/ingress/src/requests.rs
+++ b/crates/ingress/src/requests.rs
@@ -1,4 +1,4 @@
-//! The open requests: what each is, where its attempts are, and the memory that all of them hold.
+//! The table of open requests, with their attempts and the memory they use.
 
 use crate::backend::ConnectionHandle;
 use crate::client::Origin;
@@ -12,109 +12,112 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-/// How long after its end the id of a request is still known: one that is new each time does not come again.
+/// How long the id of a completed request still counts as a duplicate, in microseconds. Clients use a new id for each request,
+/// so an id that comes again within this time is a duplicate.
 const ID_RETENTION: Micros = 1_000_000;
 
-/// The longest wait of a client that is heeded: the timers of requests long answered must not pile up for hours.
+/// Longest client wait that is honoured, in microseconds: without a bound, timers of requests answered long ago could
+/// accumulate for hours.
 pub const MAX_WAIT: Micros = 60_000_000;
 
-/// An attempt at a request.
+/// One attempt to have a request served by a backend.
 #[derive(Serialize, Deserialize)]
 pub struct Attempt {
-    /// The backend that it is sent to.
+    /// Backend that receives the attempt.
     pub backend: BackendId,
-    /// When it began.
+    /// Start time of the attempt.
     pub started_at: Micros,
-    /// Its connection, while it is under way.
+    /// Backend connection that carries the attempt; `None` once the attempt has ended.
     pub connection: Option<ConnectionHandle>,
-    /// How long its answer took to begin, in microseconds, where it is streamed.
+    /// Time until the first byte of a streamed answer, in microseconds.
     pub first_byte_after: Option<Micros>,
 }
 
-/// A request that is not forgotten yet.
+/// A request that still has attempts in flight or owes an answer.
 #[derive(Serialize, Deserialize)]
 pub struct OpenRequest {
-    /// The client's command.
+    /// The parsed command of the client.
     pub call: Call,
-    /// A hash of its id.
+    /// Keyed hash of the request id, for detecting duplicates.
     id_hash: u64,
-    /// Where its answer belongs.
+    /// Connection of the client, and number of the request on it.
     pub origin: Origin,
-    /// When its attempts are given up.
+    /// Time at which its attempts are cancelled.
     pub deadline: Micros,
-    /// When its client gives up.
+    /// Time at which the client stops waiting.
     pub client_deadline: Micros,
-    /// Its attempts, by their numbers.
+    /// Attempts, indexed by attempt number.
     pub attempts: Vec<Attempt>,
-    /// The most attempts that it may have: those that were allowed when it arrived.
+    /// Maximum number of attempts, as configured when the request arrived.
     pub max_attempts: usize,
-    /// The attempt whose answer is streamed: the request is that one's, with no other and no time-out.
+    /// Number of the attempt whose answer is being streamed. From then on there is no further attempt and no timeout.
     pub streaming: Option<u16>,
-    /// It has its final answer, or its client has disconnected.
+    /// Whether the final answer has been given or the client has disconnected.
     pub complete: bool,
 }
 
-/// When a request's time is over.
+/// The two deadlines of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Deadlines {
-    /// For its attempts.
+    /// Time at which the attempts are cancelled.
     pub attempts: Micros,
-    /// For its client.
+    /// Time at which the client stops waiting.
     pub client: Micros,
 }
 
 impl OpenRequest {
-    /// When it arrived.
+    /// Arrival time of the request, derived from the client's deadline.
     pub fn arrived_at(&self) -> Micros {
         self.client_deadline
             .saturating_sub(self.call.wait.min(MAX_WAIT))
     }
 
-    /// Whether an attempt is under way.
-    fn has_attempt(&self) -> bool {
+    /// Whether any attempt is in flight.
+    fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|a| a.connection.is_some())
     }
 
-    /// An attempt by its number.
+    /// Returns the attempt with this number.
     pub fn attempt_mut(&mut self, number: u16) -> Option<&mut Attempt> {
         self.attempts.get_mut(usize::from(number))
     }
 }
 
-/// Whether a request can be taken in.
+/// Whether a new request can be inserted.
 pub enum Capacity {
-    /// It can, under this hash of its id.
+    /// There is room; the value is the hash of the request id.
     Free(u64),
-    /// Its id is that of a request that is open or was a moment ago.
+    /// A request with the same id is open, or was completed within [`ID_RETENTION`].
     DuplicateId,
-    /// Beyond the bound on requests or on memory.
+    /// The limit on requests or on memory is reached.
     Full,
 }
 
-/// The open requests.
+/// The open requests, with bounds on their number and memory.
 #[derive(Serialize, Deserialize)]
 pub struct OpenRequests {
     open: HashMap<RequestId, OpenRequest>,
-    /// Hashes of the ids of the open requests, and of those that ended a short while ago; their keys are drawn
-    /// anew at each start.
+    /// Hashes of the ids of open requests and of those that ended within [`ID_RETENTION`].
     id_hashes: HashSet<u64>,
-    /// When the hash of an id of an ended request is dropped.
+    /// Id hashes of ended requests, with the time at which each is removed.
     ended: VecDeque<(Micros, u64)>,
+    /// Hasher for request ids, with random keys drawn at each start.
     hasher: SipHasher13,
-    /// Bytes that the open requests hold, and the most of them.
+    /// Bytes that the open requests use.
     memory_used: usize,
+    /// Limit on `memory_used`, in bytes.
     max_memory: usize,
-    /// The most open requests.
+    /// Maximum number of open requests.
     max_open: usize,
 }
 
-/// A key that nobody can guess; with the open requests it passes to the next process.
+/// Draws a hash key that clients cannot guess. The key is handed over to the successor with the open requests.
 fn random_key() -> u64 {
     RandomState::new().hash_one(0)
 }
 
 impl OpenRequests {
-    /// None yet; at most so many, and so many bytes.
+    /// Creates an empty table for at most `max_open` requests and `max_memory` bytes.
     pub fn new(max_open: usize, max_memory: usize) -> Self {
         OpenRequests {
             open: HashMap::new(),
@@ -127,24 +130,24 @@
         }
     }
 
-    /// Bounds the memory that they may hold from now on, in bytes.
+    /// Sets the memory limit in bytes. Requests already open are kept.
     pub fn set_max_memory(&mut self, max_memory: usize) {
         self.max_memory = max_memory;
     }
 
-    /// Bounds their number from now on.
+    /// Sets the maximum number of open requests. Requests already open are kept.
     pub fn set_max_open(&mut self, max_open: usize) {
         self.max_open = max_open;
     }
 
-    /// The bytes that they hold.
+    /// Bytes that the open requests use.
     pub fn memory_used(&self) -> usize {
         self.memory_used
     }
 
-    /// Whether a call can be taken in.
+    /// Checks whether a call can be inserted.
     pub fn capacity_for(&self, call: &Call) -> Capacity {
-        // Two with one id could not be told apart by backends and clients, and the first one came in good faith.
+        // Backends and clients cannot distinguish two requests with the same id, so the later one is rejected.
         let mut hasher = self.hasher;
         hasher.write(call.id());
         let id_hash = hasher.finish();
@@ -158,7 +161,7 @@
         Capacity::Free(id_hash)
     }
 
-    /// Takes a call in that there is capacity for, under the hash of its id.
+    /// Inserts a call for which [`OpenRequests::capacity_for`] has found capacity, under the hash that it returned.
     pub fn insert(
         &mut self,
         id: RequestId,
@@ -184,40 +187,40 @@
         self.open.insert(id, request);
     }
 
-    /// A request that is not forgotten yet.
+    /// Returns a request that has not been removed yet.
     pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.open.get(&id)
     }
 
-    /// The same, to be changed.
+    /// Like [`OpenRequests::get`], for modification.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
 
-    /// A request that still owes an answer.
+    /// Returns a request that still owes its client an answer.
     pub fn incomplete(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id).filter(|o| !o.complete)
     }
 
-    /// How many still owe an answer.
+    /// Number of requests that still owe an answer.
     pub fn incomplete_count(&self) -> usize {
         self.open.values().filter(|o| !o.complete).count()
     }
 
-    /// Whether any still owes an answer.
+    /// Whether any request still owes an answer.
     pub fn any_incomplete(&self) -> bool {
         self.open.values().any(|o| !o.complete)
     }
 
-    /// The ids of all that are not forgotten.
+    /// Ids of all requests in the table.
     pub fn ids(&self) -> Vec<RequestId> {
         self.open.keys().copied().collect()
     }
 
-    /// Forgets a request that is complete and has no attempt under way.
+    /// Removes a request if it is complete and has no attempt in flight.
     pub fn forget(&mut self, id: RequestId, now: Micros) {
-        let over = |o: &OpenRequest| o.complete && !o.has_attempt();
-        if !self.open.get(&id).is_some_and(over) {
+        let finished = |o: &OpenRequest| o.complete && !o.has_attempt_in_flight();
+        if !self.open.get(&id).is_some_and(finished) {
             return;
         }
         if let Some(request) = self.open.remove(&id) {
@@ -226,7 +229,7 @@
         }
     }
 
-    /// Forgets ids of requests that ended long enough ago.
+    /// Removes the id hashes of requests that ended more than [`ID_RETENTION`] ago.
     pub fn sweep(&mut self, now: Micros) {
         while self.ended.front().is_some_and(|(due, _)| *due <= now) {
             if let Some((_, id_hash)) = self.ended.pop_front() {
--- a/crates/ingress/src/requests/tests.rs
+++ b/crates/ingress/src/requests/tests.rs
@@ -1,4 +1,4 @@
-//! Open requests as a handover passes them.
+//! Sample of open requests for the handover tests.
 
 use super::{Attempt, OpenRequest, OpenRequests};
 use crate::backend::tests::HANDLE;
@@ -7,7 +7,7 @@
 use wrenfork_decision::{BackendId, RequestId};
 use wrenfork_wire::call::Call;
 
-/// One request with two attempts, and the id of one that ended.
+/// One open request with two attempts, and the id hash of a request that has ended.
 pub(crate) fn sample(call: Call) -> OpenRequests {
     let ended = Attempt {
         backend: BackendId(0xabcc),
--- a/crates/ingress/src/routing.rs
+++ b/crates/ingress/src/routing.rs
@@ -1,5 +1,5 @@
-//! Pools and routes: which pools the endpoints that discovery lists are of, and which of them a request may go to. What a route
-//! means stands in `wrenfork-routes`; which endpoint serves a request is the decision module's.
+//! Pools and routes: which pools each listed endpoint belongs to, and which pools a request may use. `wrenfork-routes` defines
+//! the routes; the decision module selects the endpoint that serves a request.
 
 use crate::discovery::{EndpointLabels, EndpointList};
 use std::collections::HashMap;
@@ -7,30 +7,30 @@
 use wrenfork_decision::{BackendId, Endpoint, EndpointState, Request};
 use wrenfork_routes::{NodeLabels, RoutePaths, Table};
 
-/// An endpoint as it was listed last.
+/// The latest listing of an endpoint.
 struct KnownEndpoint {
     listed: Endpoint,
     labels: EndpointLabels,
 }
 
-/// What the decision module does with an endpoint.
+/// Status of an endpoint in the decision module.
 pub struct EndpointWork {
-    /// Whether it takes any work.
+    /// Whether the endpoint receives any requests.
     pub takes_work: bool,
-    /// The names of the classes for which it is ejected.
+    /// Names of the classes for which the endpoint is ejected.
     pub ejected_for: Vec<String>,
 }
 
-/// The pools and routes that are enforced.
+/// The enforced pools and routes.
 pub struct Routing {
     table: Table,
     paths: RoutePaths,
-    /// Known only where pools may change: then all endpoints are assigned again.
+    /// Listed endpoints, which are assigned again when pools change; `None` if pools cannot change.
     endpoints: Option<HashMap<BackendId, KnownEndpoint>>,
 }
 
 impl Routing {
-    /// For these pools and routes; `may_change` where others may come.
+    /// Creates the routing for a table; `may_change` says whether [`Routing::set_table`] may be called later.
     pub fn new(table: Table, may_change: bool) -> Routing {
         Routing {
             paths: RoutePaths::of(&table),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Assigns each endpoint of a list to its pools.
+    /// Assigns each endpoint of a list to its pools, and remembers the endpoints if pools may change.
     pub fn assign_pools(&mut self, list: &mut EndpointList) {
         if let Some(known) = self.endpoints.as_mut().filter(|_| list.is_full) {
             known.clear();
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Takes other pools and routes; gives the full endpoint list with the pools that each is of now, if it has to be reported.
+    /// Replaces the pools and routes. Returns all endpoints with their new pools, to be reported to the decision module, or `None`
+    /// if nothing changed or the routing was created with `may_change` unset.
     pub fn set_table(&mut self, table: Table) -> Option<Vec<Endpoint>> {
         if table == self.table {
             return None;
@@ -75,10 +76,10 @@
         Some(listed.collect())
     }
 
-    /// The endpoints that are listed, for whoever plans a change. None where pools can't change.
+    /// The listed endpoints, from which changes are planned; empty if pools cannot change.
     pub fn endpoints(&self, work: impl Fn(BackendId) -> EndpointWork) -> Vec<ObservedNode> {
         let known = self.endpoints.iter().flatten();
-        let seen = known.map(|(id, endpoint)| {
+        let observed = known.map(|(id, endpoint)| {
             let EndpointLabels {
                 name,
                 zone,
@@ -94,10 +95,10 @@
                 ejected_for: work.ejected_for,
             }
         });
-        seen.collect()
+        observed.collect()
     }
 
-    /// Gives a request the pools that it may go to.
+    /// Sets the pools that a request may use.
     pub fn route(&self, request: &mut Request) {
         let path = self
             .paths
@@ -107,7 +108,7 @@
     }
 }
 
-/// The pools that an endpoint is of, a bit for each.
+/// The pools that an endpoint belongs to, as a bit set indexed by pool.
 fn pools_of(table: &Table, listed: &Endpoint, labels: &EndpointLabels) -> u64 {
     table.pools_of(&NodeLabels {
         name: &labels.name,
--- a/crates/ingress/src/shutdown.rs
+++ b/crates/ingress/src/shutdown.rs
@@ -1,54 +1,54 @@
-//! The graceful shutdown of an ingress: how long it still accepts, answers, and waits for clients.
+//! Timing of the graceful shutdown: how long the ingress still accepts connections, serves requests and waits for clients.
 
 use crate::timers::{Due, Timers};
 use wrenfork_decision::Micros;
 
-/// How long connections are still accepted behind the signal: new ones come for up to 0.4 s, and from those who have
-/// not heard of it for longer.
+/// How long connections are accepted after the signal, in microseconds: clients open new ones for up to 0.4 s, and clients that
+/// have not been notified yet for longer.
 const ACCEPT_TIME: Micros = 500_000;
-/// Then for as long as the latest connection is no older than this.
+/// After [`ACCEPT_TIME`], accepting continues while the latest connection is younger than this, in microseconds.
 const ACCEPT_AFTER_LATEST: Micros = 300_000;
-/// How often that is looked at.
+/// Interval between checks whether to stop accepting, in microseconds.
 const ACCEPT_CHECK_INTERVAL: Micros = 100_000;
-/// How long after that a client that sends nothing complete is still waited for.
+/// How long after the end of accepting the ingress waits for clients without a complete request, in microseconds.
 const IDLE_CLIENT_TIMEOUT: Micros = 1_000_000;
-/// How long after the signal the last of the requests have failed, besides their longest deadline or [`MAX_DEADLINE`]: SIGKILL
-/// may come 0.7 s after that.
+/// Open requests are failed this long after the longest deadline (at most [`MAX_DEADLINE`]) has passed since the signal, in
+/// microseconds. SIGKILL may follow 0.7 s later.
 const FAIL_MARGIN: Micros = 400_000;
-/// The longest deadline that is waited for.
+/// Longest request deadline that the shutdown waits for, in microseconds.
 const MAX_DEADLINE: Micros = 3_000_000;
-/// How long the ingress waits, all in all, for clients to read their answers.
+/// Maximum time from the end of accepting until the process exits while clients still have answers to read, in microseconds.
 const READ_TIMEOUT: Micros = 2_000_000;
 
-/// How far a graceful shutdown has come.
+/// Progress of the graceful shutdown.
 pub struct Shutdown {
-    /// How long requests are served behind the signal.
+    /// How long requests are served after the signal.
     serve_time: Micros,
-    /// When all that is open has failed, once it has begun.
+    /// Time at which the remaining open requests are failed; [`Micros::MAX`] before the shutdown begins.
     fail_at: Micros,
     begun: bool,
-    /// Idle connections have been closed once.
+    /// Whether idle connections have been closed for the first time.
     closed_once: bool,
-    /// When no more connections were accepted.
+    /// Time at which accepting ended.
     closing_since: Option<Micros>,
 }
 
-/// What clients still have open.
+/// The clients that are left during a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenClients {
-    /// How many are connected.
+    /// Number of connected clients.
     pub connected: usize,
-    /// Something that they sent is to be read or answered yet.
+    /// Whether there is input from clients that has not been read or answered yet.
     pub has_more: bool,
 }
 
-/// How long requests with this longest deadline are served behind the signal.
+/// How long requests are served after the signal, given the longest deadline of any class.
 fn serve_time(longest_deadline: Micros) -> Micros {
     longest_deadline.min(MAX_DEADLINE) + FAIL_MARGIN
 }
 
 impl Shutdown {
-    /// Not begun.
+    /// Creates a shutdown that has not begun.
     pub fn new(longest_deadline: Micros) -> Self {
         Shutdown {
             serve_time: serve_time(longest_deadline),
@@ -59,34 +59,35 @@
         }
     }
 
-    /// Whether it has begun.
+    /// Whether the shutdown has begun.
     pub fn has_begun(&self) -> bool {
         self.begun
     }
 
-    /// A class has a deadline as long as this; what is open may still have a longer one.
+    /// Extends the serving time for a class with this deadline. It is never shortened, since open requests may have longer
+    /// deadlines.
     pub fn allow_deadline(&mut self, longest_deadline: Micros) {
         self.serve_time = self.serve_time.max(serve_time(longest_deadline));
     }
 
-    /// Begins, if it has not begun.
+    /// Begins the shutdown unless it has begun already.
     pub fn begin(&mut self, now: Micros, timers: &mut Timers) {
         if !std::mem::replace(&mut self.begun, true) {
-            tracing::info!("stopping: answering what has been admitted");
+            tracing::info!("stopping: serving the admitted requests before exit");
             self.fail_at = now + self.serve_time;
             timers.set(now + ACCEPT_TIME, Due::StopAccepting);
             timers.set(self.fail_at, Due::FailOpenRequests);
         }
     }
 
-    /// Whether clients still connect, the latest at `accepted_at`, and are to be accepted; if not, closing begins.
+    /// Whether to continue accepting, given that the latest client was accepted at `accepted_at`; otherwise closing begins.
     pub fn keeps_accepting(
         &mut self,
         now: Micros,
         accepted_at: Micros,
         timers: &mut Timers,
     ) -> bool {
-        // Closing idle connections crosses some requests, which come again on new ones: that is waited for in any case.
+        // Clients that send a request just as their idle connection is closed retry on a new one: always wait for those.
         let first = !std::mem::replace(&mut self.closed_once, true);
         let recent = first || now < accepted_at + ACCEPT_AFTER_LATEST;
         let accepting = recent && now + ACCEPT_TIME < self.fail_at;
@@ -98,19 +99,19 @@
         accepting
     }
 
-    /// Whether the process may exit, where all that was admitted is answered; `is_busy` says whether any client still awaits
-    /// something.
+    /// Whether the process may exit. All admitted requests must have been answered; `is_busy` says whether any client still
+    /// waits for output.
     pub fn may_exit(&self, now: Micros, open: OpenClients, is_busy: impl Fn() -> bool) -> bool {
         let Some(since) = self.closing_since else {
             return false;
         };
-        // What was read on the way out, or waits behind a full queue of answers, is rejected in the next turns; one that sends
-        // without end must not keep it.
+        // Requests read during the shutdown, or waiting because the answer queue of their connection is full, are rejected in the
+        // next iterations. A client that never stops sending must not delay the exit beyond this.
         if open.has_more && now < self.fail_at.saturating_add(ACCEPT_CHECK_INTERVAL) {
             return false;
         }
         let waited = now - since;
-        // Half a request, or answers that nobody reads, must not keep it until it is killed.
+        // Incomplete requests or unread answers must not delay the exit until the process is killed.
         let only_idle = || waited > IDLE_CLIENT_TIMEOUT && !is_busy();
         open.connected == 0 || waited > READ_TIMEOUT || now >= self.fail_at || only_idle()
     }
--- a/crates/ingress/src/stream.rs
+++ b/crates/ingress/src/stream.rs
@@ -1,4 +1,4 @@
-//! Connections of clients and to backends: over TCP or a Unix socket. Both are read, written and polled alike.
+//! Client and backend connections over TCP or a Unix socket, with the same interface for reading, writing and polling.
 
 use mio::event::Source;
 use mio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
@@ -11,25 +11,25 @@
 use wrenfork_happy_eyeballs::Address;
 use wrenfork_identity::sources::Source as ClientSource;
 
-/// A listener for clients.
+/// Listening socket for clients.
 pub enum Listener {
-    /// Over TCP.
+    /// TCP socket.
     Tcp(TcpListener),
-    /// At a Unix socket, for certain users.
+    /// Unix socket, with the users that may connect.
     Unix(UnixListener, PeerCredentialFilter),
 }
 
-/// Which users may connect to a Unix socket.
+/// Restricts the users that may connect to a Unix socket.
 #[derive(Default)]
 pub struct PeerCredentialFilter {
-    /// Users by their numbers; whoever the socket's mode lets in where none are named.
+    /// Allowed user ids; if empty, the file mode of the socket decides.
     users: Vec<u32>,
-    /// How many connections were rejected.
+    /// Number of rejected connections.
     rejected: Cell<u64>,
 }
 
 impl PeerCredentialFilter {
-    /// Whether the process behind a connection is one of these users', as the kernel says.
+    /// Whether the peer process runs as an allowed user, according to the kernel.
     fn allows(&self, stream: &UnixStream) -> bool {
         if self.users.is_empty() {
             return true;
@@ -40,24 +40,28 @@
         }
         let rejected = self.rejected.get() + 1;
         self.rejected.set(rejected);
-        // Whoever goes on trying must not fill the log.
+        // Log only the 1st, 2nd, 4th, 8th, ... rejection, so that repeated attempts cannot flood the log.
         if rejected.is_power_of_two() {
             let user = user.map_or("unknown".into(), |user| user.to_string());
-            tracing::warn!(rejected, user, "listen: this user may not connect");
+            tracing::warn!(
+                rejected,
+                user,
+                "listen: connection rejected, user is not in listen_users"
+            );
         }
         false
     }
 }
 
-/// A client's connection, or one to a backend.
+/// A connection of a client or to a backend.
 pub enum Stream {
-    /// Over TCP.
+    /// TCP socket.
     Tcp(TcpStream),
-    /// At a Unix socket.
+    /// Unix socket.
     Unix(UnixStream),
 }
 
-/// Whether a socket is not connected yet or has nothing to do: it will show as ready.
+/// Whether an error only means that the socket is not connected yet or would block; poll reports it when it is ready.
 pub fn is_not_ready(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -66,7 +70,7 @@
 }
 
 impl Listener {
-    /// A Unix socket for these users; for whoever its mode lets in where none are named.
+    /// Creates a Unix listener that only the users with these ids may connect to; if `users` is empty, the file mode decides.
     pub fn unix(listener: UnixListener, users: Vec<u32>) -> Listener {
         Listener::Unix(
             listener,
@@ -81,12 +85,12 @@
     ///
     /// # Errors
     ///
-    /// Where none waits, or one that may not connect was closed ([`ErrorKind::PermissionDenied`]).
+    /// If none is waiting, or the user may not connect and was disconnected ([`ErrorKind::PermissionDenied`]).
     pub fn accept(&self) -> io::Result<Stream> {
         match self {
             Listener::Tcp(listener) => {
                 let (stream, _) = listener.accept()?;
-                let _ = stream.set_nodelay(true); // an answer is one write: there is nothing to wait for
+                let _ = stream.set_nodelay(true); // each answer is one write, so delaying it gains nothing
                 Ok(Stream::Tcp(stream))
             }
             Listener::Unix(listener, filter) => {
@@ -102,12 +106,12 @@
 }
 
 impl Stream {
-    /// Begins to connect to an address.
+    /// Starts connecting to an address without blocking.
     pub fn connect(address: &Address) -> io::Result<Stream> {
         match address {
             Address::Tcp(address) => {
                 let stream = TcpStream::connect(*address)?;
-                // Without it the second of two small writes would wait for the first one's acknowledgement.
+                // With Nagle's algorithm the second of two small writes would wait for the acknowledgement of the first.
                 let _ = stream.set_nodelay(true);
                 Ok(Stream::Tcp(stream))
             }
@@ -115,7 +119,7 @@
         }
     }
 
-    /// The descriptor alone, for the process that comes next.
+    /// Returns the descriptor, for handover to the successor.
     pub fn into_descriptor(self) -> OwnedFd {
         match self {
             Stream::Tcp(stream) => stream.into(),
@@ -123,12 +127,12 @@
         }
     }
 
-    /// A connection over TCP that another process had.
+    /// Creates a TCP connection from a descriptor that the predecessor handed over.
     pub fn from_tcp_descriptor(descriptor: OwnedFd) -> Stream {
         Stream::Tcp(TcpStream::from_std(descriptor.into()))
     }
 
-    /// A connection to an address that another process had.
+    /// Creates a connection to `address` from a descriptor that the predecessor handed over.
     pub fn from_descriptor(address: &Address, descriptor: OwnedFd) -> Stream {
         match address {
             Address::Tcp(_) => Stream::from_tcp_descriptor(descriptor),
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Where a client's connection comes from, by which failed authentications are limited.
+    /// The source of a client connection, by which failed authentications are limited.
     pub fn client_source(&self) -> ClientSource {
         match self {
             Stream::Tcp(stream) => match stream.peer_addr() {
@@ -158,7 +162,7 @@
         }
     }
 
-    /// Shuts one direction down, or both.
+    /// Shuts down one or both directions.
     pub fn shutdown(&self, how: Shutdown) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => stream.shutdown(how),
@@ -189,28 +193,28 @@
     }
 }
 
-/// Has a type polled as the socket that it holds.
+/// Implements [`Source`] for an enum by delegating to the socket in each variant.
 macro_rules! impl_source {
-    ($($kind:ident),*) => {$(
-        impl Source for $kind {
+    ($($type:ident),*) => {$(
+        impl Source for $type {
             fn register(&mut self, registry: &Registry, token: Token, interests: Interest) -> io::Result<()> {
                 match self {
-                    $kind::Tcp(socket) => socket.register(registry, token, interests),
-                    $kind::Unix(socket, ..) => socket.register(registry, token, interests),
+                    $type::Tcp(socket) => socket.register(registry, token, interests),
+                    $type::Unix(socket, ..) => socket.register(registry, token, interests),
                 }
             }
 
             fn reregister(&mut self, registry: &Registry, token: Token, interests: Interest) -> io::Result<()> {
                 match self {
-                    $kind::Tcp(socket) => socket.reregister(registry, token, interests),
-                    $kind::Unix(socket, ..) => socket.reregister(registry, token, interests),
+                    $type::Tcp(socket) => socket.reregister(registry, token, interests),
+                    $type::Unix(socket, ..) => socket.reregister(registry, token, interests),
                 }
             }
 
             fn deregister(&mut self, registry: &Registry) -> io::Result<()> {
                 match self {
-                    $kind::Tcp(socket) => socket.deregister(registry),
-                    $kind::Unix(socket, ..) => socket.deregister(registry),
+                    $type::Tcp(socket) => socket.deregister(registry),
+                    $type::Unix(socket, ..) => socket.deregister(registry),
                 }
             }
         }
--- a/crates/ingress/src/takeover.rs
+++ b/crates/ingress/src/takeover.rs
@@ -1,5 +1,5 @@
-//! Handing this ingress over to the process that comes after it, and taking it over from the one before: the state of the module
-//! and of everything round it in one piece, and the sockets by descriptor. The channel and its steps stand in
+//! Handover of the ingress between processes, in both directions: the predecessor sends one message with the state of the
+//! decision module and of the event loop, then the open sockets as file descriptors. The channel and its steps are in
 //! `wrenfork-handover`.
 
 mod error;
--- a/crates/ingress/src/takeover/error.rs
+++ b/crates/ingress/src/takeover/error.rs
@@ -4,53 +4,53 @@
 use std::io;
 use wrenfork_control_plane::socket::SocketError;
 
-/// Why a state's extension can't be read.
+/// Why the extension of a handover state was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct ExtensionError(pub &'static str);
 
-/// Why an ingress can't be handed over or taken over.
+/// Why a handover failed, on either side.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
-    /// The other process is gone, or does not keep to the steps.
+    /// The other process has exited or violated the handover protocol.
     #[error(transparent)]
     Channel(#[from] wrenfork_handover::HandoverError),
-    /// A change is being made through the control port.
-    #[error("a change is being made")]
+    /// A configuration change is in progress on the control port.
+    #[error("a configuration change is in progress on the control port")]
     ControlPortBusy,
-    /// The state can't be serialized.
-    #[error("the state can't be written: {0}")]
+    /// The state could not be serialized.
+    #[error("cannot encode the handover state: {0}")]
     Encode(#[source] postcard::Error),
-    /// The state can't be deserialized.
-    #[error("the state can't be read: {0}")]
+    /// The state could not be deserialized.
+    #[error("cannot decode the handover state: {0}")]
     Decode(#[source] postcard::Error),
-    /// The state ends with something that its layout does not have.
+    /// The bytes after the state are not a valid extension of its layout.
     #[error(transparent)]
     Extension(#[from] ExtensionError),
-    /// The successor's layout has no lease, without which a member of a group may not serve.
-    #[error("a process of layout {0} knows no lease, and this is a member of a group")]
+    /// The successor's layout has no lease, and a member of a group must not serve without one.
+    #[error("handover layout {0} of the successor has no lease, and this ingress is a member of a group")]
     NoLeaseInLayout(u32),
-    /// The configuration that was handed over is refused by this program.
-    #[error("what it enforces can't be: {0}")]
+    /// This program does not accept the configuration that was handed over.
+    #[error("the configuration of the predecessor is invalid for this program: {0}")]
     Config(#[source] ConfigError),
-    /// The successor's socket can't be bound.
+    /// The handover socket could not be bound.
     #[error(transparent)]
     Bind(#[from] SocketError),
-    /// The successor's socket can't be polled.
-    #[error("{path}: {source}")]
+    /// The handover socket could not be registered for polling.
+    #[error("handover socket {path}: cannot poll: {source}")]
     Poll {
-        /// The socket.
+        /// Path of the handover socket.
         path: String,
-        /// The system's reason.
+        /// Error returned by the operating system.
         source: io::Error,
     },
-    /// This ingress ends by itself, and the next one begins anew.
-    #[error("told to stop")]
+    /// A graceful shutdown has begun here, so the successor starts without this state.
+    #[error("a graceful shutdown is in progress")]
     Stopping,
-    /// Callers are authenticated here, and their connections' proofs do not pass to another process.
-    #[error("what callers have proved does not pass to another process")]
+    /// Callers are authenticated here, and the authentication of a connection cannot be handed over.
+    #[error("authenticated connections cannot be handed over")]
     Authenticated,
-    /// The control port of the process before is not taken over yet.
-    #[error("the state of the process before has not come yet")]
+    /// The control port has not yet been taken over from the predecessor.
+    #[error("the control port has not yet been taken over from the predecessor")]
     ControlPortPending,
 }
--- a/crates/ingress/src/takeover/listener.rs
+++ b/crates/ingress/src/takeover/listener.rs
@@ -1,4 +1,4 @@
-//! The socket at which the next process finds this one.
+//! The Unix socket at which a successor requests a handover.
 
 use super::error::HandoverError;
 use super::state::{HandoverFormat, OLDEST_LAYOUT};
@@ -11,43 +11,43 @@
 use wrenfork_control_plane::socket::{self, SocketFile};
 use wrenfork_handover::caller::Caller;
 
-/// Permissions of the socket: its owner's alone.
+/// File mode of the socket: access for its owner only.
 const SOCKET_MODE: u32 = 0o600;
 
-/// The socket at which the next process asks for this ingress.
+/// Listening socket on which a successor requests a handover.
 pub struct HandoverListener {
     listener: UnixListener,
     socket: SocketFile,
 }
 
 impl HandoverListener {
-    /// Listens for the next process.
+    /// Binds the socket and registers it for polling.
     ///
     /// # Errors
     ///
-    /// Where another process of this ingress still does, or the folder can't be used.
+    /// If another process of this ingress still listens there, or the socket cannot be created or registered.
     pub fn open(path: &Path, registry: &Registry, token: Token) -> Result<Self, HandoverError> {
-        let unusable = |source: io::Error| HandoverError::Poll {
+        let poll_error = |source: io::Error| HandoverError::Poll {
             path: path.display().to_string(),
             source,
         };
         let bound = socket::listen(path, SOCKET_MODE)?;
-        bound.listener.set_nonblocking(true).map_err(unusable)?;
+        bound.listener.set_nonblocking(true).map_err(poll_error)?;
         let mut listener = UnixListener::from_std(bound.listener);
         registry
             .register(&mut listener, token, Interest::READABLE)
-            .map_err(unusable)?;
+            .map_err(poll_error)?;
         Ok(HandoverListener {
             listener,
             socket: bound.file,
         })
     }
 
-    /// The next process that has connected; none where nobody waits.
+    /// Accepts a successor that has connected; `None` if there is none.
     ///
     /// # Errors
     ///
-    /// Where it is of another user, or reads no layout that is written here.
+    /// If the successor runs as another user, or no layout is common to both processes.
     pub fn accept<F: HandoverFormat>(&self) -> Option<Result<Caller, HandoverError>> {
         let (stream, _) = self.listener.accept().ok()?;
         let stream = UnixStream::from(OwnedFd::from(stream));
@@ -55,7 +55,7 @@
         Some(caller.map_err(HandoverError::from))
     }
 
-    /// Removes the socket's file: the ingress ends, with no process behind it.
+    /// Removes the socket file when the ingress exits without a successor.
     pub fn close(&self) {
         self.socket.remove();
     }
--- a/crates/ingress/src/takeover/state.rs
+++ b/crates/ingress/src/takeover/state.rs
@@ -1,5 +1,5 @@
-//! The state that passes from one process to the next, and its layouts. All forms are positional (postcard): the order of
-//! fields and variants is part of the layout.
+//! The state that is handed over, and its layouts. The postcard encoding is positional, so the order of fields and variants is
+//! part of the layout.
 
 use super::error::{ExtensionError, HandoverError};
 use crate::backend::{Connection, SavedBackends};
@@ -13,47 +13,46 @@
 use wrenfork_control_plane::group::InheritedLease;
 use wrenfork_decision::{Gateway, Micros};
 
-/// The number of the state's layout. It grows with every change of what is stored in it, here or in the module: a process of
-/// another layout must not read it wrongly. What a layout has more than the one before stands behind all of that, so that a
-/// neighbour's is written by leaving that away, and read with what it means that it is not there:
+/// Newest layout of the handover state. It is increased with every change to the stored data, here or in the decision module,
+/// so that a process with another layout never misreads the bytes. A new layout only appends to the previous one: the
+/// previous layout is written by omitting the appended data, and read with the default for missing data.
 ///
 /// - 4: [`OutgoingState`].
-/// - 5: and the lease of a member of a group.
+/// - 5: layout 4, followed by the lease of a member of a group.
 pub const LAYOUT: u32 = 5;
-/// The oldest layout that is written and read here.
+/// Oldest layout that this program still writes and reads.
 pub const OLDEST_LAYOUT: u32 = 4;
-/// The first layout with the lease of a member of a group.
+/// First layout that contains the lease of a member of a group.
 const FIRST_LAYOUT_WITH_LEASE: u32 = 5;
 
-/// What is handed over, by the old process.
+/// The state that a predecessor sends, borrowed from the running ingress.
 #[derive(Serialize)]
 pub struct OutgoingState<'a> {
-    /// What is enforced, with the indices that classes and plans have.
+    /// The enforced configuration, with the indices of classes and plans.
     pub source_pairs: &'a Told,
-    /// The event loop's clock and the system's.
+    /// Event loop clock and system clock at the moment of the handover.
     pub clocks: ClockReading,
-    /// The time of the event loop's last turn.
+    /// Time of the last event loop iteration.
     pub now: Micros,
-    /// The decision module.
+    /// State of the decision module.
     pub gateway: &'a Gateway,
-    /// The open requests.
+    /// Open requests with their attempts.
     pub requests: &'a OpenRequests,
-    /// The timers that are set.
+    /// Pending timers of the event loop.
     pub timers: &'a Timers,
-    /// Where discovery is, and the version of the endpoint list.
+    /// Address of discovery, and the version of the endpoint list.
     pub discovery: DiscoveryPosition,
-    /// Whether the first descriptor is the peers' socket.
+    /// Whether the first descriptor is the UDP socket for peers.
     pub has_peer_socket: bool,
-    /// The client connections.
+    /// Client connections, in the order of their descriptors.
     pub clients: SavedClients<&'a ClientConnection>,
-    /// The connections to backends.
+    /// Backend connections, in the order of their descriptors.
     pub backends: SavedBackends<&'a Connection>,
 }
 
-/// The same, as the new process reads it.
+/// [`OutgoingState`] as decoded by the successor: same fields in the same order.
 #[derive(Deserialize)]
 pub struct InheritedState {
-    /// See [`OutgoingState::source_pairs`], and so on.
     pub source_pairs: Told,
     pub clocks: ClockReading,
     pub now: Micros,
@@ -67,39 +66,41 @@
 }
 
 impl InheritedState {
-    /// How many descriptors belong to it.
+    /// Number of descriptors that the predecessor sends with this state.
     pub fn descriptor_count(&self) -> usize {
         usize::from(self.has_peer_socket) + self.clients.len() + self.backends.len()
     }
 }
 
-/// What a version of the program stores behind the shipped layout, in an extension that the shipped version does not know.
+/// Extension of the handover state by versions of the program whose layout is newer than the shipped one.
 pub trait HandoverFormat {
-    /// The newest layout that it writes and reads.
+    /// Newest layout that this version writes and reads.
     const LAYOUT: u32 = LAYOUT;
 
-    /// Appends what a layout has beyond the shipped one.
+    /// Appends the data that `layout` has after the shipped layout.
     fn write_extension(_layout: u32, _state: &mut Vec<u8>) {}
 
-    /// Reads what [`HandoverFormat::write_extension`] appends.
+    /// Checks the data that [`HandoverFormat::write_extension`] appended.
     ///
     /// # Errors
     ///
-    /// Where it is something else.
+    /// If `extension` is not what `layout` requires.
     fn read_extension(_layout: u32, extension: &[u8]) -> Result<(), ExtensionError> {
         if extension.is_empty() {
             Ok(())
         } else {
-            Err(ExtensionError("there is more than its layout has"))
+            Err(ExtensionError(
+                "unexpected bytes after the end of the handover state",
+            ))
         }
     }
 }
 
-/// Serializes a state in a layout.
+/// Serializes a state in the given layout.
 ///
 /// # Errors
 ///
-/// Where it can't be serialized, or a process of that layout could not go on with it.
+/// If serialization fails, or there is a lease and the layout cannot carry it.
 pub fn encode<F: HandoverFormat>(
     layout: u32,
     state: &OutgoingState,
@@ -117,11 +118,11 @@
     Ok(bytes)
 }
 
-/// Deserializes a state of a layout, with the lease of a member of a group where the layout has one.
+/// Deserializes a state of the given layout, and the lease of a member of a group if the layout contains one.
 ///
 /// # Errors
 ///
-/// Where the bytes are no state of this layout, or something stands behind it.
+/// If the bytes are not a state of this layout, or its extension is invalid.
 pub(super) fn decode<F: HandoverFormat>(
     layout: u32,
     bytes: &[u8],
--- a/crates/ingress/src/takeover/successor.rs
+++ b/crates/ingress/src/takeover/successor.rs
@@ -1,4 +1,4 @@
-//! Taking over from the process that serves at this moment.
+//! The successor's side of a handover: taking over from the process that currently serves.
 
 use super::error::HandoverError;
 use super::state::{decode, HandoverFormat, InheritedState, OLDEST_LAYOUT};
@@ -9,30 +9,31 @@
 use wrenfork_control_plane::group::InheritedLease;
 use wrenfork_handover::predecessor::{OfferedState, Predecessor};
 
-/// One part in so many of the memory bounds a state on its way: it stands there beside what it is read into.
-const STATE_MEMORY_SHARE: usize = 4;
+/// The received state may take at most the memory limit divided by this, since the received bytes and the decoded state are
+/// in memory at the same time.
+const STATE_MEMORY_DIVISOR: usize = 4;
 
-/// What was taken over.
+/// Everything received from the predecessor.
 pub struct TakenOver {
-    /// The state of the process before.
+    /// The decoded state of the predecessor.
     pub state: InheritedState,
-    /// The lease of a member of a group; none where the other process's layout has none.
+    /// The lease of a member of a group; `None` outside a group, or if the predecessor's layout has no lease.
     pub lease: Option<InheritedLease>,
-    /// What the process before enforced, compiled.
+    /// The configuration that the predecessor enforced, compiled.
     pub active: ActiveConfig,
-    /// The sockets, in the order in which the state names them.
+    /// The sockets, in the order in which the state refers to them; may be fewer than the state refers to.
     pub descriptors: Vec<OwnedFd>,
 }
 
-/// Takes over from the process that serves at this moment; none if there is none, or it can't: then this one begins anew.
-/// `memory` is what this ingress may use, in bytes.
+/// Takes over from the process that currently serves. Returns `None` if there is no such process or the handover fails; the
+/// ingress then starts without inherited state. `memory` is the memory limit of this ingress in bytes.
 pub fn take_over<F: HandoverFormat>(path: &Path, memory: usize) -> Option<TakenOver> {
     match try_take_over::<F>(path, memory) {
         Ok(taken) => taken,
         Err(error) => {
             tracing::warn!(
                 %error,
-                "handover: failed, beginning anew beside the other process, which has to end by itself"
+                "handover: failed, starting without the state of the predecessor, which keeps running until it is stopped"
             );
             None
         }
@@ -44,7 +45,7 @@
     memory: usize,
 ) -> Result<Option<TakenOver>, HandoverError> {
     let layouts = OLDEST_LAYOUT..=F::LAYOUT;
-    let offered = Predecessor::request_state(path, layouts, memory / STATE_MEMORY_SHARE)?;
+    let offered = Predecessor::request_state(path, layouts, memory / STATE_MEMORY_DIVISOR)?;
     let Some(OfferedState {
         mut predecessor,
         layout,
@@ -53,7 +54,7 @@
     else {
         return Ok(None);
     };
-    // All that may fail comes before the state is this process's.
+    // Everything that can fail is done before this process becomes the owner of the state: until then the predecessor can go on.
     let (state, lease, active) = match decode_and_compile::<F>(layout, &bytes) {
         Ok(decoded) => decoded,
         Err(error) => {
@@ -91,7 +92,7 @@
         tracing::warn!(
             lost,
             count,
-            "handover: connections did not come, they are lost"
+            "handover: fewer descriptors received than expected, their connections are lost"
         );
     }
     descriptors
--- a/crates/ingress/src/takeover/tests.rs
+++ b/crates/ingress/src/takeover/tests.rs
@@ -1,4 +1,4 @@
-//! The state of a handover, byte by byte.
+//! Encoding of the handover state, compared with golden files.
 
 use super::state::{decode, encode, InheritedState, OutgoingState, LAYOUT, OLDEST_LAYOUT};
 use crate::backend::{Activity, Backends};
@@ -28,11 +28,11 @@
     admission_deadline: 99,
 };
 
-fn file(layout: u32) -> String {
+fn golden_name(layout: u32) -> String {
     format!("handover-{layout}.bin")
 }
 
-/// A state with every field and variant that a handover has in use.
+/// A state in which every field and variant of the handover encoding occurs.
 fn sample() -> InheritedState {
     let json = serde_json::from_slice(&golden_file("platform.json")).unwrap();
     let mut pairs = split(&json).unwrap();
@@ -42,18 +42,18 @@
     let enforced = compile(&pairs.fixed, &State(pairs.state.clone())).unwrap();
     let (mut command, mut args) = (Vec::new(), Vec::new());
     resp::put_array(&mut command, 4);
-    for part in [
+    for argument in [
         &b"CALL.GET"[..],
         b"00000000b4d65521",
         b"9b1f",
         b"c=quote,t=starter,d=480,units=2,spread=1,first=0",
     ] {
-        resp::put_bulk(&mut command, &[part]);
+        resp::put_bulk(&mut command, &[argument]);
     }
     resp::command(&command, &mut args).unwrap().unwrap();
     let call = Call::read(&command, &args, &enforced.vocabulary)
         .unwrap()
-        .unwrap_or_else(|_| panic!("the sample is a call"));
+        .unwrap_or_else(|_| panic!("the sample command must parse as a call"));
     InheritedState {
         source_pairs: pairs,
         clocks: ClockReading {
@@ -74,15 +74,15 @@
     }
 }
 
-/// Takes a state over, and writes it down for the next process.
-fn write(state: InheritedState, layout: u32, lease: Option<InheritedLease>) -> Vec<u8> {
+/// Resumes from a state as a successor does, then encodes it again as a predecessor.
+fn resume_and_encode(state: InheritedState, layout: u32, lease: Option<InheritedLease>) -> Vec<u8> {
     let folder = tempfile::tempdir().unwrap();
     let poll = Poll::new().unwrap();
     let mut sockets = std::iter::repeat_with(|| {
-        let (one, other) = UnixStream::pair().unwrap();
-        std::mem::forget(other); // it would show as closed
-        one.set_nonblocking(true).unwrap();
-        OwnedFd::from(one)
+        let (ours, theirs) = UnixStream::pair().unwrap();
+        std::mem::forget(theirs); // dropping the other end would show as a closed connection
+        ours.set_nonblocking(true).unwrap();
+        OwnedFd::from(ours)
     });
     let enforced = compile(
         &state.source_pairs.fixed,
@@ -111,34 +111,46 @@
 }
 
 #[test]
-fn a_state_is_written_as_the_golden_files_have_it() {
-    assert_golden(&file(LAYOUT), &write(sample(), LAYOUT, Some(LEASE)));
-    assert_golden("handover-5-without-lease.bin", &write(sample(), 5, None));
-    assert_golden(&file(OLDEST_LAYOUT), &write(sample(), OLDEST_LAYOUT, None));
+fn encoded_state_matches_golden_files() {
+    assert_golden(
+        &golden_name(LAYOUT),
+        &resume_and_encode(sample(), LAYOUT, Some(LEASE)),
+    );
+    assert_golden(
+        "handover-5-without-lease.bin",
+        &resume_and_encode(sample(), 5, None),
+    );
+    assert_golden(
+        &golden_name(OLDEST_LAYOUT),
+        &resume_and_encode(sample(), OLDEST_LAYOUT, None),
+    );
 }
 
 #[test]
-fn a_state_that_is_read_is_written_to_the_same_bytes() {
+fn decoded_state_is_encoded_to_the_same_bytes() {
     for layout in OLDEST_LAYOUT..=LAYOUT {
-        let golden = golden_file(&file(layout));
+        let golden = golden_file(&golden_name(layout));
         let (state, lease) = decode::<Shipped>(layout, &golden).unwrap();
         assert_eq!(lease, (layout >= 5).then_some(LEASE));
-        assert!(write(state, layout, lease) == golden, "layout {layout}");
+        assert!(
+            resume_and_encode(state, layout, lease) == golden,
+            "layout {layout}"
+        );
     }
 }
 
 #[test]
-fn what_a_connection_is_busy_with_keeps_its_form() {
-    let written = postcard::to_stdvec(&backend::tests::activities()).unwrap();
-    assert_golden("handover-works.bin", &written);
-    let read: Vec<Activity> = postcard::from_bytes(&written).unwrap();
-    assert_eq!(read, backend::tests::activities());
+fn activity_encoding_matches_golden_file() {
+    let encoded = postcard::to_stdvec(&backend::tests::activities()).unwrap();
+    assert_golden("handover-works.bin", &encoded);
+    let decoded: Vec<Activity> = postcard::from_bytes(&encoded).unwrap();
+    assert_eq!(decoded, backend::tests::activities());
 }
 
-/// Each byte that is cut off the end is missed.
+/// A state without its last bytes must not decode, whatever their number.
 #[test]
-fn a_state_that_is_cut_short_is_not_read() {
-    let golden = golden_file(&file(LAYOUT));
+fn truncated_state_is_rejected() {
+    let golden = golden_file(&golden_name(LAYOUT));
     for cut in 1..64 {
         assert!(decode::<Shipped>(LAYOUT, &golden[..golden.len() - cut]).is_err());
     }
--- a/crates/ingress/src/tests/golden.rs
+++ b/crates/ingress/src/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Byte-by-byte comparisons of texts that operators and other programs read.
+//! Texts that operators and other programs read, compared byte by byte with golden files.
 
 use super::assert_golden;
 use crate::arguments::Arguments;
@@ -10,16 +10,16 @@
 use clap::CommandFactory;
 
 #[test]
-fn telemetry_has_its_names_and_form() {
+fn telemetry_matches_golden_file() {
     let mut metrics = RequestMetrics::new(["quote", "", "save"]);
-    for (place, end, count) in [
+    for (class, end, count) in [
         (0, RequestEnd::Served, 5),
         (0, RequestEnd::Rejected, 4),
         (0, RequestEnd::Failed, 3),
         (2, RequestEnd::Served, 2),
         (2, RequestEnd::Failed, 1),
     ] {
-        (0..count).for_each(|_| metrics.record(place, end));
+        (0..count).for_each(|_| metrics.record(class, end));
     }
     metrics.admitted = 17;
     metrics.config_accepted = 6;
@@ -34,18 +34,18 @@
 }
 
 #[test]
-fn the_status_file_has_its_keys_and_words() {
+fn status_file_matches_golden_file() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("status");
-    let mut all = String::new();
-    let mut read = || {
+    let mut contents = String::new();
+    let mut append_status = || {
         let text = std::fs::read_to_string(&path).unwrap();
-        all += &text.replace(&std::process::id().to_string(), "PROCESS");
-        all.push('\n');
+        contents += &text.replace(&std::process::id().to_string(), "PROCESS");
+        contents.push('\n');
     };
     let mut status = ReloadStatusFile::create(Some(path.clone())).unwrap();
-    read();
-    for (outcome, why) in [
+    append_status();
+    for (outcome, reason) in [
         (ReloadOutcome::Applied, ""),
         (ReloadOutcome::Refused, "listen: \"x\" is no address"),
         (
@@ -54,24 +54,24 @@
         ),
         (ReloadOutcome::Started, ""),
     ] {
-        status.record(outcome, why);
-        read();
+        status.record(outcome, reason);
+        append_status();
     }
     status.remove();
     assert!(!path.exists());
-    assert_golden("status.txt", all.as_bytes());
+    assert_golden("status.txt", contents.as_bytes());
 }
 
 #[test]
-fn speaks_prints_its_formats() {
+fn format_versions_match_golden_file() {
     let text = serde_json::to_string(&format_versions("0.0.0", Shipped::LAYOUT)).unwrap();
     assert_golden("speaks.json", text.as_bytes());
-    let own = serde_json::to_string(&Shipped.format_versions()).unwrap();
-    assert_eq!(own, text.replace("0.0.0", env!("CARGO_PKG_VERSION")));
+    let shipped = serde_json::to_string(&Shipped.format_versions()).unwrap();
+    assert_eq!(shipped, text.replace("0.0.0", env!("CARGO_PKG_VERSION")));
 }
 
 #[test]
-fn the_help_text_stays() {
+fn help_text_matches_golden_file() {
     let help = Arguments::command().render_long_help().to_string();
     assert_golden("help.txt", help.as_bytes());
 }
--- a/crates/ingress/src/timers.rs
+++ b/crates/ingress/src/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of the event loop: what falls due, and when.
+//! Timers of the event loop.
 
 use crate::backend::ConnectionHandle;
 use serde::{Deserialize, Serialize};
@@ -9,53 +9,54 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-/// What falls due at a time. The order is the order of timers that fall due together, and part of a handover's layout.
+/// Action of a timer. Timers that are due at the same time run in the order of the variants, which is also part of the handover
+/// layout.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Due {
     /// A timer of the decision module, with its token.
     Module(u32),
-    /// An attempt, by its number, is given up before its request's deadline.
+    /// The attempt with this number times out, before the deadline of its request.
     AttemptTimeout(RequestId, u16),
-    /// The module's deadline of a request: its attempts are given up.
+    /// The deadline that the decision module set for a request: its attempts are cancelled.
     RequestDeadline(RequestId),
-    /// The client's deadline of a request.
+    /// The client of a request stops waiting.
     ClientDeadline(RequestId),
-    /// A connection to a backend should be established.
+    /// A connection to a backend has not been established in time.
     ConnectTimeout(ConnectionHandle),
-    /// The next address of a backend is tried beside the first (RFC 8305).
+    /// The next address of a backend is tried while the first attempt continues (RFC 8305).
     NextAddress(ConnectionHandle),
-    /// A health check, begun at this time, is given up.
+    /// The health check that was started at this time times out.
     HealthCheckTimeout(ConnectionHandle, BackendId, Micros),
-    /// A call of the count service is given up.
+    /// A call to the count service times out.
     CountTimeout,
-    /// Connections are looked at that have been idle for long.
+    /// Periodic check for connections that have been idle too long.
     Sweep,
-    /// Accepting is tried again.
+    /// Accepting is retried after it failed or was paused.
     Accept,
-    /// The configuration is to be read again.
+    /// The configuration files are read again.
     Reload,
-    /// The time of accepting during a graceful shutdown is over.
+    /// The graceful shutdown checks whether to stop accepting connections.
     StopAccepting,
-    /// The time of answering during a graceful shutdown is over.
+    /// The graceful shutdown fails the requests that are still open.
     FailOpenRequests,
 }
 
-/// The timers that are set.
+/// The pending timers, earliest first.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Timers(BinaryHeap<Reverse<(Micros, Due)>>);
 
 impl Timers {
-    /// Has something fall due at a time.
+    /// Sets a timer for the time `at`.
     pub fn set(&mut self, at: Micros, due: Due) {
         self.0.push(Reverse((at, due)));
     }
 
-    /// When the next one falls due; [`Micros::MAX`] where none is set.
+    /// Time of the earliest timer; [`Micros::MAX`] if none is set.
     pub fn next(&self) -> Micros {
         self.0.peek().map_or(Micros::MAX, |timer| timer.0 .0)
     }
 
-    /// Takes all that is due by now: what is set while these are carried out comes in a later turn.
+    /// Removes and returns all timers that are due. Timers set while these are handled run in a later iteration.
     pub fn take(&mut self, now: Micros) -> Vec<Due> {
         let mut due = Vec::new();
         while self.next() <= now {
--- a/crates/ingress/src/timers/tests.rs
+++ b/crates/ingress/src/timers/tests.rs
@@ -1,10 +1,10 @@
-//! Timers as a handover passes them.
+//! Sample of timers for the handover tests.
 
 use super::{Due, Timers};
 use crate::backend::tests::HANDLE;
 use wrenfork_decision::{BackendId, RequestId};
 
-/// Each kind of timer, in its order.
+/// One timer of each kind, in the order of the variants.
 pub(crate) fn sample() -> Timers {
     let mut timers = Timers::default();
     let all = [
--- a/crates/ingress/src/variant.rs
+++ b/crates/ingress/src/variant.rs
@@ -1,36 +1,36 @@
-//! Versions of the program, as tests make them from this library: faulty on purpose, or of another number. The shipped one is
-//! [`Shipped`]; what it does not do costs it nothing, since the event loop is compiled for one version.
+//! Versions of the program. Tests build versions from this library that are faulty on purpose or have other format versions; the
+//! released one is [`Shipped`]. The event loop is compiled for one version, so hooks that are not overridden cost nothing.
 
 use crate::takeover::HandoverFormat;
 use wrenfork_compatibility::FormatVersions;
 
-/// A version of the program.
+/// Hooks in which versions of the program differ.
 pub trait Variant: HandoverFormat + 'static {
-    /// The version's number.
+    /// Version number that the program reports.
     const VERSION: &'static str = env!("CARGO_PKG_VERSION");
-    /// How often it sends each message to a peer.
+    /// Number of copies of each message that are sent to a peer.
     const MESSAGE_COPIES: usize = 1;
-    /// Whether it may fail requests that were served; where it may not, nothing is evaluated for it.
+    /// Whether [`Variant::fails_served`] is called at all.
     const FAILS_SERVED: bool = false;
 
-    /// What it reads and writes of each format.
+    /// Versions of each format that this version of the program reads and writes.
     fn format_versions(&self) -> FormatVersions {
         crate::format_versions::format_versions(Self::VERSION, Self::LAYOUT)
     }
 
-    /// Called before anything else is.
+    /// Called once at the start, before logging and configuration.
     fn start(&mut self) {}
 
-    /// Called at each turn of the event loop.
+    /// Called in each iteration of the event loop.
     fn turn(&mut self) {}
 
-    /// Whether it fails a request that was served, by its class and plan and the number of open requests.
+    /// Whether to turn a served request into a failed one, given its class, its plan and the number of open requests.
     fn fails_served(&mut self, _class: &str, _plan: &str, _open: usize) -> bool {
         false
     }
 }
 
-/// The version that ships.
+/// The released version of the program.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Shipped;
 
