--- a/crates/ingress/src/config/error.rs
+++ b/crates/ingress/src/config/error.rs
@@ -24,10 +24,10 @@
         source: Box<ConfigError>,
     },
     /// The file ends in the middle of a JSON value.
-    #[error("truncated JSON: {0}")]
+    #[error("the JSON file is cut off: {0}")]
     Truncated(#[source] serde_json::Error),
     /// The file is not valid JSON.
-    #[error("invalid JSON: {0}")]
+    #[error("the file is no JSON: {0}")]
     NotJson(#[source] serde_json::Error),
     /// A setting is unknown, missing or invalid.
     #[error("{0}")]
--- a/crates/ingress/src/reload.rs
+++ b/crates/ingress/src/reload.rs
@@ -27,7 +27,7 @@
     #[error("{0}")]
     Align(#[source] BoxError),
     /// A setting differs that can only be changed by a restart.
-    #[error("setting {0} can only be changed by a restart")]
+    #[error("setting {0} is fixed and can only be changed by a restart")]
     FixedSetting(String),
     /// The listen address or a resource limit differs.
     #[error("listen, memory and descriptors can only be changed by a restart")]
--- a/crates/ingress/src/stream.rs
+++ b/crates/ingress/src/stream.rs
@@ -46,7 +46,7 @@
             tracing::warn!(
                 rejected,
                 user,
-                "listen: connection rejected, user is not in listen_users"
+                "listen: connection rejected, this user may not connect"
             );
         }
         false
--- a/crates/ingress/src/takeover/error.rs
+++ b/crates/ingress/src/takeover/error.rs
@@ -45,7 +45,7 @@
         source: io::Error,
     },
     /// A graceful shutdown has begun here, so the successor starts without this state.
-    #[error("a graceful shutdown is in progress")]
+    #[error("this ingress has been told to stop")]
     Stopping,
     /// Callers are authenticated here, and the authentication of a connection cannot be handed over.
     #[error("authenticated connections cannot be handed over")]
