--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -314,13 +314,21 @@
     site.plan("three.plan");
     let text = fs::read_to_string(site.path("three.plan")).unwrap();
     fs::write(site.path("altered.plan"), text.replacen("ann", "bob", 1)).unwrap();
-    refused(&site, &["apply", "altered.plan", "--yes"], "altered");
+    refused(
+        &site,
+        &["apply", "altered.plan", "--yes"],
+        "modified after it was written",
+    );
     fs::write(site.path("half.plan"), &text[..text.len() / 2]).unwrap();
-    refused(&site, &["apply", "half.plan", "--yes"], "no plan");
+    refused(
+        &site,
+        &["apply", "half.plan", "--yes"],
+        "not a valid plan file",
+    );
     let output = site.run(&["plan", "files", "--out", "old.plan", "--good-for", "0s"]);
     assert_eq!(output.status.code(), Some(2), "{}", told(&output));
     thread::sleep(Duration::from_millis(1_100));
-    refused(&site, &["apply", "old.plan", "--yes"], "good for 0 s");
+    refused(&site, &["apply", "old.plan", "--yes"], "was valid for 0 s");
     // One that is gone is missed, unless it is left out by its name.
     site.ingresses[1].as_ref().unwrap().signal("KILL");
     site.dead(1);
--- a/crates/ctl/tests/group/main.rs
+++ b/crates/ctl/tests/group/main.rs
@@ -506,7 +506,7 @@
     says(
         &group.run(&["roster", "add", "desk/d3", "ann"]),
         1,
-        &["in the roster already"],
+        &["is already in the roster"],
     );
     says(
         &group.run(&["roster", "remove", "desk/d9", "ann"]),
