--- a/crates/ingress/src/backend.rs
+++ b/crates/ingress/src/backend.rs
@@ -1,8 +1,8 @@
-//! Connections to backends: a connection pool for each, attempts and health checks, and how these end. A connection carries one
-//! request at a time, for cancelling an attempt means closing its connection.
+//! Connections to backends: connection pools, attempts and health checks. A connection carries one request at a time, because an
+//! attempt is cancelled by closing its connection.
 //!
-//! [`Backends`] holds all connections. Its methods stand by concern in the modules below; attempts and health checks that ended are
-//! queued in [`Backends::ended`].
+//! [`Backends`] owns all connections to backends. Its methods are grouped by concern in the modules below. Finished attempts and
+//! health checks are reported to the event loop through [`Backends::ended`].
 
 mod activity;
 mod connecting;
@@ -36,50 +36,52 @@
 use std::collections::HashMap;
 use wrenfork_decision::{BackendId, Micros};
 
-/// Bytes read at once.
-const CHUNK: usize = 32 * 1024;
+/// Size of the shared read buffer, in bytes: the most that one read from a backend can return.
+const READ_BUFFER_BYTES: usize = 32 * 1024;
 
 /// The connections to all backends.
 pub struct Backends {
     connections: Slab<Connection>,
     pools: HashMap<BackendId, Pool>,
-    /// The serial number of the latest connection.
+    /// Serial number of the connection opened last.
     serial: u64,
-    /// What was read last.
-    chunk: Vec<u8>,
-    /// Idle connections are closed after this, before the backend does.
+    /// Buffer shared by reads from all connections.
+    read_buffer: Vec<u8>,
+    /// How long a connection may be idle before it is closed; shorter than the keep-alive time of backends.
     idle_timeout: Micros,
-    /// How long a connection may take to be established.
+    /// Time limit for establishing a connection.
     connect_timeout: Micros,
     staleness: Staleness,
     tokens: fn(usize) -> Token,
-    /// What ended since this was last looked at, in order.
+    /// Finished attempts and health checks not yet taken by the event loop, oldest first.
     pub ended: Vec<AttemptEnd>,
-    /// Attempts whose command was written to its last byte, since the start.
+    /// Number of attempts since the process started whose command was written completely.
     pub relayed: u64,
-    /// Streamed answers of which something has come.
+    /// Connections with data of a streamed answer that is ready to be forwarded.
     streams: Vec<ConnectionHandle>,
-    /// Connections to be read again before any socket shows as ready.
+    /// Connections to read in the next turn without waiting for a readiness event.
     read_queue: Vec<ConnectionHandle>,
-    /// Races in which something has happened, each by the connection that has the attempt.
+    /// Connect races to advance, each given by the connection that carries the attempt.
     races: Vec<ConnectionHandle>,
-    /// Connections that were established after their attempts began.
+    /// Connections that have become established and carry an attempt whose command is still to be written.
     established: Vec<ConnectionHandle>,
 }
 
-/// How long a connection may stay idle: where both ends close at the same moment a request may be written to a dead one.
+/// How long a connection may stay idle, given the keep-alive time of backends. The limit is 4/5 of that time, since a request
+/// could otherwise be written to a connection that the backend is closing at the same moment.
 fn idle_timeout(keepalive: Micros) -> Micros {
     keepalive / 5 * 4
 }
 
 impl Backends {
-    /// No backend yet. `tokens` names the connections to the poll; see [`Backends::set_timeouts`] for the others.
+    /// Creates an empty set of backends. `tokens` maps a connection key to its poll token; see [`Backends::set_timeouts`] for the
+    /// other parameters.
     pub fn new(connect_timeout: Micros, keepalive: Micros, tokens: fn(usize) -> Token) -> Self {
         Backends {
             connections: Slab::new(),
             pools: HashMap::new(),
             serial: 0,
-            chunk: vec![0; CHUNK],
+            read_buffer: vec![0; READ_BUFFER_BYTES],
             idle_timeout: idle_timeout(keepalive),
             connect_timeout,
             staleness: Staleness::default(),
@@ -93,34 +95,34 @@
         }
     }
 
-    /// From now on a connection may take so long to be established, and backends keep an idle one for so long.
+    /// Sets the time limit for establishing a connection, and the time for which backends keep an idle connection open.
     pub fn set_timeouts(&mut self, connect_timeout: Micros, keepalive: Micros) {
         self.connect_timeout = connect_timeout;
         self.idle_timeout = idle_timeout(keepalive);
     }
 
-    /// How many connections there are.
+    /// Number of open connections to backends, including connects in progress.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// How many backends are listed.
-    pub fn listed(&self) -> usize {
+    /// Number of backends listed by discovery.
+    pub fn backend_count(&self) -> usize {
         self.pools.len()
     }
 
-    /// Whether there is something to read before any socket shows as ready.
+    /// Whether there is something to read without waiting for a readiness event.
     pub fn has_more(&self) -> bool {
         !self.read_queue.is_empty()
     }
 
-    /// A connection, if it is still the one meant.
+    /// The connection that a handle refers to; none if it is closed.
     fn get(&self, handle: ConnectionHandle) -> Option<&Connection> {
         let connection = self.connections.get(handle.key);
-        connection.filter(|c| c.serial == handle.serial)
+        connection.filter(|conn| conn.serial == handle.serial)
     }
 
-    /// The handle of the connection at a place.
+    /// The handle of the connection with this slab key.
     fn handle(&self, key: usize) -> ConnectionHandle {
         ConnectionHandle {
             key,
@@ -128,10 +130,10 @@
         }
     }
 
-    /// The places of connections of which something holds.
-    fn keys(&self, holds: impl Fn(&Connection) -> bool) -> Vec<usize> {
+    /// Slab keys of the connections that match a predicate.
+    fn keys_where(&self, predicate: impl Fn(&Connection) -> bool) -> Vec<usize> {
         let connections = self.connections.iter();
-        let found = connections.filter(|(_, c)| holds(c));
-        found.map(|(key, _)| key).collect()
+        let matching = connections.filter(|(_, conn)| predicate(conn));
+        matching.map(|(key, _)| key).collect()
     }
 }
--- a/crates/ingress/src/backend/activity.rs
+++ b/crates/ingress/src/backend/activity.rs
@@ -1,10 +1,10 @@
-//! What connections to backends are used for, and how that ends. The order of fields and variants is part of a handover's
-//! layout.
+//! What connections to backends are used for, and how that use ends. The order of fields and variants is part of the handover
+//! format.
 
 use serde::{Deserialize, Serialize};
 use wrenfork_decision::{BackendId, LoadReport, Micros, Outcome, RequestId};
 
-/// A connection, for as long as it exists: places in the slab are used again, serial numbers are not.
+/// Identifies a connection uniquely, even after it is closed: slab keys are reused, serial numbers are not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ConnectionHandle {
     pub(super) key: usize,
@@ -14,21 +14,22 @@
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Activity {
-    /// An attempt at a request, by its number.
+    /// An attempt at a request. The `u16` is the number of the attempt within the request.
     Attempt(RequestId, u16),
-    /// A health check.
+    /// A health check of the backend.
     HealthCheck,
-    /// Nothing yet: it is opened beside another connection, which takes its stream if that is established first (RFC 8305).
+    /// A connect in parallel to that of another connection, given by its handle, which takes over the stream if it is established
+    /// first (RFC 8305).
     RaceCandidate(ConnectionHandle),
 }
 
 impl Activity {
-    /// Whether it is a race candidate, which has nothing of its own to end.
+    /// Whether this is a race candidate, which carries no attempt or health check.
     pub(super) fn is_race_candidate(self) -> bool {
         matches!(self, Activity::RaceCandidate(_))
     }
 
-    /// Whether it is an attempt.
+    /// Whether this is an attempt rather than a health check or a race candidate.
     pub(super) fn is_attempt(self) -> bool {
         matches!(self, Activity::Attempt(..))
     }
@@ -36,16 +37,17 @@
 
 /// How an attempt or a health check ended.
 pub struct AttemptEnd {
-    /// What it was.
+    /// The attempt or health check that ended.
     pub activity: Activity,
-    /// The backend that it was sent to.
+    /// The backend it was sent to, or meant for if it was never sent.
     pub backend: BackendId,
-    /// What is known of it.
+    /// How it ended, as far as the ingress can tell.
     pub outcome: Outcome,
-    /// When it began.
+    /// When it began, in microseconds.
     pub started_at: Micros,
-    /// The load report that came with the answer.
+    /// The load report in the answer, if any.
     pub report: Option<LoadReport>,
-    /// With [`Outcome::Ok`]: the value's bytes as they came.
+    /// The value in its RESP encoding as received; empty unless an attempt ended with [`Outcome::Ok`], and after a streamed
+    /// answer.
     pub value: Vec<u8>,
 }
--- a/crates/ingress/src/backend/connecting.rs
+++ b/crates/ingress/src/backend/connecting.rs
@@ -1,4 +1,4 @@
-//! Opening connections, and what happens until they are established.
+//! Opening connections to backends, up to the point where they are established.
 
 use super::activity::ConnectionHandle;
 use super::connection::{Connection, RaceState};
@@ -9,14 +9,14 @@
 use wrenfork_happy_eyeballs::{Address, AddressOutcome, ConnectionRace, NextConnect};
 
 impl Backends {
-    /// An idle connection to a backend, or a new one.
+    /// Takes an idle connection to a backend from its pool, or opens a new one. Returns none if no connect could be started.
     pub(super) fn connection_to(
         &mut self,
         registry: &Registry,
         backend: BackendId,
         now: Micros,
     ) -> Option<usize> {
-        if let Some(key) = self.take_rested(backend, now) {
+        if let Some(key) = self.take_reusable(backend, now) {
             return Some(key);
         }
         let addresses = &self.pools.get(&backend)?.addresses;
@@ -24,7 +24,8 @@
             return self.connect(registry, backend, address, now);
         }
         let mut race = ConnectionRace::new(addresses.ordered(now), self.connect_timeout, now);
-        // One that can't even be begun, such as an address of a family that this machine has no route to, costs no time.
+        // A connect that fails at once, for example because this machine has no route to the address family, does not delay the
+        // next address.
         while let NextConnect::Start(address) = race.next(now) {
             if let Some(key) = self.connect(registry, backend, address.clone(), now) {
                 self.connections[key].race = Some(Box::new(RaceState {
@@ -34,13 +35,13 @@
                 }));
                 return Some(key);
             }
-            self.note_address(backend, &address, AddressOutcome::Unreachable, now);
+            self.record_address_outcome(backend, &address, AddressOutcome::Unreachable, now);
             race.attempt_failed(now);
         }
         None
     }
 
-    /// Begins a connection to an address.
+    /// Starts a non-blocking connect to an address. Returns none if it fails at once.
     pub(super) fn connect(
         &mut self,
         registry: &Registry,
@@ -61,11 +62,11 @@
         Some(key)
     }
 
-    /// A connection is established: its race is over.
+    /// Marks a connection as established, and ends its race by closing the other candidates.
     pub(super) fn mark_established(&mut self, key: usize) {
-        let c = &mut self.connections[key];
-        c.established = true;
-        let Some(race) = c.race.take() else {
+        let conn = &mut self.connections[key];
+        conn.established = true;
+        let Some(race) = conn.race.take() else {
             return;
         };
         for candidate in race.candidates {
@@ -75,18 +76,18 @@
         }
     }
 
-    /// Ends a connection that was not established in time.
+    /// Closes a connection that was not established in time, and ends its attempt or health check.
     pub fn connect_timed_out(&mut self, handle: ConnectionHandle, now: Micros) {
-        let Some(c) = self.get(handle).filter(|c| !c.established) else {
+        let Some(conn) = self.get(handle).filter(|conn| !conn.established) else {
             return;
         };
-        if now >= c.write_deadline {
+        if now >= conn.write_deadline {
             return self.end_unsent(handle.key);
         }
-        let backend = c.backend;
-        let address = c.address.clone();
-        self.note_address(backend, &address, AddressOutcome::Unreachable, now);
-        self.end(handle.key, Outcome::ConnectFailed, Micros::MAX);
+        let backend = conn.backend;
+        let address = conn.address.clone();
+        self.record_address_outcome(backend, &address, AddressOutcome::Unreachable, now);
+        self.end_without_answer(handle.key, Outcome::ConnectFailed, Micros::MAX);
         self.remove(handle.key);
     }
 }
--- a/crates/ingress/src/backend/connection.rs
+++ b/crates/ingress/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a backend.
+//! State of one connection to a backend.
 
 use super::activity::{Activity, ConnectionHandle};
 use crate::stream::Stream;
@@ -8,8 +8,8 @@
 use wrenfork_wire::call::Body;
 use wrenfork_wire::long::LongAnswer;
 
-/// A connection; without its stream while it passes from one process to the next. The order of its fields is part of a handover's
-/// layout.
+/// A connection to a backend. During a handover it is serialized without its stream (`S = ()`). The field order is part of the
+/// handover format.
 #[derive(Serialize, Deserialize)]
 pub struct Connection<S = Stream> {
     #[serde(skip)]
@@ -17,50 +17,52 @@
     pub(super) serial: u64,
     pub(super) backend: BackendId,
     pub(super) address: Address,
-    /// Whether it is established.
+    /// Whether the connect has completed.
     pub(super) established: bool,
-    /// Where the backend has several addresses, until one of them is connected. The next process has the first one alone.
+    /// The connect race, if the backend has several addresses and none is connected yet. Not serialized: after a handover, only
+    /// this connection's own connect continues.
     #[serde(skip)]
     pub(super) race: Option<Box<RaceState>>,
-    /// What it is used for; none while it is idle.
+    /// What the connection is used for; none while it is idle in its pool.
     pub(super) activity: Option<Activity>,
-    /// When its activity began, or when it fell idle.
+    /// When the activity began, or when the connection became idle.
     pub(super) since: Micros,
-    /// How long it was idle before; none on its first use.
+    /// How long the connection was idle before its current use; none on its first use.
     pub(super) idle_before: Option<Micros>,
-    /// The latest moment at which the last byte of its command may be written. It does not pass to the next process: what was not
-    /// written by then begins anew.
+    /// Time by which the command must be written completely. Not serialized: it is 0 after a handover, so that an attempt whose
+    /// command was not written by then ends as not sent and may be started again.
     #[serde(skip)]
     pub(super) write_deadline: Micros,
-    /// When the attempt is given up, which its command tells.
+    /// Deadline of the attempt, which its command carries.
     #[serde(skip)]
     pub(super) deadline: Micros,
-    /// When its answer began to come.
+    /// When the answer began to arrive; for a streamed answer, when it last made progress.
     pub(super) answer_since: Micros,
-    /// Its command.
+    /// The command, without a long body.
     pub(super) out: Vec<u8>,
-    /// A long body that is written behind that.
+    /// A long body, written after `out`.
     pub(super) body: Option<Body>,
+    /// Number of bytes of `out` and `body` that are written to the socket.
     pub(super) written: usize,
-    /// What has come of its answer.
+    /// Received part of the answer.
     pub(super) buf: Vec<u8>,
-    /// Its answer is too long to be held and is streamed.
-    pub(super) long: Option<LongAnswer>,
-    /// It is not read: the client has to take first what has come.
+    /// State of a streamed answer; none for an answer that is buffered as a whole.
+    pub(super) long_answer: Option<LongAnswer>,
+    /// Reading is paused until the received part of the streamed answer is forwarded to the client.
     pub(super) paused: bool,
 }
 
-/// A race of connects, held by the connection that has the attempt.
+/// A race of connects, held by the connection that carries the attempt.
 pub(super) struct RaceState {
     pub(super) race: ConnectionRace,
-    /// The connections that are opened beside this one.
+    /// Connections being opened to other addresses in parallel.
     pub(super) candidates: Vec<ConnectionHandle>,
-    /// This one's own connect has failed.
+    /// Whether the connect of the connection that holds the race has failed.
     pub(super) failed: bool,
 }
 
 impl<S> Connection<S> {
-    /// One to an address, which is being connected.
+    /// State of a connection whose connect was just started.
     pub(super) fn new(
         stream: S,
         serial: u64,
@@ -85,17 +87,17 @@
             body: None,
             written: 0,
             buf: Vec::new(),
-            long: None,
+            long_answer: None,
             paused: false,
         }
     }
 
-    /// Whether the backend may have begun: the command's last byte is written.
+    /// Whether the command is written completely, so that the backend may have started it.
     pub(super) fn is_sent(&self) -> bool {
         self.written == self.out.len() + self.body.as_ref().map_or(0, |body| body.len())
     }
 
-    /// What the end of the connection means for what it is used for.
+    /// Outcome of the attempt or health check if the connection breaks now.
     pub(super) fn outcome_if_broken(&self) -> Outcome {
         if self.is_sent() {
             Outcome::Reset
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Whether it carries an attempt that has not begun at the backend.
+    /// Whether the connection carries an attempt whose command is not written completely.
     pub(super) fn is_unsent_attempt(&self) -> bool {
         self.activity.is_some_and(Activity::is_attempt) && !self.is_sent()
     }
--- a/crates/ingress/src/backend/ending.rs
+++ b/crates/ingress/src/backend/ending.rs
@@ -1,4 +1,4 @@
-//! The ends of attempts and of connections: answers, failures, timeouts and eviction.
+//! Ending attempts and closing connections: answers, failures, timeouts and eviction.
 
 use super::activity::{AttemptEnd, ConnectionHandle};
 use super::connection::Connection;
@@ -7,46 +7,47 @@
 use wrenfork_decision::{BackendId, Micros, Outcome};
 use wrenfork_happy_eyeballs::AddressOutcome;
 
-/// How long the rest of an answer may take to come once it has begun.
+/// How long an answer may take to complete after its first byte.
 const ANSWER_TIMEOUT: Micros = 500_000;
-/// How long a streamed answer may stand still, where the client would take more: as long as a client waits for a
-/// complete request of the longest deadline that the platform counts with.
+/// How long a streamed answer may make no progress while the client has room for more. Equals the time that a client waits for
+/// the complete answer to a request with the longest deadline that the platform expects.
 const STREAM_TIMEOUT: Micros = 3_000_000;
-/// A reset that comes this soon after a request says that the connection was dead already.
-const AT_ONCE: Micros = 10_000;
+/// If a reused connection breaks this soon after a request was started on it, it is taken to have been dead before.
+const DEAD_ON_REUSE_WITHIN: Micros = 10_000;
 
 impl Backends {
-    /// Whether the command on a connection is written to its last byte; none where the connection is gone.
+    /// Whether the command on a connection is written completely; none if the connection is closed.
     pub fn is_sent(&self, handle: ConnectionHandle) -> Option<bool> {
         self.get(handle).map(Connection::is_sent)
     }
 
-    /// Closes a connection, if it is still the one meant; what it was used for is the caller's to account for. `timed_out` is the
-    /// time where that is because its answer has not come. Tells whether the command's last byte had been written.
+    /// Closes a connection without reporting the end of its attempt, which the caller accounts for. `timed_out` is the current
+    /// time if the answer did not arrive in time. Returns whether the command was written completely, or none if the connection
+    /// was closed.
     pub fn abandon(&mut self, handle: ConnectionHandle, timed_out: Option<Micros>) -> Option<bool> {
-        let c = self.get(handle)?;
-        let sent = c.is_sent();
-        // It took the request, and nothing came in time: the backend's other addresses come before this one from now on.
-        let silent = sent && c.established && c.buf.is_empty();
-        if let Some(now) = timed_out.filter(|_| silent) {
-            let backend = c.backend;
-            let address = c.address.clone();
-            self.note_address(backend, &address, AddressOutcome::TimedOut, now);
+        let conn = self.get(handle)?;
+        let sent = conn.is_sent();
+        // The backend accepted the request and sent nothing in time: its other addresses are tried before this one from now on.
+        let no_answer = sent && conn.established && conn.buf.is_empty();
+        if let Some(now) = timed_out.filter(|_| no_answer) {
+            let backend = conn.backend;
+            let address = conn.address.clone();
+            self.record_address_outcome(backend, &address, AddressOutcome::TimedOut, now);
         }
         self.remove(handle.key);
         Some(sent)
     }
 
-    /// Ends an attempt that is not written to its last byte, and its connection.
+    /// Ends an attempt whose command is not written completely, and closes its connection.
     pub(super) fn end_unsent(&mut self, key: usize) {
-        self.end(key, Outcome::NotSent, Micros::MAX);
+        self.end_without_answer(key, Outcome::NotSent, Micros::MAX);
         self.remove(key);
     }
 
-    /// Ends a connection that is of no more use, and what it was used for with what that means for it.
+    /// Closes a failed connection, and ends its attempt or health check with [`Connection::outcome_if_broken`].
     pub(super) fn break_connection(&mut self, key: usize, now: Micros) {
         let outcome = self.connections[key].outcome_if_broken();
-        self.end(key, outcome, now);
+        self.end_without_answer(key, outcome, now);
         self.remove(key);
     }
 
@@ -54,41 +55,41 @@
         if self.connections[key].race.is_some() {
             self.mark_established(key);
         }
-        let c = self.connections.remove(key); // dropped, it is closed, and so out of the poll
-        if c.activity.is_some() {
+        let conn = self.connections.remove(key); // dropping the stream closes it and deregisters it from the poll
+        if conn.activity.is_some() {
             return;
         }
-        if let Some(pool) = self.pools.get_mut(&c.backend) {
+        if let Some(pool) = self.pools.get_mut(&conn.backend) {
             pool.idle.retain(|idle| *idle != key);
         }
     }
 
-    /// Ends what a connection is used for without an answer.
-    pub(super) fn end(&mut self, key: usize, outcome: Outcome, now: Micros) {
+    /// Ends the attempt or health check on a connection without an answer.
+    pub(super) fn end_without_answer(&mut self, key: usize, outcome: Outcome, now: Micros) {
         let response = Response {
             outcome,
             value: Vec::new(),
             report: None,
         };
-        self.end_with(key, response, now);
+        self.end_activity(key, response, now);
     }
 
-    /// Ends what a connection is used for.
-    pub(super) fn end_with(&mut self, key: usize, response: Response, now: Micros) {
-        let c = &self.connections[key];
-        let Some(activity) = c.activity.filter(|a| !a.is_race_candidate()) else {
+    /// Ends the attempt or health check on a connection, and records whether a reused connection had gone stale.
+    pub(super) fn end_activity(&mut self, key: usize, response: Response, now: Micros) {
+        let conn = &self.connections[key];
+        let Some(activity) = conn.activity.filter(|a| !a.is_race_candidate()) else {
             return;
         };
         let broken = matches!(response.outcome, Outcome::Reset | Outcome::ConnectFailed);
-        let was_dead = broken && c.buf.is_empty() && now <= c.since + AT_ONCE;
-        if let Some(idle) = c.idle_before.filter(|_| was_dead || !broken) {
+        let was_dead = broken && conn.buf.is_empty() && now <= conn.since + DEAD_ON_REUSE_WITHIN;
+        if let Some(idle) = conn.idle_before.filter(|_| was_dead || !broken) {
             self.staleness.record(idle, was_dead);
         }
         self.ended.push(AttemptEnd {
             activity,
-            backend: c.backend,
+            backend: conn.backend,
             outcome: response.outcome,
-            started_at: c.since,
+            started_at: conn.since,
             report: response.report,
             value: response.value,
         });
@@ -104,18 +105,18 @@
         }
     }
 
-    /// Closes what has been idle for too long, and what has timed out.
+    /// Closes connections that have been idle for too long or whose answer has timed out. Called periodically.
     pub fn sweep(&mut self, now: Micros) {
         self.staleness.decay();
         for pool in self.pools.values_mut() {
             pool.unsolicited.decay();
         }
         let max_idle = self.idle_timeout.min(self.staleness.max_idle());
-        let is_old = |c: &Connection| now.saturating_sub(c.since) > max_idle;
-        for key in self.keys(|c| c.activity.is_none() && is_old(c)) {
+        let is_old = |conn: &Connection| now.saturating_sub(conn.since) > max_idle;
+        for key in self.keys_where(|conn| conn.activity.is_none() && is_old(conn)) {
             self.remove(key);
         }
-        for key in self.keys(|c| has_stopped(c, now)) {
+        for key in self.keys_where(|conn| has_timed_out(conn, now)) {
             self.break_connection(key, now);
         }
     }
@@ -125,11 +126,11 @@
         self.pools.values().any(|pool| !pool.idle.is_empty())
     }
 
-    /// Evicts the connection that has been idle for longest, to make room; false if none is idle.
+    /// Closes the connection that has been idle the longest to free its file descriptor. Returns false if none is idle.
     pub fn evict_oldest(&mut self) -> bool {
         let connections = self.connections.iter();
-        let idle = connections.filter(|(_, c)| c.activity.is_none());
-        let Some((oldest, _)) = idle.min_by_key(|(_, c)| (c.since, c.serial)) else {
+        let idle = connections.filter(|(_, conn)| conn.activity.is_none());
+        let Some((oldest, _)) = idle.min_by_key(|(_, conn)| (conn.since, conn.serial)) else {
             return false;
         };
         self.remove(oldest);
@@ -137,11 +138,11 @@
     }
 }
 
-/// Whether an answer began and goes no further: a line or a length without an end.
-fn has_stopped(c: &Connection, now: Micros) -> bool {
-    if c.long.is_some() {
-        !c.paused && now > c.answer_since + STREAM_TIMEOUT
+/// Whether an answer has begun and was not completed, or made no progress, within its timeout.
+fn has_timed_out(conn: &Connection, now: Micros) -> bool {
+    if conn.long_answer.is_some() {
+        !conn.paused && now > conn.answer_since + STREAM_TIMEOUT
     } else {
-        !c.buf.is_empty() && now > c.answer_since + ANSWER_TIMEOUT
+        !conn.buf.is_empty() && now > conn.answer_since + ANSWER_TIMEOUT
     }
 }
--- a/crates/ingress/src/backend/endpoints.rs
+++ b/crates/ingress/src/backend/endpoints.rs
@@ -1,4 +1,4 @@
-//! Backends as discovery lists them.
+//! Updates of the set of backends from discovery.
 
 use super::pool::Pool;
 use super::Backends;
@@ -6,24 +6,25 @@
 use wrenfork_decision::{BackendId, EndpointState};
 
 impl Backends {
-    /// Takes the addresses of an endpoint list.
+    /// Applies an endpoint list: updates addresses, and closes idle connections to backends that were removed, drain, or lost an
+    /// address.
     pub fn update(&mut self, list: &EndpointList) {
-        let mut gone: Vec<BackendId> = Vec::new();
+        let mut removed: Vec<BackendId> = Vec::new();
         if list.is_full {
             let is_listed = |id: &BackendId| {
                 let mut endpoints = list.endpoints.iter();
-                endpoints.any(|e| e.listed.backend == *id)
+                endpoints.any(|endpoint| endpoint.listed.backend == *id)
             };
-            gone.extend(self.pools.keys().filter(|id| !is_listed(id)));
+            removed.extend(self.pools.keys().filter(|id| !is_listed(id)));
         }
         for endpoint in &list.endpoints {
             if endpoint.listed.state == EndpointState::Removed {
-                gone.push(endpoint.listed.backend);
+                removed.push(endpoint.listed.backend);
             } else {
                 self.update_endpoint(endpoint);
             }
         }
-        for id in gone {
+        for id in removed {
             self.cancel_unsent(id);
             self.close_idle(id);
             self.pools.remove(&id);
@@ -34,9 +35,9 @@
         let id = endpoint.listed.backend;
         let draining = endpoint.listed.state == EndpointState::Draining;
         let pool: &mut Pool = self.pools.entry(id).or_default();
-        let moved = pool.addresses.update(endpoint.addresses.clone());
-        // What is idle at an address that it left, or while it drains, is of no more use.
-        if moved || draining {
+        let address_removed = pool.addresses.update(endpoint.addresses.clone());
+        // Idle connections to a removed address or to a draining backend will not be used again.
+        if address_removed || draining {
             self.close_idle(id);
         }
         if draining {
@@ -44,10 +45,10 @@
         }
     }
 
-    /// Ends the attempts at a backend that are not written to their last byte: what has not begun when a drain is reported does
-    /// not begin, and may go elsewhere.
+    /// Ends the attempts at a backend whose command is not written completely. The backend has not started them, so they can be
+    /// retried at another backend.
     fn cancel_unsent(&mut self, backend: BackendId) {
-        for key in self.keys(|c| c.backend == backend && c.is_unsent_attempt()) {
+        for key in self.keys_where(|conn| conn.backend == backend && conn.is_unsent_attempt()) {
             self.end_unsent(key);
         }
     }
--- a/crates/ingress/src/backend/handover.rs
+++ b/crates/ingress/src/backend/handover.rs
@@ -1,4 +1,4 @@
-//! Connections to backends on their way from one process to the next.
+//! Handover of connections to backends to the next process.
 
 use super::activity::{AttemptEnd, ConnectionHandle};
 use super::connection::Connection;
@@ -12,26 +12,26 @@
 use wrenfork_decision::BackendId;
 use wrenfork_happy_eyeballs::Address;
 
-/// What of the connections passes to the next process, with the connections' own records. The order of its fields is part of a
-/// handover's layout.
+/// The serialized state of [`Backends`] in a handover; `C` is the serialized connection. The field order is part of the handover
+/// format.
 #[derive(Serialize, Deserialize)]
 pub struct SavedBackends<C> {
     pub(super) connections: Vec<(usize, C)>,
-    /// In an order of no meaning.
+    /// In arbitrary order.
     pub(super) pools: Vec<(BackendId, Pool)>,
     pub(super) serial: u64,
     pub(super) staleness: Staleness,
 }
 
 impl<C> SavedBackends<C> {
-    /// How many connections there are.
+    /// Number of connections, each of which has a socket that is passed along with this record.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 }
 
 impl Connection<()> {
-    /// With its stream again.
+    /// Attaches the stream received from the previous process.
     fn with_stream(self, stream: Stream) -> Connection {
         let Connection {
             stream: (),
@@ -50,7 +50,7 @@
             body,
             written,
             buf,
-            long,
+            long_answer,
             paused,
         } = self;
         Connection {
@@ -70,14 +70,14 @@
             body,
             written,
             buf,
-            long,
+            long_answer,
             paused,
         }
     }
 }
 
 impl Backends {
-    /// What passes to the next process, as it stands.
+    /// The current state of all connections and pools, to be sent to the next process.
     pub fn save(&self) -> SavedBackends<&Connection> {
         let pools = self.pools.iter();
         SavedBackends {
@@ -88,14 +88,16 @@
         }
     }
 
-    /// The sockets of all connections in the order in which they were saved; none is left here.
+    /// Removes all connections and returns their sockets, in the same order as [`save`](Self::save) lists the connections.
     pub fn take_descriptors(&mut self) -> Vec<OwnedFd> {
         let connections = self.connections.drain();
-        connections.map(|c| c.stream.into_descriptor()).collect()
+        connections
+            .map(|conn| conn.stream.into_descriptor())
+            .collect()
     }
 
-    /// Goes on with another process's connections. What a connection was used for whose socket did not come has ended as if it had
-    /// broken.
+    /// Takes over the connections of the previous process. `sockets` must be in the order of `saved`. If the socket of a
+    /// connection is missing or can't be registered, its attempt or health check ends as if the connection had broken.
     pub fn resume(
         &mut self,
         saved: SavedBackends<Connection<()>>,
@@ -106,17 +108,17 @@
         self.staleness = saved.staleness;
         self.pools = saved.pools.into_iter().collect();
         let mut connections = Vec::with_capacity(saved.connections.len());
-        for (key, c) in saved.connections {
+        for (key, conn) in saved.connections {
             let stream = sockets
                 .next()
-                .and_then(|socket| self.register(key, &c.address, socket, registry));
-            // Race candidates are of the connection that has the attempt, which goes on alone.
-            if c.activity.is_some_and(|a| a.is_race_candidate()) {
+                .and_then(|socket| self.register(key, &conn.address, socket, registry));
+            // Connect races end at a handover: only the connection that carries the attempt continues.
+            if conn.activity.is_some_and(|a| a.is_race_candidate()) {
                 continue;
             }
             match stream {
-                Some(stream) => connections.push((key, c.with_stream(stream))),
-                None => self.end_lost(&c),
+                Some(stream) => connections.push((key, conn.with_stream(stream))),
+                None => self.end_lost(&conn),
             }
         }
         self.resume_streams(&connections);
@@ -141,28 +143,31 @@
         Some(stream)
     }
 
-    /// Ends what a connection was used for whose socket did not come.
-    fn end_lost(&mut self, c: &Connection<()>) {
-        if let Some(activity) = c.activity {
+    /// Ends the attempt or health check on a connection whose socket is missing or can't be registered.
+    fn end_lost(&mut self, conn: &Connection<()>) {
+        if let Some(activity) = conn.activity {
             self.ended.push(AttemptEnd {
                 activity,
-                backend: c.backend,
-                outcome: c.outcome_if_broken(),
-                started_at: c.since,
+                backend: conn.backend,
+                outcome: conn.outcome_if_broken(),
+                started_at: conn.since,
                 report: None,
                 value: Vec::new(),
             });
         }
     }
 
-    /// Has streamed answers go on.
+    /// Queues the connections with streamed answers, so that forwarding resumes.
     fn resume_streams(&mut self, connections: &[(usize, Connection)]) {
-        for (key, c) in connections.iter().filter(|(_, c)| c.long.is_some()) {
+        for (key, conn) in connections
+            .iter()
+            .filter(|(_, conn)| conn.long_answer.is_some())
+        {
             let handle = ConnectionHandle {
                 key: *key,
-                serial: c.serial,
+                serial: conn.serial,
             };
-            if c.paused {
+            if conn.paused {
                 self.streams.push(handle);
             } else {
                 self.read_queue.push(handle);
--- a/crates/ingress/src/backend/pool.rs
+++ b/crates/ingress/src/backend/pool.rs
@@ -7,49 +7,52 @@
 use wrenfork_decision::{BackendId, Micros};
 use wrenfork_happy_eyeballs::{Address, AddressList, AddressOutcome};
 
-/// How long a connection rests behind an answer: noise or a hedged copy of it that comes right behind must show
-/// before the next request could be served with it.
-const REST: Micros = 2_000;
+/// How long a connection rests after an answer before it is reused. Unsolicited bytes or a duplicate of the answer that follow at
+/// once are detected in this time; otherwise they could be taken for the answer to the next request.
+const MIN_REST: Micros = 2_000;
 
-/// The connection pool of a backend. The order of its fields is part of a handover's layout.
+/// The connection pool of a backend. The field order is part of the handover format.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(super) struct Pool {
-    /// The backend's addresses, and how they fared.
+    /// The backend's addresses, with the results of recent connects and attempts.
     pub(super) addresses: AddressList,
-    /// The places of the idle connections, the newest last.
+    /// Slab keys of the idle connections; the one that became idle last is at the end.
     pub(super) idle: Vec<usize>,
     pub(super) unsolicited: UnsolicitedBytes,
 }
 
 impl Backends {
-    /// Whether work for a backend would need a new connection. `now` is the true time, not the turn's.
+    /// Whether an attempt at a backend would need a new connection. `now` is the current time, not the time of the turn.
     pub fn must_connect(&self, backend: BackendId, now: Micros) -> bool {
         let pool = self.pools.get(&backend);
-        pool.is_some_and(|pool| self.newest_rested(pool, now).is_none())
+        pool.is_some_and(|pool| self.newest_reusable(pool, now).is_none())
     }
 
-    /// The index of the newest idle connection that has rested, among the idle ones.
-    fn newest_rested(&self, pool: &Pool, now: Micros) -> Option<usize> {
+    /// Index in [`Pool::idle`] of the newest connection that may be reused: idle for at least the rest time and for less than the
+    /// idle time at which connections turn stale.
+    fn newest_reusable(&self, pool: &Pool, now: Micros) -> Option<usize> {
         if pool.unsolicited.is_frequent() {
             return None;
         }
-        let usable = REST..self.staleness.max_idle();
+        let usable = MIN_REST..self.staleness.max_idle();
         let idle = |key: &usize| now.saturating_sub(self.connections[*key].since);
         pool.idle
             .iter()
             .rposition(|key| usable.contains(&idle(key)))
     }
 
-    /// Takes the newest idle connection to a backend that has rested and has nothing unread.
-    pub(super) fn take_rested(&mut self, backend: BackendId, now: Micros) -> Option<usize> {
+    /// Takes the newest reusable idle connection to a backend from its pool. Connections with unsolicited bytes and connections
+    /// that the backend has closed are dropped.
+    pub(super) fn take_reusable(&mut self, backend: BackendId, now: Micros) -> Option<usize> {
         loop {
-            let index = self.newest_rested(self.pools.get(&backend)?, now)?;
+            let index = self.newest_reusable(self.pools.get(&backend)?, now)?;
             let key = self.pools.get_mut(&backend)?.idle.remove(index);
-            // Nobody asked for what is there, or the backend has closed. Its descriptor serves the next one.
+            // If the read does not block, there are unsolicited bytes or the backend has closed the connection. Closing it frees
+            // a file descriptor for its replacement.
             match self.connections[key].stream.read(&mut [0]) {
-                Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    let c = &mut self.connections[key];
-                    c.idle_before = Some(now.saturating_sub(c.since));
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    let conn = &mut self.connections[key];
+                    conn.idle_before = Some(now.saturating_sub(conn.since));
                     return Some(key);
                 }
                 read => {
@@ -63,8 +66,8 @@
         }
     }
 
-    /// Notes how a connect to an address of a backend, or an attempt there, fared.
-    pub(super) fn note_address(
+    /// Records the result of a connect to, or an attempt at, an address of a backend.
+    pub(super) fn record_address_outcome(
         &mut self,
         backend: BackendId,
         address: &Address,
--- a/crates/ingress/src/backend/race.rs
+++ b/crates/ingress/src/backend/race.rs
@@ -1,4 +1,4 @@
-//! Races of connects to the several addresses of a backend (RFC 8305).
+//! Connect races between the addresses of a backend that has several (RFC 8305).
 
 use super::activity::{Activity, ConnectionHandle};
 use super::Backends;
@@ -7,19 +7,19 @@
 use wrenfork_happy_eyeballs::{Address, AddressOutcome, NextConnect};
 
 impl Backends {
-    /// When the next address of a connection's race is due.
+    /// When the race of a connection starts a connect to the next address; none if there is no race or no address left.
     pub fn race_due(&self, handle: ConnectionHandle) -> Option<Micros> {
         self.get(handle)?.race.as_ref()?.race.next_due()
     }
 
-    /// A race in which something has happened, for [`Backends::advance_race`].
+    /// Takes a race that must be advanced by [`Backends::advance_race`], given by the connection that carries the attempt.
     pub fn next_race(&mut self) -> Option<ConnectionHandle> {
         self.races.pop()
     }
 
-    /// Goes on with a connection's race: a candidate that is established gives it its stream, and the next address is tried when
-    /// it is due. Without a descriptor for one more nothing is begun beside a connection that may still be established. Gives the
-    /// time when to come again.
+    /// Advances the race of a connection. If a candidate is established, the connection takes over its stream; otherwise a
+    /// connect to the next address is started when due. Without a free file descriptor, no further connect is started while the
+    /// connection itself may still be established. Returns the time of the next call, if one is needed.
     pub fn advance_race(
         &mut self,
         registry: &Registry,
@@ -27,10 +27,10 @@
         now: Micros,
         has_descriptor: bool,
     ) -> Option<Micros> {
-        let c = self.get(handle).filter(|c| !c.established)?;
-        let backend = c.backend;
-        let mut candidates = c.race.as_ref()?.candidates.iter().copied();
-        let winner = candidates.find(|h| self.get(*h).is_some_and(|c| c.established));
+        let conn = self.get(handle).filter(|conn| !conn.established)?;
+        let backend = conn.backend;
+        let mut candidates = conn.race.as_ref()?.candidates.iter().copied();
+        let winner = candidates.find(|h| self.get(*h).is_some_and(|conn| conn.established));
         if let Some(winner) = winner {
             self.take_stream(registry, handle, winner, now);
             return None;
@@ -52,7 +52,7 @@
         None
     }
 
-    /// Begins a connection to another address beside the one that has the attempt.
+    /// Starts a connect to another address, in parallel to the connection that carries the attempt.
     fn add_candidate(
         &mut self,
         registry: &Registry,
@@ -62,7 +62,7 @@
         now: Micros,
     ) -> Option<()> {
         let Some(key) = self.connect(registry, backend, address.clone(), now) else {
-            self.note_address(backend, address, AddressOutcome::Unreachable, now);
+            self.record_address_outcome(backend, address, AddressOutcome::Unreachable, now);
             let state = self.connections[handle.key].race.as_mut()?;
             state.race.attempt_failed(now);
             return Some(());
@@ -74,19 +74,19 @@
         Some(())
     }
 
-    /// Ends an attempt whose backend can't be reached: nothing more is to be tried, and nothing under way.
+    /// Ends the attempt as failed if every connect of its race has failed.
     fn end_lost_race(&mut self, handle: ConnectionHandle, now: Micros) {
         let Some(state) = &self.connections[handle.key].race else {
             return;
         };
         let mut candidates = state.candidates.iter();
         if state.failed && candidates.all(|h| self.get(*h).is_none()) {
-            self.end(handle.key, Outcome::ConnectFailed, now);
+            self.end_without_answer(handle.key, Outcome::ConnectFailed, now);
             self.remove(handle.key);
         }
     }
 
-    /// The connection with the attempt takes the stream of the candidate that was established first; the others are closed.
+    /// Moves the stream of the winning candidate to the connection that carries the attempt, and closes the other candidates.
     fn take_stream(
         &mut self,
         registry: &Registry,
@@ -94,49 +94,50 @@
         winner: ConnectionHandle,
         now: Micros,
     ) {
-        let won = self.connections.remove(winner.key);
+        let winning_connection = self.connections.remove(winner.key);
         let token = (self.tokens)(handle.key);
-        let Some(c) = self.connections.get_mut(handle.key) else {
+        let Some(conn) = self.connections.get_mut(handle.key) else {
             return;
         };
-        let mut stream = won.stream;
+        let mut stream = winning_connection.stream;
         let interests = Interest::READABLE | Interest::WRITABLE;
         if registry.reregister(&mut stream, token, interests).is_err() {
-            self.end(handle.key, Outcome::ConnectFailed, now);
+            self.end_without_answer(handle.key, Outcome::ConnectFailed, now);
             return self.remove(handle.key);
         }
-        let backend = c.backend;
-        let overtaken = std::mem::replace(&mut c.address, won.address);
-        c.stream = stream;
-        // It began first and is not established yet: next time it comes behind the others.
-        self.note_address(backend, &overtaken, AddressOutcome::Unreachable, now);
+        let backend = conn.backend;
+        let previous_address = std::mem::replace(&mut conn.address, winning_connection.address);
+        conn.stream = stream;
+        // The previous address was tried first and is still not established, so it is ordered after the others next time.
+        self.record_address_outcome(backend, &previous_address, AddressOutcome::Unreachable, now);
         self.mark_established(handle.key);
         self.write_established(handle.key, now);
     }
 
-    /// Whether a connection that broke before it was established has candidates that may still be: it stays for these.
-    pub(super) fn has_race_left(&mut self, key: usize, now: Micros) -> bool {
+    /// Handles the failure of a connection before it was established. Returns true if the connection must be kept because its
+    /// race continues with other candidates. If the connection is itself a candidate, reports the failure to its race.
+    pub(super) fn continue_race_after_failure(&mut self, key: usize, now: Micros) -> bool {
         let handle = self.handle(key);
-        let c = &mut self.connections[key];
-        if c.established {
+        let conn = &mut self.connections[key];
+        if conn.established {
             return false;
         }
-        let backend = c.backend;
-        let address = c.address.clone();
-        if let Some(state) = &mut c.race {
+        let backend = conn.backend;
+        let address = conn.address.clone();
+        if let Some(state) = &mut conn.race {
             if !std::mem::replace(&mut state.failed, true) {
                 state.race.attempt_failed(now);
                 self.races.push(handle);
-                self.note_address(backend, &address, AddressOutcome::Unreachable, now);
+                self.record_address_outcome(backend, &address, AddressOutcome::Unreachable, now);
             }
             return true;
         }
-        if let Some(Activity::RaceCandidate(of)) = c.activity {
-            self.note_address(backend, &address, AddressOutcome::Unreachable, now);
-            let c = self.connections.get_mut(of.key);
-            if let Some(state) = c.and_then(|c| c.race.as_mut()) {
+        if let Some(Activity::RaceCandidate(primary)) = conn.activity {
+            self.record_address_outcome(backend, &address, AddressOutcome::Unreachable, now);
+            let conn = self.connections.get_mut(primary.key);
+            if let Some(state) = conn.and_then(|conn| conn.race.as_mut()) {
                 state.race.attempt_failed(now);
-                self.races.push(of);
+                self.races.push(primary);
             }
         }
         false
--- a/crates/ingress/src/backend/reading.rs
+++ b/crates/ingress/src/backend/reading.rs
@@ -1,9 +1,9 @@
-//! Reading answers of backends.
+//! Reading answers from backends.
 
 use super::activity::Activity;
 use super::connection::Connection;
 use super::response::{interpret, Response};
-use super::{Backends, CHUNK};
+use super::{Backends, READ_BUFFER_BYTES};
 use crate::stream::is_not_ready;
 use std::io::{ErrorKind, Read};
 use wrenfork_decision::{Micros, Outcome};
@@ -11,49 +11,49 @@
 use wrenfork_wire::long::LongAnswer;
 use wrenfork_wire::resp;
 
-/// Reads from one connection in a turn: more than the longest answer needs.
+/// Maximum number of reads from one connection in a turn; enough for the longest answer that is not streamed.
 const READS_PER_TURN: usize = 8;
-/// Connections that stay idle to a backend that often sends bytes without being asked, to see whether it goes on.
-const WITNESSES: usize = 2;
+/// Number of idle connections kept to a backend that often sends unsolicited bytes, to detect whether it still does.
+const MAX_IDLE_IF_UNSOLICITED: usize = 2;
 
-/// Whether a connection may be used again.
+/// Whether a connection is kept after an answer was parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reuse {
-    /// It may, or is in use.
+    /// The connection is idle in its pool, or still in use.
     Keep,
-    /// It is of no more use.
+    /// The connection must be closed.
     Close,
 }
 
-/// What is known of a connection behind its answer.
+/// State of a connection after its answer was parsed; decides whether the connection may be reused.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AnswerState {
-    /// Nothing came behind the answer.
-    pub(super) nothing_behind: bool,
-    /// The answer was one, and all of the command had been written.
-    pub(super) sound: bool,
+    /// No bytes followed the answer.
+    pub(super) no_trailing_bytes: bool,
+    /// The answer was valid, and the command was written completely before it.
+    pub(super) is_valid: bool,
 }
 
 impl Backends {
-    /// Does what a connection is ready for; `closed` says that its end is near. `now` is the true time, since a connection rests
-    /// for less than a tick.
+    /// Handles a readiness event; `closed` is set if the backend has closed its side. `now` is the current time, not the time of
+    /// the turn, because an idle connection's rest time is shorter than a tick.
     pub fn ready(&mut self, key: usize, now: Micros, writable: bool, closed: bool) {
-        let Some(c) = self.connections.get_mut(key) else {
+        let Some(conn) = self.connections.get_mut(key) else {
             return;
         };
-        if writable && !c.established && c.stream.is_connected() {
-            if let Some(Activity::RaceCandidate(of)) = c.activity {
-                c.established = true;
-                return self.races.push(of);
+        if writable && !conn.established && conn.stream.is_connected() {
+            if let Some(Activity::RaceCandidate(primary)) = conn.activity {
+                conn.established = true;
+                return self.races.push(primary);
             }
             self.mark_established(key);
             self.write_established(key, now);
-        } else if writable && !c.is_sent() {
+        } else if writable && !conn.is_sent() {
             self.write(key, now);
         }
-        // It may have been established between the look at it and the write.
-        let won = |c: &Connection| c.established && c.race.is_some();
-        if self.connections.get(key).is_some_and(won) {
+        // The connection may have become established after `is_connected` was checked, in which case the write has succeeded.
+        let has_unfinished_race = |conn: &Connection| conn.established && conn.race.is_some();
+        if self.connections.get(key).is_some_and(has_unfinished_race) {
             self.mark_established(key);
         }
         if self.connections.contains(key) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Reads on where a turn's bound ended the reading.
+    /// Reads from the connections in `read_queue`: those that resume a streamed answer.
     pub fn continue_reading(&mut self, now: Micros) {
         for handle in std::mem::take(&mut self.read_queue) {
             if self.get(handle).is_some() {
@@ -70,127 +70,130 @@
         }
     }
 
-    /// Reads from a connection; with `to_the_end` all that it has, since no readiness will be reported for it.
-    pub(super) fn read(&mut self, key: usize, now: Micros, to_the_end: bool) {
+    /// Reads from a connection. With `until_would_block`, reads until the socket would block, since no further readiness event
+    /// will come for the data it already holds.
+    pub(super) fn read(&mut self, key: usize, now: Micros, until_would_block: bool) {
         for _ in 0..READS_PER_TURN {
-            let c = &mut self.connections[key];
-            if c.paused {
+            let conn = &mut self.connections[key];
+            if conn.paused {
                 return;
             }
-            let bytes = match c.stream.read(&mut self.chunk) {
+            let bytes = match conn.stream.read(&mut self.read_buffer) {
                 Ok(bytes) if bytes > 0 => bytes,
-                Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(e) if is_not_ready(&e) => return,
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                Err(error) if is_not_ready(&error) => return,
                 Ok(_) | Err(_) => return self.read_ended(key, now),
             };
-            if c.buf.is_empty() {
-                c.answer_since = now;
+            if conn.buf.is_empty() {
+                conn.answer_since = now;
             }
-            c.buf.extend_from_slice(&self.chunk[..bytes]);
-            if c.long.is_some() {
-                c.paused = true;
-                c.answer_since = now;
+            conn.buf.extend_from_slice(&self.read_buffer[..bytes]);
+            if conn.long_answer.is_some() {
+                conn.paused = true;
+                conn.answer_since = now;
                 return self.streams.push(self.handle(key));
             }
             if self.take_answer(key, now) == Reuse::Close {
                 return self.remove(key);
             }
-            // Less than there was room for: that was all, and more will be reported.
-            if bytes < CHUNK && !to_the_end {
+            // A short read has emptied the socket; new data triggers another readiness event.
+            if bytes < READ_BUFFER_BYTES && !until_would_block {
                 return;
             }
         }
-        // No answer is that long, and a backend that sends without end is not waited for.
+        // The backend has sent more than the longest answer that is not streamed.
         self.break_connection(key, now);
     }
 
-    /// A connection has ended at its other side.
+    /// Handles end of stream or a read error.
     fn read_ended(&mut self, key: usize, now: Micros) {
-        if !self.has_race_left(key, now) {
+        if !self.continue_race_after_failure(key, now) {
             self.break_connection(key, now);
         }
     }
 
-    /// Takes an answer, once all of it has come.
+    /// Parses an answer once it is complete, and ends the attempt or health check with it. For a long answer, starts streaming
+    /// instead.
     fn take_answer(&mut self, key: usize, now: Micros) -> Reuse {
-        let c = &mut self.connections[key];
-        let Some(activity) = c.activity else {
-            // Nobody asked for anything.
-            if let Some(pool) = self.pools.get_mut(&c.backend) {
+        let conn = &mut self.connections[key];
+        let Some(activity) = conn.activity else {
+            // The connection is idle, so these bytes are unsolicited.
+            if let Some(pool) = self.pools.get_mut(&conn.backend) {
                 pool.unsolicited.record_bytes();
             }
             return Reuse::Close;
         };
-        let (reply, end) = match resp::reply(&c.buf) {
+        let (reply, end) = match resp::reply(&conn.buf) {
             Ok(None) => return Reuse::Keep,
-            Ok(Some(found)) => found,
-            Err(_) if begin_long_answer(c, activity) => {
+            Ok(Some(parsed)) => parsed,
+            Err(_) if begin_long_answer(conn, activity) => {
                 self.streams.push(self.handle(key));
                 return Reuse::Keep;
             }
             Err(_) => {
-                let outcome = c.outcome_if_broken();
-                self.end(key, outcome, now);
+                let outcome = conn.outcome_if_broken();
+                self.end_without_answer(key, outcome, now);
                 return Reuse::Close;
             }
         };
-        // An answer to half a command can only say that it was rejected.
-        let response = interpret(&c.buf, &reply, activity)
-            .filter(|response| c.is_sent() || response.outcome == Outcome::Rejected);
-        let nothing_behind = end == c.buf.len();
+        // Before the command is written completely, the only valid answer is a rejection.
+        let response = interpret(&conn.buf, &reply, activity)
+            .filter(|response| conn.is_sent() || response.outcome == Outcome::Rejected);
+        let no_trailing_bytes = end == conn.buf.len();
         let state = AnswerState {
-            nothing_behind,
-            sound: response.is_some() && c.is_sent() && nothing_behind,
+            no_trailing_bytes,
+            is_valid: response.is_some() && conn.is_sent() && no_trailing_bytes,
         };
         let response = response.unwrap_or_else(|| Response {
-            outcome: c.outcome_if_broken(),
+            outcome: conn.outcome_if_broken(),
             value: Vec::new(),
             report: None,
         });
-        self.end_with(key, response, now);
+        self.end_activity(key, response, now);
         self.reuse(key, now, state)
     }
 
-    /// A connection whose answer has come goes back to its pool, if it is of use: a sound answer, with nothing behind it.
+    /// Returns a connection to its pool after an answer, if the connection may be reused.
     pub(super) fn reuse(&mut self, key: usize, now: Micros, state: AnswerState) -> Reuse {
-        let c = &mut self.connections[key];
-        let pool = self.pools.get_mut(&c.backend);
-        let Some(pool) = pool.filter(|pool| pool.addresses.contains(&c.address)) else {
+        let conn = &mut self.connections[key];
+        let pool = self.pools.get_mut(&conn.backend);
+        let Some(pool) = pool.filter(|pool| pool.addresses.contains(&conn.address)) else {
             return Reuse::Close;
         };
         if pool.addresses.only().is_none() {
             pool.addresses
-                .record(&c.address, AddressOutcome::Responded, now);
+                .record(&conn.address, AddressOutcome::Responded, now);
         }
         pool.unsolicited.record_answer();
-        if !state.nothing_behind {
+        if !state.no_trailing_bytes {
             pool.unsolicited.record_bytes();
         }
-        let enough = pool.unsolicited.is_frequent() && pool.idle.len() >= WITNESSES;
-        if !state.sound || enough {
+        let has_enough_idle =
+            pool.unsolicited.is_frequent() && pool.idle.len() >= MAX_IDLE_IF_UNSOLICITED;
+        if !state.is_valid || has_enough_idle {
             return Reuse::Close;
         }
-        c.activity = None;
-        c.since = now;
-        c.buf.clear();
-        c.body = None;
-        c.buf.shrink_to(CHUNK);
-        c.out.shrink_to(CHUNK);
+        conn.activity = None;
+        conn.since = now;
+        conn.buf.clear();
+        conn.body = None;
+        conn.buf.shrink_to(READ_BUFFER_BYTES);
+        conn.out.shrink_to(READ_BUFFER_BYTES);
         pool.idle.push(key);
         Reuse::Keep
     }
 }
 
-/// Whether an answer is streamed from here on: its value is too long to be held.
-fn begin_long_answer(c: &mut Connection, activity: Activity) -> bool {
-    if !activity.is_attempt() || !c.is_sent() {
+/// Starts streaming an answer whose value is too long to buffer. Returns false if it is not such an answer.
+fn begin_long_answer(conn: &mut Connection, activity: Activity) -> bool {
+    if !activity.is_attempt() || !conn.is_sent() {
         return false;
     }
-    let Some(begun) = LongAnswer::begin(&c.buf) else {
+    let Some(begun) = LongAnswer::begin(&conn.buf) else {
         return false;
     };
-    c.buf.drain(..begun.head);
-    c.long = Some(begun.answer);
-    c.paused = true;
+    conn.buf.drain(..begun.head);
+    conn.long_answer = Some(begun.answer);
+    conn.paused = true;
     true
 }
--- a/crates/ingress/src/backend/response.rs
+++ b/crates/ingress/src/backend/response.rs
@@ -1,36 +1,40 @@
-//! What answers of backends mean.
+//! Interpretation of answers from backends.
 
 use super::activity::Activity;
 use wrenfork_config::settings::note_field;
 use wrenfork_decision::{LoadReport, Outcome};
 use wrenfork_wire::resp::{Element, Kind, Reply};
 
-/// The first word of an error that says that the backend did not take the request.
+/// First word of an error by which a backend rejects a request without starting it.
 const BUSY: &[u8] = b"BUSY";
 
-/// What an answer means.
+/// An interpreted answer of a backend.
 pub(super) struct Response {
     pub(super) outcome: Outcome,
-    /// With [`Outcome::Ok`]: the value's bytes as they came.
+    /// The value in its RESP encoding as received; empty unless the outcome of a request is [`Outcome::Ok`].
     pub(super) value: Vec<u8>,
     pub(super) report: Option<LoadReport>,
 }
 
-/// What an answer means for what its connection is used for; none if it is no answer to that.
+/// Interprets an answer to an attempt or health check. Returns none if the answer is not valid for that activity.
 pub(super) fn interpret(buf: &[u8], reply: &Reply, activity: Activity) -> Option<Response> {
     match (reply, activity) {
         (Reply::Array(list), Activity::Attempt(..)) => interpret_served(buf, list),
-        (Reply::One(e), _) if e.kind == Kind::Error => Some(interpret_error(&buf[e.text.clone()])),
-        (Reply::One(e), Activity::HealthCheck) if e.kind == Kind::Bulk => Some(Response {
-            outcome: Outcome::Ok,
-            value: Vec::new(),
-            report: parse_report(&buf[e.text.clone()]),
-        }),
+        (Reply::One(element), _) if element.kind == Kind::Error => {
+            Some(interpret_error(&buf[element.text.clone()]))
+        }
+        (Reply::One(element), Activity::HealthCheck) if element.kind == Kind::Bulk => {
+            Some(Response {
+                outcome: Outcome::Ok,
+                value: Vec::new(),
+                report: parse_report(&buf[element.text.clone()]),
+            })
+        }
         _ => None,
     }
 }
 
-/// The answer to a request: the value, the figures on its use, and a load report.
+/// Interprets the answer to a served request: an array of the value, usage figures, and a load report.
 fn interpret_served(buf: &[u8], list: &[Element]) -> Option<Response> {
     let [value, _, load] = list else { return None };
     if value.kind != Kind::Bulk {
@@ -46,7 +50,7 @@
     })
 }
 
-/// An error, whose last word may be a load report.
+/// Interprets an error answer. Its last word may be a load report.
 fn interpret_error(text: &[u8]) -> Response {
     let is_space = |byte: &u8| *byte == b' ';
     let outcome = if text.split(is_space).next() == Some(BUSY) {
@@ -61,13 +65,14 @@
     }
 }
 
-/// Parses a load report such as `inflight=7,util=0.61`; none if nothing in it is one.
+/// Parses a load report such as `inflight=7,util=0.61`. Unknown fields and invalid values are skipped; returns none if no field
+/// is left.
 pub(super) fn parse_report(text: &[u8]) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     let fields = std::str::from_utf8(text).ok()?.split(',');
     for (name, value) in fields.filter_map(|field| field.split_once('=')) {
         let value = value.parse::<f64>().ok();
-        let value = value.filter(|v| v.is_finite() && *v >= 0.0);
+        let value = value.filter(|value| value.is_finite() && *value >= 0.0);
         note_field(&mut report, name, value);
     }
     (report != LoadReport::default()).then_some(report)
--- a/crates/ingress/src/backend/starting.rs
+++ b/crates/ingress/src/backend/starting.rs
@@ -1,4 +1,4 @@
-//! The start of attempts and health checks.
+//! Starting attempts and health checks.
 
 use super::activity::{Activity, AttemptEnd, ConnectionHandle};
 use super::Backends;
@@ -6,29 +6,29 @@
 use wrenfork_decision::{BackendId, Micros, Outcome};
 use wrenfork_wire::call::Body;
 
-/// The times of an attempt or a health check.
+/// Start time and deadlines of an attempt or health check.
 #[derive(Clone, Copy, Debug)]
 pub struct StartTimes {
-    /// The true time, not the turn's.
+    /// The current time, not the time of the turn.
     pub now: Micros,
-    /// By when the last byte of the command has to be written.
+    /// Time by which the command must be written completely.
     pub write_deadline: Micros,
-    /// When it is given up, which the command tells.
+    /// When the attempt or health check is abandoned; the command carries it.
     pub deadline: Micros,
 }
 
-/// An attempt or a health check that is under way.
+/// An attempt or health check that was started.
 #[derive(Clone, Copy, Debug)]
 pub struct Started {
-    /// Its connection.
+    /// The connection that carries it.
     pub connection: ConnectionHandle,
-    /// Whether that is still to be established.
+    /// Whether the connection is not established yet.
     pub connecting: bool,
 }
 
 impl Backends {
-    /// Starts an attempt or a health check with the command that `write_command` writes. What fails at once is in
-    /// [`Backends::ended`], and none is given.
+    /// Starts an attempt or health check with the command that `write_command` generates; a long body is returned separately. If
+    /// it fails at once, returns none and reports the failure in [`Backends::ended`].
     pub fn start(
         &mut self,
         registry: &Registry,
@@ -48,26 +48,26 @@
             });
             return None;
         };
-        let c = &mut self.connections[key];
-        c.activity = Some(activity);
-        c.since = times.now;
-        c.written = 0;
-        c.write_deadline = times.write_deadline;
-        c.deadline = times.deadline;
-        c.out.clear();
-        c.body = write_command(&mut c.out);
+        let conn = &mut self.connections[key];
+        conn.activity = Some(activity);
+        conn.since = times.now;
+        conn.written = 0;
+        conn.write_deadline = times.write_deadline;
+        conn.deadline = times.deadline;
+        conn.out.clear();
+        conn.body = write_command(&mut conn.out);
         let connection = self.handle(key);
-        let c = &self.connections[key];
-        if c.race.is_none() {
+        let conn = &self.connections[key];
+        if conn.race.is_none() {
             self.write(key, times.now);
-        } else if c.stream.is_connected() {
+        } else if conn.stream.is_connected() {
             self.mark_established(key);
             self.write(key, times.now);
         }
-        let c = self.connections.get(key)?;
+        let conn = self.connections.get(key)?;
         Some(Started {
             connection,
-            connecting: !c.established,
+            connecting: !conn.established,
         })
     }
 }
--- a/crates/ingress/src/backend/streaming.rs
+++ b/crates/ingress/src/backend/streaming.rs
@@ -1,61 +1,66 @@
-//! Answers that are too long to be held: they pass on to the client as they come.
+//! Answers that are too long to buffer completely: they are forwarded to the client as they arrive.
 
 use super::activity::{Activity, ConnectionHandle};
 use super::reading::{AnswerState, Reuse};
 use super::response::{parse_report, Response};
-use super::{Backends, CHUNK};
+use super::{Backends, READ_BUFFER_BYTES};
 use wrenfork_decision::{Micros, Outcome};
 use wrenfork_wire::long::AnswerEnd;
 
-/// A streamed answer.
+/// An attempt whose answer is being streamed.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamedAttempt {
-    /// What its connection is used for.
+    /// The attempt that the answer belongs to.
     pub activity: Activity,
-    /// When that began.
+    /// When the attempt began.
     pub started_at: Micros,
 }
 
 impl Backends {
-    /// A streamed answer of which more has come than was passed on.
+    /// Takes a connection with data of a streamed answer that is ready to be forwarded.
     pub fn next_stream(&mut self) -> Option<ConnectionHandle> {
         self.streams.pop()
     }
 
-    /// What a connection is used for, if its answer is streamed.
+    /// The attempt on a connection, if its answer is being streamed.
     pub fn streamed_attempt(&self, handle: ConnectionHandle) -> Option<StreamedAttempt> {
-        let c = self.get(handle).filter(|c| c.long.is_some())?;
+        let conn = self.get(handle).filter(|conn| conn.long_answer.is_some())?;
         Some(StreamedAttempt {
-            activity: c.activity?,
-            started_at: c.since,
+            activity: conn.activity?,
+            started_at: conn.since,
         })
     }
 
-    /// Whether an answer waits until its client has room.
+    /// Whether reading from a connection is paused until the client has room for more of the answer.
     pub fn is_paused(&self, handle: ConnectionHandle) -> bool {
-        self.get(handle).is_some_and(|c| c.paused)
+        self.get(handle).is_some_and(|conn| conn.paused)
     }
 
-    /// Has an answer read to its end before any of it passes on, where that takes no more than `memory` bytes beside others that
-    /// are; false if it is to pass on now: it has come to its end, or it takes more.
+    /// Buffers an answer up to its end instead of forwarding it, provided that all buffered answers together stay within `memory`
+    /// bytes. Returns false if the answer must be forwarded now because it is complete or does not fit.
     pub fn hold_back(&mut self, handle: ConnectionHandle, memory: usize, now: Micros) -> bool {
         let others = self.connections.iter();
-        let others = others.filter(|(key, c)| *key != handle.key && c.long.is_some());
-        let held: usize = others.map(|(_, c)| c.buf.capacity()).sum();
-        let Some(c) = self.connections.get_mut(handle.key) else {
+        let others = others.filter(|(key, conn)| *key != handle.key && conn.long_answer.is_some());
+        let held: usize = others.map(|(_, conn)| conn.buf.capacity()).sum();
+        let Some(conn) = self.connections.get_mut(handle.key) else {
             return true;
         };
-        let Some(long) = c.long.as_ref().filter(|_| c.serial == handle.serial) else {
+        let Some(long_answer) = conn
+            .long_answer
+            .as_ref()
+            .filter(|_| conn.serial == handle.serial)
+        else {
             return true;
         };
-        match long.is_complete(&c.buf) {
+        match long_answer.is_complete(&conn.buf) {
             Ok(true) => return false,
-            Ok(false) if held + long.left() > memory => return false,
+            Ok(false) if held + long_answer.left() > memory => return false,
             Ok(false) => {
-                let wanted = long.left() + CHUNK;
-                c.buf.reserve_exact(wanted.saturating_sub(c.buf.len()));
-                c.paused = false;
-                c.answer_since = now;
+                let wanted = long_answer.left() + READ_BUFFER_BYTES;
+                conn.buf
+                    .reserve_exact(wanted.saturating_sub(conn.buf.len()));
+                conn.paused = false;
+                conn.answer_since = now;
                 self.read_queue.push(handle);
             }
             Err(_) => self.break_connection(handle.key, now),
@@ -63,19 +68,21 @@
         true
     }
 
-    /// Passes on to `out` what has come; the connection is read on from the next turn.
-    pub fn pass_on(&mut self, handle: ConnectionHandle, out: &mut Vec<u8>, now: Micros) {
+    /// Appends the buffered part of the answer to `out`. Reading from the connection resumes in the next turn.
+    pub fn forward(&mut self, handle: ConnectionHandle, out: &mut Vec<u8>, now: Micros) {
         if self.get(handle).is_none() {
             return;
         }
-        let c = &mut self.connections[handle.key];
-        let Some(long) = &mut c.long else { return };
-        let fed = long.feed(&c.buf, out);
-        c.buf.clear();
-        match fed {
+        let conn = &mut self.connections[handle.key];
+        let Some(long_answer) = &mut conn.long_answer else {
+            return;
+        };
+        let progress = long_answer.feed(&conn.buf, out);
+        conn.buf.clear();
+        match progress {
             Ok(None) => {
-                c.paused = false;
-                c.answer_since = now;
+                conn.paused = false;
+                conn.answer_since = now;
                 self.read_queue.push(handle);
             }
             Ok(Some(end)) => self.end_stream(handle.key, &end, now),
@@ -83,20 +90,20 @@
         }
     }
 
-    /// A streamed answer has come to its end.
+    /// Ends an attempt whose streamed answer is complete.
     fn end_stream(&mut self, key: usize, end: &AnswerEnd, now: Micros) {
-        let c = &mut self.connections[key];
-        c.long = None;
-        c.paused = false;
+        let conn = &mut self.connections[key];
+        conn.long_answer = None;
+        conn.paused = false;
         let response = Response {
             outcome: Outcome::Ok,
             value: Vec::new(),
             report: end.report.as_deref().and_then(parse_report),
         };
-        self.end_with(key, response, now);
+        self.end_activity(key, response, now);
         let state = AnswerState {
-            nothing_behind: end.nothing_behind,
-            sound: true,
+            no_trailing_bytes: end.nothing_behind,
+            is_valid: true,
         };
         if self.reuse(key, now, state) == Reuse::Close {
             self.remove(key);
--- a/crates/ingress/src/backend/tests.rs
+++ b/crates/ingress/src/backend/tests.rs
@@ -1,4 +1,4 @@
-//! Connections to backends as a handover passes them, with every field and variant in use.
+//! Sample backend connections for tests of the handover format, with every field and variant in use.
 
 use super::activity::{Activity, ConnectionHandle};
 use super::connection::Connection;
@@ -16,11 +16,11 @@
 
 pub(crate) const HANDLE: ConnectionHandle = ConnectionHandle { key: 3, serial: 52 };
 
-fn tcp() -> Address {
+fn tcp_address() -> Address {
     Address::Tcp("127.0.0.1:7100".parse().unwrap())
 }
 
-fn unix() -> Address {
+fn unix_address() -> Address {
     Address::Unix(Arc::from("/run/backend.sock"))
 }
 
@@ -29,11 +29,11 @@
         established: true,
         activity,
         answer_since: 1_000_011,
-        ..Connection::new((), serial, BACKEND, tcp(), 1_000_010)
+        ..Connection::new((), serial, BACKEND, tcp_address(), 1_000_010)
     }
 }
 
-/// Connections that are idle, in use with a long body and a long answer, and in a health check.
+/// An idle connection, one with a long body and a streamed answer, and one with a health check.
 pub(crate) fn sample() -> SavedBackends<Connection<()>> {
     let begun = LongAnswer::begin(b"*3\r\n$70000\r\nabc").unwrap();
     let attempt = Connection {
@@ -42,23 +42,23 @@
         body: Some(Body::new(b"0123456789".to_vec(), 2..9)),
         written: 21,
         buf: b"$70000\r\nabc".to_vec(),
-        long: Some(begun.answer),
+        long_answer: Some(begun.answer),
         paused: true,
         ..connection(52, Some(Activity::Attempt(RequestId(41), 1)))
     };
     let health_check = Connection {
-        address: unix(),
+        address: unix_address(),
         established: false,
         ..connection(53, Some(Activity::HealthCheck))
     };
     let mut addresses = AddressList::default();
-    addresses.update(vec![tcp(), unix()]);
+    addresses.update(vec![tcp_address(), unix_address()]);
     let pool = Pool {
         addresses,
         idle: vec![1],
         unsolicited: UnsolicitedBytes {
             answers: 8.5,
-            seen: 1.25,
+            arrivals: 1.25,
         },
     };
     let mut staleness = Staleness::default();
@@ -72,7 +72,7 @@
     }
 }
 
-/// Each kind of activity, in its order.
+/// One value of each [`Activity`] variant, in declaration order.
 pub(crate) fn activities() -> Vec<Activity> {
     vec![
         Activity::Attempt(RequestId(9), 2),
--- a/crates/ingress/src/backend/unsolicited.rs
+++ b/crates/ingress/src/backend/unsolicited.rs
@@ -1,22 +1,22 @@
-//! Bytes that a backend sends without being asked. The rest behind an answer shows what comes right behind it; what comes later
-//! would pass for the answer to the next request, and nothing in it tells whose it is. So a backend that does this often gets a
-//! new connection for each request, for as long as it does.
+//! Detects backends that send unsolicited bytes. The rest time after an answer catches bytes that follow at once. Bytes that
+//! arrive later would be taken for the answer to the next request, since answers carry no id. A backend that often sends
+//! unsolicited bytes therefore gets a new connection for each request until it stops.
 
 use super::staleness::DECAY;
 use serde::{Deserialize, Serialize};
 
-/// The fraction of a backend's answers with something behind them, and how many, from which its connections serve one
-/// request each.
+/// Fraction of a backend's answers followed by unsolicited bytes above which each of its connections serves only one request.
 const FREQUENT_FRACTION: f64 = 0.2;
-const MIN_SEEN: f64 = 3.0;
+/// Minimum (decayed) number of arrivals of unsolicited bytes before the fraction is considered.
+const MIN_ARRIVALS: f64 = 3.0;
 
-/// How often a backend sends bytes without being asked.
+/// Counts how often a backend sends unsolicited bytes. The field order is part of the handover format.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(super) struct UnsolicitedBytes {
-    /// Answers, decaying.
+    /// Number of answers, decayed over time.
     pub(super) answers: f64,
-    /// How often something came behind one, decaying.
-    pub(super) seen: f64,
+    /// Number of times that unsolicited bytes arrived, decayed over time.
+    pub(super) arrivals: f64,
 }
 
 impl UnsolicitedBytes {
@@ -25,19 +25,19 @@
         self.answers += 1.0;
     }
 
-    /// Counts bytes that nobody asked for.
+    /// Counts one arrival of unsolicited bytes.
     pub(super) fn record_bytes(&mut self) {
-        self.seen += 1.0;
+        self.arrivals += 1.0;
     }
 
-    /// Whether connections serve one request each.
+    /// Whether the backend sends unsolicited bytes so often that each connection serves only one request.
     pub(super) fn is_frequent(&self) -> bool {
-        self.seen >= MIN_SEEN && self.seen > self.answers * FREQUENT_FRACTION
+        self.arrivals >= MIN_ARRIVALS && self.arrivals > self.answers * FREQUENT_FRACTION
     }
 
-    /// Has the counts decay, once a sweep.
+    /// Decays the counts; called once per sweep.
     pub(super) fn decay(&mut self) {
         self.answers *= DECAY;
-        self.seen *= DECAY;
+        self.arrivals *= DECAY;
     }
 }
--- a/crates/ingress/src/backend/writing.rs
+++ b/crates/ingress/src/backend/writing.rs
@@ -7,28 +7,30 @@
 use std::io::{self, ErrorKind, Write};
 use wrenfork_decision::{Micros, Outcome, RequestId};
 
-/// An attempt whose connection was established after it began: its command is written anew, since it tells how long is left.
+/// An attempt whose connection was established after the attempt began. Its command is generated again, because it carries the
+/// time left.
 #[derive(Clone, Copy, Debug)]
 pub struct EstablishedAttempt {
-    /// Its connection.
+    /// The connection that carries the attempt.
     pub connection: ConnectionHandle,
-    /// Its request.
+    /// The request that the attempt is for.
     pub request: RequestId,
-    /// When it is given up.
+    /// When the attempt is abandoned, in microseconds.
     pub deadline: Micros,
 }
 
-/// Writes what is left of a connection's command.
-fn write_rest(c: &mut Connection) -> io::Result<usize> {
-    let rest = match (&c.body, c.written.checked_sub(c.out.len())) {
-        (Some(body), Some(of_body)) => &body.bytes()[of_body..],
-        _ => &c.out[c.written..],
+/// Writes the next part of a connection's command, and returns the number of bytes written.
+fn write_rest(conn: &mut Connection) -> io::Result<usize> {
+    let rest = match (&conn.body, conn.written.checked_sub(conn.out.len())) {
+        (Some(body), Some(body_offset)) => &body.bytes()[body_offset..],
+        _ => &conn.out[conn.written..],
     };
-    c.stream.write(rest)
+    conn.stream.write(rest)
 }
 
 impl Backends {
-    /// Writes to a connection that has just been established.
+    /// Handles a connection that has just been established. An attempt is queued for its command to be generated again; a health
+    /// check is written at once.
     pub(super) fn write_established(&mut self, key: usize, now: Micros) {
         let activity = self.connections[key].activity;
         if activity.is_some_and(Activity::is_attempt) {
@@ -38,70 +40,71 @@
         }
     }
 
-    /// An attempt whose connection was established after it began, for [`Backends::write_command`].
+    /// Takes an attempt whose connection has been established, for [`Backends::write_command`].
     pub fn next_established(&mut self) -> Option<EstablishedAttempt> {
         while let Some(connection) = self.established.pop() {
-            let Some(c) = self.get(connection) else {
+            let Some(conn) = self.get(connection) else {
                 continue;
             };
-            if let Some(Activity::Attempt(request, _)) = c.activity {
+            if let Some(Activity::Attempt(request, _)) = conn.activity {
                 return Some(EstablishedAttempt {
                     connection,
                     request,
-                    deadline: c.deadline,
+                    deadline: conn.deadline,
                 });
             }
         }
         None
     }
 
-    /// Writes an attempt's command as `write_command` has it by now.
+    /// Generates the command of an attempt again with `write_command`, unless part of it was already sent, and sends it.
     pub fn write_command(
         &mut self,
         connection: ConnectionHandle,
         now: Micros,
         write_command: impl FnOnce(&mut Vec<u8>),
     ) {
-        let c = &mut self.connections[connection.key];
-        if c.written == 0 {
-            c.out.clear();
-            write_command(&mut c.out);
+        let conn = &mut self.connections[connection.key];
+        if conn.written == 0 {
+            conn.out.clear();
+            write_command(&mut conn.out);
         }
         self.write(connection.key, now);
     }
 
     pub(super) fn write(&mut self, key: usize, now: Micros) {
-        let c = &mut self.connections[key];
-        while !c.is_sent() {
-            if now > c.write_deadline {
+        let conn = &mut self.connections[key];
+        while !conn.is_sent() {
+            if now > conn.write_deadline {
                 return self.end_unsent(key);
             }
-            match write_rest(c) {
+            match write_rest(conn) {
                 Ok(n) => {
-                    c.written += n;
-                    c.established = true;
-                    let is_attempt = c.activity.is_some_and(Activity::is_attempt);
-                    self.relayed += u64::from(is_attempt && c.is_sent());
+                    conn.written += n;
+                    conn.established = true;
+                    let is_attempt = conn.activity.is_some_and(Activity::is_attempt);
+                    self.relayed += u64::from(is_attempt && conn.is_sent());
                 }
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // Not established yet, or no room: the socket will show as writable.
-                Err(e) if is_not_ready(&e) => return,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                // Not connected yet or the send buffer is full: a writable event will follow.
+                Err(error) if is_not_ready(&error) => return,
                 Err(_) => return self.write_failed(key),
             }
         }
     }
 
-    /// A connection has broken. It may have said why before: rejected with too many connections, say.
+    /// Handles a write error. The backend may have sent an answer before it closed the connection, such as a rejection because of
+    /// too many connections, so the input is read first.
     fn write_failed(&mut self, key: usize) {
-        let c = &self.connections[key];
-        let (serial, since) = (c.serial, c.since);
-        if self.has_race_left(key, since) {
+        let conn = &self.connections[key];
+        let (serial, since) = (conn.serial, conn.since);
+        if self.continue_race_after_failure(key, since) {
             return;
         }
         self.read(key, since, true);
-        let is_same = |c: &Connection| c.serial == serial;
+        let is_same = |conn: &Connection| conn.serial == serial;
         if self.connections.get(key).is_some_and(is_same) {
-            self.end(key, Outcome::ConnectFailed, since);
+            self.end_without_answer(key, Outcome::ConnectFailed, since);
             self.remove(key);
         }
     }
--- a/crates/ingress/src/client.rs
+++ b/crates/ingress/src/client.rs
@@ -1,7 +1,7 @@
-//! The clients: the listener, the connections, and the answers in the order of their requests (pipelining).
+//! Client connections: accepting them, parsing pipelined requests, and writing answers in request order.
 //!
-//! [`Clients`] holds all connections. Its methods stand by concern in the modules below; what connections bring for the event loop
-//! is queued in [`Clients::events`].
+//! [`Clients`] owns the listener and all client connections. Its methods are grouped by concern in the modules below. Requests
+//! and disconnects are reported to the event loop through [`Clients::events`].
 
 mod accept;
 mod answers;
@@ -34,69 +34,72 @@
 use wrenfork_decision::{Micros, RequestId};
 use wrenfork_wire::call::{Call, Vocabulary};
 
-/// Bytes read at once.
-const CHUNK: usize = 16 * 1024;
+/// Size of the shared read buffer, in bytes: the most that one read from a client can return.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a connection brought.
+/// An event on a client connection that the event loop has to handle.
 pub enum ClientEvent {
-    /// A request, under the id that it has here.
+    /// A request was parsed. The id is unique within this ingress; the origin tells where its answer goes.
     Request(RequestId, Origin, Call),
-    /// The client of a request that is not answered has disconnected.
+    /// The client disconnected before this request was answered.
     Disconnected(RequestId),
-    /// A request of the class at this index was answered here, before it had an id.
+    /// A request was rejected or failed before it was given an id. The `u8` is the index of its class.
     EndedEarly(u8, RequestEnd),
 }
 
-/// All client connections.
+/// The client listener and all client connections.
 pub struct Clients {
-    /// None once no connection is accepted any more.
+    /// None once the ingress has stopped accepting connections.
     listener: Option<Listener>,
     connections: Slab<ClientConnection>,
-    /// Those that may be evicted.
+    /// Connections that may be evicted to free a file descriptor.
     eviction: EvictionQueues,
-    /// The serial number of the latest connection.
+    /// Serial number of the connection accepted last.
     serial: u64,
-    /// The id of the latest request.
+    /// Id of the request admitted last.
     last_request: u64,
     tokens: fn(usize) -> Token,
-    /// The names by which requests are parsed; others with another configuration.
+    /// The classes, plans and limits by which requests are parsed. Replaced when the configuration changes.
     pub vocabulary: Vocabulary,
-    /// The guard before requests.
+    /// Rejects requests while the lease of the group has expired.
     pub admission: AdmissionGuard,
-    /// Who may send requests; none where nobody is authenticated.
+    /// Authenticates callers; none if the configuration has no callers.
     authenticator: Option<Authenticator>,
-    /// What was read last, and where the arguments of the command parsed last stand.
-    chunk: Vec<u8>,
+    /// Buffer shared by reads from all connections.
+    read_buffer: Vec<u8>,
+    /// Byte ranges of the arguments of the command parsed last.
     arguments: Vec<Range<usize>>,
-    /// Connections with something to write.
+    /// Keys of the connections to write to at the end of the turn.
     write_queue: Vec<usize>,
-    /// Connections to be read before they show as ready.
+    /// Keys of the connections to read in the next turn without waiting for a readiness event.
     read_queue: Vec<usize>,
-    /// Connections are closed as soon as they are between requests.
+    /// Set during graceful shutdown: connections are closed once they have no request in progress.
     draining: bool,
-    /// All requests are rejected: there is no time left to serve them.
+    /// Set at the end of a graceful shutdown: no time is left to serve requests, so all are rejected.
     rejecting: bool,
-    /// How many connections have a time at which they are closed.
+    /// Number of connections with `linger_until` set.
     lingering: usize,
-    /// When the latest connection was accepted.
+    /// Time at which the last connection was accepted.
     pub accepted_at: Micros,
-    /// How many connections were accepted beyond the budget of descriptors.
+    /// Number of open connections that were accepted beyond the file descriptor budget.
     surplus: usize,
-    /// Bytes that all connections hold, and the most of them.
+    /// Bytes that all connections hold in buffers.
     memory_used: usize,
+    /// Upper bound on `memory_used`, in bytes.
     max_memory: usize,
-    /// What connections brought since this was last looked at, in order.
+    /// Events not yet taken by the event loop, oldest first.
     pub events: VecDeque<ClientEvent>,
-    /// Requests whose streamed answers may go on.
+    /// Requests whose streamed answers have room for more data.
     pub writable: Vec<RequestId>,
-    /// Bytes granted to long bodies that are being read.
+    /// Bytes of memory granted to long request bodies that are being read.
     granted: usize,
-    /// Connections that wait for such a grant, the first one first.
+    /// Connections waiting for a memory grant, first come first.
     grant_queue: VecDeque<eviction::ConnectionId>,
 }
 
 impl Clients {
-    /// Starts from a listener that is registered already; `max_memory` is what connections may hold in all, in bytes.
+    /// Creates an empty set of connections. `listener` must already be registered with the poll. `max_memory` bounds the bytes
+    /// that all connections together hold in buffers. `tokens` maps a connection key to its poll token.
     pub fn new(
         listener: Listener,
         vocabulary: Vocabulary,
@@ -113,7 +116,7 @@
             vocabulary,
             admission: AdmissionGuard::default(),
             authenticator: None,
-            chunk: vec![0; CHUNK],
+            read_buffer: vec![0; READ_BUFFER_BYTES],
             arguments: Vec::new(),
             write_queue: Vec::new(),
             read_queue: Vec::new(),
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Authenticates these callers from now on, or nobody.
+    /// Replaces the callers that may send requests; with none, authentication is off.
     pub fn set_callers(&mut self, callers: Option<Callers>) {
         match (&mut self.authenticator, callers) {
             (Some(authenticator), Some(callers)) => authenticator.set_callers(callers),
@@ -139,28 +142,28 @@
         }
     }
 
-    /// How many connections there are.
+    /// Number of open client connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// How many of them were accepted beyond the budget of descriptors.
+    /// Number of open connections that were accepted beyond the file descriptor budget.
     pub fn surplus(&self) -> usize {
         self.surplus
     }
 
-    /// Whether any of them still owes or awaits something.
+    /// Whether any connection has a request without an answer, or an answer that is not fully written.
     pub fn any_busy(&self) -> bool {
-        let busy = |c: &ClientConnection| !c.answers.is_empty() || !c.out.is_empty();
-        self.connections.iter().any(|(_, c)| busy(c))
+        let busy = |conn: &ClientConnection| !conn.answers.is_empty() || !conn.out.is_empty();
+        self.connections.iter().any(|(_, conn)| busy(conn))
     }
 
-    /// Whether there is something to do before any socket shows as ready.
+    /// Whether there is work to do without waiting for a readiness event.
     pub fn has_more(&self) -> bool {
         !(self.read_queue.is_empty() && self.write_queue.is_empty() && self.events.is_empty())
     }
 
-    /// The listening socket, where it is one of TCP that is still open.
+    /// The listening socket, if it is a TCP socket that is still open.
     pub fn tcp_listener(&self) -> Option<BorrowedFd<'_>> {
         match self.listener.as_ref()? {
             Listener::Tcp(listener) => Some(listener.as_fd()),
@@ -168,29 +171,30 @@
         }
     }
 
-    /// Rejects all requests from now on, also those that were read and wait behind a full queue of answers.
+    /// Rejects all requests from now on, including those already received that are not parsed yet because the queue of answers is
+    /// full.
     pub fn reject_all(&mut self) {
         self.rejecting = true;
     }
 
-    /// Has a connection written to at the end of the turn.
+    /// Queues a connection to be written to at the end of the turn.
     fn write_later(&mut self, key: usize) {
         if !std::mem::replace(&mut self.connections[key].in_write_queue, true) {
             self.write_queue.push(key);
         }
     }
 
-    /// Has a connection read in the next turn.
+    /// Queues a connection to be read in the next turn.
     fn read_later(&mut self, key: usize) {
         if !std::mem::replace(&mut self.connections[key].in_read_queue, true) {
             self.read_queue.push(key);
         }
     }
 
-    /// The connection that an answer belongs to, if it is still there.
-    fn at_origin(&mut self, origin: Origin) -> Option<&mut ClientConnection> {
+    /// The connection that an answer belongs to; none if that connection is closed.
+    fn connection_of(&mut self, origin: Origin) -> Option<&mut ClientConnection> {
         self.connections
             .get_mut(origin.key)
-            .filter(|c| c.serial == origin.serial)
+            .filter(|conn| conn.serial == origin.serial)
     }
 }
--- a/crates/ingress/src/client/accept.rs
+++ b/crates/ingress/src/client/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Accepting client connections.
 
 use super::connection::ClientConnection;
 use super::Clients;
@@ -7,61 +7,62 @@
 use std::io::ErrorKind;
 use wrenfork_decision::Micros;
 
-/// Connections accepted in a turn.
+/// Maximum number of connections accepted in one turn of the event loop.
 const ACCEPTS_PER_TURN: usize = 64;
-/// How long a surplus connection may stay to be told that there is no capacity.
+/// How long a surplus connection stays open to have its first request rejected.
 const SURPLUS_TIMEOUT: Micros = 1_000_000;
 
-/// Whether there is a descriptor for one more connection.
+/// How a new connection is admitted with regard to the file descriptor budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// There is.
+    /// Within the budget: the connection is served.
     Regular,
-    /// Only to say that there is none.
+    /// Beyond the budget: accepted only to have its first request rejected.
     Surplus,
 }
 
-/// What accepting came to.
+/// Result of accepting connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Accepted {
-    /// All that waited are accepted.
+    /// No connection is waiting to be accepted.
     All,
-    /// There may be more.
+    /// More connections may be waiting.
     More,
-    /// There is no descriptor to accept with.
+    /// No file descriptor is available for another connection.
     NoDescriptor,
 }
 
 impl Clients {
-    /// Accepts what waits, for as long as there `may` be a descriptor for one more; `admit` frees it once one has come: nobody is
-    /// evicted for one that does not come.
+    /// Accepts waiting connections while `can_accept` reports that a file descriptor is, or can be made, available. `admit` is
+    /// called only after a connection was accepted and frees a descriptor if needed, so that nothing is evicted if no connection
+    /// is waiting.
     pub fn accept(
         &mut self,
         registry: &Registry,
         now: Micros,
-        may: impl Fn(&Self) -> bool,
+        can_accept: impl Fn(&Self) -> bool,
         mut admit: impl FnMut(&mut Self) -> Admission,
     ) -> Accepted {
         for _ in 0..ACCEPTS_PER_TURN {
-            if !may(self) {
+            if !can_accept(self) {
                 return Accepted::NoDescriptor;
             }
             let Some(listener) = &self.listener else {
                 return Accepted::All;
             };
-            match listener.accept().map_err(|e| e.kind()) {
+            match listener.accept().map_err(|error| error.kind()) {
                 Ok(stream) => {
                     let admission = admit(self);
                     self.add(stream, registry, now, admission);
                 }
                 Err(ErrorKind::WouldBlock) => return Accepted::All,
-                // One that was gone before it was accepted, or may not connect.
+                // The client disconnected before it was accepted, or is not permitted to connect.
                 Err(
                     ErrorKind::ConnectionAborted
                     | ErrorKind::Interrupted
                     | ErrorKind::PermissionDenied,
                 ) => {}
-                // Out of descriptors or memory in spite of the budget: an idle one may make room.
+                // Out of file descriptors or memory in spite of the budget: tries again after evicting an idle connection.
                 Err(_) if self.evict_oldest(now) => {}
                 Err(_) => return Accepted::NoDescriptor,
             }
@@ -70,8 +71,8 @@
     }
 
     fn add(&mut self, mut stream: Stream, registry: &Registry, now: Micros, admission: Admission) {
-        let place = self.connections.vacant_entry();
-        let key = place.key();
+        let entry = self.connections.vacant_entry();
+        let key = entry.key();
         let interests = Interest::READABLE | Interest::WRITABLE;
         if registry
             .register(&mut stream, (self.tokens)(key), interests)
@@ -88,7 +89,7 @@
             self.surplus += 1;
             self.lingering += 1;
         }
-        place.insert(connection);
+        entry.insert(connection);
         self.update_idle_state(key);
     }
 }
--- a/crates/ingress/src/client/answers.rs
+++ b/crates/ingress/src/client/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to clients, in the order of their requests.
+//! Writing answers to clients in the order of their requests.
 
 use super::connection::{AnswerSlot, Origin};
 use super::Clients;
@@ -6,112 +6,114 @@
 use wrenfork_decision::Micros;
 use wrenfork_wire::resp;
 
-/// The most bytes of a streamed answer that may wait for the client to read them: beyond that, no more is read from the
-/// backend. As many as there are descriptors must fit in the memory.
+/// Maximum number of bytes of a streamed answer that are buffered for a client. At the limit, reading from the backend pauses.
+/// The limit is low enough that one such buffer for every file descriptor fits in memory.
 const MAX_STREAMED: usize = 32 * 1024;
-/// What an idle connection may keep of its buffer for answers.
+/// Capacity in bytes that an idle connection keeps of its output buffer.
 const MAX_IDLE_BUFFER: usize = 2 * 1024;
 
 impl Clients {
-    /// Answers a request that could not be taken with an error: the connection bears some of them.
-    pub fn answer_error(&mut self, origin: Origin, why: &str) {
+    /// Answers an invalid request with an error. Too many errors in a row close the connection.
+    pub fn answer_error(&mut self, origin: Origin, reason: &str) {
         let mut text = Vec::new();
-        resp::put_error(&mut text, why);
-        if let Some(c) = self.at_origin(origin) {
-            c.count_error();
+        resp::put_error(&mut text, reason);
+        if let Some(conn) = self.connection_of(origin) {
+            conn.count_error();
         }
         self.answer(origin, &text);
     }
 
-    /// Gives a request its final answer, a complete RESP2 value.
+    /// Sends the final answer to a request; `text` is one complete RESP2 value. Does nothing if the client has disconnected.
     pub fn answer(&mut self, origin: Origin, text: &[u8]) {
-        let Some(c) = self.connections.get_mut(origin.key) else {
+        let Some(conn) = self.connections.get_mut(origin.key) else {
             return;
         };
-        if c.serial != origin.serial {
+        if conn.serial != origin.serial {
             return;
         }
-        let Some(position) = c.position_of(origin) else {
+        let Some(position) = conn.position_of(origin) else {
             return;
         };
-        let awaited = !matches!(c.answers.front(), None | Some(AnswerSlot::Ready(_)));
-        if position == 0 && awaited {
-            c.answers.pop_front();
-            c.first_index += 1;
-            c.out.extend_from_slice(text);
-        } else if let Some(slot) = c.answers.get_mut(position) {
+        let front_is_unanswered =
+            !matches!(conn.answers.front(), None | Some(AnswerSlot::Ready(_)));
+        if position == 0 && front_is_unanswered {
+            conn.answers.pop_front();
+            conn.first_index += 1;
+            conn.out.extend_from_slice(text);
+        } else if let Some(slot) = conn.answers.get_mut(position) {
             *slot = AnswerSlot::Ready(text.to_vec());
-            c.ready_bytes += text.len();
+            conn.ready_bytes += text.len();
         }
-        while let Some(AnswerSlot::Ready(_)) = c.answers.front() {
-            if let Some(AnswerSlot::Ready(text)) = c.answers.pop_front() {
-                c.first_index += 1;
-                c.ready_bytes -= text.len();
-                c.out.extend_from_slice(&text);
+        while let Some(AnswerSlot::Ready(_)) = conn.answers.front() {
+            if let Some(AnswerSlot::Ready(text)) = conn.answers.pop_front() {
+                conn.first_index += 1;
+                conn.ready_bytes -= text.len();
+                conn.out.extend_from_slice(&text);
             }
         }
-        if let Some(AnswerSlot::Streaming(id)) = c.answers.front() {
+        if let Some(AnswerSlot::Streaming(id)) = conn.answers.front() {
             self.writable.push(*id);
         }
-        c.recount(&mut self.memory_used);
+        conn.recount(&mut self.memory_used);
         self.write_later(origin.key);
     }
 
-    /// Whether other answers are owed on the connection that this one belongs to.
+    /// Whether the connection that this request came on has other requests whose answers are not written yet.
     pub fn has_other_answers(&self, origin: Origin) -> bool {
         let connection = self.connections.get(origin.key);
-        connection.is_some_and(|c| c.serial == origin.serial && c.answers.len() > 1)
+        connection.is_some_and(|conn| conn.serial == origin.serial && conn.answers.len() > 1)
     }
 
-    /// The buffer that a streamed answer is written to, if there is room for more of it now; else the request is in
-    /// [`Clients::writable`] once there is. None as well where the client has disconnected.
+    /// The output buffer that a streamed answer is appended to, if there is room. Otherwise returns none, and the request is
+    /// queued in [`Clients::writable`] once there is room. Also returns none if the client has disconnected.
     pub fn stream_buffer(&mut self, origin: Origin) -> Option<&mut Vec<u8>> {
-        // Where memory is short all go on, each with no more than it reads at once.
+        // When memory is short, a stream gets more data only once its buffer is empty. All streams thus make progress, and each
+        // buffers at most one read.
         let max = if self.memory_used > self.max_memory / 2 {
             1
         } else {
             MAX_STREAMED
         };
-        let c = self.at_origin(origin)?;
-        let position = c.position_of(origin)?;
-        if let Some(slot) = c.answers.get_mut(position) {
+        let conn = self.connection_of(origin)?;
+        let position = conn.position_of(origin)?;
+        if let Some(slot) = conn.answers.get_mut(position) {
             if let AnswerSlot::Waiting(id) = *slot {
                 *slot = AnswerSlot::Streaming(id);
             }
         }
-        let has_room = position == 0 && c.out.len() - c.written < max;
-        has_room.then_some(&mut c.out)
+        let has_room = position == 0 && conn.out.len() - conn.written < max;
+        has_room.then_some(&mut conn.out)
     }
 
-    /// Something was written to [`Clients::stream_buffer`].
-    pub fn streamed(&mut self, origin: Origin) {
-        if let Some(c) = self.connections.get_mut(origin.key) {
-            c.recount(&mut self.memory_used);
+    /// Must be called after data was appended to [`Clients::stream_buffer`]: updates the memory count and queues a write.
+    pub fn stream_written(&mut self, origin: Origin) {
+        if let Some(conn) = self.connections.get_mut(origin.key) {
+            conn.recount(&mut self.memory_used);
             self.write_later(origin.key);
         }
     }
 
-    /// Ends a streamed answer that can't be finished: its connection is closed, so that the client can tell. What stood before
-    /// it has been written, as far as the client read it. Where others stand before it none of it has been written, and its
-    /// answer is `text`.
+    /// Ends a streamed answer that can't be completed. If part of it may have been sent, the connection is closed so that the
+    /// client notices the truncation; earlier answers are flushed first, as far as the socket accepts them. If earlier answers
+    /// are still pending, nothing of this one has been sent, and `text` is sent as its answer instead.
     pub fn abort_stream(&mut self, origin: Origin, text: &[u8]) {
-        let Some(c) = self.at_origin(origin) else {
+        let Some(conn) = self.connection_of(origin) else {
             return;
         };
-        if origin.index > c.first_index {
+        if origin.index > conn.first_index {
             return self.answer(origin, text);
         }
-        let _ = c.stream.write(&c.out[c.written..]);
+        let _ = conn.stream.write(&conn.out[conn.written..]);
         self.remove(origin.key);
     }
 
-    /// Writes what there is to write: one write for all answers that a connection gets in a turn.
+    /// Writes the pending output of all queued connections. Batches the answers that a connection gets in a turn into one write.
     pub fn flush(&mut self, now: Micros) {
         for key in std::mem::take(&mut self.write_queue) {
-            let Some(c) = self.connections.get_mut(key) else {
+            let Some(conn) = self.connections.get_mut(key) else {
                 continue;
             };
-            c.in_write_queue = false;
+            conn.in_write_queue = false;
             if self.write(key, now) {
                 self.after_write(key, now);
             } else {
@@ -120,17 +122,17 @@
         }
     }
 
-    /// Writes to a connection until all is written or there is no room; false where it has broken.
+    /// Writes to a connection until its output is written or the socket would block. Returns false if the connection has failed.
     fn write(&mut self, key: usize, now: Micros) -> bool {
-        let c = &mut self.connections[key];
-        while c.written < c.out.len() {
-            match c.stream.write(&c.out[c.written..]) {
+        let conn = &mut self.connections[key];
+        while conn.written < conn.out.len() {
+            match conn.stream.write(&conn.out[conn.written..]) {
                 Ok(n) => {
-                    c.written += n;
-                    c.since = now.max(c.since);
+                    conn.written += n;
+                    conn.since = now.max(conn.since);
                 }
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
                 Err(_) => return false,
             }
         }
@@ -138,24 +140,24 @@
     }
 
     fn after_write(&mut self, key: usize, now: Micros) {
-        let c = &mut self.connections[key];
-        if c.written == c.out.len() {
-            c.written = 0;
-            c.since = now.max(c.since);
-            c.out.clear();
-            c.out.shrink_to(MAX_IDLE_BUFFER);
-            c.recount(&mut self.memory_used);
+        let conn = &mut self.connections[key];
+        if conn.written == conn.out.len() {
+            conn.written = 0;
+            conn.since = now.max(conn.since);
+            conn.out.clear();
+            conn.out.shrink_to(MAX_IDLE_BUFFER);
+            conn.recount(&mut self.memory_used);
         }
-        if let Some(AnswerSlot::Streaming(id)) = c.answers.front() {
-            // What is written makes room at once, or a long answer would be held in full for a slow reader.
-            if c.out.len() - c.written < MAX_STREAMED {
-                c.out.drain(..std::mem::take(&mut c.written));
+        if let Some(AnswerSlot::Streaming(id)) = conn.answers.front() {
+            // Drops the written part at once. Otherwise the whole answer would accumulate in memory for a slow reader.
+            if conn.out.len() - conn.written < MAX_STREAMED {
+                conn.out.drain(..std::mem::take(&mut conn.written));
                 self.writable.push(*id);
             }
         }
-        // Commands that were held back by a full queue of answers are taken up again.
-        if c.stalled && !c.is_full() && !c.waits_for_grant {
-            c.stalled = false;
+        // Resumes parsing of commands that were waiting for room in the queue of answers.
+        if conn.stalled && !conn.must_pause_reading() && !conn.waits_for_grant {
+            conn.stalled = false;
             self.read_later(key);
         }
         self.close_if_done(key, now);
--- a/crates/ingress/src/client/closing.rs
+++ b/crates/ingress/src/client/closing.rs
@@ -1,39 +1,42 @@
-//! The ends of connections: eviction to make room, timeouts, and the graceful shutdown.
+//! Closing client connections: eviction, timeouts and graceful shutdown.
 
 use super::connection::{AnswerSlot, ClientConnection};
 use super::eviction::{ConnectionId, IdleKind, IdleState, OldestConnection};
-use super::reading::LINGER;
+use super::reading::LINGER_TIMEOUT;
 use super::{ClientEvent, Clients};
 use slab::Slab;
 use std::net::Shutdown;
 use wrenfork_decision::Micros;
 
-/// A silent connection that began so soon before the latest one is evicted last: what it sends may be a moment behind its begin.
-const FRESH: Micros = 10_000;
-/// How long a new connection may send nothing, and how long the rest of a command may take to come: a client may take 2 s for
-/// a head, and a bad one has to be told within 3 s; it is looked at twice a second.
+/// A silent connection accepted less than this long before the newest connection is evicted last, as its first command may still
+/// be on the way.
+const FRESH_AGE: Micros = 10_000;
+/// How long a new connection may stay silent, and how long a partial command may take to complete. Clients may take 2 s to send
+/// the head of a command and must get a timeout error within 3 s. The timeout is checked twice a second.
 const COMMAND_TIMEOUT: Micros = 2_300_000;
-/// How long a long body may take to come from its grant on: others wait for the memory.
+/// How long a long body may take to arrive after its memory was granted. Bounded because other bodies wait for the memory.
 const BODY_TIMEOUT: Micros = 15_000_000;
-/// How long answers may lie unread until their client is taken for gone.
+/// How long a client may go without reading its answers before the connection is removed.
 const UNREAD_TIMEOUT: Micros = 15_000_000;
 
-/// The state of a connection in the queues for eviction.
+/// The idle state of a connection; none if the connection is closed or may not be evicted.
 fn idle_state(connections: &Slab<ClientConnection>, id: ConnectionId) -> Option<IdleState> {
     let connection = connections.get(id.key);
-    connection.filter(|c| c.serial == id.serial)?.idle_state
+    connection
+        .filter(|conn| conn.serial == id.serial)?
+        .idle_state
 }
 
 impl Clients {
-    /// Notes the state of a connection by now, in the queues for eviction.
+    /// Recomputes the idle state of a connection and updates the eviction queues if it has changed.
     pub(super) fn update_idle_state(&mut self, key: usize) {
-        let Some(c) = self.connections.get_mut(key) else {
+        let Some(conn) = self.connections.get_mut(key) else {
             return;
         };
-        let to = c.current_idle_state();
-        let from = std::mem::replace(&mut c.idle_state, to);
+        let to = conn.current_idle_state();
+        let from = std::mem::replace(&mut conn.idle_state, to);
         if from != to {
-            let serial = c.serial;
+            let serial = conn.serial;
             let connections = &self.connections;
             self.eviction
                 .update(ConnectionId { key, serial }, from, to, |id| {
@@ -42,27 +45,27 @@
         }
     }
 
-    /// Closes a connection that is done with.
+    /// Half-closes a connection if it is closing and all its answers are written, or if it is idle during graceful shutdown.
     pub(super) fn close_if_done(&mut self, key: usize, now: Micros) {
-        let c = &self.connections[key];
-        if c.closing && c.answers.is_empty() && c.out.is_empty() && !c.half_closed {
+        let conn = &self.connections[key];
+        if conn.closing && conn.answers.is_empty() && conn.out.is_empty() && !conn.half_closed {
             self.half_close(key, now);
-        } else if self.draining && c.is_idle() {
+        } else if self.draining && conn.is_idle() {
             self.half_close_if_idle(key, now);
         }
     }
 
-    /// Ends the output of a connection and leaves it to its client to close it, for a while. Closed at once, what the client
-    /// still sends would reset the connection under the last answer.
+    /// Shuts down the sending side of a connection and gives the client [`LINGER_TIMEOUT`] to close it. If the socket were closed
+    /// at once, further input from the client would trigger a TCP reset, and the client could lose the last answer.
     fn half_close(&mut self, key: usize, now: Micros) {
-        let c = &mut self.connections[key];
-        let _ = c.stream.shutdown(Shutdown::Write);
-        c.half_closed = true;
-        self.lingering += usize::from(c.linger_until.is_none());
-        c.linger_until = Some(now + LINGER);
+        let conn = &mut self.connections[key];
+        let _ = conn.stream.shutdown(Shutdown::Write);
+        conn.half_closed = true;
+        self.lingering += usize::from(conn.linger_until.is_none());
+        conn.linger_until = Some(now + LINGER_TIMEOUT);
     }
 
-    /// Closes an idle connection unless a request has come on it that was not read yet.
+    /// Reads from an idle connection, and closes it if nothing has arrived.
     fn close_if_idle(&mut self, key: usize, now: Micros) {
         self.read(key, now, true);
         if self
@@ -74,27 +77,27 @@
         }
     }
 
-    /// The same where the descriptor is not needed at once: a last answer may still be on its way, and the next request on its
-    /// own, so the client is left to close it.
+    /// Like [`close_if_idle`](Self::close_if_idle), but only half-closes a connection that has been used, for when its file
+    /// descriptor is not needed at once: the last answer may still be in flight, and so may the next request.
     fn half_close_if_idle(&mut self, key: usize, now: Micros) {
         self.read(key, now, true);
-        let Some(c) = self.connections.get_mut(key).filter(|c| c.is_idle()) else {
+        let Some(conn) = self.connections.get_mut(key).filter(|conn| conn.is_idle()) else {
             return;
         };
-        if !c.has_sent() {
+        if !conn.has_sent_command() {
             return self.remove(key);
         }
-        c.closing = true;
-        c.ignored = true;
-        c.since = now.max(c.since);
+        conn.closing = true;
+        conn.input_ignored = true;
+        conn.since = now.max(conn.since);
         self.half_close(key, now);
         self.update_idle_state(key);
     }
 
     // ---- Eviction ----
 
-    /// Evicts, by a half-close, the connection that has been idle behind an answer for longest, if there are more of them than
-    /// `max`. One that has sent something by now stays.
+    /// If more than `max` connections are idle between requests, half-closes the one that has been idle the longest, unless it
+    /// has sent something in the meantime.
     pub fn evict_idle_beyond(&mut self, max: usize, now: Micros) {
         if self.eviction.count(IdleKind::BetweenRequests) > max {
             if let Some(oldest) = self.oldest(IdleKind::BetweenRequests) {
@@ -108,7 +111,7 @@
         self.eviction.oldest(kind, |id| idle_state(connections, id))
     }
 
-    /// Whether a connection may be evicted.
+    /// Whether any connection may be evicted.
     pub fn can_evict(&self) -> bool {
         let kinds = [
             IdleKind::HalfClosed,
@@ -119,7 +122,8 @@
         kinds.into_iter().any(|kind| self.eviction.count(kind) > 0)
     }
 
-    /// Evicts a connection that no answer is owed to, to make room; false if there is none.
+    /// Closes a connection without unanswered requests to free its file descriptor, see `IdleKind` for the order. Returns false
+    /// if there is none.
     pub fn evict_oldest(&mut self, now: Micros) -> bool {
         if let Some(oldest) = self.oldest(IdleKind::HalfClosed) {
             self.remove(oldest.key);
@@ -134,12 +138,12 @@
         false
     }
 
-    /// The connection that is evicted next, if it has sent nothing more by now.
+    /// Key of the connection to evict next. The caller checks whether it has sent something in the meantime.
     fn next_to_evict(&mut self) -> Option<usize> {
-        // What the latest send may be a moment behind their begin: these go last.
+        // The first commands of the newest connections may still be on the way, so these connections come last.
         let latest = self.accepted_at;
         let silent = self.oldest(IdleKind::Silent);
-        let mut next = silent.filter(|oldest| oldest.since + FRESH <= latest);
+        let mut next = silent.filter(|oldest| oldest.since + FRESH_AGE <= latest);
         for kind in [
             IdleKind::PartialCommand,
             IdleKind::BetweenRequests,
@@ -150,35 +154,35 @@
         next.map(|oldest| oldest.key)
     }
 
-    /// Evicts a connection unless it has sent what it was waited for.
+    /// Evicts a connection unless the command that it was waiting for has arrived.
     fn try_evict(&mut self, key: usize, now: Micros) {
         if self.connections[key].buf.is_empty() {
             return self.close_if_idle(key, now);
         }
-        // What it has sent since may be all of its command.
+        // The rest of the command may have arrived in the meantime.
         self.read(key, now, true);
-        let state = self.connections.get(key).and_then(|c| c.idle_state);
+        let state = self.connections.get(key).and_then(|conn| conn.idle_state);
         if state.is_some_and(|state| state.kind == IdleKind::PartialCommand) {
             self.remove(key);
         }
     }
 
-    /// Forgets a connection; requests that it still waits for have lost their client.
+    /// Closes a connection and reports its unanswered requests as disconnected.
     pub(super) fn remove(&mut self, key: usize) {
-        let c = self.connections.remove(key); // dropped, it is closed, and so out of the poll
-        self.forget(&c);
+        let conn = self.connections.remove(key); // dropping the stream closes it and deregisters it from the poll
+        self.record_removal(&conn);
     }
 
-    /// Counts a connection no longer.
-    pub(super) fn forget<S>(&mut self, c: &ClientConnection<S>) {
-        self.granted -= c.granted;
-        if let Some(state) = c.idle_state {
+    /// Subtracts a removed connection from all counters, and reports its unanswered requests as disconnected.
+    pub(super) fn record_removal<S>(&mut self, conn: &ClientConnection<S>) {
+        self.granted -= conn.granted;
+        if let Some(state) = conn.idle_state {
             self.eviction.remove(state.kind);
         }
-        self.lingering -= usize::from(c.linger_until.is_some());
-        self.surplus -= usize::from(c.surplus);
-        self.memory_used -= c.counted_memory;
-        let unanswered = c.answers.iter().filter_map(|slot| match slot {
+        self.lingering -= usize::from(conn.linger_until.is_some());
+        self.surplus -= usize::from(conn.surplus);
+        self.memory_used -= conn.counted_memory;
+        let unanswered = conn.answers.iter().filter_map(|slot| match slot {
             AnswerSlot::Waiting(id) | AnswerSlot::Streaming(id) => Some(*id),
             AnswerSlot::Ready(_) => None,
         });
@@ -188,70 +192,74 @@
 
     // ---- Timeouts ----
 
-    /// Closes what has timed out.
+    /// Closes connections that have timed out. Called periodically.
     pub fn sweep(&mut self, now: Micros) {
-        let late = self.keys(|c| is_command_late(c, now));
-        let unread = |c: &ClientConnection| !c.out.is_empty() && now > c.since + UNREAD_TIMEOUT;
-        for key in self.keys(unread) {
+        let late_commands = self.keys_where(|conn| is_command_late(conn, now));
+        let is_unread =
+            |conn: &ClientConnection| !conn.out.is_empty() && now > conn.since + UNREAD_TIMEOUT;
+        for key in self.keys_where(is_unread) {
             self.remove(key);
         }
-        for key in late {
-            self.end_late_command(key, now);
+        for key in late_commands {
+            self.close_late_connection(key, now);
         }
         if self.lingering > 0 {
-            let over = |c: &ClientConnection| c.linger_until.is_some_and(|until| until <= now);
-            for key in self.keys(over) {
+            let is_expired =
+                |conn: &ClientConnection| conn.linger_until.is_some_and(|until| until <= now);
+            for key in self.keys_where(is_expired) {
                 self.remove(key);
             }
         }
     }
 
-    /// The connections of which something holds.
-    fn keys(&self, holds: impl Fn(&ClientConnection) -> bool) -> Vec<usize> {
+    /// Keys of the connections that match a predicate.
+    fn keys_where(&self, predicate: impl Fn(&ClientConnection) -> bool) -> Vec<usize> {
         let connections = self.connections.iter();
-        let found = connections.filter(|(_, c)| holds(c));
-        found.map(|(key, _)| key).collect()
+        let matching = connections.filter(|(_, conn)| predicate(conn));
+        matching.map(|(key, _)| key).collect()
     }
 
-    /// Ends a connection that has sent nothing, or a partial command, for too long: it holds a descriptor and memory.
-    fn end_late_command(&mut self, key: usize, now: Micros) {
-        let Some(c) = self.connections.get_mut(key) else {
+    /// Closes a connection whose command has timed out, since it holds a file descriptor and memory. A partial command is
+    /// answered with an error first.
+    fn close_late_connection(&mut self, key: usize, now: Micros) {
+        let Some(conn) = self.connections.get_mut(key) else {
             return;
         };
-        if c.buf.is_empty() {
+        if conn.buf.is_empty() {
             return self.close_if_idle(key, now);
         }
-        c.abort_command("the rest of a command did not come in time");
+        conn.abort_command("the rest of a command did not come in time");
         self.write_later(key);
     }
 
     // ---- Graceful shutdown ----
 
-    /// Closes connections between requests from now on, also those that have not sent anything yet, and accepts no new ones,
-    /// unless some are still `accepting`.
+    /// Starts the graceful shutdown: connections are closed as soon as they are idle. Unless `accepting`, the listener is closed
+    /// and connections that have not sent anything yet are closed as well.
     pub fn drain(&mut self, now: Micros, accepting: bool) {
         self.draining = true;
         if !accepting {
             self.listener = None;
         }
-        for key in self.keys(|c| c.is_idle() && (c.has_sent() || !accepting)) {
+        for key in self.keys_where(|conn| conn.is_idle() && (conn.has_sent_command() || !accepting))
+        {
             self.half_close_if_idle(key, now);
         }
     }
 }
 
-/// Whether a first command, or the rest of one, is late.
-fn is_command_late(c: &ClientConnection, now: Micros) -> bool {
-    let body_late = c.granted > 0 && now > c.granted_at + BODY_TIMEOUT;
-    if now <= c.command_since + COMMAND_TIMEOUT && !body_late {
+/// Whether the first command of a connection, or the rest of a partial command, has timed out.
+fn is_command_late(conn: &ClientConnection, now: Micros) -> bool {
+    let body_late = conn.granted > 0 && now > conn.granted_at + BODY_TIMEOUT;
+    if now <= conn.command_since + COMMAND_TIMEOUT && !body_late {
         return false;
     }
-    if c.closing || c.surplus || c.stalled {
+    if conn.closing || conn.surplus || conn.stalled {
         return false;
     }
-    if c.buf.is_empty() {
-        !c.has_sent()
+    if conn.buf.is_empty() {
+        !conn.has_sent_command()
     } else {
-        !c.is_full()
+        !conn.must_pause_reading()
     }
 }
--- a/crates/ingress/src/client/connection.rs
+++ b/crates/ingress/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection.
+//! State of one client connection.
 
 use super::eviction::{IdleKind, IdleState};
 use crate::authenticator::AuthenticatedCaller;
@@ -8,91 +8,96 @@
 use wrenfork_decision::{Micros, RequestId};
 use wrenfork_wire::resp;
 
-/// The most requests of one connection that may wait for their answer; beyond, no more is read from it.
+/// Maximum number of unanswered requests on one connection; at the limit, reading from the connection stops.
 const MAX_UNANSWERED: usize = 256;
-/// The most bytes of answers that may wait for the client to read them; beyond, no more is read from it. Clients that send
-/// requests and never read, as many as there are descriptors, must fit in the memory.
+/// Maximum number of bytes of answers buffered for one client; at the limit, reading from the connection stops. The limit is low
+/// enough that the buffers fit in memory even if every file descriptor belongs to a client that sends requests and never reads.
 const MAX_UNREAD: usize = 64 * 1024;
-/// Errors in a row behind which a connection is closed: each costs an answer, and some clients never tire.
+/// Number of consecutive errors after which a connection is closed. Each error costs an answer, and some clients never stop.
 const MAX_ERRORS: u32 = 8;
 
-/// Where an answer belongs.
+/// The connection that a request came on, and its position among the requests of that connection.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Origin {
-    /// The connection's place, and its serial number.
+    /// Key of the connection in the slab.
     pub(super) key: usize,
+    /// Serial number of the connection.
     pub(super) serial: u64,
-    /// The number of the request among those of its connection.
+    /// Index of the request among all requests of its connection, starting at 0.
     pub(super) index: u64,
 }
 
-/// An answer, or the place of one that is still to come.
+/// Slot in a connection's queue of answers.
 #[derive(Serialize, Deserialize)]
 pub(super) enum AnswerSlot {
-    /// The answer to this request is to come.
+    /// The request has no answer yet.
     Waiting(RequestId),
-    /// The answer to this request is streamed; behind others it stays with the backend until these are written.
+    /// The answer is streamed from the backend. Reading it waits until all earlier answers of the connection are written.
     Streaming(RequestId),
-    /// The answer, behind others.
+    /// A complete answer that waits for earlier answers.
     Ready(Vec<u8>),
 }
 
-/// A connection; without its stream while it passes from one process to the next. The order of its fields is part of a
-/// handover's layout.
+/// A client connection. During a handover it is serialized without its stream (`S = ()`). The field order is part of the handover
+/// format.
 #[derive(Serialize, Deserialize)]
 pub struct ClientConnection<S = Stream> {
     #[serde(skip)]
     pub(super) stream: S,
     pub(super) serial: u64,
-    /// What has been read and not parsed.
+    /// Input that was read and not parsed yet.
     pub(super) buf: Vec<u8>,
-    /// Answers in the order of the requests.
+    /// Pending answers, in request order.
     pub(super) answers: VecDeque<AnswerSlot>,
-    /// The number of the first of them.
+    /// Request index of the front of `answers`.
     pub(super) first_index: u64,
-    /// Bytes of answers that wait for those before them.
+    /// Total size in bytes of the answers in `Ready` slots.
     pub(super) ready_bytes: usize,
-    /// What is to be written, and how much of that is.
+    /// Output buffer.
     pub(super) out: Vec<u8>,
+    /// Number of bytes of `out` that are written to the socket.
     pub(super) written: usize,
-    /// The bytes of memory that it was last found to hold.
+    /// Bytes of memory that this connection contributes to the total of all connections.
     pub(super) counted_memory: usize,
-    /// When something last happened on it.
+    /// Time of the last command or successful write, or of acceptance or a half-close while idle.
     pub(super) since: Micros,
-    /// When what `buf` holds of a command began to come; with none, when it was accepted.
+    /// When the partial command in `buf` began to arrive, or when the connection was accepted if none has arrived. The command
+    /// timeout counts from here.
     pub(super) command_since: Micros,
-    /// What it has proved of who it is; where callers are authenticated, no connection passes to another process.
+    /// The authenticated caller. Not serialized: with authentication on, connections are not handed over to another process.
     #[serde(skip)]
     pub(super) caller: Option<AuthenticatedCaller>,
-    /// Errors since the last good command.
+    /// Number of errors since the last valid command.
     pub(super) errors: u32,
-    /// What it still sends is dropped: it is closed once all before that is answered.
+    /// Further input is discarded, and the connection is closed once all pending answers are written.
     pub(super) closing: bool,
-    /// Its answers are written and its output has ended; until then it may read them.
+    /// When a half-closed or surplus connection is removed even if the client has not closed it.
     pub(super) linger_until: Option<Micros>,
-    /// Accepted beyond the budget of descriptors: told so with its first request, and closed.
+    /// Accepted beyond the file descriptor budget: its first request is rejected, then the connection is closed.
     pub(super) surplus: bool,
-    /// Its output has ended.
+    /// The sending side of the socket is shut down.
     pub(super) half_closed: bool,
-    /// It is not read any more: a request that crosses the half-close is one that was never read, and its client sends it again.
+    /// Input is no longer read. A request that was sent before the client saw the half-close stays unread, and the client retries
+    /// it on another connection.
     #[serde(skip)]
-    pub(super) ignored: bool,
-    /// Reading stopped since its queue of answers is full.
+    pub(super) input_ignored: bool,
+    /// Reading has stopped because the queue of answers is full or a memory grant is pending.
     pub(super) stalled: bool,
     pub(super) in_write_queue: bool,
     pub(super) in_read_queue: bool,
-    /// The bytes of memory that a long body has been granted, until it has come, and since when.
+    /// Bytes of memory granted to the long body that is being received; 0 if none.
     pub(super) granted: usize,
+    /// When the memory was granted.
     pub(super) granted_at: Micros,
-    /// It waits for such a grant.
+    /// A long body waits for a memory grant.
     pub(super) waits_for_grant: bool,
-    /// Its state in the queues for eviction.
+    /// The state last reported to the eviction queues; none if the connection may not be evicted.
     #[serde(skip)]
     pub(super) idle_state: Option<IdleState>,
 }
 
 impl<S> ClientConnection<S> {
-    /// One that was accepted now.
+    /// State of a connection accepted at `now`.
     pub(super) fn new(stream: S, serial: u64, now: Micros) -> ClientConnection<S> {
         ClientConnection {
             stream,
@@ -112,7 +117,7 @@
             linger_until: None,
             surplus: false,
             half_closed: false,
-            ignored: false,
+            input_ignored: false,
             stalled: false,
             in_write_queue: false,
             in_read_queue: false,
@@ -123,68 +128,68 @@
         }
     }
 
-    /// Whether it is between two requests, with nothing under way in either direction.
+    /// Whether the connection has no pending answers, no unsent output and no partial command.
     pub(super) fn is_idle(&self) -> bool {
-        self.owes_nothing() && self.buf.is_empty()
+        self.has_nothing_pending() && self.buf.is_empty()
     }
 
-    /// Whether no answer is owed on it, and its end is not under way.
-    fn owes_nothing(&self) -> bool {
+    /// Whether the connection has no pending answers and no unsent output, and is not being closed.
+    fn has_nothing_pending(&self) -> bool {
         self.answers.is_empty() && self.out.is_empty() && !self.closing && !self.surplus
     }
 
-    /// Its state by now, if it may be evicted.
+    /// The current idle state; none if the connection may not be evicted.
     pub(super) fn current_idle_state(&self) -> Option<IdleState> {
         let state = |kind, since| Some(IdleState { kind, since });
-        if self.ignored {
+        if self.input_ignored {
             return state(IdleKind::HalfClosed, self.since);
         }
-        if !self.owes_nothing() {
+        if !self.has_nothing_pending() {
             return None;
         }
         if !self.buf.is_empty() {
             return state(IdleKind::PartialCommand, self.command_since);
         }
-        if !self.has_sent() {
+        if !self.has_sent_command() {
             return state(IdleKind::Silent, self.command_since);
         }
         state(IdleKind::BetweenRequests, self.since)
     }
 
-    /// Whether it is not to be read on. Not behind a streamed answer either: if that breaks the connection ends, and whatever
-    /// came of a request behind it would be lost.
-    pub(super) fn is_full(&self) -> bool {
+    /// Whether reading from the connection must stop. It also stops during a streamed answer: if the stream breaks, the
+    /// connection is closed, and the answers to any later requests on it would be lost.
+    pub(super) fn must_pause_reading(&self) -> bool {
         let streaming = matches!(self.answers.front(), Some(AnswerSlot::Streaming(_)));
         let unread = self.ready_bytes + self.out.len() - self.written;
         streaming || self.answers.len() >= MAX_UNANSWERED || unread >= MAX_UNREAD
     }
 
-    /// Bytes that it has of a partial command, without those that were granted.
+    /// Memory in bytes held for a partial command beyond what was granted.
     pub(super) fn ungranted_input(&self) -> usize {
         self.buf.capacity().saturating_sub(self.granted)
     }
 
-    /// Brings up to date what it holds in memory, in `total` as well.
+    /// Recomputes the memory that this connection holds, and adjusts `total` by the difference.
     pub(super) fn recount(&mut self, total: &mut usize) {
-        // What was granted counts with the open requests, which it will be one of.
+        // Granted memory is not included: it counts with the memory of open requests.
         let memory = self.ungranted_input() + self.ready_bytes + self.out.capacity();
         *total = *total - self.counted_memory + memory;
         self.counted_memory = memory;
     }
 
-    /// Whether a complete command has ever come.
-    pub(super) fn has_sent(&self) -> bool {
+    /// Whether the client has ever sent a complete command.
+    pub(super) fn has_sent_command(&self) -> bool {
         self.first_index > 0 || !self.answers.is_empty()
     }
 
-    /// Counts an error; the last one that is tolerated closes the connection behind its answer.
+    /// Counts an error. At [`MAX_ERRORS`], the connection is closed after the answer.
     pub(super) fn count_error(&mut self) {
         self.errors += 1;
         self.closing |= self.errors >= MAX_ERRORS;
     }
 
-    /// Queues an answer that is known at once.
-    pub(super) fn answer_now(&mut self, text: &[u8]) {
+    /// Queues an answer to the command just parsed.
+    pub(super) fn queue_answer(&mut self, text: &[u8]) {
         if self.answers.is_empty() {
             self.out.extend_from_slice(text);
             self.first_index += 1;
@@ -194,22 +199,22 @@
         }
     }
 
-    /// Queues an error as an answer that is known at once.
-    pub(super) fn answer_error(&mut self, why: &str) {
+    /// Queues an error as the answer to the command just parsed.
+    pub(super) fn answer_error(&mut self, reason: &str) {
         let mut text = Vec::new();
-        resp::put_error(&mut text, why);
-        self.answer_now(&text);
+        resp::put_error(&mut text, reason);
+        self.queue_answer(&text);
     }
 
-    /// Ends it in the middle of a command, once it has been told why.
-    pub(super) fn abort_command(&mut self, why: &str) {
-        self.answer_error(why);
+    /// Answers a partial command with an error, discards the input, and closes the connection once the error is sent.
+    pub(super) fn abort_command(&mut self, reason: &str) {
+        self.answer_error(reason);
         self.closing = true;
         self.buf = Vec::new();
         self.waits_for_grant = false;
     }
 
-    /// The index of an answer among those that are queued; none where it has been given.
+    /// Position of an answer in the queue; none if the request was already answered.
     pub(super) fn position_of(&self, origin: Origin) -> Option<usize> {
         let position = origin.index.checked_sub(self.first_index)?;
         Some(position as usize)
--- a/crates/ingress/src/client/eviction.rs
+++ b/crates/ingress/src/client/eviction.rs
@@ -1,7 +1,8 @@
-//! Which client connection is evicted to make room for another: those that were half-closed first, then those that never sent
-//! anything, then the oldest partial commands, last those that have been served. Choosing costs the same however many there are: a
-//! connection is queued when it comes to a state, and an entry whose connection has moved on since is skipped when its turn
-//! comes. No I/O and no clock.
+//! Chooses which client connection to evict to make room for another. The order is: half-closed connections, connections that
+//! never sent anything, connections in the middle of a command (longest first), and connections that are idle between requests.
+//!
+//! The cost of a choice doesn't grow with the number of connections: a connection is queued when it enters a state, and a stale
+//! entry, whose connection has since changed state, is skipped when it reaches the front. Performs no I/O and reads no clock.
 
 use std::collections::VecDeque;
 use wrenfork_decision::Micros;
@@ -9,34 +10,34 @@
 #[cfg(test)]
 mod tests;
 
-/// The state of a connection that no answer is owed to, in the order in which connections are evicted.
+/// State of a connection that has no unanswered request. The variants are in eviction order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleKind {
-    /// Half-closed, and left to its client to close.
+    /// The ingress has shut down its side and waits for the client to close the connection.
     HalfClosed,
-    /// It has not sent anything yet.
+    /// The client has not sent anything yet.
     Silent,
-    /// It is in the middle of a command.
+    /// The client has sent part of a command.
     PartialCommand,
-    /// Between two requests.
+    /// All requests are answered, and no further input has come.
     BetweenRequests,
 }
 
-/// The state of a connection that may be evicted, and since when.
+/// State of a connection that may be evicted, with the time it entered that state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdleState {
-    /// The state.
+    /// Which idle state the connection is in.
     pub kind: IdleKind,
-    /// Since when, in microseconds.
+    /// When the connection entered the state, in microseconds.
     pub since: Micros,
 }
 
-/// A connection: keys are used again, serial numbers are not.
+/// Identifies a connection uniquely: slab keys are reused, serial numbers are not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionId {
-    /// Its place in the slab.
+    /// Key in the slab of connections.
     pub key: usize,
-    /// Its serial number.
+    /// Serial number, unique among all connections this ingress has accepted.
     pub serial: u64,
 }
 
@@ -46,23 +47,24 @@
     since: Micros,
 }
 
-/// The connections that may be evicted, in a queue for each [`IdleKind`].
+/// Connections that may be evicted, with one queue for each [`IdleKind`].
 #[derive(Debug, Default)]
 pub struct EvictionQueues {
     queues: [VecDeque<Entry>; 4],
     counts: [usize; 4],
 }
 
-/// Stale entries may be as many as the others, and so many more, before they are cleared out.
-const SPARE: usize = 64;
+/// Stale entries are cleared from a queue once they outnumber the current entries by more than this.
+const MAX_EXTRA_STALE_ENTRIES: usize = 64;
 
 impl EvictionQueues {
-    /// How many connections are in a state.
+    /// Number of connections in a state.
     pub fn count(&self, kind: IdleKind) -> usize {
         self.counts[kind as usize]
     }
 
-    /// Notes that a connection has come to another state. `state_of` gives the state of any of them.
+    /// Records that a connection has changed state; none stands for a connection that may not be evicted. `state_of` returns the
+    /// current state of any connection.
     pub fn update(
         &mut self,
         connection: ConnectionId,
@@ -79,20 +81,20 @@
         let count = self.counts[to.kind as usize];
         let queue = &mut self.queues[to.kind as usize];
         queue.push_back(Entry { connection, since });
-        if queue.len() > 2 * count + SPARE {
+        if queue.len() > 2 * count + MAX_EXTRA_STALE_ENTRIES {
             queue.retain(|entry| {
-                let moved_now = entry.connection.key == connection.key;
-                moved_now || is_current(entry, to.kind, &state_of)
+                let just_updated = entry.connection.key == connection.key;
+                just_updated || is_current(entry, to.kind, &state_of)
             });
         }
     }
 
-    /// Notes that a connection in a state is gone.
+    /// Records that a connection in this state was removed.
     pub fn remove(&mut self, kind: IdleKind) {
         self.counts[kind as usize] -= 1;
     }
 
-    /// The connection that has been in a state for longest: its key, and since when.
+    /// The connection that has been in this state the longest. Drops stale entries at the front of the queue.
     pub fn oldest(
         &mut self,
         kind: IdleKind,
@@ -112,16 +114,16 @@
     }
 }
 
-/// The connection that has been in a state for longest.
+/// The connection that has been in a state the longest, see [`EvictionQueues::oldest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OldestConnection {
-    /// Its place in the slab.
+    /// Key in the slab of connections.
     pub key: usize,
-    /// Since when.
+    /// When the connection entered the state, in microseconds.
     pub since: Micros,
 }
 
-/// Whether an entry's connection is still in the state that it was queued in.
+/// Whether the connection of an entry has stayed in the same state since the entry was queued.
 fn is_current(
     entry: &Entry,
     kind: IdleKind,
--- a/crates/ingress/src/client/handover.rs
+++ b/crates/ingress/src/client/handover.rs
@@ -1,4 +1,4 @@
-//! Client connections on their way from one process to the next.
+//! Handover of client connections to the next process.
 
 use super::connection::ClientConnection;
 use super::eviction::ConnectionId;
@@ -9,8 +9,8 @@
 use std::os::fd::OwnedFd;
 use wrenfork_decision::Micros;
 
-/// What of the connections passes to the next process, with the connections' own records. The order of its fields is part of a
-/// handover's layout.
+/// The serialized state of [`Clients`] in a handover; `C` is the serialized connection. The field order is part of the handover
+/// format.
 #[derive(Serialize, Deserialize)]
 pub struct SavedClients<C> {
     pub(super) connections: Vec<(usize, C)>,
@@ -25,14 +25,14 @@
 }
 
 impl<C> SavedClients<C> {
-    /// How many connections there are.
+    /// Number of connections, each of which has a socket that is passed along with this record.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 }
 
 impl ClientConnection<()> {
-    /// With its stream again.
+    /// Attaches the stream received from the previous process.
     fn with_stream(self, stream: Stream) -> ClientConnection {
         let ClientConnection {
             stream: (),
@@ -52,7 +52,7 @@
             linger_until,
             surplus,
             half_closed,
-            ignored,
+            input_ignored,
             stalled,
             in_write_queue,
             in_read_queue,
@@ -79,7 +79,7 @@
             linger_until,
             surplus,
             half_closed,
-            ignored,
+            input_ignored,
             stalled,
             in_write_queue,
             in_read_queue,
@@ -92,7 +92,7 @@
 }
 
 impl Clients {
-    /// What passes to the next process, as it stands.
+    /// The current state of all connections, to be sent to the next process.
     pub fn save(&self) -> SavedClients<&ClientConnection> {
         SavedClients {
             connections: self.connections.iter().collect(),
@@ -107,13 +107,16 @@
         }
     }
 
-    /// The sockets of all connections in the order in which they were saved; none is left here.
+    /// Removes all connections and returns their sockets, in the same order as [`save`](Self::save) lists the connections.
     pub fn take_descriptors(&mut self) -> Vec<OwnedFd> {
         let connections = self.connections.drain();
-        connections.map(|c| c.stream.into_descriptor()).collect()
+        connections
+            .map(|conn| conn.stream.into_descriptor())
+            .collect()
     }
 
-    /// Goes on with another process's connections. Of one whose socket did not come the requests have lost their client.
+    /// Takes over the connections of the previous process. `sockets` must be in the order of `saved`. The requests of a
+    /// connection whose socket is missing or can't be registered are reported as disconnected.
     pub fn resume(
         &mut self,
         saved: SavedClients<ClientConnection<()>>,
@@ -141,7 +144,7 @@
         self.surplus = saved.surplus;
         self.memory_used = saved.memory_used;
         self.resume_grants(&lost);
-        lost.into_iter().for_each(|c| self.forget(&c));
+        lost.into_iter().for_each(|conn| self.record_removal(&conn));
         let connections = &self.connections;
         self.write_queue.retain(|key| connections.contains(*key));
         self.read_queue.retain(|key| connections.contains(*key));
@@ -156,13 +159,16 @@
     }
 
     fn resume_grants(&mut self, lost: &[ClientConnection<()>]) {
-        let of_lost: usize = lost.iter().map(|c| c.granted).sum();
-        let of_others: usize = self.connections.iter().map(|(_, c)| c.granted).sum();
-        self.granted = of_others + of_lost;
-        let waiting = self.connections.iter().filter(|(_, c)| c.waits_for_grant);
-        let ids = waiting.map(|(key, c)| ConnectionId {
+        let lost_grants: usize = lost.iter().map(|conn| conn.granted).sum();
+        let kept_grants: usize = self.connections.iter().map(|(_, conn)| conn.granted).sum();
+        self.granted = kept_grants + lost_grants;
+        let waiting = self
+            .connections
+            .iter()
+            .filter(|(_, conn)| conn.waits_for_grant);
+        let ids = waiting.map(|(key, conn)| ConnectionId {
             key,
-            serial: c.serial,
+            serial: conn.serial,
         });
         self.grant_queue = ids.collect();
     }
--- a/crates/ingress/src/client/reading.rs
+++ b/crates/ingress/src/client/reading.rs
@@ -1,112 +1,121 @@
-//! Reading from connections, within bounds for each turn.
+//! Reading from client connections, bounded per turn of the event loop.
 
-use super::{Clients, CHUNK};
+use super::{Clients, READ_BUFFER_BYTES};
 use std::io::{ErrorKind, Read};
 use wrenfork_decision::Micros;
 
-/// Reads from one connection in a turn: a fast client must not hold up the others.
+/// Maximum number of reads from one connection in a turn, so that a fast client can't delay the others.
 const READS_PER_TURN: usize = 4;
-/// How long a connection that still sends may take, from its last answer on, to read that.
-const MAX_LINGER: Micros = 5_000_000;
-/// How long a connection that was told why it is closed may take to read that.
-pub(super) const LINGER: Micros = 1_000_000;
+/// Upper bound on how long a half-closed connection whose client keeps sending stays open, counted from its last answer.
+const MAX_LINGER_TIMEOUT: Micros = 5_000_000;
+/// How long a half-closed connection stays open for the client to read its last answer; extended whenever the client sends data.
+pub(super) const LINGER_TIMEOUT: Micros = 1_000_000;
 
-/// What one read came to.
+/// Result of one read from a connection.
 enum ReadStep {
-    /// There may be more.
+    /// More data may be available.
     Again,
-    /// All that there is has been read, and is to be parsed.
+    /// All available data has been read and must be parsed.
     Drained,
-    /// All that there is has been read and dropped: the connection is closing.
+    /// All available data has been read and discarded because the connection is closing.
     Dropped,
-    /// The connection was removed.
+    /// The connection has ended and was removed.
     Removed,
 }
 
 impl Clients {
-    /// A connection has ended at its other side: its client has gone, whatever it sent before that and was not read. Reported by
-    /// the poll, that is known also of one that is not read on at the moment.
+    /// Handles the poll's report that the client has closed its side: removes the connection, discarding unread input. The report
+    /// also arrives for connections that are currently not being read.
     pub fn peer_closed(&mut self, key: usize) {
         if self.connections.contains(key) {
             self.remove(key);
         }
     }
 
-    /// Does what a connection is ready for.
+    /// Handles a readiness event: queues pending output if the connection is writable, and reads from it.
     pub fn ready(&mut self, key: usize, now: Micros, writable: bool) {
-        let Some(c) = self.connections.get(key) else {
+        let Some(conn) = self.connections.get(key) else {
             return;
         };
-        if writable && !c.out.is_empty() {
+        if writable && !conn.out.is_empty() {
             self.write_later(key);
         }
         self.read(key, now, false);
     }
 
-    /// Reads on where a turn's bound ended the reading.
+    /// Continues reading from connections whose reading was cut short by the limit per turn.
     pub fn continue_reading(&mut self, now: Micros) {
         for key in std::mem::take(&mut self.read_queue) {
-            if let Some(c) = self.connections.get_mut(key) {
-                c.in_read_queue = false;
+            if let Some(conn) = self.connections.get_mut(key) {
+                conn.in_read_queue = false;
                 self.read(key, now, true);
             }
         }
     }
 
-    /// Reads from a connection; with `to_the_end` all that it has, since no readiness will be reported for it.
-    pub(super) fn read(&mut self, key: usize, now: Micros, to_the_end: bool) {
-        if self.connections.get(key).is_some_and(|c| !c.ignored) {
-            self.read_bounded(key, now, to_the_end);
+    /// Reads from a connection. With `until_would_block`, reads until the socket would block, since no further readiness event
+    /// will come for the data it already holds.
+    pub(super) fn read(&mut self, key: usize, now: Micros, until_would_block: bool) {
+        if self
+            .connections
+            .get(key)
+            .is_some_and(|conn| !conn.input_ignored)
+        {
+            self.read_bounded(key, now, until_would_block);
             self.enforce_memory(key);
             self.update_idle_state(key);
         }
     }
 
-    fn read_bounded(&mut self, key: usize, now: Micros, to_the_end: bool) {
+    fn read_bounded(&mut self, key: usize, now: Micros, until_would_block: bool) {
         for step in 0..READS_PER_TURN {
-            // Of one whose end is near all is read first: what it asked for before it left wants no answer, and must
-            // not run for nobody. An ingress that stood still finds many such.
-            let parse_first = !to_the_end || (step == 0 && self.connections[key].stalled);
-            if parse_first && !self.take_commands(key, now) {
+            // With `until_would_block` the client may have disconnected already, which a read reveals. Requests are parsed only
+            // after that, so that none is started for a client that is gone. An ingress that was stopped for a while finds many
+            // such connections.
+            let parse_first = !until_would_block || (step == 0 && self.connections[key].stalled);
+            if parse_first && !self.parse_commands(key, now) {
                 self.connections[key].stalled = true;
                 return;
             }
-            match self.read_once(key, now, to_the_end) {
+            match self.read_once(key, now, until_would_block) {
                 ReadStep::Again => {}
                 ReadStep::Dropped | ReadStep::Removed => return,
                 ReadStep::Drained => {
-                    self.connections[key].stalled = !self.take_commands(key, now);
+                    self.connections[key].stalled = !self.parse_commands(key, now);
                     return;
                 }
             }
         }
-        self.connections[key].stalled = !self.take_commands(key, now);
+        self.connections[key].stalled = !self.parse_commands(key, now);
         if !self.connections[key].stalled {
             self.read_later(key);
         }
     }
 
-    fn read_once(&mut self, key: usize, now: Micros, to_the_end: bool) -> ReadStep {
-        let c = &mut self.connections[key];
-        let bytes = match c.stream.read(&mut self.chunk) {
+    fn read_once(&mut self, key: usize, now: Micros, until_would_block: bool) -> ReadStep {
+        let conn = &mut self.connections[key];
+        let bytes = match conn.stream.read(&mut self.read_buffer) {
             Ok(0) => {
                 self.remove(key);
                 return ReadStep::Removed;
             }
             Ok(bytes) => bytes,
-            Err(e) if e.kind() == ErrorKind::Interrupted => return ReadStep::Again,
-            Err(e) if e.kind() == ErrorKind::WouldBlock => return ReadStep::Drained,
+            Err(error) if error.kind() == ErrorKind::Interrupted => return ReadStep::Again,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadStep::Drained,
             Err(_) => {
                 self.remove(key);
                 return ReadStep::Removed;
             }
         };
-        // Less than there was room for: that was all, and more will be reported.
-        let drained = bytes < CHUNK && !to_the_end;
-        if c.closing {
-            // Read, or the kernel would reset the connection under the answers; but not parsed.
-            if let (true, Some(until)) = (c.half_closed, &mut c.linger_until) {
-                *until = (now + LINGER).min(c.since + MAX_LINGER).max(*until);
+        // A short read has emptied the socket; new data triggers another readiness event.
+        let drained = bytes < READ_BUFFER_BYTES && !until_would_block;
+        if conn.closing {
+            // The input is read but discarded. If it were left unread, the kernel would reset the connection on close and the
+            // client could lose its last answers.
+            if let (true, Some(until)) = (conn.half_closed, &mut conn.linger_until) {
+                *until = (now + LINGER_TIMEOUT)
+                    .min(conn.since + MAX_LINGER_TIMEOUT)
+                    .max(*until);
             }
             return if drained {
                 ReadStep::Dropped
@@ -114,12 +123,12 @@
                 ReadStep::Again
             };
         }
-        // A partial command is timed from its first byte, however long its connection has rested; a long body may take its
-        // time as long as it comes.
-        if c.buf.is_empty() || c.granted > 0 {
-            c.command_since = now.max(c.command_since);
+        // The timeout of a partial command starts at its first byte, not when the connection became idle. For a long body, each
+        // read restarts the timeout.
+        if conn.buf.is_empty() || conn.granted > 0 {
+            conn.command_since = now.max(conn.command_since);
         }
-        c.buf.extend_from_slice(&self.chunk[..bytes]);
+        conn.buf.extend_from_slice(&self.read_buffer[..bytes]);
         if drained {
             ReadStep::Drained
         } else {
--- a/crates/ingress/src/client/tests.rs
+++ b/crates/ingress/src/client/tests.rs
@@ -1,4 +1,4 @@
-//! Connections as a handover passes them, with every field and variant in use.
+//! Sample client connections for tests of the handover format, with every field and variant in use.
 
 use super::connection::{AnswerSlot, ClientConnection, Origin};
 use super::handover::SavedClients;
@@ -17,7 +17,7 @@
     }
 }
 
-/// Connections with every kind of slot, and each flag set on one and not on the other.
+/// Two connections that cover every kind of answer slot; each flag is set on one of them and clear on the other.
 pub(crate) fn sample() -> SavedClients<ClientConnection<()>> {
     let answers = [
         AnswerSlot::Streaming(RequestId(41)),
--- a/crates/ingress/src/ingress/operators.rs
+++ b/crates/ingress/src/ingress/operators.rs
@@ -48,11 +48,11 @@
         if !self.clients.admission.admits() {
             return Some("too few members of its group answer");
         }
-        (self.backends.listed() == 0).then_some("no backend is listed")
+        (self.backends.backend_count() == 0).then_some("no backend is listed")
     }
 
     fn telemetry(&self) -> String {
-        let endpoints = self.backends.listed();
+        let endpoints = self.backends.backend_count();
         let gauges = Gauges {
             relayed: self.backends.relayed,
             open_requests: self.requests.incomplete_count(),
--- a/crates/ingress/src/ingress/streaming.rs
+++ b/crates/ingress/src/ingress/streaming.rs
@@ -42,8 +42,8 @@
             });
         }
         if let Some(out) = self.clients.stream_buffer(origin) {
-            self.backends.pass_on(connection, out, now);
-            self.clients.streamed(origin);
+            self.backends.forward(connection, out, now);
+            self.clients.stream_written(origin);
         }
     }
 
