--- a/crates/ingress/src/client/connection.rs
+++ b/crates/ingress/src/client/connection.rs
@@ -16,14 +16,14 @@
 /// Number of consecutive errors after which a connection is closed. Each error costs an answer, and some clients never stop.
 const MAX_ERRORS: u32 = 8;
 
-/// The connection that a request came on, and its position among the requests of that connection.
+/// The connection that a request came on, and its position among the commands of that connection.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Origin {
     /// Key of the connection in the slab.
     pub(super) key: usize,
     /// Serial number of the connection.
     pub(super) serial: u64,
-    /// Index of the request among all requests of its connection, starting at 0.
+    /// Index of the request among all commands of its connection, starting at 0.
     pub(super) index: u64,
 }
 
@@ -49,7 +49,7 @@
     pub(super) buf: Vec<u8>,
     /// Pending answers, in request order.
     pub(super) answers: VecDeque<AnswerSlot>,
-    /// Request index of the front of `answers`.
+    /// Command index of the front of `answers`.
     pub(super) first_index: u64,
     /// Total size in bytes of the answers in `Ready` slots.
     pub(super) ready_bytes: usize,
--- a/crates/ingress/src/client/eviction/tests.rs
+++ b/crates/ingress/src/client/eviction/tests.rs
@@ -30,13 +30,13 @@
                 None => drop(states.remove(&key)),
             }
             let connection = ConnectionId { key, serial: 7 };
-            queues.update(connection, from, to, |conn| states.get(&conn.key).copied());
+            queues.update(connection, from, to, |id| states.get(&id.key).copied());
             for kind in KINDS {
                 let in_state: Vec<_> = states.iter().filter(|(_, state)| state.kind == kind).collect();
                 prop_assert_eq!(queues.count(kind), in_state.len());
                 let expected = in_state.iter().min_by_key(|(_, state)| state.since);
                 let expected = expected.map(|(key, state)| OldestConnection { key: **key, since: state.since });
-                prop_assert_eq!(queues.oldest(kind, |conn| states.get(&conn.key).copied()), expected);
+                prop_assert_eq!(queues.oldest(kind, |id| states.get(&id.key).copied()), expected);
                 prop_assert!(queues.queues[kind as usize].len() <= 2 * 20 + MAX_EXTRA_STALE_ENTRIES + 1);
             }
         }
