--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -240,7 +240,7 @@
         "+ account 00000000000004d4 = starter~50~60",
         "- account 00000000000004d3",
         "desk/d0, desk/d1, desk/d2",
-        "danger: account 00000000000004d3: an account goes",
+        "danger: account 00000000000004d3: the account is removed",
         "generation 2, 2 differences at 3 ingresses",
     ] {
         assert!(text.contains(part), "{part} is not in:\n{text}");
@@ -753,7 +753,10 @@
     let output = site.run(&["apply", "change.plan", "--yes", "--patience", "1s"]);
     let said = told(&output);
     assert_eq!(output.status.code(), Some(3), "{said}");
-    assert!(said.contains("desk/d1 can't keep it: the disk"), "{said}");
+    assert!(
+        said.contains("desk/d1 can't store the change: the disk"),
+        "{said}"
+    );
     assert!(said.contains("nothing has changed"), "{said}");
     assert_eq!(site.agree(), OLD);
     assert!(!site.status(0).1 && !site.status(1).1, "a promise is left");
