--- a/crates/ingress/src/config/active.rs
+++ b/crates/ingress/src/config/active.rs
@@ -132,7 +132,7 @@
     plans: &[String],
 ) -> Result<Identity, ConfigError> {
     let sends: Vec<&str> = sends.split(',').collect();
-    // A plan name may end in `~` and the name of a separate quota, which backends do not know: they get the part before it.
+    // A plan with a quota of its own is named `PLAN~QUOTA~BURST`; backends only know `PLAN`.
     let plan_at_backends = |plan: &String| plan.split('~').next().unwrap_or(plan).to_string();
     let may_send = |c: &ClassDefinition| !c.name.is_empty() && sends.contains(&c.name.as_str());
     Ok(Identity {
--- a/crates/ingress/src/peers.rs
+++ b/crates/ingress/src/peers.rs
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// Creates it from the socket that the predecessor handed over.
+    /// Creates a peer socket from the descriptor that the predecessor handed over.
     pub fn from_descriptor(
         addresses: PeerAddresses,
         descriptor: OwnedFd,
--- a/crates/ingress/src/requests.rs
+++ b/crates/ingress/src/requests.rs
@@ -12,8 +12,8 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-/// How long the id of a completed request still counts as a duplicate, in microseconds. Clients use a new id for each request,
-/// so an id that comes again within this time is a duplicate.
+/// How long the id of a completed request still counts as a duplicate, in microseconds. Clients draw
+/// a new id for each request, so ids need not be remembered longer.
 const ID_RETENTION: Micros = 1_000_000;
 
 /// Longest client wait that is honoured, in microseconds: without a bound, timers of requests answered long ago could
--- a/crates/ingress/src/variant.rs
+++ b/crates/ingress/src/variant.rs
@@ -13,7 +13,7 @@
     /// Whether [`Variant::fails_served`] is called at all.
     const FAILS_SERVED: bool = false;
 
-    /// Versions of each format that this version of the program reads and writes.
+    /// Returns the versions of each format that this program reads and writes.
     fn format_versions(&self) -> FormatVersions {
         crate::format_versions::format_versions(Self::VERSION, Self::LAYOUT)
     }
