--- a/crates/adapter/src/wire/batch.rs
+++ b/crates/adapter/src/wire/batch.rs
@@ -1,17 +1,17 @@
-//! A batch of events: its header, its records and its tail.
+//! A batch of events: a header, fixed-size records, and a tail with variable-length data.
 
 use super::bytes::{u32_at, u64_at};
 use super::error::FrameError;
 use super::record::{Record, RECORD_BYTES};
 
-/// Bytes of a batch's header.
+/// Size of the header of a batch, in bytes.
 pub const EVENT_HEADER_BYTES: usize = 20;
 
-/// The size in bytes of the complete frame whose header this is.
+/// Size of the complete frame with this header, in bytes.
 ///
 /// # Errors
 ///
-/// Where the frame cannot hold the records that its header claims.
+/// If the frame is too short for the number of records in its header.
 pub fn frame_size(header: &[u8]) -> Result<usize, FrameError> {
     let records = u32_at(header, 0);
     let length = u32_at(header, 4) as usize;
@@ -27,22 +27,22 @@
 
 /// A batch of events.
 pub struct Batch<'a> {
-    /// Its number.
+    /// Number of the batch; the reply repeats it.
     pub number: u32,
-    /// Its clock, in microseconds.
+    /// Simulated time of the events, in microseconds.
     pub clock: u64,
-    /// How many records it has.
+    /// Number of records.
     pub count: usize,
     records: &'a [u8],
     tail: &'a [u8],
 }
 
 impl<'a> Batch<'a> {
-    /// Splits a complete frame, as [`frame_size`] measured it.
+    /// Splits a complete frame of at least [`frame_size`] bytes into its parts.
     ///
     /// # Errors
     ///
-    /// As [`frame_size`].
+    /// See [`frame_size`].
     pub fn parse(frame: &'a [u8]) -> Result<Self, FrameError> {
         let size = frame_size(frame)?;
         let count = u32_at(frame, 0) as usize;
@@ -56,7 +56,7 @@
         })
     }
 
-    /// The record with this index, below `count`.
+    /// The record with this index, which must be below `count`.
     pub fn record(&self, index: usize) -> Record<'a> {
         let at = index * RECORD_BYTES;
         let body = &self.records[at..at + RECORD_BYTES];
--- a/crates/adapter/src/wire/bytes.rs
+++ b/crates/adapter/src/wire/bytes.rs
@@ -1,13 +1,13 @@
-//! Little-endian values at fixed places of a record.
+//! Reads little-endian values at fixed offsets of a record.
 
 use wrenfork_decision::BackendId;
 
-/// Bytes of a backend's id in a record.
+/// Size of a backend id in a record, in bytes.
 pub(super) const BACKEND_BYTES: usize = 6;
 
-fn array<const N: usize>(from: &[u8], at: usize) -> [u8; N] {
+fn array<const N: usize>(bytes: &[u8], at: usize) -> [u8; N] {
     let mut out = [0; N];
-    out.copy_from_slice(&from[at..at + N]);
+    out.copy_from_slice(&bytes[at..at + N]);
     out
 }
 
@@ -23,13 +23,13 @@
     u64::from_le_bytes(array(bytes, at))
 }
 
-/// A float of four bytes.
+/// Reads a 32-bit float.
 pub(super) fn f32_at(bytes: &[u8], at: usize) -> f64 {
     f64::from(f32::from_le_bytes(array(bytes, at)))
 }
 
 pub(super) fn backend_at(bytes: &[u8], at: usize) -> BackendId {
-    let mut eight = [0; 8];
-    eight[..BACKEND_BYTES].copy_from_slice(&bytes[at..at + BACKEND_BYTES]);
-    BackendId(u64::from_le_bytes(eight))
+    let mut padded = [0; 8];
+    padded[..BACKEND_BYTES].copy_from_slice(&bytes[at..at + BACKEND_BYTES]);
+    BackendId(u64::from_le_bytes(padded))
 }
--- a/crates/adapter/src/wire/error.rs
+++ b/crates/adapter/src/wire/error.rs
@@ -1,64 +1,64 @@
-//! What may be wrong with a frame.
+//! Errors in frames.
 
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// A frame that cannot be read.
+/// An invalid frame.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The frame's length cannot hold its records.
+    /// The length of the frame is too short for its records.
     #[error("batch {batch}: length {length} is too short for its {records} records")]
     TooShort {
-        /// The batch's number.
+        /// Number of the batch.
         batch: u32,
-        /// The length that its header claims, in bytes.
+        /// Length of the frame according to its header, in bytes.
         length: usize,
-        /// The records that its header claims.
+        /// Number of records according to the header.
         records: u32,
     },
-    /// A field of a record has no meaning.
+    /// A field of a record has an invalid value.
     #[error("batch {batch}, record {record}, field {field}: {source}")]
     Field {
-        /// The batch's number.
+        /// Number of the batch.
         batch: u32,
-        /// The record's index.
+        /// Index of the record in the batch.
         record: usize,
-        /// The field's name in the protocol.
+        /// Name of the field in the protocol.
         field: &'static str,
-        /// What is wrong with it.
-        source: FieldFault,
+        /// What is wrong with the field.
+        source: FieldError,
     },
 }
 
-/// What is wrong with a field.
+/// An error in a field of a record.
 #[derive(Debug, Error)]
-pub enum FieldFault {
-    /// An outcome that is not in the protocol.
+pub enum FieldError {
+    /// An outcome code that the protocol does not define.
     #[error("unknown code {0}")]
     UnknownCode(u16),
-    /// A kind of endpoint list that is not in the protocol.
+    /// A kind of endpoint list that the protocol does not define.
     #[error("unknown kind {0}")]
     UnknownKind(u8),
-    /// A state of an endpoint that is not in the protocol.
+    /// An endpoint state that the protocol does not define.
     #[error("unknown state {0}")]
     UnknownState(u8),
-    /// The field points outside the frame's tail.
-    #[error("offset {offset} and count {count} leave the tail of {tail} bytes")]
+    /// The field refers to bytes outside the tail of the frame.
+    #[error("offset {offset} and count {count} exceed the tail of {tail} bytes")]
     OutsideTail {
-        /// Where it begins in the tail, in bytes.
+        /// Start of the data in the tail, in bytes.
         offset: usize,
-        /// How many entries it has.
+        /// Number of entries.
         count: usize,
-        /// The tail's length in bytes.
+        /// Length of the tail, in bytes.
         tail: usize,
     },
-    /// A text that is not UTF-8.
+    /// The text is not UTF-8.
     #[error(transparent)]
     NotUtf8(#[from] Utf8Error),
-    /// Settings that cannot be read; the text names the setting.
+    /// The settings are invalid. The text names the setting.
     #[error("{0}")]
     Settings(String),
-    /// An event for an instance that is not running.
-    #[error("no such instance is running; ignored")]
+    /// The event is for an instance that is not running.
+    #[error("no such instance is running; event ignored")]
     NotRunning,
 }
--- a/crates/adapter/src/wire/mod.rs
+++ b/crates/adapter/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The simulator's frames: reading batches, writing replies. Every length and offset is checked.
+//! The simulator's frames: parses batches and writes replies. Every length and offset is checked.
 
 mod batch;
 mod bytes;
@@ -7,7 +7,7 @@
 mod reply;
 
 pub use batch::{frame_size, Batch, EVENT_HEADER_BYTES};
-pub use error::{FieldFault, FrameError};
+pub use error::{FieldError, FrameError};
 pub use record::{Decoded, Record};
 pub use reply::Reply;
 
--- a/crates/adapter/src/wire/record.rs
+++ b/crates/adapter/src/wire/record.rs
@@ -1,7 +1,7 @@
-//! A record of a batch, decoded to an event of the decision module.
+//! Decodes the records of a batch into events of the decision module.
 
 use super::bytes::{backend_at, f32_at, u16_at, u32_at, u64_at};
-use super::error::{FieldFault, FrameError};
+use super::error::{FieldError, FrameError};
 use std::collections::BTreeMap;
 use wrenfork_config::settings::note_field;
 use wrenfork_decision::{
@@ -9,15 +9,16 @@
     Request, RequestId,
 };
 
-/// Bytes of a record, and of an entry of an endpoint list in the tail.
+/// Size of a record, in bytes.
 pub(super) const RECORD_BYTES: usize = 48;
+/// Size of an entry of an endpoint list in the tail, in bytes.
 const ENDPOINT_BYTES: usize = 24;
-/// The most values in a load report.
+/// Maximum number of values in a load report.
 const MAX_REPORT_VALUES: usize = 4;
-/// The parts of a meter's reading.
+/// Metered usage is sent in units of 1/`METER_PARTS`, plus one; 0 means no reading.
 const METER_PARTS: f64 = 100.0;
 
-/// The codes of records.
+/// Codes of the record types.
 mod code {
     pub(super) const REQUEST: u8 = 10;
     pub(super) const ATTEMPT_COMPLETED: u8 = 20;
@@ -40,27 +41,27 @@
     tail: &'a [u8],
 }
 
-/// What a record says.
+/// A decoded record.
 pub enum Decoded<'a> {
-    /// An instance starts.
+    /// Start an instance.
     Start {
-        /// Its number on the wire.
+        /// Number of the instance in the protocol.
         instance: u16,
-        /// Its seed.
+        /// Seed of its random numbers.
         seed: u64,
-        /// Its settings.
+        /// Its settings as text, one per line.
         conf: &'a str,
     },
-    /// An instance was killed.
+    /// The instance was killed and is removed.
     Stop {
-        /// Its number on the wire.
+        /// Number of the instance in the protocol.
         instance: u16,
     },
     /// An event for a running instance.
     Event {
-        /// Its number on the wire.
+        /// Number of the instance in the protocol.
         instance: u16,
-        /// The event.
+        /// The event to pass to the instance.
         event: Event,
     },
 }
@@ -75,8 +76,8 @@
         }
     }
 
-    /// An error that says which field of which record is at fault.
-    pub fn error(&self, field: &'static str, source: FieldFault) -> FrameError {
+    /// Builds an error for a field of this record.
+    pub fn error(&self, field: &'static str, source: FieldError) -> FrameError {
         FrameError::Field {
             batch: self.batch,
             record: self.index,
@@ -85,12 +86,12 @@
         }
     }
 
-    /// What the record says; none for a code that this adapter does not know. `report_fields` has
-    /// the names of the values in a load report, by instance.
+    /// Decodes the record. Returns `None` if its code is unknown. `report_fields` contains the names
+    /// of the values in a load report, by instance.
     ///
     /// # Errors
     ///
-    /// Where a field has no meaning.
+    /// If a field has an invalid value.
     pub fn decode(
         &self,
         report_fields: &BTreeMap<u16, Vec<String>>,
@@ -111,35 +112,35 @@
         Ok(Decoded::Start {
             instance,
             seed: u64_at(self.body, 3),
-            conf: conf.map_err(|e| self.error("conf", e.into()))?,
+            conf: conf.map_err(|error| self.error("conf", error.into()))?,
         })
     }
 
     fn event(&self, report_fields: &[String]) -> Result<Option<Event>, FrameError> {
-        let b = self.body;
-        Ok(Some(match b[0] {
+        let body = self.body;
+        Ok(Some(match body[0] {
             code::ENDPOINTS => self.endpoints()?,
             code::REQUEST => Event::Request(self.request()),
             code::ATTEMPT_COMPLETED => self.attempt_completed(report_fields)?,
             code::HEALTH_CHECKED => Event::HealthChecked {
-                backend: backend_at(b, 3),
+                backend: backend_at(body, 3),
                 outcome: self.outcome(9)?,
-                elapsed: u64::from(u32_at(b, 11)),
+                elapsed: u64::from(u32_at(body, 11)),
                 report: self.report(15, report_fields),
             },
             code::COUNTER_UPDATED => Event::CounterUpdated {
-                counter: u64_at(b, 3),
+                counter: u64_at(body, 3),
                 outcome: self.outcome(11)?,
-                total: f32_at(b, 13),
+                total: f32_at(body, 13),
             },
-            code::CLIENT_DISCONNECTED => Event::ClientDisconnected(RequestId(u64_at(b, 3))),
-            code::TIMER => Event::Timer(u32_at(b, 3)),
+            code::CLIENT_DISCONNECTED => Event::ClientDisconnected(RequestId(u64_at(body, 3))),
+            code::TIMER => Event::Timer(u32_at(body, 3)),
             code::FIRST_BYTE => Event::FirstByte {
-                id: RequestId(u64_at(b, 3)),
-                attempt: u16_at(b, 11),
+                id: RequestId(u64_at(body, 3)),
+                attempt: u16_at(body, 11),
             },
             code::PEER_MESSAGE => Event::PeerMessage {
-                from: GatewayId(u16_at(b, 3)),
+                from: GatewayId(u16_at(body, 3)),
                 bytes: self.tail_part(5, "octets", 1)?.to_vec(),
             },
             _ => return Ok(None),
@@ -147,32 +148,32 @@
     }
 
     fn request(&self) -> Request {
-        let b = self.body;
+        let body = self.body;
         Request {
-            id: RequestId(u64_at(b, 3)),
-            class: b[11],
-            plan: u16_at(b, 12),
-            customer: CustomerId(u64_at(b, 14)),
-            deadline: u64_at(b, 22),
-            units: f32_at(b, 30),
-            gateway_span: f32_at(b, 34),
-            first_gateway: f32_at(b, 38),
+            id: RequestId(u64_at(body, 3)),
+            class: body[11],
+            plan: u16_at(body, 12),
+            customer: CustomerId(u64_at(body, 14)),
+            deadline: u64_at(body, 22),
+            units: f32_at(body, 30),
+            gateway_span: f32_at(body, 34),
+            first_gateway: f32_at(body, 38),
             ..Request::default()
         }
     }
 
     fn attempt_completed(&self, report_fields: &[String]) -> Result<Event, FrameError> {
-        let b = self.body;
-        let metered = Some(u16_at(b, 20)).filter(|m| *m > 0);
-        let charged = Some(u16_at(b, 28)).filter(|c| *c > 0);
+        let body = self.body;
+        let metered = Some(u16_at(body, 20)).filter(|metered| *metered > 0);
+        let charged = Some(u16_at(body, 28)).filter(|charged| *charged > 0);
         Ok(Event::AttemptCompleted {
-            id: RequestId(u64_at(b, 3)),
-            elapsed: u64::from(u32_at(b, 11)),
+            id: RequestId(u64_at(body, 3)),
+            elapsed: u64::from(u32_at(body, 11)),
             outcome: self.outcome(15)?,
-            complete: b[17] != 0,
-            attempt: u16_at(b, 18),
-            metered_usage: metered.map(|m| f64::from(m - 1) / METER_PARTS),
-            backend: backend_at(b, 22),
+            complete: body[17] != 0,
+            attempt: u16_at(body, 18),
+            metered_usage: metered.map(|metered| f64::from(metered - 1) / METER_PARTS),
+            backend: backend_at(body, 22),
             charged_units: charged.map(f64::from),
             report: self.report(30, report_fields),
         })
@@ -184,7 +185,7 @@
             1 => EndpointListKind::Full,
             2 => EndpointListKind::Cached,
             3 => EndpointListKind::Failed,
-            other => return Err(self.error("scope", FieldFault::UnknownKind(other))),
+            other => return Err(self.error("scope", FieldError::UnknownKind(other))),
         };
         let rows = self.tail_part(12, "rows", ENDPOINT_BYTES)?;
         let rows = rows.chunks_exact(ENDPOINT_BYTES);
@@ -198,7 +199,7 @@
             1 => EndpointState::Ready,
             2 => EndpointState::Removed,
             other => {
-                return Err(self.error("rows.availability", FieldFault::UnknownState(other)));
+                return Err(self.error("rows.availability", FieldError::UnknownState(other)));
             }
         };
         Ok(Endpoint {
@@ -223,23 +224,23 @@
             520 => Outcome::Reset,
             444 => Outcome::Cancelled,
             409 => Outcome::NotSent,
-            other => return Err(self.error("outcome", FieldFault::UnknownCode(other))),
+            other => return Err(self.error("outcome", FieldError::UnknownCode(other))),
         })
     }
 
     fn report(&self, at: usize, names: &[String]) -> Option<LoadReport> {
         let count = usize::from(self.body[at]).min(MAX_REPORT_VALUES);
         let mut report = LoadReport::default();
-        for (place, name) in names.iter().enumerate().take(count) {
-            let value = f32_at(self.body, at + 1 + 4 * place);
+        for (index, name) in names.iter().enumerate().take(count) {
+            let value = f32_at(self.body, at + 1 + 4 * index);
             let value = value.is_finite().then_some(value);
             note_field(&mut report, name, value);
         }
         (count > 0).then_some(report)
     }
 
-    /// The part of the tail that an offset and a count at this place give, of entries of so many
-    /// bytes.
+    /// The part of the tail given by the offset and the entry count at `at` in the record. Each
+    /// entry has `entry_bytes` bytes.
     fn tail_part(
         &self,
         at: usize,
@@ -253,12 +254,12 @@
         let part = end.and_then(|end| self.tail.get(offset..end));
         part.ok_or_else(|| {
             let tail = self.tail.len();
-            let fault = FieldFault::OutsideTail {
+            let error = FieldError::OutsideTail {
                 offset,
                 count,
                 tail,
             };
-            self.error(field, fault)
+            self.error(field, error)
         })
     }
 }
--- a/crates/adapter/src/wire/reply.rs
+++ b/crates/adapter/src/wire/reply.rs
@@ -1,15 +1,16 @@
-//! A reply to a batch: a record for each action, and a tail for bytes and texts.
+//! Encodes the reply to a batch: a record for each action, and a tail with messages and texts.
 
 use super::bytes::BACKEND_BYTES;
 use wrenfork_decision::{Action, BackendId, GatewayId, Micros};
 
-/// Bytes of a reply's header and of a record.
+/// Size of the header of a reply, in bytes.
 pub(super) const REPLY_HEADER_BYTES: usize = 12;
+/// Size of a record of a reply, in bytes.
 pub(super) const ACTION_BYTES: usize = 32;
-/// The receiver in a record that means all peers.
+/// Receiver number that stands for all peers.
 const ALL_PEERS: u16 = u16::MAX;
 
-/// The codes of records.
+/// Codes of the record types.
 mod code {
     pub(super) const SEND: u8 = 10;
     pub(super) const REJECT: u8 = 20;
@@ -48,10 +49,10 @@
         self.put(at, &backend.0.to_le_bytes()[..BACKEND_BYTES]);
     }
 
-    /// A span in four bytes, as long as these can say.
-    fn put_span(&mut self, at: usize, span: Micros) {
-        let span = u32::try_from(span).unwrap_or(u32::MAX);
-        self.put(at, &span.to_le_bytes());
+    /// Writes a duration in microseconds as four bytes; longer ones are capped.
+    fn put_duration(&mut self, at: usize, duration: Micros) {
+        let duration = u32::try_from(duration).unwrap_or(u32::MAX);
+        self.put(at, &duration.to_le_bytes());
     }
 }
 
@@ -63,7 +64,7 @@
 }
 
 impl Reply {
-    /// A reply to the batch with this number.
+    /// Creates an empty reply to the batch with this number.
     pub fn new(number: u32) -> Self {
         Reply {
             number,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Adds an instance's actions.
+    /// Adds a record for each action of an instance.
     pub fn push(&mut self, instance: u16, actions: &[Action]) {
         for action in actions {
             let record = self.encode(instance, action);
@@ -95,7 +96,7 @@
             }
             Action::Reject { id, retry_after } => {
                 record.put_id(id.0);
-                record.put_span(11, *retry_after);
+                record.put_duration(11, *retry_after);
             }
             Action::Fail(id) => record.put_id(id.0),
             Action::Cancel { id, attempt } => {
@@ -103,7 +104,7 @@
                 record.put(11, &attempt.to_le_bytes());
             }
             Action::SetTimer { delay, token } => {
-                record.put_span(3, *delay);
+                record.put_duration(3, *delay);
                 record.put(7, &token.to_le_bytes());
             }
             Action::CheckHealth(backend) | Action::CloseIdleConnections(backend) => {
@@ -118,7 +119,7 @@
                 delta,
                 lifetime,
             } => {
-                record.put_span(3, *lifetime);
+                record.put_duration(3, *lifetime);
                 record.put(7, &(*delta as f32).to_le_bytes());
                 record.put(11, &counter.to_le_bytes());
             }
@@ -132,14 +133,14 @@
         self.put_tail(record, 5, bytes);
     }
 
-    /// Puts bytes into the tail, and their offset and length into a record.
+    /// Appends bytes to the tail and writes their offset and length into the record.
     fn put_tail(&mut self, record: &mut ActionRecord, at: usize, bytes: &[u8]) {
         record.put(at, &(self.tail.len() as u32).to_le_bytes());
         record.put(at + 4, &(bytes.len() as u32).to_le_bytes());
         self.tail.extend_from_slice(bytes);
     }
 
-    /// The complete frame.
+    /// Returns the complete frame.
     pub fn finish(self) -> Vec<u8> {
         let size = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
         let count = self.records.len() / ACTION_BYTES;
--- a/crates/adapter/src/wire/tests.rs
+++ b/crates/adapter/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! The frames to the byte.
+//! The exact bytes of frames.
 
 use super::bytes::{u16_at, u32_at};
 use super::record::RECORD_BYTES;
@@ -18,11 +18,11 @@
     }
 }
 
-/// The bytes of a record at their places.
-type Places = Vec<(usize, u8)>;
+/// Offsets in a record with the byte expected there.
+type ExpectedBytes = Vec<(usize, u8)>;
 
-/// What concerns a request or a backend.
-fn request_actions() -> Vec<(u8, Action, Places)> {
+/// Actions for a request or a backend, and the timer.
+fn request_actions() -> Vec<(u8, Action, ExpectedBytes)> {
     let (id, backend) = (RequestId(0x0a_0b0c), BackendId(0x0605_0403_0201));
     vec![
         (
@@ -63,7 +63,8 @@
     ]
 }
 
-fn other_actions() -> Vec<(u8, Action, Places)> {
+/// Actions for peers, logs, discovery and counters.
+fn other_actions() -> Vec<(u8, Action, ExpectedBytes)> {
     vec![
         (
             80,
@@ -96,14 +97,14 @@
     ]
 }
 
-/// Every action with its code, and some of its record's bytes by their places.
-fn coded_actions() -> Vec<(u8, Action, Places)> {
+/// Every action with its code and some bytes of its record.
+fn coded_actions() -> Vec<(u8, Action, ExpectedBytes)> {
     let mut all = request_actions();
     all.extend(other_actions());
     all
 }
 
-fn reply_frame(actions: &[(u8, Action, Places)]) -> Vec<u8> {
+fn reply_frame(actions: &[(u8, Action, ExpectedBytes)]) -> Vec<u8> {
     let mut reply = Reply::new(5);
     let list: Vec<Action> = actions.iter().map(|a| a.1.clone()).collect();
     reply.push(3, &list);
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn every_action_has_its_code_and_its_fields_in_place() {
+fn actions_are_encoded_with_code_and_fields_at_their_offsets() {
     let actions = coded_actions();
     let frame = reply_frame(&actions);
     assert_eq!(u32_at(&frame, 0) as usize, actions.len());
@@ -129,7 +130,7 @@
     }
 }
 
-/// A record of instance 1 with these bytes at their places.
+/// A record for instance 1 with the given bytes at the given offsets.
 fn record(code: u8, parts: &[(usize, &[u8])]) -> [u8; RECORD_BYTES] {
     let mut body = [0; RECORD_BYTES];
     body[0] = code;
@@ -140,23 +141,23 @@
     body
 }
 
-/// The event that a record is decoded to, as text.
+/// Decodes a record and formats the event as text.
 fn event_of(body: [u8; RECORD_BYTES]) -> String {
     let fields = BTreeMap::from([(1, vec!["depth".to_string()])]);
     match Record::new(1, 0, &body, &[4, 5, 6]).decode(&fields) {
         Ok(Some(Decoded::Event { instance: 1, event })) => format!("{event:?}"),
-        _ => panic!("not an event of instance 1"),
+        _ => panic!("the record was not decoded to an event of instance 1"),
     }
 }
 
-fn has_parts(text: &str, parts: &[&str]) {
+fn assert_contains(text: &str, parts: &[&str]) {
     for part in parts {
-        assert!(text.contains(part), "{part} in {text}");
+        assert!(text.contains(part), "{part:?} is missing in: {text}");
     }
 }
 
 #[test]
-fn a_request_is_read_from_its_places() {
+fn request_fields_are_read_from_their_offsets() {
     let text = event_of(record(
         10,
         &[
@@ -169,7 +170,7 @@
             (34, &3.0f32.to_le_bytes()),
         ],
     ));
-    has_parts(
+    assert_contains(
         &text,
         &[
             "RequestId(9), class: 2, plan: 3, customer: CustomerId(4), deadline: 5",
@@ -179,7 +180,7 @@
 }
 
 #[test]
-fn the_end_of_an_attempt_is_read_from_its_places() {
+fn attempt_completed_fields_are_read_from_their_offsets() {
     let text = event_of(record(
         20,
         &[
@@ -195,7 +196,7 @@
             (31, &6.0f32.to_le_bytes()),
         ],
     ));
-    has_parts(
+    assert_contains(
         &text,
         &[
             "attempt: 2",
@@ -210,22 +211,22 @@
 }
 
 #[test]
-fn short_events_are_read_from_their_places() {
-    let left = event_of(record(90, &[(3, &[6])]));
-    assert_eq!(left, "ClientDisconnected(RequestId(6))");
+fn fields_of_short_events_are_read_from_their_offsets() {
+    let disconnected = event_of(record(90, &[(3, &[6])]));
+    assert_eq!(disconnected, "ClientDisconnected(RequestId(6))");
     assert_eq!(event_of(record(70, &[(3, &[6])])), "Timer(6)");
-    let begun = event_of(record(100, &[(3, &[6]), (11, &[2])]));
-    assert_eq!(begun, "FirstByte { id: RequestId(6), attempt: 2 }");
+    let first_byte = event_of(record(100, &[(3, &[6]), (11, &[2])]));
+    assert_eq!(first_byte, "FirstByte { id: RequestId(6), attempt: 2 }");
     let peer = event_of(record(80, &[(3, &[2]), (5, &[1]), (9, &[2])]));
     assert_eq!(peer, "PeerMessage { from: GatewayId(2), bytes: [5, 6] }");
     let checked = event_of(record(30, &[(3, &[8]), (9, &[0x99, 1]), (11, &[7])]));
-    has_parts(&checked, &["NotSent", "elapsed: 7"]);
+    assert_contains(&checked, &["NotSent", "elapsed: 7"]);
     let total = 38.0f32.to_le_bytes();
     let counted = event_of(record(40, &[(3, &[5]), (11, &[200]), (13, &total)]));
-    has_parts(&counted, &["counter: 5", "38.0"]);
+    assert_contains(&counted, &["counter: 5", "38.0"]);
 }
 
-/// The reply frame with every action, in hexadecimal.
+/// The expected reply frame with every action, in hexadecimal.
 const GOLDEN_REPLY: &str = include_str!("../../tests/golden/reply.txt");
 
 fn hex(bytes: &[u8]) -> String {
@@ -233,12 +234,12 @@
 }
 
 #[test]
-fn a_reply_with_every_action_has_the_golden_bytes() {
+fn reply_with_every_action_matches_the_golden_file() {
     assert_eq!(hex(&reply_frame(&coded_actions())), GOLDEN_REPLY.trim());
 }
 
 #[test]
-#[ignore = "writes the golden file, by hand and with WRITE_GOLDEN=1 only"]
+#[ignore = "writes the golden file; run by hand with WRITE_GOLDEN=1"]
 fn write_the_golden_reply() {
     assert_eq!(std::env::var("WRITE_GOLDEN").as_deref(), Ok("1"));
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/reply.txt");
--- a/crates/compatibility/src/check.rs
+++ b/crates/compatibility/src/check.rs
@@ -6,34 +6,34 @@
 /// Why a rollout from one build to another must not begin.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Incompatibility {
-    /// While both serve, one can't read what the other sends.
+    /// One build cannot read the messages that the other sends while both serve.
     #[error(
         "{format}: {writer} writes {written}, and {reader} reads {} to {}",
         read.oldest, read.newest
     )]
     UnreadableMessages {
-        /// The format.
+        /// Name of the message format.
         format: &'static str,
-        /// Version of the build that writes.
+        /// Version of the writing build.
         writer: String,
-        /// Format version that it writes.
+        /// Format version that the writing build uses.
         written: u32,
-        /// Version of the build that reads.
+        /// Version of the reading build.
         reader: String,
-        /// Format versions that it reads.
+        /// Format versions that the reading build accepts.
         read: VersionRange,
     },
-    /// The new build can't read the store of the old one.
+    /// The new build cannot read the store of the old one.
     #[error("the store: {new} can't read what {old} keeps ({written})")]
     UnreadableStore {
         /// Version of the old build.
         old: String,
         /// Version of the new build.
         new: String,
-        /// Format version of the store.
+        /// Format version of the store written by the other build.
         written: u32,
     },
-    /// The old build can't read the store of the new one, so that the rollout could not be reverted.
+    /// The old build cannot read the store of the new one, so the rollout could not be reverted.
     #[error(
         "the store: it could not be taken back, since {old} can't read what {new} keeps ({written})"
     )]
@@ -42,15 +42,15 @@
         old: String,
         /// Version of the new build.
         new: String,
-        /// Format version of the store.
+        /// Format version of the store written by the other build.
         written: u32,
     },
 }
 
-/// What is lost whenever a process is replaced.
+/// A function lost when a process is replaced during the rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Degradation {
-    /// The successor can't take over the state of its predecessor.
+    /// The successor cannot take over the state of its predecessor, so its connections end.
     #[error(
         "the handover: {old} writes states up to {written}, {new} reads from {oldest_read}: each process begins anew, what is \
          open when the old one ends is answered first, and its connections end"
@@ -58,28 +58,28 @@
     NoHandover {
         /// Version of the old build.
         old: String,
-        /// Newest format version that it writes.
+        /// Newest handover version that the old build writes.
         written: u32,
         /// Version of the new build.
         new: String,
-        /// Oldest format version that it reads.
+        /// Oldest handover version that the new build reads.
         oldest_read: u32,
     },
 }
 
-/// Outcome of [`check_compatibility`].
+/// Result of [`check_compatibility`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CompatibilityReport {
-    /// Why a rollout from the old build to the new one must not begin.
+    /// Reasons why a rollout from the old build to the new one must not begin. Empty if it may.
     pub incompatible: Vec<Incompatibility>,
-    /// What is lost whenever a process is replaced.
+    /// Functions lost when a process is replaced during the rollout.
     pub degraded: Vec<Degradation>,
 }
 
-/// Compares two builds: whether they may serve at the same time, and whether the new one can be reverted to the old one.
+/// Checks whether two builds may serve at the same time, and whether the new one can be reverted to the old one.
 pub fn check_compatibility(old: &FormatVersions, new: &FormatVersions) -> CompatibilityReport {
     let mut incompatible = Vec::new();
-    // While both serve, each reads what the other sends.
+    // While both builds serve, each must be able to read the messages of the other.
     for (format, range) in MESSAGE_FORMATS {
         incompatible.extend(unreadable(format, range, old, new));
         incompatible.extend(unreadable(format, range, new, old));
@@ -104,19 +104,20 @@
     }
 }
 
-type RangeOf = fn(&FormatVersions) -> VersionRange;
+/// Selects the version range of one format.
+type RangeSelector = fn(&FormatVersions) -> VersionRange;
 
 /// The formats of messages between builds that serve at the same time.
-const MESSAGE_FORMATS: [(&str, RangeOf); 3] = [
+const MESSAGE_FORMATS: [(&str, RangeSelector); 3] = [
     ("peers' messages", |versions| versions.peers),
     ("control lines", |versions| versions.control),
     ("decrees", |versions| versions.group_states),
 ];
 
-/// Whether a build can't read the messages of another one.
+/// Returns an error if `reader` cannot read the messages that `writer` sends.
 fn unreadable(
     format: &'static str,
-    range: RangeOf,
+    range: RangeSelector,
     writer: &FormatVersions,
     reader: &FormatVersions,
 ) -> Option<Incompatibility> {
@@ -131,6 +132,7 @@
     })
 }
 
+/// Returns a degradation if no handover version is common to both builds.
 fn lost_handover(old: &FormatVersions, new: &FormatVersions) -> Option<Degradation> {
     (!old.handover.overlaps(new.handover)).then(|| Degradation::NoHandover {
         old: old.version.clone(),
--- a/crates/compatibility/src/lib.rs
+++ b/crates/compatibility/src/lib.rs
@@ -1,8 +1,8 @@
-//! Compatibility of builds: the format versions each reads and writes, and whether two of them may serve side by side and be
-//! reverted. The package has no I/O and no clock.
+//! Compatibility of builds: the format versions that each reads and writes, and whether two builds may serve at the same time and
+//! the newer one can be reverted. This package has no I/O and no clock.
 //!
-//! - [`Program`]: a build, identified by the digest of its file.
-//! - [`FormatVersions`]: what a build reads and writes, as it prints it itself.
+//! - [`Program`]: a build, identified by the digest of its executable.
+//! - [`FormatVersions`]: the format versions that a build reads and writes, as the build itself reports them.
 //! - [`check_compatibility`]: the comparison of two builds.
 
 mod check;
--- a/crates/compatibility/src/program.rs
+++ b/crates/compatibility/src/program.rs
@@ -1,24 +1,25 @@
-//! Programs, identified by the digest of their file.
+//! Programs, identified by the digest of their executable file.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Length of a SHA-256 digest, in hex digits.
+/// Length of a SHA-256 digest in hex digits.
 const SHA256_HEX_LENGTH: usize = 64;
 
-/// A program: its name for people, and the SHA-256 digest of its file. Two programs are equal if their files are.
+/// A program: a display name, and the SHA-256 digest of its executable file. Programs are equal if their digests are equal, whatever
+/// their names.
 #[derive(Clone, Debug, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Program {
-    /// Name for people.
+    /// Display name; not part of the identity.
     pub name: String,
-    /// Digest in lower-case hex.
+    /// SHA-256 digest in lower-case hex.
     pub sha256: String,
 }
 
-/// A text is not written `NAME@SHA256`.
+/// The text does not have the form `NAME@SHA256`. Contains the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("a program is written NAME@SHA256, not \"{0}\"")]
 pub struct ProgramError(pub String);
@@ -28,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// If the text is written otherwise.
+    /// If the text does not have this form.
     pub fn parse(text: &str) -> Result<Program, ProgramError> {
         match text.rsplit_once('@') {
             Some((name, sha256)) if !name.is_empty() && is_sha256(sha256) => Ok(Program {
--- a/crates/compatibility/tests/compatibility.rs
+++ b/crates/compatibility/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Programs, and what two builds may do side by side.
+//! Identity of programs, and the compatibility check of two builds.
 
 use proptest::prelude::{prop_assert_eq, proptest};
 use proptest::test_runner::{Config, RngSeed};
@@ -19,16 +19,16 @@
 }
 
 #[test]
-fn a_program_is_known_by_its_file() {
+fn programs_are_identified_by_their_digest() {
     let hex = "ab".repeat(32);
-    let one = Program::parse(&format!("r-1@{hex}")).unwrap();
-    assert_eq!(one, Program::parse(&format!("other@{hex}")).unwrap());
-    assert_eq!(one.to_string(), format!("r-1@{hex}"));
+    let program = Program::parse(&format!("r-1@{hex}")).unwrap();
+    assert_eq!(program, Program::parse(&format!("other@{hex}")).unwrap());
+    assert_eq!(program.to_string(), format!("r-1@{hex}"));
     assert_eq!(
-        serde_json::from_str::<Program>(&serde_json::to_string(&one).unwrap()).unwrap(),
-        one
+        serde_json::from_str::<Program>(&serde_json::to_string(&program).unwrap()).unwrap(),
+        program
     );
-    for bad in [
+    for invalid in [
         "",
         "r-1",
         "@",
@@ -37,29 +37,29 @@
         &format!("r@{}G", &hex[1..]),
     ] {
         assert!(
-            Program::parse(bad)
+            Program::parse(invalid)
                 .unwrap_err()
                 .to_string()
                 .contains("NAME@SHA256"),
-            "{bad}"
+            "{invalid}"
         );
     }
 }
 
 #[test]
-fn what_could_not_be_taken_back_is_refused_and_what_is_lost_is_told() {
+fn irreversible_rollout_is_rejected_and_lost_handover_is_reported() {
     let old = versions("r-1");
     assert_eq!(
         check_compatibility(&old, &versions("r-2")),
         CompatibilityReport::default()
     );
-    let found = |change: &dyn Fn(&mut FormatVersions)| {
+    let report_for = |change: &dyn Fn(&mut FormatVersions)| {
         let mut new = versions("r-2");
         change(&mut new);
         check_compatibility(&old, &new)
     };
     let newer = VersionRange::new(3, 4);
-    let store = found(&|s| s.store = newer);
+    let store = report_for(&|versions| versions.store = newer);
     assert_eq!(store.incompatible.len(), 1);
     assert!(
         store.incompatible[0]
@@ -67,44 +67,52 @@
             .contains("could not be taken back"),
         "{store:?}"
     );
-    let peers = found(&|s| s.peers = newer);
+    let peers = report_for(&|versions| versions.peers = newer);
     assert_eq!(peers.incompatible.len(), 1);
     assert_eq!(
         peers.incompatible[0].to_string(),
         "peers' messages: r-2 writes 4, and r-1 reads 2 to 3"
     );
     assert_eq!(
-        found(&|s| s.control = VersionRange::new(4, 4))
+        report_for(&|versions| versions.control = VersionRange::new(4, 4))
             .incompatible
             .len(),
         2
     );
-    assert_eq!(found(&|s| s.group_states = newer).incompatible.len(), 1);
-    // A state is written as it is asked for: neighbours hand over, others begin anew.
     assert_eq!(
-        found(&|s| s.handover = newer),
+        report_for(&|versions| versions.group_states = newer)
+            .incompatible
+            .len(),
+        1
+    );
+    // A handover state is written in the version that the successor requests: a handover works if the ranges overlap.
+    assert_eq!(
+        report_for(&|versions| versions.handover = newer),
         CompatibilityReport::default()
     );
-    let lost = found(&|s| s.handover = VersionRange::new(4, 5));
+    let without_handover = report_for(&|versions| versions.handover = VersionRange::new(4, 5));
     assert!(
-        lost.incompatible.is_empty() && lost.degraded[0].to_string().contains("begins anew"),
-        "{lost:?}"
+        without_handover.incompatible.is_empty()
+            && without_handover.degraded[0]
+                .to_string()
+                .contains("begins anew"),
+        "{without_handover:?}"
     );
 }
 
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(8), failure_persistence: None, ..Config::default() })]
 
-    /// Guards against a rollout that goes one way alone: where it may begin, its way back may as well.
+    /// Guards against a rollout that cannot be reverted: if one direction is allowed, the other one is too.
     #[test]
-    fn whoever_may_go_may_go_back(ranges in proptest::collection::vec((1u32..5, 0u32..4), 10)) {
+    fn allowed_rollouts_can_be_reverted(ranges in proptest::collection::vec((1u32..5, 0u32..4), 10)) {
         let range = |n: usize| VersionRange::new(ranges[n].0, ranges[n].0 + ranges[n].1);
-        let of = |at: usize| FormatVersions {
+        let versions_at = |at: usize| FormatVersions {
             version: "r".into(), peers: range(at), control: range(at + 1), group_states: range(at + 2),
             store: range(at + 3), handover: range(at + 4),
         };
-        let (there, back) = (check_compatibility(&of(0), &of(5)), check_compatibility(&of(5), &of(0)));
-        prop_assert_eq!(there.incompatible.is_empty(), back.incompatible.is_empty());
-        prop_assert_eq!(there.degraded.is_empty(), back.degraded.is_empty());
+        let (forward, backward) = (check_compatibility(&versions_at(0), &versions_at(5)), check_compatibility(&versions_at(5), &versions_at(0)));
+        prop_assert_eq!(forward.incompatible.is_empty(), backward.incompatible.is_empty());
+        prop_assert_eq!(forward.degraded.is_empty(), backward.degraded.is_empty());
     }
 }
--- a/crates/compatibility/tests/golden.rs
+++ b/crates/compatibility/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Every stored and sent form of this package, and what operators read, byte for byte as the files under `tests/golden/` have
-//! it.
+//! Checks the exact bytes of every value that this package stores or sends, and of the texts that operators read, against the files
+//! in `tests/golden/`.
 //!
-//! The files are written by hand alone, when a form changes on purpose:
+//! The files are only written by hand, after an intended format change:
 //! `cargo test -p wrenfork-compatibility --test golden -- --ignored write_golden_files`
 
 use std::path::PathBuf;
@@ -17,8 +17,8 @@
     std::fs::read_to_string(path(name)).unwrap()
 }
 
-fn speaks() -> Vec<FormatVersions> {
-    let all = |first: u32| FormatVersions {
+fn format_versions() -> Vec<FormatVersions> {
+    let versions = |first: u32| FormatVersions {
         version: format!("0.{first}.0 \"odd\""),
         peers: VersionRange::new(first, first + 1),
         control: VersionRange::new(first + 2, first + 3),
@@ -26,7 +26,7 @@
         store: VersionRange::new(first + 6, first + 7),
         handover: VersionRange::new(first + 8, first + 9),
     };
-    vec![all(1), all(11)]
+    vec![versions(1), versions(11)]
 }
 
 fn programs() -> Vec<Program> {
@@ -35,9 +35,9 @@
         .into()
 }
 
-/// All that can be found: everything differs, one way, the other way and not at all.
+/// The reports for two builds that differ in every format, in both directions, and for a build compared with itself.
 fn reports() -> String {
-    let all = speaks();
+    let all = format_versions();
     let mut text = String::new();
     for (old, new) in [(0, 1), (1, 0), (0, 0)] {
         let report = check_compatibility(&all[old], &all[new]);
@@ -60,14 +60,14 @@
 
 fn files() -> Vec<(&'static str, String)> {
     vec![
-        ("speaks.jsonl", json(&speaks())),
+        ("speaks.jsonl", json(&format_versions())),
         ("programs.jsonl", json(&programs())),
         ("reports.txt", reports()),
     ]
 }
 
 #[test]
-#[ignore = "writes the golden files; run it by hand when a form changes on purpose"]
+#[ignore = "writes the golden files; run by hand after an intended format change"]
 fn write_golden_files() {
     for (name, text) in files() {
         std::fs::write(path(name), text).unwrap();
@@ -75,23 +75,23 @@
 }
 
 #[test]
-fn every_form_is_written_as_its_golden_file_has_it() {
+fn values_are_written_as_in_their_golden_files() {
     for (name, text) in files() {
         assert_eq!(text, golden(name), "{name}");
     }
 }
 
 #[test]
-fn golden_files_are_read_and_written_again_to_the_same_bytes() {
+fn golden_files_are_read_and_rewritten_unchanged() {
     let text = golden("speaks.jsonl");
-    let found: Vec<FormatVersions> = text
+    let parsed: Vec<FormatVersions> = text
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
-    assert_eq!(found, speaks());
-    assert_eq!(json(&found), text);
+    assert_eq!(parsed, format_versions());
+    assert_eq!(json(&parsed), text);
     let text = golden("programs.jsonl");
-    let found: Vec<Program> = text
+    let parsed: Vec<Program> = text
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
@@ -101,13 +101,13 @@
             .map(|program| program.name.clone())
             .collect()
     };
-    assert_eq!(names(&found), names(&programs()));
-    assert_eq!(found, programs());
-    assert_eq!(json(&found), text);
+    assert_eq!(names(&parsed), names(&programs()));
+    assert_eq!(parsed, programs());
+    assert_eq!(json(&parsed), text);
 }
 
 #[test]
-fn a_program_that_is_written_otherwise_is_refused_with_the_form_that_is_wanted() {
+fn invalid_program_is_rejected_with_the_expected_form() {
     let error = serde_json::from_str::<Program>("\"r-1\"").unwrap_err();
     assert!(
         error
--- a/crates/happy-eyeballs/src/address.rs
+++ b/crates/happy-eyeballs/src/address.rs
@@ -1,4 +1,4 @@
-//! The address of a node, as it is written in files and as discovery lists it.
+//! The address of a node, as written in configuration files and listed by discovery.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -6,30 +6,30 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// The longest path of a Unix socket, in bytes.
+/// Maximum length of the path of a Unix socket, in bytes.
 const MAX_PATH_BYTES: usize = 100;
-/// What the text of a Unix socket's address begins with.
+/// Prefix of the text form of a Unix socket address.
 const UNIX_PREFIX: &str = "unix:";
 
-/// Where a node can be reached.
+/// An address at which a node can be reached.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Address {
     /// An IP address and port.
     Tcp(SocketAddr),
-    /// The path of a Unix socket.
+    /// The absolute path of a Unix socket.
     Unix(Arc<str>),
 }
 
-/// Why a text is no address.
+/// Why a text is not a valid address.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AddressError {
-    /// The path of a socket does not begin with a slash, ends with one, or has a NUL byte.
-    #[error("\"{0}\" is no absolute path of a socket")]
+    /// The path of a Unix socket does not start with a slash, ends with one, or contains a NUL byte.
+    #[error("\"{0}\" is not an absolute path of a Unix socket")]
     NotAbsolute(String),
-    /// The path of a socket is too long.
-    #[error("a socket's path has {MAX_PATH_BYTES} bytes at most")]
+    /// The path of a Unix socket is longer than allowed.
+    #[error("the path of a Unix socket may have at most {MAX_PATH_BYTES} bytes")]
     PathTooLong,
-    /// It is of neither form.
+    /// The text has neither of the two forms.
     #[error("\"{0}\" is neither IP:PORT nor unix:PATH")]
     UnknownForm(String),
     /// The port is 0.
@@ -40,7 +40,7 @@
 impl FromStr for Address {
     type Err = AddressError;
 
-    /// Reads `IP:PORT` or `unix:` and an absolute path.
+    /// Parses `IP:PORT`, or `unix:` followed by an absolute path.
     fn from_str(text: &str) -> Result<Address, AddressError> {
         match text.strip_prefix(UNIX_PREFIX) {
             Some(path) => unix_address(path),
--- a/crates/happy-eyeballs/src/address_list.rs
+++ b/crates/happy-eyeballs/src/address_list.rs
@@ -1,27 +1,27 @@
-//! The addresses of a node, and in what order they are tried (RFC 8305, section 4).
+//! The addresses of a node, and the order in which they are tried (RFC 8305, section 4).
 
 use crate::address::Address;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The most addresses of a node; more are left out.
+/// Maximum number of addresses of a node. Further ones are ignored.
 pub const MAX_ADDRESSES: usize = 8;
-/// How long an address comes after the others once it has failed, in microseconds; it doubles with each failure in a row.
+/// How long an address is ordered after the others when it has failed, in microseconds. Doubles with each consecutive failure.
 pub const INITIAL_BACKOFF: Micros = 1_000_000;
-/// How often that doubles.
+/// Maximum number of doublings of [`INITIAL_BACKOFF`].
 const MAX_DOUBLINGS: u32 = 6;
-/// Address families: Unix sockets, IPv6, IPv4.
+/// Number of address families: Unix sockets, IPv6 and IPv4.
 const FAMILIES: usize = 3;
 
-/// What came of using an address.
+/// Result of using an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressOutcome {
-    /// It responded.
+    /// The node responded.
     Responded,
-    /// It refused the connection, does not exist, or did not accept in time.
+    /// The connection was refused or timed out, or the address does not exist.
     Unreachable,
-    /// It accepted a request and did not respond in time.
+    /// The node accepted a request but did not respond in time.
     TimedOut,
 }
 
@@ -29,10 +29,10 @@
 struct AddressState {
     #[serde(rename = "place")]
     address: Address,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     #[serde(rename = "strikes")]
     failures: u32,
-    /// Until then it comes after the addresses that have not failed.
+    /// Until this time the address is ordered after those without a recent failure.
     #[serde(rename = "rests_until")]
     backoff_until: Micros,
 }
@@ -50,7 +50,8 @@
         now < self.backoff_until
     }
 
-    /// Families take turns: one that does not work on this machine must not cost more than one delay.
+    /// Index of the address family. Addresses of different families alternate, so that a family that does not work on this machine
+    /// costs at most one delay.
     fn family(&self) -> usize {
         match self.address {
             Address::Unix(_) => 0,
@@ -60,12 +61,13 @@
     }
 }
 
-/// The addresses of a node. It passes to the next process of an ingress in a positional form: fields keep their order.
+/// The addresses of a node and their recent failures. A handover passes the list to the successor in a positional format, so fields
+/// must keep their order.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct AddressList(Vec<AddressState>);
 
 impl AddressList {
-    /// Takes the addresses that are listed now; what is known of those that stay is kept. Whether one was removed.
+    /// Replaces the list with `addresses` and keeps the failure state of those already listed. Returns whether any address was removed.
     pub fn update(&mut self, mut addresses: Vec<Address>) -> bool {
         addresses.truncate(MAX_ADDRESSES);
         let previous = std::mem::take(&mut self.0);
@@ -89,7 +91,7 @@
         self.0.iter().any(|state| state.address == *address)
     }
 
-    /// The only address, where there is but one: no order is needed.
+    /// The address if there is exactly one, in which case no order is needed.
     pub fn only(&self) -> Option<&Address> {
         match &self.0[..] {
             [state] => Some(&state.address),
@@ -97,8 +99,8 @@
         }
     }
 
-    /// The addresses, best first: those that have not failed lately, families in turns and within one as listed; then those
-    /// that have, the one whose backoff ends first in front.
+    /// The addresses in the order in which to try them. Those without a recent failure come first, alternating between families and
+    /// in listed order within a family. The others follow, ordered by the end of their backoff.
     pub fn ordered(&self, now: Micros) -> Vec<Address> {
         let mut by_family: [Vec<&AddressState>; FAMILIES] = Default::default();
         let mut backing_off = Vec::new();
@@ -116,7 +118,7 @@
             .collect()
     }
 
-    /// Records what came of using an address.
+    /// Records the result of using an address. Ignores an address that is not listed.
     pub fn record(&mut self, address: &Address, outcome: AddressOutcome, now: Micros) {
         let Some(state) = self.0.iter_mut().find(|state| state.address == *address) else {
             return;
@@ -135,8 +137,12 @@
     }
 }
 
-/// The first of each family, then the second of each, and so on.
+/// Yields the first item of each list, then the second of each, and so on.
 fn interleaved<'a, T>(lists: &'a [Vec<&'a T>]) -> impl Iterator<Item = &'a T> {
     let longest = lists.iter().map(Vec::len).max().unwrap_or(0);
-    (0..longest).flat_map(move |turn| lists.iter().filter_map(move |list| list.get(turn).copied()))
+    (0..longest).flat_map(move |index| {
+        lists
+            .iter()
+            .filter_map(move |list| list.get(index).copied())
+    })
 }
--- a/crates/happy-eyeballs/src/connection_race.rs
+++ b/crates/happy-eyeballs/src/connection_race.rs
@@ -1,40 +1,42 @@
-//! The times at which the connection attempts to one node begin (RFC 8305, section 5).
+//! The start times of connection attempts to one node (RFC 8305, section 5).
 
 use crate::address::Address;
 use crate::Micros;
 
-/// The delay between two attempts, as a part of the time that a connection may take.
-const ATTEMPTS_IN_TIMEOUT: Micros = 4;
-/// Its bounds, in microseconds (RFC 8305, section 8).
+/// The delay between two attempts is the connect timeout divided by this number.
+const ATTEMPTS_PER_TIMEOUT: Micros = 4;
+/// Bounds of the delay between two attempts, in microseconds (RFC 8305, section 8).
 const MIN_ATTEMPT_DELAY: Micros = 10_000;
+/// See [`MIN_ATTEMPT_DELAY`].
 const MAX_ATTEMPT_DELAY: Micros = 250_000;
 
-/// What a race needs next.
+/// What a [`ConnectionRace`] needs next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextConnect {
-    /// A connection attempt to this address begins now.
+    /// Start a connection attempt to this address now.
     Start(Address),
-    /// Nothing before this time, unless an attempt fails.
+    /// Start nothing before this time unless an attempt fails.
     WaitUntil(Micros),
-    /// Every address has been tried; attempts that are under way may still succeed.
+    /// Every address has been tried. Attempts in progress may still succeed.
     Exhausted,
 }
 
-/// Connection attempts to the addresses of one node for one request: each begins a delay after the one before it, or at once
-/// if that one failed.
+/// Connection attempts to the addresses of one node for one request. Each attempt starts a fixed delay after the previous one, or
+/// immediately if an attempt has failed.
 #[derive(Clone, Debug)]
 pub struct ConnectionRace {
-    /// The addresses that are still to be tried, the next one last.
+    /// Addresses still to be tried, in reverse order.
     remaining: Vec<Address>,
     attempt_delay: Micros,
     next_at: Micros,
 }
 
 impl ConnectionRace {
-    /// A race over addresses in their order, each of which may take `connect_timeout` to accept.
+    /// Creates a race over addresses in the given order. `connect_timeout` is the time limit of each attempt; the first attempt starts
+    /// at `now`.
     pub fn new(mut ordered: Vec<Address>, connect_timeout: Micros, now: Micros) -> ConnectionRace {
         ordered.reverse();
-        let delay = connect_timeout / ATTEMPTS_IN_TIMEOUT;
+        let delay = connect_timeout / ATTEMPTS_PER_TIMEOUT;
         ConnectionRace {
             remaining: ordered,
             attempt_delay: delay.clamp(MIN_ATTEMPT_DELAY, MAX_ATTEMPT_DELAY),
@@ -42,7 +44,7 @@
         }
     }
 
-    /// What is to be done now.
+    /// The next step at time `now`. After [`NextConnect::Start`], the address counts as tried.
     pub fn next(&mut self, now: Micros) -> NextConnect {
         if self.remaining.is_empty() {
             return NextConnect::Exhausted;
@@ -56,12 +58,12 @@
             .map_or(NextConnect::Exhausted, NextConnect::Start)
     }
 
-    /// When the next attempt is due; none where all addresses have been tried.
+    /// When the next attempt is due, or `None` if all addresses have been tried.
     pub fn next_due(&self) -> Option<Micros> {
         (!self.remaining.is_empty()).then_some(self.next_at)
     }
 
-    /// An attempt has failed: the next one need not wait.
+    /// Reports a failed attempt: the next one may start immediately.
     pub fn attempt_failed(&mut self, now: Micros) {
         self.next_at = now;
     }
--- a/crates/happy-eyeballs/tests/addresses.rs
+++ b/crates/happy-eyeballs/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Which texts are addresses, in what order addresses are tried, and when attempts begin.
+//! Parsing of addresses, the order in which they are tried, and the start times of attempts.
 
 use proptest::prelude::{prop_assert, prop_assert_eq, proptest, Strategy};
 use wrenfork_happy_eyeballs::{
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn only_an_ip_with_a_port_or_an_absolute_socket_path_is_an_address() {
+fn only_ip_with_port_or_absolute_socket_path_is_an_address() {
     for text in [
         "",
         "localhost:80",
@@ -41,7 +41,7 @@
     }
 }
 
-const FIVE: [&str; 5] = [
+const FIVE_ADDRESSES: [&str; 5] = [
     "127.0.0.1:1",
     "127.0.0.2:1",
     "[::1]:1",
@@ -50,16 +50,16 @@
 ];
 
 #[test]
-fn families_take_turns_and_addresses_that_failed_come_last_for_a_while() {
-    let mut list = list(&FIVE);
-    let families_in_turns = [
+fn families_alternate_and_recently_failed_addresses_come_last() {
+    let mut list = list(&FIVE_ADDRESSES);
+    let alternating_families = [
         "unix:/a",
         "[::1]:1",
         "127.0.0.1:1",
         "[::2]:1",
         "127.0.0.2:1",
     ];
-    assert_eq!(ordered(&list, 0), families_in_turns);
+    assert_eq!(ordered(&list, 0), alternating_families);
     list.record(&address("unix:/a"), AddressOutcome::Unreachable, 0);
     list.record(&address("[::1]:1"), AddressOutcome::TimedOut, 0);
     list.record(&address("[::1]:1"), AddressOutcome::TimedOut, 0);
@@ -72,19 +72,25 @@
     ];
     assert_eq!(ordered(&list, 1), failed_last);
     let after_backoff = ordered(&list, INITIAL_BACKOFF);
-    assert_eq!(after_backoff[0], "unix:/a", "its backoff is over");
+    assert_eq!(
+        after_backoff[0], "unix:/a",
+        "unix:/a must be first again after its backoff"
+    );
     list.record(
         &address("[::1]:1"),
         AddressOutcome::Responded,
         INITIAL_BACKOFF,
     );
     let after_response = ordered(&list, INITIAL_BACKOFF);
-    assert_eq!(after_response[1], "[::1]:1", "it responded");
+    assert_eq!(
+        after_response[1], "[::1]:1",
+        "[::1]:1 must lose its backoff when it responds"
+    );
 }
 
 #[test]
-fn an_update_says_whether_an_address_was_removed() {
-    let mut list = list(&FIVE);
+fn update_reports_whether_an_address_was_removed() {
+    let mut list = list(&FIVE_ADDRESSES);
     let six = [
         "[::1]:1",
         "unix:/a",
@@ -100,7 +106,7 @@
 }
 
 #[test]
-fn an_attempt_begins_a_delay_after_the_one_before_or_at_once_after_a_failure() {
+fn attempts_start_after_a_delay_or_immediately_after_a_failure() {
     let addresses = list(&["127.0.0.1:1", "[::1]:1", "unix:/a"]);
     let mut race = ConnectionRace::new(addresses.ordered(0), 200_000, 5);
     let start = |text| NextConnect::Start(address(text));
@@ -132,7 +138,8 @@
 }
 
 /// The addresses that a race starts, in their order; each wait goes forward.
-fn started(mut race: ConnectionRace, mut now: Micros) -> Vec<Address> {
+/// The addresses in the order in which a race starts attempts to them.
+fn attempted_addresses(mut race: ConnectionRace, mut now: Micros) -> Vec<Address> {
     let mut started = Vec::new();
     loop {
         match race.next(now) {
@@ -148,7 +155,7 @@
 
 proptest! {
     #[test]
-    fn every_address_is_tried_once_whatever_failed_before(
+    fn every_address_is_tried_exactly_once_after_any_failures(
         addresses in proptest::collection::vec(any_address(), 0..12),
         events in proptest::collection::vec((0usize..12, any_outcome(), 0u64..200_000_000), 0..40),
         now in 0u64..400_000_000,
@@ -164,7 +171,7 @@
         expected.sort();
         expected.dedup();
         let mut ordered = list.ordered(now);
-        prop_assert_eq!(&started(ConnectionRace::new(ordered.clone(), 1, now), now), &ordered);
+        prop_assert_eq!(&attempted_addresses(ConnectionRace::new(ordered.clone(), 1, now), now), &ordered);
         ordered.sort();
         prop_assert!(ordered == expected, "{:?} {:?}", ordered, expected);
     }
--- a/crates/happy-eyeballs/tests/golden.rs
+++ b/crates/happy-eyeballs/tests/golden.rs
@@ -1,7 +1,6 @@
-//! What is known of a node's addresses, byte for byte in the positional form in which it passes from one process of an
-//! ingress to the next.
+//! Checks the exact bytes of address lists in the positional format that a handover passes to the successor.
 //!
-//! The files in `golden/` are written by hand alone: `cargo test -p wrenfork-happy-eyeballs --test golden -- --ignored`.
+//! The golden files are only written by hand, with `cargo test -p wrenfork-happy-eyeballs --test golden -- --ignored`.
 
 use std::fs;
 use std::path::PathBuf;
@@ -41,14 +40,14 @@
 }
 
 #[test]
-fn every_form_is_written_as_in_its_golden_file() {
+fn values_are_written_as_in_their_golden_files() {
     for (name, bytes) in files() {
         assert_eq!(bytes, fs::read(path(name)).unwrap(), "{name}");
     }
 }
 
 #[test]
-fn every_golden_file_reads_back_and_is_written_again_the_same() {
+fn golden_files_are_read_and_rewritten_unchanged() {
     let bytes = fs::read(path("addresses.postcard")).unwrap();
     let read: Vec<Address> = postcard::from_bytes(&bytes).unwrap();
     assert_eq!(read, addresses());
@@ -65,7 +64,7 @@
 }
 
 #[test]
-#[ignore = "writes the golden files: run by hand, before a form is changed on purpose"]
+#[ignore = "writes the golden files; run by hand after an intended format change"]
 fn write_the_golden_files() {
     for (name, bytes) in files() {
         fs::write(path(name), bytes).unwrap();
--- a/crates/ingress/src/backend/reading.rs
+++ b/crates/ingress/src/backend/reading.rs
@@ -186,7 +186,7 @@
     if !activity.is_attempt() || !c.is_sent() {
         return false;
     }
-    let Some(begun) = LongAnswer::begin(&c.buf) else {
+    let Some(begun) = LongAnswer::start(&c.buf) else {
         return false;
     };
     c.buf.drain(..begun.head);
--- a/crates/ingress/src/backend/response.rs
+++ b/crates/ingress/src/backend/response.rs
@@ -20,8 +20,8 @@
 pub(super) fn interpret(buf: &[u8], reply: &Reply, activity: Activity) -> Option<Response> {
     match (reply, activity) {
         (Reply::Array(list), Activity::Attempt(..)) => interpret_served(buf, list),
-        (Reply::One(e), _) if e.kind == Kind::Error => Some(interpret_error(&buf[e.text.clone()])),
-        (Reply::One(e), Activity::HealthCheck) if e.kind == Kind::Bulk => Some(Response {
+        (Reply::Single(e), _) if e.kind == Kind::Error => Some(interpret_error(&buf[e.text.clone()])),
+        (Reply::Single(e), Activity::HealthCheck) if e.kind == Kind::Bulk => Some(Response {
             outcome: Outcome::Ok,
             value: Vec::new(),
             report: parse_report(&buf[e.text.clone()]),
--- a/crates/ingress/src/backend/streaming.rs
+++ b/crates/ingress/src/backend/streaming.rs
@@ -95,7 +95,7 @@
         };
         self.end_with(key, response, now);
         let state = AnswerState {
-            nothing_behind: end.nothing_behind,
+            nothing_behind: end.nothing_follows,
             sound: true,
         };
         if self.reuse(key, now, state) == Reuse::Close {
--- a/crates/ingress/src/backend/tests.rs
+++ b/crates/ingress/src/backend/tests.rs
@@ -35,7 +35,7 @@
 
 /// Connections that are idle, in use with a long body and a long answer, and in a health check.
 pub(crate) fn sample() -> SavedBackends<Connection<()>> {
-    let begun = LongAnswer::begin(b"*3\r\n$70000\r\nabc").unwrap();
+    let begun = LongAnswer::start(b"*3\r\n$70000\r\nabc").unwrap();
     let attempt = Connection {
         idle_before: Some(1_000_012),
         out: b"*5\r\n$9\r\nCALL.POST\r\n".to_vec(),
--- a/crates/ingress/src/client/commands.rs
+++ b/crates/ingress/src/client/commands.rs
@@ -95,7 +95,7 @@
         at: &mut usize,
         length: usize,
     ) -> Option<Result<Call, CallError>> {
-        let body = self.arguments.get(resp::BODY);
+        let body = self.arguments.get(resp::BODY_INDEX);
         if body.is_some_and(|body| body.len() > resp::MAX_VALUE) {
             let command = self.take_long_command(key, *at, length);
             return Call::read_long(command, &self.arguments, &self.vocabulary);
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a route means. A class of requests goes to a pool of nodes; where that has nobody to take it, to the pool that it falls
-//! back on, and so on; a fraction of the customers may be sent to a canary pool first. This package says which nodes may be
-//! asked, and in what order of pools. Which node of a pool serves a request, whether it is retried and what is rejected is for
-//! the decision module alone. No I/O, no clock.
+//! Routes and pools. Each class of requests has a route to a pool of nodes. If no node of the pool can take the request, it goes to
+//! the fallback of that pool, and so on. A fraction of the customers can be sent to a canary pool first. This package determines
+//! which nodes may serve a request, and the order of the pools. The decision module chooses the node within a pool and decides
+//! about retries and rejections. No I/O, no clock.
 
 mod path;
 mod selector;
--- a/crates/routes/src/path.rs
+++ b/crates/routes/src/path.rs
@@ -1,16 +1,16 @@
-//! All paths of requests, made once of a table: a request's path is found without a walk over the table.
+//! The pools of each route in order, computed once per table so that no request has to walk the table.
 
 use crate::table::{is_sampled, PoolId, Route, Table};
 
-/// The most pools that a request may go to one after the other.
+/// Maximum number of pools on a path. Pools after these are left out.
 pub const MAX_TIERS: usize = 4;
 
-/// The pools that a request may go to.
+/// The pools that a request may go to, in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RoutePath {
-    /// Pools by number from 1, best first; 0 ends them.
+    /// Pools in order of preference, each as its index plus 1. Unused entries at the end are 0.
     pub tiers: [u8; MAX_TIERS],
-    /// How many of them are its own, rather than what it falls back on.
+    /// How many of the pools, counted from the first, belong to the route itself and are not fallbacks.
     pub own: u8,
 }
 
@@ -27,14 +27,14 @@
     }
 }
 
-/// The path of a class's canary.
+/// The path of the canary customers of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct CanaryPath {
     path: RoutePath,
     fraction: f64,
 }
 
-/// The paths of a class.
+/// The paths of a class: the regular one and that of canary customers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct ClassPaths {
     path: RoutePath,
@@ -46,7 +46,7 @@
         let order = table.order_or_first(route.pool);
         let canary = route.canary.map(|canary| {
             let others = order.iter().copied().filter(|pool| *pool != canary.pool);
-            // A canary customer has the pool that others have as a second one of its own.
+            // For a canary customer, the regular pool also belongs to the route and is not a fallback.
             let path = RoutePath::new(std::iter::once(canary.pool).chain(others), 2);
             CanaryPath {
                 path,
@@ -60,12 +60,12 @@
     }
 }
 
-/// The paths of all classes.
+/// The paths of all classes of a table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoutePaths(Vec<ClassPaths>);
 
 impl RoutePaths {
-    /// The paths of a table.
+    /// Computes the paths of all classes of a table.
     pub fn of(table: &Table) -> RoutePaths {
         let classes = table.routes.iter().map(|route| match route {
             Some(route) => ClassPaths::of(table, route),
@@ -74,7 +74,7 @@
         RoutePaths(classes.collect())
     }
 
-    /// The path of a customer's request of a class.
+    /// The path of requests of a class from a customer. It is empty if the class has no route.
     pub fn path(&self, class: usize, customer: u64) -> RoutePath {
         let Some(paths) = self.0.get(class) else {
             return RoutePath::default();
--- a/crates/routes/src/selector.rs
+++ b/crates/routes/src/selector.rs
@@ -1,39 +1,41 @@
-//! Which nodes are of a pool.
+//! Selects the nodes of a pool.
 
-/// The labels of a node, by which a pool selects it.
+/// The labels of a node. Pools select nodes by them.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeLabels<'a> {
-    /// The name that discovery knows it by.
+    /// Name of the node in discovery.
     pub name: &'a str,
-    /// The zone group that it stands in.
+    /// Zone group of the node.
     pub zone_group: &'a str,
-    /// The type of its machine.
+    /// Machine type of the node.
     pub machine_type: &'a str,
-    /// The cell: nodes that know each other's idempotency keys.
+    /// Cell of the node. Nodes of the same cell share their idempotency keys.
     pub cell: u64,
 }
 
-/// Selects the nodes that have one of the zone groups, one of the machine types, one of the cells and one of the names; a list
-/// that is empty leaves the choice open.
+/// Selects the nodes whose zone group, machine type, cell and name are each in the corresponding list. An empty list matches every
+/// node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Selector {
-    /// Zone groups.
+    /// Allowed zone groups.
     pub zone_groups: Vec<String>,
-    /// Types of machines.
+    /// Allowed machine types.
     pub machine_types: Vec<String>,
-    /// Cells.
+    /// Allowed cells.
     pub cells: Vec<u64>,
-    /// Nodes by name.
+    /// Allowed node names.
     pub nodes: Vec<String>,
 }
 
 impl Selector {
-    /// Whether a node is selected.
+    /// Whether the selector selects a node.
     pub fn matches(&self, node: &NodeLabels) -> bool {
-        let has = |list: &[String], label: &str| list.is_empty() || list.iter().any(|l| l == label);
-        has(&self.zone_groups, node.zone_group)
-            && has(&self.machine_types, node.machine_type)
+        let allows = |list: &[String], label: &str| {
+            list.is_empty() || list.iter().any(|entry| entry == label)
+        };
+        allows(&self.zone_groups, node.zone_group)
+            && allows(&self.machine_types, node.machine_type)
             && (self.cells.is_empty() || self.cells.contains(&node.cell))
-            && has(&self.nodes, node.name)
+            && allows(&self.nodes, node.name)
     }
 }
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -3,57 +3,57 @@
 use crate::selector::{NodeLabels, Selector};
 use std::collections::BTreeSet;
 
-/// The most pools of a table: a set of them is a word of bits.
+/// Maximum number of pools of a table. A set of pools is a bit mask in a `u64`.
 pub const MAX_POOLS: usize = 64;
 
-/// A pool, by its place in [`Table::pools`].
+/// Index of a pool in [`Table::pools`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PoolId(pub u8);
 
 impl PoolId {
-    /// The set of this pool alone.
+    /// Bit mask that contains only this pool.
     pub fn bit(self) -> u64 {
         1 << (self.0 as usize % MAX_POOLS)
     }
 }
 
-/// A pool.
+/// A pool of nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pool {
-    /// Its nodes.
+    /// Selects the nodes of the pool.
     pub selector: Selector,
-    /// The pool to go to where this one has no node that takes work.
+    /// The pool used when no node of this pool can take a request.
     pub fallback: Option<PoolId>,
 }
 
-/// A canary: some customers go to another pool first.
+/// A canary: a fraction of the customers is sent to another pool first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Canary {
-    /// Where to.
+    /// The canary pool.
     pub pool: PoolId,
-    /// The fraction of customers, from 0 to 1.
+    /// Fraction of the customers that are sent to the canary pool, from 0 to 1.
     pub fraction: f64,
 }
 
-/// Where a class goes.
+/// The route of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Route {
-    /// The first pool.
+    /// The pool that requests go to first, except those of canary customers.
     pub pool: PoolId,
-    /// A canary.
+    /// The canary, if there is one.
     pub canary: Option<Canary>,
 }
 
-/// Why a table can't be used.
+/// An error in a table.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TableError {
-    /// More than [`MAX_POOLS`].
+    /// The table has more than [`MAX_POOLS`] pools.
     #[error("more than {MAX_POOLS} pools")]
     TooManyPools,
-    /// A pool that does not exist, named by a route or a fallback.
+    /// A route or a fallback refers to a pool that does not exist.
     #[error("pool {} does not exist", .0.0)]
     UnknownPool(PoolId),
-    /// Pools that fall back on each other in a cycle, in that order.
+    /// The fallbacks of these pools form a cycle, in this order.
     #[error("pools fall back on each other in a cycle: {0:?}")]
     FallbackCycle(Vec<PoolId>),
 }
@@ -61,28 +61,28 @@
 /// The pools and routes of an application.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
-    /// The pools.
+    /// The pools. [`PoolId`] is the index in this list.
     pub pools: Vec<Pool>,
-    /// By class; none where a class may go to any node.
+    /// Routes by class index. A class without a route may go to any node.
     pub routes: Vec<Option<Route>>,
 }
 
-/// Whether a customer of a class belongs to such a fraction of them: always the same for the same pair. The pair is hashed by
-/// SplitMix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", OOPSLA 2014).
+/// Whether a customer is in the sample of a class that contains `fraction` of all customers. The result is always the same for the
+/// same class, customer and fraction. The class and the customer are hashed with SplitMix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", OOPSLA 2014).
 pub(crate) fn is_sampled(class: u64, customer: u64, fraction: f64) -> bool {
-    let mut z = customer.wrapping_add((class + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15));
-    z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-    z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-    let sample = ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64;
+    let mut hash = customer.wrapping_add((class + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15));
+    hash = (hash ^ (hash >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+    hash = (hash ^ (hash >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+    let sample = ((hash ^ (hash >> 31)) >> 11) as f64 / (1u64 << 53) as f64;
     sample < fraction
 }
 
 impl Table {
-    /// The pools from one on, in the order of falling back.
+    /// The pools starting with `first`, each followed by its fallback.
     ///
     /// # Errors
     ///
-    /// Where the order never ends or leads nowhere.
+    /// If the fallbacks form a cycle or refer to a pool that does not exist.
     pub fn fallback_order(&self, first: PoolId) -> Result<Vec<PoolId>, TableError> {
         let mut order = vec![first];
         let mut current = first;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Why the table can't be used, each reason once.
+    /// All errors of the table, each once. Empty if the table is valid.
     pub fn errors(&self) -> Vec<TableError> {
         if self.pools.len() > MAX_POOLS {
             return vec![TableError::TooManyPools];
@@ -120,8 +120,8 @@
     fn fallback_errors(&self) -> Vec<TableError> {
         let mut errors = Vec::new();
         let mut in_cycles = BTreeSet::new();
-        for n in 0..self.pools.len() {
-            match self.fallback_order(PoolId(n as u8)) {
+        for index in 0..self.pools.len() {
+            match self.fallback_order(PoolId(index as u8)) {
                 Err(TableError::FallbackCycle(pools))
                     if !pools.iter().any(|pool| in_cycles.contains(pool)) =>
                 {
@@ -137,27 +137,27 @@
         errors
     }
 
-    /// The set of the pools that a node is of.
+    /// Bit mask of the pools that a node belongs to.
     pub fn pools_of(&self, node: &NodeLabels) -> u64 {
         let pools = (0u8..).zip(self.pools.iter().take(MAX_POOLS));
         pools
             .filter(|(_, pool)| pool.selector.matches(node))
-            .fold(0, |set, (n, _)| set | PoolId(n).bit())
+            .fold(0, |set, (index, _)| set | PoolId(index).bit())
     }
 
     fn route(&self, class: usize) -> Option<Route> {
         self.routes.get(class).copied().flatten()
     }
 
-    /// Whether a customer takes part in a class's canary. It always does or never: what a customer requests again goes to the
-    /// pool that may have done it already.
+    /// Whether a customer is a canary customer of a class. The result never changes for a customer, so that a repeated request goes to
+    /// the pool that may already have run it.
     pub fn is_canary_customer(&self, class: usize, customer: u64) -> bool {
         let canary = self.route(class).and_then(|route| route.canary);
         canary.is_some_and(|canary| is_sampled(class as u64, customer, canary.fraction))
     }
 
-    /// The sets of pools that a customer's request of a class may go to, best first; none where any node will do. A canary
-    /// falls back on the pools that others go to.
+    /// Bit masks of the pools that requests of a class from a customer may go to, in order of preference. `None` if the class has no
+    /// route and may go to any node. Canary customers fall back to the pools of the other customers.
     pub fn tiers(&self, class: usize, customer: u64) -> Option<Vec<u64>> {
         let route = self.route(class)?;
         let canary = route
@@ -169,13 +169,13 @@
         Some(canary.into_iter().chain(others).map(PoolId::bit).collect())
     }
 
-    /// The order of falling back, or the first pool alone where that is not valid.
+    /// The fallback order of a pool, or the pool alone if its fallbacks are invalid.
     pub(crate) fn order_or_first(&self, first: PoolId) -> Vec<PoolId> {
         self.fallback_order(first).unwrap_or_else(|_| vec![first])
     }
 }
 
-/// The pools that a route names.
+/// The pools that a route refers to, including its canary pool.
 fn pools_of_route(route: &Route) -> impl Iterator<Item = PoolId> {
     let canary = route.canary.map(|canary| canary.pool);
     std::iter::once(route.pool).chain(canary)
--- a/crates/routes/tests/routes.rs
+++ b/crates/routes/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which nodes are of a pool, in what order pools fall back, and which pools a request may go to.
+//! Selection of nodes for pools, the fallback order of pools, and the pools that a request may go to.
 
 use proptest::prelude::{prop, prop_assert_eq, proptest};
 use std::collections::BTreeSet;
@@ -47,42 +47,42 @@
 }
 
 #[test]
-fn a_selector_matches_nodes_that_have_one_label_of_each_list() {
-    let one = node("s-1", "hall-a", "std", 3);
+fn selector_matches_nodes_with_a_label_in_each_list() {
+    let standard_node = node("s-1", "hall-a", "std", 3);
     let selector = Selector {
         zone_groups: list(&["hall-b", "hall-a"]),
         machine_types: list(&["std"]),
         ..Selector::default()
     };
-    assert!(selector.matches(&one));
+    assert!(selector.matches(&standard_node));
     assert!(!selector.matches(&node("s-1", "hall-a", "small", 3)));
     assert!(
-        Selector::default().matches(&one),
-        "an empty one matches all"
+        Selector::default().matches(&standard_node),
+        "an empty selector must match every node"
     );
     let other_cell = Selector {
         cells: vec![4],
         ..selector.clone()
     };
-    assert!(!other_cell.matches(&one));
+    assert!(!other_cell.matches(&standard_node));
     let other_name = Selector {
         nodes: list(&["s-2"]),
         ..selector
     };
-    assert!(!other_name.matches(&one));
+    assert!(!other_name.matches(&standard_node));
 }
 
 #[test]
-fn pools_fall_back_in_order() {
+fn pools_are_followed_by_their_fallbacks_in_order() {
     let table = pools(&[Some(2), None, Some(1)]);
     let order = [0, 2, 1].map(PoolId).to_vec();
     assert_eq!(table.fallback_order(PoolId(0)), Ok(order));
     assert!(table.errors().is_empty());
 }
 
-/// Guards against a walk without an end, and against a cycle that is reported once for each of its pools.
+/// Guards against endless iteration over a cycle, and against reporting a cycle once for each of its pools.
 #[test]
-fn a_cycle_is_reported_once_with_the_pools_in_it_alone() {
+fn fallback_cycle_is_reported_once_with_only_its_own_pools() {
     let table = pools(&[Some(1), Some(2), Some(1), Some(3)]);
     let cycle = |list: &[u8]| {
         let pools = list.iter().map(|n| PoolId(*n));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn an_unknown_pool_and_too_many_pools_are_errors() {
+fn unknown_pool_and_too_many_pools_are_errors() {
     let mut table = pools(&[Some(9)]);
     table.routes.push(Some(Route {
         pool: PoolId(5),
@@ -107,16 +107,19 @@
 }
 
 #[test]
-fn a_canary_comes_first_for_its_fraction_of_customers_and_falls_back_on_the_others_pools() {
+fn canary_customers_go_to_the_canary_pool_first_then_to_the_regular_pools() {
     let mut table = pools(&[Some(1), None, None]);
     table.routes = vec![None, route(2, 0.1)];
-    let any = table.tiers(0, 7);
-    assert_eq!(any, None, "a class without a route goes anywhere");
+    let tiers_without_route = table.tiers(0, 7);
+    assert_eq!(
+        tiers_without_route, None,
+        "a class without a route may go to any node"
+    );
     let customers = (0..10_000).filter(|c| table.is_canary_customer(1, *c));
     let count = customers.count();
     assert!(
         (900..1_100).contains(&count),
-        "{count} of 10,000 with a fraction of a tenth"
+        "{count} of 10,000 customers are in a canary with a fraction of 0.1"
     );
     for customer in 0..200 {
         let expected = if table.is_canary_customer(1, customer) {
@@ -128,12 +131,12 @@
     }
 }
 
-/// As the first version drew them.
+/// First canary customers of classes 0 and 1, as selected since the first version.
 const FIRST_CANARY_CUSTOMERS: [[u64; 4]; 2] = [[10, 18, 21, 41], [7, 14, 16, 20]];
 
-/// Guards against other customers than before: requests of a customer keep to the pool that may have served it before.
+/// Guards against a change of the canary customers: a repeated request must go to the pool that may already have run it.
 #[test]
-fn the_canary_customers_of_a_class_never_change() {
+fn canary_customers_of_a_class_never_change() {
     let mut table = pools(&[None, None]);
     table.routes = vec![route(1, 0.1), route(1, 0.1)];
     let first = |class| {
@@ -144,9 +147,9 @@
     assert_eq!(first(1), FIRST_CANARY_CUSTOMERS[1]);
 }
 
-/// Guards against a path that is not what the table says.
+/// Guards against precomputed paths that differ from the tiers of the table.
 #[test]
-fn a_path_has_the_tables_tiers() {
+fn paths_contain_the_tiers_of_the_table() {
     let mut table = pools(&[Some(1), None, None]);
     table.routes = vec![None, route(2, 0.3)];
     let paths = RoutePaths::of(&table);
@@ -162,16 +165,16 @@
 }
 
 proptest! {
-    /// Whatever the table, walking it ends, and each pool of an order is there once.
+    /// For any table, a fallback order is finite and contains each pool at most once.
     #[test]
-    fn every_fallback_order_ends(
+    fn every_fallback_order_is_finite_and_has_no_duplicates(
         fallbacks in prop::collection::vec(prop::option::of(0u8..12), 0..10),
         first in 0u8..12,
     ) {
         let table = pools(&fallbacks);
         if let Ok(order) = table.fallback_order(PoolId(first)) {
-            let once: BTreeSet<PoolId> = order.iter().copied().collect();
-            prop_assert_eq!(once.len(), order.len());
+            let distinct: BTreeSet<PoolId> = order.iter().copied().collect();
+            prop_assert_eq!(distinct.len(), order.len());
         }
         let mut all = (0..fallbacks.len()).map(|n| PoolId(n as u8));
         let is_invalid = all.any(|first| table.fallback_order(first).is_err());
--- a/crates/supervisor/src/catalog.rs
+++ b/crates/supervisor/src/catalog.rs
@@ -1,12 +1,12 @@
-//! What is known of the programs' files.
+//! The executable files available on the machine.
 
 use wrenfork_compatibility::Program;
 
-/// The programs that there are files of.
+/// The programs whose executable files exist on the machine.
 pub trait ProgramCatalog {
-    /// Whether there is a file with the program's digest.
+    /// Whether a file with the digest of the program exists.
     fn contains(&self, program: &Program) -> bool;
 
-    /// Whether the new program can take over from the old one while that serves.
+    /// Whether the new program can take over from the old one by a handover, while the old one serves.
     fn can_take_over(&self, old: &Program, new: &Program) -> bool;
 }
--- a/crates/supervisor/src/event.rs
+++ b/crates/supervisor/src/event.rs
@@ -1,90 +1,90 @@
-//! What a supervisor is told, and what it wants done.
+//! Events reported to a supervisor, and the actions that it requests.
 
 use wrenfork_compatibility::Program;
 
-/// One of the two processes that a supervisor has at the most.
+/// One of the at most two processes of a supervisor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSlot {
-    /// The one that serves, or is to.
+    /// The process that serves or is starting to serve.
     Serving,
-    /// The one that is to take over from it.
+    /// The process that is started to take over from the serving one.
     Successor,
 }
 
 /// A program that the group wants an ingress to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WantedProgram {
-    /// Which.
+    /// The program that the group wants.
     pub program: Program,
     /// Whether the ingress may change to it now.
     pub may_change: bool,
 }
 
-/// What an ingress answers when it is asked for its status.
+/// Answer of an ingress to a status request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// Nothing.
+    /// The ingress did not answer.
     NoAnswer,
-    /// Its status.
+    /// The ingress answered with its status.
     Status {
-        /// The program that answers.
+        /// The program that answered. `None` if it did not report one.
         running: Option<Program>,
-        /// What its group wants it to run.
+        /// The program that the group wants the ingress to run.
         wanted: Option<WantedProgram>,
-        /// Whether no rollout is under way.
+        /// Whether no rollout is in progress.
         settled: bool,
     },
 }
 
-/// What happened.
+/// An event reported to a supervisor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A process was found that an earlier supervisor had started.
+    /// A running process was found that an earlier supervisor started.
     Adopted(Program),
-    /// The ingress was asked for its status; this happens some times a second.
+    /// The ingress was polled for its status. This happens several times a second.
     Polled(Observation),
     /// A process has ended.
     Exited {
-        /// Which.
+        /// Slot of the process.
         slot: ProcessSlot,
-        /// How, in words.
+        /// Description of how it ended, such as its exit status.
         reason: String,
     },
 }
 
-/// How a process is ended.
+/// How to stop a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopMode {
-    /// By itself, with what it has open.
+    /// Ask the process to shut down and finish its open requests.
     Graceful,
-    /// At once.
+    /// Kill the process immediately.
     Kill,
 }
 
-/// What is to be done.
+/// An action that a supervisor requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Start a program.
     Start {
-        /// Which.
+        /// The program to start.
         program: Program,
-        /// For which slot: a successor is to take over from the process that serves.
+        /// Slot of the new process. A successor takes over from the serving process.
         slot: ProcessSlot,
-        /// Whether it replaces another program on purpose: whoever judges it must not take its start for a crash.
+        /// Whether the program intentionally replaces another one, so that the start must not be counted as a crash.
         replaces: bool,
     },
-    /// End a process.
+    /// Stop a process.
     Stop {
-        /// Which.
+        /// Slot of the process.
         slot: ProcessSlot,
-        /// How.
+        /// How to stop it.
         mode: StopMode,
     },
-    /// Tell the ingress that serves that a program does not come into service here.
+    /// Report to the serving ingress that a program cannot run on this machine.
     ReportUnfit {
-        /// Which.
+        /// The unfit program.
         program: Program,
-        /// Why, in words.
+        /// Why it is unfit, for operators.
         reason: String,
     },
     /// Write a line to the log.
--- a/crates/supervisor/src/lib.rs
+++ b/crates/supervisor/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of a supervisor that runs an ingress's process on a machine without the platform: which program runs, when it is
-//! restarted after a crash, when another program is started beside it, and which one is gone back to. No I/O and no clock: time
-//! is a [`std::time::Duration`] since any moment.
+//! The state machine of a supervisor, which runs an ingress process on a machine without the platform. It decides which program runs,
+//! when it is restarted after a crash, when a successor is started beside it, and which program it reverts to. No I/O and no clock:
+//! times are [`std::time::Duration`]s since an arbitrary epoch.
 //!
-//! Whoever carries this out reports what happens by [`Supervisor::step`] and does what comes back, in its order.
+//! The caller reports events to [`Supervisor::step`] and carries out the returned actions in order.
 
 mod catalog;
 mod event;
--- a/crates/supervisor/src/persistent_state.rs
+++ b/crates/supervisor/src/persistent_state.rs
@@ -1,16 +1,16 @@
-//! What a supervisor keeps on the disk.
+//! The state that a supervisor stores on disk.
 
 use serde::{Deserialize, Serialize};
 use wrenfork_compatibility::Program;
 
-/// What a supervisor must not forget, as it is stored.
+/// The state of a supervisor that must survive its restart, in its stored form.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PersistentState {
-    /// What the group wanted last.
+    /// The program that the group wanted most recently, once the supervisor began to change to it.
     pub wanted: Option<Program>,
-    /// The last program that has proven itself: what a machine starts with.
+    /// The last program that served through its probation. It is started first on a machine on which no process runs yet.
     pub proven: Option<Program>,
-    /// The program that was given up, until another one is wanted.
+    /// The program that failed on this machine. It is not tried again until the group has wanted another one.
     pub failed: Option<Program>,
 }
--- a/crates/supervisor/src/policy.rs
+++ b/crates/supervisor/src/policy.rs
@@ -1,21 +1,21 @@
-//! When processes are restarted and programs given up.
+//! Rules for restarting processes and giving up programs.
 
 use std::time::Duration;
 
-/// What is asked of a supervisor.
+/// Timing and limits of restarts and program changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RestartPolicy {
-    /// The delay before a crashed process is restarted; it doubles with each crash in a row.
+    /// Delay before a crashed process is restarted. Doubles with each consecutive crash.
     pub initial_backoff: Duration,
-    /// The longest of these delays.
+    /// Maximum delay before a restart.
     pub max_backoff: Duration,
-    /// How long a process may take until it answers, or has taken over; as long for its end.
+    /// Time limit for a new process to answer, for a successor to take over, and for a process to shut down.
     pub timeout: Duration,
-    /// How long a program must have served, with no other one wanted, until it counts as proven.
+    /// How long a program must serve, while no other program is wanted, before it counts as proven.
     pub probation: Duration,
-    /// Crashes in a row after which a program that is not proven is given up for the proven one.
+    /// Number of consecutive crashes after which an unproven program is replaced by the proven one.
     pub max_crashes: u32,
-    /// Whether the old process is ended before the new one is started, where it can't be taken over from.
+    /// Whether to stop the old process before starting the new one if no handover is possible between them.
     pub allow_cold_restart: bool,
 }
 
@@ -32,11 +32,11 @@
     }
 }
 
-/// How often the delay doubles at the most.
+/// Maximum number of doublings of the restart delay.
 const MAX_DOUBLINGS: u32 = 16;
 
 impl RestartPolicy {
-    /// The delay before a restart after so many crashes in a row.
+    /// Delay before a restart after this number of consecutive crashes.
     pub(crate) fn backoff(&self, crashes: u32) -> Duration {
         let doublings = crashes.saturating_sub(1).min(MAX_DOUBLINGS);
         let backoff = self.initial_backoff * 2u32.saturating_pow(doublings);
--- a/crates/supervisor/src/supervisor.rs
+++ b/crates/supervisor/src/supervisor.rs
@@ -7,30 +7,30 @@
 use std::time::Duration;
 use wrenfork_compatibility::Program;
 
-/// Hex digits of a program's digest that people are told.
-const SHORT_DIGEST: usize = 8;
+/// Number of hex digits of a digest shown in messages.
+const SHORT_DIGEST_DIGITS: usize = 8;
 
-/// Which processes there are.
+/// The processes that currently exist.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// None.
+    /// No process exists; `program` is started at `start_at`.
     Stopped {
         program: Program,
         start_at: Duration,
-        /// Whether it replaces another program on purpose.
+        /// Whether the program intentionally replaces another one.
         replaces: bool,
     },
-    /// One.
+    /// One process exists and serves or is starting.
     Running(RunningProcess),
-    /// One serves, and another one is to take over.
+    /// One process serves, and a second one was started to take over from it.
     TakingOver {
         old: Program,
         new: Program,
         since: Duration,
-        /// One of them is being ended: it took too long.
-        ending: bool,
+        /// Whether one of the processes was killed because the handover took too long.
+        killed: bool,
     },
-    /// One ends, and another program is started behind it.
+    /// The old process is shutting down. `new` is started after it has ended.
     Replacing {
         new: Program,
         since: Duration,
@@ -38,39 +38,39 @@
     },
 }
 
-/// A process that runs alone.
+/// The only process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct RunningProcess {
     program: Program,
     since: Duration,
-    /// Since when it answers.
+    /// Time of its first answer to a status request. `None` until it answers.
     answers_since: Option<Duration>,
-    /// It is being ended: it did not answer in time.
-    ending: bool,
+    /// Whether the process was killed because it did not answer in time.
+    killed: bool,
 }
 
-/// A program that was reported as unfit.
+/// A report that a program is unfit for this machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct UnfitReport {
     program: Program,
     reported_at: Duration,
 }
 
-/// Decides for one ingress's process.
+/// The state machine that supervises the process of one ingress.
 #[derive(Clone, Debug)]
 pub struct Supervisor {
     policy: RestartPolicy,
     persistent: PersistentState,
     state: State,
-    /// Crashes in a row.
+    /// Number of consecutive crashes.
     crashes: u32,
-    /// What was reported to the ingress last. It is repeated: another process may answer by now.
+    /// The last report of an unfit program. It is repeated from time to time, because another process may have started to answer since.
     last_report: Option<UnfitReport>,
 }
 
 impl Supervisor {
-    /// Starts on a machine on which nothing runs yet: with the proven program, else with the one wanted last, else with
-    /// `first`. What has no file any more is passed over.
+    /// Creates a supervisor for a machine on which no process runs yet. It starts the proven program, otherwise the one wanted last,
+    /// otherwise `first`. The proven and the wanted program are skipped if their files no longer exist, the wanted one also if it failed here.
     pub fn new(
         policy: RestartPolicy,
         persistent: PersistentState,
@@ -94,12 +94,12 @@
         }
     }
 
-    /// What is to be on the disk before anything else is done.
+    /// The state to store on disk. The caller must store it before it carries out the actions of a step.
     pub fn persistent_state(&self) -> &PersistentState {
         &self.persistent
     }
 
-    /// The program that serves, or is to.
+    /// The program that serves or will be started to serve.
     pub fn program(&self) -> &Program {
         match &self.state {
             State::Stopped { program, .. } => program,
@@ -117,7 +117,7 @@
         )
     }
 
-    /// Takes what happened; what is to be done.
+    /// Handles an event at time `now` and returns the actions to carry out, in order.
     pub fn step(
         &mut self,
         now: Duration,
@@ -126,35 +126,45 @@
     ) -> Vec<Action> {
         match event {
             Event::Adopted(program) => {
-                self.run(program, now, Some(now));
+                self.enter_running(program, now, Some(now));
                 Vec::new()
             }
-            Event::Exited { slot, reason } => self.exited(now, slot, &reason),
-            Event::Polled(observation) => self.polled(now, observation, catalog),
+            Event::Exited { slot, reason } => self.handle_exit(now, slot, &reason),
+            Event::Polled(observation) => self.handle_poll(now, observation, catalog),
         }
     }
 
-    /// From now on one process runs alone.
-    fn run(&mut self, program: Program, since: Duration, answers_since: Option<Duration>) {
+    /// Enters the state in which `program` is the only process.
+    fn enter_running(
+        &mut self,
+        program: Program,
+        since: Duration,
+        answers_since: Option<Duration>,
+    ) {
         self.state = State::Running(RunningProcess {
             program,
             since,
             answers_since,
-            ending: false,
+            killed: false,
         });
     }
 
-    fn exited(&mut self, now: Duration, slot: ProcessSlot, reason: &str) -> Vec<Action> {
+    fn handle_exit(&mut self, now: Duration, slot: ProcessSlot, reason: &str) -> Vec<Action> {
         match (self.state.clone(), slot) {
-            (State::Running(process), ProcessSlot::Serving) => self.crashed(now, process, reason),
+            (State::Running(process), ProcessSlot::Serving) => {
+                self.handle_crash(now, process, reason)
+            }
             (State::TakingOver { new, .. }, ProcessSlot::Serving) => {
-                // It has handed over, or has died; whichever it was, the other one goes on.
-                let line = format!("{} goes on alone", new.name);
-                self.run(new, now, None);
+                // The old process has handed over or crashed. In both cases the new one continues.
+                let line = format!(
+                    "the previous process has ended: {} is now the only process",
+                    new.name
+                );
+                self.enter_running(new, now, None);
                 vec![Action::Log(line)]
             }
             (State::TakingOver { old, new, .. }, ProcessSlot::Successor) => {
-                self.run(old, now, Some(now));
+                self.enter_running(old, now, Some(now));
                 self.persistent.failed = Some(new.clone());
                 let reason = format!("it did not come into service: {reason}");
                 self.report_unfit(now, new, reason)
@@ -171,12 +181,17 @@
         }
     }
 
-    /// The only process has ended by itself: it is restarted, or the proven program in its place.
-    fn crashed(&mut self, now: Duration, process: RunningProcess, reason: &str) -> Vec<Action> {
+    /// Handles a crash of the only process: schedules a restart, or the start of the proven program in its place.
+    fn handle_crash(
+        &mut self,
+        now: Duration,
+        process: RunningProcess,
+        reason: &str,
+    ) -> Vec<Action> {
         let program = process.program;
-        let proven_for = process.answers_since.map(|at| now.saturating_sub(at));
-        if proven_for.is_some_and(|served| served >= self.policy.probation) {
-            // One that served for long has not crashed because of how it was started.
+        let served_for = process.answers_since.map(|at| now.saturating_sub(at));
+        if served_for.is_some_and(|served| served >= self.policy.probation) {
+            // A process that served through its probation did not crash because of its start, so the backoff begins again.
             self.crashes = 0;
         }
         self.crashes += 1;
@@ -188,13 +203,13 @@
             self.crashes = 1;
         }
         let backoff = self.policy.backoff(self.crashes);
-        let what = if next == program {
-            "again"
+        let next_name = if next == program {
+            "the same program"
         } else {
             next.name.as_str()
         };
         let line = format!(
-            "{} ended ({reason}): {what} in {} ms",
+            "{} ended ({reason}): starting {next_name} in {} ms",
             program.name,
             backoff.as_millis()
         );
@@ -210,7 +225,7 @@
         now.saturating_sub(since) > self.policy.timeout
     }
 
-    fn polled(
+    fn handle_poll(
         &mut self,
         now: Duration,
         observation: Observation,
@@ -222,7 +237,7 @@
                 start_at,
                 replaces,
             } if now >= start_at => {
-                self.run(program.clone(), now, None);
+                self.enter_running(program.clone(), now, None);
                 vec![Action::Start {
                     program,
                     slot: ProcessSlot::Serving,
@@ -230,13 +245,15 @@
                 }]
             }
             State::Stopped { .. } => Vec::new(),
-            State::Running(process) => self.polled_running(now, process, observation, catalog),
+            State::Running(process) => self.handle_poll_running(now, process, observation, catalog),
             State::TakingOver {
                 old,
                 new,
                 since,
-                ending: false,
-            } if self.is_overdue(now, since) => self.end_take_over(old, new, since, &observation),
+                killed: false,
+            } if self.is_overdue(now, since) => {
+                self.kill_delaying_process(old, new, since, &observation)
+            }
             State::TakingOver { .. } => Vec::new(),
             State::Replacing {
                 new,
@@ -254,8 +271,8 @@
         }
     }
 
-    /// Ends the process that holds a take-over up.
-    fn end_take_over(
+    /// Kills the process that delays a handover.
+    fn kill_delaying_process(
         &mut self,
         old: Program,
         new: Program,
@@ -266,13 +283,13 @@
             Observation::Status { running, .. } => running.as_ref(),
             Observation::NoAnswer => None,
         };
-        // Once the new one answers, the old one has nothing any more that could be lost.
+        // Once the new process answers, it has taken over all state, so that killing the old one loses nothing.
         let has_taken_over = running == Some(&new) && new != old;
         self.state = State::TakingOver {
             old,
             new,
             since,
-            ending: true,
+            killed: true,
         };
         vec![Action::kill(if has_taken_over {
             ProcessSlot::Serving
@@ -281,7 +298,7 @@
         })]
     }
 
-    fn polled_running(
+    fn handle_poll_running(
         &mut self,
         now: Duration,
         process: RunningProcess,
@@ -292,12 +309,12 @@
             wanted, settled, ..
         } = observation
         else {
-            let never_answered = process.answers_since.is_none() && !process.ending;
+            let never_answered = process.answers_since.is_none() && !process.killed;
             if !never_answered || !self.is_overdue(now, process.since) {
                 return Vec::new();
             }
             self.state = State::Running(RunningProcess {
-                ending: true,
+                killed: true,
                 ..process
             });
             return vec![Action::kill(ProcessSlot::Serving)];
@@ -309,16 +326,16 @@
             ..process
         });
         match wanted.filter(|wanted| wanted.program != program) {
-            Some(wanted) => self.other_wanted(now, program, wanted, catalog),
+            Some(wanted) => self.handle_other_wanted(now, program, wanted, catalog),
             None => {
                 let served = now.saturating_sub(answers_since);
-                self.none_other_wanted(program, settled && served >= self.policy.probation)
+                self.handle_same_wanted(program, settled && served >= self.policy.probation)
             }
         }
     }
 
-    /// The program that runs is the one that is wanted.
-    fn none_other_wanted(&mut self, program: Program, is_proven: bool) -> Vec<Action> {
+    /// Handles a status in which no other program than the running one is wanted.
+    fn handle_same_wanted(&mut self, program: Program, is_proven: bool) -> Vec<Action> {
         self.last_report = None;
         if is_proven && self.persistent.proven.as_ref() != Some(&program) {
             self.crashes = 0;
@@ -327,18 +344,20 @@
                 proven: Some(program),
                 failed: None,
             };
-            return vec![Action::Log("it has proven itself".into())];
+            return vec![Action::Log(
+                "the program has served through its probation and is now proven".into(),
+            )];
         }
         let failed = self.persistent.failed.as_ref();
         if failed.is_some_and(|failed| *failed != program) {
-            // It is not wanted any more.
+            // The failed program is no longer wanted, so it may be tried again if it is wanted later.
             self.persistent.failed = None;
         }
         Vec::new()
     }
 
-    /// Another program is wanted than the one that runs.
-    fn other_wanted(
+    /// Handles a status in which another program than the running one is wanted.
+    fn handle_other_wanted(
         &mut self,
         now: Duration,
         program: Program,
@@ -349,8 +368,8 @@
             program: wanted,
             may_change,
         } = wanted;
-        if let Some(reason) = self.why_unfit(&program, &wanted, catalog) {
-            return self.report_unfit_again(now, wanted, reason);
+        if let Some(reason) = self.unfit_reason(&program, &wanted, catalog) {
+            return self.report_unfit_if_due(now, wanted, reason);
         }
         if !may_change {
             return Vec::new();
@@ -360,43 +379,43 @@
         self.persistent.wanted = Some(wanted.clone());
         let line = Action::Log(format!("changing from {} to {}", program.name, wanted.name));
         let start = if catalog.can_take_over(&program, &wanted) {
-            self.take_over(now, program, wanted)
+            self.start_take_over(now, program, wanted)
         } else {
-            self.replace(now, wanted)
+            self.start_replacement(now, wanted)
         };
         vec![line, start]
     }
 
-    /// Why a wanted program can't come into service here, if it can't.
-    fn why_unfit(
+    /// The reason why a wanted program cannot run on this machine, or `None` if it can.
+    fn unfit_reason(
         &self,
         program: &Program,
         wanted: &Program,
         catalog: &dyn ProgramCatalog,
     ) -> Option<String> {
         if self.persistent.failed.as_ref() == Some(wanted) {
-            return Some("it was tried here and given up".into());
+            return Some("it failed on this machine before".into());
         }
         if !catalog.contains(wanted) {
-            let digest = &wanted.sha256[..SHORT_DIGEST];
-            return Some(format!("no file here has the digest {digest}"));
+            let digest = &wanted.sha256[..SHORT_DIGEST_DIGITS];
+            return Some(format!("no file on this machine has the digest {digest}"));
         }
         if !self.policy.allow_cold_restart && !catalog.can_take_over(program, wanted) {
             return Some(format!(
-                "it can't take over from {}, and the file does not say cold = true",
+                "it cannot take over from {}, and the configuration does not set cold = true",
                 program.name
             ));
         }
         None
     }
 
-    /// Starts a successor beside the process that serves.
-    fn take_over(&mut self, now: Duration, old: Program, new: Program) -> Action {
+    /// Starts a successor beside the serving process.
+    fn start_take_over(&mut self, now: Duration, old: Program, new: Program) -> Action {
         self.state = State::TakingOver {
             old,
             new: new.clone(),
             since: now,
-            ending: false,
+            killed: false,
         };
         Action::Start {
             program: new,
@@ -405,8 +424,8 @@
         }
     }
 
-    /// Ends the process that serves, for another program to be started behind it.
-    fn replace(&mut self, now: Duration, new: Program) -> Action {
+    /// Stops the serving process. The new program is started after it has ended.
+    fn start_replacement(&mut self, now: Duration, new: Program) -> Action {
         self.state = State::Replacing {
             new,
             since: now,
@@ -429,18 +448,18 @@
         ]
     }
 
-    /// Reports an unfit program, unless that was done lately.
-    fn report_unfit_again(
+    /// Reports an unfit program, unless the same report was made within the last [`RestartPolicy::timeout`].
+    fn report_unfit_if_due(
         &mut self,
         now: Duration,
         program: Program,
         reason: String,
     ) -> Vec<Action> {
         let last = self.last_report.as_ref();
-        let was_reported_lately = last.is_some_and(|report| {
+        let was_reported_recently = last.is_some_and(|report| {
             report.program == program && now < report.reported_at + self.policy.timeout
         });
-        if was_reported_lately {
+        if was_reported_recently {
             return Vec::new();
         }
         self.report_unfit(now, program, reason)
--- a/crates/supervisor/tests/decisions.rs
+++ b/crates/supervisor/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! What a supervisor does, step by step, and in a world in which anything happens at any time.
+//! The actions of a supervisor for given events, and its invariants under random events.
 
 use proptest::prelude::{any, prop_assert, prop_assert_eq, prop_oneof, proptest, Just, Strategy};
 use proptest::test_runner::{Config, RngSeed, TestCaseError};
@@ -16,10 +16,10 @@
     }
 }
 
-/// Programs 1 to 4 are there; 4 takes over from nothing, and nothing from it.
-struct Files;
+/// TestCatalog for programs 1 to 4 exist. Program 4 cannot take part in a handover.
+struct TestCatalog;
 
-impl ProgramCatalog for Files {
+impl ProgramCatalog for TestCatalog {
     fn contains(&self, p: &Program) -> bool {
         (1..=4).any(|n| program(n) == *p)
     }
@@ -31,29 +31,32 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-fn says(runs: usize, wanted: usize, turn: bool, settled: bool) -> Event {
+/// A poll answered by program `running` of a group that wants program `wanted`.
+fn status(running: usize, wanted: usize, may_change: bool, settled: bool) -> Event {
     Event::Polled(Observation::Status {
-        running: Some(program(runs)),
+        running: Some(program(running)),
         wanted: Some(WantedProgram {
             program: program(wanted),
-            may_change: turn,
+            may_change,
         }),
         settled,
     })
 }
 
-fn silent() -> Event {
+/// A poll without an answer.
+fn no_answer() -> Event {
     Event::Polled(Observation::NoAnswer)
 }
 
-fn exited(slot: ProcessSlot) -> Event {
+/// A process that crashed.
+fn crashed(slot: ProcessSlot) -> Event {
     Event::Exited {
         slot,
         reason: "exit status: 1".into(),
     }
 }
 
-/// The process that serves has handed over.
+/// The serving process has handed over and ended.
 fn handed_over() -> Event {
     Event::Exited {
         slot: ProcessSlot::Serving,
@@ -68,38 +71,38 @@
     }
 }
 
-/// A supervisor with the time that passes.
-struct Rig {
+/// A supervisor and its simulated time.
+struct Harness {
     supervisor: Supervisor,
     now: Duration,
 }
 
-impl Rig {
-    fn new(policy: RestartPolicy, memory: PersistentState) -> Rig {
-        Rig {
-            supervisor: Supervisor::new(policy, memory, program(1), &Files),
+impl Harness {
+    fn new(policy: RestartPolicy, persistent: PersistentState) -> Harness {
+        Harness {
+            supervisor: Supervisor::new(policy, persistent, program(1), &TestCatalog),
             now: Duration::from_secs(100),
         }
     }
 
-    /// What is done besides telling people.
+    /// Advances the time and handles an event; returns the actions without log lines.
     fn after(&mut self, ms: u32, event: Event) -> Vec<Action> {
         self.now += MS * ms;
-        let mut actions = self.supervisor.step(self.now, event, &Files);
+        let mut actions = self.supervisor.step(self.now, event, &TestCatalog);
         actions.retain(|a| !matches!(a, Action::Log(_)));
         actions
     }
 
-    /// One that serves program 1.
-    fn serving(policy: RestartPolicy) -> Rig {
-        let mut rig = Rig::new(policy, PersistentState::default());
-        assert_eq!(rig.after(0, silent()), [restart(1)]);
-        assert_eq!(rig.after(100, says(1, 1, true, true)), []);
-        rig
+    /// A harness in which program 1 serves.
+    fn serving(policy: RestartPolicy) -> Harness {
+        let mut harness = Harness::new(policy, PersistentState::default());
+        assert_eq!(harness.after(0, no_answer()), [restart(1)]);
+        assert_eq!(harness.after(100, status(1, 1, true, true)), []);
+        harness
     }
 }
 
-/// The start of a program after a crash, or the first one.
+/// The start of a program on a machine without a process: the first start, or one after a crash.
 fn restart(n: usize) -> Action {
     Action::Start {
         program: program(n),
@@ -108,7 +111,7 @@
     }
 }
 
-/// The start of a program that is to take over from the one that serves.
+/// The start of a program as successor of the serving process.
 fn start_successor(n: usize) -> Action {
     Action::Start {
         program: program(n),
@@ -117,7 +120,7 @@
     }
 }
 
-/// The start of a program behind another one.
+/// The start of a program after the process that it replaces has ended.
 fn start_replacement(n: usize) -> Action {
     Action::Start {
         program: program(n),
@@ -127,152 +130,180 @@
 }
 
 #[test]
-fn a_wanted_program_is_started_beside_the_serving_one_once_it_may_change() {
-    let mut rig = Rig::serving(RestartPolicy::default());
-    assert_eq!(rig.after(100, says(1, 2, false, false)), [], "not its turn");
+fn wanted_program_is_started_as_successor_once_the_ingress_may_change() {
+    let mut harness = Harness::serving(RestartPolicy::default());
     assert_eq!(
-        rig.after(100, says(1, 2, true, false)),
+        harness.after(100, status(1, 2, false, false)),
+        [],
+        "the ingress may not change yet"
+    );
+    assert_eq!(
+        harness.after(100, status(1, 2, true, false)),
         [start_successor(2)]
     );
-    assert_eq!(rig.supervisor.persistent_state().wanted, Some(program(2)));
-    assert!(rig.supervisor.is_changing());
-    assert_eq!(rig.after(100, says(1, 2, true, false)), []);
-    assert_eq!(rig.after(100, handed_over()), []);
-    assert!(!rig.supervisor.is_changing() && *rig.supervisor.program() == program(2));
-    // While a rollout is under way nothing is proven, however long it serves.
-    rig.after(100, says(2, 2, true, false));
-    rig.after(100_000, says(2, 2, true, false));
-    assert_eq!(rig.supervisor.persistent_state().proven, None);
-    rig.after(100, says(2, 2, true, true));
-    assert_eq!(rig.supervisor.persistent_state().proven, Some(program(2)));
-    // A machine begins with it, whatever is wanted.
-    let memory = PersistentState {
+    assert_eq!(
+        harness.supervisor.persistent_state().wanted,
+        Some(program(2))
+    );
+    assert!(harness.supervisor.is_changing());
+    assert_eq!(harness.after(100, status(1, 2, true, false)), []);
+    assert_eq!(harness.after(100, handed_over()), []);
+    assert!(!harness.supervisor.is_changing() && *harness.supervisor.program() == program(2));
+    // No program becomes proven during a rollout, however long it serves.
+    harness.after(100, status(2, 2, true, false));
+    harness.after(100_000, status(2, 2, true, false));
+    assert_eq!(harness.supervisor.persistent_state().proven, None);
+    harness.after(100, status(2, 2, true, true));
+    assert_eq!(
+        harness.supervisor.persistent_state().proven,
+        Some(program(2))
+    );
+    // A new supervisor starts the proven program, whatever program is wanted.
+    let persistent = PersistentState {
         wanted: Some(program(3)),
-        ..rig.supervisor.persistent_state().clone()
+        ..harness.supervisor.persistent_state().clone()
     };
     assert_eq!(
-        Rig::new(RestartPolicy::default(), memory).after(0, silent()),
+        Harness::new(RestartPolicy::default(), persistent).after(0, no_answer()),
         [restart(2)]
     );
 }
 
 #[test]
-fn a_successor_that_does_not_come_into_service_leaves_the_old_one_serving_and_is_reported() {
-    let mut rig = Rig::serving(RestartPolicy::default());
-    rig.after(100, says(1, 2, true, false));
-    // It is never heard of: the old one is not touched, the new one is ended.
-    assert_eq!(rig.after(9_000, says(1, 2, true, false)), []);
+fn failed_successor_is_reported_and_the_old_process_keeps_serving() {
+    let mut harness = Harness::serving(RestartPolicy::default());
+    harness.after(100, status(1, 2, true, false));
+    // The successor never answers: it is killed and the old process keeps running.
+    assert_eq!(harness.after(9_000, status(1, 2, true, false)), []);
     assert_eq!(
-        rig.after(2_000, says(1, 2, true, false)),
+        harness.after(2_000, status(1, 2, true, false)),
         [kill(ProcessSlot::Successor)]
     );
-    assert_eq!(rig.after(100, says(1, 2, true, false)), []);
+    assert_eq!(harness.after(100, status(1, 2, true, false)), []);
     assert!(
-        matches!(&rig.after(100, exited(ProcessSlot::Successor))[..], [Action::ReportUnfit { program: unfit, .. }] if *unfit == program(2))
+        matches!(&harness.after(100, crashed(ProcessSlot::Successor))[..], [Action::ReportUnfit { program: unfit, .. }] if *unfit == program(2))
+    );
+    assert_eq!(
+        harness.supervisor.persistent_state().failed,
+        Some(program(2))
     );
-    assert_eq!(rig.supervisor.persistent_state().failed, Some(program(2)));
-    // It is told once more to whoever did not hear it, and not tried again until another one was wanted.
-    assert_eq!(rig.after(100, says(1, 2, true, false)), []);
+    // The report is repeated after a while. The program is not tried again until another one was wanted.
+    assert_eq!(harness.after(100, status(1, 2, true, false)), []);
     assert!(matches!(
-        &rig.after(10_000, says(1, 2, true, false))[..],
+        &harness.after(10_000, status(1, 2, true, false))[..],
         [Action::ReportUnfit { .. }]
     ));
-    assert_eq!(rig.after(100, says(1, 2, true, false)), []);
-    assert_eq!(rig.after(100, says(1, 1, true, true)), []);
+    assert_eq!(harness.after(100, status(1, 2, true, false)), []);
+    assert_eq!(harness.after(100, status(1, 1, true, true)), []);
     assert_eq!(
-        rig.after(100, says(1, 2, true, false)),
+        harness.after(100, status(1, 2, true, false)),
         [start_successor(2)]
     );
 }
 
 #[test]
-fn a_successor_that_has_taken_over_is_not_killed_when_the_old_process_hangs() {
-    let mut rig = Rig::serving(RestartPolicy::default());
-    rig.after(100, says(1, 2, true, false));
+fn old_process_that_hangs_after_the_handover_is_killed_instead_of_the_successor() {
+    let mut harness = Harness::serving(RestartPolicy::default());
+    harness.after(100, status(1, 2, true, false));
     assert_eq!(
-        rig.after(11_000, says(2, 2, true, false)),
+        harness.after(11_000, status(2, 2, true, false)),
         [kill(ProcessSlot::Serving)]
     );
-    assert_eq!(rig.after(100, exited(ProcessSlot::Serving)), []);
-    assert_eq!(*rig.supervisor.program(), program(2));
+    assert_eq!(harness.after(100, crashed(ProcessSlot::Serving)), []);
+    assert_eq!(*harness.supervisor.program(), program(2));
 }
 
 #[test]
-fn crashes_back_off_and_an_unproven_program_is_replaced_by_the_proven_one() {
-    let mut rig = Rig::serving(RestartPolicy::default());
-    rig.after(61_000, says(1, 1, true, true));
-    assert_eq!(rig.supervisor.persistent_state().proven, Some(program(1)));
-    rig.after(100, says(1, 2, true, true));
-    rig.after(100, handed_over());
-    rig.after(100, says(2, 2, true, false));
-    let mut pauses = Vec::new();
+fn crash_restarts_back_off_and_unproven_program_is_replaced_by_the_proven_one() {
+    let mut harness = Harness::serving(RestartPolicy::default());
+    harness.after(61_000, status(1, 1, true, true));
+    assert_eq!(
+        harness.supervisor.persistent_state().proven,
+        Some(program(1))
+    );
+    harness.after(100, status(1, 2, true, true));
+    harness.after(100, handed_over());
+    harness.after(100, status(2, 2, true, false));
+    let mut delays = Vec::new();
     for _ in 0..2 {
-        assert_eq!(rig.after(100, exited(ProcessSlot::Serving)), []);
-        let begun = rig.now;
-        while rig.after(10, silent()) != [restart(2)] {}
-        pauses.push((rig.now - begun).as_millis());
+        assert_eq!(harness.after(100, crashed(ProcessSlot::Serving)), []);
+        let crashed_at = harness.now;
+        while harness.after(10, no_answer()) != [restart(2)] {}
+        delays.push((harness.now - crashed_at).as_millis());
     }
-    assert_eq!(pauses, [200, 400]);
-    assert_eq!(rig.after(100, exited(ProcessSlot::Serving)), []);
-    assert_eq!(rig.supervisor.persistent_state().failed, Some(program(2)));
-    while rig.after(10, silent()) != [restart(1)] {}
-    // The proven one is never given up, with pauses up to the longest.
+    assert_eq!(delays, [200, 400]);
+    assert_eq!(harness.after(100, crashed(ProcessSlot::Serving)), []);
+    assert_eq!(
+        harness.supervisor.persistent_state().failed,
+        Some(program(2))
+    );
+    while harness.after(10, no_answer()) != [restart(1)] {}
+    // The proven program is never given up; its restarts are delayed by at most max_backoff.
     for _ in 0..20 {
-        assert_eq!(rig.after(10, exited(ProcessSlot::Serving)), []);
-        let begun = rig.now;
-        while rig.after(100, silent()) != [restart(1)] {}
-        assert!(rig.now - begun <= RestartPolicy::default().max_backoff + 100 * MS);
+        assert_eq!(harness.after(10, crashed(ProcessSlot::Serving)), []);
+        let crashed_at = harness.now;
+        while harness.after(100, no_answer()) != [restart(1)] {}
+        assert!(harness.now - crashed_at <= RestartPolicy::default().max_backoff + 100 * MS);
     }
-    // What served for long is begun anew at once, as after a first crash.
-    rig.after(100, says(1, 1, true, true));
-    rig.after(61_000, says(1, 1, true, true));
-    rig.after(10, exited(ProcessSlot::Serving));
-    assert_eq!(rig.after(200, silent()), [restart(1)]);
+    // After a long time in service, a crash counts as the first one and the delay is the initial backoff.
+    harness.after(100, status(1, 1, true, true));
+    harness.after(61_000, status(1, 1, true, true));
+    harness.after(10, crashed(ProcessSlot::Serving));
+    assert_eq!(harness.after(200, no_answer()), [restart(1)]);
 }
 
 #[test]
-fn a_program_that_cannot_take_over_is_started_behind_the_old_one_where_that_is_allowed() {
-    let told = |actions: &[Action], word: &str| matches!(actions, [Action::ReportUnfit { reason, .. }] if reason.contains(word));
-    let mut rig = Rig::serving(RestartPolicy::default());
-    assert!(told(&rig.after(100, says(1, 4, true, false)), "cold"));
-    assert_eq!(rig.after(100, says(1, 4, true, false)), []);
-    let mut rig = Rig::serving(RestartPolicy {
+fn program_without_handover_replaces_the_old_process_only_if_cold_restarts_are_allowed() {
+    let reports_unfit = |actions: &[Action], word: &str| matches!(actions, [Action::ReportUnfit { reason, .. }] if reason.contains(word));
+    let mut harness = Harness::serving(RestartPolicy::default());
+    assert!(reports_unfit(
+        &harness.after(100, status(1, 4, true, false)),
+        "cold"
+    ));
+    assert_eq!(harness.after(100, status(1, 4, true, false)), []);
+    let mut harness = Harness::serving(RestartPolicy {
         allow_cold_restart: true,
         ..RestartPolicy::default()
     });
     assert_eq!(
-        rig.after(100, says(1, 4, true, false)),
+        harness.after(100, status(1, 4, true, false)),
         [Action::Stop {
             slot: ProcessSlot::Serving,
             mode: StopMode::Graceful
         }]
     );
-    assert_eq!(rig.after(11_000, silent()), [kill(ProcessSlot::Serving)]);
-    assert_eq!(rig.after(100, exited(ProcessSlot::Serving)), []);
-    assert_eq!(rig.after(100, silent()), [start_replacement(4)]);
-    // A program that there is no file of is told, and what serves goes on.
-    let mut rig = Rig::serving(RestartPolicy::default());
-    assert!(told(&rig.after(100, says(1, 9, true, false)), "digest"));
+    assert_eq!(
+        harness.after(11_000, no_answer()),
+        [kill(ProcessSlot::Serving)]
+    );
+    assert_eq!(harness.after(100, crashed(ProcessSlot::Serving)), []);
+    assert_eq!(harness.after(100, no_answer()), [start_replacement(4)]);
+    // A program without a file is reported, and the serving process continues.
+    let mut harness = Harness::serving(RestartPolicy::default());
+    assert!(reports_unfit(
+        &harness.after(100, status(1, 9, true, false)),
+        "digest"
+    ));
 }
 
 #[test]
-fn a_process_that_an_earlier_supervisor_started_is_adopted() {
-    let mut rig = Rig::new(RestartPolicy::default(), PersistentState::default());
-    rig.after(0, Event::Adopted(program(2)));
-    assert_eq!(rig.after(100, says(2, 2, true, true)), []);
+fn process_started_by_an_earlier_supervisor_is_adopted() {
+    let mut harness = Harness::new(RestartPolicy::default(), PersistentState::default());
+    harness.after(0, Event::Adopted(program(2)));
+    assert_eq!(harness.after(100, status(2, 2, true, true)), []);
     assert_eq!(
-        rig.after(100, silent()),
+        harness.after(100, no_answer()),
         [],
-        "one that answered before is not ended for a silence"
+        "a process that answered before must not be stopped when it stops answering"
     );
-    assert_eq!(rig.after(11_000, silent()), []);
-    rig.after(100, exited(ProcessSlot::Serving));
-    assert_eq!(rig.after(200, silent()), [restart(2)]);
+    assert_eq!(harness.after(11_000, no_answer()), []);
+    harness.after(100, crashed(ProcessSlot::Serving));
+    assert_eq!(harness.after(200, no_answer()), [restart(2)]);
 }
 
-/// What may happen to the processes of a supervisor.
+/// An event in the simulated environment of a supervisor.
 #[derive(Clone, Debug)]
-enum Happening {
+enum Incident {
     Status {
         wanted: usize,
         may_change: bool,
@@ -283,24 +314,24 @@
     TakeOver,
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn any_incident() -> impl Strategy<Value = Incident> {
     prop_oneof![
         6 => (1usize..6, any::<bool>(), any::<bool>())
-            .prop_map(|(wanted, may_change, settled)| Happening::Status { wanted, may_change, settled }),
-        3 => Just(Happening::NoAnswer),
-        1 => Just(Happening::Crash(ProcessSlot::Serving)),
-        1 => Just(Happening::Crash(ProcessSlot::Successor)),
-        2 => Just(Happening::TakeOver),
+            .prop_map(|(wanted, may_change, settled)| Incident::Status { wanted, may_change, settled }),
+        3 => Just(Incident::NoAnswer),
+        1 => Just(Incident::Crash(ProcessSlot::Serving)),
+        1 => Just(Incident::Crash(ProcessSlot::Successor)),
+        2 => Just(Incident::TakeOver),
     ]
 }
 
-/// Polls at the end of a play, with nothing going wrong any more.
-const CALM: usize = 600;
-/// Milliseconds between two of them.
-const CALM_INTERVAL: u32 = 250;
+/// Number of polls without failures at the end of a run.
+const CALM_POLLS: usize = 600;
+/// Time between two of these polls, in milliseconds.
+const CALM_INTERVAL_MS: u32 = 250;
 
-/// The same plays every time; another seed is another search.
-fn plays() -> Config {
+/// A fixed seed, so that every test run uses the same incidents.
+fn fixed_seed() -> Config {
     Config {
         rng_seed: RngSeed::Fixed(12),
         failure_persistence: None,
@@ -308,29 +339,29 @@
     }
 }
 
-/// The processes of a supervisor.
-struct World {
-    rig: Rig,
+/// The simulated processes of a supervisor.
+struct Environment {
+    harness: Harness,
     serving: Option<Program>,
     successor: Option<Program>,
-    /// The program that was reported as unfit last.
+    /// The program most recently reported as unfit.
     unfit: Option<Program>,
 }
 
-impl World {
-    fn new(policy: RestartPolicy) -> World {
-        World {
-            rig: Rig::new(policy, PersistentState::default()),
+impl Environment {
+    fn new(policy: RestartPolicy) -> Environment {
+        Environment {
+            harness: Harness::new(policy, PersistentState::default()),
             serving: None,
             successor: None,
             unfit: None,
         }
     }
 
-    /// What the supervisor is told of it; none where it can't happen now.
-    fn event(&mut self, happening: &Happening) -> Option<Event> {
-        match happening {
-            Happening::Status {
+    /// Applies an incident and returns the event for the supervisor, or `None` if the incident is not possible now.
+    fn event(&mut self, incident: &Incident) -> Option<Event> {
+        match incident {
+            Incident::Status {
                 wanted,
                 may_change,
                 settled,
@@ -343,30 +374,31 @@
                     }),
                     settled: *settled,
                 }),
-                None => silent(),
+                None => no_answer(),
             }),
-            Happening::NoAnswer => Some(silent()),
-            Happening::Crash(ProcessSlot::Serving) => {
+            Incident::NoAnswer => Some(no_answer()),
+            Incident::Crash(ProcessSlot::Serving) => {
                 self.serving.as_ref()?;
                 self.serving = self.successor.take();
-                Some(exited(ProcessSlot::Serving))
+                Some(crashed(ProcessSlot::Serving))
             }
-            Happening::Crash(ProcessSlot::Successor) => {
+            Incident::Crash(ProcessSlot::Successor) => {
                 self.successor.take()?;
-                Some(exited(ProcessSlot::Successor))
+                Some(crashed(ProcessSlot::Successor))
             }
-            Happening::TakeOver => {
+            Incident::TakeOver => {
                 self.serving = Some(self.successor.take()?);
                 Some(handed_over())
             }
         }
     }
 
-    /// Never more than two processes, a second one only to take over, and nothing that there is no file of.
+    /// Carries out an action. Checks that at most two processes exist, that the second one is a successor, and that every started
+    /// program has a file.
     fn carry_out(&mut self, action: Action) -> Result<(), TestCaseError> {
         match action {
             Action::Start { program, slot, .. } => {
-                prop_assert!(Files.contains(&program));
+                prop_assert!(TestCatalog.contains(&program));
                 let is_successor = slot == ProcessSlot::Successor;
                 prop_assert!(self.successor.is_none());
                 prop_assert_eq!(self.serving.is_some(), is_successor);
@@ -377,9 +409,10 @@
                 }
             }
             Action::Stop { slot, .. } => {
-                // Never heard of, to make room for another, or behind one that has taken over.
-                prop_assert!(self.event(&Happening::Crash(slot)).is_some());
-                self.rig.after(1, exited(slot));
+                // A process is stopped if it never answered, to make room for another program, or after its successor took over. In
+                // each case it must exist.
+                prop_assert!(self.event(&Incident::Crash(slot)).is_some());
+                self.harness.after(1, crashed(slot));
             }
             Action::ReportUnfit { program, .. } => self.unfit = Some(program),
             Action::Log(_) => {}
@@ -387,11 +420,11 @@
         Ok(())
     }
 
-    fn step(&mut self, happening: &Happening, ms: u32) -> Result<(), TestCaseError> {
-        let Some(event) = self.event(happening) else {
+    fn step(&mut self, incident: &Incident, ms: u32) -> Result<(), TestCaseError> {
+        let Some(event) = self.event(incident) else {
             return Ok(());
         };
-        for action in self.rig.after(ms, event) {
+        for action in self.harness.after(ms, event) {
             self.carry_out(action)?;
         }
         Ok(())
@@ -399,30 +432,30 @@
 }
 
 proptest! {
-    #![proptest_config(plays())]
+    #![proptest_config(fixed_seed())]
 
     #[test]
-    fn from_any_state_the_wanted_program_comes_to_serve_or_is_reported_as_unfit(
-        steps in proptest::collection::vec((happening(), 0u32..4_000), 0..150),
+    fn wanted_program_eventually_serves_or_is_reported_as_unfit(
+        steps in proptest::collection::vec((any_incident(), 0u32..4_000), 0..150),
         cold in any::<bool>(),
         last in 1usize..6,
     ) {
         let policy = RestartPolicy { allow_cold_restart: cold, ..RestartPolicy::default() };
-        let mut world = World::new(policy);
-        for (happening, ms) in steps {
-            world.step(&happening, ms)?;
+        let mut environment = Environment::new(policy);
+        for (incident, ms) in steps {
+            environment.step(&incident, ms)?;
         }
-        let calm = Happening::Status { wanted: last, may_change: true, settled: false };
-        for _ in 0..CALM {
-            // Left alone, a successor takes over.
-            if let Some(event) = world.event(&Happening::TakeOver) {
-                world.rig.after(1, event);
+        let calm = Incident::Status { wanted: last, may_change: true, settled: false };
+        for _ in 0..CALM_POLLS {
+            // Without failures, a successor takes over before the next poll.
+            if let Some(event) = environment.event(&Incident::TakeOver) {
+                environment.harness.after(1, event);
             }
-            world.step(&calm, CALM_INTERVAL)?;
+            environment.step(&calm, CALM_INTERVAL_MS)?;
         }
-        let serves = world.serving.clone().expect("one serves");
-        let unfit = world.unfit == Some(program(last));
-        prop_assert!(serves == program(last) || unfit, "{:?} {:?}", serves, world.unfit);
-        prop_assert_eq!(world.rig.supervisor.program(), &serves);
+        let serves = environment.serving.clone().expect("a process serves after the polls without failures");
+        let unfit = environment.unfit == Some(program(last));
+        prop_assert!(serves == program(last) || unfit, "{:?} {:?}", serves, environment.unfit);
+        prop_assert_eq!(environment.harness.supervisor.program(), &serves);
     }
 }
--- a/crates/supervisor/tests/golden.rs
+++ b/crates/supervisor/tests/golden.rs
@@ -1,6 +1,6 @@
-//! What is remembered on the disk (`tend.json`), byte for byte, as `wrenctl` writes it.
+//! Checks the exact bytes of the persistent state of a supervisor, which `wrenctl` stores in `tend.json`.
 //!
-//! The files in `golden/` are written by hand alone: `cargo test -p wrenfork-supervisor --test golden -- --ignored`.
+//! The golden files are only written by hand, with `cargo test -p wrenfork-supervisor --test golden -- --ignored`.
 
 use std::fs;
 use std::path::PathBuf;
@@ -20,7 +20,7 @@
     })
 }
 
-fn memories() -> [(&'static str, PersistentState); 2] {
+fn states() -> [(&'static str, PersistentState); 2] {
     let full = PersistentState {
         wanted: program(1),
         proven: program(2),
@@ -33,33 +33,33 @@
 }
 
 #[test]
-fn what_is_remembered_is_written_as_in_its_golden_file() {
-    for (name, memory) in memories() {
-        let text = serde_json::to_vec_pretty(&memory).unwrap();
+fn persistent_states_are_written_as_in_their_golden_files() {
+    for (name, state) in states() {
+        let text = serde_json::to_vec_pretty(&state).unwrap();
         assert_eq!(text, fs::read(path(name)).unwrap(), "{name}");
     }
 }
 
 #[test]
-fn every_golden_file_reads_back_and_is_written_again_the_same() {
-    for (name, memory) in memories() {
+fn golden_files_are_read_and_rewritten_unchanged() {
+    for (name, state) in states() {
         let text = fs::read(path(name)).unwrap();
         let read: PersistentState = serde_json::from_slice(&text).unwrap();
-        assert_eq!(read, memory, "{name}");
+        assert_eq!(read, state, "{name}");
         assert_eq!(serde_json::to_vec_pretty(&read).unwrap(), text, "{name}");
     }
 }
 
 #[test]
-fn a_file_with_an_unknown_field_is_rejected() {
+fn unknown_field_is_rejected() {
     let text = r#"{"wanted": null, "proven": null, "failed": null, "other": 1}"#;
     assert!(serde_json::from_str::<PersistentState>(text).is_err());
 }
 
 #[test]
-#[ignore = "writes the golden files: run by hand, before the form is changed on purpose"]
+#[ignore = "writes the golden files; run by hand after an intended format change"]
 fn write_the_golden_files() {
-    for (name, memory) in memories() {
-        fs::write(path(name), serde_json::to_vec_pretty(&memory).unwrap()).unwrap();
+    for (name, state) in states() {
+        fs::write(path(name), serde_json::to_vec_pretty(&state).unwrap()).unwrap();
     }
 }
--- a/crates/testbed/src/bin/wrenfork-relay.rs
+++ b/crates/testbed/src/bin/wrenfork-relay.rs
@@ -201,7 +201,7 @@
             Err(_) => return self.drop_conn(key),
         };
         let first = match &reply {
-            Reply::One(e) => Some(e),
+            Reply::Single(e) => Some(e),
             Reply::Array(list) => list.first(),
         };
         let text = first.map_or(Vec::new(), |e| conn.inbox[e.span.clone()].to_vec());
--- a/crates/testbed/src/rig/clients.rs
+++ b/crates/testbed/src/rig/clients.rs
@@ -719,7 +719,7 @@
 
 fn judge_reply(buf: &[u8], reply: &Reply) -> Reading {
     let first = match reply {
-        Reply::One(e) => e,
+        Reply::Single(e) => e,
         Reply::Array(list) => match list.first() {
             Some(e) if e.kind == Kind::Bulk => e,
             _ => return Reading::Failed,
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -1,4 +1,5 @@
-//! The CALL commands: read strictly from a client, written for a backend with a `d` of the attempt's own.
+//! The CALL commands: parses them strictly from a client and writes them for a backend, with the option `d` (wait in milliseconds)
+//! set for each attempt.
 
 mod error;
 mod options;
@@ -18,43 +19,43 @@
 use vocabulary::OwnPlan;
 use wrenfork_decision::{CustomerId, Idempotency, Micros, Request};
 
-/// The most bytes of an id or a key.
-const MAX_ID: usize = 64;
-/// Hex digits of a customer's number.
+/// Maximum length of a request id or an idempotency key, in bytes.
+const MAX_ID_BYTES: usize = 64;
+/// Number of hex digits in a customer number.
 const CUSTOMER_DIGITS: usize = 16;
-/// Customers are numbers below this.
+/// Customer numbers are below this limit.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
-/// Arguments of a CALL.GET, the command among them; a CALL.POST has its body besides.
-const ARGUMENTS: usize = 4;
-/// The bytes behind a bulk string's text: CR LF.
-const BULK_END: usize = 2;
-/// What a command takes besides its options and body, at most: room is reserved for it.
-const COMMAND_OVERHEAD: usize = 112;
+/// Number of arguments of CALL.GET, including the command name. CALL.POST has one more: the body.
+const GET_ARGUMENTS: usize = 4;
+/// Length of the CR LF after the text of a bulk string, in bytes.
+const BULK_END_BYTES: usize = 2;
+/// Maximum size of a command without its options and body, in bytes. Used to reserve buffer capacity.
+const COMMAND_OVERHEAD_BYTES: usize = 112;
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// A client's request. The order of its fields is part of a handover's layout.
+/// A client's request. The field order is part of the handover format.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Call {
-    /// What the decision module is given; its id and deadline are the caller's to fill in.
+    /// The request for the decision module. The caller sets its id and deadline.
     pub request: Request,
     /// How long the client waits, in microseconds.
     pub wait: Micros,
-    /// Where its id is in `bytes`.
+    /// Position of the request id in `bytes`.
     id: Range<usize>,
-    /// The command as it came, but for the length of its options and the value of `d`.
+    /// The command as received, without the length of the options and the value of `d`.
     bytes: Vec<u8>,
-    /// The end of what stands before its options.
+    /// End of the part of `bytes` before the options.
     head_end: usize,
-    /// The end of the options before the value of `d`.
+    /// End of the options that precede the value of `d`.
     before_wait_end: usize,
-    /// The end of the options behind the value of `d`.
+    /// End of the options that follow the value of `d`.
     options_end: usize,
     token: Option<Vec<u8>>,
-    /// A long body, as it came: held once, whatever attempts are written from it.
+    /// A long body as received. All attempts share this one copy.
     body: Option<Body>,
 }
 
-/// A body too long to be copied: the command as it came, and where the body's string stands in it.
+/// A body that is too long to copy: the command as received, and the position of the body in it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Body {
     command: Arc<Vec<u8>>,
@@ -62,7 +63,7 @@
 }
 
 impl Body {
-    /// The body's string in a command.
+    /// Creates a body from a command and the range of the body's bulk string in it.
     pub fn new(command: Vec<u8>, range: Range<usize>) -> Body {
         Body {
             command: Arc::new(command),
@@ -70,28 +71,28 @@
         }
     }
 
-    /// The string, with its head and end.
+    /// The bulk string, including its length line and final CR LF.
     pub fn bytes(&self) -> &[u8] {
         &self.command[self.range.clone()]
     }
 
-    /// How many bytes that are.
+    /// Length of the bulk string, including its length line and final CR LF, in bytes.
     pub fn len(&self) -> usize {
         self.range.len()
     }
 
-    /// Whether there is none.
+    /// Whether the range is empty. A parsed body never is: even an empty text has a length line.
     pub fn is_empty(&self) -> bool {
         self.range.is_empty()
     }
 
-    /// Bytes of memory that it holds.
+    /// Memory held by the whole command, in bytes.
     fn memory(&self) -> usize {
         self.command.capacity()
     }
 }
 
-/// The arguments of a command without its verb.
+/// The arguments of a command. `all` includes the command name.
 struct Arguments<'a> {
     all: &'a [&'a [u8]],
     customer: &'a [u8],
@@ -99,17 +100,18 @@
     options: &'a [u8],
 }
 
-/// Whether a text is a plain word, as ids and keys are.
-fn is_word(text: &[u8]) -> bool {
-    !text.is_empty() && text.len() <= MAX_ID && text.iter().all(u8::is_ascii_graphic)
+/// Whether a text is valid as an id or key: 1 to [`MAX_ID_BYTES`] printable ASCII characters without spaces.
+fn is_valid_id(text: &[u8]) -> bool {
+    !text.is_empty() && text.len() <= MAX_ID_BYTES && text.iter().all(u8::is_ascii_graphic)
 }
 
 impl Call {
-    /// Reads a command's arguments, the verb among them; none if the verb is another one.
+    /// Parses a request from the arguments of a command, including its name. Returns `None` if the command is neither CALL.GET nor
+    /// CALL.POST.
     ///
     /// # Errors
     ///
-    /// Where it is no request that the vocabulary allows; the error's text is for the client.
+    /// If the command is not a request that the vocabulary allows. The error text is sent to the client.
     pub fn read(
         buf: &[u8],
         arguments: &[Range<usize>],
@@ -121,9 +123,9 @@
             b"CALL.POST" => true,
             _ => return None,
         };
-        let wanted = ARGUMENTS + usize::from(is_post);
-        if arguments.len() != wanted {
-            return Some(Err(CallError::ArgumentCount(wanted)));
+        let expected = GET_ARGUMENTS + usize::from(is_post);
+        if arguments.len() != expected {
+            return Some(Err(CallError::ArgumentCount(expected)));
         }
         let all: Vec<&[u8]> = arguments.iter().map(|r| &buf[r.clone()]).collect();
         let arguments = Arguments {
@@ -135,7 +137,7 @@
         Some(Call::parse(is_post, &arguments, vocabulary))
     }
 
-    /// Reads a complete command with a long body, which is held as it came.
+    /// Parses a complete command with a long body, which is kept as received instead of being copied.
     ///
     /// # Errors
     ///
@@ -148,7 +150,7 @@
         let mut read = Call::read(&buf, arguments, vocabulary);
         let before_body = arguments.get(arguments.len().wrapping_sub(2));
         if let (Some(Ok(call)), Some(before_body)) = (&mut read, before_body) {
-            let range = before_body.end + BULK_END..buf.len();
+            let range = before_body.end + BULK_END_BYTES..buf.len();
             call.body = Some(Body::new(buf, range));
         }
         read
@@ -160,7 +162,7 @@
         vocabulary: &Vocabulary,
     ) -> Result<Call, CallError> {
         let customer = parse_customer(arguments.customer)?;
-        if !is_word(arguments.id) {
+        if !is_valid_id(arguments.id) {
             return Err(CallError::Id);
         }
         let split = if vocabulary.authenticates {
@@ -177,7 +179,7 @@
         let options = Options::parse(text)?;
         let request = request(is_post, customer, &options, own_plan, vocabulary)?;
         let wait = options.wait.ok_or(CallError::Missing(Field::Wait))?;
-        let call = Call::from_parts(request, arguments, text, wait.place);
+        let call = Call::from_parts(request, arguments, text, wait.range);
         Ok(Call {
             wait: wait.micros,
             token: split.map(|split| split.token),
@@ -185,27 +187,30 @@
         })
     }
 
-    /// Lays the command out as it goes to backends, around the value of `d` that stands at `wait` in its options.
+    /// Builds the command for backends. `wait` is the range of the value of `d` in `options`; each attempt writes its own value there.
     fn from_parts(
         request: Request,
         arguments: &Arguments,
         options: &[u8],
         wait: Range<usize>,
     ) -> Call {
-        let body = arguments.all.get(resp::BODY).map_or(0, |body| body.len());
-        let capacity = COMMAND_OVERHEAD + options.len() + body.min(resp::MAX_VALUE);
+        let body = arguments
+            .all
+            .get(resp::BODY_INDEX)
+            .map_or(0, |body| body.len());
+        let capacity = COMMAND_OVERHEAD_BYTES + options.len() + body.min(resp::MAX_VALUE);
         let mut bytes = Vec::with_capacity(capacity);
         resp::put_array(&mut bytes, arguments.all.len());
-        for argument in &arguments.all[..ARGUMENTS - 1] {
+        for argument in &arguments.all[..GET_ARGUMENTS - 1] {
             resp::put_bulk(&mut bytes, &[argument]);
         }
         let head_end = bytes.len();
-        let id_end = head_end - BULK_END;
+        let id_end = head_end - BULK_END_BYTES;
         bytes.extend_from_slice(&options[..wait.start]);
         let before_wait_end = bytes.len();
         bytes.extend_from_slice(&options[wait.end..]);
         let options_end = bytes.len();
-        for argument in &arguments.all[ARGUMENTS..] {
+        for argument in &arguments.all[GET_ARGUMENTS..] {
             if argument.len() <= resp::MAX_VALUE {
                 resp::put_bulk(&mut bytes, &[argument]);
             }
@@ -223,39 +228,40 @@
         }
     }
 
-    /// The token that came with it; it is held no longer.
+    /// Removes and returns the authentication token of the request.
     pub fn take_token(&mut self) -> Option<Vec<u8>> {
         self.token.take()
     }
 
-    /// Its body, where that is not among the bytes that [`Call::write`] appends: it goes right behind them.
+    /// The long body, if there is one. [`Call::write`] does not append it: the caller sends it directly after those bytes.
     pub fn body(&self) -> Option<Body> {
         self.body.clone()
     }
 
-    /// The id that the client gave it.
+    /// The request id set by the client.
     pub fn id(&self) -> &[u8] {
         &self.bytes[self.id.clone()]
     }
 
-    /// Appends the command as it goes to a backend, which is told how long, in microseconds, it is waited for.
+    /// Appends the command for a backend to `out`. `wait` is how long the answer is awaited, in microseconds; the backend receives it as
+    /// option `d` in milliseconds, at least 1.
     pub fn write(&self, wait: Micros, out: &mut Vec<u8>) {
         let wait_ms = (wait / MICROS_PER_MILLISECOND).max(1).to_string();
         out.extend_from_slice(&self.bytes[..self.head_end]);
         let before_wait = &self.bytes[self.head_end..self.before_wait_end];
-        let behind_wait = &self.bytes[self.before_wait_end..self.options_end];
-        resp::put_bulk(out, &[before_wait, wait_ms.as_bytes(), behind_wait]);
+        let after_wait = &self.bytes[self.before_wait_end..self.options_end];
+        resp::put_bulk(out, &[before_wait, wait_ms.as_bytes(), after_wait]);
         out.extend_from_slice(&self.bytes[self.options_end..]);
     }
 
-    /// What it takes in memory, in bytes, roughly.
+    /// Approximate memory used by the request, in bytes.
     pub fn size(&self) -> usize {
         let body = self.body.as_ref().map_or(0, Body::memory);
         self.bytes.capacity() + body + std::mem::size_of::<Call>()
     }
 }
 
-/// A customer's number.
+/// Parses a customer number: 16 hex digits, below [`CUSTOMER_LIMIT`].
 fn parse_customer(text: &[u8]) -> Result<u64, CallError> {
     let is_hex = text.len() == CUSTOMER_DIGITS && text.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(text).ok().filter(|_| is_hex);
@@ -265,8 +271,8 @@
         .ok_or(CallError::Customer)
 }
 
-/// What the decision module is given of a request; what is out of range reaches neither the module, which stores it in the
-/// customer's record, nor a backend.
+/// Builds the request for the decision module. Rejects values that are out of range, so that they reach neither a backend nor the
+/// decision module, which stores them in the customer's record.
 fn request(
     is_post: bool,
     customer: u64,
@@ -304,7 +310,7 @@
     })
 }
 
-/// Whether the command is the one for a class, and has the idempotency key that the class needs.
+/// Checks that the command is the right one for the class, and that the request has an idempotency key if the class needs one.
 fn check_idempotency(
     idempotency: Idempotency,
     is_post: bool,
@@ -313,14 +319,14 @@
     if is_post == (idempotency == Idempotency::Idempotent) {
         return Err(CallError::WrongCommand);
     }
-    if matches!(idempotency, Idempotency::WithKey { .. }) && !options.key.is_some_and(is_word) {
+    if matches!(idempotency, Idempotency::WithKey { .. }) && !options.key.is_some_and(is_valid_id) {
         return Err(CallError::Missing(Field::Key));
     }
     Ok(())
 }
 
-fn check_range(is_good: bool, field: Field) -> Result<(), CallError> {
-    if is_good {
+fn check_range(is_in_range: bool, field: Field) -> Result<(), CallError> {
+    if is_in_range {
         Ok(())
     } else {
         Err(CallError::OutOfRange(field))
--- a/crates/wire/src/call/error.rs
+++ b/crates/wire/src/call/error.rs
@@ -1,30 +1,30 @@
-//! Why a command is refused, in words for the client.
+//! Errors for refused commands. Their texts are sent to the client.
 
 use std::fmt;
 
-/// An option of a command.
+/// An option of a command, for use in error messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// The class.
+    /// `c`: name of the class.
     Class,
-    /// The plan.
+    /// `t`: name of the plan.
     Plan,
-    /// The idempotency key.
+    /// `k`: the idempotency key.
     Key,
-    /// How long the client waits.
+    /// `d`: how long the client waits, in milliseconds.
     Wait,
-    /// How many units the request takes.
+    /// `units`: how many units the request takes.
     Units,
-    /// Over how many ingresses the customer spreads its requests.
+    /// `spread`: number of ingresses over which the customer spreads its requests.
     Spread,
-    /// The first of these ingresses.
+    /// `first`: index of the first of these ingresses.
     First,
-    /// The token that proves who the client is.
+    /// `auth`: the token that authenticates the client.
     Token,
 }
 
 impl Field {
-    /// Its name in the options.
+    /// Name of the option on the wire.
     fn name(self) -> &'static str {
         match self {
             Field::Class => "c",
@@ -48,35 +48,35 @@
 /// Why a command is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// It has too few arguments, or too many.
+    /// Wrong number of arguments. Contains the expected number, including the command name.
     #[error("{0} arguments are wanted, with the command")]
     ArgumentCount(usize),
-    /// The customer is no number, or out of range.
+    /// The customer is not a number of 16 hex digits, or is out of range.
     #[error("the customer is no number of 16 hex digits below 2^33")]
     Customer,
-    /// The id is empty, too long, or has other bytes than printable ASCII.
+    /// The id is empty, too long, or contains bytes other than printable ASCII.
     #[error("the id is no plain word")]
     Id,
-    /// An option has no value.
+    /// An option has no `=`.
     #[error("an option has no '='")]
-    NoValue,
+    MissingEquals,
     /// An option is given twice.
     #[error("{0} is given twice")]
-    Twice(Field),
-    /// An option is missing, or its value is no plain word.
+    Duplicate(Field),
+    /// An option is missing, or the idempotency key has an invalid value.
     #[error("{0} is missing")]
     Missing(Field),
-    /// An option is no whole number, or too large.
+    /// The value of an option is not a whole number, or is too large.
     #[error("{field} is no whole number up to {max}")]
-    NoWholeNumber {
-        /// The option.
+    InvalidWholeNumber {
+        /// The option with the invalid value.
         field: Field,
-        /// The largest value.
+        /// Largest value allowed.
         max: u64,
     },
-    /// An option is no number.
+    /// The value of an option is not a number.
     #[error("{0} is no number")]
-    NoNumber(Field),
+    InvalidNumber(Field),
     /// A number is out of the range that the settings allow.
     #[error("{0} is out of range")]
     OutOfRange(Field),
@@ -86,13 +86,13 @@
     /// The settings have no plan of this name.
     #[error("the plan is unknown")]
     UnknownPlan,
-    /// The account is not one of the application that this ingress serves.
+    /// The account does not belong to the application that this ingress serves.
     #[error("the account is not this application's")]
     ForeignAccount,
     /// The application may not send requests of this class.
     #[error("the application may not send this class")]
     ClassNotAllowed,
-    /// The command is not the one for requests of this class.
+    /// The class needs the other command: idempotent classes use CALL.GET, all others CALL.POST.
     #[error("CALL.GET is for classes that are safe to repeat, CALL.POST for the others")]
     WrongCommand,
 }
--- a/crates/wire/src/call/options.rs
+++ b/crates/wire/src/call/options.rs
@@ -1,27 +1,28 @@
-//! The options of a command: `NAME=VALUE`, with commas between them.
+//! The options of a command: `NAME=VALUE` pairs separated by commas.
 
 use super::error::{CallError, Field};
 use super::vocabulary::OwnPlan;
 use std::ops::Range;
 use wrenfork_decision::Micros;
 
-/// The longest that a client may say it waits, in milliseconds.
+/// Maximum value of `d`, in milliseconds.
 const MAX_WAIT_MS: u64 = 3_600_000;
-/// The most ingresses that options may count.
+/// Maximum value of `spread` and `first`, whatever the settings allow.
 const MAX_GATEWAYS: u64 = 65_535;
-/// The most digits of a whole number, and bytes of another one.
+/// Maximum number of digits of a whole number.
 const MAX_DIGITS: usize = 10;
-const MAX_NUMBER: usize = 20;
+/// Maximum length of a decimal number, in bytes.
+const MAX_NUMBER_BYTES: usize = 20;
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// The option with a token.
-const TOKEN: &[u8] = b"auth=";
-/// Options that claim what is known of an application's own accounts.
-const CLAIMS: [&[u8]; 3] = [b"t=", b"spread=", b"first="];
-/// What the options put in place of claims take besides the plan's name, at most: room is reserved for it.
-const CLAIMS_OVERHEAD: usize = 32;
+/// Prefix of the option that carries the authentication token.
+const TOKEN_PREFIX: &[u8] = b"auth=";
+/// Prefixes of the options that are ignored when the ingress knows the plan of the account itself.
+const CLAIM_PREFIXES: [&[u8]; 3] = [b"t=", b"spread=", b"first="];
+/// Maximum size of the options that replace the claims, without the plan name, in bytes. Used to reserve buffer capacity.
+const CLAIMS_OVERHEAD_BYTES: usize = 32;
 
-/// The options of a command, as far as they mean something here.
+/// The parsed options of a command. Options unknown to the ingress are left out.
 #[derive(Default)]
 pub(super) struct Options<'a> {
     pub(super) class: Option<&'a [u8]>,
@@ -33,16 +34,16 @@
     pub(super) first: Option<u64>,
 }
 
-/// How long a client waits.
+/// The option `d`: how long the client waits.
 #[derive(Clone, Debug)]
 pub(super) struct WaitOption {
     pub(super) micros: Micros,
-    /// Where the value stands in the options.
-    pub(super) place: Range<usize>,
+    /// Position of the value in the options.
+    pub(super) range: Range<usize>,
 }
 
 impl<'a> Options<'a> {
-    /// Parses options; unknown ones are skipped.
+    /// Parses options and skips unknown ones.
     pub(super) fn parse(text: &'a [u8]) -> Result<Options<'a>, CallError> {
         let mut options = Options::default();
         let mut start = 0;
@@ -53,12 +54,12 @@
         Ok(options)
     }
 
-    /// Adds the option that begins at `start`.
+    /// Parses one option that begins at byte `start` of the options.
     fn add(&mut self, option: &'a [u8], start: usize) -> Result<(), CallError> {
         let equals = option.iter().position(|byte| *byte == b'=');
-        let equals = equals.ok_or(CallError::NoValue)?;
+        let equals = equals.ok_or(CallError::MissingEquals)?;
         let value = &option[equals + 1..];
-        let place = start + equals + 1..start + option.len();
+        let range = start + equals + 1..start + option.len();
         match &option[..equals] {
             b"c" => set(&mut self.class, value, Field::Class),
             b"t" => set(&mut self.plan, value, Field::Plan),
@@ -66,7 +67,7 @@
             b"d" => {
                 let ms = whole_number(value, MAX_WAIT_MS, Field::Wait)?;
                 let micros = ms * MICROS_PER_MILLISECOND;
-                set(&mut self.wait, WaitOption { micros, place }, Field::Wait)
+                set(&mut self.wait, WaitOption { micros, range }, Field::Wait)
             }
             b"units" => {
                 let units = number(value, Field::Units)?;
@@ -85,10 +86,10 @@
     }
 }
 
-/// Sets an option, once.
+/// Sets an option. Fails if it is already set.
 fn set<T>(option: &mut Option<T>, value: T, field: Field) -> Result<(), CallError> {
     if option.replace(value).is_some() {
-        return Err(CallError::Twice(field));
+        return Err(CallError::Duplicate(field));
     }
     Ok(())
 }
@@ -100,54 +101,54 @@
     let number = is_number.then(|| text.iter().fold(0, digit));
     number
         .filter(|number| *number <= max)
-        .ok_or(CallError::NoWholeNumber { field, max })
+        .ok_or(CallError::InvalidWholeNumber { field, max })
 }
 
-/// A number from 0 up, in plain digits with or without a fraction.
+/// Parses a number from 0 up: decimal digits with an optional fraction, no sign or exponent.
 fn number(text: &[u8], field: Field) -> Result<f64, CallError> {
     let is_plain = !text.is_empty()
-        && text.len() <= MAX_NUMBER
+        && text.len() <= MAX_NUMBER_BYTES
         && text.iter().all(|b| b.is_ascii_digit() || *b == b'.');
     let text = std::str::from_utf8(text).ok().filter(|_| is_plain);
     text.and_then(|text| text.parse().ok())
-        .ok_or(CallError::NoNumber(field))
+        .ok_or(CallError::InvalidNumber(field))
 }
 
-/// Options without the token among them, which goes to no backend, and that token.
+/// The token, and the options without it. The token must not reach a backend.
 pub(super) struct SplitOptions {
     pub(super) rest: Vec<u8>,
     pub(super) token: Vec<u8>,
 }
 
-/// Splits the token from options; none where there is none.
+/// Separates the token from the other options. Returns `None` if there is no token.
 pub(super) fn split_token(options: &[u8]) -> Result<Option<SplitOptions>, CallError> {
-    let is_token = |option: &&[u8]| option.starts_with(TOKEN);
+    let is_token = |option: &&[u8]| option.starts_with(TOKEN_PREFIX);
     let all = || options.split(|byte| *byte == b',');
     let mut tokens = all().filter(is_token);
     let Some(token) = tokens.next() else {
         return Ok(None);
     };
     if tokens.next().is_some() {
-        return Err(CallError::Twice(Field::Token));
+        return Err(CallError::Duplicate(Field::Token));
     }
     let rest: Vec<&[u8]> = all().filter(|option| !is_token(option)).collect();
     Ok(Some(SplitOptions {
         rest: rest.join(&b','),
-        token: token[TOKEN.len()..].to_vec(),
+        token: token[TOKEN_PREFIX.len()..].to_vec(),
     }))
 }
 
-/// Options without what they claim of plan and spread, and with what is so.
+/// Replaces the plan and spread claimed in the options with the actual ones of the account.
 pub(super) fn replace_claims(options: &[u8], plan: OwnPlan, gateways: u64) -> Vec<u8> {
-    let is_claim = |option: &[u8]| CLAIMS.iter().any(|claim| option.starts_with(claim));
-    let mut own = Vec::with_capacity(options.len() + CLAIMS_OVERHEAD);
+    let is_claim = |option: &[u8]| CLAIM_PREFIXES.iter().any(|claim| option.starts_with(claim));
+    let mut replaced = Vec::with_capacity(options.len() + CLAIMS_OVERHEAD_BYTES);
     for option in options.split(|byte| *byte == b',') {
         if !is_claim(option) {
-            own.extend_from_slice(option);
-            own.push(b',');
+            replaced.extend_from_slice(option);
+            replaced.push(b',');
         }
     }
     let claims = format!("t={},spread={gateways},first=0", plan.name);
-    own.extend_from_slice(claims.as_bytes());
-    own
+    replaced.extend_from_slice(claims.as_bytes());
+    replaced
 }
--- a/crates/wire/src/call/tests.rs
+++ b/crates/wire/src/call/tests.rs
@@ -1,4 +1,4 @@
-//! Calls that are read, and those that are refused.
+//! Parsing of CALL commands, and the errors for invalid ones.
 
 use super::{Call, CallError, ClassDefinition, Vocabulary};
 use crate::resp;
@@ -34,37 +34,40 @@
     resp::put_array(&mut buf, parts.len());
     parts
         .iter()
-        .for_each(|p| resp::put_bulk(&mut buf, &[p.as_bytes()]));
+        .for_each(|part| resp::put_bulk(&mut buf, &[part.as_bytes()]));
     resp::command(&buf, &mut args).unwrap().unwrap();
     Call::read(&buf, &args, &vocabulary()).unwrap()
 }
 
 #[test]
-fn a_call_goes_on_as_it_came_but_for_its_wait() {
+fn written_call_differs_from_received_one_only_in_its_wait() {
     let options = "c=save,t=business,d=480,k=5c0f,r=1,units=2,spread=3,first=1,new=x";
     let call = read(&["CALL.POST", "00000000b4d65521", "9b1f", options, "BO\r\nDY"]).unwrap();
-    let r = call.request;
+    let request = call.request;
     assert_eq!(
-        (r.class, r.plan, r.customer.0, call.wait),
+        (request.class, request.plan, request.customer.0, call.wait),
         (1, 1, 0xb4d6_5521, 480_000)
     );
     assert_eq!(call.id(), b"9b1f");
-    assert_eq!((r.units, r.gateway_span, r.first_gateway), (2.0, 3.0, 1.0));
+    assert_eq!(
+        (request.units, request.gateway_span, request.first_gateway),
+        (2.0, 3.0, 1.0)
+    );
     let mut out = Vec::new();
     call.write(123_999, &mut out);
-    let want = options.replace("480", "123");
-    let want = format!(
-        "*5\r\n$9\r\nCALL.POST\r\n$16\r\n00000000b4d65521\r\n$4\r\n9b1f\r\n${}\r\n{want}\r\n$6\r\nBO\r\nDY\r\n",
-        want.len()
+    let expected = options.replace("480", "123");
+    let expected = format!(
+        "*5\r\n$9\r\nCALL.POST\r\n$16\r\n00000000b4d65521\r\n$4\r\n9b1f\r\n${}\r\n{expected}\r\n$6\r\nBO\r\nDY\r\n",
+        expected.len()
     );
-    assert_eq!(String::from_utf8(out).unwrap(), want);
+    assert_eq!(String::from_utf8(out).unwrap(), expected);
 }
 
 #[test]
-fn what_is_missing_or_bad_is_named() {
-    let good = "c=quote,t=starter,d=480,units=2,spread=3,first=1";
-    assert!(read(&["CALL.GET", "00000000b4d65521", "9b1f", good]).is_ok());
-    for (from, to, want) in [
+fn errors_name_the_missing_or_invalid_field() {
+    let valid = "c=quote,t=starter,d=480,units=2,spread=3,first=1";
+    assert!(read(&["CALL.GET", "00000000b4d65521", "9b1f", valid]).is_ok());
+    for (from, to, expected) in [
         ("c=quote", "c=other", "class"),
         ("c=quote", "c=save", "CALL.GET"),
         ("t=starter", "t=gold", "plan"),
@@ -88,30 +91,34 @@
             "CALL.GET",
             "00000000b4d65521",
             "9b1f",
-            &good.replace(from, to),
+            &valid.replace(from, to),
         ])
         .unwrap_err()
         .to_string();
-        assert!(error.contains(want), "{to}: {error}");
+        assert!(error.contains(expected), "{to}: {error}");
     }
     assert!(
-        read(&["CALL.GET", "0000000fb4d65521", "9b1f", good]).is_err(),
-        "a customer of 2^33 or more"
-    );
-    assert!(
-        read(&["CALL.GET", "b4d65521", "9b1f", good]).is_err(),
-        "a short customer"
+        read(&["CALL.GET", "0000000fb4d65521", "9b1f", valid]).is_err(),
+        "a customer number of 2^33 or more was accepted"
     );
     assert!(
-        read(&["CALL.GET", "00000000b4d65521", "", good]).is_err(),
-        "an empty id"
+        read(&["CALL.GET", "b4d65521", "9b1f", valid]).is_err(),
+        "a customer number of 8 digits was accepted"
     );
-    assert!(read(&["CALL.GET", "00000000b4d65521", "9b1f", good, "BODY"]).is_err());
-    let save = good.replace("quote", "save");
     assert!(
-        read(&["CALL.POST", "00000000b4d65521", "9b1f", &save, "BODY"])
-            .unwrap_err()
-            .to_string()
-            .contains('k')
+        read(&["CALL.GET", "00000000b4d65521", "", valid]).is_err(),
+        "an empty id was accepted"
     );
+    assert!(read(&["CALL.GET", "00000000b4d65521", "9b1f", valid, "BODY"]).is_err());
+    let keyed_options = valid.replace("quote", "save");
+    assert!(read(&[
+        "CALL.POST",
+        "00000000b4d65521",
+        "9b1f",
+        &keyed_options,
+        "BODY"
+    ])
+    .unwrap_err()
+    .to_string()
+    .contains('k'));
 }
--- a/crates/wire/src/call/vocabulary.rs
+++ b/crates/wire/src/call/vocabulary.rs
@@ -1,4 +1,4 @@
-//! The names of the settings, by which requests are read.
+//! Names and limits from the settings that are needed to parse requests.
 
 use super::error::CallError;
 use std::collections::HashMap;
@@ -7,78 +7,78 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassDefinition {
-    /// Its name; empty where the class was dropped.
+    /// Name of the class. Empty if the class was removed from the settings.
     pub name: String,
-    /// Whether its requests may be repeated.
+    /// Whether requests of the class may be repeated.
     pub idempotency: Idempotency,
 }
 
-/// What the settings name: needed to read a request.
+/// Names and limits from the settings, needed to parse a request.
 pub struct Vocabulary {
-    /// The classes.
+    /// The classes by index.
     pub classes: Vec<ClassDefinition>,
-    /// The names of the plans; one that was dropped has an empty name.
+    /// Names of the plans by index. A plan removed from the settings has an empty name.
     pub plans: Vec<String>,
-    /// The most units that a request takes.
+    /// Maximum number of units of a request.
     pub max_units: f64,
-    /// How many ingresses there are.
+    /// Number of ingresses.
     pub gateways: u64,
-    /// Whose requests these are, where that is known whatever they claim.
+    /// The application that sends the requests. `None` if the ingress does not serve a single application.
     pub identity: Option<Identity>,
-    /// Callers are authenticated: an option `auth` is a token.
+    /// Whether clients are authenticated. If so, the option `auth` is a token that is not passed on to backends.
     pub authenticates: bool,
 }
 
-/// An application's accounts, at a sidecar of its own: what a request claims of plan and spread counts for nothing.
+/// The accounts of the one application that a sidecar serves. They override the plan and spread that a request claims.
 #[derive(Debug, Default)]
 pub struct Identity {
-    /// By account: the index of its plan in the vocabulary.
+    /// Index of the plan of each account in the vocabulary.
     pub accounts: HashMap<u64, u16>,
-    /// By that index: the plan's name as backends know it.
+    /// Name of each plan as backends know it, by plan index.
     pub plans_at_backends: Vec<String>,
-    /// By class: whether the application may send requests of it.
+    /// Whether the application may send requests of each class, by class index.
     pub may_send: Vec<bool>,
 }
 
-/// The plan of an account of the application that is served.
+/// The plan of an account of the application that the ingress serves.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OwnPlan<'a> {
-    /// Its index in the vocabulary.
+    /// Index of the plan in the vocabulary.
     pub(super) index: u16,
-    /// Its name as backends know it.
+    /// Name of the plan as backends know it.
     pub(super) name: &'a str,
 }
 
 impl Vocabulary {
-    /// The name of the class at an index.
+    /// The name of the class with this index, or `None` if the index is out of range.
     pub fn class_name(&self, class: u8) -> Option<&str> {
         let class = self.classes.get(usize::from(class))?;
         Some(class.name.as_str())
     }
 
-    /// The name of the plan at an index.
+    /// The name of the plan with this index, or `None` if the index is out of range.
     pub fn plan_name(&self, plan: u16) -> Option<&str> {
         self.plans.get(usize::from(plan)).map(String::as_str)
     }
 
-    /// The names of the classes by their indices.
+    /// The names of the classes in index order, including the empty names of removed classes.
     pub fn class_names(&self) -> impl Iterator<Item = &str> {
         self.classes.iter().map(|class| class.name.as_str())
     }
 
-    /// The index of a class by its name.
+    /// Finds the index of a class by its name.
     pub(super) fn class_index(&self, name: &[u8]) -> Result<usize, CallError> {
         let index = self.class_names().position(|known| is_name(known, name));
         index.ok_or(CallError::UnknownClass)
     }
 
-    /// The index of a plan by its name.
+    /// Finds the index of a plan by its name.
     pub(super) fn plan_index(&self, name: &[u8]) -> Result<usize, CallError> {
         let index = self.plans.iter().position(|known| is_name(known, name));
         index.ok_or(CallError::UnknownPlan)
     }
 
-    /// The plan of an account, where that is known whatever the request claims.
+    /// The plan of an account if the ingress serves a single application, otherwise `None`. Fails for an account of another application.
     pub(super) fn own_plan(&self, account: u64) -> Result<Option<OwnPlan<'_>>, CallError> {
         let Some(identity) = &self.identity else {
             return Ok(None);
@@ -92,7 +92,7 @@
         }))
     }
 
-    /// Whether requests of a class may be sent, where the application is known.
+    /// Whether requests of a class may be sent. Always true unless the ingress serves a single application.
     pub(super) fn may_send(&self, class: usize) -> bool {
         let Some(identity) = &self.identity else {
             return true;
@@ -101,7 +101,7 @@
     }
 }
 
-/// Whether a name is meant; what was dropped has an empty name.
+/// Whether `text` is the name `known`. Never matches the empty name of a removed class or plan.
 fn is_name(known: &str, text: &[u8]) -> bool {
     !known.is_empty() && known.as_bytes() == text
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! The protocols of an ingress: bytes in, values out. No sockets and no clock.
+//! Parsers and writers for the protocols of an ingress. They work on byte buffers, without sockets or a clock.
 //!
-//! [`resp`] is the codec of RESP2. [`call`] reads the requests of clients and writes them for backends, [`long`] takes answers that
-//! are streamed, [`tally`] is the protocol of the count service.
+//! [`resp`] is the RESP2 codec. [`call`] parses requests from clients and writes them for backends, [`long`] forwards long answers
+//! as they arrive, and [`tally`] implements the protocol of the count service.
 
 pub mod call;
 pub mod long;
--- a/crates/wire/src/resp.rs
+++ b/crates/wire/src/resp.rs
@@ -1,9 +1,10 @@
-//! A strict and bounded RESP2 codec. It looks at what has come so far and says: incomplete, complete or
-//! malformed. Lengths are checked as soon as they are announced, so nothing is awaited that would be turned
-//! down anyway, and a body is skipped by its length: looking again at a part costs next to nothing.
+//! A strict RESP2 codec with bounded sizes. Given the bytes received so far, it reports whether they are
+//! incomplete, complete or malformed. Lengths are checked as soon as they are announced, so an oversized item
+//! is rejected before its bytes arrive. Bodies are skipped by their length, which makes it cheap to parse an
+//! incomplete command again.
 //!
-//! The crate redis-protocol was tried first and does not fit: it takes any two bytes for the end of a bulk
-//! string, waits for bodies of whatever length is announced, and overflows the stack on deep nesting.
+//! The crate redis-protocol does not fit: it accepts any two bytes as the end of a bulk string, waits for
+//! bodies of any announced length, and overflows the stack on deep nesting.
 
 use std::io::Write;
 use std::ops::Range;
@@ -11,33 +12,33 @@
 #[cfg(test)]
 mod tests;
 
-/// The most bytes that a value may have.
+/// Maximum size of a value that is buffered whole, in bytes.
 pub const MAX_VALUE: usize = 64 * 1024;
-/// The most bytes of a value that is not kept beside others of its size: an answer passes on as it comes, a body has the memory
-/// it takes granted before it is read.
-pub const MAX_LONG: usize = 4 << 20;
-/// Which argument of a CALL.POST is its body.
-pub const BODY: usize = 4;
-/// The most arguments of a command and elements of an answer.
+/// Maximum size of a long value, in bytes. A long answer is forwarded as it arrives; for a long body, memory is reserved before it is
+/// read.
+pub const MAX_LONG_VALUE: usize = 4 << 20;
+/// Index of the body among the arguments of CALL.POST.
+pub const BODY_INDEX: usize = 4;
+/// Maximum number of arguments of a command or elements of an answer.
 const MAX_ITEMS: usize = 8;
-/// The most bytes of all arguments of a command, or elements of an answer, together.
-const MAX_TOTAL: usize = MAX_VALUE + 4096;
-/// The most bytes of a line: a length, an error or a status.
-const MAX_LINE: usize = 1024;
-/// What stands behind the text of a bulk string.
+/// Maximum total size of the arguments of a command (without a body) or the elements of an answer, in bytes.
+const MAX_TOTAL_BYTES: usize = MAX_VALUE + 4096;
+/// Maximum length of an error, status or integer line, in bytes.
+const MAX_LINE_BYTES: usize = 1024;
+/// Terminator of a bulk string.
 const BULK_END: &[u8] = b"\r\n";
-/// The most digits of a length.
+/// Maximum number of digits of a length.
 const MAX_DIGITS: usize = 10;
 
-/// Why bytes are no RESP2 that is accepted here.
+/// The bytes are not RESP2, or exceed the size limits. Contains the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct Malformed(pub &'static str);
 
-/// What there is, once all of it has come.
+/// The parsed item, or `None` if it has not arrived completely.
 type Parsed<T> = Result<Option<T>, Malformed>;
 
-/// What an element of an answer is.
+/// The type of an element of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// `+`, a status.
@@ -48,50 +49,50 @@
     Integer,
     /// `$`, a string with its length.
     Bulk,
-    /// A string of length -1.
+    /// A null: a string or array of length -1.
     Null,
 }
 
 /// An element of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Element {
-    /// Its kind.
+    /// Type of the element.
     pub kind: Kind,
-    /// Where its text is.
+    /// Range of the text, without the type byte, length line and CR LF.
     pub text: Range<usize>,
-    /// Where it is, with its head and end.
+    /// Range of the whole element, including the type byte, length line and CR LF.
     pub span: Range<usize>,
 }
 
 /// A backend's answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A value that is no array.
-    One(Element),
-    /// An array of values that are none.
+    /// A single value, or a null array.
+    Single(Element),
+    /// An array of single values. Nested arrays are malformed.
     Array(Vec<Element>),
 }
 
-/// The line that begins at `at`, without its end, and where the next one begins.
+/// Finds the line that starts at `at`; returns its range without CR LF and the position after the CR LF.
 fn line(buf: &[u8], at: usize, max: usize) -> Parsed<(Range<usize>, usize)> {
-    let seen = &buf[at..buf.len().min(at + max + 2)];
-    match seen.iter().position(|b| *b == b'\n') {
-        Some(end) if end > 0 && seen[end - 1] == b'\r' => {
+    let window = &buf[at..buf.len().min(at + max + 2)];
+    match window.iter().position(|b| *b == b'\n') {
+        Some(end) if end > 0 && window[end - 1] == b'\r' => {
             Ok(Some((at..at + end - 1, at + end + 1)))
         }
         Some(_) => Err(Malformed("a line does not end with CR LF")),
-        None if seen.len() == max + 2 => Err(Malformed("a line is too long")),
+        None if window.len() == max + 2 => Err(Malformed("a line is too long")),
         None => Ok(None),
     }
 }
 
-/// A length of at most `max`; none for the -1 of a null.
+/// Parses a length of at most `max`. Returns `None` for -1, the length of a null.
 fn length(text: &[u8], max: usize) -> Result<Option<usize>, Malformed> {
     if text == b"-1" {
         return Ok(None);
     }
     if text.is_empty() || text.len() > MAX_DIGITS || !text.iter().all(u8::is_ascii_digit) {
-        return Err(Malformed("a length is no number"));
+        return Err(Malformed("a length is not a number"));
     }
     let n = text.iter().fold(0usize, |n, d| {
         n.saturating_mul(10).saturating_add(usize::from(d - b'0'))
@@ -102,7 +103,7 @@
     Ok(Some(n))
 }
 
-/// A length that stands behind its mark at `at`, and where the next thing begins.
+/// Parses the length after the type byte at `at`; returns it and the position after its line.
 pub(crate) fn head(buf: &[u8], at: usize, max: usize) -> Parsed<(Option<usize>, usize)> {
     let Some((digits, next)) = line(buf, at + 1, MAX_DIGITS)? else {
         return Ok(None);
@@ -110,7 +111,7 @@
     Ok(Some((length(&buf[digits], max)?, next)))
 }
 
-/// The end of a bulk string of `n` bytes that begin at `at`.
+/// Returns the position after the CR LF of a bulk string whose `n` bytes of text start at `at`.
 fn bulk_end(buf: &[u8], at: usize, n: usize) -> Parsed<usize> {
     let end = buf.get(at + n..).unwrap_or(&[]);
     match end {
@@ -120,24 +121,24 @@
     }
 }
 
-/// Parses a command, an array of bulk strings. Fills in where its arguments are and returns its length. The body of a CALL.POST may
-/// be as long as [`MAX_LONG`]; what else there is has [`MAX_VALUE`] bytes at most.
+/// Parses a command, which is an array of bulk strings. Sets `arguments` to the ranges of its arguments and returns its length in
+/// bytes. The body of a CALL.POST may have up to [`MAX_LONG_VALUE`] bytes, any other argument up to [`MAX_VALUE`].
 ///
 /// # Errors
 ///
-/// Where it is malformed, or longer than is accepted.
+/// If the command is malformed or too long.
 pub fn command(buf: &[u8], arguments: &mut Vec<Range<usize>>) -> Parsed<usize> {
     parse_command(buf, arguments, &mut None)
 }
 
-/// The length of a command that has not come to its end and whose body is longer than [`MAX_VALUE`]; none of others.
+/// The total length of an incomplete command whose body is longer than [`MAX_VALUE`], or `None` for any other command.
 pub fn long_command(buf: &[u8], arguments: &mut Vec<Range<usize>>) -> Option<usize> {
     let mut length = None;
     let parsed = parse_command(buf, arguments, &mut length);
     length.filter(|_| parsed == Ok(None))
 }
 
-/// Parses a command. `long_length` is set to the length that a command with a long body will have, once that is announced.
+/// Parses a command. If it announces a long body, `long_length` is set to the total length of the command.
 fn parse_command(
     buf: &[u8],
     arguments: &mut Vec<Range<usize>>,
@@ -147,7 +148,7 @@
     match buf.first() {
         None => return Ok(None),
         Some(b'*') => {}
-        Some(_) => return Err(Malformed("a command is no array")),
+        Some(_) => return Err(Malformed("a command is not an array")),
     }
     let Some((count, mut at)) = head(buf, 0, MAX_ITEMS)? else {
         return Ok(None);
@@ -155,11 +156,11 @@
     let Some(count) = count.filter(|n| *n > 0) else {
         return Err(Malformed("a command is empty"));
     };
-    let mut left = MAX_TOTAL;
+    let mut left = MAX_TOTAL_BYTES;
     for _ in 0..count {
         let is_body = is_body_next(buf, arguments, count);
         let max = if is_body {
-            MAX_LONG
+            MAX_LONG_VALUE
         } else {
             MAX_VALUE.min(left)
         };
@@ -174,12 +175,14 @@
     Ok(Some(at))
 }
 
-/// Whether the next argument is the body of a CALL.POST.
+/// Whether the next argument to parse is the body of a CALL.POST.
 fn is_body_next(buf: &[u8], arguments: &[Range<usize>], count: usize) -> bool {
-    arguments.len() == BODY && count == BODY + 1 && buf[arguments[0].clone()] == *b"CALL.POST"
+    arguments.len() == BODY_INDEX
+        && count == BODY_INDEX + 1
+        && buf[arguments[0].clone()] == *b"CALL.POST"
 }
 
-/// Parses the argument of a command that begins at `at`; gives where the next one begins.
+/// Parses the argument that starts at `at`; returns the position after it.
 fn parse_argument(
     buf: &[u8],
     at: usize,
@@ -190,7 +193,7 @@
     match buf.get(at) {
         None => return Ok(None),
         Some(b'$') => {}
-        Some(_) => return Err(Malformed("an argument is no bulk string")),
+        Some(_) => return Err(Malformed("an argument is not a bulk string")),
     }
     let Some((length, start)) = head(buf, at, max)? else {
         return Ok(None);
@@ -208,20 +211,24 @@
     Ok(Some(end))
 }
 
-/// Parses the element of an answer that begins at `at`.
+/// Parses the element of an answer that starts at `at`.
 pub(crate) fn element(buf: &[u8], at: usize, max: usize) -> Parsed<Element> {
-    let Some(mark) = buf.get(at) else {
+    let Some(type_byte) = buf.get(at) else {
         return Ok(None);
     };
-    let kind = match mark {
+    let kind = match type_byte {
         b'+' => Kind::Simple,
         b'-' => Kind::Error,
         b':' => Kind::Integer,
         b'$' | b'*' => Kind::Bulk,
-        _ => return Err(Malformed("an answer begins with no mark of RESP2")),
+        _ => {
+            return Err(Malformed(
+                "an answer starts with an unknown RESP2 type byte",
+            ))
+        }
     };
     if kind != Kind::Bulk {
-        let Some((text, end)) = line(buf, at + 1, MAX_LINE)? else {
+        let Some((text, end)) = line(buf, at + 1, MAX_LINE_BYTES)? else {
             return Ok(None);
         };
         return Ok(Some(Element {
@@ -240,8 +247,8 @@
             span: at..start,
         }));
     };
-    if *mark == b'*' {
-        return Err(Malformed("an array stands inside an array"));
+    if *type_byte == b'*' {
+        return Err(Malformed("an array contains an array"));
     }
     let Some(end) = bulk_end(buf, start, n)? else {
         return Ok(None);
@@ -253,16 +260,16 @@
     }))
 }
 
-/// Parses an answer; gives it with its length.
+/// Parses an answer; returns it and its length in bytes.
 ///
 /// # Errors
 ///
-/// Where it is malformed, or longer than is accepted.
+/// If the answer is malformed or too long.
 pub fn reply(buf: &[u8]) -> Parsed<(Reply, usize)> {
     if buf.first() != Some(&b'*') {
-        return Ok(element(buf, 0, MAX_VALUE)?.map(|e| {
-            let end = e.span.end;
-            (Reply::One(e), end)
+        return Ok(element(buf, 0, MAX_VALUE)?.map(|element| {
+            let end = element.span.end;
+            (Reply::Single(element), end)
         }));
     }
     let Some((count, mut at)) = head(buf, 0, MAX_ITEMS)? else {
@@ -270,7 +277,7 @@
     };
     let Some(count) = count else {
         return Ok(Some((
-            Reply::One(Element {
+            Reply::Single(Element {
                 kind: Kind::Null,
                 text: at..at,
                 span: 0..at,
@@ -278,38 +285,38 @@
             at,
         )));
     };
-    let (mut list, mut left) = (Vec::with_capacity(count), MAX_TOTAL);
+    let (mut list, mut left) = (Vec::with_capacity(count), MAX_TOTAL_BYTES);
     for _ in 0..count {
-        let Some(e) = element(buf, at, MAX_VALUE.min(left))? else {
+        let Some(element) = element(buf, at, MAX_VALUE.min(left))? else {
             return Ok(None);
         };
-        at = e.span.end;
-        left = left.saturating_sub(e.text.len());
-        list.push(e);
+        at = element.span.end;
+        left = left.saturating_sub(element.text.len());
+        list.push(element);
     }
     Ok(Some((Reply::Array(list), at)))
 }
 
-/// Appends the head of an array of `n` elements.
+/// Appends the header of an array of `n` elements.
 pub fn put_array(out: &mut Vec<u8>, n: usize) {
     // Writing to a Vec cannot fail.
     let _ = write!(out, "*{n}\r\n");
 }
 
-/// Appends a bulk string given in parts.
+/// Appends a bulk string whose text is the concatenation of `parts`.
 pub fn put_bulk(out: &mut Vec<u8>, parts: &[&[u8]]) {
     let _ = write!(out, "${}\r\n", parts.iter().map(|p| p.len()).sum::<usize>());
     parts.iter().for_each(|p| out.extend_from_slice(p));
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends an error line, less what would break it.
+/// Appends an error line. Control characters become spaces, and the text is truncated to fit the maximum line length.
 pub fn put_error(out: &mut Vec<u8>, text: &str) {
     out.extend_from_slice(b"-ERR ");
     out.extend(
         text.bytes()
             .map(|b| if b.is_ascii_control() { b' ' } else { b })
-            .take(MAX_LINE - 8),
+            .take(MAX_LINE_BYTES - 8),
     );
     out.extend_from_slice(b"\r\n");
 }
--- a/crates/wire/src/tally.rs
+++ b/crates/wire/src/tally.rs
@@ -1,36 +1,37 @@
-//! The protocol of the count service: `TALLY NAME AMOUNT LIFETIME` in RESP2, and its answers.
+//! The protocol of the count service: the call `TALLY NAME AMOUNT LIFETIME` in RESP2, and its answers.
 
 use crate::resp::{self, Kind, Malformed, Reply};
 
 #[cfg(test)]
 mod tests;
 
-/// The largest amount of a call.
+/// Largest absolute amount of a call.
 pub const MAX_AMOUNT: f64 = 1e9;
-/// The longest lifetime of a number, in milliseconds.
+/// Maximum lifetime of a count, in milliseconds.
 const MAX_LIFETIME_MS: u64 = 60_000;
-/// Amounts are rounded to this fraction: finer than the seven digits of a total that is worth a call.
+/// Amounts are rounded to multiples of 1/`AMOUNT_SCALE`. This is finer than the seven digits of any
+/// total that is worth a call.
 const AMOUNT_SCALE: f64 = 1e6;
 const MICROS_PER_MILLISECOND: u64 = 1_000;
 
-/// What an answer says.
+/// An answer of the count service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// The amount was added; the total behind it.
+    /// The amount was added. Contains the new total.
     Total(f64),
-    /// Rejected: nothing was added.
+    /// The service answered `BUSY`: it rejected the call and added nothing.
     Busy,
-    /// No such call, says the service: nothing was added.
+    /// The service answered with any other error: it added nothing.
     Error,
 }
 
-/// Appends a call that adds `amount` to the number `name`, which exists for `lifetime` microseconds if it is new; false
-/// where the service takes no such amount, and nothing is appended.
+/// Appends a call that adds `amount` to the count `name`. If the count is new, it exists for `lifetime` microseconds. Returns false
+/// and appends nothing if the amount is not finite or exceeds [`MAX_AMOUNT`].
 pub fn put_call(out: &mut Vec<u8>, name: u64, amount: f64, lifetime: u64) -> bool {
     if !amount.is_finite() || amount.abs() > MAX_AMOUNT {
         return false;
     }
-    // No sign before a 0.
+    // Adding 0.0 turns -0.0 into 0.0, so that no sign is written.
     let amount = (amount * AMOUNT_SCALE).round() / AMOUNT_SCALE + 0.0;
     let lifetime_ms = lifetime.div_ceil(MICROS_PER_MILLISECOND);
     let lifetime_ms = lifetime_ms.clamp(1, MAX_LIFETIME_MS);
@@ -42,16 +43,16 @@
     true
 }
 
-/// Reads the first answer in `buf`, and how long it is; none while it has not come to its end.
+/// Parses the first answer in `buf`; returns it and its length in bytes, or `None` if it is incomplete.
 ///
 /// # Errors
 ///
-/// What is no answer of a count service: a total that is no finite number, an array, a status.
+/// If the answer is not one of the count service: for example a total that is not a finite number, an array or a status.
 pub fn answer(buf: &[u8]) -> Result<Option<(Answer, usize)>, Malformed> {
     let (element, end) = match resp::reply(buf)? {
         None => return Ok(None),
-        Some((Reply::One(element), end)) => (element, end),
-        Some(_) => return Err(Malformed("a count's answer is an array")),
+        Some((Reply::Single(element), end)) => (element, end),
+        Some(_) => return Err(Malformed("an answer of the count service is an array")),
     };
     let text = &buf[element.text.clone()];
     let answer = match element.kind {
@@ -60,7 +61,7 @@
         Kind::Bulk => Answer::Total(parse_total(text)?),
         _ => {
             return Err(Malformed(
-                "a count's answer is neither a total nor an error",
+                "an answer of the count service is neither a total nor an error",
             ))
         }
     };
@@ -72,5 +73,5 @@
     let total = text.and_then(|text| text.parse::<f64>().ok());
     total
         .filter(|total| total.is_finite())
-        .ok_or(Malformed("a total is no number"))
+        .ok_or(Malformed("a total is not a finite number"))
 }
