--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of what is sent to backends and to the count service, and of what a handover keeps of calls and long answers.
+//! Golden files for the bytes sent to backends and to the count service, and for calls and long answers as a handover stores them.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -24,13 +24,13 @@
     let first = golden.iter().zip(bytes).position(|(a, b)| a != b);
     assert!(
         golden == bytes,
-        "{name}: {} bytes written, {} in the golden file, the first other one at {first:?}",
+        "{name}: {} bytes written, {} in the golden file, first difference at byte {first:?}",
         bytes.len(),
         golden.len()
     );
 }
 
-/// Compares a value's stored form with its golden file, reads it from there and writes it again.
+/// Compares a value's postcard form with its golden file, and checks that reading and rewriting the file keeps its bytes.
 fn assert_stored<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     assert_golden(name, &postcard::to_stdvec(value).unwrap());
     let golden = std::fs::read(path(name)).unwrap();
@@ -65,33 +65,36 @@
 fn command(parts: &[&[u8]]) -> Vec<u8> {
     let mut buf = Vec::new();
     resp::put_array(&mut buf, parts.len());
-    parts.iter().for_each(|p| resp::put_bulk(&mut buf, &[p]));
+    parts
+        .iter()
+        .for_each(|part| resp::put_bulk(&mut buf, &[part]));
     buf
 }
 
-fn read(parts: &[&[u8]], words: &Vocabulary) -> Call {
+fn read(parts: &[&[u8]], vocabulary: &Vocabulary) -> Call {
     let (buf, mut args) = (command(parts), Vec::new());
     resp::command(&buf, &mut args).unwrap().unwrap();
     let long = args
-        .get(resp::BODY)
+        .get(resp::BODY_INDEX)
         .is_some_and(|body| body.len() > resp::MAX_VALUE);
     let call = if long {
-        Call::read_long(buf, &args, words)
+        Call::read_long(buf, &args, vocabulary)
     } else {
-        Call::read(&buf, &args, words)
+        Call::read(&buf, &args, vocabulary)
     };
-    call.unwrap().unwrap_or_else(|_| panic!("it is a call"))
+    call.unwrap()
+        .unwrap_or_else(|_| panic!("the command is not a valid call"))
 }
 
 const CUSTOMER: &[u8] = b"00000000b4d65521";
 const KEYED: &[u8] = b"c=save,t=business,d=480,k=5c0f,r=1,units=2.5,spread=3,first=1,new=x";
 
-/// Calls of each kind, with the name of their golden files.
+/// Calls of each kind, with the names of their golden files.
 fn calls() -> Vec<(&'static str, Call)> {
-    let words = vocabulary();
+    let default_vocabulary = vocabulary();
     let quote = b"c=quote,t=starter,d=99,units=1,spread=1,first=0";
     let long = vec![b'x'; resp::MAX_VALUE + 1];
-    let own = Vocabulary {
+    let application_vocabulary = Vocabulary {
         identity: Some(Identity {
             accounts: HashMap::from([(0xb4d6_5521, 2)]),
             plans_at_backends: vec!["starter".into(), "business".into(), "business".into()],
@@ -104,28 +107,37 @@
     vec![
         (
             "get",
-            read(&[b"CALL.GET", CUSTOMER, b"9b1f", quote], &words),
+            read(
+                &[b"CALL.GET", CUSTOMER, b"9b1f", quote],
+                &default_vocabulary,
+            ),
         ),
         (
             "post",
             read(
                 &[b"CALL.POST", CUSTOMER, b"9b1f", KEYED, b"BO\r\nDY"],
-                &words,
+                &default_vocabulary,
             ),
         ),
         (
             "long",
-            read(&[b"CALL.POST", CUSTOMER, b"9b1f", KEYED, &long], &words),
+            read(
+                &[b"CALL.POST", CUSTOMER, b"9b1f", KEYED, &long],
+                &default_vocabulary,
+            ),
         ),
         (
             "own",
-            read(&[b"CALL.POST", CUSTOMER, b"9b1f", claimed, b""], &own),
+            read(
+                &[b"CALL.POST", CUSTOMER, b"9b1f", claimed, b""],
+                &application_vocabulary,
+            ),
         ),
     ]
 }
 
 #[test]
-fn calls_are_stored_and_sent_as_the_golden_files_have_it() {
+fn calls_are_stored_and_sent_as_in_their_golden_files() {
     for (name, call) in calls() {
         assert_stored(&format!("call-{name}.bin"), &call);
         let mut out = Vec::new();
@@ -137,10 +149,10 @@
 }
 
 #[test]
-fn a_long_answer_is_stored_as_the_golden_file_has_it() {
-    let begun = LongAnswer::begin(b"*3\r\n$65537\r\nabc").unwrap();
-    assert_eq!(begun.head, 4);
-    let mut long = begun.answer;
+fn long_answer_is_stored_as_in_its_golden_file() {
+    let started = LongAnswer::start(b"*3\r\n$65537\r\nabc").unwrap();
+    assert_eq!(started.head, 4);
+    let mut long = started.answer;
     assert_stored("long-begun.bin", &long);
     let mut out = Vec::new();
     let value = [b"$65537\r\n".to_vec(), vec![b'x'; 65_537]].concat();
@@ -150,21 +162,21 @@
 }
 
 #[test]
-fn counts_are_sent_as_the_golden_file_has_it() {
+fn counts_are_sent_as_in_their_golden_file() {
     let mut out = Vec::new();
-    for (name, amount, life) in [
+    for (name, amount, lifetime) in [
         (0xabc, -2.5, 4_000_000),
         (u64::MAX, 1e9, u64::MAX),
         (0, 0.1 + 0.2, 0),
     ] {
-        assert!(tally::put_call(&mut out, name, amount, life));
+        assert!(tally::put_call(&mut out, name, amount, lifetime));
     }
     assert_golden("counts.txt", &out);
 }
 
-/// The options of a good command.
-const GOOD: &str = "c=save,t=business,d=480,k=5c0f,units=2,spread=3,first=1";
-/// Changes of it, each of which is refused by one vocabulary or both.
+/// The options of a valid command.
+const VALID_OPTIONS: &str = "c=save,t=business,d=480,k=5c0f,units=2,spread=3,first=1";
+/// Replacements in [`VALID_OPTIONS`], each of which makes the command invalid in at least one vocabulary.
 const CHANGES: [(&str, &str); 24] = [
     ("c=save,", ""),
     ("c=save", "c=other"),
@@ -192,21 +204,21 @@
     ("k=5c0f", "k=1,k=2,auth=a,auth=b"),
 ];
 
-/// Why a command is refused is told to clients.
+/// The error texts are sent to clients.
 #[test]
-fn refusals_have_their_texts() {
+fn invalid_commands_get_the_error_texts_of_the_golden_file() {
     let mut all = String::new();
-    let mut refuse = |parts: &[&[u8]], words: &Vocabulary| {
+    let mut check_command = |parts: &[&[u8]], vocabulary: &Vocabulary| {
         let (buf, mut args) = (command(parts), Vec::new());
         resp::command(&buf, &mut args).unwrap().unwrap();
-        match Call::read(&buf, &args, words) {
+        match Call::read(&buf, &args, vocabulary) {
             None => all += "another command",
             Some(Ok(_)) => all += "a call",
-            Some(Err(why)) => all += &why.to_string(),
+            Some(Err(error)) => all += &error.to_string(),
         }
         all.push('\n');
     };
-    let own = Vocabulary {
+    let application_vocabulary = Vocabulary {
         identity: Some(Identity {
             accounts: HashMap::from([(0xb4d6_5521, 1)]),
             plans_at_backends: vec!["starter".into(), "business".into()],
@@ -215,28 +227,34 @@
         authenticates: true,
         ..vocabulary()
     };
-    for words in [&vocabulary(), &own] {
+    for vocabulary in [&vocabulary(), &application_vocabulary] {
         for (from, to) in CHANGES {
-            let options = GOOD.replace(from, to);
-            refuse(
+            let options = VALID_OPTIONS.replace(from, to);
+            check_command(
                 &[b"CALL.POST", CUSTOMER, b"9b1f", options.as_bytes(), b"BODY"],
-                words,
+                vocabulary,
             );
         }
-        let options = GOOD.as_bytes();
-        refuse(&[b"CALL.PUT", CUSTOMER, b"9b1f", options, b"BODY"], words);
-        refuse(&[b"CALL.POST", CUSTOMER, b"9b1f", options], words);
-        refuse(&[b"CALL.GET", CUSTOMER, b"9b1f", options], words);
-        refuse(&[b"CALL.GET", CUSTOMER, b"9b1f", options, b"BODY"], words);
-        refuse(
+        let options = VALID_OPTIONS.as_bytes();
+        check_command(
+            &[b"CALL.PUT", CUSTOMER, b"9b1f", options, b"BODY"],
+            vocabulary,
+        );
+        check_command(&[b"CALL.POST", CUSTOMER, b"9b1f", options], vocabulary);
+        check_command(&[b"CALL.GET", CUSTOMER, b"9b1f", options], vocabulary);
+        check_command(
+            &[b"CALL.GET", CUSTOMER, b"9b1f", options, b"BODY"],
+            vocabulary,
+        );
+        check_command(
             &[b"CALL.POST", b"b4d65521", b"9b1f", options, b"BODY"],
-            words,
+            vocabulary,
         );
-        refuse(
+        check_command(
             &[b"CALL.POST", b"00000000b4d65522", b"9b1f", options, b"BODY"],
-            words,
+            vocabulary,
         );
-        refuse(&[b"CALL.POST", CUSTOMER, b"", options, b"BODY"], words);
+        check_command(&[b"CALL.POST", CUSTOMER, b"", options, b"BODY"], vocabulary);
     }
     assert_golden("refusals.txt", all.as_bytes());
 }
