--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! The adapter between the simulator's binary protocol and the decision module. It runs many instances of
-//! the module in one process and only translates: it makes no decisions of its own.
+//! The adapter between the simulator's binary protocol and the decision module. It runs many
+//! instances of the module in one process and only translates: it makes no decisions of its own.
 
 mod error;
 mod wire;
@@ -19,7 +19,8 @@
     };
     let size = wire::frame_size(&frame)?;
     let expected = (size - wire::EVENT_HEADER_BYTES) as u64;
-    // The buffer grows with the bytes received, so a wrong length in the header cannot make it allocate that much memory.
+    // The buffer grows with the bytes received, so a wrong length in the header cannot make it
+    // allocate that much memory.
     let read = input
         .take(expected)
         .read_to_end(&mut frame)
--- a/crates/adapter/src/wire/record.rs
+++ b/crates/adapter/src/wire/record.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Decodes the record. Returns `None` if its code is unknown. `report_fields` contains the names
-    /// of the values in a load report, by instance.
+    /// Decodes the record. Returns `None` if its code is unknown. `report_fields` contains the
+    /// names of the values in a load report, by instance.
     ///
     /// # Errors
     ///
--- a/crates/adapter/tests/adapter.rs
+++ b/crates/adapter/tests/adapter.rs
@@ -10,7 +10,8 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // Some tests send invalid frames, after which the adapter ends without reading all input; the write may then fail.
+    // Some tests send invalid frames, after which the adapter ends without reading all input; the
+    // write may then fail.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
--- a/crates/compatibility/src/program.rs
+++ b/crates/compatibility/src/program.rs
@@ -8,8 +8,8 @@
 /// Length of a SHA-256 digest in hex digits.
 const SHA256_HEX_LENGTH: usize = 64;
 
-/// A program: a display name, and the SHA-256 digest of its executable file. Programs are equal if their digests are equal, whatever
-/// their names.
+/// A program: a display name, and the SHA-256 digest of its executable file. Programs are equal if their digests are equal,
+/// whatever their names.
 #[derive(Clone, Debug, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Program {
--- a/crates/happy-eyeballs/src/address_list.rs
+++ b/crates/happy-eyeballs/src/address_list.rs
@@ -67,7 +67,8 @@
 pub struct AddressList(Vec<AddressState>);
 
 impl AddressList {
-    /// Replaces the list with `addresses` and keeps the failure state of those already listed. Returns whether any address was removed.
+    /// Replaces the list with `addresses` and keeps the failure state of those already listed. Returns whether any address was
+    /// removed.
     pub fn update(&mut self, mut addresses: Vec<Address>) -> bool {
         addresses.truncate(MAX_ADDRESSES);
         let previous = std::mem::take(&mut self.0);
--- a/crates/happy-eyeballs/src/connection_race.rs
+++ b/crates/happy-eyeballs/src/connection_race.rs
@@ -32,8 +32,8 @@
 }
 
 impl ConnectionRace {
-    /// Creates a race over addresses in the given order. `connect_timeout` is the time limit of each attempt; the first attempt starts
-    /// at `now`.
+    /// Creates a race over addresses in the given order. `connect_timeout` is the time limit of each attempt; the first attempt
+    /// starts at `now`.
     pub fn new(mut ordered: Vec<Address>, connect_timeout: Micros, now: Micros) -> ConnectionRace {
         ordered.reverse();
         let delay = connect_timeout / ATTEMPTS_PER_TIMEOUT;
--- a/crates/happy-eyeballs/src/lib.rs
+++ b/crates/happy-eyeballs/src/lib.rs
@@ -1,5 +1,6 @@
-//! Connecting to a node that has several addresses: a Unix socket, IPv6 or IPv4. The order of the addresses ([`AddressList`]) and the
-//! start times of connection attempts ([`ConnectionRace`]) follow RFC 8305 ("Happy Eyeballs Version 2"). No I/O and no clock.
+//! Connecting to a node that has several addresses: a Unix socket, IPv6 or IPv4. The order of the addresses ([`AddressList`])
+//! and the start times of connection attempts ([`ConnectionRace`]) follow RFC 8305 ("Happy Eyeballs Version 2"). No I/O and no
+//! clock.
 //!
 //! Only connection attempts race, never requests: a request is written once, to the connection that was established first. The
 //! decision module alone decides whether a request that may already have run is sent again, to any address.
--- a/crates/happy-eyeballs/tests/addresses.rs
+++ b/crates/happy-eyeballs/tests/addresses.rs
@@ -137,8 +137,7 @@
     })
 }
 
-/// The addresses that a race starts, in their order; each wait goes forward.
-/// The addresses in the order in which a race starts attempts to them.
+/// The addresses in the order in which a race starts attempts to them. Checks that each wait ends after the current time.
 fn attempted_addresses(mut race: ConnectionRace, mut now: Micros) -> Vec<Address> {
     let mut started = Vec::new();
     loop {
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -68,7 +68,8 @@
 }
 
 /// Whether a customer is in the sample of a class that contains `fraction` of all customers. The result is always the same for the
-/// same class, customer and fraction. The class and the customer are hashed with SplitMix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", OOPSLA 2014).
+/// same class, customer and fraction. The class and the customer are hashed with SplitMix64 (Steele, Lea and Flood, "Fast
+/// Splittable Pseudorandom Number Generators", OOPSLA 2014).
 pub(crate) fn is_sampled(class: u64, customer: u64, fraction: f64) -> bool {
     let mut hash = customer.wrapping_add((class + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15));
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -149,15 +150,15 @@
         self.routes.get(class).copied().flatten()
     }
 
-    /// Whether a customer is a canary customer of a class. The result never changes for a customer, so that a repeated request goes to
-    /// the pool that may already have run it.
+    /// Whether a customer is a canary customer of a class. The result never changes for a customer, so that a repeated request
+    /// goes to the pool that may already have run it.
     pub fn is_canary_customer(&self, class: usize, customer: u64) -> bool {
         let canary = self.route(class).and_then(|route| route.canary);
         canary.is_some_and(|canary| is_sampled(class as u64, customer, canary.fraction))
     }
 
-    /// Bit masks of the pools that requests of a class from a customer may go to, in order of preference. `None` if the class has no
-    /// route and may go to any node. Canary customers fall back to the pools of the other customers.
+    /// Bit masks of the pools that requests of a class from a customer may go to, in order of preference. `None` if the class
+    /// has no route and may go to any node. Canary customers fall back to the pools of the other customers.
     pub fn tiers(&self, class: usize, customer: u64) -> Option<Vec<u64>> {
         let route = self.route(class)?;
         let canary = route
--- a/crates/supervisor/src/lib.rs
+++ b/crates/supervisor/src/lib.rs
@@ -1,6 +1,6 @@
-//! The state machine of a supervisor, which runs an ingress process on a machine without the platform. It decides which program runs,
-//! when it is restarted after a crash, when a successor is started beside it, and which program it reverts to. No I/O and no clock:
-//! times are [`std::time::Duration`]s since an arbitrary epoch.
+//! The state machine of a supervisor, which runs an ingress process on a machine without the platform. It decides which program
+//! runs, when it is restarted after a crash, when a successor is started beside it, and which program it reverts to. No I/O and
+//! no clock: times are [`std::time::Duration`]s since an arbitrary epoch.
 //!
 //! The caller reports events to [`Supervisor::step`] and carries out the returned actions in order.
 
--- a/crates/supervisor/src/supervisor.rs
+++ b/crates/supervisor/src/supervisor.rs
@@ -64,13 +64,15 @@
     state: State,
     /// Number of consecutive crashes.
     crashes: u32,
-    /// The last report of an unfit program. It is repeated from time to time, because another process may have started to answer since.
+    /// The last report of an unfit program. It is repeated from time to time, because another process may have started to
+    /// answer since.
     last_report: Option<UnfitReport>,
 }
 
 impl Supervisor {
-    /// Creates a supervisor for a machine on which no process runs yet. It starts the proven program, otherwise the one wanted last,
-    /// otherwise `first`. The proven and the wanted program are skipped if their files no longer exist, the wanted one also if it failed here.
+    /// Creates a supervisor for a machine on which no process runs yet. It starts the proven program, otherwise the one wanted
+    /// last, otherwise `first`. The proven and the wanted program are skipped if their files no longer exist, the wanted one
+    /// also if it failed here.
     pub fn new(
         policy: RestartPolicy,
         persistent: PersistentState,
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -127,7 +127,7 @@
         if arguments.len() != expected {
             return Some(Err(CallError::ArgumentCount(expected)));
         }
-        let all: Vec<&[u8]> = arguments.iter().map(|r| &buf[r.clone()]).collect();
+        let all: Vec<&[u8]> = arguments.iter().map(|range| &buf[range.clone()]).collect();
         let arguments = Arguments {
             all: &all,
             customer: all[1],
@@ -147,13 +147,13 @@
         arguments: &[Range<usize>],
         vocabulary: &Vocabulary,
     ) -> Option<Result<Call, CallError>> {
-        let mut read = Call::read(&buf, arguments, vocabulary);
+        let mut call = Call::read(&buf, arguments, vocabulary);
         let before_body = arguments.get(arguments.len().wrapping_sub(2));
-        if let (Some(Ok(call)), Some(before_body)) = (&mut read, before_body) {
+        if let (Some(Ok(call)), Some(before_body)) = (&mut call, before_body) {
             let range = before_body.end + BULK_END_BYTES..buf.len();
             call.body = Some(Body::new(buf, range));
         }
-        read
+        call
     }
 
     fn parse(
@@ -187,7 +187,8 @@
         })
     }
 
-    /// Builds the command for backends. `wait` is the range of the value of `d` in `options`; each attempt writes its own value there.
+    /// Builds the command for backends. `wait` is the range of the value of `d` in `options`; each attempt writes its own value
+    /// there.
     fn from_parts(
         request: Request,
         arguments: &Arguments,
@@ -243,8 +244,8 @@
         &self.bytes[self.id.clone()]
     }
 
-    /// Appends the command for a backend to `out`. `wait` is how long the answer is awaited, in microseconds; the backend receives it as
-    /// option `d` in milliseconds, at least 1.
+    /// Appends the command for a backend to `out`. `wait` is how long the answer is awaited, in microseconds; the backend
+    /// receives it as option `d` in milliseconds, at least 1.
     pub fn write(&self, wait: Micros, out: &mut Vec<u8>) {
         let wait_ms = (wait / MICROS_PER_MILLISECOND).max(1).to_string();
         out.extend_from_slice(&self.bytes[..self.head_end]);
--- a/crates/wire/src/call/vocabulary.rs
+++ b/crates/wire/src/call/vocabulary.rs
@@ -78,7 +78,8 @@
         index.ok_or(CallError::UnknownPlan)
     }
 
-    /// The plan of an account if the ingress serves a single application, otherwise `None`. Fails for an account of another application.
+    /// The plan of an account if the ingress serves a single application, otherwise `None`. Fails for an account of another
+    /// application.
     pub(super) fn own_plan(&self, account: u64) -> Result<Option<OwnPlan<'_>>, CallError> {
         let Some(identity) = &self.identity else {
             return Ok(None);
--- a/crates/wire/src/long.rs
+++ b/crates/wire/src/long.rs
@@ -1,6 +1,6 @@
-//! Answers whose value is too long to buffer. The bytes of the value are forwarded as they arrive; its final CR LF is forwarded only
-//! after the whole answer has arrived and is valid, so a client never mistakes a broken answer for a complete one. The result does
-//! not depend on how the network splits the bytes.
+//! Answers whose value is too long to buffer. The bytes of the value are forwarded as they arrive; its final CR LF is forwarded
+//! only after the whole answer has arrived and is valid, so a client never mistakes a broken answer for a complete one. The
+//! result does not depend on how the network splits the bytes.
 
 use crate::resp::{self, Element, Malformed, MAX_LONG_VALUE};
 use serde::{Deserialize, Serialize};
@@ -43,8 +43,8 @@
 }
 
 impl LongAnswer {
-    /// Recognizes a long answer by the bytes received so far. Returns `None` if the answer has another form or a short value, or if the
-    /// length of the value has not arrived yet.
+    /// Recognizes a long answer by the bytes received so far. Returns `None` if the answer has another form or a short value,
+    /// or if the length of the value has not arrived yet.
     pub fn start(buf: &[u8]) -> Option<LongAnswerStart> {
         if buf.first() != Some(&b'*') {
             return None;
--- a/crates/wire/src/long/tests.rs
+++ b/crates/wire/src/long/tests.rs
@@ -32,7 +32,7 @@
             is_complete,
             fed.as_ref()
                 .map(Option::is_some)
-                .map_err(|e| Malformed(e.0)),
+                .map_err(|error| Malformed(error.0)),
             "is_complete and feed disagree"
         );
         match fed {
--- a/crates/wire/src/resp.rs
+++ b/crates/wire/src/resp.rs
@@ -14,8 +14,8 @@
 
 /// Maximum size of a value that is buffered whole, in bytes.
 pub const MAX_VALUE: usize = 64 * 1024;
-/// Maximum size of a long value, in bytes. A long answer is forwarded as it arrives; for a long body, memory is reserved before it is
-/// read.
+/// Maximum size of a long value, in bytes. A long answer is forwarded as it arrives; for a long body, memory is reserved before
+/// it is read.
 pub const MAX_LONG_VALUE: usize = 4 << 20;
 /// Index of the body among the arguments of CALL.POST.
 pub const BODY_INDEX: usize = 4;
@@ -94,13 +94,15 @@
     if text.is_empty() || text.len() > MAX_DIGITS || !text.iter().all(u8::is_ascii_digit) {
         return Err(Malformed("a length is not a number"));
     }
-    let n = text.iter().fold(0usize, |n, d| {
-        n.saturating_mul(10).saturating_add(usize::from(d - b'0'))
+    let length = text.iter().fold(0usize, |length, digit| {
+        length
+            .saturating_mul(10)
+            .saturating_add(usize::from(digit - b'0'))
     });
-    if n > max {
+    if length > max {
         return Err(Malformed("a length is over the limit"));
     }
-    Ok(Some(n))
+    Ok(Some(length))
 }
 
 /// Parses the length after the type byte at `at`; returns it and the position after its line.
@@ -111,11 +113,11 @@
     Ok(Some((length(&buf[digits], max)?, next)))
 }
 
-/// Returns the position after the CR LF of a bulk string whose `n` bytes of text start at `at`.
-fn bulk_end(buf: &[u8], at: usize, n: usize) -> Parsed<usize> {
-    let end = buf.get(at + n..).unwrap_or(&[]);
+/// Returns the position after the CR LF of a bulk string whose `length` bytes of text start at `at`.
+fn bulk_end(buf: &[u8], at: usize, length: usize) -> Parsed<usize> {
+    let end = buf.get(at + length..).unwrap_or(&[]);
     match end {
-        [b'\r', b'\n', ..] => Ok(Some(at + n + 2)),
+        [b'\r', b'\n', ..] => Ok(Some(at + length + 2)),
         [] | [b'\r'] => Ok(None),
         _ => Err(Malformed("a bulk string does not end with CR LF")),
     }
@@ -237,10 +239,10 @@
             span: at..end,
         }));
     }
-    let Some((n, start)) = head(buf, at, max)? else {
+    let Some((length, start)) = head(buf, at, max)? else {
         return Ok(None);
     };
-    let Some(n) = n else {
+    let Some(length) = length else {
         return Ok(Some(Element {
             kind: Kind::Null,
             text: start..start,
@@ -250,12 +252,12 @@
     if *type_byte == b'*' {
         return Err(Malformed("an array contains an array"));
     }
-    let Some(end) = bulk_end(buf, start, n)? else {
+    let Some(end) = bulk_end(buf, start, length)? else {
         return Ok(None);
     };
     Ok(Some(Element {
         kind,
-        text: start..start + n,
+        text: start..start + length,
         span: at..end,
     }))
 }
@@ -297,10 +299,10 @@
     Ok(Some((Reply::Array(list), at)))
 }
 
-/// Appends the header of an array of `n` elements.
-pub fn put_array(out: &mut Vec<u8>, n: usize) {
+/// Appends the header of an array of `count` elements.
+pub fn put_array(out: &mut Vec<u8>, count: usize) {
     // Writing to a Vec cannot fail.
-    let _ = write!(out, "*{n}\r\n");
+    let _ = write!(out, "*{count}\r\n");
 }
 
 /// Appends a bulk string whose text is the concatenation of `parts`.
