--- a/crates/ingress/src/control.rs
+++ b/crates/ingress/src/control.rs
@@ -1,7 +1,8 @@
-//! The control port of an ingress: what operators plan and apply reaches the event loop through it, between two turns.
+//! The control port of an ingress, through which operators plan and apply changes.
 //!
-//! Threads of `wrenfork-control-plane` serve the socket and the durable state. They see the event loop as an
-//! [`EventLoopHandle`](event_loop_handle), which sends [`ControlCommand`]s that the loop takes from its [`ControlPort`].
+//! Threads of `wrenfork-control-plane` serve the control socket and the durable state. They access the event loop through an
+//! [`EventLoopHandle`](event_loop_handle), which sends [`ControlCommand`]s. The event loop receives the commands from its
+//! [`ControlPort`] and executes them between two turns.
 
 mod command;
 mod error;
--- a/crates/ingress/src/control/command.rs
+++ b/crates/ingress/src/control/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the control threads to the event loop.
+//! Commands from the control threads to the event loop.
 
 use crate::config::ActiveConfig;
 use std::sync::mpsc::SyncSender;
@@ -7,20 +7,20 @@
 use wrenfork_rollout::MemberMetrics;
 use wrenfork_wire::call::Vocabulary;
 
-/// A configuration that is to be enforced: as text pairs, and compiled for this ingress.
+/// A configuration to enforce, both as key-value pairs and compiled for this ingress.
 pub struct NewConfig {
-    /// The pairs, which pass to the next process.
+    /// The key-value pairs, which are handed over to the next process.
     pub state: Box<State>,
-    /// The same, compiled.
+    /// The compiled form of `state`.
     pub compiled: Box<ActiveConfig>,
 }
 
-/// A command of a control thread to the event loop, with the channel for its answer.
+/// A command from a control thread to the event loop, with the channel for the answer.
 pub enum ControlCommand {
-    /// Enforce a configuration from now on. The vocabulary that it replaces comes back.
+    /// Enforce a configuration. The answer is the replaced vocabulary.
     Apply(NewConfig, SyncSender<Vocabulary>),
-    /// Report the usage figures that a planned change is judged by.
-    ReportFigures(SyncSender<IngressMetrics>),
-    /// Report the counts that a staged rollout compares.
+    /// Report the usage metrics that are shown when a change is planned.
+    ReportIngressMetrics(SyncSender<IngressMetrics>),
+    /// Report the counts by which a staged rollout compares cohorts.
     ReportCohortMetrics(SyncSender<MemberMetrics>),
 }
--- a/crates/ingress/src/control/error.rs
+++ b/crates/ingress/src/control/error.rs
@@ -6,14 +6,14 @@
 use wrenfork_control_plane::socket::SocketError;
 use wrenfork_control_plane::StartError;
 
-/// Why the control port can't be opened, or can't serve a command.
+/// Errors from opening the control port or executing its commands.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// The readiness loop can't be woken by the control threads.
-    #[error("control: no waker: {0}")]
+    /// The waker by which control threads wake the event loop can't be created.
+    #[error("control: cannot create the event loop's waker: {0}")]
     Waker(#[source] io::Error),
-    /// The system starts no thread.
-    #[error("control: no thread: {0}")]
+    /// The thread that opens the control port can't be started.
+    #[error("control: cannot start the control thread: {0}")]
     Thread(#[source] io::Error),
     /// The state folder can't be opened or written.
     #[error("state: {0}")]
@@ -24,24 +24,24 @@
     /// The control threads can't be started.
     #[error(transparent)]
     Server(#[from] StartError),
-    /// The configuration enforced last is refused by this program.
-    #[error("state: generation {generation}, which was enforced last, can't be: {source}")]
-    LastGeneration {
-        /// The generation's number.
+    /// The stored configuration is invalid for this version of the program.
+    #[error("state: stored generation {generation} cannot be enforced: {source}")]
+    StoredGeneration {
+        /// Number of the stored generation.
         generation: u64,
-        /// Why it is refused.
+        /// The reason why the configuration is invalid.
         source: ConfigError,
     },
-    /// A configuration is refused.
+    /// A configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The event loop has ended.
-    #[error("it is stopping")]
+    #[error("the event loop has ended")]
     Stopping,
     /// The event loop can't be woken.
-    #[error("the loop can't be woken: {0}")]
+    #[error("cannot wake the event loop: {0}")]
     Wake(#[source] io::Error),
-    /// The event loop took no command in time.
-    #[error("the loop does not turn")]
+    /// The event loop didn't answer a command within 30 s.
+    #[error("the event loop did not answer in time")]
     LoopStalled,
 }
--- a/crates/ingress/src/control/event_loop_handle.rs
+++ b/crates/ingress/src/control/event_loop_handle.rs
@@ -1,4 +1,4 @@
-//! The event loop as the control threads see it: a channel for commands, a waker, and the answers.
+//! The control threads' handle to the event loop: sends commands, wakes the loop, and waits for answers.
 
 use super::command::{ControlCommand, NewConfig};
 use super::error::ControlError;
@@ -15,17 +15,18 @@
 };
 use wrenfork_rollout::MemberMetrics;
 
-/// How long the event loop may take to its next turn before a command counts as lost: far longer than any turn.
+/// Maximum time to wait for the event loop's answer to a command. A turn takes far less.
 const TURN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The event loop, as the control threads see it.
+/// The control threads' handle to the event loop.
 pub(super) struct EventLoopHandle {
-    /// The settings that no change changes.
+    /// Settings that are fixed at startup and can't be changed through the control port.
     pub(super) fixed: FixedPairs,
     pub(super) commands: Sender<ControlCommand>,
     pub(super) waker: Arc<Waker>,
-    /// A random number that tells this process from earlier ones, and when it began.
+    /// Random number that distinguishes this process from earlier ones.
     pub(super) incarnation: u64,
+    /// When the control port was opened, for the reported uptime.
     pub(super) started_at: Instant,
 }
 
@@ -35,13 +36,13 @@
         found.map(|(_, value)| value.as_str())
     }
 
-    /// The name of the zone that this ingress stands in.
+    /// The name of this ingress's zone.
     fn zone(&self) -> Option<&str> {
         let index = self.setting("zone")?.parse().ok()?;
         self.setting("zones")?.split(',').nth(index)
     }
 
-    /// Sends a command and waits for its answer.
+    /// Sends a command to the event loop and waits for the answer.
     fn call<T>(
         &self,
         command: impl FnOnce(SyncSender<T>) -> ControlCommand,
@@ -71,18 +72,19 @@
             state: Box::new(state.clone()),
             compiled: Box::new(compiled),
         };
-        // The replaced vocabulary comes back to be dropped here: for 100,000 accounts that takes the loop milliseconds.
-        self.call(|done| ControlCommand::Apply(config, done))
+        // Drop the replaced vocabulary here rather than in the event loop: with 100,000 accounts, that takes milliseconds.
+        self.call(|reply| ControlCommand::Apply(config, reply))
             .map(drop)
             .map_err(|e| DataPlaneError::Unavailable(e.to_string()))
     }
 
     fn figures(&self) -> IngressMetrics {
-        self.call(ControlCommand::ReportFigures).unwrap_or_default()
+        self.call(ControlCommand::ReportIngressMetrics)
+            .unwrap_or_default()
     }
 
     fn member_metrics(&self) -> MemberMetrics {
-        let counted = self
+        let cohort_metrics = self
             .call(ControlCommand::ReportCohortMetrics)
             .unwrap_or_default();
         MemberMetrics {
@@ -93,7 +95,7 @@
             zone_group: self.zone().unwrap_or_default().to_string(),
             cpu_us: clock::cpu_time().as_micros() as u64,
             memory_kb: resident_kilobytes(),
-            ..counted
+            ..cohort_metrics
         }
     }
 
@@ -120,15 +122,15 @@
     }
 }
 
-/// A variable that the supervisor of this process sets; none where it is empty.
+/// An environment variable that the supervisor of this process sets; `None` if unset or empty.
 fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-/// Kilobytes of resident memory of this process; 0 where the system does not tell.
+/// Resident memory of this process in kilobytes, or 0 if the system doesn't report it.
 fn resident_kilobytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-    line.and_then(|l| l.split_whitespace().next()?.parse().ok())
+    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
+    line.and_then(|value| value.split_whitespace().next()?.parse().ok())
         .unwrap_or(0)
 }
--- a/crates/ingress/src/control/pending_server.rs
+++ b/crates/ingress/src/control/pending_server.rs
@@ -1,5 +1,5 @@
-//! The control port of a process that took over from another one: a thread waits until that one has let go of the state folder
-//! and of the socket.
+//! Opens the control port after a takeover: a thread waits until the predecessor has released the state folder and the control
+//! socket.
 
 use super::command::NewConfig;
 use super::error::ControlError;
@@ -15,31 +15,32 @@
 use wrenfork_config::enforced::Told;
 use wrenfork_control_plane::group::InheritedLease;
 
-/// The thread only opens the stored state: nothing there recurses.
+/// Stack size of the thread in bytes. The thread only opens the stored state, without recursion.
 const STACK_SIZE: usize = 512 << 10;
-/// Backoff between attempts to take the folder and the socket, the first and the longest.
+/// Delay after the first failed attempt to open the folder and the socket; it doubles with each failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(2);
+/// Longest delay between two attempts to open the folder and the socket.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// A control port that is served now.
+/// A control port that has been opened after a takeover.
 pub struct ReadyControlPort {
-    /// The event loop's end of it.
+    /// The event loop's end of the control port.
     pub port: ControlPort,
-    /// What is stored and has to be enforced, where that is not what was handed over.
+    /// The stored configuration if it differs from the one handed over; the event loop must enforce it.
     pub stored: Option<NewConfig>,
 }
 
-/// The control port of a process that another one handed over to. Until it is there the event loop serves on by the lease that
-/// was passed to it.
+/// A control port that is being opened after a takeover. Meanwhile, the event loop admits requests under the lease that the
+/// predecessor handed over.
 pub struct PendingControlServer(Receiver<ReadyControlPort>);
 
 impl PendingControlServer {
-    /// Starts the thread that opens the durable state and serves the control socket as soon as the process before has let go
-    /// of both. The event loop enforces `handed_over` by then.
+    /// Starts the thread that opens the durable state and serves the control socket once the predecessor has released both. Until
+    /// then, the event loop enforces `handed_over`.
     ///
     /// # Errors
     ///
-    /// Where no thread can be started.
+    /// Returns an error if the waker can't be created or the thread can't be started.
     pub fn start(
         config: &Config,
         handed_over: &Told,
@@ -52,10 +53,10 @@
         if let Some(membership) = &mut control.membership {
             membership.inherited_lease = lease;
         }
-        let (sender, ready) = channel();
-        let opening = Opening {
+        let (sender, receiver) = channel();
+        let opener = ControlPortOpener {
             control,
-            // What is fixed from the start on is what the loop goes on with, whatever the files say by now.
+            // Keep the predecessor's fixed settings, since the event loop uses them, even if the files have changed.
             fixed: handed_over.fixed.clone(),
             state: State(handed_over.state.clone()),
             max_message: max_message(config),
@@ -65,19 +66,19 @@
         thread::Builder::new()
             .name("control".into())
             .stack_size(STACK_SIZE)
-            .spawn(move || opening.run())
+            .spawn(move || opener.run())
             .map_err(ControlError::Thread)?;
-        Ok(PendingControlServer(ready))
+        Ok(PendingControlServer(receiver))
     }
 
-    /// The control port, once it is served.
+    /// Returns the control port once it is open.
     pub fn take(&self) -> Option<ReadyControlPort> {
         self.0.try_recv().ok()
     }
 }
 
-/// What the thread needs to open the control port.
-struct Opening {
+/// State of the thread that opens the control port.
+struct ControlPortOpener {
     control: ControlConfig,
     fixed: FixedPairs,
     state: State,
@@ -86,18 +87,18 @@
     ready: Sender<ReadyControlPort>,
 }
 
-impl Opening {
-    /// Tries until the control port is served, or there is none to serve.
+impl ControlPortOpener {
+    /// Retries until the control port is open, or returns if no control socket is configured.
     fn run(&self) {
         let mut backoff = FIRST_BACKOFF;
         let mut warned = false;
         loop {
             match self.open() {
-                Ok(Some(ready)) => return self.pass_on(ready),
+                Ok(Some(ready)) => return self.send_to_event_loop(ready),
                 Ok(None) => return,
                 Err(error) if backoff >= MAX_BACKOFF && !warned => {
                     warned = true;
-                    tracing::warn!(%error, "control: not opened yet, trying again");
+                    tracing::warn!(%error, "control: cannot open the control port yet, retrying");
                 }
                 Err(_) => {}
             }
@@ -113,13 +114,13 @@
             &self.state,
             self.max_message,
         )?;
-        let stored = restored.differs_from(&self.state)?;
+        let stored = restored.stored_if_different(&self.state)?;
         let port = restored.listen(self.waker.clone())?;
         Ok(port.map(|port| ReadyControlPort { port, stored }))
     }
 
-    fn pass_on(&self, ready: ReadyControlPort) {
-        // Nobody takes it any more where the ingress has ended meanwhile.
+    fn send_to_event_loop(&self, ready: ReadyControlPort) {
+        // Sending fails only if the event loop has ended, and then the control port is no longer needed.
         let _ = self.ready.send(ready);
         let _ = self.waker.wake();
     }
--- a/crates/ingress/src/control/restored_state.rs
+++ b/crates/ingress/src/control/restored_state.rs
@@ -1,4 +1,5 @@
-//! The durable state at a start: what was enforced last stands, whatever the files say, and the control socket serves it.
+//! Restores the durable state at startup. The configuration enforced last takes precedence over the files, and the control socket
+//! serves it.
 
 use super::command::NewConfig;
 use super::error::ControlError;
@@ -17,43 +18,45 @@
 use wrenfork_control_plane::durable_state::DurableState;
 use wrenfork_control_plane::{client, socket, ControlServer, ServerConfig};
 
-/// How long another ingress may take to report what it enforces, at a start without durable state.
+/// Timeout for asking another ingress for its enforced configuration, at startup without durable state.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-/// One part in so many of the memory bounds a message: it is parsed, and a prepared change is held beside what is enforced.
-const MESSAGE_MEMORY_SHARE: usize = 8;
-/// Permissions of the control socket: its owner's alone.
+/// Divisor of the memory limit that gives the maximum size of a control message. A message takes several times its size: it is
+/// parsed, and a prepared change is kept in addition to the enforced configuration.
+const MESSAGE_MEMORY_DIVISOR: usize = 8;
+/// File mode of the control socket: accessible only to its owner.
 const SOCKET_MODE: u32 = 0o600;
 
-/// The durable state of an ingress that starts, before its control socket is served.
+/// The durable state of a starting ingress, before its control socket is served.
 pub struct RestoredState {
     control: ControlConfig,
     fixed: FixedPairs,
     durable: DurableState,
-    /// The most bytes of a message.
+    /// Maximum size of a control message in bytes.
     max_message: usize,
 }
 
-/// Opens the durable state, and has the configuration say what was enforced last; none where there is no control port.
+/// Opens the durable state and replaces the configuration from the files in `config` by the one enforced last. Returns `None`
+/// if no control port is configured.
 ///
 /// # Errors
 ///
-/// Where the folder can't be used, or what is stored there can't be enforced by this program.
+/// Returns an error if the state folder can't be used, or the configuration stored there is invalid for this program.
 pub fn restore(config: &mut Config) -> Result<Option<RestoredState>, ControlError> {
     if !config.has_control_port() {
         return Ok(None);
     }
     let control = config.control.clone();
     let from_files = State(config.source_pairs.state.clone());
-    let first = || {
-        // A group reports itself what is enforced, and nothing is served before it has.
+    let initial_state = || {
+        // A group member learns the enforced configuration from the group, and serves nothing until then.
         if control.membership.is_some() {
             ParticipantState::new(1, from_files.clone())
         } else {
-            first_state(&control, &from_files)
+            state_from_others(&control, &from_files)
         }
     };
-    let durable = open_durable_state(control.state.as_deref(), first)?;
-    enforce_last(config, durable.memory(), &from_files)?;
+    let durable = open_durable_state(control.state.as_deref(), initial_state)?;
+    enforce_stored_state(config, durable.memory(), &from_files)?;
     Ok(Some(RestoredState {
         control,
         fixed: config.source_pairs.fixed.clone(),
@@ -62,57 +65,62 @@
     }))
 }
 
-/// The most bytes of a control message, by the memory that the ingress may use.
+/// Maximum size of a control message in bytes, derived from the memory limit of the ingress.
 pub(super) fn max_message(config: &Config) -> usize {
-    config.memory / MESSAGE_MEMORY_SHARE
+    config.memory / MESSAGE_MEMORY_DIVISOR
 }
 
 fn open_durable_state(
     folder: Option<&Path>,
-    first: impl FnOnce() -> ParticipantState,
+    initial_state: impl FnOnce() -> ParticipantState,
 ) -> Result<DurableState, ControlError> {
-    DurableState::open(folder, first).map_err(ControlError::State)
+    DurableState::open(folder, initial_state).map_err(ControlError::State)
 }
 
-/// Replaces what the files say by what was enforced last.
-fn enforce_last(
+/// Replaces the configuration from the files by the one enforced last.
+fn enforce_stored_state(
     config: &mut Config,
-    memory: &ParticipantState,
+    participant: &ParticipantState,
     from_files: &State,
 ) -> Result<(), ControlError> {
-    let Generation { number, digest } = &memory.enforced;
+    let Generation { number, digest } = &participant.enforced;
     let (generation, digest) = (*number, digest.short());
-    if *memory.state != *from_files {
+    if *participant.state != *from_files {
         tracing::warn!(
             generation,
             digest,
-            "control: enforcing what was applied last, not the files"
+            "control: enforcing the configuration applied last instead of the files"
         );
     }
-    config.active = compile(&config.source_pairs.fixed, &memory.state)
-        .map_err(|source| ControlError::LastGeneration { generation, source })?;
-    config.source_pairs.state = memory.state.0.clone();
-    tracing::info!(generation, digest, "control: enforcing");
-    if let Some(prepared) = &memory.prepared {
+    config.active = compile(&config.source_pairs.fixed, &participant.state)
+        .map_err(|source| ControlError::StoredGeneration { generation, source })?;
+    config.source_pairs.state = participant.state.0.clone();
+    tracing::info!(
+        generation,
+        digest,
+        "control: enforcing the stored generation"
+    );
+    if let Some(prepared) = &participant.prepared {
         tracing::warn!(
             change = prepared.vote.change.short(),
             author = prepared.vote.author.as_str(),
-            "control: a change is prepared and not decided; wrenctl apply --resume ends it"
+            "control: a change is prepared but not decided; run wrenctl apply --resume to finish it"
         );
     }
     Ok(())
 }
 
-/// What an ingress begins with that has nothing stored: what the others enforce, since what was applied there was applied here.
-/// A change that they have only prepared is not decided: what was enforced before it is the safest, as all have kept to it.
-fn first_state(control: &ControlConfig, from_files: &State) -> ParticipantState {
-    let reported = control.others.iter().filter_map(|path| status_of(path));
+/// The initial state of an ingress without stored state: the newest configuration that another ingress enforces, since changes
+/// are applied to all of them, or else the files. A change that the others have only prepared is not adopted, because it is not
+/// decided yet; the generation before it is safe, as all ingresses have enforced it.
+fn state_from_others(control: &ControlConfig, from_files: &State) -> ParticipantState {
+    let reported = control.others.iter().filter_map(|path| query_status(path));
     let newest = reported.max_by_key(|(generation, _)| generation.number);
     match newest.filter(|(generation, _)| generation.number > 1) {
         Some((generation, state)) => {
             tracing::info!(
                 generation = generation.number,
-                "control: no state of its own, taken from another ingress"
+                "control: no stored state, adopting the configuration of another ingress"
             );
             ParticipantState::new(generation.number, state)
         }
@@ -120,8 +128,9 @@
     }
 }
 
-/// What the ingress with this control socket enforces; none where it doesn't answer in time or its digest is wrong.
-fn status_of(socket: &Path) -> Option<(Generation, Arc<State>)> {
+/// Asks the ingress at this control socket for its enforced configuration. Returns `None` if it doesn't answer in time or the
+/// digest doesn't match.
+fn query_status(socket: &Path) -> Option<(Generation, Arc<State>)> {
     match client::request(socket, &CommitRequest::Status, STATUS_TIMEOUT) {
         Ok(CommitResponse::Status {
             generation, state, ..
@@ -131,31 +140,31 @@
 }
 
 impl RestoredState {
-    /// Opens the durable state behind a process that has handed over, whose `state` the event loop enforces.
+    /// Opens the durable state after a takeover. `state` is the predecessor's configuration, which the event loop enforces.
     ///
     /// # Errors
     ///
-    /// Where the folder can't be used, as while the other process still has it.
+    /// Returns an error if the state folder can't be used, for instance because the predecessor still holds it.
     pub(super) fn open_after_handover(
         control: &ControlConfig,
         fixed: &FixedPairs,
         state: &State,
         max_message: usize,
     ) -> Result<RestoredState, ControlError> {
-        let first = || ParticipantState::new(1, state.clone());
+        let initial_state = || ParticipantState::new(1, state.clone());
         Ok(RestoredState {
-            durable: open_durable_state(control.state.as_deref(), first)?,
+            durable: open_durable_state(control.state.as_deref(), initial_state)?,
             control: control.clone(),
             fixed: fixed.clone(),
             max_message,
         })
     }
 
-    /// Serves the control socket, if there is one; the event loop is woken by `token`.
+    /// Serves the control socket, if one is configured. Control threads wake the event loop with an event for `token`.
     ///
     /// # Errors
     ///
-    /// Where the socket can't be bound.
+    /// Returns an error if the waker can't be created, the socket can't be bound, or the control threads can't be started.
     pub fn serve(
         self,
         registry: &Registry,
@@ -165,9 +174,9 @@
         self.listen(Arc::new(waker))
     }
 
-    /// The stored configuration, where it is another one than that which was handed over: the stored one stands, since what
-    /// is stored is enforced before anything else is done. It differs where a folder was put in another's place.
-    pub(super) fn differs_from(
+    /// Returns the stored configuration if it differs from the one handed over, for instance because the state folder was replaced.
+    /// The stored configuration takes precedence.
+    pub(super) fn stored_if_different(
         &self,
         handed_over: &State,
     ) -> Result<Option<NewConfig>, ControlError> {
@@ -176,7 +185,7 @@
             return Ok(None);
         }
         tracing::warn!(
-            "control: the stored state is not what was handed over, enforcing the stored one"
+            "control: the stored state differs from the one handed over, enforcing the stored state"
         );
         Ok(Some(NewConfig {
             compiled: Box::new(compile(&self.fixed, stored)?),
@@ -184,7 +193,7 @@
         }))
     }
 
-    /// Binds the control socket and starts the control threads.
+    /// Binds the control socket, if one is configured, and starts the control threads.
     pub(super) fn listen(self, waker: Arc<Waker>) -> Result<Option<ControlPort>, ControlError> {
         let Some(path) = &self.control.socket else {
             return Ok(None);
--- a/crates/ingress/src/discovery.rs
+++ b/crates/ingress/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint list, and the long poll over HTTP/1.1 that keeps it fresh.
+//! Client of the discovery service: reads the endpoint list and keeps it up to date with long polls over HTTP/1.1.
 
 mod backoff;
 mod client;
--- a/crates/ingress/src/discovery/backoff.rs
+++ b/crates/ingress/src/discovery/backoff.rs
@@ -1,38 +1,41 @@
-//! The backoff before discovery is polled again, by how the last request failed. No clock, and no input or output.
+//! The backoff before discovery is polled again, depending on how the last request failed. This module does no I/O and reads no
+//! clock.
 //!
-//! A hundred ingresses that start at once poll at once, and a service that can take a few dozen requests a second rejects most of
-//! them, which costs it work as well: polled again every second by each of them it serves nobody. So a rejected client waits
-//! long, twice as long each time, and each ingress for another while, until all together ask for less than the
-//! service can do. A service that is silent or gone is not helped by that; it is polled again soon, lest drains be reported late.
+//! When a hundred ingresses start simultaneously, they all poll at once. A service that can handle a few dozen requests per second
+//! rejects most of them, and rejecting also costs it work: if every ingress retried each second, the service would serve none of
+//! them. Rejected clients therefore use long backoffs that double with each rejection and are randomized per ingress, until the
+//! total request rate is below the service's capacity. Long backoffs don't help a service that doesn't answer or can't be
+//! reached; such a service is polled again soon, so that drains are reported without delay.
 //!
-//! Two bounds hold at once. A change counts as reported 6 s after discovery had it and could be reached, so whatever failed last,
-//! the next request has to be made, and answered, within that: a backoff is at most [`MAX_BACKOFF`], and the request behind it has
-//! the rest. And N clients that are all rejected poll no oftener than N times in the shortest of the long backoffs, 3 s.
+//! Two bounds apply. First, a change must reach the ingress within 6 s after discovery has the change and can be reached.
+//! Whatever failed last, the next request must be sent and answered within that time: a backoff is at most [`MAX_BACKOFF`], and
+//! the following request has the remaining time. Second, N clients that are all rejected send at most N requests per 3 s, the
+//! shortest of the long backoffs.
 
 use wrenfork_decision::Micros;
 
-/// The longest backoff of all: a request that is made then has 2 s for its response, as long as one that waits for a watch event,
-/// until a change that was there when the backoff began counts as reported.
+/// Upper bound of every backoff, in microseconds. It leaves 2 s, the time that a poll waits for a watch event, for the response
+/// to the following request before the 6 s within which a change must be reported are over.
 pub const MAX_BACKOFF: Micros = 4_000_000;
-/// After a connection that failed.
+/// Bounds of the backoff after a failed connection.
 const BROKEN: BackoffBounds = BackoffBounds {
     first: 50_000,
     max: 1_000_000,
 };
-/// After a request that was rejected: drawn up to half as long again, and cut at [`MAX_BACKOFF`].
+/// Bounds of the backoff after a rejected request. Jitter adds up to half of it, and the sum is limited to [`MAX_BACKOFF`].
 const REJECTED: BackoffBounds = BackoffBounds {
     first: 1_000_000,
     max: 6_000_000,
 };
-/// The exponent stops growing here, far beyond the longest backoff.
+/// Maximum exponent, which avoids overflow; the longest backoff is reached long before.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// How a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection, no response, or none that can be read.
+    /// There was no connection, no response in time, or an invalid response.
     Broken,
-    /// Answered with another status than 200: the service is there, and rejects the request.
+    /// The service is reachable but answered with a status other than 200.
     Rejected,
 }
 
@@ -44,36 +47,37 @@
 
 /// The backoff between failed requests: exponential, with jitter.
 pub struct Backoff {
-    /// Failures of each kind in a row.
-    in_row: [u32; 2],
+    /// Number of failures since the last reset, indexed by [`Failure`].
+    failure_counts: [u32; 2],
     rng: fastrand::Rng,
 }
 
 impl Backoff {
-    /// No failure yet.
+    /// Creates a backoff without failures. `seed` determines the jitter.
     pub fn new(seed: u64) -> Backoff {
         Backoff {
-            in_row: [0; 2],
+            failure_counts: [0; 2],
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
-    /// The backoff after one more failure: half to one and a half times what it is on average, and never over [`MAX_BACKOFF`].
+    /// Records a failure and returns the backoff in microseconds: 0.5 to 1.5 times the mean, at most [`MAX_BACKOFF`].
     pub fn delay(&mut self, failure: Failure) -> Micros {
         let bounds = match failure {
             Failure::Broken => BROKEN,
             Failure::Rejected => REJECTED,
         };
-        let failures = &mut self.in_row[failure as usize];
+        let failures = &mut self.failure_counts[failure as usize];
         let mean = (bounds.first << (*failures).min(MAX_DOUBLINGS)).min(bounds.max);
         *failures += 1;
-        // Cut, not folded: the longer the backoffs, the fewer are the requests that an overbooked service has to reject.
+        // Clamp instead of drawing again below the limit: longer backoffs mean fewer requests that an overloaded service must
+        // reject.
         (mean / 2 + self.rng.u64(0..=mean)).min(MAX_BACKOFF)
     }
 
-    /// A request was answered, or another service is polled.
+    /// Resets the failure counts after a successful request or a switch to another service.
     pub fn reset(&mut self) {
-        self.in_row = [0; 2];
+        self.failure_counts = [0; 2];
     }
 }
 
--- a/crates/ingress/src/discovery/backoff/tests.rs
+++ b/crates/ingress/src/discovery/backoff/tests.rs
@@ -1,57 +1,64 @@
-//! The pauses by themselves, and a crowd of callers that keep to them.
+//! Tests of the backoff bounds, and a simulation of many clients that share one service.
 
 use super::{Backoff, Failure, MAX_BACKOFF};
 use wrenfork_decision::Micros;
 
-/// So many callers start at once at a service that takes so many calls a second; a call that is turned away costs it half of
-/// one, and it turns away what would wait for more than two seconds. Gives how many are not served in 30 s, and all calls.
-fn crowd(callers: usize, a_second: f64) -> (usize, usize) {
-    let mut backoffs: Vec<Backoff> = (0..callers as u64).map(Backoff::new).collect();
-    let mut due: Vec<Option<Micros>> = vec![Some(0); callers];
-    let (mut backlog, mut calls) = (0.0f64, 0);
+/// Simulates `clients` that start simultaneously at a service that handles `requests_per_second`. The service rejects a request that
+/// would wait for more than 2 s, and a rejection costs it half as much work as a request. Returns how many clients are not
+/// served within 30 s, and the total number of requests.
+fn simulate_clients(clients: usize, requests_per_second: f64) -> (usize, usize) {
+    let mut backoffs: Vec<Backoff> = (0..clients as u64).map(Backoff::new).collect();
+    let mut due: Vec<Option<Micros>> = vec![Some(0); clients];
+    let (mut backlog, mut requests) = (0.0f64, 0);
     // Steps of 10 ms.
     for step in 0..3_000u64 {
         let now = step * 10_000;
-        backlog = (backlog - a_second / 100.0).max(0.0);
-        for (n, due) in due
+        backlog = (backlog - requests_per_second / 100.0).max(0.0);
+        for (client, due) in due
             .iter_mut()
             .enumerate()
             .filter(|(_, due)| due.is_some_and(|at| at <= now))
         {
-            calls += 1;
-            if backlog < 2.0 * a_second {
+            requests += 1;
+            if backlog < 2.0 * requests_per_second {
                 (backlog, *due) = (backlog + 1.0, None);
             } else {
                 (backlog, *due) = (
                     backlog + 0.5,
-                    Some(now + backoffs[n].delay(Failure::Rejected)),
+                    Some(now + backoffs[client].delay(Failure::Rejected)),
                 );
             }
         }
     }
-    (due.iter().flatten().count(), calls)
+    (due.iter().flatten().count(), requests)
 }
 
-/// Guards against a service that is kept overloaded by those whom it turned away.
+/// Guards against a service that stays overloaded because the clients that it rejected retry too soon.
 #[test]
-fn a_hundred_that_start_at_once_are_all_served_by_an_overbooked_service() {
-    let (left, calls) = crowd(100, 20.0);
-    assert_eq!(left, 0, "not served after 30 s, with {calls} calls");
-    assert!(calls < 500, "{calls} calls");
+fn hundred_simultaneous_clients_are_served_within_30_s_at_20_requests_per_second() {
+    let (unserved, requests) = simulate_clients(100, 20.0);
+    assert_eq!(
+        unserved, 0,
+        "clients not served after 30 s and {requests} requests"
+    );
+    assert!(requests < 500, "{requests} requests");
 }
 
-/// The same with three hundred at a service that takes all of them in six seconds.
+/// Guards against the same overload with more clients, at a service that needs 6 s to serve one request of each.
 #[test]
-fn three_hundred_that_start_at_once_are_all_served() {
-    let (left, calls) = crowd(300, 50.0);
-    assert_eq!(left, 0, "not served after 30 s, with {calls} calls");
-    assert!(calls < 1_500, "{calls} calls");
+fn three_hundred_simultaneous_clients_are_served_within_30_s_at_50_requests_per_second() {
+    let (unserved, requests) = simulate_clients(300, 50.0);
+    assert_eq!(
+        unserved, 0,
+        "clients not served after 30 s and {requests} requests"
+    );
+    assert!(requests < 1_500, "{requests} requests");
 }
 
-/// Guards against a pause that outlasts the time after which a change counts as told, however often a call was turned away
-/// or failed before, and whatever the two did in turn.
+/// Guards against a backoff that delays the report of a change for too long, after any number of rejected and failed requests in
+/// any order.
 #[test]
-fn no_pause_is_longer_than_a_change_may_stay_unheard() {
+fn backoff_never_exceeds_maximum() {
     for seed in 0..200 {
         let mut backoff = Backoff::new(seed);
         for n in 0..60 {
@@ -60,19 +67,25 @@
             } else {
                 Failure::Rejected
             };
-            let pause = backoff.delay(failure);
-            assert!(pause <= MAX_BACKOFF, "{pause} us after call {n}");
+            let delay = backoff.delay(failure);
+            assert!(
+                delay <= MAX_BACKOFF,
+                "backoff of {delay} us after request {n}"
+            );
         }
     }
 }
 
 #[test]
-fn a_service_that_is_gone_is_called_again_within_a_second_and_a_half() {
+fn unreachable_service_is_polled_again_within_1500_ms() {
     let mut backoff = Backoff::new(7);
-    let pauses: Vec<Micros> = (0..40).map(|_| backoff.delay(Failure::Broken)).collect();
+    let delays: Vec<Micros> = (0..40).map(|_| backoff.delay(Failure::Broken)).collect();
     assert!(
-        pauses[0] <= 75_000 && pauses.iter().all(|p| (25_000..=1_500_000).contains(p)),
-        "{pauses:?}"
+        delays[0] <= 75_000
+            && delays
+                .iter()
+                .all(|delay| (25_000..=1_500_000).contains(delay)),
+        "backoffs out of bounds: {delays:?}"
     );
     backoff.reset();
     assert!(backoff.delay(Failure::Broken) <= 75_000);
--- a/crates/ingress/src/discovery/client.rs
+++ b/crates/ingress/src/discovery/client.rs
@@ -1,5 +1,5 @@
-//! The client of discovery: one connection, and a long poll for what is newer than the endpoint list. While discovery is silent
-//! or broken the list stays as it was, and the poll is retried with growing backoff.
+//! The discovery client: long-polls the service over a single connection for changes to the endpoint list. While discovery doesn't
+//! answer or its answers are invalid, the ingress keeps the last list, and the client retries with increasing backoff.
 
 use super::backoff::{Backoff, Failure};
 use super::endpoint_list::{EndpointList, LocationNames};
@@ -12,61 +12,61 @@
 use std::net::SocketAddr;
 use wrenfork_decision::Micros;
 
-/// How long one poll waits for a watch event. Short, since the silence of a poll can only be told once this is over.
+/// How long one poll waits for a watch event. It is short because a lost connection can be detected only after this time.
 pub(super) const POLL_WAIT: Micros = 2_000_000;
-/// How much longer than that a response may take until the connection counts as dead, and how long a connection may take to be
-/// established. A poll that falls silent is noticed after both, and retried after a backoff of up to 1.5 s: 4.5 s in the worst
-/// case, where a change counts as reported after six.
-pub(super) const TIMEOUT: Micros = 1_000_000;
-/// The pause after an empty response that came at once: a watch goes on if polled within 200 ms.
-pub(super) const EMPTY_PAUSE: Micros = 50_000;
-/// A response that came faster than this did not wait.
-const AT_ONCE: Micros = 20_000;
-/// Bytes read at once.
-const CHUNK: usize = 16 * 1024;
+/// Timeout for establishing a connection, and the time a response may take beyond [`POLL_WAIT`] before the connection is given
+/// up. An unanswered poll is detected after [`POLL_WAIT`] plus this timeout and retried after a backoff of up to 1.5 s, so in
+/// 4.5 s in the worst case. That is within the 6 s after which a change counts as reported.
+pub(super) const RESPONSE_TIMEOUT: Micros = 1_000_000;
+/// Delay before the next poll after an immediate empty response. The service continues a watch if polled again within 200 ms.
+pub(super) const EMPTY_RESPONSE_DELAY: Micros = 50_000;
+/// A response that arrives within this time counts as immediate: the service did not wait for a watch event.
+const IMMEDIATE_RESPONSE: Micros = 20_000;
+/// Size in bytes of the read buffer.
+const READ_BUFFER_LEN: usize = 16 * 1024;
 
-/// How far a client of discovery has come.
+/// A discovery client's address and list version, which are handed over to the next process.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct DiscoveryPosition {
-    /// The address of discovery.
+    /// Address of the discovery service.
     pub address: SocketAddr,
-    /// The version of the endpoint list; none where the full list is to come.
+    /// Version of the last endpoint list; `None` if the full list must be requested.
     pub index: Option<u64>,
 }
 
-/// The client of discovery.
+/// The discovery client. [`DiscoveryClient::wake`] sends requests, [`DiscoveryClient::ready`] processes responses.
 pub struct DiscoveryClient {
     address: SocketAddr,
     location_names: LocationNames,
     token: Token,
     pub(super) stream: Option<TcpStream>,
-    /// The version of the endpoint list; none polls for the full list.
+    /// Version of the last endpoint list; `None` requests the full list.
     pub(super) index: Option<u64>,
-    /// What is still to be written of a request.
+    /// The unwritten rest of the current request.
     pub(super) out: Vec<u8>,
-    /// When the request was made; none while none is under way.
+    /// Time of the current request; `None` between two requests.
     pub(super) requested_at: Option<Micros>,
     buf: Vec<u8>,
     backoff: Backoff,
-    /// When [`DiscoveryClient::wake`] has something to do.
+    /// Time at which [`DiscoveryClient::wake`] must be called: the next request is due or the current one times out.
     pub wake_at: Micros,
-    /// Discovery failed, and no list has come since.
+    /// Whether a poll has failed and no list has arrived since.
     broken: bool,
 }
 
-/// How reading from the connection ended.
+/// Why reading from the connection stopped.
 enum ReadEnd {
-    /// There is nothing more for now.
+    /// No more data is available at the moment.
     WouldBlock,
-    /// The connection has ended.
+    /// The service has closed the connection.
     Closed,
-    /// The connection was reset, for this reason.
+    /// Reading failed, for instance because the connection was reset.
     Reset(io::Error),
 }
 
 impl DiscoveryClient {
-    /// A client that polls for what is newer than the endpoint list of version `index`. The seed spreads its retries beside
-    /// those of others.
+    /// Creates a client that polls for changes since version `index` of the endpoint list. `seed` randomizes the retry times, so
+    /// that ingresses don't retry simultaneously.
     pub fn new(
         address: SocketAddr,
         location_names: LocationNames,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// How far it has come.
+    /// The address and list version to hand over to the next process.
     pub fn position(&self) -> DiscoveryPosition {
         DiscoveryPosition {
             address: self.address,
@@ -97,13 +97,12 @@
         }
     }
 
-    /// The address of discovery.
+    /// The address of the discovery service.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Goes on at another address: it is polled for its full list at once, whatever the old one still owed and
-    /// however long a backoff was to take.
+    /// Switches to another address and requests the full list immediately. A request or backoff in progress is dropped.
     pub fn move_to(&mut self, address: SocketAddr, now: Micros) {
         self.stream = None;
         self.requested_at = None;
@@ -114,18 +113,19 @@
         self.backoff.reset();
     }
 
-    /// Goes on where another process was.
+    /// Continues from the position that the predecessor handed over.
     pub fn resume(&mut self, position: DiscoveryPosition) {
         self.address = position.address;
         self.index = position.index;
     }
 
-    /// Polls for the full list with the next request.
+    /// Makes the next request ask for the full list.
     pub fn request_full_list(&mut self) {
         self.index = None;
     }
 
-    /// Gives the connection up; the next one comes after a backoff. True if all had been well before.
+    /// Closes the connection and schedules a retry after a backoff. Returns whether this is the first failure since the last
+    /// list.
     fn fail(&mut self, now: Micros, failure: Failure, error: &dyn std::fmt::Display) -> bool {
         self.stream = None;
         self.requested_at = None;
@@ -133,30 +133,35 @@
         self.wake_at = now + self.backoff.delay(failure);
         let first = !std::mem::replace(&mut self.broken, true);
         if first {
-            tracing::warn!(%error, "discovery: poll failed, serving on with the list as it is");
+            tracing::warn!(%error, "discovery: poll failed, keeping the last endpoint list");
         }
         first
     }
 
-    /// Makes the next request, or notices that the last one stays unanswered; true if discovery just failed.
+    /// Sends the next request if it is due, or fails the current one if it has timed out. Returns whether this is the first
+    /// failure since the last list.
     pub fn wake(&mut self, now: Micros, registry: &Registry) -> bool {
         if now < self.wake_at {
             return false;
         }
         if self.requested_at.is_some() {
-            return self.fail(now, Failure::Broken, &"no answer in time");
+            return self.fail(now, Failure::Broken, &"no response within the timeout");
         }
         if self.stream.is_none() {
             match self.connect(registry) {
                 Ok(stream) => self.stream = Some(stream),
-                Err(e) => {
-                    return self.fail(now, Failure::Broken, &format_args!("cannot connect: {e}"))
+                Err(error) => {
+                    return self.fail(
+                        now,
+                        Failure::Broken,
+                        &format_args!("cannot connect: {error}"),
+                    )
                 }
             }
         }
         self.out = self.request();
         self.requested_at = Some(now);
-        self.wake_at = now + TIMEOUT;
+        self.wake_at = now + RESPONSE_TIMEOUT;
         self.write(now)
     }
 
@@ -183,25 +188,32 @@
             match stream.write(&self.out) {
                 Ok(n) => {
                     self.out.drain(..n);
-                    // A request for the full list waits for no watch event, but one that is given up sooner than the service
-                    // answers is never answered.
-                    self.wake_at = now + TIMEOUT + POLL_WAIT;
+                    // Allow the same time for a request for the full list, although it doesn't wait for a watch event: with a
+                    // timeout shorter than the service's response time, retries would never succeed.
+                    self.wake_at = now + RESPONSE_TIMEOUT + POLL_WAIT;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // Not connected yet, or no room: the socket will show as writable.
+                // Not connected yet, or the send buffer is full: a writable event will follow.
                 Err(e) if is_not_ready(&e) => break,
-                Err(e) => return self.fail(now, Failure::Broken, &format_args!("cannot ask: {e}")),
+                Err(error) => {
+                    return self.fail(
+                        now,
+                        Failure::Broken,
+                        &format_args!("cannot send the request: {error}"),
+                    )
+                }
             }
         }
         false
     }
 
-    /// Takes in what the socket has. Gives lists as they come; true if discovery just failed.
+    /// Continues the current request and reads its response. Calls `on_list` for each list received. Returns whether this is
+    /// the first failure since the last list.
     pub fn ready(
         &mut self,
         now: Micros,
         registry: &Registry,
-        take: &mut impl FnMut(EndpointList),
+        on_list: &mut impl FnMut(EndpointList),
     ) -> bool {
         if self.write(now) {
             return true;
@@ -209,36 +221,41 @@
         let end = match self.read(now) {
             Ok(Some(end)) => end,
             Ok(None) => return false,
-            Err(failed_now) => return failed_now,
+            Err(first_failure) => return first_failure,
         };
         let Some(requested_at) = self.requested_at else {
-            // Between two requests nothing is due but the end of the connection; the next request has one of its own.
+            // Between two requests the service sends nothing but the end of the connection. Drop the connection and anything
+            // received on it; the next request opens a new one.
             self.stream = None;
             self.buf.clear();
             return false;
         };
-        // A response that ends with its connection can only be judged with the end known. A reset is no end, but what came
-        // before it has been reported.
-        let ended = matches!(end, ReadEnd::Closed);
-        match read_response(&self.buf, ended, &self.location_names) {
+        // A response without a length is complete only when the connection is closed. A reset doesn't count as closing the
+        // connection, but a response received completely before the reset is valid.
+        let closed = matches!(end, ReadEnd::Closed);
+        match read_response(&self.buf, closed, &self.location_names) {
             Response::Partial => match end {
                 ReadEnd::WouldBlock => false,
-                ReadEnd::Closed => self.fail(now, Failure::Broken, &"the connection ended"),
-                ReadEnd::Reset(e) => self.fail(now, Failure::Broken, &e),
+                ReadEnd::Closed => self.fail(
+                    now,
+                    Failure::Broken,
+                    &"connection closed before the end of the response",
+                ),
+                ReadEnd::Reset(error) => self.fail(now, Failure::Broken, &error),
             },
             Response::Invalid(error) => self.fail(now, error.failure(), &error),
             Response::Complete { list, keep_alive } => {
                 let reusable = keep_alive && matches!(end, ReadEnd::WouldBlock);
                 self.complete(&list, reusable, requested_at, now);
-                take(list);
+                on_list(list);
                 self.wake(now, registry)
             }
         }
     }
 
-    /// Reads what the connection has; none where there is no connection. The error says whether discovery failed just now.
+    /// Reads all available data. Returns `None` if there is no connection, and as an error the result of [`Self::fail`].
     fn read(&mut self, now: Micros) -> Result<Option<ReadEnd>, bool> {
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_BUFFER_LEN];
         loop {
             let Some(stream) = &mut self.stream else {
                 return Ok(None);
@@ -251,15 +268,16 @@
                 Err(e) => return Ok(Some(ReadEnd::Reset(e))),
             }
             if self.buf.len() > MAX_HEAD + MAX_BODY {
-                return Err(self.fail(now, Failure::Broken, &"an answer is too long"));
+                return Err(self.fail(now, Failure::Broken, &"response exceeds the size limit"));
             }
         }
     }
 
-    /// A list has come: the next request follows at once, unless this one came at once with nothing in it.
+    /// Records a received list and schedules the next request: immediately, or after a delay if this response was immediate and
+    /// empty.
     fn complete(&mut self, list: &EndpointList, reusable: bool, requested_at: Micros, now: Micros) {
         if std::mem::take(&mut self.broken) {
-            tracing::info!("discovery: back");
+            tracing::info!("discovery: polling works again");
         }
         self.index = Some(list.index);
         self.requested_at = None;
@@ -268,8 +286,13 @@
         if !reusable {
             self.stream = None;
         }
-        // One that answers at once with nothing must not be polled without end.
-        let empty = list.endpoints.is_empty() && now < requested_at + AT_ONCE;
-        self.wake_at = if empty { now + EMPTY_PAUSE } else { now };
+        // The delay avoids a busy loop with a service that answers immediately without changes.
+        let immediate_and_empty =
+            list.endpoints.is_empty() && now < requested_at + IMMEDIATE_RESPONSE;
+        self.wake_at = if immediate_and_empty {
+            now + EMPTY_RESPONSE_DELAY
+        } else {
+            now
+        };
     }
 }
--- a/crates/ingress/src/discovery/endpoint_list.rs
+++ b/crates/ingress/src/discovery/endpoint_list.rs
@@ -1,100 +1,103 @@
-//! The endpoint list as discovery reports it.
+//! Parses the endpoint lists that discovery reports.
 
 use serde_json::Value;
 use wrenfork_decision::{BackendId, Endpoint, EndpointState, Micros};
 use wrenfork_happy_eyeballs::Address;
 
-/// FNV-1a with 64 bits, see <http://www.isthe.com/chongo/tech/comp/fnv/>.
+/// Offset basis of the 64-bit FNV-1a hash, see <http://www.isthe.com/chongo/tech/comp/fnv/>.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
-/// Discovery tells times in milliseconds.
+/// Factor from discovery's milliseconds to [`Micros`].
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// The names that zones and machine types have in the settings, by their indices.
+/// Names of zones and machine types from the settings. The position of a name is the index that the decision module uses.
 pub struct LocationNames {
-    /// The zones.
+    /// Zone names, by zone index.
     pub zones: Vec<String>,
-    /// The machine types.
+    /// Machine type names, by machine type index.
     pub machine_types: Vec<String>,
 }
 
-/// What pools select endpoints by, in discovery's words.
+/// The attributes by which pools select endpoints, as reported by discovery.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointLabels {
-    /// The endpoint's name.
+    /// Unique name of the endpoint.
     pub name: String,
-    /// The zone that it stands in.
+    /// Name of the endpoint's zone; empty if unknown.
     pub zone: String,
-    /// The type of its machine.
+    /// Name of the endpoint's machine type; empty if unknown.
     pub machine_type: String,
 }
 
-/// An endpoint of the list.
+/// One endpoint of an [`EndpointList`].
 pub struct DiscoveredEndpoint {
-    /// What the decision module knows of it.
+    /// The endpoint in the form that is passed to the decision module.
     pub listed: Endpoint,
-    /// The addresses that it has for this ingress.
+    /// The endpoint's addresses that this ingress can parse, the main one first; empty for a removed endpoint without one.
     pub addresses: Vec<Address>,
-    /// What pools select it by.
+    /// The attributes by which pools select the endpoint.
     pub labels: EndpointLabels,
 }
 
-/// A list as discovery reports it.
+/// A full list of endpoints, or the changes since an earlier version, as reported by discovery.
 #[derive(Default)]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list, which the next poll refers to.
     pub index: u64,
-    /// Whether it is the full list, and not only what changed.
+    /// Whether this is the full list rather than only the changes.
     pub is_full: bool,
-    /// Its endpoints.
+    /// The endpoints of the full list, or those that changed.
     pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
-/// Why something is no endpoint list.
+/// Errors in an endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
-    /// A key is missing, or its value is of another type.
-    #[error("{key} is missing or no {expected}")]
-    MissingOrNot {
-        /// The key.
+    /// A key of the list is missing, or its value has the wrong type.
+    #[error("{key} is missing or not of type {expected}")]
+    MissingOrWrongType {
+        /// Name of the key.
         key: &'static str,
-        /// What its value should be.
+        /// The expected type of the value.
         expected: &'static str,
     },
     /// An endpoint has no name.
-    #[error("endpoints has an entry without a name")]
+    #[error("endpoints: an entry has no name")]
     NoName,
-    /// A key of an endpoint is missing or invalid.
-    #[error("endpoints: {key} of {name} is missing or bad")]
-    Endpoint {
-        /// The key.
+    /// A key of an endpoint is missing or has an invalid value.
+    #[error("endpoints: {key} of {name} is missing or invalid")]
+    InvalidEndpoint {
+        /// Name of the key.
         key: &'static str,
-        /// The endpoint's name.
+        /// Name of the endpoint.
         name: String,
     },
 }
 
-/// An endpoint's name as an id that is the same at every ingress: peers address backends by it.
+/// Derives a backend's id from its name. All ingresses compute the same id, by which peers refer to the backend.
 fn backend_id(name: &str) -> BackendId {
     let hash = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     BackendId(name.bytes().fold(FNV_OFFSET, hash))
 }
 
 impl EndpointList {
-    /// Reads a list in discovery's form.
+    /// Parses a list from the JSON that discovery sends.
     ///
     /// # Errors
     ///
-    /// Names the key that is missing or invalid.
+    /// Returns an error that names the missing or invalid key.
     pub fn read(json: &Value, names: &LocationNames) -> Result<EndpointList, EndpointListError> {
-        let wrong = |key, expected| EndpointListError::MissingOrNot { key, expected };
+        let invalid = |key, expected| EndpointListError::MissingOrWrongType { key, expected };
         let index = json.get("index").and_then(Value::as_u64);
-        let index = index.ok_or(wrong("index", "whole number"))?;
+        let index = index.ok_or(invalid("index", "non-negative integer"))?;
         let is_full = json.get("snapshot").and_then(Value::as_bool);
-        let is_full = is_full.ok_or(wrong("snapshot", "flag"))?;
-        let list = json.get("endpoints").and_then(Value::as_array);
-        let list = list.ok_or(wrong("endpoints", "list"))?;
-        let endpoints = list.iter().map(|e| DiscoveredEndpoint::read(e, names));
+        let is_full = is_full.ok_or(invalid("snapshot", "boolean"))?;
+        let entries = json.get("endpoints").and_then(Value::as_array);
+        let entries = entries.ok_or(invalid("endpoints", "array"))?;
+        let endpoints = entries
+            .iter()
+            .map(|endpoint| DiscoveredEndpoint::read(endpoint, names));
         Ok(EndpointList {
             index,
             is_full,
@@ -107,13 +110,13 @@
     fn read(json: &Value, names: &LocationNames) -> Result<Self, EndpointListError> {
         let text = |key: &str| json.get(key).and_then(Value::as_str);
         let name = text("name").ok_or(EndpointListError::NoName)?;
-        let invalid = |key| EndpointListError::Endpoint {
+        let invalid = |key| EndpointListError::InvalidEndpoint {
             key,
             name: name.to_string(),
         };
         let status = text("status").ok_or_else(|| invalid("status"))?;
-        let availability = availability(status);
-        let addresses = read_addresses(json, availability).ok_or_else(|| invalid("address"))?;
+        let state = parse_status(status);
+        let addresses = read_addresses(json, state).ok_or_else(|| invalid("address"))?;
         let since_ms = json.get("since_ms").map_or(Some(0), Value::as_u64);
         let since_ms = since_ms.ok_or_else(|| invalid("since_ms"))?;
         let group = json.get("group").and_then(Value::as_u64).unwrap_or(0);
@@ -124,9 +127,9 @@
             zone: index_of(&names.zones, text("zone")).unwrap_or(u8::MAX),
             cell: u16::try_from(group).map_err(|_| invalid("group"))?,
             machine_kind: index_of(&names.machine_types, text("type")).unwrap_or(u16::MAX),
-            state: availability,
+            state,
             weight: json.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
-            // The backend's clock counts from the same moment as Unix time: only the unit is another.
+            // Both times count from the Unix epoch; only the unit differs.
             started_at: since_ms.saturating_mul(MICROS_PER_MILLISECOND),
             pools: 0,
         };
@@ -142,30 +145,31 @@
     }
 }
 
-fn availability(status: &str) -> EndpointState {
+fn parse_status(status: &str) -> EndpointState {
     match status {
         "up" => EndpointState::Ready,
         "removed" => EndpointState::Removed,
-        _ => EndpointState::Draining, // a word of the future can hardly mean that it wants work
+        _ => EndpointState::Draining, // "draining", or an unknown status, which is safest treated as draining
     }
 }
 
-/// The addresses of an endpoint, the one that every ingress understands first; none where that is missing or invalid.
-fn read_addresses(json: &Value, availability: EndpointState) -> Option<Vec<Address>> {
+/// The addresses of an endpoint, starting with `address`, which is required unless the endpoint is removed. Returns `None` if
+/// `address` is missing or invalid.
+fn read_addresses(json: &Value, state: EndpointState) -> Option<Vec<Address>> {
     let first = json.get("address").and_then(Value::as_str);
     let mut addresses = match first.map(str::parse::<Address>) {
         Some(Ok(address)) => vec![address],
-        None if availability == EndpointState::Removed => Vec::new(),
+        None if state == EndpointState::Removed => Vec::new(),
         _ => return None,
     };
     let others = json.get("addresses").and_then(Value::as_array);
-    // A form of the future is no reason to do without those that are understood.
-    let read = |value: &Value| value.as_str()?.parse().ok();
-    addresses.extend(others.into_iter().flatten().filter_map(read));
+    // Skip addresses in an unknown format: a later version of discovery may report new address formats.
+    let parse = |value: &Value| value.as_str()?.parse().ok();
+    addresses.extend(others.into_iter().flatten().filter_map(parse));
     Some(addresses)
 }
 
-/// The index of a name in a list, if it is there and fits.
+/// The index of a name in a list; `None` if the name is missing or unknown, or the index doesn't fit into `T`.
 fn index_of<T: TryFrom<usize>>(list: &[String], name: Option<&str>) -> Option<T> {
     let name = name?;
     let index = list.iter().position(|known| known == name)?;
--- a/crates/ingress/src/discovery/http.rs
+++ b/crates/ingress/src/discovery/http.rs
@@ -1,67 +1,67 @@
-//! HTTP/1.1 responses of discovery, in all three framings (RFC 9112): chunked, with a length, and up to the end of the
-//! connection.
+//! Parses HTTP/1.1 responses of discovery in all three framings (RFC 9112): chunked, with `Content-InvalidLength`, and delimited by the
+//! end of the connection.
 
 use super::backoff::Failure;
 use super::endpoint_list::{EndpointList, EndpointListError, LocationNames};
 use httparse::{Header, Status};
 
-/// The most bytes of a response's head.
+/// Maximum size of a response's head in bytes.
 pub(super) const MAX_HEAD: usize = 16 * 1024;
-/// The most bytes of a response's body.
+/// Maximum size of a response's body in bytes.
 pub(super) const MAX_BODY: usize = 4 << 20;
-/// The most headers of a response.
+/// Maximum number of headers in a response.
 const MAX_HEADERS: usize = 64;
-/// The status of a response with a list.
+/// Status code of a response that contains an endpoint list.
 const STATUS_OK: u16 = 200;
-/// The bytes behind a chunk's data: CR LF.
-const CHUNK_END: usize = 2;
+/// InvalidLength in bytes of the CR LF after a chunk's data.
+const CHUNK_TERMINATOR_LEN: usize = 2;
 
-/// What has come of a response.
+/// Result of parsing the data received so far.
 pub(super) enum Response {
-    /// Not all of it yet.
+    /// The response is incomplete.
     Partial,
-    /// A list.
+    /// The response is complete and valid.
     Complete {
-        /// The list.
+        /// The endpoint list from the body.
         list: EndpointList,
         /// Whether the connection can be used for another request.
         keep_alive: bool,
     },
-    /// Not to be used.
+    /// The response can't be used.
     Invalid(ResponseError),
 }
 
-/// Why a response can't be used.
+/// Reasons why a response can't be used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResponseError {
-    /// It is not HTTP.
-    #[error("an answer is no HTTP: {0}")]
+    /// The head is not valid HTTP.
+    #[error("response is not valid HTTP: {0}")]
     NotHttp(#[source] httparse::Error),
-    /// Its head has no end within [`MAX_HEAD`].
-    #[error("an answer's head is too long")]
+    /// The head is longer than [`MAX_HEAD`].
+    #[error("response head is longer than {MAX_HEAD} bytes")]
     HeadTooLong,
-    /// Discovery is there and does not serve the request.
-    #[error("it answers with status {0}")]
+    /// Discovery answered with a status code other than 200.
+    #[error("response has status {0}")]
     Status(u16),
-    /// Its length is no number, or over [`MAX_BODY`].
-    #[error("an answer's length is {0}")]
-    Length(String),
-    /// A chunk has no size.
-    #[error("an answer's chunk is no chunk")]
-    Chunk,
-    /// It is longer than [`MAX_BODY`].
-    #[error("an answer is too long")]
-    TooLong,
-    /// Its body is not JSON.
-    #[error("an answer is no JSON: {0}")]
+    /// `Content-InvalidLength` is not a number, or greater than [`MAX_BODY`].
+    #[error("response has an invalid or too large Content-InvalidLength: {0}")]
+    InvalidLength(String),
+    /// The size of a chunk is missing or malformed.
+    #[error("response has a chunk without a valid size")]
+    InvalidChunkSize,
+    /// A chunk is longer than [`MAX_BODY`].
+    #[error("response has a chunk longer than {MAX_BODY} bytes")]
+    ChunkTooLong,
+    /// The body is not valid JSON.
+    #[error("response body is not valid JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// Its body is no endpoint list.
+    /// The body is not a valid endpoint list.
     #[error(transparent)]
     List(#[from] EndpointListError),
 }
 
 impl ResponseError {
-    /// How the request failed, by which the backoff is chosen.
+    /// The kind of failure, which determines the backoff.
     pub(super) fn failure(&self) -> Failure {
         match self {
             ResponseError::Status(_) => Failure::Rejected,
@@ -70,15 +70,15 @@
     }
 }
 
-/// A response's body, and whether the connection goes on behind it.
+/// A complete response body, and whether the connection can be used for another request.
 struct Body {
     bytes: Vec<u8>,
     keep_alive: bool,
 }
 
-/// Reads what has come of a response; `ended` says that the connection has ended behind it.
-pub(super) fn read_response(buf: &[u8], ended: bool, names: &LocationNames) -> Response {
-    let body = match read_body(buf, ended) {
+/// Parses the received data as a response. `closed` says whether the service has closed the connection after this data.
+pub(super) fn read_response(buf: &[u8], closed: bool, names: &LocationNames) -> Response {
+    let body = match read_body(buf, closed) {
         Ok(None) => return Response::Partial,
         Ok(Some(body)) => body,
         Err(error) => return Response::Invalid(error),
@@ -94,8 +94,8 @@
     }
 }
 
-/// The body, once all of it has come.
-fn read_body(buf: &[u8], ended: bool) -> Result<Option<Body>, ResponseError> {
+/// Returns the body, or `None` if the response is incomplete.
+fn read_body(buf: &[u8], closed: bool) -> Result<Option<Body>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let start = match head.parse(buf).map_err(ResponseError::NotHttp)? {
@@ -115,14 +115,14 @@
     }
     match header(head.headers, "content-length") {
         Some(length) => read_with_length(rest, length, keep_alive),
-        None => Ok(ended.then(|| Body {
+        None => Ok(closed.then(|| Body {
             bytes: rest.to_vec(),
             keep_alive: false,
         })),
     }
 }
 
-/// The value of a header in lower case.
+/// The value of a header, trimmed and in lower case.
 fn header(headers: &[Header], name: &str) -> Option<String> {
     let found = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
     let value = String::from_utf8_lossy(found.value);
@@ -134,26 +134,26 @@
     length: String,
     keep_alive: bool,
 ) -> Result<Option<Body>, ResponseError> {
-    let bytes = length.parse::<usize>().ok().filter(|n| *n <= MAX_BODY);
-    let bytes = bytes.ok_or(ResponseError::Length(length))?;
-    Ok(rest.get(..bytes).map(|body| Body {
+    let body_len = length.parse::<usize>().ok().filter(|n| *n <= MAX_BODY);
+    let body_len = body_len.ok_or(ResponseError::InvalidLength(length))?;
+    Ok(rest.get(..body_len).map(|body| Body {
         bytes: body.to_vec(),
-        keep_alive: keep_alive && rest.len() == bytes,
+        keep_alive: keep_alive && rest.len() == body_len,
     }))
 }
 
-/// A body in chunks, once all of it has come.
+/// Decodes a chunked body, or returns `None` if it is incomplete.
 fn read_chunks(mut rest: &[u8]) -> Result<Option<Vec<u8>>, ResponseError> {
     let mut body = Vec::new();
     loop {
         let (start, size) = match httparse::parse_chunk_size(rest) {
             Ok(Status::Complete(found)) => found,
             Ok(Status::Partial) => return Ok(None),
-            Err(_) => return Err(ResponseError::Chunk),
+            Err(_) => return Err(ResponseError::InvalidChunkSize),
         };
         let size = usize::try_from(size).ok().filter(|n| *n <= MAX_BODY);
-        let size = size.ok_or(ResponseError::TooLong)?;
-        let end = start + size + CHUNK_END;
+        let size = size.ok_or(ResponseError::ChunkTooLong)?;
+        let end = start + size + CHUNK_TERMINATOR_LEN;
         let Some(chunk) = rest.get(start..end) else {
             return Ok(None);
         };
--- a/crates/ingress/src/discovery/tests.rs
+++ b/crates/ingress/src/discovery/tests.rs
@@ -1,6 +1,6 @@
-//! How answers of discovery are read.
+//! Tests of parsing discovery's responses, and of the client against a local listener.
 
-use super::client::{EMPTY_PAUSE, POLL_WAIT, TIMEOUT};
+use super::client::{EMPTY_RESPONSE_DELAY, POLL_WAIT, RESPONSE_TIMEOUT};
 use super::http::{read_response, Response};
 use super::{DiscoveryClient, LocationNames};
 use mio::{Events, Poll, Token};
@@ -22,7 +22,7 @@
     {"name":"s-2","zone":"a","type":"m1","group":3,"status":"removed","weight":1.0,"since_ms":0}]}"#;
 
 #[test]
-fn answers_are_read_in_all_three_framings_and_never_before_their_end() {
+fn responses_in_all_framings_parse_only_when_complete() {
     let chunked = format!(
         "{:x}\r\n{}\r\n{:x}\r\n{}\r\n0\r\n\r\n",
         9,
@@ -35,41 +35,48 @@
         LIST.len()
     );
     let chunked = format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{chunked}");
-    for (text, ended) in [
+    for (text, closed) in [
         (length, false),
         (chunked, false),
         (format!("HTTP/1.0 200 OK\r\n\r\n{LIST}"), true),
     ] {
         let Response::Complete { list, keep_alive } =
-            read_response(text.as_bytes(), ended, &location_names())
+            read_response(text.as_bytes(), closed, &location_names())
         else {
-            panic!("not read: {text}")
+            panic!("response not parsed: {text}")
         };
-        assert_eq!((list.index, list.is_full, keep_alive), (43, false, !ended));
-        let [one, two] = &list.endpoints[..] else {
-            panic!("not two entries")
+        assert_eq!((list.index, list.is_full, keep_alive), (43, false, !closed));
+        let [draining, removed] = &list.endpoints[..] else {
+            panic!("expected two endpoints, got {}", list.endpoints.len())
         };
         assert_eq!(
-            (one.listed.zone, one.listed.machine_kind, one.listed.cell),
+            (
+                draining.listed.zone,
+                draining.listed.machine_kind,
+                draining.listed.cell
+            ),
             (1, 1, 3)
         );
         assert_eq!(
-            (one.listed.started_at, one.listed.state),
+            (draining.listed.started_at, draining.listed.state),
             (7000, EndpointState::Draining)
         );
         assert_eq!(
-            (&two.addresses[..], two.listed.state),
+            (&removed.addresses[..], removed.listed.state),
             (&[][..], EndpointState::Removed)
         );
         for cut in 0..text.len() - 1 {
             let part = read_response(&text.as_bytes()[..cut], false, &location_names());
-            assert!(matches!(part, Response::Partial), "cut at {cut}: {text}");
+            assert!(
+                matches!(part, Response::Partial),
+                "incomplete response was accepted, cut at byte {cut}: {text}"
+            );
         }
     }
 }
 
 #[test]
-fn what_is_no_list_is_told_apart_from_what_is_not_whole() {
+fn invalid_responses_are_not_reported_as_incomplete() {
     for bad in [
         "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]",
@@ -83,35 +90,36 @@
                 read_response(bad.as_bytes(), false, &location_names()),
                 Response::Invalid(..)
             ),
-            "{bad}"
+            "response was not rejected: {bad}"
         );
     }
 }
 
-/// What a watch took in until `enough` of its state, with the clock standing at `now`; whether it failed meanwhile.
-fn hears(
-    watch: &mut DiscoveryClient,
+/// Passes readiness events to `client` until `done` returns true for its state. The client's time is fixed at `now`. Returns the
+/// versions of the received lists, and whether a poll failed.
+fn poll_until(
+    client: &mut DiscoveryClient,
     poll: &mut Poll,
     now: Micros,
-    enough: impl Fn(&DiscoveryClient) -> bool,
+    done: impl Fn(&DiscoveryClient) -> bool,
 ) -> (Vec<u64>, bool) {
-    let (mut events, mut came, mut failed) = (Events::with_capacity(8), Vec::new(), false);
-    while !enough(watch) {
+    let (mut events, mut versions, mut failed) = (Events::with_capacity(8), Vec::new(), false);
+    while !done(client) {
         poll.poll(&mut events, Some(Duration::from_secs(20)))
             .unwrap();
-        assert!(!events.is_empty(), "nothing comes any more");
-        failed |= watch.ready(now, poll.registry(), &mut |list| came.push(list.index));
+        assert!(!events.is_empty(), "no readiness event within 20 s");
+        failed |= client.ready(now, poll.registry(), &mut |list| versions.push(list.index));
     }
-    (came, failed)
+    (versions, failed)
 }
 
-/// Guards against noise behind an answer that is read as the head of the next one: the call after it would fail, and what it told
-/// be heard later.
+/// Guards against unexpected data after a response being parsed as the head of the next response, which would make the next
+/// request fail and delay its changes.
 #[test]
-fn what_comes_between_two_calls_spoils_nothing() {
+fn data_received_between_requests_is_discarded() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut poll = Poll::new().unwrap();
-    let mut watch = DiscoveryClient::new(
+    let mut client = DiscoveryClient::new(
         listener.local_addr().unwrap(),
         location_names(),
         1,
@@ -121,74 +129,86 @@
     let accept = || {
         let (mut stream, _) = listener.accept().unwrap();
         let (mut head, mut chunk) = (Vec::new(), [0; 1024]);
-        move |answer: &str| {
+        move |response: &str| {
             while !head.ends_with(b"\r\n\r\n") {
                 let n = stream.read(&mut chunk).unwrap();
                 head.extend_from_slice(&chunk[..n]);
             }
-            stream.write_all(answer.as_bytes()).unwrap();
+            stream.write_all(response.as_bytes()).unwrap();
         }
     };
-    let answer = |index: u64, entries: &str| {
+    let list_response = |index: u64, entries: &str| {
         let body = format!(r#"{{"index":{index},"snapshot":false,"endpoints":[{entries}]}}"#);
         format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         )
     };
-    assert!(!watch.wake(0, poll.registry()));
-    let mut first = accept();
-    hears(&mut watch, &mut poll, 0, |w| w.out.is_empty());
-    // At once and with nothing: the next call waits a little, and meanwhile there comes what nobody asked for.
-    first(&answer(1, ""));
+    assert!(!client.wake(0, poll.registry()));
+    let mut respond_first = accept();
+    poll_until(&mut client, &mut poll, 0, |client| client.out.is_empty());
+    // After an immediate empty response, the next request is delayed. Unexpected data arrives during this delay.
+    respond_first(&list_response(1, ""));
     assert_eq!(
-        hears(&mut watch, &mut poll, 0, |w| w.requested_at.is_none()),
+        poll_until(&mut client, &mut poll, 0, |client| client
+            .requested_at
+            .is_none()),
         (vec![1], false)
     );
-    first("HTTP/1.1 200 OK\r\nContent-Len");
+    respond_first("HTTP/1.1 200 OK\r\nContent-Len");
     assert_eq!(
-        hears(&mut watch, &mut poll, 0, |w| w.stream.is_none()),
+        poll_until(&mut client, &mut poll, 0, |client| client.stream.is_none()),
         (vec![], false)
     );
     assert!(
-        watch.wake_at <= EMPTY_PAUSE,
-        "the next call comes when it would have come"
+        client.wake_at <= EMPTY_RESPONSE_DELAY,
+        "unexpected data delayed the next request to {} us",
+        client.wake_at
     );
-    assert!(!watch.wake(EMPTY_PAUSE, poll.registry()));
-    let mut second = accept();
-    second(&answer(2, r#"{"name":"s-2","status":"removed"}"#));
+    assert!(!client.wake(EMPTY_RESPONSE_DELAY, poll.registry()));
+    let mut respond_second = accept();
+    respond_second(&list_response(2, r#"{"name":"s-2","status":"removed"}"#));
     assert_eq!(
-        hears(&mut watch, &mut poll, EMPTY_PAUSE, |w| w.index == Some(2)
-            || w.requested_at.is_none()),
+        poll_until(
+            &mut client,
+            &mut poll,
+            EMPTY_RESPONSE_DELAY,
+            |client| client.index == Some(2) || client.requested_at.is_none()
+        ),
         (vec![2], false)
     );
 }
 
-/// Guards against a call for the whole list that is given up sooner than the service answers it, over and over: behind SIGHUP, say. It
-/// has as long as one that waits for news, and no longer.
+/// Guards against a request for the full list, as after SIGHUP, that repeatedly times out before the service answers. The timeout is
+/// exactly that of a request that waits for a watch event.
 #[test]
-fn a_call_for_the_whole_list_has_as_long_as_a_watch() {
-    let (listener, next) = (
+fn full_list_request_has_same_timeout_as_watch() {
+    let (old_listener, new_listener) = (
         TcpListener::bind("127.0.0.1:0").unwrap(),
         TcpListener::bind("127.0.0.1:0").unwrap(),
     );
     let mut poll = Poll::new().unwrap();
-    let mut watch = DiscoveryClient::new(
-        listener.local_addr().unwrap(),
+    let mut client = DiscoveryClient::new(
+        old_listener.local_addr().unwrap(),
         location_names(),
         7,
         Token(1),
         7,
     );
-    watch.move_to(next.local_addr().unwrap(), 0);
+    client.move_to(new_listener.local_addr().unwrap(), 0);
     for answered in [true, false] {
-        let from = watch.wake_at;
-        assert!(!watch.wake(from, poll.registry()));
-        let (mut stream, _) = next.accept().unwrap();
-        hears(&mut watch, &mut poll, from, |w| w.out.is_empty());
+        let started_at = client.wake_at;
+        assert!(!client.wake(started_at, poll.registry()));
+        let (mut stream, _) = new_listener.accept().unwrap();
+        poll_until(&mut client, &mut poll, started_at, |client| {
+            client.out.is_empty()
+        });
         assert!(
-            !watch.wake(from + POLL_WAIT + TIMEOUT - 1, poll.registry()),
-            "it is given up"
+            !client.wake(
+                started_at + POLL_WAIT + RESPONSE_TIMEOUT - 1,
+                poll.registry()
+            ),
+            "request timed out too early"
         );
         if answered {
             let body = r#"{"index":1,"snapshot":true,"endpoints":[]}"#;
@@ -198,16 +218,24 @@
                 body.len()
             )
             .unwrap();
-            let heard = |w: &DiscoveryClient| w.index == Some(1);
+            let received = |client: &DiscoveryClient| client.index == Some(1);
             assert_eq!(
-                hears(&mut watch, &mut poll, from + POLL_WAIT + TIMEOUT - 1, heard),
+                poll_until(
+                    &mut client,
+                    &mut poll,
+                    started_at + POLL_WAIT + RESPONSE_TIMEOUT - 1,
+                    received
+                ),
                 (vec![1], false)
             );
-            watch.move_to(next.local_addr().unwrap(), from + POLL_WAIT + TIMEOUT);
+            client.move_to(
+                new_listener.local_addr().unwrap(),
+                started_at + POLL_WAIT + RESPONSE_TIMEOUT,
+            );
         } else {
             assert!(
-                watch.wake(from + POLL_WAIT + TIMEOUT, poll.registry()),
-                "it waits for ever"
+                client.wake(started_at + POLL_WAIT + RESPONSE_TIMEOUT, poll.registry()),
+                "request did not time out"
             );
         }
     }
--- a/crates/ingress/src/ingress.rs
+++ b/crates/ingress/src/ingress.rs
@@ -1,8 +1,9 @@
-//! The event loop. It feeds the decision module what the sockets brought, carries out what the module asks for in that order,
-//! and answers clients. It decides nothing: no backend, no retry, no rejection but where a limit of the settings leaves no
-//! capacity to ask the module.
+//! The event loop. It passes events from the sockets to the decision module, executes the actions that the module returns, in
+//! order, and answers clients. The event loop makes no decisions itself: the module chooses backends, retries and rejections.
+//! The one exception is a request beyond a configured limit, which is rejected without asking the module.
 //!
-//! [`Ingress`] owns all state of a running ingress. [`IngressBuilder`] makes it; its methods stand by concern in the modules below.
+//! [`Ingress`] owns all state of a running ingress and is created by [`IngressBuilder`]. The methods of [`Ingress`] are grouped
+//! by topic in the submodules.
 
 mod actions;
 mod answers;
@@ -51,38 +52,39 @@
 use wrenfork_control_plane::socket::SocketFile;
 use wrenfork_decision::{Action, Event, Gateway, Micros};
 
-/// The most readiness events of a turn.
-const MAX_READINESS: usize = 512;
-/// One part in so many of the memory is for open requests, and one for what clients have sent in part or not yet read.
-const MEMORY_SHARE: usize = 4;
-/// Time between looks at what has been idle for long.
+/// Maximum number of readiness events handled in one turn.
+const MAX_READINESS_EVENTS: usize = 512;
+/// Divisor of the memory limit: one share of this size is for open requests, and another for the clients' buffers (partly
+/// received requests and answers not yet read).
+const MEMORY_DIVISOR: usize = 4;
+/// Interval between sweeps for idle connections and old requests.
 const SWEEP_INTERVAL: Micros = 500_000;
 
 /// A running ingress.
 pub struct Ingress<V> {
-    /// The version of the program that this is.
+    /// Behaviour that differs between versions of the program.
     variant: V,
     poll: Poll,
     clock: Clock,
-    /// The time of this turn.
+    /// Time at which this turn started; see [`Ingress::advance_clock`].
     now: Micros,
     limits: Limits,
     budget: DescriptorBudget,
-    /// The decision module.
+    /// The decision module, which chooses backends, retries and rejections.
     gateway: Gateway,
-    /// What the module is still to be given.
+    /// Events not yet passed to the decision module.
     events: VecDeque<Event>,
-    /// What the module asks for; empty between two events.
+    /// Reusable buffer for the module's actions; empty between two events.
     actions: Vec<Action>,
     clients: Clients,
     backends: Backends,
     discovery: DiscoveryClient,
     reloader: ConfigReloader,
     routing: Routing,
-    /// The file of the clients' socket, where it is one.
+    /// File of the clients' listening socket; `None` with a TCP listener.
     socket: Option<SocketFile>,
     control: Option<ControlPort>,
-    /// The control port that is still to come, behind another process.
+    /// Set after a takeover until the predecessor has released the control port.
     pending_control: Option<PendingControlServer>,
     metrics: RequestMetrics,
     cohort_metrics: CohortMetrics,
@@ -97,41 +99,41 @@
     successor: SuccessorListener,
 }
 
-/// Limits of the settings that the event loop keeps to.
+/// Limits from the settings that the event loop enforces.
 struct Limits {
-    /// The length of a tick of the clock.
+    /// Granularity of [`Ingress::now`].
     tick: Micros,
-    /// The most attempts of a request that comes now.
+    /// Maximum number of attempts for each new request.
     max_attempts: usize,
-    /// Whether the module is told where discovery fails.
+    /// Whether the decision module is notified when a discovery poll fails.
     polls_discovery: bool,
-    /// How long a connection to a backend may take to be established.
+    /// Timeout for establishing a connection to a backend.
     connect_timeout: Micros,
-    /// The most bytes of memory.
+    /// Memory limit of the process in bytes.
     memory: usize,
 }
 
-/// What a turn's bounds left for the next turn.
+/// Work left for the next turn because this turn reached a limit.
 #[derive(Default)]
 struct UnfinishedWork {
-    /// Clients may wait to be accepted.
+    /// Client connections may be waiting in the accept queue.
     accept: bool,
-    /// Messages of peers may wait.
+    /// Messages from peers may be waiting in the socket buffer.
     peers: bool,
-    /// Operators may wait to be accepted.
+    /// Operator connections may be waiting in the accept queue.
     operators: bool,
-    /// A next process may wait.
+    /// A successor may be waiting for the handover.
     handover: bool,
 }
 
 impl<V: Variant> Ingress<V> {
-    /// Runs until told to stop and idle, or until another process has taken over.
+    /// Runs until a graceful shutdown is complete or a successor has taken over.
     ///
     /// # Errors
     ///
-    /// Where the poll fails.
+    /// Returns an error if polling for readiness events fails.
     pub fn run(mut self) -> Result<(), IngressError> {
-        let mut events = Events::with_capacity(MAX_READINESS);
+        let mut events = Events::with_capacity(MAX_READINESS_EVENTS);
         let mut ready: Vec<Readiness> = Vec::new();
         loop {
             let timeout = self.poll_timeout();
@@ -144,7 +146,7 @@
             ready.clear();
             ready.extend(events.iter().map(Readiness::from));
             self.variant.turn();
-            self.turn(&mut ready);
+            self.run_turn(&mut ready);
             self.take_control_commands();
             if self.hand_over() {
                 return Ok(());
@@ -156,8 +158,8 @@
         }
     }
 
-    /// What comes within a tick of the last clock is read with that clock. Sleeping for the rest of the tick instead, for one
-    /// clock to hold all of it, cost each request two sleeps and 1.7 ms each way.
+    /// Updates `now` once a full tick has passed, so that all events within one tick share a timestamp. Sleeping until the end
+    /// of the tick instead cost each request two sleeps and 1.7 ms in each direction.
     fn advance_clock(&mut self) {
         let clock = self.clock.now();
         if clock >= self.now + self.limits.tick {
@@ -174,13 +176,13 @@
         {
             return Duration::ZERO;
         }
-        // Nothing falls due before there is a new clock.
+        // Timers expire only when `now` advances, which takes at least one tick.
         let timer = self.timers.next().min(self.discovery.wake_at);
         let wake_at = timer.max(self.now + self.limits.tick);
         Duration::from_micros(wake_at.saturating_sub(self.clock.now()))
     }
 
-    /// Whether all that was admitted is answered, and nobody is left who might send more.
+    /// Whether every admitted request is answered and no client is left that could send another one.
     fn may_exit(&self) -> bool {
         if self.requests.any_incomplete() {
             return false;
@@ -193,7 +195,7 @@
             .may_exit(self.now, open, || self.clients.any_busy())
     }
 
-    /// Removes what the next process must not find.
+    /// Closes and removes sockets and files that the next process must not find.
     fn close(&mut self) {
         self.successor.close();
         if let Some(control) = self.control.take() {
--- a/crates/ingress/src/ingress/actions.rs
+++ b/crates/ingress/src/ingress/actions.rs
@@ -1,4 +1,4 @@
-//! The decision module: it is given events, and what it asks for is carried out.
+//! Passes events to the decision module and executes the actions that it returns.
 
 use super::Ingress;
 use crate::counter::{CountCall, CountResult};
@@ -8,12 +8,12 @@
 use std::io::Write;
 use wrenfork_decision::{Action, Event, GatewayId, Micros, Outcome, RequestId};
 
-/// Room for a rejection with its Retry-After.
-const MAX_REJECTION: usize = 40;
+/// Maximum size in bytes of a rejection, including the retry delay.
+const MAX_REJECTION_LEN: usize = 40;
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
 impl<V: Variant> Ingress<V> {
-    /// Gives the module what has come and carries out what it asks for, until neither leaves anything.
+    /// Passes pending events to the decision module and executes its actions, until no events are left.
     pub(super) fn pump(&mut self) {
         loop {
             self.advance_attempts();
@@ -69,14 +69,14 @@
             Action::SendToPeer { to, bytes } => self.send_to_peers(to, &bytes),
             Action::CheckHealth(backend) => self.start_health_check(backend),
             Action::CloseIdleConnections(backend) => self.backends.close_idle(backend),
-            // The watch is always on: a real ingress must have one in any case.
+            // The discovery client watches the endpoint list all the time, so there is nothing to start.
             Action::WatchEndpoints(_) => {}
             Action::FetchEndpoints => self.discovery.request_full_list(),
             Action::AddToCounter {
                 counter: name,
                 delta,
                 lifetime,
-            } => self.count(CountCall {
+            } => self.add_to_counter(CountCall {
                 name,
                 amount: delta,
                 lifetime,
@@ -85,20 +85,24 @@
         }
     }
 
-    /// Rejects a request; `retry_after` is when to come again, 0 where that is not told.
+    /// Rejects a request. `retry_after` is the delay after which the client should retry; 0 sends none.
     fn reject(&mut self, id: RequestId, retry_after: Micros) {
-        let mut text = [0; MAX_REJECTION];
-        let mut rest = &mut text[..];
-        // What has no room is cut off, which no number is long enough for.
+        let mut text = [0; MAX_REJECTION_LEN];
+        let mut unwritten = &mut text[..];
+        // Writing can't fail: the longest possible number fits into the buffer.
         let _ = match retry_after.div_ceil(MICROS_PER_MILLISECOND) {
-            0 => write!(rest, "-BUSY\r\n"),
-            retry_after_ms => write!(rest, "-BUSY {retry_after_ms}\r\n"),
+            0 => write!(unwritten, "-BUSY\r\n"),
+            retry_after_ms => write!(unwritten, "-BUSY {retry_after_ms}\r\n"),
         };
-        let left = rest.len();
-        self.answer(id, &text[..MAX_REJECTION - left], RequestEnd::Rejected);
+        let unused = unwritten.len();
+        self.answer(
+            id,
+            &text[..MAX_REJECTION_LEN - unused],
+            RequestEnd::Rejected,
+        );
     }
 
-    /// Sends a message to one peer, or to all.
+    /// Sends a message to one peer, or to all peers if `to` is `None`.
     fn send_to_peers(&mut self, to: Option<GatewayId>, bytes: &[u8]) {
         if let Some(peers) = &self.peers {
             for _ in 0..V::MESSAGE_COPIES {
@@ -107,10 +111,10 @@
         }
     }
 
-    /// Calls the count service.
-    fn count(&mut self, call: CountCall) {
+    /// Sends an increment to the count service, or reports a failed connection if none is configured.
+    fn add_to_counter(&mut self, call: CountCall) {
         let Some(counter) = &mut self.counter else {
-            // There is none: nothing was added.
+            // No count service is configured, so nothing was added.
             return self.events.push_back(Event::CounterUpdated {
                 counter: call.name,
                 outcome: Outcome::ConnectFailed,
--- a/crates/ingress/src/ingress/answers.rs
+++ b/crates/ingress/src/ingress/answers.rs
@@ -1,15 +1,16 @@
-//! The end of requests: each has one final answer.
+//! Final answers to requests: each request gets exactly one.
 
 use super::Ingress;
 use crate::request_metrics::RequestEnd;
 use crate::variant::Variant;
 use wrenfork_decision::RequestId;
 
-/// The answer to a request that has failed.
+/// Answer to a request that failed.
 const FAILED: &[u8] = b"-ERR failed\r\n";
 
 impl<V: Variant> Ingress<V> {
-    /// Gives the final answer, once: here, and in [`Ingress::abort_stream`], an admitted request ends.
+    /// Sends the final answer of a request, unless it already has one. Every admitted request ends either here or in
+    /// [`Ingress::abort_stream`].
     pub(super) fn answer(&mut self, id: RequestId, text: &[u8], end: RequestEnd) {
         if let Some(open) = self.requests.incomplete(id) {
             open.complete = true;
@@ -21,7 +22,7 @@
         self.forget(id);
     }
 
-    /// Ends a request whose streamed answer can't be finished.
+    /// Ends a request whose streamed answer broke off after its first bytes were sent to the client.
     pub(super) fn abort_stream(&mut self, id: RequestId) {
         if let Some(open) = self.requests.incomplete(id) {
             open.complete = true;
@@ -33,9 +34,13 @@
         }
     }
 
-    /// Ends a request without a backend's value.
+    /// Ends a request for which no backend returned a value.
     pub(super) fn fail(&mut self, id: RequestId) {
-        if self.requests.get(id).is_some_and(|o| o.streaming.is_some()) {
+        if self
+            .requests
+            .get(id)
+            .is_some_and(|open| open.streaming.is_some())
+        {
             return self.abort_stream(id);
         }
         self.answer(id, FAILED, RequestEnd::Failed);
--- a/crates/ingress/src/ingress/attempts.rs
+++ b/crates/ingress/src/ingress/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks: their start at backends, and how they end.
+//! Attempts and health checks: starting them at backends, and reporting their results to the decision module.
 
 use super::Ingress;
 use crate::backend::{Activity, AttemptEnd, ConnectionHandle, StartTimes, Started};
@@ -16,12 +16,12 @@
     backend: BackendId,
     started_at: Micros,
     outcome: Outcome,
-    /// The request has its final answer, or its client has disconnected.
+    /// Whether the request already has its final answer or its client has disconnected.
     complete: bool,
 }
 
 impl UnansweredAttempt {
-    /// The event for the module.
+    /// The event that reports this attempt to the decision module.
     fn event(&self, now: Micros) -> Event {
         Event::AttemptCompleted {
             id: self.id,
@@ -38,48 +38,49 @@
 }
 
 impl<V: Variant> Ingress<V> {
-    /// Goes on with attempts in which something has happened.
+    /// Advances attempts with new progress: connects to the next address, established connections, streamed data and results.
     pub(super) fn advance_attempts(&mut self) {
         while let Some(connection) = self.backends.next_race() {
             self.advance_race(connection);
         }
         while let Some(attempt) = self.backends.next_established() {
-            // What its command says of the time left is as old as its start.
+            // Write the command anew: the remaining time in it was computed when the attempt started.
             let now = self.clock.now();
             if let Some(open) = self.requests.get(attempt.request) {
-                let left = attempt.deadline.saturating_sub(now);
-                self.backends
-                    .write_command(attempt.connection, now, |out| open.call.write(left, out));
+                let remaining = attempt.deadline.saturating_sub(now);
+                self.backends.write_command(attempt.connection, now, |out| {
+                    open.call.write(remaining, out)
+                });
             }
         }
         while let Some(connection) = self.backends.next_stream() {
-            self.pass_on(connection);
+            self.forward_streamed_answer(connection);
         }
         for end in std::mem::take(&mut self.backends.ended) {
-            self.attempt_ended(&end);
+            self.handle_attempt_end(&end);
         }
     }
 
-    /// Starts an attempt, which is given up at `expires` (0 stands for the request's deadline) and has to be written to its last
-    /// byte by `write_by`.
+    /// Starts an attempt. The attempt times out at `expires_at` (0 means the request's deadline), and its last byte must be
+    /// written by `write_by`.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
         backend: BackendId,
-        expires: Micros,
+        expires_at: Micros,
         write_by: Micros,
     ) {
         let now = self.now;
         let Some(open) = self.requests.get_mut(id) else {
-            // Ended and forgotten: there is no attempt to count.
-            return self.attempt_not_started(id, 0, backend, Outcome::NotSent, true);
+            // The request has ended and its record is gone, so there is no attempt number.
+            return self.report_unstarted_attempt(id, 0, backend, Outcome::NotSent, true);
         };
         let index = open.attempts.len();
         let number = u16::try_from(index).unwrap_or(u16::MAX);
-        let deadline = if expires == 0 {
+        let deadline = if expires_at == 0 {
             open.deadline
         } else {
-            expires.min(open.deadline)
+            expires_at.min(open.deadline)
         };
         open.attempts.push(Attempt {
             backend,
@@ -89,13 +90,19 @@
         });
         let complete = open.complete;
         if complete || deadline <= now || index >= open.max_attempts {
-            return self.attempt_not_started(id, number, backend, Outcome::NotSent, complete);
+            return self.report_unstarted_attempt(id, number, backend, Outcome::NotSent, complete);
         }
         if !self.has_descriptor_for(backend) {
-            return self.attempt_not_started(id, number, backend, Outcome::ConnectFailed, false);
+            return self.report_unstarted_attempt(
+                id,
+                number,
+                backend,
+                Outcome::ConnectFailed,
+                false,
+            );
         }
-        // How long an attempt takes is measured to the microsecond: by the turns' clock one that is answered within
-        // a tick would take no time at all.
+        // Measure attempts with the current time instead of `self.now`: an attempt answered within one tick would otherwise
+        // appear to take no time.
         let times = StartTimes {
             now: self.clock.now(),
             write_deadline: write_by.min(deadline),
@@ -104,8 +111,8 @@
         self.start_on_connection(id, number, backend, times);
     }
 
-    /// An attempt ends before it has a connection.
-    fn attempt_not_started(
+    /// Reports an attempt that ended before it had a connection.
+    fn report_unstarted_attempt(
         &mut self,
         id: RequestId,
         number: u16,
@@ -171,7 +178,7 @@
         }
     }
 
-    /// Goes on with the connects to a backend that has several addresses.
+    /// Starts the next connect of a race between a backend's addresses, if it is due.
     pub(super) fn advance_race(&mut self, connection: ConnectionHandle) {
         let now = self.clock.now();
         let has_descriptor = self
@@ -192,7 +199,7 @@
             .admit_attempt(backend, now, &mut self.clients, &mut self.backends)
     }
 
-    /// Starts a health check.
+    /// Sends a health check to a backend, or reports a failed connection if no file descriptor is available.
     pub(super) fn start_health_check(&mut self, backend: BackendId) {
         if !self.has_descriptor_for(backend) {
             return self.events.push_back(Event::HealthChecked {
@@ -224,8 +231,8 @@
         }
     }
 
-    /// Cancels an attempt, or gives it up. `timed_out` is the time where that is because its answer has not come; `outcome` says
-    /// what is known of it, by whether its last byte had been written.
+    /// Ends an attempt without an answer. `timed_out` is the current time if the attempt timed out, and `None` if it is
+    /// cancelled. `outcome` returns the attempt's outcome, given whether its last byte had been written.
     pub(super) fn abandon(
         &mut self,
         id: RequestId,
@@ -257,28 +264,28 @@
         self.forget(id);
     }
 
-    /// An attempt or a health check has ended.
-    fn attempt_ended(&mut self, end: &AttemptEnd) {
-        let mut took = self.clock.now().saturating_sub(end.started_at);
+    /// Handles the end of an attempt or a health check.
+    fn handle_attempt_end(&mut self, end: &AttemptEnd) {
+        let mut elapsed = self.clock.now().saturating_sub(end.started_at);
         let (id, number) = match end.activity {
             Activity::Attempt(id, number) => (id, number),
             Activity::HealthCheck => {
                 return self.events.push_back(Event::HealthChecked {
                     backend: end.backend,
                     outcome: end.outcome,
-                    elapsed: took,
+                    elapsed,
                     report: end.report,
                 })
             }
-            Activity::RaceCandidate(_) => return, // it has nothing of its own to end
+            Activity::RaceCandidate(_) => return, // the attempt or health check it belongs to reports the result
         };
         let Some(open) = self.requests.get_mut(id) else {
             return;
         };
         if let Some(attempt) = open.attempt_mut(number) {
             attempt.connection = None;
-            // How long a client reads says nothing of the backend.
-            took = attempt.first_byte_after.unwrap_or(took);
+            // Exclude the time that the client takes to read a streamed answer.
+            elapsed = attempt.first_byte_after.unwrap_or(elapsed);
         }
         if open.streaming == Some(number) && end.outcome != Outcome::Ok {
             self.abort_stream(id);
@@ -286,14 +293,14 @@
         if end.outcome == Outcome::Ok {
             self.answer_with(id, &end.value);
         }
-        let complete = self.requests.get(id).is_none_or(|o| o.complete);
+        let complete = self.requests.get(id).is_none_or(|open| open.complete);
         self.events.push_back(Event::AttemptCompleted {
             id,
             attempt: number,
             backend: end.backend,
             outcome: end.outcome,
             complete,
-            elapsed: took,
+            elapsed,
             metered_usage: None,
             charged_units: None,
             report: end.report,
@@ -301,7 +308,7 @@
         self.forget(id);
     }
 
-    /// Answers a request with the first value that a backend gives.
+    /// Answers a request with a backend's value.
     fn answer_with(&mut self, id: RequestId, value: &[u8]) {
         if self.variant_fails(id) {
             self.fail(id);
@@ -310,7 +317,7 @@
         }
     }
 
-    /// Whether this version of the program fails a request that was served; the shipped one never does.
+    /// Whether this variant of the program fails a request that a backend has served. The released program never does.
     fn variant_fails(&mut self, id: RequestId) -> bool {
         if !V::FAILS_SERVED {
             return false;
@@ -322,23 +329,23 @@
         let vocabulary = &self.clients.vocabulary;
         let class = vocabulary.class_name(request.class).unwrap_or_default();
         let plan = vocabulary.plan_name(request.plan).unwrap_or_default();
-        let open = self.requests.incomplete_count();
-        self.variant.fails_served(class, plan, open)
+        let open_requests = self.requests.incomplete_count();
+        self.variant.fails_served(class, plan, open_requests)
     }
 
-    /// Forgets a request that is complete once it has no attempt under way. What is not written to its last byte by then is
-    /// cancelled here, also where the settings let nothing be cancelled: nobody waits for it, and it has not begun.
+    /// Removes a complete request once no attempt of it is in flight. Attempts whose last byte is not yet written are cancelled,
+    /// even if the settings forbid cancelling: no client waits for them, and the backend has not started them.
     pub(super) fn forget(&mut self, id: RequestId) {
         if let Some(number) = self.unsent_attempt(id) {
-            // It comes back here, for the next one.
+            // `abandon` calls `forget` again, which handles the next unsent attempt.
             return self.abandon(id, number, None, |_| Outcome::NotSent);
         }
         self.requests.forget(id, self.now);
     }
 
-    /// An attempt of a complete request that is not written to its last byte.
+    /// The number of an attempt of a complete request whose last byte is not yet written.
     fn unsent_attempt(&self, id: RequestId) -> Option<u16> {
-        let open = self.requests.get(id).filter(|o| o.complete)?;
+        let open = self.requests.get(id).filter(|open| open.complete)?;
         let is_unsent = |attempt: &Attempt| {
             let connection = attempt.connection;
             connection.is_some_and(|c| self.backends.is_sent(c) == Some(false))
--- a/crates/ingress/src/ingress/builder.rs
+++ b/crates/ingress/src/ingress/builder.rs
@@ -1,4 +1,5 @@
-//! The start of an ingress, in steps: listeners, the process before or the durable state, then all that serves.
+//! Startup of an ingress: binds the client listener, takes over from the predecessor or restores the durable state, then opens
+//! the remaining sockets.
 
 use super::handover::SuccessorListener;
 use super::listener::{self, BoundListener};
@@ -6,7 +7,7 @@
     backend_token, client_token, operator_token, CONTROL, COUNTER, DISCOVERY, LISTENER, MANAGEMENT,
     PEERS, SIGNALS,
 };
-use super::{Ingress, Limits, UnfinishedWork, MEMORY_SHARE, SWEEP_INTERVAL};
+use super::{Ingress, Limits, UnfinishedWork, MEMORY_DIVISOR, SWEEP_INTERVAL};
 use crate::admission::AdmissionGuard;
 use crate::backend::Backends;
 use crate::client::Clients;
@@ -42,14 +43,14 @@
 use wrenfork_handover::socket_path;
 use wrenfork_wire::call::Vocabulary;
 
-/// The lease of a member that came without one: it admits nothing before it has one.
+/// Placeholder for a group member whose predecessor passed no lease: no request is admitted until a lease is granted.
 const NO_LEASE: InheritedLease = InheritedLease {
     group_version: 0,
     expires_at: None,
     admission_deadline: 0,
 };
 
-/// Makes an [`Ingress`].
+/// Builds an [`Ingress`]: [`IngressBuilder::new`] binds the client listener, [`IngressBuilder::build`] does the rest.
 pub struct IngressBuilder<V> {
     variant: V,
     config: Config,
@@ -58,7 +59,7 @@
     bound: BoundListener,
 }
 
-/// The control port at a start.
+/// The control port during startup: served (`port`), waiting for the predecessor (`pending`), or not configured.
 #[derive(Default)]
 struct ControlStart {
     port: Option<ControlPort>,
@@ -66,27 +67,27 @@
     admission: AdmissionGuard,
 }
 
-/// What is opened at a start besides the clients' listener.
-struct Opened {
+/// Resources opened during startup besides the client listener.
+struct OpenedResources {
     peers: Option<PeerSocket>,
     management: Option<ManagementServer>,
     budget: DescriptorBudget,
     clock: Clock,
 }
 
-/// What came from the process before.
-struct Inheritance {
+/// State and sockets inherited from the predecessor.
+struct InheritedResources {
     state: InheritedState,
-    /// The sockets that are not taken yet, in the state's order.
+    /// Sockets not yet claimed, in the order in which the state lists them.
     descriptors: std::vec::IntoIter<OwnedFd>,
 }
 
 impl<V: Variant> IngressBuilder<V> {
-    /// Binds the address for clients. From here on clients may connect; they are served once [`Ingress::run`] runs.
+    /// Binds the address for clients. Clients can connect from now on, but are served only once [`Ingress::run`] runs.
     ///
     /// # Errors
     ///
-    /// Where the address can't be bound.
+    /// Returns an error if the poll can't be created or the address can't be bound.
     pub fn new(variant: V, config: Config, mut signals: Signals) -> Result<Self, IngressError> {
         let poll = Poll::new().map_err(IngressError::Poll)?;
         let mut bound = listener::bind(&config)?;
@@ -104,11 +105,11 @@
         })
     }
 
-    /// Takes over from the process before, if there is one, and opens all else.
+    /// Takes over from the predecessor, if there is one, and opens everything else.
     ///
     /// # Errors
     ///
-    /// Where the durable state, an address or the descriptors can't be had.
+    /// Returns an error if the durable state can't be opened, an address can't be bound, or there are too few file descriptors.
     pub fn build(
         mut self,
         source: ConfigSource,
@@ -116,19 +117,19 @@
     ) -> Result<Ingress<V>, IngressError> {
         let path = self.handover_path();
         let memory = self.config.memory;
-        let taken = path
+        let takeover = path
             .as_deref()
             .and_then(|path| take_over::<V>(path, memory));
-        let control = self.open_control(taken.as_ref())?;
+        let control = self.open_control(takeover.as_ref())?;
         let reloader = ConfigReloader::new(source, &self.config, status);
-        let mut inheritance = taken.map(|taken| self.inherit(taken));
-        let opened = self.open_sockets(inheritance.as_mut(), path.is_some())?;
+        let mut inherited = takeover.map(|takeover| self.inherit(takeover));
+        let opened = self.open_sockets(inherited.as_mut(), path.is_some())?;
         let listen = self.config.listen.clone();
-        let known = std::mem::take(&mut self.config.known_endpoints);
-        let mut ingress = self.assemble(opened, control, reloader, path, known.index);
-        match inheritance {
-            Some(inheritance) => ingress.resume(inheritance.state, inheritance.descriptors),
-            None => ingress.take_endpoints(known, EndpointListKind::Cached),
+        let cached_endpoints = std::mem::take(&mut self.config.known_endpoints);
+        let mut ingress = self.assemble(opened, control, reloader, path, cached_endpoints.index);
+        match inherited {
+            Some(inherited) => ingress.resume(inherited.state, inherited.descriptors),
+            None => ingress.update_endpoints(cached_endpoints, EndpointListKind::Cached),
         }
         ingress.pump();
         ingress.occupy_free_addresses();
@@ -136,24 +137,24 @@
         Ok(ingress)
     }
 
-    /// Where the next process finds this one, if it may come while this one serves: where the platform holds the listener, and
-    /// another process of this ingress may be serving at this moment. What callers have proved does not pass to another process,
-    /// nor does what is stored in memory alone of what was applied.
+    /// Path of the handover socket, or `None` if this ingress doesn't support a handover. A handover requires a TCP listener held
+    /// by the platform. Neither the authentication of callers nor applied changes kept only in memory can be handed over, so
+    /// authenticating ingresses and control ports without a state folder are excluded.
     fn handover_path(&self) -> Option<PathBuf> {
         let config = &self.config;
         let stores_state = !config.has_control_port() || config.control.state.is_some();
-        let may_pass =
+        let supports_handover =
             config.inherited_listener.is_some() && config.active.callers.is_none() && stores_state;
         match &config.listen {
-            ListenAddress::Tcp(address) => may_pass.then(|| socket_path(*address)),
+            ListenAddress::Tcp(address) => supports_handover.then(|| socket_path(*address)),
             ListenAddress::Unix { .. } => None,
         }
     }
 
-    /// Opens the control port, or has it opened once the process before has let go of it.
-    fn open_control(&mut self, taken: Option<&TakenOver>) -> Result<ControlStart, IngressError> {
+    /// Opens the control port. After a takeover, starts a thread that opens it once the predecessor has released it.
+    fn open_control(&mut self, takeover: Option<&TakenOver>) -> Result<ControlStart, IngressError> {
         let registry = self.poll.registry();
-        let Some(taken) = taken else {
+        let Some(takeover) = takeover else {
             let restored = control::restore(&mut self.config)?;
             let port = restored
                 .map(|restored| restored.serve(registry, CONTROL))
@@ -169,45 +170,52 @@
         if !self.config.has_control_port() {
             return Ok(ControlStart::default());
         }
-        let handed_over = &taken.state.source_pairs;
-        let pending =
-            PendingControlServer::start(&self.config, handed_over, taken.lease, registry, CONTROL)?;
+        let handed_over = &takeover.state.source_pairs;
+        let pending = PendingControlServer::start(
+            &self.config,
+            handed_over,
+            takeover.lease,
+            registry,
+            CONTROL,
+        )?;
         let membership = self.config.control.membership.as_ref();
-        let lease = taken.lease.unwrap_or(NO_LEASE);
+        let lease = takeover.lease.unwrap_or(NO_LEASE);
         Ok(ControlStart {
             port: None,
             pending: Some(pending),
-            admission: AdmissionGuard::new(membership.map(|m| lease.lease_guard(m))),
+            admission: AdmissionGuard::new(
+                membership.map(|membership| lease.lease_guard(membership)),
+            ),
         })
     }
 
-    /// What the process before enforced is enforced, in place of the files.
-    fn inherit(&mut self, taken: TakenOver) -> Inheritance {
-        self.config.active = taken.active;
-        Inheritance {
-            state: taken.state,
-            descriptors: taken.descriptors.into_iter(),
+    /// Replaces the configuration from the files by the one that the predecessor enforced.
+    fn inherit(&mut self, takeover: TakenOver) -> InheritedResources {
+        self.config.active = takeover.active;
+        InheritedResources {
+            state: takeover.state,
+            descriptors: takeover.descriptors.into_iter(),
         }
     }
 
-    /// Opens the sockets to peers and operators, where there are to be any, and divides the descriptors that are left.
+    /// Opens the configured sockets for peers and operators, and budgets the remaining file descriptors.
     fn open_sockets(
         &mut self,
-        inheritance: Option<&mut Inheritance>,
-        may_wait: bool,
-    ) -> Result<Opened, IngressError> {
+        inherited: Option<&mut InheritedResources>,
+        may_bind_later: bool,
+    ) -> Result<OpenedResources, IngressError> {
         let registry = self.poll.registry();
         let mut peer_descriptor = None;
         let mut clocks = None;
-        if let Some(inheritance) = inheritance {
-            clocks = Some(inheritance.state.clocks);
-            if inheritance.state.has_peer_socket {
-                peer_descriptor = inheritance.descriptors.next();
+        if let Some(inherited) = inherited {
+            clocks = Some(inherited.state.clocks);
+            if inherited.state.has_peer_socket {
+                peer_descriptor = inherited.descriptors.next();
             }
         }
         let addresses = self.config.peers.take();
         let peers = addresses
-            .map(|addresses| open_peers(addresses, peer_descriptor, registry, may_wait))
+            .map(|addresses| open_peers(addresses, peer_descriptor, registry, may_bind_later))
             .transpose()?;
         let clock = clocks.map_or_else(Clock::new, Clock::resume);
         let budget = DescriptorBudget::new(self.config.max_descriptors, self.reserved())?;
@@ -215,7 +223,7 @@
             .config
             .management
             .map(|address| ManagementServer::bind(address, registry, MANAGEMENT, operator_token));
-        Ok(Opened {
+        Ok(OpenedResources {
             peers,
             management: management.transpose()?,
             budget,
@@ -234,7 +242,7 @@
 
     fn assemble(
         self,
-        opened: Opened,
+        opened: OpenedResources,
         control: ControlStart,
         reloader: ConfigReloader,
         handover_path: Option<PathBuf>,
@@ -252,7 +260,7 @@
             config.seed,
         );
         let active = config.active;
-        let memory = config.memory / MEMORY_SHARE;
+        let memory = config.memory / MEMORY_DIVISOR;
         let max_open = active.settings.limits.max_pending as usize;
         let in_group = config.control.membership.is_some();
         Ingress {
@@ -307,17 +315,18 @@
     }
 }
 
-/// Opens the socket to the peers; where it `may_wait`, an address that another process has is bound later.
+/// Opens the socket to the peers. With `may_bind_later`, an address still in use by another process is not an error and is
+/// bound later.
 fn open_peers(
     addresses: PeerAddresses,
     descriptor: Option<OwnedFd>,
     registry: &Registry,
-    may_wait: bool,
+    may_bind_later: bool,
 ) -> Result<PeerSocket, IngressError> {
     let address = addresses.listen;
     let opened = match descriptor {
         Some(descriptor) => PeerSocket::from_descriptor(addresses, descriptor, registry, PEERS),
-        None => PeerSocket::bind(addresses, registry, PEERS, may_wait),
+        None => PeerSocket::bind(addresses, registry, PEERS, may_bind_later),
     };
     opened.map_err(|source| IngressError::PeerListen { address, source })
 }
@@ -339,7 +348,7 @@
     CounterClient::new(counter.address, counter.timeout, COUNTER)
 }
 
-/// Counts for staged rollouts, where there may be any.
+/// Creates the counts for staged rollouts. Counting starts only in a group, since only groups run rollouts.
 fn cohort_metrics(active: &ActiveConfig, in_group: bool) -> CohortMetrics {
     let mut metrics = CohortMetrics::default();
     if in_group {
--- a/crates/ingress/src/ingress/client_events.rs
+++ b/crates/ingress/src/ingress/client_events.rs
@@ -1,4 +1,4 @@
-//! What clients bring: connections, requests, and their leaving.
+//! Events from clients: new connections, requests and disconnects.
 
 use super::Ingress;
 use crate::client::{Accepted, ClientEvent, Clients, Origin};
@@ -9,11 +9,11 @@
 use wrenfork_decision::{Event, Micros, Outcome, RequestId};
 use wrenfork_wire::call::Call;
 
-/// Time until accepting is tried again after there was no descriptor for it.
+/// Delay before accepting again after file descriptors ran out.
 const ACCEPT_RETRY: Micros = 10_000;
-/// What an answer may take on its way to the client, besides two ticks.
+/// Time reserved for sending an answer to the client, in addition to two ticks.
 const ANSWER_TRANSIT: Micros = 2_000;
-/// The answer to a request beyond the capacity for open ones: a retry is harmless.
+/// Answer to a request beyond the limit of open requests. Retrying is safe, since the request was never admitted.
 const BUSY: &[u8] = b"-BUSY\r\n";
 
 impl<V: Variant> Ingress<V> {
@@ -23,13 +23,15 @@
         let backends = &mut self.backends;
         let connections = backends.len();
         let any_idle = backends.any_idle();
-        let may = |clients: &Clients| budget.allows_accept(clients, connections, any_idle);
+        let may_accept = |clients: &Clients| budget.allows_accept(clients, connections, any_idle);
         let admit = |clients: &mut Clients| budget.admit_client(clients, backends, now);
-        let accepted = self.clients.accept(self.poll.registry(), now, may, admit);
+        let accepted = self
+            .clients
+            .accept(self.poll.registry(), now, may_accept, admit);
         match accepted {
             Accepted::All => {}
             Accepted::More => self.unfinished.accept = true,
-            // The poll reports each arrival once: who waits now must not wait for the next one to come.
+            // The poll is edge-triggered: without a timer, waiting clients would be accepted only when another one connects.
             Accepted::NoDescriptor => self.timers.set(now + ACCEPT_RETRY, Due::Accept),
         }
         self.take_client_events();
@@ -51,7 +53,7 @@
             open.complete = true;
             let streaming = open.streaming;
             self.events.push_back(Event::ClientDisconnected(id));
-            // Nobody reads on: the module cancels nothing that is the client's.
+            // No client reads the streamed answer any more, and the decision module doesn't cancel its attempt.
             if let Some(attempt) = streaming {
                 self.abandon(id, attempt, None, |_| Outcome::Cancelled);
             }
@@ -67,26 +69,25 @@
                 self.metrics.record(class, RequestEnd::Failed);
                 return self.clients.answer_error(origin, "the id is not new");
             }
-            // Never admitted, so a retry is harmless.
             Capacity::Full => {
                 self.metrics.record(class, RequestEnd::Rejected);
                 self.cohort_metrics.record_rejected(&call.request);
                 return self.clients.answer(origin, BUSY);
             }
         };
-        // The module's deadline is a little before the client's: the last answer has a way to go.
-        let wait = call.wait.min(MAX_WAIT);
-        let early = (2 * self.limits.tick + ANSWER_TRANSIT).min(wait / 4);
+        // The module's deadline is slightly before the client's, so that a late answer still reaches the client in time.
+        let max_wait = call.wait.min(MAX_WAIT);
+        let margin = (2 * self.limits.tick + ANSWER_TRANSIT).min(max_wait / 4);
         let mut request = call.request;
         request.id = id;
-        request.deadline = self.now + wait - early;
+        request.deadline = self.now + max_wait - margin;
         self.routing.route(&mut request);
-        // One timer for all of it: nearly every request is answered long before, and each timer costs a place in the
-        // heap until its time comes.
+        // Set a single timer per request: nearly every request is answered long before its deadline, and each timer occupies a
+        // heap entry until it expires.
         self.timers.set(request.deadline, Due::RequestDeadline(id));
         let deadlines = Deadlines {
             attempts: request.deadline,
-            client: request.deadline + early,
+            client: request.deadline + margin,
         };
         let max_attempts = self.limits.max_attempts;
         self.requests
--- a/crates/ingress/src/ingress/configuration.rs
+++ b/crates/ingress/src/ingress/configuration.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration, through the control port and at SIGHUP.
+//! Configuration changes, applied through the control port or reloaded from files on SIGHUP.
 
 use super::Ingress;
 use crate::config::ActiveConfig;
@@ -14,7 +14,7 @@
 use wrenfork_wire::call::Vocabulary;
 
 impl<V: Variant> Ingress<V> {
-    /// Takes what the control threads ask for, between two turns.
+    /// Executes the commands of the control threads. Called between two turns.
     pub(super) fn take_control_commands(&mut self) {
         let pending = self.pending_control.as_ref();
         if let Some(ready) = pending.and_then(PendingControlServer::take) {
@@ -31,16 +31,18 @@
 
     pub(super) fn execute_commands(&mut self, commands: Vec<ControlCommand>) {
         for command in commands {
-            // Whoever asked may have given up: the answer is lost then, and nothing else.
+            // Sending the answer fails if the control thread has timed out. That is harmless: only the answer is lost.
             match command {
-                ControlCommand::Apply(config, done) => {
+                ControlCommand::Apply(config, reply) => {
                     let replaced = self.apply_state(config);
-                    let _ = done.send(replaced);
+                    let _ = reply.send(replaced);
                 }
-                ControlCommand::ReportFigures(done) => drop(done.send(self.figures())),
-                ControlCommand::ReportCohortMetrics(done) => {
+                ControlCommand::ReportIngressMetrics(reply) => {
+                    drop(reply.send(self.ingress_metrics()))
+                }
+                ControlCommand::ReportCohortMetrics(reply) => {
                     let report = self.cohort_metrics.report(&self.clients.vocabulary);
-                    let _ = done.send(report);
+                    let _ = reply.send(report);
                 }
             }
         }
@@ -51,8 +53,8 @@
         self.apply(*config.compiled)
     }
 
-    /// Enforces another configuration: requests that are open end under the one in which they came. Gives the vocabulary that is
-    /// replaced.
+    /// Enforces another configuration and returns the replaced vocabulary. Open requests finish under the configuration with
+    /// which they arrived.
     pub(super) fn apply(&mut self, active: ActiveConfig) -> Vocabulary {
         let longest_deadline = active.longest_deadline();
         let settings = active.settings;
@@ -74,7 +76,7 @@
         }
         self.events
             .push_back(Event::SettingsChanged(Box::new(settings)));
-        // Which endpoint is of which pool comes at once behind the pools.
+        // Report the pool membership of the endpoints directly after the settings that define the pools.
         if let Some(endpoints) = self.routing.set_table(active.routes) {
             let event = Event::EndpointsChanged(EndpointListKind::Full, endpoints);
             self.events.push_back(event);
@@ -83,7 +85,7 @@
         replaced
     }
 
-    /// Reads the configuration again and enforces it, or tries that again later.
+    /// Reads the configuration files again and enforces the result, or schedules a retry if the files can't be read yet.
     pub(super) fn reload(&mut self) {
         match self.reloader.read(self.now) {
             Reload::Apply(active) => drop(self.apply(*active)),
@@ -95,8 +97,8 @@
         self.metrics.config_refused = counts.refused;
     }
 
-    /// The usage figures that a planned change is judged by.
-    fn figures(&self) -> IngressMetrics {
+    /// The usage metrics that are shown when a change is planned.
+    fn ingress_metrics(&self) -> IngressMetrics {
         IngressMetrics {
             received: self.metrics.admitted,
             served: self.metrics.total(RequestEnd::Served),
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The use of each plan that has customers.
+    /// Usage of each plan that has customers, by plan name.
     fn plan_usage(&self) -> BTreeMap<String, PlanUsage> {
         let names = self.clients.vocabulary.plans.iter();
         let plans = names.zip(self.gateway.plan_usage());
--- a/crates/ingress/src/ingress/endpoints.rs
+++ b/crates/ingress/src/ingress/endpoints.rs
@@ -1,4 +1,4 @@
-//! Discovery and peers: endpoint lists and messages for the decision module.
+//! Receives endpoint lists from discovery and messages from peers, and passes them to the decision module.
 
 use super::Ingress;
 use crate::discovery::EndpointList;
@@ -6,7 +6,7 @@
 use wrenfork_decision::{EndpointListKind, Event};
 
 impl<V: Variant> Ingress<V> {
-    /// Takes in what discovery has answered, and makes the next request where one is due.
+    /// Processes responses from discovery if its socket is `ready`, and sends the next request if one is due.
     pub(super) fn poll_discovery(&mut self, ready: bool) {
         let now = self.now;
         let registry = self.poll.registry();
@@ -22,7 +22,7 @@
             } else {
                 EndpointListKind::Delta
             };
-            self.take_endpoints(list, kind);
+            self.update_endpoints(list, kind);
         }
         if failed && self.limits.polls_discovery {
             let event = Event::EndpointsChanged(EndpointListKind::Failed, Vec::new());
@@ -31,12 +31,16 @@
         self.pump();
     }
 
-    /// Takes an endpoint list, for the pools and the module.
-    pub(super) fn take_endpoints(&mut self, mut list: EndpointList, kind: EndpointListKind) {
+    /// Assigns the endpoints of a list to pools, updates the backends, and queues the list for the decision module.
+    pub(super) fn update_endpoints(&mut self, mut list: EndpointList, kind: EndpointListKind) {
         self.routing.assign_pools(&mut list);
         self.backends.update(&list);
         if kind != EndpointListKind::Delta || !list.endpoints.is_empty() {
-            let listed = list.endpoints.iter().map(|e| e.listed).collect();
+            let listed = list
+                .endpoints
+                .iter()
+                .map(|endpoint| endpoint.listed)
+                .collect();
             self.events.push_back(Event::EndpointsChanged(kind, listed));
         }
     }
--- a/crates/ingress/src/ingress/handover.rs
+++ b/crates/ingress/src/ingress/handover.rs
@@ -1,7 +1,8 @@
-//! From one process of this ingress to the next: between two turns nothing is half done, and all of it passes.
+//! Handover to the next process of this ingress, and resuming from the predecessor. The handover takes place between two turns,
+//! when no event is partly processed, so that the complete state can be passed on.
 
 use super::tokens::{HANDOVER, PEERS};
-use super::{Ingress, MEMORY_SHARE};
+use super::{Ingress, MEMORY_DIVISOR};
 use crate::peers::PeerSocket;
 use crate::takeover::{encode, HandoverError, HandoverListener, InheritedState, OutgoingState};
 use crate::variant::Variant;
@@ -14,18 +15,18 @@
 use wrenfork_handover::listener::ListenerLender;
 use wrenfork_handover::successor::Successor;
 
-/// Where the next process finds this one.
+/// The socket to which the successor connects.
 pub(super) struct SuccessorListener {
-    /// None where it may not come while this one serves.
+    /// `None` if this ingress doesn't support a handover.
     path: Option<PathBuf>,
-    /// None while another process has the path.
+    /// `None` while another process listens at the path.
     listener: Option<HandoverListener>,
-    /// It was logged that the path can't be had.
+    /// Whether the failure to listen at the path has been logged; it is logged only once.
     warned: bool,
 }
 
 impl SuccessorListener {
-    /// Not listening yet.
+    /// Creates the value without listening yet; see [`Ingress::occupy_free_addresses`].
     pub(super) fn new(path: Option<PathBuf>) -> SuccessorListener {
         SuccessorListener {
             path,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Nobody is to find this process any more.
+    /// Removes the socket, so that no successor connects to this process any more.
     pub(super) fn close(&self) {
         if let Some(listener) = &self.listener {
             listener.close();
@@ -43,7 +44,8 @@
 }
 
 impl<V: Variant> Ingress<V> {
-    /// Takes the addresses that a process before leaves free when it ends: that for the next process, and the peers'.
+    /// Binds the handover socket and the peer address if they are not bound yet. After a failed handover, both become free
+    /// only when the predecessor exits.
     pub(super) fn occupy_free_addresses(&mut self) {
         let registry = self.poll.registry();
         let successor = &mut self.successor;
@@ -58,26 +60,26 @@
                 Ok(listener) => successor.listener = Some(listener),
                 Err(error) if !successor.warned => {
                     successor.warned = true;
-                    tracing::warn!(%error, "handover: the next process can't find this one yet");
+                    tracing::warn!(%error, "handover: cannot listen for a successor yet, retrying");
                 }
                 Err(_) => {}
             }
         }
         if let Some(peers) = self.peers.as_mut().filter(|peers| !peers.is_bound()) {
             if peers.bind_if_unbound(registry, PEERS).is_ok() {
-                tracing::info!("peer_listen: bound");
+                tracing::info!("peer_listen: address bound");
             }
         }
     }
 
-    /// Hands all over to a process that asks for it; true if it is that one's.
+    /// Hands over to a successor that has connected. Returns whether the successor now owns the state and the sockets.
     pub(super) fn hand_over(&mut self) -> bool {
         if !std::mem::take(&mut self.unfinished.handover) {
             return false;
         }
         while let Some(caller) = self.next_caller() {
             let started_at = self.clock.now();
-            let given = match caller {
+            let handed_over = match caller {
                 Ok(Caller::Successor { successor, layout }) => {
                     self.hand_over_state(successor, layout)
                 }
@@ -87,12 +89,12 @@
                 }
                 Err(error) => Err(error),
             };
-            match given {
+            match handed_over {
                 Ok(successor) => {
                     self.hand_over_sockets(successor, started_at);
                     return true;
                 }
-                Err(error) => tracing::warn!(%error, "handover: failed, going on as before"),
+                Err(error) => tracing::warn!(%error, "handover: failed, continuing to serve"),
             }
         }
         false
@@ -106,36 +108,36 @@
     fn lend_listener(&self, lender: ListenerLender) {
         if let Some(listener) = self.clients.tcp_listener() {
             if let Err(error) = lender.lend(listener) {
-                tracing::warn!(%error, "handover: the listener was not lent");
+                tracing::warn!(%error, "handover: failed to lend the listener to the supervisor");
             }
         }
     }
 
-    /// Hands the state over, with the control port where there is one. With an error it is this process's as before.
+    /// Hands over the state, and the control port if there is one. On an error, this process keeps both.
     fn hand_over_state(
         &mut self,
-        mut to: Successor,
+        mut successor: Successor,
         layout: u32,
     ) -> Result<Successor, HandoverError> {
-        self.check_hand_over()?;
+        self.check_can_hand_over()?;
         let Some(control) = self.control.take() else {
             self.take_client_events();
             let bytes = encode::<V>(layout, &self.outgoing_state(), None)?;
-            to.hand_over(&bytes)?;
-            return Ok(to);
+            successor.hand_over(&bytes)?;
+            return Ok(successor);
         };
         let ingress = RefCell::new(self);
-        let given = control.hand_over(
+        let result = control.hand_over(
             |commands| ingress.borrow_mut().execute_commands(commands),
             |lease| {
                 let mut this = ingress.borrow_mut();
                 this.take_client_events();
                 let bytes = encode::<V>(layout, &this.outgoing_state(), lease)?;
-                Ok(to.hand_over(&bytes)?)
+                Ok(successor.hand_over(&bytes)?)
             },
         );
-        match given {
-            Ok(()) => Ok(to),
+        match result {
+            Ok(()) => Ok(successor),
             Err(error) => {
                 ingress.into_inner().control = Some(control);
                 Err(match error {
@@ -146,8 +148,8 @@
         }
     }
 
-    /// Whether this ingress may be handed over now.
-    fn check_hand_over(&self) -> Result<(), HandoverError> {
+    /// Returns an error if this ingress can't be handed over at the moment.
+    fn check_can_hand_over(&self) -> Result<(), HandoverError> {
         if self.shutdown.has_begun() {
             return Err(HandoverError::Stopping);
         }
@@ -160,17 +162,17 @@
         Ok(())
     }
 
-    fn hand_over_sockets(&mut self, mut to: Successor, started_at: Micros) {
+    fn hand_over_sockets(&mut self, mut successor: Successor, started_at: Micros) {
         let peers = self.peers.take().and_then(PeerSocket::into_descriptor);
         let mut descriptors: Vec<OwnedFd> = peers.into_iter().collect();
         descriptors.extend(self.clients.take_descriptors());
         descriptors.extend(self.backends.take_descriptors());
         let connections = descriptors.len();
-        if let Err(error) = to.send_descriptors(descriptors) {
-            tracing::error!(%error, "handover: what had not passed is lost");
+        if let Err(error) = successor.send_descriptors(descriptors) {
+            tracing::error!(%error, "handover: failed to send all sockets, the remaining connections are lost");
         }
         let took_us = self.clock.now().saturating_sub(started_at);
-        tracing::info!(connections, took_us, "handed over to the next process");
+        tracing::info!(connections, took_us, "handed over to the successor");
     }
 
     fn outgoing_state(&self) -> OutgoingState<'_> {
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Goes on where another process stopped.
+    /// Resumes with the state and the sockets of the predecessor.
     pub(super) fn resume(
         &mut self,
         state: InheritedState,
@@ -201,7 +203,7 @@
         self.requests = state.requests;
         self.timers = state.timers;
         self.requests
-            .set_max_memory(self.limits.memory / MEMORY_SHARE);
+            .set_max_memory(self.limits.memory / MEMORY_DIVISOR);
         self.clients
             .resume(state.clients, &mut descriptors, registry);
         self.backends
@@ -215,6 +217,6 @@
         if let Some(active) = changed {
             drop(self.apply(*active));
         }
-        tracing::info!(connections, "taken over from the process before");
+        tracing::info!(connections, "taken over from the predecessor");
     }
 }
--- a/crates/ingress/src/ingress/listener.rs
+++ b/crates/ingress/src/ingress/listener.rs
@@ -1,4 +1,4 @@
-//! The clients' listener.
+//! The listening socket for clients.
 
 use crate::config::{Config, ListenAddress};
 use crate::error::IngressError;
@@ -10,14 +10,14 @@
 use wrenfork_control_plane::socket::{self, SocketFile};
 use wrenfork_handover::listener;
 
-/// A listener that is bound.
+/// The bound client listener, with its socket file if it is a Unix socket.
 pub(super) struct BoundListener {
     pub(super) listener: Listener,
-    /// Its file, where it is a Unix socket.
+    /// Removes the Unix socket's file on shutdown; `None` with a TCP listener.
     pub(super) socket: Option<SocketFile>,
 }
 
-/// Binds the address for clients, or takes the listener that the platform holds.
+/// Binds the address for clients, or adopts the listener that the platform passes to this process.
 pub(super) fn bind(config: &Config) -> Result<BoundListener, IngressError> {
     match &config.listen {
         ListenAddress::Tcp(address) => {
@@ -40,7 +40,7 @@
         match listener::take_passed(descriptor, address) {
             Ok(listener) => return Ok(TcpListener::from_std(listener)),
             Err(error) => {
-                tracing::warn!(%error, "listen: no listener inherited, binding an own one");
+                tracing::warn!(%error, "listen: cannot use the inherited listener, binding the address instead");
             }
         }
     }
--- a/crates/ingress/src/ingress/operators.rs
+++ b/crates/ingress/src/ingress/operators.rs
@@ -1,4 +1,4 @@
-//! Queries of operators at the management address.
+//! Operators' queries at the management address.
 
 use super::Ingress;
 use crate::management::Query;
@@ -28,9 +28,9 @@
         };
         for pending in std::mem::take(&mut management.queries) {
             let answer = match pending.query {
-                Query::Readiness => match self.unreadiness() {
+                Query::Readiness => match self.not_ready_reason() {
                     None => "+OK ready\r\n".into(),
-                    Some(why) => format!("-ERR {why}\r\n"),
+                    Some(reason) => format!("-ERR {reason}\r\n"),
                 },
                 Query::Telemetry => format!("+OK\n{}.\n", self.telemetry()),
             };
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Why a request that came now would not be served; none if it would.
-    fn unreadiness(&self) -> Option<&'static str> {
+    /// Why a new request would not be served at the moment; `None` if it would.
+    fn not_ready_reason(&self) -> Option<&'static str> {
         if self.shutdown.has_begun() {
             return Some("stopping");
         }
--- a/crates/ingress/src/ingress/signals.rs
+++ b/crates/ingress/src/ingress/signals.rs
@@ -1,4 +1,4 @@
-//! The signals of the process.
+//! Process signals: SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the configuration.
 
 use super::Ingress;
 use crate::error::IngressError;
@@ -6,33 +6,37 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGXFSZ};
 use signal_hook_mio::v1_0::Signals;
 
-/// Receives the signals that the event loop heeds; none of them ends the process from here on.
+/// Installs handlers for the signals that the event loop handles. None of these signals terminates the process from now on.
 ///
 /// # Errors
 ///
-/// Where the system refuses it.
+/// Returns an error if a handler can't be installed.
 pub fn receive_signals() -> Result<Signals, IngressError> {
-    // A file that may not grow is an error of the write, and no end of the process.
+    // SIGXFSZ is included so that a write beyond the file size limit fails with an error instead of killing the process.
     Signals::new([SIGTERM, SIGINT, SIGHUP, SIGXFSZ]).map_err(IngressError::Signals)
 }
 
 impl<V: Variant> Ingress<V> {
-    /// Takes the signals that came since the last look, several of one kind as one.
-    pub(super) fn take_signals(&mut self) {
+    /// Handles the signals received since the last call. Repeated signals of one kind are handled once.
+    pub(super) fn handle_signals(&mut self) {
         let received: Vec<i32> = self.signals.pending().collect();
         if received.contains(&SIGHUP) {
-            self.hang_up();
+            self.handle_sighup();
         }
-        if received.iter().any(|s| matches!(*s, SIGTERM | SIGINT)) {
+        if received
+            .iter()
+            .any(|signal| matches!(*signal, SIGTERM | SIGINT))
+        {
             self.shutdown.begin(self.now, &mut self.timers);
         }
     }
 
-    /// Reads the configuration again, unless changes are applied through the control port.
-    fn hang_up(&mut self) {
+    /// Reloads the configuration files, unless the configuration is managed through the control port.
+    fn handle_sighup(&mut self) {
         if self.control.is_some() || self.pending_control.is_some() {
-            self.reloader
-                .refuse("changes are planned and applied here, with wrenctl plan and apply");
+            self.reloader.refuse(
+                "the configuration is managed through the control port: use wrenctl plan and apply",
+            );
         } else {
             self.reloader.request();
             self.reload();
--- a/crates/ingress/src/ingress/streaming.rs
+++ b/crates/ingress/src/ingress/streaming.rs
@@ -1,4 +1,4 @@
-//! Answers that are too long to be held: they pass on to their clients as they come.
+//! Streaming of answers that are too long to buffer: their data is forwarded to the client as it arrives.
 
 use super::Ingress;
 use crate::backend::{Activity, ConnectionHandle};
@@ -6,8 +6,8 @@
 use wrenfork_decision::{Event, Outcome, RequestId};
 
 impl<V: Variant> Ingress<V> {
-    /// Passes on what has come of a streamed answer, as far as its client has room for it.
-    pub(super) fn pass_on(&mut self, connection: ConnectionHandle) {
+    /// Forwards received data of a streamed answer, as far as the client's output buffer has space.
+    pub(super) fn forward_streamed_answer(&mut self, connection: ConnectionHandle) {
         let Some(streamed) = self.backends.streamed_attempt(connection) else {
             return;
         };
@@ -18,14 +18,14 @@
         let Some(open) = self.requests.get_mut(id) else {
             return;
         };
-        let other_is_streaming = open.streaming.is_some_and(|first| first != number);
+        let other_is_streaming = open.streaming.is_some_and(|streaming| streaming != number);
         if open.complete || other_is_streaming {
             return self.abandon(id, number, None, |_| Outcome::Cancelled);
         }
         let origin = open.origin;
         if open.streaming.is_none() {
-            // Once some of it has passed on, only the end of the connection can tell that it broke; where that is owed to others,
-            // it is read to its end first.
+            // Once part of the answer is sent, closing the client connection is the only way to report that the rest failed.
+            // If other answers are still due on that connection, buffer this answer to its end first, memory permitting.
             let spare_memory = self.clients.spare_memory();
             if self.clients.has_other_answers(origin)
                 && self.backends.hold_back(connection, spare_memory, now)
@@ -47,23 +47,23 @@
         }
     }
 
-    /// Goes on with the streamed answers whose clients have room again.
+    /// Resumes streamed answers whose clients can take more data again.
     pub(super) fn continue_streams(&mut self) {
         let mut writable = std::mem::take(&mut self.clients.writable);
         for id in writable.drain(..) {
             let connection = self.streaming_connection(id);
-            if let Some(connection) = connection.filter(|c| self.backends.is_paused(*c)) {
-                self.pass_on(connection);
+            if let Some(connection) = connection.filter(|handle| self.backends.is_paused(*handle)) {
+                self.forward_streamed_answer(connection);
             }
         }
-        // The buffer is used again, unless there is something in another one by now.
+        // Reuse the vector, unless new entries were added to its replacement meanwhile.
         if self.clients.writable.is_empty() {
             self.clients.writable = writable;
         }
         self.pump();
     }
 
-    /// The connection of the attempt whose answer is streamed.
+    /// The connection of the attempt whose answer is being streamed.
     fn streaming_connection(&self, id: RequestId) -> Option<ConnectionHandle> {
         let open = self.requests.get(id)?;
         let attempt = open.attempts.get(usize::from(open.streaming?))?;
--- a/crates/ingress/src/ingress/timeouts.rs
+++ b/crates/ingress/src/ingress/timeouts.rs
@@ -1,4 +1,4 @@
-//! Timers that fall due.
+//! Handles expired timers.
 
 use super::{Ingress, SWEEP_INTERVAL};
 use crate::backend::ConnectionHandle;
@@ -6,7 +6,8 @@
 use crate::variant::Variant;
 use wrenfork_decision::{BackendId, Event, Micros, Outcome, RequestId};
 
-/// What a timeout means for an attempt: it may have run only if its last byte was written.
+/// The outcome of an attempt or a health check that timed out. The backend can have executed it only if its last byte was
+/// written (`sent`).
 fn timeout_outcome(sent: bool) -> Outcome {
     if sent {
         Outcome::TimedOut
@@ -27,11 +28,14 @@
         match due {
             Due::Module(token) => self.events.push_back(Event::Timer(token)),
             Due::AttemptTimeout(id, attempt) => self.time_out_attempt(id, attempt),
-            Due::RequestDeadline(id) => self.request_deadline(id),
+            Due::RequestDeadline(id) => self.handle_request_deadline(id),
             Due::ClientDeadline(id) => {
-                let streaming = self.requests.get(id).is_some_and(|o| o.streaming.is_some());
+                let streaming = self
+                    .requests
+                    .get(id)
+                    .is_some_and(|open| open.streaming.is_some());
                 if !streaming {
-                    self.client_deadline(id);
+                    self.handle_client_deadline(id);
                 }
             }
             Due::ConnectTimeout(connection) => {
@@ -54,19 +58,19 @@
         }
     }
 
-    /// Gives an attempt up whose time is over.
+    /// Ends an attempt that has reached its timeout.
     fn time_out_attempt(&mut self, id: RequestId, attempt: u16) {
-        let streaming = self.requests.get(id).and_then(|o| o.streaming);
+        let streaming = self.requests.get(id).and_then(|open| open.streaming);
         if streaming == Some(attempt) {
-            return; // from its first byte on nothing but a standstill ends it
+            return; // a streamed answer is ended only by a stall, not by this timeout
         }
         self.abandon(id, attempt, Some(self.now), timeout_outcome);
     }
 
-    /// Gives up the attempts of a request.
-    fn request_deadline(&mut self, id: RequestId) {
+    /// Ends the attempts of a request that has reached the decision module's deadline.
+    fn handle_request_deadline(&mut self, id: RequestId) {
         let open = self.requests.get(id);
-        let Some(open) = open.filter(|o| o.streaming.is_none()) else {
+        let Some(open) = open.filter(|open| open.streaming.is_none()) else {
             return;
         };
         let attempts = u16::try_from(open.attempts.len()).unwrap_or(u16::MAX);
@@ -77,9 +81,9 @@
         }
     }
 
-    /// A request without its final answer when the client's time is over is failed: the module should never let it
-    /// come to this, but no client is left without an answer.
-    fn client_deadline(&mut self, id: RequestId) {
+    /// Fails a request that has no final answer at the client's deadline. The decision module should always end a request before
+    /// that; this ensures that the client gets an answer in any case.
+    fn handle_client_deadline(&mut self, id: RequestId) {
         if self.requests.incomplete(id).is_some() {
             self.fail(id);
             self.events.push_back(Event::ClientDisconnected(id));
@@ -118,7 +122,7 @@
     }
 
     fn stop_accepting(&mut self) {
-        self.accept_clients(); // those that the kernel accepted meanwhile are ours as well
+        self.accept_clients(); // serve the connections that the kernel has already accepted
         let accepting =
             self.shutdown
                 .keeps_accepting(self.now, self.clients.accepted_at, &mut self.timers);
@@ -129,7 +133,7 @@
     fn fail_open_requests(&mut self) {
         self.clients.reject_all();
         for id in self.requests.ids() {
-            self.client_deadline(id);
+            self.handle_client_deadline(id);
         }
     }
 }
--- a/crates/ingress/src/ingress/tokens.rs
+++ b/crates/ingress/src/ingress/tokens.rs
@@ -1,4 +1,4 @@
-//! The tokens by which sockets are registered with the poll.
+//! Tokens under which sockets are registered with the poll.
 
 use crate::management::MAX_CONNECTIONS as MAX_OPERATORS;
 use mio::Token;
@@ -11,17 +11,17 @@
 pub(super) const CONTROL: Token = Token(5);
 pub(super) const MANAGEMENT: Token = Token(6);
 pub(super) const HANDOVER: Token = Token(7);
-/// From here on, the operators' connections.
+/// The first token of the operators' connections.
 const FIRST_OPERATOR: usize = 8;
-/// From here on, even tokens are clients and odd ones backends.
+/// The first token of client and backend connections. They alternate from here: even offsets are clients, odd ones backends.
 const FIRST_CONNECTION: usize = FIRST_OPERATOR + MAX_OPERATORS;
 
-/// What a readiness event is of.
+/// The source of a readiness event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EventSource {
-    /// The clients' listener.
+    /// The listening socket for clients.
     Listener,
-    /// The signals of the process.
+    /// The process signals.
     Signals,
     /// The connection to discovery.
     Discovery,
@@ -29,17 +29,17 @@
     Peers,
     /// The connection to the count service.
     Counter,
-    /// The waker of the control threads.
+    /// The waker by which control threads wake the event loop.
     Control,
-    /// The operators' listener.
+    /// The listening socket for operators.
     Management,
-    /// The listener for the next process.
+    /// The listening socket for the successor.
     Handover,
-    /// The operator's connection with this key.
+    /// An operator's connection, by its key.
     Operator(usize),
-    /// The client connection with this key.
+    /// A client connection, by its key.
     Client(usize),
-    /// The connection to a backend with this key.
+    /// A connection to a backend, by its key.
     Backend(usize),
 }
 
@@ -58,28 +58,28 @@
                 EventSource::Operator(token - FIRST_OPERATOR)
             }
             Token(token) => {
-                let number = token - FIRST_CONNECTION;
-                if number.is_multiple_of(2) {
-                    EventSource::Client(number / 2)
+                let offset = token - FIRST_CONNECTION;
+                if offset.is_multiple_of(2) {
+                    EventSource::Client(offset / 2)
                 } else {
-                    EventSource::Backend(number / 2)
+                    EventSource::Backend(offset / 2)
                 }
             }
         }
     }
 }
 
-/// The token of an operator's connection.
+/// The token for the operator's connection with this key.
 pub(super) fn operator_token(key: usize) -> Token {
     Token(FIRST_OPERATOR + key)
 }
 
-/// The token of a client connection.
+/// The token for the client connection with this key.
 pub(super) fn client_token(key: usize) -> Token {
     Token(FIRST_CONNECTION + 2 * key)
 }
 
-/// The token of a connection to a backend.
+/// The token for the backend connection with this key.
 pub(super) fn backend_token(key: usize) -> Token {
     Token(FIRST_CONNECTION + 1 + 2 * key)
 }
--- a/crates/ingress/src/ingress/turn.rs
+++ b/crates/ingress/src/ingress/turn.rs
@@ -1,16 +1,16 @@
-//! A turn of the event loop: all that came is read with one clock.
+//! One turn of the event loop: processes all readiness events of a poll with the same timestamp.
 
 use super::tokens::EventSource;
 use super::Ingress;
 use crate::variant::Variant;
 use mio::event::Event;
 
-/// A socket that is ready.
+/// A readiness event of a socket.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Readiness {
     source: EventSource,
     writable: bool,
-    /// Its other side has ended its output, or it has broken.
+    /// Whether the other side has closed its sending direction, or the socket has an error.
     closed: bool,
 }
 
@@ -25,8 +25,8 @@
 }
 
 impl Readiness {
-    /// The order within a turn. Discovery comes first, so that a drain that has been reported reaches the module before any
-    /// send; answers come before the timers that would call them missing.
+    /// Sort key for the order within a turn. Discovery comes first, so that the decision module learns of a drain before it sends
+    /// anything to the draining backend. Answers from backends come before the timers that would report them as timed out.
     fn order(&self) -> u8 {
         match self.source {
             EventSource::Discovery => 0,
@@ -38,10 +38,10 @@
 }
 
 impl<V: Variant> Ingress<V> {
-    /// One turn.
-    pub(super) fn turn(&mut self, ready: &mut [Readiness]) {
-        // Clients that have gone come before all else: nothing that this turn sends may be for them.
-        for readiness in ready.iter().filter(|r| r.closed) {
+    /// Processes the readiness events of one poll, then unfinished work and expired timers.
+    pub(super) fn run_turn(&mut self, ready: &mut [Readiness]) {
+        // Handle disconnected clients first, so that nothing is sent on their behalf in this turn.
+        for readiness in ready.iter().filter(|readiness| readiness.closed) {
             if let EventSource::Client(key) = readiness.source {
                 self.clients.peer_closed(key);
             }
@@ -69,30 +69,31 @@
         let requests_memory = self.requests.memory_used();
         self.clients.grant_memory(requests_memory, self.now);
         self.take_client_events();
-        // Last, so that the figures have all that this turn brought.
+        // Answer operators last, so that the reported metrics include everything from this turn.
         if std::mem::take(&mut self.unfinished.operators) {
             self.accept_operators();
         }
     }
 
-    fn handle_readiness(&mut self, ready: Readiness) {
-        match ready.source {
+    fn handle_readiness(&mut self, readiness: Readiness) {
+        match readiness.source {
             EventSource::Discovery | EventSource::Control => {}
             EventSource::Handover => self.unfinished.handover = true,
             EventSource::Listener => self.unfinished.accept = true,
-            EventSource::Signals => self.take_signals(),
+            EventSource::Signals => self.handle_signals(),
             EventSource::Peers => self.receive_from_peers(),
             EventSource::Management => self.unfinished.operators = true,
             EventSource::Operator(key) => self.operator_ready(key),
             EventSource::Counter => self.counter_ready(),
             EventSource::Backend(key) => {
-                // The true time: a connection rests for less than a tick.
+                // Use the current time instead of `self.now`: a connection that has carried an answer is reused after less than a tick.
                 let now = self.clock.now();
-                self.backends.ready(key, now, ready.writable, ready.closed);
+                self.backends
+                    .ready(key, now, readiness.writable, readiness.closed);
                 self.pump();
             }
             EventSource::Client(key) => {
-                self.clients.ready(key, self.now, ready.writable);
+                self.clients.ready(key, self.now, readiness.writable);
                 self.take_client_events();
             }
         }
