--- a/crates/ingress/src/control/command.rs
+++ b/crates/ingress/src/control/command.rs
@@ -19,7 +19,7 @@
 pub enum ControlCommand {
     /// Enforce a configuration. The answer is the replaced vocabulary.
     Apply(NewConfig, SyncSender<Vocabulary>),
-    /// Report the usage metrics that are shown when a change is planned.
+    /// Report the usage metrics against which a planned change is checked.
     ReportIngressMetrics(SyncSender<IngressMetrics>),
     /// Report the counts by which a staged rollout compares cohorts.
     ReportCohortMetrics(SyncSender<MemberMetrics>),
--- a/crates/ingress/src/control/event_loop_handle.rs
+++ b/crates/ingress/src/control/event_loop_handle.rs
@@ -43,7 +43,7 @@
     }
 
     /// Sends a command to the event loop and waits for the answer.
-    fn call<T>(
+    fn send_command<T>(
         &self,
         command: impl FnOnce(SyncSender<T>) -> ControlCommand,
     ) -> Result<T, ControlError> {
@@ -73,19 +73,19 @@
             compiled: Box::new(compiled),
         };
         // Drop the replaced vocabulary here rather than in the event loop: with 100,000 accounts, that takes milliseconds.
-        self.call(|reply| ControlCommand::Apply(config, reply))
+        self.send_command(|reply| ControlCommand::Apply(config, reply))
             .map(drop)
             .map_err(|e| DataPlaneError::Unavailable(e.to_string()))
     }
 
     fn figures(&self) -> IngressMetrics {
-        self.call(ControlCommand::ReportIngressMetrics)
+        self.send_command(ControlCommand::ReportIngressMetrics)
             .unwrap_or_default()
     }
 
     fn member_metrics(&self) -> MemberMetrics {
         let cohort_metrics = self
-            .call(ControlCommand::ReportCohortMetrics)
+            .send_command(ControlCommand::ReportCohortMetrics)
             .unwrap_or_default();
         MemberMetrics {
             program: self.running_program().unwrap_or_default(),
--- a/crates/ingress/src/control/pending_server.rs
+++ b/crates/ingress/src/control/pending_server.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the control port once it is open.
-    pub fn take(&self) -> Option<ReadyControlPort> {
+    pub fn take_ready_port(&self) -> Option<ReadyControlPort> {
         self.0.try_recv().ok()
     }
 }
--- a/crates/ingress/src/discovery/backoff.rs
+++ b/crates/ingress/src/discovery/backoff.rs
@@ -10,7 +10,7 @@
 //! Two bounds apply. First, a change must reach the ingress within 6 s after discovery has the change and can be reached.
 //! Whatever failed last, the next request must be sent and answered within that time: a backoff is at most [`MAX_BACKOFF`], and
 //! the following request has the remaining time. Second, N clients that are all rejected send at most N requests per 3 s, the
-//! shortest of the long backoffs.
+//! shortest backoff after repeated rejections.
 
 use wrenfork_decision::Micros;
 
--- a/crates/ingress/src/discovery/client.rs
+++ b/crates/ingress/src/discovery/client.rs
@@ -15,8 +15,8 @@
 /// How long one poll waits for a watch event. It is short because a lost connection can be detected only after this time.
 pub(super) const POLL_WAIT: Micros = 2_000_000;
 /// Timeout for establishing a connection, and the time a response may take beyond [`POLL_WAIT`] before the connection is given
-/// up. An unanswered poll is detected after [`POLL_WAIT`] plus this timeout and retried after a backoff of up to 1.5 s, so in
-/// 4.5 s in the worst case. That is within the 6 s after which a change counts as reported.
+/// up. An unanswered poll is detected after [`POLL_WAIT`] plus this timeout and retried after a backoff of up to 1.5 s: after 4.5 s
+/// in the worst case, which is within the 6 s after which a change counts as reported.
 pub(super) const RESPONSE_TIMEOUT: Micros = 1_000_000;
 /// Delay before the next poll after an immediate empty response. The service continues a watch if polled again within 200 ms.
 pub(super) const EMPTY_RESPONSE_DELAY: Micros = 50_000;
@@ -159,7 +159,7 @@
                 }
             }
         }
-        self.out = self.request();
+        self.out = self.build_request();
         self.requested_at = Some(now);
         self.wake_at = now + RESPONSE_TIMEOUT;
         self.write(now)
@@ -172,7 +172,7 @@
         Ok(stream)
     }
 
-    fn request(&self) -> Vec<u8> {
+    fn build_request(&self) -> Vec<u8> {
         let since = self.index.map_or(String::new(), |index| {
             format!("?since={index}&timeout_ms={}", POLL_WAIT / 1000)
         });
@@ -246,7 +246,7 @@
             Response::Invalid(error) => self.fail(now, error.failure(), &error),
             Response::Complete { list, keep_alive } => {
                 let reusable = keep_alive && matches!(end, ReadEnd::WouldBlock);
-                self.complete(&list, reusable, requested_at, now);
+                self.finish_request(&list, reusable, requested_at, now);
                 on_list(list);
                 self.wake(now, registry)
             }
@@ -275,7 +275,13 @@
 
     /// Records a received list and schedules the next request: immediately, or after a delay if this response was immediate and
     /// empty.
-    fn complete(&mut self, list: &EndpointList, reusable: bool, requested_at: Micros, now: Micros) {
+    fn finish_request(
+        &mut self,
+        list: &EndpointList,
+        reusable: bool,
+        requested_at: Micros,
+        now: Micros,
+    ) {
         if std::mem::take(&mut self.broken) {
             tracing::info!("discovery: polling works again");
         }
--- a/crates/ingress/src/discovery/endpoint_list.rs
+++ b/crates/ingress/src/discovery/endpoint_list.rs
@@ -149,7 +149,8 @@
     match status {
         "up" => EndpointState::Ready,
         "removed" => EndpointState::Removed,
-        _ => EndpointState::Draining, // "draining", or an unknown status, which is safest treated as draining
+        // "draining", or an unknown status of a later version, with which an endpoint hardly accepts new requests.
+        _ => EndpointState::Draining,
     }
 }
 
--- a/crates/ingress/src/discovery/http.rs
+++ b/crates/ingress/src/discovery/http.rs
@@ -106,14 +106,16 @@
     if head.code != Some(STATUS_OK) {
         return Err(ResponseError::Status(head.code.unwrap_or(0)));
     }
-    let closes = header(head.headers, "connection").is_some_and(|value| value == "close");
+    let closes = header_value(head.headers, "connection").is_some_and(|value| value == "close");
     let keep_alive = head.version == Some(1) && !closes;
     let rest = &buf[start..];
-    if header(head.headers, "transfer-encoding").is_some_and(|value| value.contains("chunked")) {
+    if header_value(head.headers, "transfer-encoding")
+        .is_some_and(|value| value.contains("chunked"))
+    {
         let bytes = read_chunks(rest)?;
         return Ok(bytes.map(|bytes| Body { bytes, keep_alive }));
     }
-    match header(head.headers, "content-length") {
+    match header_value(head.headers, "content-length") {
         Some(length) => read_with_length(rest, length, keep_alive),
         None => Ok(closed.then(|| Body {
             bytes: rest.to_vec(),
@@ -123,7 +125,7 @@
 }
 
 /// The value of a header, trimmed and in lower case.
-fn header(headers: &[Header], name: &str) -> Option<String> {
+fn header_value(headers: &[Header], name: &str) -> Option<String> {
     let found = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
     let value = String::from_utf8_lossy(found.value);
     Some(value.trim().to_ascii_lowercase())
--- a/crates/ingress/src/ingress/actions.rs
+++ b/crates/ingress/src/ingress/actions.rs
@@ -14,7 +14,7 @@
 
 impl<V: Variant> Ingress<V> {
     /// Passes pending events to the decision module and executes its actions, until no events are left.
-    pub(super) fn pump(&mut self) {
+    pub(super) fn process_events(&mut self) {
         loop {
             self.advance_attempts();
             self.take_count_results();
@@ -24,7 +24,7 @@
             let mut actions = std::mem::take(&mut self.actions);
             self.gateway.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.execute(action);
+                self.execute_action(action);
             }
             self.actions = actions;
         }
@@ -49,7 +49,7 @@
         }));
     }
 
-    fn execute(&mut self, action: Action) {
+    fn execute_action(&mut self, action: Action) {
         match action {
             Action::Send {
                 id,
@@ -57,10 +57,10 @@
                 expires_at,
                 start_by,
             } => self.start_attempt(id, backend, expires_at, start_by),
-            Action::Reject { id, retry_after } => self.reject(id, retry_after),
-            Action::Fail(id) => self.fail(id),
+            Action::Reject { id, retry_after } => self.reject_request(id, retry_after),
+            Action::Fail(id) => self.fail_request(id),
             Action::Cancel { id, attempt } => {
-                self.abandon(id, attempt, None, |_| Outcome::Cancelled);
+                self.abandon_attempt(id, attempt, None, |_| Outcome::Cancelled);
             }
             Action::SetTimer { delay, token } => {
                 let at = self.now.saturating_add(delay);
@@ -86,7 +86,7 @@
     }
 
     /// Rejects a request. `retry_after` is the delay after which the client should retry; 0 sends none.
-    fn reject(&mut self, id: RequestId, retry_after: Micros) {
+    fn reject_request(&mut self, id: RequestId, retry_after: Micros) {
         let mut text = [0; MAX_REJECTION_LEN];
         let mut unwritten = &mut text[..];
         // Writing can't fail: the longest possible number fits into the buffer.
@@ -95,7 +95,7 @@
             retry_after_ms => write!(unwritten, "-BUSY {retry_after_ms}\r\n"),
         };
         let unused = unwritten.len();
-        self.answer(
+        self.answer_request(
             id,
             &text[..MAX_REJECTION_LEN - unused],
             RequestEnd::Rejected,
--- a/crates/ingress/src/ingress/answers.rs
+++ b/crates/ingress/src/ingress/answers.rs
@@ -11,7 +11,7 @@
 impl<V: Variant> Ingress<V> {
     /// Sends the final answer of a request, unless it already has one. Every admitted request ends either here or in
     /// [`Ingress::abort_stream`].
-    pub(super) fn answer(&mut self, id: RequestId, text: &[u8], end: RequestEnd) {
+    pub(super) fn answer_request(&mut self, id: RequestId, text: &[u8], end: RequestEnd) {
         if let Some(open) = self.requests.incomplete(id) {
             open.complete = true;
             self.metrics.record(open.call.request.class, end);
@@ -19,7 +19,7 @@
                 .record(open, end, self.now, &self.gateway);
             self.clients.answer(open.origin, text);
         }
-        self.forget(id);
+        self.forget_if_finished(id);
     }
 
     /// Ends a request whose streamed answer broke off after its first bytes were sent to the client.
@@ -35,7 +35,7 @@
     }
 
     /// Ends a request for which no backend returned a value.
-    pub(super) fn fail(&mut self, id: RequestId) {
+    pub(super) fn fail_request(&mut self, id: RequestId) {
         if self
             .requests
             .get(id)
@@ -43,6 +43,6 @@
         {
             return self.abort_stream(id);
         }
-        self.answer(id, FAILED, RequestEnd::Failed);
+        self.answer_request(id, FAILED, RequestEnd::Failed);
     }
 }
--- a/crates/ingress/src/ingress/attempts.rs
+++ b/crates/ingress/src/ingress/attempts.rs
@@ -233,7 +233,7 @@
 
     /// Ends an attempt without an answer. `timed_out` is the current time if the attempt timed out, and `None` if it is
     /// cancelled. `outcome` returns the attempt's outcome, given whether its last byte had been written.
-    pub(super) fn abandon(
+    pub(super) fn abandon_attempt(
         &mut self,
         id: RequestId,
         number: u16,
@@ -261,7 +261,7 @@
             complete,
         };
         self.events.push_back(unanswered.event(self.clock.now()));
-        self.forget(id);
+        self.forget_if_finished(id);
     }
 
     /// Handles the end of an attempt or a health check.
@@ -305,15 +305,15 @@
             charged_units: None,
             report: end.report,
         });
-        self.forget(id);
+        self.forget_if_finished(id);
     }
 
     /// Answers a request with a backend's value.
     fn answer_with(&mut self, id: RequestId, value: &[u8]) {
         if self.variant_fails(id) {
-            self.fail(id);
+            self.fail_request(id);
         } else {
-            self.answer(id, value, RequestEnd::Served);
+            self.answer_request(id, value, RequestEnd::Served);
         }
     }
 
@@ -335,10 +335,10 @@
 
     /// Removes a complete request once no attempt of it is in flight. Attempts whose last byte is not yet written are cancelled,
     /// even if the settings forbid cancelling: no client waits for them, and the backend has not started them.
-    pub(super) fn forget(&mut self, id: RequestId) {
+    pub(super) fn forget_if_finished(&mut self, id: RequestId) {
         if let Some(number) = self.unsent_attempt(id) {
-            // `abandon` calls `forget` again, which handles the next unsent attempt.
-            return self.abandon(id, number, None, |_| Outcome::NotSent);
+            // `abandon_attempt` calls `forget_if_finished` again, which handles the next unsent attempt.
+            return self.abandon_attempt(id, number, None, |_| Outcome::NotSent);
         }
         self.requests.forget(id, self.now);
     }
--- a/crates/ingress/src/ingress/builder.rs
+++ b/crates/ingress/src/ingress/builder.rs
@@ -131,7 +131,7 @@
             Some(inherited) => ingress.resume(inherited.state, inherited.descriptors),
             None => ingress.update_endpoints(cached_endpoints, EndpointListKind::Cached),
         }
-        ingress.pump();
+        ingress.process_events();
         ingress.occupy_free_addresses();
         tracing::info!(address = %listen, "listening");
         Ok(ingress)
--- a/crates/ingress/src/ingress/client_events.rs
+++ b/crates/ingress/src/ingress/client_events.rs
@@ -44,7 +44,7 @@
                 ClientEvent::Disconnected(id) => self.client_disconnected(id),
                 ClientEvent::EndedEarly(class, end) => self.metrics.record(class, end),
             }
-            self.pump();
+            self.process_events();
         }
     }
 
@@ -55,10 +55,10 @@
             self.events.push_back(Event::ClientDisconnected(id));
             // No client reads the streamed answer any more, and the decision module doesn't cancel its attempt.
             if let Some(attempt) = streaming {
-                self.abandon(id, attempt, None, |_| Outcome::Cancelled);
+                self.abandon_attempt(id, attempt, None, |_| Outcome::Cancelled);
             }
         }
-        self.forget(id);
+        self.forget_if_finished(id);
     }
 
     fn take_request(&mut self, id: RequestId, origin: Origin, call: Call) {
--- a/crates/ingress/src/ingress/configuration.rs
+++ b/crates/ingress/src/ingress/configuration.rs
@@ -17,7 +17,7 @@
     /// Executes the commands of the control threads. Called between two turns.
     pub(super) fn take_control_commands(&mut self) {
         let pending = self.pending_control.as_ref();
-        if let Some(ready) = pending.and_then(PendingControlServer::take) {
+        if let Some(ready) = pending.and_then(PendingControlServer::take_ready_port) {
             self.pending_control = None;
             self.clients.admission = ready.port.admission_guard();
             self.control = Some(ready.port);
@@ -50,12 +50,12 @@
 
     fn apply_state(&mut self, config: NewConfig) -> Vocabulary {
         self.reloader.set_enforced(config.state.0);
-        self.apply(*config.compiled)
+        self.apply_config(*config.compiled)
     }
 
     /// Enforces another configuration and returns the replaced vocabulary. Open requests finish under the configuration with
     /// which they arrived.
-    pub(super) fn apply(&mut self, active: ActiveConfig) -> Vocabulary {
+    pub(super) fn apply_config(&mut self, active: ActiveConfig) -> Vocabulary {
         let longest_deadline = active.longest_deadline();
         let settings = active.settings;
         self.clients.set_callers(active.callers);
@@ -81,14 +81,14 @@
             let event = Event::EndpointsChanged(EndpointListKind::Full, endpoints);
             self.events.push_back(event);
         }
-        self.pump();
+        self.process_events();
         replaced
     }
 
     /// Reads the configuration files again and enforces the result, or schedules a retry if the files can't be read yet.
     pub(super) fn reload(&mut self) {
         match self.reloader.read(self.now) {
-            Reload::Apply(active) => drop(self.apply(*active)),
+            Reload::Apply(active) => drop(self.apply_config(*active)),
             Reload::RetryAt(at) => self.timers.set(at, Due::Reload),
             Reload::Nothing => {}
         }
@@ -97,7 +97,7 @@
         self.metrics.config_refused = counts.refused;
     }
 
-    /// The usage metrics that are shown when a change is planned.
+    /// The usage metrics against which a planned change is checked.
     fn ingress_metrics(&self) -> IngressMetrics {
         IngressMetrics {
             received: self.metrics.admitted,
--- a/crates/ingress/src/ingress/endpoints.rs
+++ b/crates/ingress/src/ingress/endpoints.rs
@@ -28,7 +28,7 @@
             let event = Event::EndpointsChanged(EndpointListKind::Failed, Vec::new());
             self.events.push_back(event);
         }
-        self.pump();
+        self.process_events();
     }
 
     /// Assigns the endpoints of a list to pools, updates the backends, and queues the list for the decision module.
@@ -51,6 +51,6 @@
             self.unfinished.peers |=
                 peers.receive(|from, bytes| events.push_back(Event::PeerMessage { from, bytes }));
         }
-        self.pump();
+        self.process_events();
     }
 }
--- a/crates/ingress/src/ingress/handover.rs
+++ b/crates/ingress/src/ingress/handover.rs
@@ -44,8 +44,7 @@
 }
 
 impl<V: Variant> Ingress<V> {
-    /// Binds the handover socket and the peer address if they are not bound yet. After a failed handover, both become free
-    /// only when the predecessor exits.
+    /// Binds the handover socket and the peer address if they are not bound yet. A predecessor may hold them until it exits.
     pub(super) fn occupy_free_addresses(&mut self) {
         let registry = self.poll.registry();
         let successor = &mut self.successor;
@@ -215,7 +214,7 @@
         let files_decide = self.pending_control.is_none();
         let changed = self.reloader.resume(state.source_pairs, files_decide);
         if let Some(active) = changed {
-            drop(self.apply(*active));
+            drop(self.apply_config(*active));
         }
         tracing::info!(connections, "taken over from the predecessor");
     }
--- a/crates/ingress/src/ingress/streaming.rs
+++ b/crates/ingress/src/ingress/streaming.rs
@@ -20,7 +20,7 @@
         };
         let other_is_streaming = open.streaming.is_some_and(|streaming| streaming != number);
         if open.complete || other_is_streaming {
-            return self.abandon(id, number, None, |_| Outcome::Cancelled);
+            return self.abandon_attempt(id, number, None, |_| Outcome::Cancelled);
         }
         let origin = open.origin;
         if open.streaming.is_none() {
@@ -60,7 +60,7 @@
         if self.clients.writable.is_empty() {
             self.clients.writable = writable;
         }
-        self.pump();
+        self.process_events();
     }
 
     /// The connection of the attempt whose answer is being streamed.
--- a/crates/ingress/src/ingress/timeouts.rs
+++ b/crates/ingress/src/ingress/timeouts.rs
@@ -19,12 +19,12 @@
 impl<V: Variant> Ingress<V> {
     pub(super) fn fire_timers(&mut self) {
         for due in self.timers.take(self.now) {
-            self.fire(due);
-            self.pump();
+            self.handle_timer(due);
+            self.process_events();
         }
     }
 
-    fn fire(&mut self, due: Due) {
+    fn handle_timer(&mut self, due: Due) {
         match due {
             Due::Module(token) => self.events.push_back(Event::Timer(token)),
             Due::AttemptTimeout(id, attempt) => self.time_out_attempt(id, attempt),
@@ -64,7 +64,7 @@
         if streaming == Some(attempt) {
             return; // a streamed answer is ended only by a stall, not by this timeout
         }
-        self.abandon(id, attempt, Some(self.now), timeout_outcome);
+        self.abandon_attempt(id, attempt, Some(self.now), timeout_outcome);
     }
 
     /// Ends the attempts of a request that has reached the decision module's deadline.
@@ -85,7 +85,7 @@
     /// that; this ensures that the client gets an answer in any case.
     fn handle_client_deadline(&mut self, id: RequestId) {
         if self.requests.incomplete(id).is_some() {
-            self.fail(id);
+            self.fail_request(id);
             self.events.push_back(Event::ClientDisconnected(id));
         }
     }
--- a/crates/ingress/src/ingress/turn.rs
+++ b/crates/ingress/src/ingress/turn.rs
@@ -54,7 +54,7 @@
             self.receive_from_peers();
         }
         self.backends.continue_reading(self.clock.now());
-        self.pump();
+        self.process_events();
         self.clients.continue_reading(self.now);
         self.take_client_events();
         for readiness in ready.iter() {
@@ -90,7 +90,7 @@
                 let now = self.clock.now();
                 self.backends
                     .ready(key, now, readiness.writable, readiness.closed);
-                self.pump();
+                self.process_events();
             }
             EventSource::Client(key) => {
                 self.clients.ready(key, self.now, readiness.writable);
@@ -103,6 +103,6 @@
         if let Some(counter) = &mut self.counter {
             counter.ready(self.now);
         }
-        self.pump();
+        self.process_events();
     }
 }
