--- a/crates/ingress/src/control/event_loop_handle.rs
+++ b/crates/ingress/src/control/event_loop_handle.rs
@@ -78,7 +78,7 @@
             .map_err(|e| DataPlaneError::Unavailable(e.to_string()))
     }
 
-    fn figures(&self) -> IngressMetrics {
+    fn ingress_metrics(&self) -> IngressMetrics {
         self.send_command(ControlCommand::ReportIngressMetrics)
             .unwrap_or_default()
     }
--- a/crates/ingress/src/control/restored_state.rs
+++ b/crates/ingress/src/control/restored_state.rs
@@ -56,7 +56,7 @@
         }
     };
     let durable = open_durable_state(control.state.as_deref(), initial_state)?;
-    enforce_stored_state(config, durable.memory(), &from_files)?;
+    enforce_stored_state(config, durable.participant(), &from_files)?;
     Ok(Some(RestoredState {
         control,
         fixed: config.source_pairs.fixed.clone(),
@@ -180,7 +180,7 @@
         &self,
         handed_over: &State,
     ) -> Result<Option<NewConfig>, ControlError> {
-        let stored = &self.durable.memory().state;
+        let stored = &self.durable.participant().state;
         if **stored == *handed_over {
             return Ok(None);
         }
--- a/crates/ingress/src/ingress/turn.rs
+++ b/crates/ingress/src/ingress/turn.rs
@@ -86,7 +86,8 @@
             EventSource::Operator(key) => self.operator_ready(key),
             EventSource::Counter => self.counter_ready(),
             EventSource::Backend(key) => {
-                // Use the current time instead of `self.now`: a connection that has carried an answer is reused after less than a tick.
+                // Use the current time instead of `self.now`: a connection that has carried an answer is reused after less than
+                // a tick.
                 let now = self.clock.now();
                 self.backends
                     .ready(key, now, readiness.writable, readiness.closed);
