--- a/crates/ingress/src/control/event_loop_handle.rs
+++ b/crates/ingress/src/control/event_loop_handle.rs
@@ -16,7 +16,7 @@
 use wrenfork_rollout::MemberMetrics;
 
 /// Maximum time to wait for the event loop's answer to a command. A turn takes far less.
-const TURN_TIMEOUT: Duration = Duration::from_secs(30);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The control threads' handle to the event loop.
 pub(super) struct EventLoopHandle {
@@ -53,7 +53,7 @@
             .map_err(|_| ControlError::Stopping)?;
         self.waker.wake().map_err(ControlError::Wake)?;
         answer
-            .recv_timeout(TURN_TIMEOUT)
+            .recv_timeout(COMMAND_TIMEOUT)
             .map_err(|_| ControlError::LoopStalled)
     }
 }
--- a/crates/ingress/src/control/port.rs
+++ b/crates/ingress/src/control/port.rs
@@ -24,8 +24,8 @@
         AdmissionGuard::new(self.server.lease_guard())
     }
 
-    /// Hands over the control port by calling `transfer`; see [`ControlServer::hand_over`]. `execute` runs the commands that arrive
-    /// while a control request is still being processed.
+    /// Hands over the control port by calling `transfer`; see [`ControlServer::hand_over`]. `execute` runs the commands that
+    /// arrive while a control request is still being processed.
     ///
     /// # Errors
     ///
--- a/crates/ingress/src/control/restored_state.rs
+++ b/crates/ingress/src/control/restored_state.rs
@@ -46,17 +46,17 @@
         return Ok(None);
     }
     let control = config.control.clone();
-    let from_files = State(config.source_pairs.state.clone());
+    let file_state = State(config.source_pairs.state.clone());
     let initial_state = || {
         // A group member learns the enforced configuration from the group, and serves nothing until then.
         if control.membership.is_some() {
-            ParticipantState::new(1, from_files.clone())
+            ParticipantState::new(1, file_state.clone())
         } else {
-            state_from_others(&control, &from_files)
+            state_from_others(&control, &file_state)
         }
     };
     let durable = open_durable_state(control.state.as_deref(), initial_state)?;
-    enforce_stored_state(config, durable.participant(), &from_files)?;
+    enforce_stored_state(config, durable.participant(), &file_state)?;
     Ok(Some(RestoredState {
         control,
         fixed: config.source_pairs.fixed.clone(),
@@ -81,11 +81,11 @@
 fn enforce_stored_state(
     config: &mut Config,
     participant: &ParticipantState,
-    from_files: &State,
+    file_state: &State,
 ) -> Result<(), ControlError> {
     let Generation { number, digest } = &participant.enforced;
     let (generation, digest) = (*number, digest.short());
-    if *participant.state != *from_files {
+    if *participant.state != *file_state {
         tracing::warn!(
             generation,
             digest,
@@ -113,7 +113,7 @@
 /// The initial state of an ingress without stored state: the newest configuration that another ingress enforces, since changes
 /// are applied to all of them, or else the files. A change that the others have only prepared is not adopted, because it is not
 /// decided yet; the generation before it is safe, as all ingresses have enforced it.
-fn state_from_others(control: &ControlConfig, from_files: &State) -> ParticipantState {
+fn state_from_others(control: &ControlConfig, file_state: &State) -> ParticipantState {
     let reported = control.others.iter().filter_map(|path| query_status(path));
     let newest = reported.max_by_key(|(generation, _)| generation.number);
     match newest.filter(|(generation, _)| generation.number > 1) {
@@ -124,7 +124,7 @@
             );
             ParticipantState::new(generation.number, state)
         }
-        None => ParticipantState::new(1, from_files.clone()),
+        None => ParticipantState::new(1, file_state.clone()),
     }
 }
 
@@ -174,8 +174,8 @@
         self.listen(Arc::new(waker))
     }
 
-    /// Returns the stored configuration if it differs from the one handed over, for instance because the state folder was replaced.
-    /// The stored configuration takes precedence.
+    /// Returns the stored configuration if it differs from the one handed over, for instance because the state folder was
+    /// replaced. The stored configuration takes precedence.
     pub(super) fn stored_if_different(
         &self,
         handed_over: &State,
--- a/crates/ingress/src/discovery/backoff.rs
+++ b/crates/ingress/src/discovery/backoff.rs
@@ -1,11 +1,11 @@
 //! The backoff before discovery is polled again, depending on how the last request failed. This module does no I/O and reads no
 //! clock.
 //!
-//! When a hundred ingresses start simultaneously, they all poll at once. A service that can handle a few dozen requests per second
-//! rejects most of them, and rejecting also costs it work: if every ingress retried each second, the service would serve none of
-//! them. Rejected clients therefore use long backoffs that double with each rejection and are randomized per ingress, until the
-//! total request rate is below the service's capacity. Long backoffs don't help a service that doesn't answer or can't be
-//! reached; such a service is polled again soon, so that drains are reported without delay.
+//! When a hundred ingresses start simultaneously, they all poll at once. A service that can handle a few dozen requests per
+//! second rejects most of them, and rejecting also costs it work: if every ingress retried each second, the service would
+//! serve none of them. Rejected clients therefore use long backoffs that double with each rejection and are randomized per
+//! ingress, until the total request rate is below the service's capacity. Long backoffs don't help a service that doesn't
+//! answer or can't be reached; such a service is polled again soon, so that drains are reported without delay.
 //!
 //! Two bounds apply. First, a change must reach the ingress within 6 s after discovery has the change and can be reached.
 //! Whatever failed last, the next request must be sent and answered within that time: a backoff is at most [`MAX_BACKOFF`], and
--- a/crates/ingress/src/discovery/backoff/tests.rs
+++ b/crates/ingress/src/discovery/backoff/tests.rs
@@ -3,8 +3,8 @@
 use super::{Backoff, Failure, MAX_BACKOFF};
 use wrenfork_decision::Micros;
 
-/// Simulates `clients` that start simultaneously at a service that handles `requests_per_second`. The service rejects a request that
-/// would wait for more than 2 s, and a rejection costs it half as much work as a request. Returns how many clients are not
+/// Simulates `clients` that start simultaneously at a service that handles `requests_per_second`. The service rejects a request
+/// that would wait for more than 2 s, and a rejection costs it half as much work as a request. Returns how many clients are not
 /// served within 30 s, and the total number of requests.
 fn simulate_clients(clients: usize, requests_per_second: f64) -> (usize, usize) {
     let mut backoffs: Vec<Backoff> = (0..clients as u64).map(Backoff::new).collect();
--- a/crates/ingress/src/discovery/client.rs
+++ b/crates/ingress/src/discovery/client.rs
@@ -1,5 +1,5 @@
-//! The discovery client: long-polls the service over a single connection for changes to the endpoint list. While discovery doesn't
-//! answer or its answers are invalid, the ingress keeps the last list, and the client retries with increasing backoff.
+//! The discovery client: long-polls the service over a single connection for changes to the endpoint list. While discovery
+//! doesn't answer or its answers are invalid, the ingress keeps the last list, and the client retries with increasing backoff.
 
 use super::backoff::{Backoff, Failure};
 use super::endpoint_list::{EndpointList, LocationNames};
@@ -15,15 +15,15 @@
 /// How long one poll waits for a watch event. It is short because a lost connection can be detected only after this time.
 pub(super) const POLL_WAIT: Micros = 2_000_000;
 /// Timeout for establishing a connection, and the time a response may take beyond [`POLL_WAIT`] before the connection is given
-/// up. An unanswered poll is detected after [`POLL_WAIT`] plus this timeout and retried after a backoff of up to 1.5 s: after 4.5 s
-/// in the worst case, which is within the 6 s after which a change counts as reported.
+/// up. An unanswered poll is detected after [`POLL_WAIT`] plus this timeout and retried after a backoff of up to 1.5 s: after
+/// 4.5 s in the worst case, which is within the 6 s after which a change counts as reported.
 pub(super) const RESPONSE_TIMEOUT: Micros = 1_000_000;
 /// Delay before the next poll after an immediate empty response. The service continues a watch if polled again within 200 ms.
 pub(super) const EMPTY_RESPONSE_DELAY: Micros = 50_000;
 /// A response that arrives within this time counts as immediate: the service did not wait for a watch event.
 const IMMEDIATE_RESPONSE: Micros = 20_000;
 /// Size in bytes of the read buffer.
-const READ_BUFFER_LEN: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// A discovery client's address and list version, which are handed over to the next process.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
@@ -131,11 +131,11 @@
         self.requested_at = None;
         self.buf.clear();
         self.wake_at = now + self.backoff.delay(failure);
-        let first = !std::mem::replace(&mut self.broken, true);
-        if first {
+        let is_first_failure = !std::mem::replace(&mut self.broken, true);
+        if is_first_failure {
             tracing::warn!(%error, "discovery: poll failed, keeping the last endpoint list");
         }
-        first
+        is_first_failure
     }
 
     /// Sends the next request if it is due, or fails the current one if it has timed out. Returns whether this is the first
@@ -255,7 +255,7 @@
 
     /// Reads all available data. Returns `None` if there is no connection, and as an error the result of [`Self::fail`].
     fn read(&mut self, now: Micros) -> Result<Option<ReadEnd>, bool> {
-        let mut chunk = [0; READ_BUFFER_LEN];
+        let mut chunk = [0; READ_BUFFER_BYTES];
         loop {
             let Some(stream) = &mut self.stream else {
                 return Ok(None);
--- a/crates/ingress/src/discovery/http.rs
+++ b/crates/ingress/src/discovery/http.rs
@@ -1,5 +1,5 @@
-//! Parses HTTP/1.1 responses of discovery in all three framings (RFC 9112): chunked, with `Content-InvalidLength`, and delimited by the
-//! end of the connection.
+//! Parses HTTP/1.1 responses of discovery in all three framings (RFC 9112): chunked, with `Content-Length`, and delimited
+//! by the end of the connection.
 
 use super::backoff::Failure;
 use super::endpoint_list::{EndpointList, EndpointListError, LocationNames};
--- a/crates/ingress/src/discovery/tests.rs
+++ b/crates/ingress/src/discovery/tests.rs
@@ -179,8 +179,8 @@
     );
 }
 
-/// Guards against a request for the full list, as after SIGHUP, that repeatedly times out before the service answers. The timeout is
-/// exactly that of a request that waits for a watch event.
+/// Guards against a request for the full list, as after SIGHUP, that repeatedly times out before the service answers. The
+/// timeout is exactly that of a request that waits for a watch event.
 #[test]
 fn full_list_request_has_same_timeout_as_watch() {
     let (old_listener, new_listener) = (
--- a/crates/ingress/src/ingress/builder.rs
+++ b/crates/ingress/src/ingress/builder.rs
@@ -122,7 +122,7 @@
             .and_then(|path| take_over::<V>(path, memory));
         let control = self.open_control(takeover.as_ref())?;
         let reloader = ConfigReloader::new(source, &self.config, status);
-        let mut inherited = takeover.map(|takeover| self.inherit(takeover));
+        let mut inherited = takeover.map(|takeover| self.adopt_enforced_config(takeover));
         let opened = self.open_sockets(inherited.as_mut(), path.is_some())?;
         let listen = self.config.listen.clone();
         let cached_endpoints = std::mem::take(&mut self.config.known_endpoints);
@@ -132,7 +132,7 @@
             None => ingress.update_endpoints(cached_endpoints, EndpointListKind::Cached),
         }
         ingress.process_events();
-        ingress.occupy_free_addresses();
+        ingress.bind_free_addresses();
         tracing::info!(address = %listen, "listening");
         Ok(ingress)
     }
@@ -170,10 +170,10 @@
         if !self.config.has_control_port() {
             return Ok(ControlStart::default());
         }
-        let handed_over = &takeover.state.source_pairs;
+        let enforced_pairs = &takeover.state.source_pairs;
         let pending = PendingControlServer::start(
             &self.config,
-            handed_over,
+            enforced_pairs,
             takeover.lease,
             registry,
             CONTROL,
@@ -190,7 +190,7 @@
     }
 
     /// Replaces the configuration from the files by the one that the predecessor enforced.
-    fn inherit(&mut self, takeover: TakenOver) -> InheritedResources {
+    fn adopt_enforced_config(&mut self, takeover: TakenOver) -> InheritedResources {
         self.config.active = takeover.active;
         InheritedResources {
             state: takeover.state,
--- a/crates/ingress/src/ingress/handover.rs
+++ b/crates/ingress/src/ingress/handover.rs
@@ -26,7 +26,7 @@
 }
 
 impl SuccessorListener {
-    /// Creates the value without listening yet; see [`Ingress::occupy_free_addresses`].
+    /// Creates the value without listening yet; see [`Ingress::bind_free_addresses`].
     pub(super) fn new(path: Option<PathBuf>) -> SuccessorListener {
         SuccessorListener {
             path,
@@ -45,7 +45,7 @@
 
 impl<V: Variant> Ingress<V> {
     /// Binds the handover socket and the peer address if they are not bound yet. A predecessor may hold them until it exits.
-    pub(super) fn occupy_free_addresses(&mut self) {
+    pub(super) fn bind_free_addresses(&mut self) {
         let registry = self.poll.registry();
         let successor = &mut self.successor;
         let Some(path) = successor.path.as_deref() else {
--- a/crates/ingress/src/ingress/timeouts.rs
+++ b/crates/ingress/src/ingress/timeouts.rs
@@ -111,7 +111,7 @@
         self.backends.sweep(now);
         self.clients.sweep(now);
         self.requests.sweep(now);
-        self.occupy_free_addresses();
+        self.bind_free_addresses();
         if let Some(management) = &mut self.management {
             management.sweep(now);
         }
--- a/crates/ingress/src/ingress/turn.rs
+++ b/crates/ingress/src/ingress/turn.rs
@@ -48,8 +48,8 @@
         }
         self.take_client_events();
         ready.sort_unstable_by_key(Readiness::order);
-        let first = ready.first().map(|readiness| readiness.source);
-        self.poll_discovery(first == Some(EventSource::Discovery));
+        let first_source = ready.first().map(|readiness| readiness.source);
+        self.poll_discovery(first_source == Some(EventSource::Discovery));
         if std::mem::take(&mut self.unfinished.peers) {
             self.receive_from_peers();
         }
