--- a/crates/ingress/src/discovery/http.rs
+++ b/crates/ingress/src/discovery/http.rs
@@ -43,8 +43,8 @@
     /// Discovery answered with a status code other than 200.
     #[error("response has status {0}")]
     Status(u16),
-    /// `Content-InvalidLength` is not a number, or greater than [`MAX_BODY`].
-    #[error("response has an invalid or too large Content-InvalidLength: {0}")]
+    /// `Content-Length` is not a number, or greater than [`MAX_BODY`].
+    #[error("response has an invalid or too large Content-Length: {0}")]
     InvalidLength(String),
     /// The size of a chunk is missing or malformed.
     #[error("response has a chunk without a valid size")]
