--- a/crates/wire/src/long.rs
+++ b/crates/wire/src/long.rs
@@ -39,7 +39,7 @@
     /// The load report: text of the last element, or `None` if that is not a string.
     pub report: Option<Vec<u8>>,
     /// Whether no further bytes arrived after the answer.
-    pub nothing_follows: bool,
+    pub no_trailing_bytes: bool,
 }
 
 impl LongAnswer {
@@ -131,7 +131,7 @@
             .map(text);
         Ok(Some(AnswerEnd {
             report,
-            nothing_follows: at == self.rest.len(),
+            no_trailing_bytes: at == self.rest.len(),
         }))
     }
 }
--- a/crates/wire/src/long/tests.rs
+++ b/crates/wire/src/long/tests.rs
@@ -55,7 +55,7 @@
         let (out, result) = forward_in_pieces(&bytes, &cuts);
         prop_assert_eq!(&out[..], &bytes[4..bytes.len() - REST.len() + 2]);
         let report = Some(b"util=0.25".to_vec());
-        prop_assert_eq!(result, Ok(Some(AnswerEnd { report, nothing_follows: true })));
+        prop_assert_eq!(result, Ok(Some(AnswerEnd { report, no_trailing_bytes: true })));
     }
 
     /// Guards against a value that looks complete although its answer is malformed or truncated.
