--- a/crates/supervisor/tests/decisions.rs
+++ b/crates/supervisor/tests/decisions.rs
@@ -9,19 +9,19 @@
     StopMode, Supervisor, WantedProgram,
 };
 
-fn program(n: usize) -> Program {
+fn program(number: usize) -> Program {
     Program {
-        name: format!("r-{n}"),
-        sha256: n.to_string().repeat(64),
+        name: format!("r-{number}"),
+        sha256: number.to_string().repeat(64),
     }
 }
 
-/// TestCatalog for programs 1 to 4 exist. Program 4 cannot take part in a handover.
+/// A catalog with files for programs 1 to 4. Program 4 cannot take part in a handover.
 struct TestCatalog;
 
 impl ProgramCatalog for TestCatalog {
-    fn contains(&self, p: &Program) -> bool {
-        (1..=4).any(|n| program(n) == *p)
+    fn contains(&self, candidate: &Program) -> bool {
+        (1..=4).any(|n| program(n) == *candidate)
     }
 
     fn can_take_over(&self, old: &Program, new: &Program) -> bool {
@@ -29,7 +29,7 @@
     }
 }
 
-const MS: Duration = Duration::from_millis(1);
+const MILLISECOND: Duration = Duration::from_millis(1);
 
 /// A poll answered by program `running` of a group that wants program `wanted`.
 fn status(running: usize, wanted: usize, may_change: bool, settled: bool) -> Event {
@@ -87,7 +87,7 @@
 
     /// Advances the time and handles an event; returns the actions without log lines.
     fn after(&mut self, ms: u32, event: Event) -> Vec<Action> {
-        self.now += MS * ms;
+        self.now += MILLISECOND * ms;
         let mut actions = self.supervisor.step(self.now, event, &TestCatalog);
         actions.retain(|a| !matches!(a, Action::Log(_)));
         actions
@@ -103,27 +103,27 @@
 }
 
 /// The start of a program on a machine without a process: the first start, or one after a crash.
-fn restart(n: usize) -> Action {
+fn restart(number: usize) -> Action {
     Action::Start {
-        program: program(n),
+        program: program(number),
         slot: ProcessSlot::Serving,
         replaces: false,
     }
 }
 
 /// The start of a program as successor of the serving process.
-fn start_successor(n: usize) -> Action {
+fn start_successor(number: usize) -> Action {
     Action::Start {
-        program: program(n),
+        program: program(number),
         slot: ProcessSlot::Successor,
         replaces: true,
     }
 }
 
 /// The start of a program after the process that it replaces has ended.
-fn start_replacement(n: usize) -> Action {
+fn start_replacement(number: usize) -> Action {
     Action::Start {
-        program: program(n),
+        program: program(number),
         slot: ProcessSlot::Serving,
         replaces: true,
     }
@@ -243,7 +243,9 @@
         assert_eq!(harness.after(10, crashed(ProcessSlot::Serving)), []);
         let crashed_at = harness.now;
         while harness.after(100, no_answer()) != [restart(1)] {}
-        assert!(harness.now - crashed_at <= RestartPolicy::default().max_backoff + 100 * MS);
+        assert!(
+            harness.now - crashed_at <= RestartPolicy::default().max_backoff + 100 * MILLISECOND
+        );
     }
     // After a long time in service, a crash counts as the first one and the delay is the initial backoff.
     harness.after(100, status(1, 1, true, true));
