--- a/crates/ingress/src/client/commands.rs
+++ b/crates/ingress/src/client/commands.rs
@@ -97,7 +97,7 @@
         offset: &mut usize,
         length: usize,
     ) -> Option<Result<Call, CallError>> {
-        let body = self.arguments.get(resp::BODY);
+        let body = self.arguments.get(resp::BODY_INDEX);
         if body.is_some_and(|body| body.len() > resp::MAX_VALUE) {
             let command = self.extract_long_command(key, *offset, length);
             return Call::read_long(command, &self.arguments, &self.vocabulary);
