--- a/crates/ingress/src/backend/reading.rs
+++ b/crates/ingress/src/backend/reading.rs
@@ -189,7 +189,7 @@
     if !activity.is_attempt() || !conn.is_sent() {
         return false;
     }
-    let Some(begun) = LongAnswer::begin(&conn.buf) else {
+    let Some(begun) = LongAnswer::start(&conn.buf) else {
         return false;
     };
     conn.buf.drain(..begun.head);
