--- a/crates/ingress/src/management/connection.rs
+++ b/crates/ingress/src/management/connection.rs
@@ -25,13 +25,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum QueryError {
     /// The line is empty.
-    #[error("empty query: expected readyz or telemetry")]
+    #[error("no call: readyz or telemetry is wanted")]
     Empty,
     /// The line is not a known query; the value is its beginning.
-    #[error("unknown query {0:?}: expected readyz or telemetry")]
+    #[error("unknown call {0:?}: readyz or telemetry is wanted")]
     Unknown(String),
     /// The line is longer than [`MAX_LINE`].
-    #[error("query line is longer than {MAX_LINE} bytes")]
+    #[error("a line has {MAX_LINE} bytes at most")]
     TooLong,
 }
 
