--- a/crates/happy-eyeballs/src/address.rs
+++ b/crates/happy-eyeballs/src/address.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AddressError {
     /// The path of a Unix socket does not start with a slash, ends with one, or contains a NUL byte.
-    #[error("\"{0}\" is not an absolute path of a Unix socket")]
+    #[error("\"{0}\" is no absolute path of a socket")]
     NotAbsolute(String),
     /// The path of a Unix socket is longer than allowed.
     #[error("the path of a Unix socket may have at most {MAX_PATH_BYTES} bytes")]
