--- a/crates/config/examples/large.rs
+++ b/crates/config/examples/large.rs
@@ -1,6 +1,6 @@
-//! How long a check of many applications takes, and what memory: `cargo run --release -p wrenfork-config --example large`.
-//! One number of applications, of 100 accounts each, may be given; else 10, 100 and 1,000 are checked, each in a
-//! process of its own.
+//! Measures the time and memory of checking many applications: `cargo run --release -p wrenfork-config --example large`.
+//! An optional argument gives the number of applications, with 100 accounts each. Without it, 10, 100 and 1,000
+//! applications are checked, each number in its own process.
 
 use std::fmt::Write;
 use std::process::Command;
@@ -8,6 +8,7 @@
 use wrenfork_config::set::Set;
 use wrenfork_config::source::Source;
 
+/// Accounts of each application.
 const ACCOUNTS: usize = 100;
 
 fn site() -> String {
@@ -54,8 +55,8 @@
     text
 }
 
-/// The most memory that this process has held, in kB.
-fn memory() -> u64 {
+/// Peak memory of this process, in kB.
+fn peak_memory_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status
         .lines()
@@ -77,26 +78,26 @@
             .chain(apps)
             .collect();
         let bytes: usize = sources.iter().map(|s| s.text.len()).sum();
-        let (before, start) = (memory(), Instant::now());
+        let (before, start) = (peak_memory_kb(), Instant::now());
         let set = Set::from_sources(sources);
-        let took = start.elapsed();
+        let elapsed = start.elapsed();
         assert!(set.found.is_empty(), "{}", set.found[0].line(&set.sources));
         println!(
             "| {count} | {} | {} | {:.1} | {} | {before} |",
             count * ACCOUNTS,
             bytes / 1024,
-            took.as_secs_f64() * 1000.0,
-            memory()
+            elapsed.as_secs_f64() * 1000.0,
+            peak_memory_kb()
         );
         return;
     }
     println!("| applications | accounts | kB of text | ms | most memory kB | before kB |\n| --- | --- | --- | --- | --- | --- |");
-    let program = std::env::current_exe().expect("a program has a path");
+    let program = std::env::current_exe().expect("the path of the running program is known");
     for count in ["10", "100", "1000"] {
         let ran = Command::new(&program).arg(count).status();
         assert!(
             ran.is_ok_and(|s| s.success()),
-            "the check of {count} failed"
+            "the check of {count} applications failed"
         );
     }
 }
--- a/crates/config/src/callers.rs
+++ b/crates/config/src/callers.rs
@@ -1,5 +1,5 @@
-//! Who may call, as keys and values of what is enforced, and back: a change of keys or tenants is planned and applied like all
-//! else.
+//! Converts the table `identity` to enforced state and back, so that a change of keys or tenants is planned and applied like
+//! any other change.
 
 use crate::model::Identity;
 use crate::pairs::Pairs;
@@ -7,22 +7,23 @@
 use wrenfork_identity::rights::{Tenant, Tenants};
 use wrenfork_identity::trust::{public, Issuer, Key, Trust};
 
-const SECOND: u64 = 1_000_000;
-/// The key that says that callers are asked at all.
+/// Microseconds per second.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+/// Key of the audience. Callers are authenticated if the state has it.
 const AUDIENCE: &str = "identity.audience";
 
-/// What an ingress holds callers against.
+/// How an ingress authenticates and authorizes callers.
 #[derive(Clone, Debug)]
 pub struct Callers {
-    /// Who may sign, and with what.
+    /// Issuers and their keys.
     pub trust: Trust,
-    /// On whose behalf.
+    /// Tenants with their accounts and classes.
     pub tenants: Tenants,
-    /// Whether a request without a proof is turned away.
+    /// Whether requests without a token are rejected.
     pub required: bool,
 }
 
-/// What a file trusts; a key that is none has been told.
+/// The issuers and keys of a file. Invalid keys are skipped: the reader has reported them.
 pub fn trust(from: &Identity) -> Trust {
     let key = |k: &crate::model::IssuerKey| {
         let public = public(&k.public.value)?;
@@ -43,13 +44,13 @@
             .as_ref()
             .map_or(String::new(), |a| a.value.clone()),
         issuers: issuers.collect(),
-        skew: from.skew / SECOND,
-        longest: from.longest / SECOND,
+        skew: from.skew / MICROS_PER_SECOND,
+        longest: from.longest / MICROS_PER_SECOND,
     }
 }
 
-/// Writes what a file says into what is enforced.
-pub fn put(state: &mut Pairs, from: &Identity) {
+/// Inserts the table `identity` of a file into a state.
+pub fn insert_identity(state: &mut Pairs, from: &Identity) {
     let mut add = |key: String, value: String| drop(state.insert(key, value));
     add(
         AUDIENCE.into(),
@@ -58,55 +59,58 @@
             .map_or(String::new(), |a| a.value.clone()),
     );
     add("identity.required".into(), from.required.to_string());
-    add("identity.skew_s".into(), (from.skew / SECOND).to_string());
+    add(
+        "identity.skew_s".into(),
+        (from.skew / MICROS_PER_SECOND).to_string(),
+    );
     add(
         "identity.longest_s".into(),
-        (from.longest / SECOND).to_string(),
+        (from.longest / MICROS_PER_SECOND).to_string(),
     );
     for issuer in &from.issuers {
         for key in &issuer.keys {
-            let at = format!("identity.issuers.{}/{}", issuer.name.value, key.name.value);
-            add(format!("{at}.public"), key.public.value.clone());
-            add(format!("{at}.from"), key.from.to_string());
+            let prefix = format!("identity.issuers.{}/{}", issuer.name.value, key.name.value);
+            add(format!("{prefix}.public"), key.public.value.clone());
+            add(format!("{prefix}.from"), key.from.to_string());
             if let Some(until) = key.until {
-                add(format!("{at}.until"), until.to_string());
+                add(format!("{prefix}.until"), until.to_string());
             }
         }
     }
     for tenant in &from.tenants {
-        let at = format!("identity.tenants.{}", tenant.name.value);
+        let prefix = format!("identity.tenants.{}", tenant.name.value);
         let accounts: Vec<String> = tenant
             .accounts
             .iter()
             .map(|a| format!("{:016x}", a.value))
             .collect();
-        add(format!("{at}.accounts"), accounts.join(","));
+        add(format!("{prefix}.accounts"), accounts.join(","));
         if let Some(classes) = &tenant.classes {
             let classes: Vec<&str> = classes.iter().map(|c| c.value.as_str()).collect();
-            add(format!("{at}.classes"), classes.join(","));
+            add(format!("{prefix}.classes"), classes.join(","));
         }
     }
 }
 
-/// Whether a key is one of these.
+/// Whether a key of the state belongs to `identity` and may change.
 pub fn changeable(key: &str) -> bool {
     let Some(rest) = key.strip_prefix("identity.") else {
         return false;
     };
-    let field = |list: &str, fields: &[&str]| {
-        let within = rest.strip_prefix(list).and_then(|r| r.rsplit_once('.'));
-        within.is_some_and(|(name, field)| !name.is_empty() && fields.contains(&field))
+    let is_list_field = |list: &str, fields: &[&str]| {
+        let entry = rest.strip_prefix(list).and_then(|r| r.rsplit_once('.'));
+        entry.is_some_and(|(name, field)| !name.is_empty() && fields.contains(&field))
     };
     matches!(rest, "audience" | "required" | "skew_s" | "longest_s")
-        || field("issuers.", &["public", "from", "until"])
-        || field("tenants.", &["accounts", "classes"])
+        || is_list_field("issuers.", &["public", "from", "until"])
+        || is_list_field("tenants.", &["accounts", "classes"])
 }
 
-/// What is enforced, for an ingress; none where nobody is asked. `classes` are their names by place.
+/// Parses the state's callers; none if callers are not authenticated. `classes` has the names of the classes by index.
 ///
 /// # Errors
 ///
-/// Names the key whose value is of no use.
+/// Names the key that is missing or has an invalid value.
 pub fn read(state: &Pairs, classes: &[String]) -> Result<Option<Callers>, String> {
     let Some(audience) = state.get(AUDIENCE) else {
         return Ok(None);
@@ -122,7 +126,7 @@
         skew: whole("identity.skew_s")?,
         longest: whole("identity.longest_s")?,
     };
-    let below = |prefix: &'static str, field: &'static str| {
+    let entries = |prefix: &'static str, field: &'static str| {
         let rows = state.iter().filter_map(move |(key, value)| {
             Some((
                 key.strip_prefix(prefix)?.strip_suffix(field)?.to_string(),
@@ -131,20 +135,20 @@
         });
         rows.collect::<Vec<_>>()
     };
-    for (name, text) in below("identity.issuers.", ".public") {
-        let at = format!("identity.issuers.{name}");
+    for (name, text) in entries("identity.issuers.", ".public") {
+        let prefix = format!("identity.issuers.{name}");
         let (issuer, key) = name
             .split_once('/')
-            .ok_or_else(|| format!("{at} names no key"))?;
-        let public = public(&text).ok_or_else(|| format!("{at}.public is no public key"))?;
+            .ok_or_else(|| format!("{prefix} names no key"))?;
+        let public = public(&text).ok_or_else(|| format!("{prefix}.public is no public key"))?;
         let until = state
-            .contains_key(&format!("{at}.until"))
-            .then(|| whole(&format!("{at}.until")))
+            .contains_key(&format!("{prefix}.until"))
+            .then(|| whole(&format!("{prefix}.until")))
             .transpose()?;
         let key = Key {
             name: key.into(),
             public,
-            from: whole(&format!("{at}.from"))?,
+            from: whole(&format!("{prefix}.from"))?,
             until,
         };
         match trust.issuers.iter_mut().find(|i| i.name == issuer) {
@@ -156,26 +160,26 @@
         }
     }
     let mut tenants = Vec::new();
-    for (name, text) in below("identity.tenants.", ".accounts") {
+    for (name, text) in entries("identity.tenants.", ".accounts") {
         let accounts: Result<_, String> = text
             .split(',')
             .filter(|a| !a.is_empty())
             .map(values::account)
             .collect();
-        let place = |class: &str| {
+        let class_index = |class: &str| {
             let at = classes.iter().position(|c| c == class && !class.is_empty());
             let at = at.and_then(|n| u8::try_from(n).ok());
             at.ok_or_else(|| format!("identity.tenants.{name}.classes: there is no class {class}"))
         };
-        let some = state.get(&format!("identity.tenants.{name}.classes"));
-        let some = some
-            .map(|list| list.split(',').map(place).collect::<Result<_, _>>())
+        let classes_text = state.get(&format!("identity.tenants.{name}.classes"));
+        let allowed = classes_text
+            .map(|list| list.split(',').map(class_index).collect::<Result<_, _>>())
             .transpose()?;
         tenants.push(Tenant {
             name: name.clone(),
             names: Vec::new(),
             accounts: accounts?,
-            classes: some,
+            classes: allowed,
         });
     }
     let required = state.get("identity.required").is_none_or(|r| r != "false");
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,4 @@
-//! What files must not say: alone, beside the site, beside a fleet snapshot, and together. Each module has one part of
+//! Checks files alone, against the site, against a fleet snapshot and against each other. Each module checks one part of
 //! the files.
 
 mod accounts;
@@ -12,7 +12,7 @@
 mod site;
 mod together;
 
-pub use findings::In;
+pub use findings::InFile;
 pub use fleet::{fleet, nodes};
 pub use pools::table;
 pub use site::site;
@@ -22,17 +22,22 @@
 use crate::diagnostic::Diagnostic;
 use crate::model::{Application, Ingress, Site};
 use crate::reader::At;
-use findings::unknown;
+use findings::unknown_name;
 
-/// The least that an ingress works with.
-const LEAST_MEMORY: u64 = 16 << 20;
-const LEAST_DESCRIPTORS: u64 = 64;
-/// Rates are sums of numbers with fractions.
-const ROUNDING: f64 = 1e-9;
+/// Least memory limit of an ingress, in bytes.
+const MIN_MEMORY_BYTES: u64 = 16 << 20;
+/// Least file descriptor limit of an ingress: each open request holds two descriptors.
+const MIN_DESCRIPTORS: u64 = 64;
+/// Relative tolerance for rates: sums of fractional quotas carry rounding errors.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// An application beside its site.
-pub fn application(a: &In<Application>, s: &In<Site>, found: &mut Vec<Diagnostic>) {
-    let (app, site) = (a.content, s.content);
+/// Checks an application against its site.
+pub fn application(
+    app_file: &InFile<Application>,
+    site_file: &InFile<Site>,
+    found: &mut Vec<Diagnostic>,
+) {
+    let (app, site) = (app_file.content, site_file.content);
     if let (Some(name), Some(own)) = (&app.site, &site.name) {
         if name.value != own.value {
             let message = format!(
@@ -40,16 +45,17 @@
                 name.value, own.value
             );
             found.push(
-                a.wrong(Code::NoSite, name, message)
-                    .with(s.at(&own.span), "the site given"),
+                app_file
+                    .diagnostic(Code::NoSite, name, message)
+                    .with(site_file.at(&own.span), "the site given"),
             );
         }
     }
     let classes = site.classes.iter().map(|c| c.name.value.as_str());
     for class in &app.sends {
         if site.class(&class.value).is_none() {
-            found.push(unknown(
-                a,
+            found.push(unknown_name(
+                app_file,
                 Code::NoSuchClass,
                 "class",
                 class,
@@ -57,44 +63,44 @@
             ));
         }
     }
-    if app.memory.value < LEAST_MEMORY {
-        found.push(a.wrong(
+    if app.memory.value < MIN_MEMORY_BYTES {
+        found.push(app_file.diagnostic(
             Code::TooTight,
             &app.memory,
             "a sidecar needs 16MiB of memory at the least",
         ));
     }
-    if app.descriptors.value < LEAST_DESCRIPTORS {
-        found.push(a.wrong(
+    if app.descriptors.value < MIN_DESCRIPTORS {
+        found.push(app_file.diagnostic(
             Code::TooTight,
             &app.descriptors,
             "a sidecar needs 64 descriptors at the least",
         ));
     }
-    sidecars::sidecars(a, site, found);
-    group::check(a, found);
-    identity::identity(a, site, true, found);
-    accounts::accounts(a, s, found);
-    if !app.bad_pools {
-        pools::pools(a, site, found);
+    sidecars::sidecars(app_file, site, found);
+    group::check(app_file, found);
+    identity::identity(app_file, site, true, found);
+    accounts::accounts(app_file, site_file, found);
+    if !app.invalid_pools {
+        pools::pools(app_file, site, found);
     }
-    routes::routes(a, site, found);
+    routes::routes(app_file, site, found);
 }
 
-/// What an operator adds to an ingress. The halls and classes are the platform's; where they are not known, those that the
-/// file names are taken to be there.
+/// Checks an operator's file. `known` has the platform's halls and classes; without it, all halls and classes that the file
+/// names are assumed to exist.
 pub fn ingress(
-    i: &In<Ingress>,
+    ingress_file: &InFile<Ingress>,
     known: Option<(&[String], &[String])>,
     found: &mut Vec<Diagnostic>,
 ) {
-    let file = i.content;
+    let file = ingress_file.content;
     let values = |list: &[At<String>]| list.iter().map(|n| n.value.clone()).collect::<Vec<_>>();
-    let (site, ways) = match known {
-        Some((halls, classes)) => file.at(halls, classes),
+    let (site, application) = match known {
+        Some((halls, classes)) => file.with_platform_names(halls, classes),
         None => {
             let mut halls: Vec<String> = file
-                .ways
+                .application
                 .pools
                 .iter()
                 .flat_map(|p| values(&p.halls))
@@ -105,28 +111,28 @@
                     .flat_map(|n| [vec![n.hall.value.clone()], values(&n.others)].concat()),
             );
             let classes: Vec<String> = file
-                .ways
+                .application
                 .routes
                 .iter()
                 .map(|r| r.class.value.clone())
                 .collect();
-            file.at(&halls, &classes)
+            file.with_platform_names(&halls, &classes)
         }
     };
     site::nearness(
-        &In {
-            file: i.file,
+        &InFile {
+            file: ingress_file.file,
             content: &site,
         },
         found,
     );
-    let ways = In {
-        file: i.file,
-        content: &ways,
+    let application = InFile {
+        file: ingress_file.file,
+        content: &application,
     };
-    if !ways.content.bad_pools {
-        pools::pools(&ways, &site, found);
+    if !application.content.invalid_pools {
+        pools::pools(&application, &site, found);
     }
-    routes::routes(&ways, &site, found);
-    identity::identity(&ways, &site, false, found);
+    routes::routes(&application, &site, found);
+    identity::identity(&application, &site, false, found);
 }
--- a/crates/config/src/check/accounts.rs
+++ b/crates/config/src/check/accounts.rs
@@ -1,8 +1,8 @@
-//! The accounts of an application, and what their quotas come to.
+//! Checks the accounts of an application and their quotas.
 
-use super::findings::{twice, unknown, In};
+use super::findings::{report_duplicates, unknown_name, InFile};
 use super::site::small_burst;
-use super::ROUNDING;
+use super::ROUNDING_TOLERANCE;
 use crate::codes::Code;
 use crate::diagnostic::Diagnostic;
 use crate::model::{Account, Application, Plan, Site};
@@ -10,19 +10,23 @@
 use crate::values::show_rate;
 use std::collections::HashMap;
 
-/// How far a rate may be from its neighbours: no plan has accounts that differ by more, units do.
-const ODD: f64 = 999.0;
-/// Accounts of one plan with quotas of their own, from which on their median says something.
-const ENOUGH_FOR_A_MEDIAN: usize = 3;
+/// Largest plausible ratio between an account's quota and the plan's. A larger one suggests a wrong unit.
+const MAX_QUOTA_RATIO: f64 = 999.0;
+/// Least number of overridden quotas on a plan for which their median is meaningful.
+const MIN_QUOTAS_FOR_MEDIAN: usize = 3;
 
-/// Accounts beside the plans of the site.
-pub(super) fn accounts(a: &In<Application>, s: &In<Site>, found: &mut Vec<Diagnostic>) {
-    let (app, site) = (a.content, s.content);
+/// Checks accounts against the plans of the site.
+pub(super) fn accounts(
+    app_file: &InFile<Application>,
+    site_file: &InFile<Site>,
+    found: &mut Vec<Diagnostic>,
+) {
+    let (app, site) = (app_file.content, site_file.content);
     let ids = app
         .accounts
         .iter()
         .map(|c| (&c.id, format!("{:016x}", c.id.value)));
-    twice(a, "account", ids, found);
+    report_duplicates(app_file, "account", ids, found);
     let plans: HashMap<&str, &Plan> = site
         .plans
         .iter()
@@ -34,99 +38,112 @@
         let Some(name) = &account.plan else { continue };
         let Some(plan) = plans.get(name.value.as_str()) else {
             let known = site.plans.iter().map(|p| p.name.value.as_str());
-            found.push(unknown(a, Code::NoSuchPlan, "plan", name, known));
+            found.push(unknown_name(
+                app_file,
+                Code::NoSuchPlan,
+                "plan",
+                name,
+                known,
+            ));
             continue;
         };
-        let whose = shown(account);
-        hard_limit(a, s, account, plan, found);
+        let owner = display_name(account);
+        hard_limit(app_file, site_file, account, plan, found);
         if let (Some(burst), Some(class)) = (&account.burst, largest) {
-            small_burst(a, burst, &whose, class, s.file, found);
+            small_burst(app_file, burst, &owner, class, site_file.file, found);
         }
         if let Some(quota) = &account.quota {
             let median = medians.get(name.value.as_str()).copied();
-            odd_rate(a, &whose, quota, plan, median, found);
+            implausible_quota(app_file, &owner, quota, plan, median, found);
         }
     }
 }
 
-fn shown(account: &Account) -> String {
+fn display_name(account: &Account) -> String {
     format!("account {:016x}", account.id.value)
 }
 
-/// By plan, the median of the quotas that accounts have of their own; only where there are enough of them.
+/// Median of the overridden quotas, by plan, for plans that have enough of them.
 fn median_quotas(app: &Application) -> HashMap<&str, f64> {
-    let mut own: HashMap<&str, Vec<f64>> = HashMap::new();
+    let mut overridden: HashMap<&str, Vec<f64>> = HashMap::new();
     for account in &app.accounts {
         if let (Some(plan), Some(quota)) = (&account.plan, &account.quota) {
-            own.entry(plan.value.as_str())
+            overridden
+                .entry(plan.value.as_str())
                 .or_default()
                 .push(quota.value);
         }
     }
-    own.retain(|_, quotas| quotas.len() >= ENOUGH_FOR_A_MEDIAN);
+    overridden.retain(|_, quotas| quotas.len() >= MIN_QUOTAS_FOR_MEDIAN);
     let median = |mut quotas: Vec<f64>| {
         quotas.sort_by(f64::total_cmp);
         quotas[quotas.len() / 2]
     };
-    own.into_iter()
+    overridden
+        .into_iter()
         .map(|(plan, quotas)| (plan, median(quotas)))
         .collect()
 }
 
-/// An account's quota is not over the hard limit of its plan.
+/// Reports a quota above the hard limit of the account's plan.
 fn hard_limit(
-    a: &In<Application>,
-    s: &In<Site>,
+    app_file: &InFile<Application>,
+    site_file: &InFile<Site>,
     account: &Account,
     plan: &Plan,
     found: &mut Vec<Diagnostic>,
 ) {
-    let (Some(quota), Some(most)) = (&account.quota, &plan.never_over) else {
+    let (Some(quota), Some(max_rate)) = (&account.quota, &plan.never_over) else {
         return;
     };
-    if quota.value > most.value * (1.0 + ROUNDING) {
-        let limit = show_rate(most.value);
+    if quota.value > max_rate.value * (1.0 + ROUNDING_TOLERANCE) {
+        let limit = show_rate(max_rate.value);
         let message = format!(
             "{} has a quota of {}, and plan \"{}\" is never over {limit}",
-            shown(account),
+            display_name(account),
             show_rate(quota.value),
             plan.name.value
         );
-        let wrong = a.wrong(Code::OverPlan, quota, message);
-        found.push(wrong.with(s.at(&most.span), format!("never over {limit}")));
+        let diagnostic = app_file.diagnostic(Code::OverPlan, quota, message);
+        found.push(diagnostic.with(site_file.at(&max_rate.span), format!("never over {limit}")));
     }
 }
 
-/// A quota far from its neighbours is likely in other units than was meant.
-fn odd_rate(
-    a: &In<Application>,
-    whose: &str,
+/// Reports a quota far from the plan's or from the median of its accounts: the unit is probably diagnostic.
+fn implausible_quota(
+    app_file: &InFile<Application>,
+    owner: &str,
     quota: &At<f64>,
     plan: &Plan,
     median: Option<f64>,
     found: &mut Vec<Diagnostic>,
 ) {
-    let neighbours = [
+    let references = [
         (plan.quota.as_ref().map(|q| q.value), "its plan's quota is"),
         (median, "the middle of those on its plan is"),
     ];
-    let odd = neighbours.into_iter().find_map(|(rate, what)| {
+    let implausible = references.into_iter().find_map(|(rate, label)| {
         let rate = rate?;
-        (quota.value > rate * ODD || quota.value * ODD < rate).then_some((rate, what))
+        (quota.value > rate * MAX_QUOTA_RATIO || quota.value * MAX_QUOTA_RATIO < rate)
+            .then_some((rate, label))
     });
-    if let Some((rate, what)) = odd {
+    if let Some((rate, label)) = implausible {
         let message = format!(
-            "{whose} has a quota of {}, {what} {}",
+            "{owner} has a quota of {}, {label} {}",
             show_rate(quota.value),
             show_rate(rate)
         );
         let help =
             "6/s, 360/min and 21600/h are the same; if it is meant, give it a plan of its own";
-        found.push(a.wrong(Code::OddRate, quota, message).help(help));
+        found.push(
+            app_file
+                .diagnostic(Code::OddRate, quota, message)
+                .help(help),
+        );
     }
 }
 
-/// Each account's plan and quota, as far as the site knows the plan.
+/// Plan and quota of each account whose plan the site has.
 pub(super) fn quotas<'a>(
     app: &'a Application,
     site: &'a Site,
--- a/crates/config/src/check/findings.rs
+++ b/crates/config/src/check/findings.rs
@@ -1,4 +1,4 @@
-//! A file with its content, and the diagnostics that several checks make alike.
+//! A file's index with its content, and the diagnostics that several checks share.
 
 use crate::codes::Code;
 use crate::diagnostic::{Diagnostic, Place};
@@ -6,16 +6,16 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// A file among those that are checked together.
+/// The content of a file together with the file's index in the set.
 #[derive(Clone, Copy)]
-pub struct In<'a, T> {
-    /// Its place among the files given.
+pub struct InFile<'a, T> {
+    /// Index of the file in the set.
     pub file: usize,
-    /// What it says.
+    /// Typed content of the file.
     pub content: &'a T,
 }
 
-impl<T> In<'_, T> {
+impl<T> InFile<'_, T> {
     pub(super) fn at(&self, span: &Range<usize>) -> Place {
         Place {
             file: self.file,
@@ -23,7 +23,7 @@
         }
     }
 
-    pub(super) fn wrong<V>(
+    pub(super) fn diagnostic<V>(
         &self,
         code: Code,
         at: &At<V>,
@@ -33,49 +33,51 @@
     }
 }
 
-/// Names that must differ.
-pub(super) fn twice<'a, T, V: Ord + 'a>(
-    file: &In<T>,
-    what: &str,
+/// Reports each name that occurs a second time. `kind` says what the names are names of.
+pub(super) fn report_duplicates<'a, T, V: Ord + 'a>(
+    file: &InFile<T>,
+    kind: &str,
     names: impl Iterator<Item = (&'a At<V>, String)>,
     found: &mut Vec<Diagnostic>,
 ) {
-    let mut first: BTreeMap<&V, &At<V>> = BTreeMap::new();
+    let mut seen: BTreeMap<&V, &At<V>> = BTreeMap::new();
     for (name, shown) in names {
-        match first.get(&name.value) {
-            Some(before) => found.push(
-                file.wrong(
+        match seen.get(&name.value) {
+            Some(first) => found.push(
+                file.diagnostic(
                     Code::NameTwice,
                     name,
-                    format!("{what} {shown} is there twice"),
+                    format!("{kind} {shown} is there twice"),
                 )
-                .with(file.at(&before.span), "first here"),
+                .with(file.at(&first.span), "first here"),
             ),
-            None => drop(first.insert(&name.value, name)),
+            None => drop(seen.insert(&name.value, name)),
         }
     }
 }
 
-pub(super) fn quoted(names: &At<String>) -> (&At<String>, String) {
-    (names, format!("\"{}\"", names.value))
+/// A name with its quoted form for messages.
+pub(super) fn quoted(name: &At<String>) -> (&At<String>, String) {
+    (name, format!("\"{}\"", name.value))
 }
 
-pub(super) fn unknown<'a, T>(
-    file: &In<T>,
+/// A diagnostic for a name that does not exist, with the closest known name or a list of known names as help.
+pub(super) fn unknown_name<'a, T>(
+    file: &InFile<T>,
     code: Code,
-    what: &str,
+    kind: &str,
     name: &At<String>,
     known: impl Iterator<Item = &'a str> + Clone,
 ) -> Diagnostic {
-    let wrong = file.wrong(code, name, format!("there is no {what} \"{}\"", name.value));
+    let diagnostic = file.diagnostic(code, name, format!("there is no {kind} \"{}\"", name.value));
     match nearest(&name.value, known.clone()) {
-        Some(meant) => wrong.help(format!("was \"{meant}\" meant?")),
+        Some(suggestion) => diagnostic.help(format!("was \"{suggestion}\" meant?")),
         None => {
             let list: Vec<&str> = known.take(12).collect();
             if list.is_empty() {
-                wrong
+                diagnostic
             } else {
-                wrong.help(format!("there is {}", list.join(", ")))
+                diagnostic.help(format!("there is {}", list.join(", ")))
             }
         }
     }
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -1,9 +1,9 @@
-//! A fleet snapshot, by itself and beside an application.
+//! Checks a fleet snapshot alone, and an application against a snapshot.
 
 use super::accounts::quotas;
-use super::findings::{quoted, twice, unknown, In};
-use super::pools::{number, table};
-use super::ROUNDING;
+use super::findings::{quoted, report_duplicates, unknown_name, InFile};
+use super::pools::{pool_id, table};
+use super::ROUNDING_TOLERANCE;
 use crate::codes::Code;
 use crate::diagnostic::Diagnostic;
 use crate::model::{Application, Effect, Fleet, Node, Pool, Route, Site, Status};
@@ -22,47 +22,58 @@
     }
 }
 
-/// A fleet snapshot by itself.
-pub fn fleet(f: &In<Fleet>, found: &mut Vec<Diagnostic>) {
-    twice(
-        f,
+/// Checks a fleet snapshot alone.
+pub fn fleet(fleet_file: &InFile<Fleet>, found: &mut Vec<Diagnostic>) {
+    report_duplicates(
+        fleet_file,
         "node",
-        f.content.nodes.iter().map(|n| quoted(&n.name)),
+        fleet_file.content.nodes.iter().map(|n| quoted(&n.name)),
         found,
     );
-    // One that is gone may have left its address to another.
-    let mut at: HashMap<&Address, &Node> = HashMap::new();
-    for node in f.content.nodes.iter().filter(|n| n.status == Status::Up) {
-        let places = std::iter::once(&node.address).chain(node.addresses.iter().map(|a| &a.value));
-        for (n, place) in places.enumerate() {
-            let Some(first) = at.insert(place, node) else {
+    // A removed node's address may be in use by another node.
+    let mut node_at: HashMap<&Address, &Node> = HashMap::new();
+    for node in fleet_file
+        .content
+        .nodes
+        .iter()
+        .filter(|n| n.status == Status::Up)
+    {
+        let addresses =
+            std::iter::once(&node.address).chain(node.addresses.iter().map(|a| &a.value));
+        for (n, address) in addresses.enumerate() {
+            let Some(first) = node_at.insert(address, node) else {
                 continue;
             };
             let (name, other) = (&node.name.value, &first.name.value);
             let message = if std::ptr::eq(first, node) {
-                format!("node \"{name}\" lists {place} twice")
+                format!("node \"{name}\" lists {address} twice")
             } else {
-                format!("nodes \"{other}\" and \"{name}\" are both up at {place}")
+                format!("nodes \"{other}\" and \"{name}\" are both up at {address}")
             };
             let span = n
                 .checked_sub(1)
                 .map_or(&node.name.span, |n| &node.addresses[n].span);
-            let wrong = Diagnostic::new(Code::AddressTwice, f.at(span), message);
-            found.push(wrong.with(f.at(&first.name.span), "the first one"));
+            let diagnostic = Diagnostic::new(Code::AddressTwice, fleet_file.at(span), message);
+            found.push(diagnostic.with(fleet_file.at(&first.name.span), "the first one"));
         }
         if node.addresses.len() >= MAX_ADDRESSES {
             let message = format!(
                 "node \"{}\" has more addresses than the {MAX_ADDRESSES} that are tried",
                 node.name.value
             );
-            found.push(f.wrong(Code::TooMany, &node.name, message));
+            found.push(fleet_file.diagnostic(Code::TooMany, &node.name, message));
         }
     }
 }
 
-/// An application beside the nodes as they are.
-pub fn nodes(a: &In<Application>, s: &In<Site>, f: &In<Fleet>, found: &mut Vec<Diagnostic>) {
-    let (app, fleet) = (a.content, f.content);
+/// Checks an application against the nodes of a fleet snapshot.
+pub fn nodes(
+    app_file: &InFile<Application>,
+    site_file: &InFile<Site>,
+    fleet_file: &InFile<Fleet>,
+    found: &mut Vec<Diagnostic>,
+) {
+    let (app, fleet) = (app_file.content, fleet_file.content);
     let by_name: HashMap<&str, &Node> = fleet
         .nodes
         .iter()
@@ -70,25 +81,39 @@
         .collect();
     for pool in &app.pools {
         let before = found.len();
-        named_nodes(a, pool, fleet, &by_name, found);
+        named_nodes(app_file, pool, fleet, &by_name, found);
         if found.len() > before {
-            continue; // its nodes are spoken of already
+            continue; // the pool's nodes are already reported
         }
-        members(a, pool, fleet, found);
+        members(app_file, pool, fleet, found);
     }
-    let table = table(&app.pools, &app.routes, s.content);
+    let table = table(&app.pools, &app.routes, site_file.content);
     let up = fleet.nodes.iter().filter(|n| n.status == Status::Up);
-    let member: Vec<(u64, &Node)> = up.map(|n| (table.pools_of(&labels(n)), n)).collect();
-    let promised: f64 = quotas(app, s.content).map(|(_, q)| q).sum();
+    let pools_and_nodes: Vec<(u64, &Node)> = up.map(|n| (table.pools_of(&labels(n)), n)).collect();
+    let total_quota: f64 = quotas(app, site_file.content).map(|(_, q)| q).sum();
     for route in &app.routes {
-        groups(a, s.content, &table, route, &member, found);
-        capacity(a, s, promised, route, &member, found);
+        mixed_groups(
+            app_file,
+            site_file.content,
+            &table,
+            route,
+            &pools_and_nodes,
+            found,
+        );
+        capacity(
+            app_file,
+            site_file,
+            total_quota,
+            route,
+            &pools_and_nodes,
+            found,
+        );
     }
 }
 
-/// The nodes that a pool names are there and up.
+/// Reports nodes that a pool names and that are missing, draining or removed.
 fn named_nodes(
-    a: &In<Application>,
+    app_file: &InFile<Application>,
     pool: &Pool,
     fleet: &Fleet,
     by_name: &HashMap<&str, &Node>,
@@ -97,7 +122,13 @@
     for name in &pool.nodes {
         let Some(node) = by_name.get(name.value.as_str()) else {
             let known = fleet.nodes.iter().map(|n| n.name.value.as_str());
-            found.push(unknown(a, Code::NoSuchNode, "node", name, known));
+            found.push(unknown_name(
+                app_file,
+                Code::NoSuchNode,
+                "node",
+                name,
+                known,
+            ));
             continue;
         };
         let (code, state) = match node.status {
@@ -106,31 +137,36 @@
             Status::Removed => (Code::NodeGone, "is gone"),
         };
         let message = format!("node \"{}\" {state}", name.value);
-        found.push(a.wrong(code, name, message));
+        found.push(app_file.diagnostic(code, name, message));
     }
 }
 
-/// A pool has nodes, and some of them are up.
-fn members(a: &In<Application>, pool: &Pool, fleet: &Fleet, found: &mut Vec<Diagnostic>) {
+/// Reports a pool without nodes, or without one that is up.
+fn members(
+    app_file: &InFile<Application>,
+    pool: &Pool,
+    fleet: &Fleet,
+    found: &mut Vec<Diagnostic>,
+) {
     let name = &pool.name.value;
     let is_member = |node: &&Node| pool.selector.matches(&labels(node));
     let members: Vec<&Node> = fleet.nodes.iter().filter(is_member).collect();
     if members.is_empty() {
         let message = format!("no node is of pool \"{name}\"");
-        found.push(a.wrong(Code::NoNodes, &pool.name, message));
+        found.push(app_file.diagnostic(Code::NoNodes, &pool.name, message));
     } else if members.iter().all(|n| n.status != Status::Up) {
         let message = format!("every node of pool \"{name}\" is draining or gone");
-        found.push(a.wrong(Code::AllDrain, &pool.name, message));
+        found.push(app_file.diagnostic(Code::AllDrain, &pool.name, message));
     }
 }
 
-/// A keyed class must not be spread over groups of nodes that don't know each other's keys.
-fn groups(
-    a: &In<Application>,
+/// Reports a keyed class that is routed to several groups of nodes: a group does not know the idempotency keys of another.
+fn mixed_groups(
+    app_file: &InFile<Application>,
     site: &Site,
     table: &Table,
     route: &Route,
-    member: &[(u64, &Node)],
+    pools_and_nodes: &[(u64, &Node)],
     found: &mut Vec<Diagnostic>,
 ) {
     let Some(class) = site.class(&route.class.value) else {
@@ -142,27 +178,27 @@
     let first = route
         .pool
         .as_ref()
-        .and_then(|p| number(&a.content.pools, &p.value));
+        .and_then(|p| pool_id(&app_file.content.pools, &p.value));
     let order = first
         .and_then(|p| table.fallback_order(p).ok())
         .unwrap_or_default();
     let trial = route
         .trial
         .as_ref()
-        .and_then(|p| number(&a.content.pools, &p.value));
-    let set = order
+        .and_then(|p| pool_id(&app_file.content.pools, &p.value));
+    let route_pools = order
         .into_iter()
         .chain(trial)
-        .fold(0, |set, p| set | p.bit());
-    let of = |n: &Node| match group.as_str() {
+        .fold(0, |bits, p| bits | p.bit());
+    let group_of = |n: &Node| match group.as_str() {
         "hall" => n.hall.value.clone(),
         "group" => n.group.to_string(),
         _ => String::new(),
     };
-    let mut groups: Vec<String> = member
+    let mut groups: Vec<String> = pools_and_nodes
         .iter()
-        .filter(|(m, _)| m & set != 0)
-        .map(|(_, n)| of(n))
+        .filter(|(m, _)| m & route_pools != 0)
+        .map(|(_, n)| group_of(n))
         .collect();
     groups.sort_unstable();
     groups.dedup();
@@ -178,51 +214,52 @@
             "repeats of \"{name}\" are dropped by {group}, and its pools lie in several: {list}"
         );
         found.push(
-            a.wrong(Code::GroupsMixed, &route.class, message)
+            app_file
+                .diagnostic(Code::GroupsMixed, &route.class, message)
                 .help("let its pools lie in one of them"),
         );
     }
 }
 
-/// The nodes of a route's pools must serve what the accounts were promised.
+/// Reports pools of a route whose nodes can't serve the quotas that go there.
 fn capacity(
-    a: &In<Application>,
-    s: &In<Site>,
-    promised: f64,
+    app_file: &InFile<Application>,
+    site_file: &InFile<Site>,
+    total_quota: f64,
     route: &Route,
-    member: &[(u64, &Node)],
+    pools_and_nodes: &[(u64, &Node)],
     found: &mut Vec<Diagnostic>,
 ) {
-    let (app, site) = (a.content, s.content);
+    let (app, site) = (app_file.content, site_file.content);
     let Some(per_weight) = site.per_weight else {
         return;
     };
     let pool = |name: &Option<At<String>>| {
         name.as_ref()
-            .and_then(|n| Some((n.clone(), number(&app.pools, &n.value)?)))
+            .and_then(|n| Some((n.clone(), pool_id(&app.pools, &n.value)?)))
     };
     let trial = pool(&route.trial).zip(route.share.as_ref().map(|s| s.value));
     let share = trial.as_ref().map_or(0.0, |t| t.1);
     let trial_set = trial.as_ref().map_or(0, |((_, p), _)| p.bit());
-    let mut look = |name: &At<String>, set: u64, without: u64, share: f64| {
-        let nodes = member
+    let mut check_pool = |name: &At<String>, members: u64, excluded: u64, share: f64| {
+        let nodes = pools_and_nodes
             .iter()
-            .filter(|(m, _)| m & set != 0 && m & without == 0);
+            .filter(|(m, _)| m & members != 0 && m & excluded == 0);
         let (count, weight) = nodes.fold((0, 0.0), |(n, w), (_, node)| (n + 1, w + node.weight));
-        let (need, serves) = (promised * share, weight * per_weight);
-        if count > 0 && need > serves * (1.0 + ROUNDING) {
+        let (need, serves) = (total_quota * share, weight * per_weight);
+        if count > 0 && need > serves * (1.0 + ROUNDING_TOLERANCE) {
             let (need, serves) = (show_rate(need), show_rate(serves));
             let message = format!(
                 "pool \"{}\" has {count} nodes that serve {serves}, and quotas of {need} go there",
                 name.value
             );
-            found.push(a.wrong(Code::TooFewNodes, name, message));
+            found.push(app_file.diagnostic(Code::TooFewNodes, name, message));
         }
     };
     if let Some((name, p)) = pool(&route.pool) {
-        look(&name, p.bit(), trial_set, 1.0 - share);
+        check_pool(&name, p.bit(), trial_set, 1.0 - share);
     }
     if let Some(((name, p), share)) = &trial {
-        look(name, p.bit(), 0, *share);
+        check_pool(name, p.bit(), 0, *share);
     }
 }
--- a/crates/config/src/check/group.rs
+++ b/crates/config/src/check/group.rs
@@ -1,6 +1,6 @@
-//! What must not be said of the group that an application's sidecars are.
+//! Checks the group that an application's sidecars and witnesses form.
 
-use super::findings::{quoted, twice, unknown, In};
+use super::findings::{quoted, report_duplicates, unknown_name, InFile};
 use crate::codes::Code;
 use crate::diagnostic::Diagnostic;
 use crate::model::{Application, Roster};
@@ -8,30 +8,30 @@
 use std::time::Duration;
 use wrenfork_consensus::membership;
 
-/// How many may decide before it is told that fewer are enough.
-const ENOUGH_VOTERS: usize = 9;
+/// Most voters without a warning that fewer are enough.
+const MAX_VOTERS_WITHOUT_WARNING: usize = 9;
 
-/// What must not be said of a group.
-pub(super) fn check(a: &In<Application>, found: &mut Vec<Diagnostic>) {
-    let app = a.content;
+/// Checks the roster, the program and the witnesses.
+pub(super) fn check(app_file: &InFile<Application>, found: &mut Vec<Diagnostic>) {
+    let app = app_file.content;
     let Some(roster) = &app.roster else {
         if let Some(program) = &app.program {
             let message = format!(
                 "program \"{}\" has no roster that could bring it in",
                 program.name.value
             );
-            found.push(a.wrong(Code::IdleProgram, &program.name, message));
+            found.push(app_file.diagnostic(Code::IdleProgram, &program.name, message));
         }
         if let Some(witness) = app.witnesses.first() {
             let message = format!(
                 "witness \"{}\" has no roster to keep promises for",
                 witness.name.value
             );
-            found.push(a.wrong(Code::IdleWitness, &witness.name, message));
+            found.push(app_file.diagnostic(Code::IdleWitness, &witness.name, message));
         }
         return;
     };
-    member_names(a, found);
+    member_names(app_file, found);
     for sidecar in app
         .sidecars
         .iter()
@@ -46,38 +46,38 @@
             "sidecar \"{}\" is in the roster and has no `{missing}`",
             sidecar.name.value
         );
-        found.push(a.wrong(Code::RosterUnkept, &sidecar.name, message));
+        found.push(app_file.diagnostic(Code::RosterUnkept, &sidecar.name, message));
     }
     if !(membership::MIN_LEASE..=membership::MAX_LEASE)
         .contains(&Duration::from_micros(roster.lease.value))
     {
         let message = "a lease is from 300 ms to 60 s long";
-        found.push(a.wrong(Code::OddLease, &roster.lease, message));
+        found.push(app_file.diagnostic(Code::OddLease, &roster.lease, message));
     }
     if let Some(alone) = roster.alone.as_ref().filter(|a| a.value == "as-known") {
         let message = "a change does not hold at a sidecar that is cut off while it is made";
-        found.push(a.wrong(Code::AsKnown, alone, message));
+        found.push(app_file.diagnostic(Code::AsKnown, alone, message));
     }
-    voters(a, roster, found);
+    voters(app_file, roster, found);
 }
 
-fn voters(a: &In<Application>, roster: &Roster, found: &mut Vec<Diagnostic>) {
-    let app = a.content;
-    let names = || {
+fn voters(app_file: &InFile<Application>, roster: &Roster, found: &mut Vec<Diagnostic>) {
+    let app = app_file.content;
+    let member_names = || {
         let sidecars = app.sidecars.iter().map(|s| s.name.value.as_str());
         sidecars.chain(app.witnesses.iter().map(|w| w.name.value.as_str()))
     };
-    twice(a, "voter", roster.voters.iter().map(quoted), found);
-    let mut known = true;
+    report_duplicates(app_file, "voter", roster.voters.iter().map(quoted), found);
+    let mut all_known = true;
     for voter in roster
         .voters
         .iter()
-        .filter(|v| names().all(|n| n != v.value))
+        .filter(|v| member_names().all(|n| n != v.value))
     {
-        known = false;
+        all_known = false;
         let sidecars = app.sidecars.iter().map(|s| s.name.value.as_str());
-        found.push(unknown(
-            a,
+        found.push(unknown_name(
+            app_file,
             Code::NoSuchMember,
             "sidecar or witness",
             voter,
@@ -85,13 +85,13 @@
         ));
     }
     let count = if roster.voters.is_empty() {
-        names().count()
+        member_names().count()
     } else {
         roster.voters.len()
     };
-    let here = a.at(&roster.span);
+    let place = app_file.at(&roster.span);
     let (code, message) = match count {
-        _ if !known => return,
+        _ if !all_known => return,
         1 => (
             Code::RosterOfOne,
             "one member decides for itself".to_string(),
@@ -104,28 +104,28 @@
             Code::RosterEven,
             format!("{n} decide, and {} would survive as much", n - 1),
         ),
-        n if n > ENOUGH_VOTERS => (
+        n if n > MAX_VOTERS_WITHOUT_WARNING => (
             Code::ManyVoters,
             format!("{n} decide, and five or seven would be enough"),
         ),
         _ => return,
     };
-    found.push(Diagnostic::new(code, here, message));
+    found.push(Diagnostic::new(code, place, message));
 }
 
-/// Members have names of their own.
-fn member_names(a: &In<Application>, found: &mut Vec<Diagnostic>) {
-    let app = a.content;
+/// Reports members that share a name.
+fn member_names(app_file: &InFile<Application>, found: &mut Vec<Diagnostic>) {
+    let app = app_file.content;
     if app.witnesses.is_empty() {
         return;
     }
     let witnesses = app.witnesses.iter().map(|w| &w.name);
     let is_sidecar = |w: &&At<String>| app.sidecars.iter().any(|s| s.name.value == w.value);
-    // Sidecars among themselves are looked at with the sidecars.
+    // Duplicate names among sidecars alone are reported by the check of the sidecars.
     if witnesses.clone().any(|w| is_sidecar(&w)) {
         let members = app.sidecars.iter().map(|s| &s.name).chain(witnesses);
-        twice(a, "member", members.map(quoted), found);
+        report_duplicates(app_file, "member", members.map(quoted), found);
     } else {
-        twice(a, "witness", witnesses.map(quoted), found);
+        report_duplicates(app_file, "witness", witnesses.map(quoted), found);
     }
 }
--- a/crates/config/src/check/identity.rs
+++ b/crates/config/src/check/identity.rs
@@ -1,6 +1,6 @@
-//! Who may call.
+//! Checks the table `identity`.
 
-use super::findings::{quoted, twice, unknown, In};
+use super::findings::{quoted, report_duplicates, unknown_name, InFile};
 use crate::callers;
 use crate::codes::Code;
 use crate::diagnostic::Diagnostic;
@@ -8,31 +8,41 @@
 use wrenfork_identity::token::told;
 use wrenfork_identity::trust::Doubt;
 
-/// Who may call: names once, keys without a gap, and accounts and classes that there are. Whether tenants' accounts must
-/// be the application's own is `own`.
-pub(super) fn identity(a: &In<Application>, site: &Site, own: bool, found: &mut Vec<Diagnostic>) {
-    let Some(identity) = &a.content.identity else {
+/// Checks that names are unique, keys follow each other without a gap, and accounts and classes exist. With `own`, the
+/// tenants' accounts must be accounts of the application.
+pub(super) fn identity(
+    app_file: &InFile<Application>,
+    site: &Site,
+    own: bool,
+    found: &mut Vec<Diagnostic>,
+) {
+    let Some(identity) = &app_file.content.identity else {
         return;
     };
     let issuers = identity.issuers.iter().map(|i| quoted(&i.name));
-    twice(a, "issuer", issuers, found);
+    report_duplicates(app_file, "issuer", issuers, found);
     let tenants = identity.tenants.iter().map(|t| quoted(&t.name));
-    twice(a, "tenant", tenants, found);
+    report_duplicates(app_file, "tenant", tenants, found);
     for issuer in &identity.issuers {
-        twice(a, "key", issuer.keys.iter().map(|k| quoted(&k.name)), found);
-        rotation(a, identity, issuer, found);
+        report_duplicates(
+            app_file,
+            "key",
+            issuer.keys.iter().map(|k| quoted(&k.name)),
+            found,
+        );
+        rotation(app_file, identity, issuer, found);
     }
     for tenant in &identity.tenants {
-        tenant_classes(a, site, tenant, found);
+        tenant_classes(app_file, site, tenant, found);
         if own {
-            tenant_accounts(a, tenant, found);
+            tenant_accounts(app_file, tenant, found);
         }
     }
 }
 
-/// The keys of an issuer follow each other without a gap.
+/// Reports times at which an issuer has no valid key.
 fn rotation(
-    a: &In<Application>,
+    app_file: &InFile<Application>,
     identity: &Identity,
     issuer: &Issuer,
     found: &mut Vec<Diagnostic>,
@@ -40,7 +50,7 @@
     let name = &issuer.name.value;
     let mut trust = callers::trust(identity);
     trust.issuers.retain(|i| i.name == *name);
-    // From the first key's start on: there is no clock here, and a gap is one whenever it comes.
+    // Checked from the first key's start on: the check has no clock, and a gap is a mistake at any time.
     let start = issuer.keys.iter().map(|k| k.from).min().unwrap_or(0);
     for doubt in trust.rotation(start) {
         let message = match &doubt {
@@ -48,25 +58,42 @@
             Doubt::Never(_, key) => format!("key \"{key}\" ends before it begins"),
             Doubt::NoKey(_) | Doubt::Twice(..) => continue,
         };
-        found.push(a.wrong(Code::NoKeyNow, &issuer.name, message));
+        found.push(app_file.diagnostic(Code::NoKeyNow, &issuer.name, message));
     }
 }
 
-fn tenant_classes(a: &In<Application>, site: &Site, tenant: &Tenant, found: &mut Vec<Diagnostic>) {
+fn tenant_classes(
+    app_file: &InFile<Application>,
+    site: &Site,
+    tenant: &Tenant,
+    found: &mut Vec<Diagnostic>,
+) {
     let classes = || site.classes.iter().map(|c| c.name.value.as_str());
     let named = tenant.classes.iter().flatten();
     for class in named.filter(|c| classes().all(|known| known != c.value)) {
-        found.push(unknown(a, Code::NoSuchClass, "class", class, classes()));
+        found.push(unknown_name(
+            app_file,
+            Code::NoSuchClass,
+            "class",
+            class,
+            classes(),
+        ));
     }
 }
 
-fn tenant_accounts(a: &In<Application>, tenant: &Tenant, found: &mut Vec<Diagnostic>) {
-    let is_own = |id: u64| a.content.accounts.iter().any(|own| own.id.value == id);
+fn tenant_accounts(app_file: &InFile<Application>, tenant: &Tenant, found: &mut Vec<Diagnostic>) {
+    let is_own = |id: u64| {
+        app_file
+            .content
+            .accounts
+            .iter()
+            .any(|own| own.id.value == id)
+    };
     for id in tenant.accounts.iter().filter(|id| !is_own(id.value)) {
         let message = format!(
             "account {:016x} of tenant \"{}\" is not the application's",
             id.value, tenant.name.value
         );
-        found.push(a.wrong(Code::NotItsAccount, id, message));
+        found.push(app_file.diagnostic(Code::NotItsAccount, id, message));
     }
 }
--- a/crates/config/src/check/pools.rs
+++ b/crates/config/src/check/pools.rs
@@ -1,18 +1,18 @@
-//! The pools of an application.
+//! Checks the pools of an application.
 
-use super::findings::{quoted, twice, unknown, In};
+use super::findings::{quoted, report_duplicates, unknown_name, InFile};
 use crate::codes::Code;
 use crate::diagnostic::Diagnostic;
 use crate::model::{Application, Pool, Route, Site};
 use wrenfork_routes::{PoolId, Table, TableError, MAX_POOLS, MAX_TIERS};
 
-/// The names of an application's pools.
+/// Names of an application's pools, in the file's order.
 pub(super) fn pool_names(app: &Application) -> impl Iterator<Item = &str> + Clone {
     app.pools.iter().map(|p| p.name.value.as_str())
 }
 
-/// The place of a pool of that name.
-pub(super) fn number(pools: &[Pool], name: &str) -> Option<PoolId> {
+/// The id of the pool with that name.
+pub(super) fn pool_id(pools: &[Pool], name: &str) -> Option<PoolId> {
     pools
         .iter()
         .position(|p| p.name.value == name)
@@ -20,12 +20,12 @@
         .map(PoolId)
 }
 
-/// The pools and routes as [`wrenfork_routes`] has them, the routes in the order of the site's classes. What leads
-/// nowhere is left out.
+/// Converts pools and routes to the form of [`wrenfork_routes`], with the routes in the order of the site's classes.
+/// References to unknown pools are left out.
 pub fn table(own: &[Pool], routes: &[Route], site: &Site) -> Table {
     let pools = own.iter().map(|p| wrenfork_routes::Pool {
         selector: p.selector.clone(),
-        fallback: p.fallback.as_ref().and_then(|f| number(own, &f.value)),
+        fallback: p.fallback.as_ref().and_then(|f| pool_id(own, &f.value)),
     });
     let routes = site.classes.iter().map(|class| {
         let route = routes.iter().find(|r| r.class.value == class.name.value)?;
@@ -35,12 +35,12 @@
             .zip(route.share.as_ref())
             .and_then(|(pool, share)| {
                 Some(wrenfork_routes::Canary {
-                    pool: number(own, &pool.value)?,
+                    pool: pool_id(own, &pool.value)?,
                     fraction: share.value,
                 })
             });
         Some(wrenfork_routes::Route {
-            pool: number(own, &route.pool.as_ref()?.value)?,
+            pool: pool_id(own, &route.pool.as_ref()?.value)?,
             canary: trial,
         })
     });
@@ -50,16 +50,21 @@
     }
 }
 
-/// Pools beside the halls of the site.
-pub(super) fn pools(a: &In<Application>, site: &Site, found: &mut Vec<Diagnostic>) {
-    let app = a.content;
-    twice(a, "pool", app.pools.iter().map(|p| quoted(&p.name)), found);
-    let used = used(app);
+/// Checks pools against the halls of the site.
+pub(super) fn pools(app_file: &InFile<Application>, site: &Site, found: &mut Vec<Diagnostic>) {
+    let app = app_file.content;
+    report_duplicates(
+        app_file,
+        "pool",
+        app.pools.iter().map(|p| quoted(&p.name)),
+        found,
+    );
+    let used = referenced_pools(app);
     for pool in &app.pools {
-        names_within(a, site, pool, found);
+        names_within(app_file, site, pool, found);
         if !used.contains(&pool.name.value.as_str()) {
             let message = format!("nothing leads to pool \"{}\"", pool.name.value);
-            found.push(a.wrong(Code::UnusedPool, &pool.name, message));
+            found.push(app_file.diagnostic(Code::UnusedPool, &pool.name, message));
         }
     }
     if !site.near.is_empty() && app.pools.len() + MAX_TIERS > MAX_POOLS {
@@ -68,18 +73,18 @@
             app.pools.len()
         );
         let first_too_many = &app.pools[MAX_POOLS - MAX_TIERS].name;
-        let wrong = a.wrong(Code::TooMany, first_too_many, message);
-        found.push(wrong.help("64 pools are the most"));
+        let diagnostic = app_file.diagnostic(Code::TooMany, first_too_many, message);
+        found.push(diagnostic.help("64 pools are the most"));
     }
-    for fault in table(&app.pools, &app.routes, site).errors() {
-        if let TableError::FallbackCycle(cycle) = fault {
-            found.push(fallback_cycle(a, &cycle));
+    for error in table(&app.pools, &app.routes, site).errors() {
+        if let TableError::FallbackCycle(cycle) = error {
+            found.push(fallback_cycle(app_file, &cycle));
         }
     }
 }
 
-/// The names of the pools that a route or another pool leads to.
-fn used(app: &Application) -> Vec<&str> {
+/// Names of the pools that a route, a trial or a fallback refers to.
+fn referenced_pools(app: &Application) -> Vec<&str> {
     let routed = app
         .routes
         .iter()
@@ -91,17 +96,28 @@
         .collect()
 }
 
-/// The halls and the fallback that a pool names are there.
-fn names_within(a: &In<Application>, site: &Site, pool: &Pool, found: &mut Vec<Diagnostic>) {
-    let app = a.content;
+/// Reports unknown halls and fallbacks of a pool.
+fn names_within(
+    app_file: &InFile<Application>,
+    site: &Site,
+    pool: &Pool,
+    found: &mut Vec<Diagnostic>,
+) {
+    let app = app_file.content;
     let halls = || site.halls.iter().map(|h| h.value.as_str());
     for hall in pool.halls.iter().filter(|h| halls().all(|k| k != h.value)) {
-        found.push(unknown(a, Code::NoSuchHall, "hall", hall, halls()));
+        found.push(unknown_name(
+            app_file,
+            Code::NoSuchHall,
+            "hall",
+            hall,
+            halls(),
+        ));
     }
-    let missing = |name: &str| number(&app.pools, name).is_none();
+    let missing = |name: &str| pool_id(&app.pools, name).is_none();
     if let Some(fallback) = pool.fallback.as_ref().filter(|f| missing(&f.value)) {
-        found.push(unknown(
-            a,
+        found.push(unknown_name(
+            app_file,
             Code::NoSuchPool,
             "pool",
             fallback,
@@ -110,8 +126,8 @@
     }
 }
 
-fn fallback_cycle(a: &In<Application>, cycle: &[PoolId]) -> Diagnostic {
-    let pool = |id: &PoolId| &a.content.pools[usize::from(id.0)];
+fn fallback_cycle(app_file: &InFile<Application>, cycle: &[PoolId]) -> Diagnostic {
+    let pool = |id: &PoolId| &app_file.content.pools[usize::from(id.0)];
     let mut names: Vec<&str> = cycle
         .iter()
         .map(|id| pool(id).name.value.as_str())
@@ -120,11 +136,11 @@
     let message = format!("pools fall back in a circle: {}", names.join(", then "));
     let place = |id: &PoolId| {
         let pool = pool(id);
-        a.at(pool.fallback.as_ref().map_or(&pool.name.span, |f| &f.span))
+        app_file.at(pool.fallback.as_ref().map_or(&pool.name.span, |f| &f.span))
     };
-    let mut wrong = Diagnostic::new(Code::Circle, place(&cycle[0]), message);
+    let mut diagnostic = Diagnostic::new(Code::Circle, place(&cycle[0]), message);
     for id in &cycle[1..] {
-        wrong = wrong.with(place(id), "and on from here");
+        diagnostic = diagnostic.with(place(id), "and on from here");
     }
-    wrong.help("let the last one have no fallback")
+    diagnostic.help("let the last one have no fallback")
 }
--- a/crates/config/src/check/together.rs
+++ b/crates/config/src/check/together.rs
@@ -1,8 +1,8 @@
-//! Applications together: names, accounts and addresses that only one may have, and the ceilings of a site.
+//! Checks applications against each other: unique names, accounts and addresses, and the ceilings of the site.
 
 use super::accounts::quotas;
-use super::findings::In;
-use super::ROUNDING;
+use super::findings::InFile;
+use super::ROUNDING_TOLERANCE;
 use crate::codes::Code;
 use crate::diagnostic::{Diagnostic, Place};
 use crate::model::{Application, Ceiling, Sidecar, Site};
@@ -10,19 +10,23 @@
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
-/// How many other applications a diagnostic names.
+/// Most other applications that a diagnostic lists.
 const OTHERS_SHOWN: usize = 4;
 
-/// Applications together.
-pub fn together(apps: &[In<Application>], site: Option<&In<Site>>, found: &mut Vec<Diagnostic>) {
+/// Checks all applications against each other and against the site's ceilings.
+pub fn together(
+    apps: &[InFile<Application>],
+    site: Option<&InFile<Site>>,
+    found: &mut Vec<Diagnostic>,
+) {
     let mut names = BTreeMap::new();
     let mut ids = HashMap::new();
     let mut addresses = BTreeMap::new();
-    for a in apps {
-        name(a, &mut names, found);
-        accounts(a, &mut ids, found);
-        for sidecar in &a.content.sidecars {
-            sockets(a, sidecar, &mut addresses, found);
+    for app_file in apps {
+        name(app_file, &mut names, found);
+        accounts(app_file, &mut ids, found);
+        for sidecar in &app_file.content.sidecars {
+            sockets(app_file, sidecar, &mut addresses, found);
         }
     }
     if let Some(site) = site {
@@ -31,44 +35,46 @@
 }
 
 fn name<'a>(
-    a: &In<'a, Application>,
+    app_file: &InFile<'a, Application>,
     names: &mut BTreeMap<&'a str, Place>,
     found: &mut Vec<Diagnostic>,
 ) {
-    let Some(name) = &a.content.name else { return };
+    let Some(name) = &app_file.content.name else {
+        return;
+    };
     if let Some(first) = names.get(name.value.as_str()) {
         let message = format!("two applications are called \"{}\"", name.value);
-        let wrong = a.wrong(Code::ApplicationTwice, name, message);
-        found.push(wrong.with(first.clone(), "the first one"));
+        let diagnostic = app_file.diagnostic(Code::ApplicationTwice, name, message);
+        found.push(diagnostic.with(first.clone(), "the first one"));
     } else {
-        names.insert(&name.value, a.at(&name.span));
+        names.insert(&name.value, app_file.at(&name.span));
     }
 }
 
-/// The application that an account was first seen with.
+/// The application in which an account was found first.
 struct Owner<'a> {
     application: &'a str,
     place: Place,
 }
 
 fn accounts<'a>(
-    a: &In<'a, Application>,
+    app_file: &InFile<'a, Application>,
     owners: &mut HashMap<u64, Owner<'a>>,
     found: &mut Vec<Diagnostic>,
 ) {
-    for account in &a.content.accounts {
+    for account in &app_file.content.accounts {
         let id = account.id.value;
         match owners.get(&id) {
-            Some(owner) if owner.place.file != a.file => {
+            Some(owner) if owner.place.file != app_file.file => {
                 let message = format!("account {id:016x} is \"{}\"'s already", owner.application);
-                let wrong = a.wrong(Code::AccountTwice, &account.id, message);
-                found.push(wrong.with(owner.place.clone(), "there"));
+                let diagnostic = app_file.diagnostic(Code::AccountTwice, &account.id, message);
+                found.push(diagnostic.with(owner.place.clone(), "there"));
             }
             Some(_) => {} // twice in one file: reported with that file
             None => {
                 let owner = Owner {
-                    application: a.content.called(),
-                    place: a.at(&account.id.span),
+                    application: app_file.content.display_name(),
+                    place: app_file.at(&account.id.span),
                 };
                 owners.insert(id, owner);
             }
@@ -76,7 +82,7 @@
     }
 }
 
-/// Addresses and paths of one sidecar: each as it must differ from others, with its place.
+/// Addresses and paths of one sidecar that no other sidecar may use, each with its span.
 fn addresses(sidecar: &Sidecar) -> impl Iterator<Item = (String, &Range<usize>)> {
     let listen = sidecar
         .listen
@@ -95,7 +101,7 @@
 }
 
 fn sockets(
-    a: &In<Application>,
+    app_file: &InFile<Application>,
     sidecar: &Sidecar,
     taken: &mut BTreeMap<String, Place>,
     found: &mut Vec<Diagnostic>,
@@ -103,103 +109,113 @@
     for (address, span) in addresses(sidecar) {
         if let Some(first) = taken.get(&address) {
             let message = format!("{} is taken already", address.trim_end_matches("/udp"));
-            let wrong = Diagnostic::new(Code::AddressTwice, a.at(span), message);
-            found.push(wrong.with(first.clone(), "by this one"));
+            let diagnostic = Diagnostic::new(Code::AddressTwice, app_file.at(span), message);
+            found.push(diagnostic.with(first.clone(), "by this one"));
         } else {
-            taken.insert(address, a.at(span));
+            taken.insert(address, app_file.at(span));
         }
     }
 }
 
-/// What one application promises the accounts of a plan.
-struct Promise<'a> {
+/// Sum of the quotas that one application gives on a plan.
+struct QuotaSum<'a> {
     application: &'a str,
-    /// The sum of its accounts' quotas, in units a second.
+    /// Sum of the accounts' quotas, in units per second.
     rate: f64,
-    /// Its first account on the plan.
+    /// The application's first account on the plan.
     place: Place,
 }
 
-impl Promise<'_> {
-    fn shown(&self) -> String {
+impl QuotaSum<'_> {
+    fn display(&self) -> String {
         format!("\"{}\" {}", self.application, show_rate(self.rate))
     }
 }
 
-/// By plan, what each application promises.
-fn promises<'a>(
-    apps: &[In<'a, Application>],
+/// The applications' quota sums, by plan.
+fn quota_sums<'a>(
+    apps: &[InFile<'a, Application>],
     site: &'a Site,
-) -> HashMap<&'a str, Vec<Promise<'a>>> {
-    let mut promised: HashMap<&str, Vec<Promise>> = HashMap::new();
-    for a in apps {
-        let mut own: BTreeMap<&str, Promise> = BTreeMap::new();
-        for (plan, quota) in quotas(a.content, site) {
-            let promise = own.entry(&plan.value).or_insert_with(|| Promise {
-                application: a.content.called(),
+) -> HashMap<&'a str, Vec<QuotaSum<'a>>> {
+    let mut sums: HashMap<&str, Vec<QuotaSum>> = HashMap::new();
+    for app_file in apps {
+        let mut own: BTreeMap<&str, QuotaSum> = BTreeMap::new();
+        for (plan, quota) in quotas(app_file.content, site) {
+            let sum = own.entry(&plan.value).or_insert_with(|| QuotaSum {
+                application: app_file.content.display_name(),
                 rate: 0.0,
-                place: a.at(&plan.span),
+                place: app_file.at(&plan.span),
             });
-            promise.rate += quota;
+            sum.rate += quota;
         }
-        for (plan, promise) in own {
-            promised.entry(plan).or_default().push(promise);
+        for (plan, sum) in own {
+            sums.entry(plan).or_default().push(sum);
         }
     }
-    promised
+    sums
 }
 
-fn ceilings(apps: &[In<Application>], s: &In<Site>, found: &mut Vec<Diagnostic>) {
-    let promised = promises(apps, s.content);
-    for ceiling in &s.content.ceilings {
-        let Some(parts) = promised.get(ceiling.plan.value.as_str()) else {
+fn ceilings(apps: &[InFile<Application>], site_file: &InFile<Site>, found: &mut Vec<Diagnostic>) {
+    let sums = quota_sums(apps, site_file.content);
+    for ceiling in &site_file.content.ceilings {
+        let Some(parts) = sums.get(ceiling.plan.value.as_str()) else {
             continue;
         };
         let sum: f64 = parts.iter().map(|p| p.rate).sum();
-        if sum > ceiling.rate.value * (1.0 + ROUNDING) {
-            found.push(over_ceiling(s, ceiling, parts, sum));
+        if sum > ceiling.rate.value * (1.0 + ROUNDING_TOLERANCE) {
+            found.push(over_ceiling(site_file, ceiling, parts, sum));
         }
     }
 }
 
-/// Quotas over a ceiling, reported at the application that went past it; the others, the greatest first, as its company.
-fn over_ceiling(s: &In<Site>, ceiling: &Ceiling, parts: &[Promise], sum: f64) -> Diagnostic {
-    let most = ceiling.rate.value;
-    let mut so_far = 0.0;
-    let past = parts.iter().position(|p| {
-        so_far += p.rate;
-        so_far > most * (1.0 + ROUNDING)
+/// A diagnostic for quotas above a ceiling. It points at the application with which the running sum first exceeds the
+/// ceiling, and lists the others by descending quotas.
+fn over_ceiling(
+    site_file: &InFile<Site>,
+    ceiling: &Ceiling,
+    parts: &[QuotaSum],
+    sum: f64,
+) -> Diagnostic {
+    let max_rate = ceiling.rate.value;
+    let mut running_sum = 0.0;
+    let exceeding = parts.iter().position(|p| {
+        running_sum += p.rate;
+        running_sum > max_rate * (1.0 + ROUNDING_TOLERANCE)
     });
-    let past = past.unwrap_or(parts.len() - 1);
-    let others = parts.iter().enumerate().filter(|(n, _)| *n != past);
-    let mut others: Vec<&Promise> = others.map(|(_, p)| p).collect();
+    let exceeding = exceeding.unwrap_or(parts.len() - 1);
+    let other_parts = parts.iter().enumerate().filter(|(n, _)| *n != exceeding);
+    let mut others: Vec<&QuotaSum> = other_parts.map(|(_, p)| p).collect();
     others.sort_by(|a, b| b.rate.total_cmp(&a.rate));
     let hidden = others.len().saturating_sub(OTHERS_SHOWN);
     others.truncate(OTHERS_SHOWN);
-    let mut shown = vec![parts[past].shown()];
-    shown.extend(others.iter().map(|p| p.shown()));
-    let more = if hidden > 0 {
+    let mut shown = vec![parts[exceeding].display()];
+    shown.extend(others.iter().map(|p| p.display()));
+    let hidden_note = if hidden > 0 {
         format!(" and {hidden} more")
     } else {
         String::new()
     };
     let message = format!(
-        "quotas on plan \"{}\" come to {}, and the ceiling is {}: {}{more}",
+        "quotas on plan \"{}\" come to {}, and the ceiling is {}: {}{hidden_note}",
         ceiling.plan.value,
         show_rate(sum),
-        show_rate(most),
+        show_rate(max_rate),
         shown.join(" + "),
     );
-    let part = format!("the ceiling of {}", show_rate(most));
-    let mut wrong = Diagnostic::new(Code::CeilingTogether, parts[past].place.clone(), message)
-        .with(s.at(&ceiling.rate.span), part);
+    let note = format!("the ceiling of {}", show_rate(max_rate));
+    let mut diagnostic = Diagnostic::new(
+        Code::CeilingTogether,
+        parts[exceeding].place.clone(),
+        message,
+    )
+    .with(site_file.at(&ceiling.rate.span), note);
     for other in others {
-        let part = format!(
+        let note = format!(
             "\"{}\" has {} of it",
             other.application,
             show_rate(other.rate)
         );
-        wrong = wrong.with(other.place.clone(), part);
+        diagnostic = diagnostic.with(other.place.clone(), note);
     }
-    wrong.help("lower a quota, or have the site raise the ceiling")
+    diagnostic.help("lower a quota, or have the site raise the ceiling")
 }
--- a/crates/config/src/codes.rs
+++ b/crates/config/src/codes.rs
@@ -1,15 +1,15 @@
-//! Everything that can be wrong with a file, each under a code that stays the same from version to version.
+//! Every kind of mistake in a file. A code keeps its meaning from version to version.
 
 use std::fmt;
 
-/// Whether a file with it is refused.
+/// Effect of a mistake on its file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
     /// The file could not be read at all.
     Unreadable,
     /// The file is refused.
     Refused,
-    /// It is told, and the file is taken.
+    /// The mistake is reported and the file is accepted.
     Warned,
 }
 
@@ -20,25 +20,25 @@
         pub enum Code { $(#[doc = $title] $name,)* }
 
         impl Code {
-            /// All of them, in the order of their numbers.
+            /// All codes in ascending order of their ids.
             pub const ALL: &'static [Code] = &[$(Code::$name,)*];
 
-            /// Its number, such as `C101`.
+            /// Stable id, such as `C101`.
             pub fn id(self) -> &'static str {
                 match self { $(Code::$name => $id,)* }
             }
 
-            /// Whether a file with it is refused.
+            /// Effect of the mistake on its file.
             pub fn severity(self) -> Severity {
                 match self { $(Code::$name => Severity::$severity,)* }
             }
 
-            /// What it is, in a few words.
+            /// Short description.
             pub fn title(self) -> &'static str {
                 match self { $(Code::$name => $title,)* }
             }
 
-            /// What it means, why it matters and what to do.
+            /// Explanation of the mistake, why it matters and how to fix it.
             pub fn explain(self) -> &'static str {
                 match self { $(Code::$name => $explain,)* }
             }
@@ -194,7 +194,7 @@
 }
 
 impl Code {
-    /// The code with a number such as `C101`, in any case.
+    /// Finds a code by its id, such as `C101`; letter case is ignored.
     pub fn by_id(id: &str) -> Option<Code> {
         Code::ALL
             .iter()
--- a/crates/config/src/codes/tests.rs
+++ b/crates/config/src/codes/tests.rs
@@ -1,7 +1,7 @@
 use super::Code;
 
 #[test]
-fn numbers_are_given_once_and_in_order() {
+fn code_ids_are_unique_and_sorted() {
     let ids: Vec<&str> = Code::ALL.iter().map(|c| c.id()).collect();
     let mut sorted = ids.clone();
     sorted.sort_unstable();
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -1,35 +1,35 @@
-//! What is wrong with files, and where.
+//! Mistakes found in files, with their places.
 
 use crate::codes::{Code, Severity};
 use crate::source::Source;
 use std::ops::Range;
 
-/// A place in one of the files that were given.
+/// A place in one of the checked files.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// The file's place among those given.
+    /// Index of the file in its set.
     pub file: usize,
-    /// Bytes of its text.
+    /// Byte range in the file's text.
     pub span: Range<usize>,
 }
 
-/// One mistake.
+/// One mistake found in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// What kind it is.
+    /// Kind of mistake.
     pub code: Code,
-    /// What is wrong, with the names and numbers at hand.
+    /// Description of the mistake with the names and numbers involved.
     pub message: String,
-    /// Where; none for a file that could not be read.
+    /// Place of the mistake; an empty span at 0 for a file that could not be read.
     pub place: Place,
-    /// Other places that have a part in it, each with a word on that part.
+    /// Other places involved, each with a note on its role.
     pub related: Vec<(Place, String)>,
-    /// What to do.
+    /// Advice on how to fix the mistake.
     pub help: Option<String>,
 }
 
 impl Diagnostic {
-    /// A mistake at a place.
+    /// A diagnostic without related places or help.
     pub fn new(code: Code, place: Place, message: impl Into<String>) -> Self {
         Diagnostic {
             code,
@@ -40,26 +40,26 @@
         }
     }
 
-    /// Adds another place.
+    /// Adds a related place with a note on its role.
     #[must_use]
-    pub fn with(mut self, place: Place, part: impl Into<String>) -> Self {
-        self.related.push((place, part.into()));
+    pub fn with(mut self, place: Place, note: impl Into<String>) -> Self {
+        self.related.push((place, note.into()));
         self
     }
 
-    /// Adds what to do.
+    /// Sets the advice on how to fix the mistake.
     #[must_use]
     pub fn help(mut self, help: impl Into<String>) -> Self {
         self.help = Some(help.into());
         self
     }
 
-    /// Whether a file with it is refused.
+    /// Whether the mistake makes its file invalid; false for a warning.
     pub fn refused(&self) -> bool {
         self.code.severity() != Severity::Warned
     }
 
-    /// As a line for logs: `file:line:column: C101: message`.
+    /// Formats the diagnostic as a log line: `file:line:column: C101: message`.
     pub fn line(&self, sources: &[Source]) -> String {
         let Some(source) = sources.get(self.place.file) else {
             return format!("{}: {}", self.code, self.message);
@@ -72,7 +72,7 @@
     }
 }
 
-/// Puts mistakes into the order of the files, and of the places in them.
+/// Sorts diagnostics by file and place and removes duplicates.
 pub fn sort(found: &mut Vec<Diagnostic>) {
     found.sort_by(|a, b| {
         let key = |d: &Diagnostic| (d.place.file, d.place.span.start, d.place.span.end, d.code);
--- a/crates/config/src/enforced.rs
+++ b/crates/config/src/enforced.rs
@@ -1,11 +1,13 @@
-//! What of an ingress's settings may change while it serves, as keys and values, and what is fixed from its start on.
+//! Splits an ingress's settings into the enforced state, which may change while the ingress runs, and the settings that are
+//! fixed at its start.
 //!
-//! The keys are those of the settings (`contracts.1.quota_rate`), and besides `discovery`, `sends` and `accounts.HEX` for a
-//! sidecar. A place in the lists `contracts` and `grades` belongs to a name: requests that are open, and peers' messages,
-//! name classes and plans by their places. [`align`] gives a wanted state the places that a running one has.
+//! The keys of the state are those of the settings (`contracts.1.quota_rate`), plus `discovery`, `sends` and `accounts.HEX`
+//! for a sidecar. An index in the lists `contracts`, `grades` and `pools` belongs to a name, because open requests and
+//! messages between peers refer to classes and plans by index. [`align`] gives a wanted state the indexes of the running
+//! states.
 
 use crate::callers;
-use crate::locality::ways;
+use crate::locality::pools_and_routes;
 use crate::model::{self, Application, Fleet, Site};
 pub use crate::pairs::Pairs;
 use crate::render::{contracts, render};
@@ -16,7 +18,7 @@
 use wrenfork_rollout::PROGRAM_KEY;
 use wrenfork_routes::{Canary, Pool, PoolId, Route, Selector, Table};
 
-/// The keys of a class, a plan, the limits and the rules that may change.
+/// Changeable fields of a class.
 const CLASS: [&str; 10] = [
     "name",
     "effect",
@@ -29,6 +31,7 @@
     "late_worth",
     "stream",
 ];
+/// Changeable fields of a plan.
 const PLAN: [&str; 10] = [
     "name",
     "quota_rate",
@@ -41,6 +44,7 @@
     "over_worth",
     "beyond_costs",
 ];
+/// Changeable limits.
 const LIMITS: [&str; 9] = [
     "most_tries",
     "second_copies",
@@ -52,8 +56,11 @@
     "connect_timeout_us",
     "keepalive_us",
 ];
+/// Changeable fields of a pool.
 const POOL: [&str; 6] = ["name", "halls", "models", "groups", "nodes", "fallback"];
+/// Changeable fields of a route.
 const ROUTE: [&str; 3] = ["pool", "trial", "share"];
+/// Changeable parameters of the rules.
 const RULES: [&str; 7] = [
     "answer_slack_us",
     "drain_grace_us",
@@ -63,13 +70,14 @@
     "fall_us",
     "must_ask_in_us",
 ];
-/// The lists whose places belong to names.
+/// Lists in which an index belongs to a name.
 const LISTS: [&str; 3] = ["contracts", "grades", "pools"];
-/// Classes have a byte for their place, and one that went keeps its own.
-const MOST_CLASSES: usize = 250;
-const MOST_PLANS: usize = 60_000;
+/// Most indexes for classes: a class index is one byte, and a removed class keeps its index.
+const MAX_CLASSES: usize = 250;
+/// Most indexes for plans, including those of removed plans.
+const MAX_PLANS: usize = 60_000;
 
-/// Whether a key may change while an ingress serves.
+/// Whether the value of a key may change while an ingress runs.
 pub fn changeable(key: &str) -> bool {
     let parts: Vec<&str> = key.split('.').collect();
     match parts[..] {
@@ -80,7 +88,7 @@
         ["grades", n, field] => n.parse::<u16>().is_ok() && CLASS.contains(&field),
         ["contracts", n, field] => n.parse::<u16>().is_ok() && PLAN.contains(&field),
         ["pools", n, field] => n.parse::<u8>().is_ok() && POOL.contains(&field),
-        // A class's name may have dots of its own.
+        // A class name may contain dots.
         ["routes", _, .., field] => ROUTE.contains(&field),
         ["identity", ..] => callers::changeable(key),
         ["limits", field] => LIMITS.contains(&field),
@@ -89,7 +97,7 @@
     }
 }
 
-/// Flattens nested settings to paths with values.
+/// Flattens nested settings to pairs of a dotted path and a value.
 pub fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
     let below = |key: &str| {
         if path.is_empty() {
@@ -120,63 +128,63 @@
     }
 }
 
-/// What an ingress is told, split into what is fixed and what may change.
+/// Settings of an ingress, split into fixed ones and enforced state.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Told {
-    /// Settings that are fixed from the start on.
+pub struct SplitSettings {
+    /// Settings that are fixed when the ingress starts.
     pub fixed: Vec<(String, String)>,
-    /// What may change.
+    /// Enforced state, which may change while the ingress runs.
     pub state: Pairs,
 }
 
-/// Splits what an ingress is told.
+/// Splits the JSON settings of an ingress.
 ///
 /// # Errors
 ///
-/// Where it has no settings.
-pub fn split(told: &Value) -> Result<Told, String> {
+/// Fails if the object `settings` is missing.
+pub fn split(config: &Value) -> Result<SplitSettings, String> {
     let mut pairs = Vec::new();
     flatten(
         "",
-        told.get("settings").ok_or("settings is missing")?,
+        config.get("settings").ok_or("settings is missing")?,
         &mut pairs,
     );
     let (state, fixed) = pairs
         .into_iter()
         .partition::<Vec<_>, _>(|(key, _)| changeable(key));
     let mut state: Pairs = state.into_iter().collect();
-    if let Some(discovery) = told.get("discovery").and_then(Value::as_str) {
+    if let Some(discovery) = config.get("discovery").and_then(Value::as_str) {
         state.insert("discovery".into(), discovery.into());
     }
-    Ok(Told { fixed, state })
+    Ok(SplitSettings { fixed, state })
 }
 
-/// What a sidecar is told, and the same split.
+/// The JSON settings of a sidecar, whole and split.
 ///
 /// # Errors
 ///
-/// Where the application has no sidecar of that name.
+/// Fails if the application has no sidecar of that name.
 pub fn sidecar(
     app: &Application,
     site: &Site,
     fleet: Option<&Fleet>,
     name: &str,
-) -> Result<(Value, Told), String> {
-    let told = render(app, site, fleet, name)?;
-    let mut split = split(&told)?;
-    let list = contracts(app, site);
+) -> Result<(Value, SplitSettings), String> {
+    let config = render(app, site, fleet, name)?;
+    let mut split = split(&config)?;
+    let contracts = contracts(app, site);
     let accounts = app.accounts.iter().filter_map(|a| {
-        let place = list.of.get(&a.id.value)?;
-        Some((a.id.value, list.list.get(*place)?.0.as_str()))
+        let index = contracts.index_by_account.get(&a.id.value)?;
+        Some((a.id.value, contracts.list.get(*index)?.0.as_str()))
     });
-    identify(
+    insert_accounts(
         &mut split.state,
         accounts,
         app.sends.iter().map(|c| c.value.as_str()),
     );
-    let place = app.sidecars.iter().find(|c| c.name.value == name);
-    let (pools, routes) = ways(app, site, place);
-    route(&mut split.state, &pools, &routes);
+    let sidecar = app.sidecars.iter().find(|c| c.name.value == name);
+    let (pools, routes) = pools_and_routes(app, site, sidecar);
+    insert_routing(&mut split.state, &pools, &routes);
     if let Some(program) = &app.program {
         split.state.insert(
             PROGRAM_KEY.into(),
@@ -185,12 +193,12 @@
     }
     app.identity
         .iter()
-        .for_each(|identity| callers::put(&mut split.state, identity));
-    Ok((told, split))
+        .for_each(|identity| callers::insert_identity(&mut split.state, identity));
+    Ok((config, split))
 }
 
-/// A sidecar's pools and routes.
-pub(crate) fn route(state: &mut Pairs, pools: &[model::Pool], routes: &[model::Route]) {
+/// Inserts pools and routes into a state.
+pub(crate) fn insert_routing(state: &mut Pairs, pools: &[model::Pool], routes: &[model::Route]) {
     if pools.is_empty() {
         return;
     }
@@ -215,25 +223,25 @@
     }
     for route in routes {
         let class = &route.class.value;
-        let mut put = |key: &str, value: Option<String>| {
+        let mut insert = |key: &str, value: Option<String>| {
             if let Some(value) = value {
                 state.insert(format!("routes.{class}.{key}"), value);
             }
         };
-        put("pool", route.pool.as_ref().map(|p| p.value.clone()));
-        put("trial", route.trial.as_ref().map(|p| p.value.clone()));
-        put("share", route.share.as_ref().map(|s| s.value.to_string()));
+        insert("pool", route.pool.as_ref().map(|p| p.value.clone()));
+        insert("trial", route.trial.as_ref().map(|p| p.value.clone()));
+        insert("share", route.share.as_ref().map(|s| s.value.to_string()));
     }
 }
 
-/// The pools and routes of a state, with the routes in the order of its classes, and the names of the pools.
+/// The pools and routes of a state, with the routes in the order of the state's classes, and the names of the pools.
 ///
 /// # Errors
 ///
-/// Names what leads nowhere or in a circle.
+/// Names a pool that does not exist, a fallback cycle or an invalid value.
 pub fn table(state: &Pairs) -> Result<(Table, Vec<String>), String> {
     let pool_names = names(state, "pools");
-    let number = |name: &str| {
+    let pool_id = |name: &str| {
         let at = pool_names.iter().position(|n| !n.is_empty() && n == name);
         at.and_then(|n| u8::try_from(n).ok())
             .map(PoolId)
@@ -242,7 +250,7 @@
     let field = |list: &str, at: &str, key: &str| {
         state.get(&format!("{list}.{at}.{key}")).map(String::as_str)
     };
-    let words = |n: usize, key: &str| -> Vec<String> {
+    let list_items = |n: usize, key: &str| -> Vec<String> {
         let text = field("pools", &n.to_string(), key).unwrap_or("");
         text.split(',')
             .filter(|w| !w.is_empty())
@@ -251,21 +259,21 @@
     };
     let mut table = Table::default();
     for (n, name) in pool_names.iter().enumerate() {
-        let groups = words(n, "groups")
+        let groups = list_items(n, "groups")
             .iter()
             .map(|g| g.parse().map_err(|_| format!("{g} is no group")))
             .collect();
         let groups: Result<Vec<u64>, String> = groups;
         let selector = Selector {
-            zone_groups: words(n, "halls"),
-            machine_types: words(n, "models"),
+            zone_groups: list_items(n, "halls"),
+            machine_types: list_items(n, "models"),
             cells: groups?,
-            nodes: words(n, "nodes"),
+            nodes: list_items(n, "nodes"),
         };
         let fallback = field("pools", &n.to_string(), "fallback").filter(|_| !name.is_empty());
         table.pools.push(Pool {
             selector,
-            fallback: fallback.map(number).transpose()?,
+            fallback: fallback.map(pool_id).transpose()?,
         });
     }
     for class in names(state, "grades") {
@@ -281,14 +289,14 @@
                 let share = share.parse().ok().filter(|s: &f64| (0.0..=1.0).contains(s));
                 let share = share.ok_or_else(|| format!("routes.{class}.share is no share"))?;
                 Some(Canary {
-                    pool: number(trial)?,
+                    pool: pool_id(trial)?,
                     fraction: share,
                 })
             }
             _ => None,
         };
         table.routes.push(Some(Route {
-            pool: number(pool)?,
+            pool: pool_id(pool)?,
             canary: trial,
         }));
     }
@@ -298,8 +306,8 @@
     }
 }
 
-/// A sidecar's accounts, with the names of their contracts, and the classes that it may send.
-fn identify<'a>(
+/// Inserts a sidecar's accounts with the names of their contracts, and the classes that the application may send.
+fn insert_accounts<'a>(
     state: &mut Pairs,
     accounts: impl IntoIterator<Item = (u64, &'a str)>,
     sends: impl IntoIterator<Item = &'a str>,
@@ -312,11 +320,11 @@
     state.insert("sends".into(), sends.join(","));
 }
 
-/// Settings from what is fixed and what may change.
+/// Joins fixed settings and enforced state to complete settings.
 ///
 /// # Errors
 ///
-/// Names a key that this program does not know, or whose value it can't use.
+/// Names a key of the state that is unknown or fixed.
 pub fn join(fixed: &[(String, String)], state: &Pairs) -> Result<Conf, String> {
     if let Some(key) = state.keys().find(|key| !changeable(key)) {
         return Err(format!(
@@ -331,7 +339,7 @@
     ))
 }
 
-/// The names of a list by their places; empty for one that went.
+/// Names in a list by index; empty for a removed one.
 pub(crate) fn names(state: &Pairs, list: &str) -> Vec<String> {
     let count = state
         .get(&format!("{list}.count"))
@@ -347,131 +355,132 @@
         .collect()
 }
 
-/// A wanted state with the places that running ones have, those of all ingresses that tell each other what is used: a place
-/// means the same at all of them. A name keeps its place; a new one takes a place that is nobody's anywhere, else the next one.
-/// A place between others whose name went has no name and the figures of the first that has one, so that the same names at
-/// the same places are always the same state.
+/// Gives a wanted state the indexes of the running states. `running` has the states of all ingresses that exchange usage
+/// reports, because an index must mean the same at all of them. A name keeps its index; a new name takes an index that is
+/// free everywhere, or the next one. An unused index between used ones has an empty name and the fields of the first named
+/// entry, so that the same names at the same indexes always give the same state.
 ///
 /// # Errors
 ///
-/// Where no place is left.
+/// Fails if no index is left.
 pub fn align(running: &[&Pairs], wanted: &Pairs) -> Result<Pairs, String> {
-    let of_list = |key: &str| {
+    let is_list_key = |key: &str| {
         LISTS.iter().any(|l| {
             key.strip_prefix(l)
                 .is_some_and(|rest| rest.starts_with('.'))
         })
     };
-    let mut out: Pairs = wanted
+    let mut aligned: Pairs = wanted
         .iter()
-        .filter(|(key, _)| !of_list(key))
+        .filter(|(key, _)| !is_list_key(key))
         .map(|(k, v)| (k.clone(), v.clone()))
         .collect();
     for list in LISTS {
-        let (has, wants) = (
+        let (running_names, wanted_names) = (
             running.iter().map(|r| names(r, list)).collect::<Vec<_>>(),
             names(wanted, list),
         );
-        let known = has.iter().map(Vec::len).max().unwrap_or(0);
-        // Who has a place, at any of them; two who have one place keep it neither.
-        let mut holders: Vec<Option<&str>> = vec![None; known];
-        let mut torn = vec![false; known];
-        for names in &has {
-            for (place, name) in names
+        let known = running_names.iter().map(Vec::len).max().unwrap_or(0);
+        // The name at each index in any running state. If two names share an index, neither keeps it.
+        let mut names_by_index: Vec<Option<&str>> = vec![None; known];
+        let mut conflicting = vec![false; known];
+        for names in &running_names {
+            for (index, name) in names
                 .iter()
                 .enumerate()
                 .filter(|(_, name)| !name.is_empty())
             {
-                torn[place] |= holders[place].is_some_and(|h| h != name);
-                holders[place] = Some(name);
+                conflicting[index] |= names_by_index[index].is_some_and(|h| h != name);
+                names_by_index[index] = Some(name);
             }
         }
-        let mut place_of: HashMap<&str, usize> = HashMap::new();
-        let mut split: Vec<&str> = Vec::new();
-        for (place, holder) in holders.iter().enumerate() {
-            let Some(name) = holder.filter(|_| !torn[place]) else {
+        let mut index_of: HashMap<&str, usize> = HashMap::new();
+        let mut ambiguous: Vec<&str> = Vec::new();
+        for (index, holder) in names_by_index.iter().enumerate() {
+            let Some(name) = holder.filter(|_| !conflicting[index]) else {
                 continue;
             };
-            if place_of.insert(name, place).is_some() {
-                split.push(name); // at one place here, at another there
+            if index_of.insert(name, index).is_some() {
+                ambiguous.push(name); // has different indexes in different states
             }
         }
-        place_of.retain(|name, _| !split.contains(name));
+        index_of.retain(|name, _| !ambiguous.contains(name));
         let mut free: Vec<usize> = (0..known)
             .rev()
-            .filter(|place| holders[*place].is_none())
+            .filter(|index| names_by_index[*index].is_none())
             .collect();
         let (mut next, mut from): (usize, BTreeMap<usize, usize>) = (known, BTreeMap::new());
-        for (at, name) in wants
+        for (at, name) in wanted_names
             .iter()
             .enumerate()
             .filter(|(_, name)| !name.is_empty())
         {
-            let place = place_of
+            let index = index_of
                 .get(name.as_str())
                 .copied()
                 .or_else(|| free.pop())
                 .unwrap_or(next);
-            next = next.max(place + 1);
-            from.insert(place, at);
+            next = next.max(index + 1);
+            from.insert(index, at);
         }
-        let count = from.last_key_value().map_or(0, |(place, _)| place + 1);
-        let most = match list {
-            "grades" => MOST_CLASSES,
+        let count = from.last_key_value().map_or(0, |(index, _)| index + 1);
+        let max_count = match list {
+            "grades" => MAX_CLASSES,
             "pools" => wrenfork_routes::MAX_POOLS,
-            _ => MOST_PLANS,
+            _ => MAX_PLANS,
         };
-        if count > most {
+        if count > max_count {
             return Err(format!(
                 "{list} has no place left for a new name: a restart of all gives those that went free"
             ));
         }
         let first = from.first_key_value().map_or(0, |(_, at)| *at);
-        for place in 0..count {
-            let named = from.get(&place);
+        for index in 0..count {
+            let named = from.get(&index);
             let prefix = format!("{list}.{}.", named.unwrap_or(&first));
             let fields = wanted
                 .range(prefix.clone()..)
                 .take_while(|(key, _)| key.starts_with(&prefix));
             for (key, value) in fields {
-                out.insert(
-                    format!("{list}.{place}.{}", &key[prefix.len()..]),
+                aligned.insert(
+                    format!("{list}.{index}.{}", &key[prefix.len()..]),
                     value.clone(),
                 );
             }
             if named.is_none() {
-                out.insert(format!("{list}.{place}.name"), String::new());
+                aligned.insert(format!("{list}.{index}.name"), String::new());
             }
         }
         if wanted.contains_key(&format!("{list}.count")) {
-            out.insert(format!("{list}.count"), count.to_string());
+            aligned.insert(format!("{list}.count"), count.to_string());
         }
     }
-    Ok(out)
+    Ok(aligned)
 }
 
-/// A key as people say it: the name of a class or plan in place of its place.
-pub fn spoken(key: &str, old: &Pairs, new: &Pairs) -> String {
+/// A key for people, with the name of a class, plan or pool instead of its index. The name is looked up in `new`, then in
+/// `old`.
+pub fn display_key(key: &str, old: &Pairs, new: &Pairs) -> String {
     let mut parts = key.splitn(3, '.');
-    let (Some(list), Some(place), Some(field)) = (parts.next(), parts.next(), parts.next()) else {
+    let (Some(list), Some(entry), Some(field)) = (parts.next(), parts.next(), parts.next()) else {
         return key
             .strip_prefix("accounts.")
             .map_or(key.to_string(), |id| format!("account {id}"));
     };
-    let word = match list {
+    let kind = match list {
         "contracts" => "plan",
         "grades" => "class",
         "pools" => "pool",
-        "routes" => return format!("route {place} {field}"),
+        "routes" => return format!("route {entry} {field}"),
         _ => return key.to_string(),
     };
-    let at = format!("{list}.{place}.name");
+    let at = format!("{list}.{entry}.name");
     let name = [new, old]
         .iter()
         .find_map(|s| s.get(&at).filter(|n| !n.is_empty()).cloned());
     format!(
-        "{word} {} {field}",
-        name.unwrap_or_else(|| place.to_string())
+        "{kind} {} {field}",
+        name.unwrap_or_else(|| entry.to_string())
     )
 }
 
--- a/crates/config/src/enforced/tests.rs
+++ b/crates/config/src/enforced/tests.rs
@@ -1,4 +1,4 @@
-use super::{align, changeable, join, names, spoken, Pairs};
+use super::{align, changeable, display_key, join, names, Pairs};
 
 fn state(plans: &[(&str, u32)]) -> Pairs {
     let mut s = Pairs::new();
@@ -11,15 +11,15 @@
     s
 }
 
-/// Guards against open requests and peers' counts that pass to another plan because a file's order changed.
+/// Guards against counting open requests and peers' usage for another plan after the order in a file changed.
 #[test]
-fn a_name_keeps_its_place_whatever_else_comes_and_goes() {
+fn names_keep_their_index_when_others_are_added_or_removed() {
     let running = state(&[("a", 1), ("b", 2), ("c", 3)]);
     let next = align(&[&running], &state(&[("d", 4), ("c", 30), ("a", 1)])).unwrap();
     assert_eq!(names(&next, "contracts"), ["a", "", "c", "d"]);
     assert_eq!(
         next["contracts.1.quota_rate"], "1",
-        "a place without a name has the figures of the first"
+        "an unused index has the fields of the first named entry"
     );
     assert_eq!(next["contracts.2.quota_rate"], "30");
     let later = align(&[&next], &state(&[("a", 1), ("c", 30), ("d", 4), ("e", 5)])).unwrap();
@@ -28,18 +28,18 @@
     assert_eq!(
         align(&[&later], &other_order).unwrap(),
         later,
-        "nothing differs"
+        "the order of the wanted state has no effect"
     );
     assert_eq!(
         align(&[&next], &running).unwrap(),
         running,
-        "there and back again is the same state"
+        "undoing a change restores the state"
     );
 }
 
-/// Guards against ingresses that tell each other of a plan by a place that means another one there.
+/// Guards against ingresses that report usage to each other under an index that means another plan at the receiver.
 #[test]
-fn ingresses_with_other_histories_come_to_the_same_places() {
+fn ingresses_with_different_histories_get_the_same_indexes() {
     let (one, two) = (
         state(&[("a", 1), ("b", 2), ("c", 3)]),
         state(&[("a", 1), ("c", 3), ("b", 2), ("x", 9)]),
@@ -47,19 +47,19 @@
     let wanted = state(&[("a", 1), ("b", 2), ("c", 3), ("d", 4)]);
     let next = align(&[&one, &two], &wanted).unwrap();
     assert_eq!(next, align(&[&two, &one], &wanted).unwrap());
-    let has = names(&next, "contracts");
+    let aligned = names(&next, "contracts");
     assert_eq!(
-        (&*has[0], has[1].is_empty(), has[2].is_empty()),
+        (&*aligned[0], aligned[1].is_empty(), aligned[2].is_empty()),
         ("a", true, true),
-        "{has:?}"
+        "{aligned:?}"
     );
-    let mut named: Vec<&String> = has.iter().filter(|n| !n.is_empty()).collect();
+    let mut named: Vec<&String> = aligned.iter().filter(|n| !n.is_empty()).collect();
     named.sort();
     assert_eq!(named, ["a", "b", "c", "d"]);
 }
 
 #[test]
-fn ten_places_and_more_are_not_mixed_up() {
+fn lists_of_more_than_ten_entries_keep_their_order() {
     let names_of: Vec<String> = (0..12).map(|n| format!("p{n}")).collect();
     let list: Vec<(&str, u32)> = names_of.iter().map(|n| n.as_str()).zip(0..).collect();
     let running = state(&list);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_is_fixed_or_unknown_is_refused_by_its_key() {
+fn fixed_and_unknown_keys_are_rejected_by_name() {
     for key in [
         "n_instances",
         "grades.0.colour",
@@ -86,15 +86,15 @@
 }
 
 #[test]
-fn people_read_names_in_place_of_numbers() {
+fn displayed_keys_have_names_instead_of_indexes() {
     let s = state(&[("a", 1)]);
     assert_eq!(
-        spoken("contracts.0.quota_rate", &s, &s),
+        display_key("contracts.0.quota_rate", &s, &s),
         "plan a quota_rate"
     );
     assert_eq!(
-        spoken("accounts.00000000000004d2", &s, &s),
+        display_key("accounts.00000000000004d2", &s, &s),
         "account 00000000000004d2"
     );
-    assert_eq!(spoken("rules.cold_us", &s, &s), "rules.cold_us");
+    assert_eq!(display_key("rules.cold_us", &s, &s), "rules.cold_us");
 }
--- a/crates/config/src/form.rs
+++ b/crates/config/src/form.rs
@@ -1,103 +1,103 @@
-//! The language of the three kinds of files: each table with its keys, what may stand there, and what it is for. The
-//! reader, the JSON Schema, the operators' reference and the templates are all made from these tables.
+//! The form of all kinds of files: each table with its keys, their types and descriptions. The reader, the JSON Schema, the
+//! operators' reference and the templates are generated from these tables.
 
 mod tables;
 
 pub use tables::{APPLICATION, FLEET, INGRESS, SITE};
 
-/// The version of the form that this program writes and reads.
+/// Version of the form that this program reads and writes.
 pub const VERSION: u64 = 1;
 
-/// What may stand at a key.
+/// Type of a key's value.
 #[derive(Clone, Copy, Debug)]
 pub enum Kind {
     /// Any text.
     Text,
     /// A name that others refer to.
     Name,
-    /// One of these words.
+    /// One of the listed words.
     Choice(&'static [&'static str]),
     /// True or false.
     Flag,
-    /// A whole number from one to another.
-    Whole(u64, u64),
-    /// A number from one to another.
+    /// An integer within an inclusive range.
+    Integer(u64, u64),
+    /// A number within an inclusive range.
     Number(f64, f64),
-    /// A rate in units a second, such as `"6/s"`.
+    /// A rate in units per second, such as `"6/s"`.
     Rate,
-    /// A span of time in microseconds, such as `"250ms"`.
+    /// A time in microseconds, such as `"250ms"`.
     Time,
-    /// Bytes of memory, such as `"48MiB"`.
+    /// An amount of memory in bytes, such as `"48MiB"`.
     Size,
     /// `IP:PORT`.
     Address,
-    /// `IP:PORT`, or `unix:` and a path: where a node is.
+    /// Address of a node: `IP:PORT`, or `unix:` and a path.
     NodeAddress,
-    /// A list of these, not empty.
+    /// A non-empty list of node addresses.
     NodeAddresses,
-    /// `IP:PORT` on the loopback, or `unix:` and a path.
+    /// A loopback `IP:PORT`, or `unix:` and a path.
     Listener,
-    /// An absolute path, short enough for a socket.
+    /// An absolute path that is short enough for a Unix socket.
     Path,
-    /// 16 hex digits.
+    /// An account id, 16 hex digits.
     Account,
-    /// A list of accounts, not empty.
+    /// A non-empty list of account ids.
     Accounts,
     /// An Ed25519 public key, 64 hex digits.
     PublicKey,
     /// The SHA-256 of a file, 64 hex digits.
     Digest,
-    /// A moment, as RFC 3339 in UTC.
+    /// A time as RFC 3339 in UTC.
     Moment,
-    /// Octal digits of a file's mode, such as `"0660"`.
+    /// A file mode in octal digits, such as `"0660"`.
     Mode,
-    /// A list of names, not empty.
+    /// A non-empty list of names.
     Names,
-    /// A list of whole numbers, not empty.
-    Wholes(u64, u64),
-    /// A table of its own.
+    /// A non-empty list of integers within an inclusive range.
+    Integers(u64, u64),
+    /// A nested table.
     Table(&'static Table),
-    /// Any number of tables, up to the most.
+    /// A list of tables, with the largest allowed number of them.
     Tables(&'static Table, usize),
 }
 
-/// Whether a key must be given.
+/// Whether a key is required.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Need {
-    /// It must.
-    Must,
-    /// Without it, this holds; shown to people, in words.
-    May(&'static str),
+    /// The key must be given.
+    Required,
+    /// The key may be left out. The text describes the default or the effect of leaving it out.
+    Optional(&'static str),
 }
 
-/// A key.
+/// A key of a table.
 #[derive(Debug)]
 pub struct Field {
-    /// Its name.
+    /// Name of the key in the file.
     pub key: &'static str,
-    /// What may stand there.
+    /// Type of the value.
     pub kind: Kind,
-    /// Whether it must be given.
+    /// Whether the key is required.
     pub need: Need,
-    /// What it is for.
+    /// Description for operators.
     pub about: &'static str,
-    /// A value, as it is written.
+    /// Example value in TOML; empty for tables.
     pub example: &'static str,
 }
 
-/// A table.
+/// A table of a file.
 #[derive(Debug)]
 pub struct Table {
-    /// What it describes, as people say it.
+    /// Name of what the table describes, for messages.
     pub name: &'static str,
-    /// What it is for.
+    /// Description for operators.
     pub about: &'static str,
-    /// Its keys, in the order in which they are written.
+    /// Keys, in the order of the reference and the templates.
     pub fields: &'static [Field],
 }
 
 impl Table {
-    /// A key of it.
+    /// Finds a key by name.
     pub fn field(&self, key: &str) -> Option<&'static Field> {
         self.fields.iter().find(|f| f.key == key)
     }
@@ -106,18 +106,18 @@
 /// The kinds of files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FileKind {
-    /// The classes, plans, ceilings, halls and limits of a site.
+    /// A site: its classes, plans, ceilings, halls and limits.
     Site,
     /// An application: its accounts, routes and sidecars.
     Application,
-    /// The nodes of a fleet, as they were at a moment.
+    /// A snapshot of the nodes of a fleet.
     Fleet,
-    /// What an operator adds to an ingress that the platform's own file describes.
+    /// An operator's additions to an ingress that the platform's own file describes.
     Ingress,
 }
 
 impl FileKind {
-    /// All of them.
+    /// All kinds, in the order of the reference.
     pub const ALL: [FileKind; 4] = [
         FileKind::Site,
         FileKind::Application,
@@ -125,7 +125,7 @@
         FileKind::Ingress,
     ];
 
-    /// The word that stands at `kind`.
+    /// Value of the key `kind` in such a file.
     pub fn word(self) -> &'static str {
         match self {
             FileKind::Site => "site",
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The table that such a file is.
+    /// Top-level table of such a file.
     pub fn table(self) -> &'static Table {
         match self {
             FileKind::Site => &SITE,
--- a/crates/config/src/form/tables.rs
+++ b/crates/config/src/form/tables.rs
@@ -2,11 +2,11 @@
 
 use super::{Field, Kind, Need, Table, VERSION};
 
-/// The most that a number of units, a worth or a price may be.
-const MOST_UNITS: f64 = 1e9;
+/// Largest number of units, worth or price.
+const MAX_UNITS: f64 = 1e9;
 
 /// A field of a table: `"key": kind, required, "about", "example"`, or with `without "default"` in place of `required`
-/// where the key may be left out; or the name of a [`Field`] that several tables have.
+/// where the key may be left out; or the name of a [`Field`] constant that several tables share.
 macro_rules! field {
     ($shared:ident) => {
         $shared
@@ -15,7 +15,7 @@
         Field {
             key: $key,
             kind: $kind,
-            need: Need::Must,
+            need: Need::Required,
             about: $about,
             example: $example,
         }
@@ -24,14 +24,14 @@
         Field {
             key: $key,
             kind: $kind,
-            need: Need::May($default),
+            need: Need::Optional($default),
             about: $about,
             example: $example,
         }
     };
 }
 
-/// A table: its name, what it is for, and its fields, each as [`field!`] takes it, in brackets.
+/// Defines a table: its name, its description, and its fields in brackets, each in the syntax of [`field!`].
 macro_rules! table {
     ($(#[$doc:meta])* $visibility:vis $table:ident: $name:literal, $about:literal; $([$($field:tt)+])+) => {
         $(#[$doc])*
@@ -44,7 +44,7 @@
 }
 
 const VERSION_FIELD: Field = field!(
-    "version": Kind::Whole(VERSION, VERSION), required, "The version of this form.", "1"
+    "version": Kind::Integer(VERSION, VERSION), required, "The version of this form.", "1"
 );
 const NEAR_FIELD: Field = field!(
     "near": Kind::Tables(&NEAR, 250), without "requests without a route go to any hall alike",
@@ -62,7 +62,7 @@
 );
 
 table! {
-    /// A site.
+    /// Top-level table of a site's file.
     pub SITE: "site",
     "What all applications of a site share. It is kept by those who run the site.";
     [VERSION_FIELD]
@@ -94,12 +94,12 @@
 table! {
     SITE_LIMITS: "limits of a site",
     "What an ingress may do.";
-    ["attempts": Kind::Whole(1, 16), without "3", "Attempts for one request.", "3"]
+    ["attempts": Kind::Integer(1, 16), without "3", "Attempts for one request.", "3"]
     ["second-copies": Kind::Flag, without "true",
         "Whether two attempts of one request may be out together.", "true"]
     ["cancel": Kind::Flag, without "true", "Whether attempts may be called off.", "true"]
     ["probes": Kind::Flag, without "false", "Whether nodes may be probed.", "false"]
-    ["open": Kind::Whole(1, 1_000_000), without "20000", "Requests open at once.", "20000"]
+    ["open": Kind::Integer(1, 1_000_000), without "20000", "Requests open at once.", "20000"]
     ["retry-after": Kind::Time, without "clients are told no pause",
         "The longest pause that a client is told to keep.", "\"2s\""]
     ["connect": Kind::Time, without "250ms",
@@ -139,8 +139,8 @@
         "An answer within this time earns the full worth.", "\"400ms\""]
     ["deadline": Kind::Time, required,
         "The longest that a client waits, over all its tries.", "\"1s\""]
-    ["worth": Kind::Number(0.0, MOST_UNITS), required, "What an answer is worth.", "2"]
-    ["units": Kind::Number(0.001, MOST_UNITS), without "1",
+    ["worth": Kind::Number(0.0, MAX_UNITS), required, "What an answer is worth.", "2"]
+    ["units": Kind::Number(0.001, MAX_UNITS), without "1",
         "The most units of a quota that one request takes.", "1"]
 }
 
@@ -150,13 +150,13 @@
     ["name": Kind::Name, required, "What accounts and clients call it.", "\"business\""]
     ["quota": Kind::Rate, required,
         "What each account on it may use, over all ingresses together.", "\"8/s\""]
-    ["burst": Kind::Number(0.001, MOST_UNITS), required,
+    ["burst": Kind::Number(0.001, MAX_UNITS), required,
         "Units that an account may use at once after a rest.", "16"]
     ["never-over": Kind::Rate, without "no hard limit",
         "What an account never exceeds, whatever happens.", "\"16/s\""]
-    ["never-over-burst": Kind::Number(0.001, MOST_UNITS), without "twice the burst",
+    ["never-over-burst": Kind::Number(0.001, MAX_UNITS), without "twice the burst",
         "Units that the hard limit lets through at once.", "32"]
-    ["price": Kind::Number(0.0, MOST_UNITS), without "1",
+    ["price": Kind::Number(0.0, MAX_UNITS), without "1",
         "Factor on what its answers are worth.", "1.1"]
     ["beyond-costs": Kind::Number(0.0, 1.0), without "0",
         "Share of the worth that is lost by serving beyond the quota.", "0.5"]
@@ -171,7 +171,7 @@
 }
 
 table! {
-    /// An application.
+    /// Top-level table of an application's file.
     pub APPLICATION: "application",
     "An application: what it may send and where that goes, its accounts, and its sidecars.";
     [VERSION_FIELD]
@@ -243,7 +243,7 @@
     SIDECAR_LIMITS: "limits of a sidecar",
     "What each sidecar may take of its machine.";
     ["memory": Kind::Size, without "48MiB", "Memory.", "\"48MiB\""]
-    ["descriptors": Kind::Whole(1, 1_048_576), without "256",
+    ["descriptors": Kind::Integer(1, 1_048_576), without "256",
         "File descriptors: two for each open request, and some more.", "256"]
     ["cores": Kind::Number(0.05, 1.0), without "1",
         "Part of a core; one thread uses no more than one.", "1"]
@@ -256,7 +256,7 @@
     ["listen": Kind::Listener, required,
         "Where the application finds it: the loopback, or a socket's path.", "\"127.0.0.1:7600\""]
     ["mode": Kind::Mode, without "0600", "The mode of the socket's file.", "\"0660\""]
-    ["users": Kind::Wholes(0, u32::MAX as u64), without "whoever the mode lets in",
+    ["users": Kind::Integers(0, u32::MAX as u64), without "whoever the mode lets in",
         "The users, by their numbers, that may connect to the socket.", "[1000]"]
     ["hall": Kind::Name, without "the site's first hall",
         "The hall that it stands in.", "\"hall-a\""]
@@ -313,7 +313,7 @@
     ["id": Kind::Account, required, "Its number, as clients send it.", "\"00000000000004d2\""]
     ["plan": Kind::Name, required, "Its plan.", "\"business\""]
     ["quota": Kind::Rate, without "the plan's", "A quota of its own.", "\"6/s\""]
-    ["burst": Kind::Number(0.001, MOST_UNITS), without "the plan's", "A burst of its own.", "12"]
+    ["burst": Kind::Number(0.001, MAX_UNITS), without "the plan's", "A burst of its own.", "12"]
 }
 
 table! {
@@ -322,7 +322,7 @@
     ["name": Kind::Name, required, "What routes call it.", "\"fast\""]
     ["halls": Kind::Names, without "any hall", "The halls of its nodes.", "[\"hall-a\"]"]
     ["models": Kind::Names, without "any model", "The models of its nodes.", "[\"std-3c\"]"]
-    ["groups": Kind::Wholes(0, 65_535), without "any group", "The groups of its nodes.", "[1, 2]"]
+    ["groups": Kind::Integers(0, 65_535), without "any group", "The groups of its nodes.", "[1, 2]"]
     ["nodes": Kind::Names, without "any name", "Its nodes by name.", "[\"s-0001\"]"]
     ["fallback": Kind::Name, without "requests wait or are refused",
         "The pool to go to where no node of this one takes work.", "\"any\""]
@@ -339,17 +339,17 @@
 }
 
 table! {
-    /// A fleet snapshot.
+    /// Top-level table of a fleet snapshot.
     pub FLEET: "fleet",
     "The nodes as they were at a moment. A file that begins with a brace is read as discovery's list instead.";
     [VERSION_FIELD]
     ["kind": Kind::Choice(&["fleet"]), required, "What this file is.", "\"fleet\""]
-    ["index": Kind::Whole(0, u64::MAX >> 1), without "0", "Discovery's number of this list.", "41"]
+    ["index": Kind::Integer(0, u64::MAX >> 1), without "0", "Discovery's number of this list.", "41"]
     ["node": Kind::Tables(&NODE, 100_000), required, "The nodes.", ""]
 }
 
 table! {
-    /// What an operator adds to an ingress.
+    /// Top-level table of an operator's file.
     pub INGRESS: "ingress",
     "What an operator adds to an ingress that the platform's own file describes (`--operator FILE`). Classes and halls are that file's.";
     [VERSION_FIELD]
@@ -377,10 +377,10 @@
         "[\"unix:/run/node/s-0001\", \"[::1]:9001\"]"]
     ["hall": Kind::Name, required, "The hall that it stands in.", "\"hall-a\""]
     ["model": Kind::Name, required, "The kind of its machine.", "\"std-3c\""]
-    ["group": Kind::Whole(0, 65_535), required,
+    ["group": Kind::Integer(0, 65_535), required,
         "The group of nodes that know each other's keys.", "1"]
     ["status": Kind::Choice(&["up", "draining", "removed"]), required, "Its state.", "\"up\""]
     ["weight": Kind::Number(0.0, 1e6), without "1", "Its capacity beside others.", "3"]
-    ["since-ms": Kind::Whole(0, u64::MAX >> 1), without "0",
+    ["since-ms": Kind::Integer(0, u64::MAX >> 1), without "0",
         "When it started, in milliseconds of Unix time; 0 for long ago.", "0"]
 }
--- a/crates/config/src/format.rs
+++ b/crates/config/src/format.rs
@@ -1,18 +1,18 @@
-//! Writes a file in the usual form: one blank line before each table, one space round each `=`, no blanks at line ends.
-//! Nothing is put into another order, and no comment is lost.
+//! Formats a file: one blank line before each table, one space on each side of `=`, no trailing spaces. Order and comments
+//! are kept.
 
 use toml_edit::{Array, Decor, DocumentMut, Item, RawString, Table, Value};
 
-/// Formats a file's text; done again it changes nothing.
+/// Formats a file's text. Formatting the result again does not change it.
 ///
 /// # Errors
 ///
-/// Where the text is no TOML, with what is wrong.
+/// Returns the parser's message if the text is not valid TOML.
 pub fn format(text: &str) -> Result<String, String> {
     let text = text.trim_start_matches('\u{feff}').replace("\r\n", "\n");
     let mut document = text.parse::<DocumentMut>().map_err(|e| e.to_string())?;
-    table(document.as_table_mut());
-    let before = raw(Some(document.trailing()));
+    format_table(document.as_table_mut());
+    let before = raw_text(Some(document.trailing()));
     let trailing = comments(before.clone());
     let blank = if before.starts_with('\n') && !trailing.is_empty() {
         "\n"
@@ -29,11 +29,12 @@
     })
 }
 
-fn raw(text: Option<&RawString>) -> String {
+/// The text of a decoration, or an empty one.
+fn raw_text(text: Option<&RawString>) -> String {
     text.and_then(RawString::as_str).unwrap_or("").to_string()
 }
 
-/// The comments in what stands before something, a line each; blank lines between them are kept as one.
+/// The comments in the text before an item, one per line. Runs of blank lines between comments become one.
 fn comments(before: String) -> String {
     let mut out = String::new();
     let mut blank = false;
@@ -50,14 +51,14 @@
         }
     }
     if blank {
-        out.push('\n'); // a comment that stands by itself stays by itself
+        out.push('\n'); // a comment followed by a blank line stays separate
     }
     out
 }
 
-/// A comment behind something on its line.
-fn behind(decor: &Decor) -> String {
-    let text = raw(decor.suffix());
+/// The comment that follows an item on the same line, with two spaces before it.
+fn trailing_comment(decor: &Decor) -> String {
+    let text = raw_text(decor.suffix());
     let text = text.trim();
     if text.is_empty() {
         String::new()
@@ -66,32 +67,32 @@
     }
 }
 
-fn table(from: &mut Table) {
+fn format_table(table: &mut Table) {
     let mut first = true;
-    for (mut key, item) in from.iter_mut() {
+    for (mut key, item) in table.iter_mut() {
         match item {
             Item::Value(value) => {
-                let before = raw(key.leaf_decor().prefix());
-                // A blank line that parts groups of keys stays, but for one before the first.
+                let before = raw_text(key.leaf_decor().prefix());
+                // A blank line between groups of keys is kept, except before the first key.
                 let blank = !first && before.starts_with('\n');
                 let before = comments(before);
                 key.leaf_decor_mut()
                     .set_prefix(if blank { format!("\n{before}") } else { before });
                 key.leaf_decor_mut().set_suffix(" ");
-                let suffix = behind(value.decor());
-                self::value(value);
+                let suffix = trailing_comment(value.decor());
+                format_value(value);
                 value.decor_mut().set_prefix(" ");
                 value.decor_mut().set_suffix(suffix);
                 first = false;
             }
             Item::Table(inner) => {
-                header(inner);
-                table(inner);
+                format_header(inner);
+                format_table(inner);
             }
             Item::ArrayOfTables(list) => {
                 for inner in list.iter_mut() {
-                    header(inner);
-                    table(inner);
+                    format_header(inner);
+                    format_table(inner);
                 }
             }
             Item::None => {}
@@ -99,22 +100,22 @@
     }
 }
 
-fn header(of: &mut Table) {
-    let before = raw(of.decor().prefix());
+fn format_header(table: &mut Table) {
+    let before = raw_text(table.decor().prefix());
     let comments = comments(before.clone());
-    // What stands right behind the table before, with a blank line after it, is that table's.
-    let others = before.starts_with(|c: char| c != '\n') && comments.contains("\n\n");
-    let suffix = behind(of.decor());
-    of.decor_mut().set_prefix(if others {
+    // Comments directly after the previous table and followed by a blank line belong to that table.
+    let after_previous_table = before.starts_with(|c: char| c != '\n') && comments.contains("\n\n");
+    let suffix = trailing_comment(table.decor());
+    table.decor_mut().set_prefix(if after_previous_table {
         comments
     } else {
         format!("\n{comments}")
     });
-    of.decor_mut().set_suffix(suffix);
+    table.decor_mut().set_suffix(suffix);
 }
 
-fn value(of: &mut Value) {
-    match of {
+fn format_value(value: &mut Value) {
+    match value {
         Value::Array(array) if !has_comment(array) => array.fmt(),
         Value::InlineTable(inline) if !inline.to_string().contains(['#', '\n']) => inline.fmt(),
         _ => {}
@@ -122,6 +123,6 @@
 }
 
 fn has_comment(array: &Array) -> bool {
-    // A list over several lines stays as it was written: its lines say what belongs together.
+    // A list over several lines is left unchanged, because its line breaks group related items.
     array.to_string().contains(['#', '\n'])
 }
--- a/crates/config/src/group.rs
+++ b/crates/config/src/group.rs
@@ -1,4 +1,4 @@
-//! The group that an application's sidecars are: who belongs to it, and who decides. It is checked in [`crate::check`].
+//! The group that an application's sidecars and witnesses form, and its voting members. [`crate::check`] checks it.
 
 use crate::model::Application;
 use crate::reader::At;
@@ -6,28 +6,28 @@
 use std::path::{Path, PathBuf};
 use wrenfork_consensus::membership::{self, MemberRole};
 
-/// A member as a file has it.
+/// A member of a group, as the application's file declares it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name in the group, with the application's before it.
+    /// Name in the group: `application/member`.
     pub name: String,
-    /// Its name in the file.
+    /// Name in the file.
     pub short: String,
-    /// Whether it serves.
+    /// Whether the member serves requests; false for a witness.
     pub serves: bool,
-    /// Whether it decides.
+    /// Whether the member votes.
     pub votes: bool,
-    /// Its control socket, where it listens.
+    /// Path at which the member's control socket listens.
     pub control: PathBuf,
-    /// Its folder.
+    /// Folder for the state that must survive a restart.
     pub state: Option<PathBuf>,
-    /// Where it finds the others' sockets, if not where they listen.
+    /// Folder with links to the other members' control sockets, if they are not reached at their own paths.
     pub links: Option<PathBuf>,
 }
 
 impl Member {
-    /// Where this member reaches another.
-    pub fn reaches(&self, other: &Member) -> PathBuf {
+    /// Path at which this member reaches another member's control socket.
+    pub fn path_to(&self, other: &Member) -> PathBuf {
         match &self.links {
             Some(folder) if other.name != self.name => folder.join(&other.short),
             _ => other.control.clone(),
@@ -35,22 +35,22 @@
     }
 }
 
-/// A group as a file has it.
+/// A group, as the application's file declares it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Group {
-    /// Milliseconds.
+    /// Length of a lease, in milliseconds.
     pub lease_ms: u64,
-    /// Whether a member without a lease serves on.
+    /// Whether a member without a lease keeps serving under the last known state.
     pub as_known: bool,
-    /// Its members.
+    /// Sidecars first, then witnesses, each in the file's order.
     pub members: Vec<Member>,
 }
 
 impl Group {
-    /// Its seats as the file has them, before anybody's folder is known.
+    /// Initial membership of the group, without the replica ids, which are created with the members' folders.
     pub fn charter(&self) -> membership::Membership {
-        let seat = |m: &Member| {
-            let kind = if m.serves {
+        let to_member = |m: &Member| {
+            let role = if m.serves {
                 MemberRole::Ingress
             } else {
                 MemberRole::Witness
@@ -58,31 +58,32 @@
             membership::Member {
                 name: m.name.clone(),
                 replica: 0,
-                role: kind,
+                role,
                 votes: m.votes,
             }
         };
-        let mut seats: Vec<membership::Member> = self.members.iter().map(seat).collect();
-        seats.sort();
+        let mut members: Vec<membership::Member> = self.members.iter().map(to_member).collect();
+        members.sort();
         membership::Membership {
             version: 0,
             lease_ms: self.lease_ms,
-            members: seats,
+            members,
         }
     }
 
-    /// Where a member of that name reaches all of them; an operator's own sockets for any other name.
+    /// Control socket paths of all members, by name, as the member `name` reaches them. If no member has that name, the paths
+    /// at which the sockets listen.
     pub fn links(&self, name: &str) -> BTreeMap<String, PathBuf> {
         let own = self.members.iter().find(|m| m.name == name);
-        let at = |m: &Member| own.map_or_else(|| m.control.clone(), |own| own.reaches(m));
+        let path = |m: &Member| own.map_or_else(|| m.control.clone(), |own| own.path_to(m));
         self.members
             .iter()
-            .map(|m| (m.name.clone(), at(m)))
+            .map(|m| (m.name.clone(), path(m)))
             .collect()
     }
 }
 
-/// The group of an application whose file was taken; none where it has no roster.
+/// Builds the group of an application that passed the checks; none if it has no roster.
 pub fn group(app: &Application) -> Option<Group> {
     let roster = app.roster.as_ref()?;
     let path = |p: &Option<At<String>>| p.as_ref().map(|p| PathBuf::from(&p.value));
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,9 @@
-//! What an ingress is told. Operators write files for a site, its applications and a fleet; they are read here
-//! ([`source`], [`reader`], by the tables of [`form`]), checked ([`check`], all together in a [`set`]) and compiled into
-//! what a sidecar is told ([`render`]). The platform's own settings are read by [`settings`]. No sockets and no clock.
+//! Configuration of an ingress. Operators write TOML files for a site, its applications and a fleet. This crate parses
+//! them ([`source`], [`reader`], with the tables of [`form`]), checks them alone and together ([`check`], [`set`]) and
+//! renders the settings of each sidecar ([`render`]). [`settings`] parses the platform's own settings. The crate opens
+//! no sockets and reads no clock.
 
-// Not done yet, see docs/ROADMAP.md.
+// These lints are not satisfied yet, see docs/ROADMAP.md.
 #![allow(
     clippy::missing_errors_doc,
     clippy::needless_pass_by_value,
@@ -32,5 +33,5 @@
 pub mod template;
 pub mod values;
 
-/// Writes a file in the usual form; see [`format::format`].
+/// Formats a file's text; see [`format::format`].
 pub use format::format as fmt;
--- a/crates/config/src/locality.rs
+++ b/crates/config/src/locality.rs
@@ -1,21 +1,21 @@
-//! Halls in order of nearness, as pools and routes that nobody must write: a class without a route of its own goes to the
-//! nodes of the sidecar's hall, then to those of the next ones. They are pools like all others, so that a share stays at
-//! home for as long as home has room for it, and what spills is bounded by what the next hall has to spare.
+//! Derives pools and routes from the nearness of halls. A class without a route goes to the nodes of the sidecar's own hall
+//! first and to those of the next halls after that. These pools are ordinary ones: traffic stays in the own hall while it
+//! has room, and what overflows is limited by the room in the next hall.
 
 use crate::model::{Application, Pool, Route, Sidecar, Site};
 use crate::reader::At;
 use wrenfork_routes::{Selector, MAX_TIERS};
 
-/// How the pool of a hall is called: no pool of a file can have such a name.
-fn called(hall: &str) -> String {
+/// Name of a hall's pool. The colon keeps it distinct from any pool that a file can name.
+fn pool_name(hall: &str) -> String {
     format!("hall:{hall}")
 }
 
-/// The pool of all halls that come last together.
+/// Name of the pool that joins all remaining halls.
 const OTHERS: &str = "hall:*";
 
-/// Halls that share a pool, nearest first.
-fn order(site: &Site, home: &str) -> Option<Vec<(String, Vec<String>)>> {
+/// Pool names with their halls, nearest first; none if the site gives no order for `home`.
+fn hall_order(site: &Site, home: &str) -> Option<Vec<(String, Vec<String>)>> {
     let near = site.near.iter().find(|n| n.hall.value == home)?;
     let known = |hall: &&str| site.halls.iter().any(|h| h.value == **hall);
     let named = std::iter::once(home).chain(near.others.iter().map(|h| h.value.as_str()));
@@ -32,7 +32,7 @@
     let rest: Vec<String> = rest.cloned().collect();
     let mut order: Vec<_> = named
         .iter()
-        .map(|h| (called(h), vec![h.to_string()]))
+        .map(|h| (pool_name(h), vec![h.to_string()]))
         .collect();
     if !rest.is_empty() {
         order.push((OTHERS.to_string(), rest));
@@ -40,26 +40,30 @@
     Some(order)
 }
 
-/// The pools and routes of one of an application's sidecars: those of its file, and those that follow from its hall.
-pub fn ways(app: &Application, site: &Site, sidecar: Option<&Sidecar>) -> (Vec<Pool>, Vec<Route>) {
-    ways_from(
+/// Pools and routes of one sidecar: those in the application's file, and those derived from the sidecar's hall.
+pub fn pools_and_routes(
+    app: &Application,
+    site: &Site,
+    sidecar: Option<&Sidecar>,
+) -> (Vec<Pool>, Vec<Route>) {
+    pools_and_routes_from(
         app,
         site,
         sidecar.and_then(|s| s.hall.as_ref()).or(site.halls.first()),
     )
 }
 
-/// The same for a hall.
-pub fn ways_from(
+/// Pools and routes for an ingress in the hall `home`: those in the application's file, and those derived from the hall.
+pub fn pools_and_routes_from(
     app: &Application,
     site: &Site,
     home: Option<&At<String>>,
 ) -> (Vec<Pool>, Vec<Route>) {
     let (mut pools, mut routes) = (app.pools.clone(), app.routes.clone());
-    let Some((home, order)) = home.and_then(|h| Some((h, order(site, &h.value)?))) else {
+    let Some((home, order)) = home.and_then(|h| Some((h, hall_order(site, &h.value)?))) else {
         return (pools, routes);
     };
-    let here = |value: &str| At {
+    let at_home = |value: &str| At {
         value: value.to_string(),
         span: home.span.clone(),
     };
@@ -69,34 +73,34 @@
             zone_groups: halls.clone(),
             ..Selector::default()
         };
-        let fallback = order.get(n + 1).map(|next| here(&next.0));
+        let fallback = order.get(n + 1).map(|next| at_home(&next.0));
         local.push(Pool {
-            name: here(name),
+            name: at_home(name),
             selector,
             halls: Vec::new(),
             nodes: Vec::new(),
             fallback,
         });
     }
-    // In the order of the site's halls: sidecars of different halls have the same pools at the same places.
-    let place = |p: &Pool| {
+    // Sorted by the site's order of halls, so that sidecars of different halls have the same pools at the same indexes.
+    let hall_index = |p: &Pool| {
         site.halls
             .iter()
             .position(|h| p.selector.zone_groups[0] == h.value)
     };
-    local.sort_by_key(|p| (p.name.value == OTHERS, place(p)));
+    local.sort_by_key(|p| (p.name.value == OTHERS, hall_index(p)));
     pools.extend(local);
-    let without = site
+    let unrouted = site
         .classes
         .iter()
         .filter(|c| app.routes.iter().all(|r| r.class.value != c.name.value));
-    routes.extend(without.map(|class| Route {
+    routes.extend(unrouted.map(|class| Route {
         span: home.span.clone(),
-        class: here(&class.name.value),
-        pool: Some(here(&order[0].0)),
+        class: at_home(&class.name.value),
+        pool: Some(at_home(&order[0].0)),
         trial: None,
         share: None,
-        bad_trial: false,
+        invalid_trial: false,
     }));
     (pools, routes)
 }
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,4 +1,4 @@
-//! What the files mean: typed, with the place of each value that a check may have to show.
+//! Typed contents of the files. Each value that a diagnostic may point at keeps its span in the file.
 
 mod application;
 mod fields;
--- a/crates/config/src/model/application.rs
+++ b/crates/config/src/model/application.rs
@@ -1,6 +1,6 @@
-//! What the files of an application say.
+//! Contents of an application's file.
 
-use super::fields::or;
+use super::fields::value_or;
 use super::identity::{identity, Identity};
 use crate::reader::{At, Fields};
 use crate::values::Listener;
@@ -8,272 +8,292 @@
 use std::ops::Range;
 use wrenfork_routes::Selector;
 
-/// A sidecar.
+/// An ingress process of an application.
 #[derive(Clone, Debug)]
 pub struct Sidecar {
-    /// Its place in the file.
+    /// Span of the sidecar's table in the file.
     pub span: Range<usize>,
-    /// Its name.
+    /// Name, unique within the application.
     pub name: At<String>,
-    /// Where it listens.
+    /// Address or Unix socket that accepts client connections.
     pub listen: Option<At<Listener>>,
-    /// The socket's mode.
+    /// File mode of the Unix socket; ignored for a TCP listener.
     pub mode: u32,
-    /// The users that may connect to its socket.
+    /// User ids that may connect to the Unix socket.
     pub users: Vec<At<u64>>,
-    /// The hall that it stands in.
+    /// The hall in which the sidecar runs; without it, the site's first hall.
     pub hall: Option<At<String>>,
-    /// Where it asks for nodes.
+    /// Address of the discovery service.
     pub discovery: Option<At<SocketAddr>>,
-    /// Where it takes messages.
+    /// UDP address for messages from the other sidecars.
     pub peers: Option<At<SocketAddr>>,
-    /// Its control socket.
+    /// Path of the control socket.
     pub control: Option<At<String>>,
-    /// The folder for what it must not forget.
+    /// Folder for the state that must survive a restart.
     pub state: Option<At<String>>,
-    /// The folder in which it finds the other members' control sockets, where that is not where they listen.
+    /// Folder with links to the other members' control sockets, if they are not reached at their own paths.
     pub links: Option<At<String>>,
 }
 
-/// A member of the roster that keeps promises and serves nobody.
+/// A member of the group that votes and serves no requests.
 #[derive(Clone, Debug)]
 pub struct Witness {
-    /// Its name.
+    /// Name, unique among the application's sidecars and witnesses.
     pub name: At<String>,
-    /// Its control socket.
+    /// Path of the control socket.
     pub control: Option<At<String>>,
-    /// The folder for what it must not forget.
+    /// Folder for the state that must survive a restart.
     pub state: Option<At<String>>,
-    /// The folder in which it finds the others' control sockets.
+    /// Folder with links to the other members' control sockets.
     pub links: Option<At<String>>,
 }
 
-/// That the sidecars are a group, which makes changes everywhere or nowhere while some are missing.
+/// Declares the sidecars a group, in which a majority can apply a change atomically while other members are missing.
 #[derive(Clone, Debug)]
 pub struct Roster {
-    /// Its place in the file.
+    /// Span of the roster's table in the file.
     pub span: Range<usize>,
-    /// For how long one may serve on the word of a majority, in microseconds.
+    /// How long a member may serve after a majority renewed its lease, in microseconds.
     pub lease: At<u64>,
-    /// What one does without a lease: `refuse` or `as-known`.
+    /// What a member does without a lease: `refuse` rejects requests, `as-known` serves under the last known state.
     pub alone: Option<At<String>>,
-    /// Those that decide; all where none are named.
+    /// Names of the voting members; when empty, all members vote.
     pub voters: Vec<At<String>>,
 }
 
 /// The program that a group's sidecars run.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// What people call it.
+    /// Display name of the program's version.
     pub name: At<String>,
-    /// The digest of its file.
+    /// SHA-256 of the program's file, 64 hex digits.
     pub sha256: At<String>,
 }
 
-/// An account.
+/// A customer's account.
 #[derive(Clone, Debug)]
 pub struct Account {
-    /// Its number.
+    /// Account id, below 2^33.
     pub id: At<u64>,
-    /// Its plan.
+    /// Name of the account's plan.
     pub plan: Option<At<String>>,
-    /// A quota of its own, in units a second.
+    /// Quota that overrides the plan's, in units per second.
     pub quota: Option<At<f64>>,
-    /// A burst of its own, in units.
+    /// Burst that overrides the plan's, in units.
     pub burst: Option<At<f64>>,
 }
 
-/// A pool.
+/// A pool of nodes.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// Its name.
+    /// Name, unique within the file.
     pub name: At<String>,
-    /// Its nodes.
+    /// Selects the pool's nodes by hall, model, group and name.
     pub selector: Selector,
-    /// The places of the halls and names in the selector.
+    /// The selector's halls with their spans, for diagnostics.
     pub halls: Vec<At<String>>,
-    /// See `halls`.
+    /// The selector's node names with their spans, for diagnostics.
     pub nodes: Vec<At<String>>,
-    /// Where to fall back.
+    /// Pool that is tried next when this one has no room.
     pub fallback: Option<At<String>>,
 }
 
-/// A route.
+/// Where the requests of one class go.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Its place in the file.
+    /// Span of the route's table in the file.
     pub span: Range<usize>,
-    /// The class.
+    /// Name of the routed class.
     pub class: At<String>,
-    /// Its pool.
+    /// Pool that is tried first.
     pub pool: Option<At<String>>,
-    /// A pool on trial.
+    /// Pool that serves the customers on trial.
     pub trial: Option<At<String>>,
-    /// The share of customers on trial.
+    /// Share of the customers on trial, from 0 to 1.
     pub share: Option<At<f64>>,
-    /// What stands at `trial` or `share` is wrong and told already.
-    pub bad_trial: bool,
+    /// `trial` or `share` has an invalid value that is already reported.
+    pub invalid_trial: bool,
 }
 
-/// An application.
+/// Contents of a file with `kind = "application"`.
 #[derive(Clone, Debug)]
 pub struct Application {
-    /// Its name.
+    /// Name, unique within the site.
     pub name: Option<At<String>>,
-    /// Its site's name.
+    /// Name of the site that the application belongs to.
     pub site: Option<At<String>>,
-    /// The classes that it may send.
+    /// Classes that the application may send.
     pub sends: Vec<At<String>>,
-    /// Bytes.
+    /// Memory limit of each sidecar, in bytes.
     pub memory: At<u64>,
-    /// How many.
+    /// File descriptor limit of each sidecar.
     pub descriptors: At<u64>,
-    /// Part of a core.
+    /// CPU limit of each sidecar, in cores.
     pub cores: f64,
-    /// Its sidecars.
+    /// The application's ingress processes.
     pub sidecars: Vec<Sidecar>,
-    /// That they are a group; none where each change needs all of them.
+    /// Group of the sidecars; without it, each change needs all of them.
     pub roster: Option<Roster>,
-    /// What they run, if they are told.
+    /// Program that the group's sidecars run, if the file names one.
     pub program: Option<Program>,
-    /// Members of the group that keep promises and serve nobody.
+    /// Members of the group that vote and serve no requests.
     pub witnesses: Vec<Witness>,
-    /// Its accounts.
+    /// Accounts whose requests the sidecars admit.
     pub accounts: Vec<Account>,
-    /// Its pools.
+    /// Pools that routes can name.
     pub pools: Vec<Pool>,
-    /// What stands at `pool` is wrong as a whole, and told already.
-    pub bad_pools: bool,
-    /// Its routes.
+    /// The list `pool` is invalid as a whole and already reported.
+    pub invalid_pools: bool,
+    /// Routes, at most one for each class.
     pub routes: Vec<Route>,
-    /// Who may call; none where nobody is asked.
+    /// Who may call; without it, callers are not authenticated.
     pub identity: Option<Identity>,
 }
 
 impl Application {
-    /// What a file's values mean.
-    pub fn new(f: &Fields) -> Application {
+    /// Builds the application from the valid fields of its file.
+    pub fn new(fields: &Fields) -> Application {
         let empty = Fields::default();
-        let limits = f.table("limits").unwrap_or(&empty);
+        let limits = fields.table("limits").unwrap_or(&empty);
         let here = |value| At {
             value,
             span: limits.span.clone(),
         };
         Application {
-            name: f.text("name"),
-            site: f.text("site"),
-            sends: or(f.names("sends"), Vec::new()),
-            memory: limits.whole("memory").unwrap_or_else(|| here(48 << 20)),
-            descriptors: limits.whole("descriptors").unwrap_or_else(|| here(256)),
-            cores: or(limits.number("cores"), 1.0),
-            sidecars: f.tables("sidecar").iter().filter_map(sidecar).collect(),
-            roster: f.table("roster").map(roster),
-            program: f.table("program").and_then(program),
-            witnesses: f.tables("witness").iter().filter_map(witness).collect(),
-            accounts: f.tables("account").iter().filter_map(account).collect(),
-            pools: f.tables("pool").iter().filter_map(pool).collect(),
-            bad_pools: f.is_bad("pool"),
-            routes: f.tables("route").iter().filter_map(route).collect(),
-            identity: f.table("identity").map(identity),
+            name: fields.text("name"),
+            site: fields.text("site"),
+            sends: value_or(fields.names("sends"), Vec::new()),
+            memory: limits.integer("memory").unwrap_or_else(|| here(48 << 20)),
+            descriptors: limits.integer("descriptors").unwrap_or_else(|| here(256)),
+            cores: value_or(limits.number("cores"), 1.0),
+            sidecars: fields
+                .tables("sidecar")
+                .iter()
+                .filter_map(sidecar)
+                .collect(),
+            roster: fields.table("roster").map(roster),
+            program: fields.table("program").and_then(program),
+            witnesses: fields
+                .tables("witness")
+                .iter()
+                .filter_map(witness)
+                .collect(),
+            accounts: fields
+                .tables("account")
+                .iter()
+                .filter_map(account)
+                .collect(),
+            pools: fields.tables("pool").iter().filter_map(pool).collect(),
+            invalid_pools: fields.is_invalid("pool"),
+            routes: fields.tables("route").iter().filter_map(route).collect(),
+            identity: fields.table("identity").map(identity),
         }
     }
 
-    /// Its name, or a stand-in for one.
-    pub fn called(&self) -> &str {
+    /// The application's name, or `?` if the file has none.
+    pub fn display_name(&self) -> &str {
         self.name.as_ref().map_or("?", |n| &n.value)
     }
 
-    /// The name of one of its sidecars or witnesses among all of a site's.
+    /// Name of a sidecar or witness that is unique within the site: `application/member`.
     pub fn member_name(&self, member: &str) -> String {
-        format!("{}/{member}", self.called())
+        format!("{}/{member}", self.display_name())
     }
 }
 
-fn sidecar(f: &Fields) -> Option<Sidecar> {
+fn sidecar(fields: &Fields) -> Option<Sidecar> {
     Some(Sidecar {
-        span: f.span.clone(),
-        name: f.text("name")?,
-        listen: f.listener("listen"),
-        mode: or(f.whole("mode"), 0o600) as u32,
-        users: or(f.wholes("users"), Vec::new()),
-        hall: f.text("hall"),
-        discovery: f.address("discovery"),
-        peers: f.address("peers"),
-        control: f.text("control"),
-        state: f.text("state"),
-        links: f.text("links"),
+        span: fields.span.clone(),
+        name: fields.text("name")?,
+        listen: fields.listener("listen"),
+        mode: value_or(fields.integer("mode"), 0o600) as u32,
+        users: value_or(fields.integers("users"), Vec::new()),
+        hall: fields.text("hall"),
+        discovery: fields.address("discovery"),
+        peers: fields.address("peers"),
+        control: fields.text("control"),
+        state: fields.text("state"),
+        links: fields.text("links"),
     })
 }
 
-fn witness(f: &Fields) -> Option<Witness> {
-    let (control, state, links) = (f.text("control"), f.text("state"), f.text("links"));
+fn witness(fields: &Fields) -> Option<Witness> {
+    let (control, state, links) = (
+        fields.text("control"),
+        fields.text("state"),
+        fields.text("links"),
+    );
     Some(Witness {
-        name: f.text("name")?,
+        name: fields.text("name")?,
         control,
         state,
         links,
     })
 }
 
-fn roster(f: &Fields) -> Roster {
+fn roster(fields: &Fields) -> Roster {
     let here = |value| At {
         value,
-        span: f.span.clone(),
+        span: fields.span.clone(),
     };
     Roster {
-        span: f.span.clone(),
-        lease: f.whole("lease").unwrap_or_else(|| here(1_500_000)),
-        alone: f.text("alone"),
-        voters: or(f.names("voters"), Vec::new()),
+        span: fields.span.clone(),
+        lease: fields.integer("lease").unwrap_or_else(|| here(1_500_000)),
+        alone: fields.text("alone"),
+        voters: value_or(fields.names("voters"), Vec::new()),
     }
 }
 
-fn program(f: &Fields) -> Option<Program> {
+fn program(fields: &Fields) -> Option<Program> {
     Some(Program {
-        name: f.text("name")?,
-        sha256: f.text("sha256")?,
+        name: fields.text("name")?,
+        sha256: fields.text("sha256")?,
     })
 }
 
-fn account(f: &Fields) -> Option<Account> {
-    let (plan, quota, burst) = (f.text("plan"), f.number("quota"), f.number("burst"));
+fn account(fields: &Fields) -> Option<Account> {
+    let (plan, quota, burst) = (
+        fields.text("plan"),
+        fields.number("quota"),
+        fields.number("burst"),
+    );
     Some(Account {
-        id: f.whole("id")?,
+        id: fields.integer("id")?,
         plan,
         quota,
         burst,
     })
 }
 
-fn pool(f: &Fields) -> Option<Pool> {
-    let halls = or(f.names("halls"), Vec::new());
-    let nodes = or(f.names("nodes"), Vec::new());
+fn pool(fields: &Fields) -> Option<Pool> {
+    let halls = value_or(fields.names("halls"), Vec::new());
+    let nodes = value_or(fields.names("nodes"), Vec::new());
     let texts = |list: &[At<String>]| list.iter().map(|n| n.value.clone()).collect();
     let selector = Selector {
         zone_groups: texts(&halls),
-        machine_types: texts(&or(f.names("models"), Vec::new())),
-        cells: or(f.wholes("groups"), Vec::new())
+        machine_types: texts(&value_or(fields.names("models"), Vec::new())),
+        cells: value_or(fields.integers("groups"), Vec::new())
             .iter()
             .map(|g| g.value)
             .collect(),
         nodes: texts(&nodes),
     };
     Some(Pool {
-        name: f.text("name")?,
+        name: fields.text("name")?,
         selector,
         halls,
         nodes,
-        fallback: f.text("fallback"),
+        fallback: fields.text("fallback"),
     })
 }
 
-fn route(f: &Fields) -> Option<Route> {
+fn route(fields: &Fields) -> Option<Route> {
     Some(Route {
-        span: f.span.clone(),
-        class: f.text("class")?,
-        pool: f.text("pool"),
-        trial: f.text("trial"),
-        share: f.number("share"),
-        bad_trial: f.is_bad("trial") || f.is_bad("share"),
+        span: fields.span.clone(),
+        class: fields.text("class")?,
+        pool: fields.text("pool"),
+        trial: fields.text("trial"),
+        share: fields.number("share"),
+        invalid_trial: fields.is_invalid("trial") || fields.is_invalid("share"),
     })
 }
--- a/crates/config/src/model/fields.rs
+++ b/crates/config/src/model/fields.rs
@@ -1,8 +1,8 @@
-//! Values that may be left out.
+//! Defaults of optional keys.
 
 use crate::reader::At;
 
-/// The default of a key, which [`crate::form`] shows to people in the same words.
-pub(super) fn or<T>(value: Option<At<T>>, default: T) -> T {
+/// The value, or `default` if the key is missing. [`crate::form`] documents the same default as text.
+pub(super) fn value_or<T>(value: Option<At<T>>, default: T) -> T {
     value.map_or(default, |at| at.value)
 }
--- a/crates/config/src/model/fleet.rs
+++ b/crates/config/src/model/fleet.rs
@@ -1,67 +1,67 @@
-//! What a fleet snapshot says: a file, or discovery's own list.
+//! Contents of a fleet snapshot, from a TOML file or from discovery's JSON list.
 
-use super::fields::or;
+use super::fields::value_or;
 use crate::reader::{At, Fields};
 use serde::Deserialize;
 use wrenfork_happy_eyeballs::Address;
 
-/// A node's state.
+/// Whether a node accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Takes work.
+    /// Accepts requests.
     Up,
-    /// Takes nothing new.
+    /// Finishes its open requests and accepts no new ones.
     Draining,
-    /// Gone.
+    /// No longer part of the fleet.
     Removed,
 }
 
-/// A node.
+/// A backend node.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Its name.
+    /// Name, unique within the fleet.
     pub name: At<String>,
-    /// Where it listens.
+    /// First address, tried before the others.
     pub address: Address,
-    /// Where else it listens.
+    /// Further addresses of the same node.
     pub addresses: Vec<At<Address>>,
-    /// Its hall.
+    /// Hall in which the node runs.
     pub hall: At<String>,
-    /// Its model.
+    /// Machine model.
     pub model: String,
-    /// Its group.
+    /// Number of the group that shares idempotency keys.
     pub group: u64,
-    /// Its state.
+    /// Whether the node accepts requests.
     pub status: Status,
-    /// Its capacity beside others.
+    /// Capacity relative to other nodes; 0 or more, 1 by default.
     pub weight: f64,
-    /// Milliseconds of Unix time.
+    /// Since when the node has its status, in milliseconds of Unix time; 0 if unknown.
     pub since_ms: u64,
 }
 
-/// The nodes at a moment.
+/// Snapshot of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// Discovery's number of the list.
+    /// Discovery's index of the list, 0 if the file has none.
     pub index: u64,
-    /// The nodes.
+    /// All listed nodes, including draining and removed ones.
     pub nodes: Vec<Node>,
 }
 
 impl Fleet {
-    /// What a file's values mean.
-    pub fn new(f: &Fields) -> Fleet {
+    /// Builds the fleet from the valid fields of its file.
+    pub fn new(fields: &Fields) -> Fleet {
         Fleet {
-            index: or(f.whole("index"), 0),
-            nodes: f.tables("node").iter().filter_map(node).collect(),
+            index: value_or(fields.integer("index"), 0),
+            nodes: fields.tables("node").iter().filter_map(node).collect(),
         }
     }
 
-    /// Discovery's own list.
+    /// Parses discovery's JSON list.
     ///
     /// # Errors
     ///
-    /// With what is wrong, in words.
+    /// Describes the first invalid value.
     pub fn from_discovery(text: &str) -> Result<Fleet, String> {
         let list: List = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let nodes = list.endpoints.into_iter().map(Endpoint::node);
@@ -72,14 +72,14 @@
     }
 }
 
-/// Discovery's list as it is written.
+/// JSON form of discovery's list.
 #[derive(Deserialize)]
 struct List {
     index: u64,
     endpoints: Vec<Endpoint>,
 }
 
-/// A node in discovery's list.
+/// JSON form of one node in discovery's list.
 #[derive(Deserialize)]
 struct Endpoint {
     name: String,
@@ -109,16 +109,16 @@
             other => return Err(format!("{}: the status \"{other}\" is unknown", self.name)),
         };
         let address = self.parse(&self.address)?;
-        let more = self.addresses.iter().map(|text| self.parse(text));
-        let more: Vec<Address> = more.collect::<Result<_, String>>()?;
+        let further = self.addresses.iter().map(|text| self.parse(text));
+        let further: Vec<Address> = further.collect::<Result<_, String>>()?;
         if !self.weight.is_finite() || self.weight < 0.0 {
             return Err(format!("{}: the weight is no number from 0 up", self.name));
         }
         Ok(Node {
-            name: nowhere(self.name),
+            name: without_span(self.name),
             address,
-            addresses: more.into_iter().map(nowhere).collect(),
-            hall: nowhere(self.zone),
+            addresses: further.into_iter().map(without_span).collect(),
+            hall: without_span(self.zone),
             model: self.r#type,
             group: self.group,
             status,
@@ -133,26 +133,26 @@
     }
 }
 
-/// A value of discovery's list, which has no place in a file of its own.
-fn nowhere<T>(value: T) -> At<T> {
+/// Wraps a value from discovery's list, which has no span in a file.
+fn without_span<T>(value: T) -> At<T> {
     At { value, span: 0..0 }
 }
 
-fn node(f: &Fields) -> Option<Node> {
-    let status = match f.text("status")?.value.as_str() {
+fn node(fields: &Fields) -> Option<Node> {
+    let status = match fields.text("status")?.value.as_str() {
         "up" => Status::Up,
         "draining" => Status::Draining,
         _ => Status::Removed,
     };
     Some(Node {
-        name: f.text("name")?,
-        address: f.node_address("address")?.value,
-        addresses: or(f.node_addresses("addresses"), Vec::new()),
-        hall: f.text("hall")?,
-        model: f.text("model")?.value,
-        group: f.whole("group")?.value,
+        name: fields.text("name")?,
+        address: fields.node_address("address")?.value,
+        addresses: value_or(fields.node_addresses("addresses"), Vec::new()),
+        hall: fields.text("hall")?,
+        model: fields.text("model")?.value,
+        group: fields.integer("group")?.value,
         status,
-        weight: or(f.number("weight"), 1.0),
-        since_ms: or(f.whole("since-ms"), 0),
+        weight: value_or(fields.number("weight"), 1.0),
+        since_ms: value_or(fields.integer("since-ms"), 0),
     })
 }
--- a/crates/config/src/model/identity.rs
+++ b/crates/config/src/model/identity.rs
@@ -1,68 +1,68 @@
-//! Who may call, as the files say it.
+//! Contents of the table `identity`: who may call.
 
-use super::fields::or;
+use super::fields::value_or;
 use crate::reader::{At, Fields};
 use std::ops::Range;
 
-/// Who may call, and how they prove it.
+/// How callers are authenticated.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its place in the file.
+    /// Span of the table in the file.
     pub span: Range<usize>,
-    /// What tokens must be for.
+    /// Audience that tokens must name.
     pub audience: Option<At<String>>,
-    /// Whether requests without a proof are turned away.
+    /// Whether requests without a token are rejected.
     pub required: bool,
-    /// Microseconds.
+    /// Tolerated clock difference, in microseconds.
     pub skew: u64,
-    /// Microseconds.
+    /// Longest accepted lifetime of a token, in microseconds.
     pub longest: u64,
-    /// Whoever signs.
+    /// Issuers whose tokens are accepted.
     pub issuers: Vec<Issuer>,
-    /// On whose behalf.
+    /// Tenants on whose behalf tokens may be issued.
     pub tenants: Vec<Tenant>,
 }
 
-/// Whoever signs tokens.
+/// A party that signs tokens.
 #[derive(Clone, Debug)]
 pub struct Issuer {
-    /// Its name.
+    /// Value of `iss` in the issuer's tokens.
     pub name: At<String>,
-    /// Its keys.
+    /// Keys of the issuer, at least one of them valid at any time.
     pub keys: Vec<IssuerKey>,
 }
 
 /// A key that signs tokens.
 #[derive(Clone, Debug)]
 pub struct IssuerKey {
-    /// Its name.
+    /// Key name, the part of a token's `kid` after the slash.
     pub name: At<String>,
-    /// The public half, 64 hex digits.
+    /// Ed25519 public key, 64 hex digits.
     pub public: At<String>,
-    /// From when on, in seconds of Unix time.
+    /// Start of validity, in seconds of Unix time; 0 for always.
     pub from: u64,
-    /// Until when.
+    /// End of validity, in seconds of Unix time; none for no end.
     pub until: Option<u64>,
 }
 
-/// On whose behalf tokens speak.
+/// A tenant on whose behalf tokens are issued.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its name.
+    /// Name that tokens carry.
     pub name: At<String>,
-    /// The accounts that it may name.
+    /// Accounts whose requests the tenant may send.
     pub accounts: Vec<At<u64>>,
-    /// The classes that it may send; none for all.
+    /// Classes that the tenant may send; none for all.
     pub classes: Option<Vec<At<String>>>,
 }
 
-pub(super) fn identity(f: &Fields) -> Identity {
+pub(super) fn identity(fields: &Fields) -> Identity {
     let key = |k: &Fields| {
         Some(IssuerKey {
             name: k.text("name")?,
             public: k.text("public")?,
-            from: or(k.whole("from"), 0),
-            until: k.whole("until").map(|u| u.value),
+            from: value_or(k.integer("from"), 0),
+            until: k.integer("until").map(|u| u.value),
         })
     };
     let issuer = |i: &Fields| {
@@ -74,17 +74,17 @@
     let tenant = |t: &Fields| {
         Some(Tenant {
             name: t.text("name")?,
-            accounts: or(t.wholes("accounts"), Vec::new()),
+            accounts: value_or(t.integers("accounts"), Vec::new()),
             classes: t.names("classes").map(|c| c.value),
         })
     };
     Identity {
-        span: f.span.clone(),
-        audience: f.text("audience"),
-        required: or(f.flag("required"), true),
-        skew: or(f.whole("skew"), 30_000_000),
-        longest: or(f.whole("longest"), 24 * 3_600_000_000),
-        issuers: f.tables("issuer").iter().filter_map(issuer).collect(),
-        tenants: f.tables("tenant").iter().filter_map(tenant).collect(),
+        span: fields.span.clone(),
+        audience: fields.text("audience"),
+        required: value_or(fields.flag("required"), true),
+        skew: value_or(fields.integer("skew"), 30_000_000),
+        longest: value_or(fields.integer("longest"), 24 * 3_600_000_000),
+        issuers: fields.tables("issuer").iter().filter_map(issuer).collect(),
+        tenants: fields.tables("tenant").iter().filter_map(tenant).collect(),
     }
 }
--- a/crates/config/src/model/ingress.rs
+++ b/crates/config/src/model/ingress.rs
@@ -1,53 +1,53 @@
-//! What the files of an operator say of an ingress that the platform's own file describes.
+//! Contents of an operator's file, which extends an ingress that the platform's own file describes.
 
 use super::application::Application;
 use super::site::{near, Class, Near, Site};
 use crate::reader::{At, Fields};
 
-/// What an operator adds to an ingress that the platform describes.
+/// Contents of a file with `kind = "ingress"`.
 #[derive(Clone, Debug)]
 pub struct Ingress {
-    /// Its control socket.
+    /// Path of the control socket.
     pub control: Option<At<String>>,
-    /// The folder for what it must not forget.
+    /// Folder for the state that must survive a restart.
     pub state: Option<At<String>>,
-    /// The file that says what became of the last reload.
+    /// File to which the ingress writes the result of the last reload.
     pub status: Option<At<String>>,
-    /// Halls in order of nearness.
+    /// For each listed hall, the other halls in order of nearness.
     pub near: Vec<Near>,
-    /// Its pools and routes, as an application without a name has them.
-    pub ways: Application,
+    /// Pools, routes and identity, held as an application without a name.
+    pub application: Application,
 }
 
 impl Ingress {
-    /// What a file's values mean.
-    pub fn new(f: &Fields) -> Ingress {
+    /// Builds the contents from the valid fields of the file.
+    pub fn new(fields: &Fields) -> Ingress {
         Ingress {
-            control: f.text("control"),
-            state: f.text("state"),
-            status: f.text("status"),
-            near: f.tables("near").iter().filter_map(near).collect(),
-            ways: Application::new(f),
+            control: fields.text("control"),
+            state: fields.text("state"),
+            status: fields.text("status"),
+            near: fields.tables("near").iter().filter_map(near).collect(),
+            application: Application::new(fields),
         }
     }
 
-    /// The site that the platform's file describes, as far as pools and routes ask for it, and the application that may
-    /// send all of its classes.
-    pub fn at(&self, halls: &[String], classes: &[String]) -> (Site, Application) {
-        let here = |value: &String| At {
+    /// Builds a site with the platform's halls and classes, complete enough to check pools and routes, and an application
+    /// that may send all of the classes.
+    pub fn with_platform_names(&self, halls: &[String], classes: &[String]) -> (Site, Application) {
+        let without_span = |value: &String| At {
             value: value.clone(),
             span: 0..0,
         };
         let mut site = Site::new(&Fields::default());
-        (site.halls, site.near) = (halls.iter().map(here).collect(), self.near.clone());
+        (site.halls, site.near) = (halls.iter().map(without_span).collect(), self.near.clone());
         site.classes = classes
             .iter()
             .map(|name| Class {
-                name: here(name),
+                name: without_span(name),
                 effect: None,
                 group: None,
                 window: None,
-                bad_key: false,
+                invalid_key: false,
                 wanted: None,
                 deadline: None,
                 worth: None,
@@ -57,8 +57,8 @@
                 },
             })
             .collect();
-        let mut ways = self.ways.clone();
-        ways.sends = classes.iter().map(here).collect();
-        (site, ways)
+        let mut application = self.application.clone();
+        application.sends = classes.iter().map(without_span).collect();
+        (site, application)
     }
 }
--- a/crates/config/src/model/site.rs
+++ b/crates/config/src/model/site.rs
@@ -1,91 +1,91 @@
-//! What the files of a site say.
+//! Contents of a site's file.
 
-use super::fields::or;
+use super::fields::value_or;
 use crate::reader::{At, Fields};
 
-/// What an ingress may do.
+/// Limits of each ingress of the site.
 #[derive(Clone, Debug)]
 pub struct SiteLimits {
-    /// Attempts for a request.
+    /// Most attempts for one request.
     pub attempts: u64,
-    /// Two attempts may be out together.
+    /// Whether hedged requests are allowed: two attempts in flight at once.
     pub second_copies: bool,
-    /// Attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Nodes may be probed.
+    /// Whether health checks may be sent to nodes.
     pub probes: bool,
-    /// Requests open at once.
+    /// Most open requests.
     pub open: u64,
-    /// The longest pause that clients are told, in microseconds.
+    /// Longest retry delay sent to clients, in microseconds; none sends no delay.
     pub retry_after: Option<u64>,
-    /// Microseconds that a connection may take to come up.
+    /// Connect timeout, in microseconds.
     pub connect: u64,
-    /// Microseconds that a node keeps an idle connection.
+    /// How long a node keeps an idle connection, in microseconds.
     pub keepalive: u64,
-    /// Microseconds.
+    /// Shortest time between two timer ticks, in microseconds.
     pub tick: u64,
-    /// Messages from peers in a second.
+    /// Most messages accepted from peers per second.
     pub messages: f64,
 }
 
-/// The figures of the rules; times in microseconds.
+/// Parameters of the platform's rules; times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// How long after the deadline an answer counts.
+    /// How long after the deadline a final answer still counts.
     pub answer_slack: u64,
-    /// How long new work at a draining node may go on.
+    /// How long a draining node may still receive new requests.
     pub drain_grace: u64,
-    /// The share of its speed with which a node starts.
+    /// Share of its full speed at which a node starts.
     pub cold_from: f64,
-    /// How long it takes to be warm.
+    /// Time until a started node reaches full speed.
     pub cold: u64,
-    /// The multiple of its speed that pushes it over ...
+    /// Load, as a multiple of its current speed, that overloads a warming node.
     pub cold_factor: f64,
-    /// ... where it lasts so long.
+    /// How long that load must last to overload the node.
     pub cold_push: u64,
 }
 
-/// Whether a request may run again.
+/// Whether a request that may have run may be repeated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Always.
+    /// A repeat is always allowed.
     Safe,
-    /// While its key is known.
+    /// A repeat is allowed while its idempotency key is remembered.
     Keyed {
-        /// Where: `all`, `hall` or `group`.
+        /// Which nodes share keys: `all`, those of a `hall` or those of a `group`.
         group: String,
-        /// For how many microseconds.
+        /// How long a key is remembered, in microseconds.
         window: u64,
     },
-    /// Never.
+    /// A repeat is never allowed.
     Unsafe,
 }
 
-/// A class.
+/// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// Name that clients send.
     pub name: At<String>,
     /// `safe`, `keyed` or `unsafe`.
     pub effect: Option<At<String>>,
-    /// Where a key is known: `all`, `hall` or `group`.
+    /// Which nodes share idempotency keys: `all`, `hall` or `group`.
     pub group: Option<At<String>>,
-    /// How many microseconds a key is known.
+    /// How long a key is remembered, in microseconds.
     pub window: Option<At<u64>>,
-    /// What stands at `group` or `window` is wrong and told already.
-    pub bad_key: bool,
-    /// Microseconds.
+    /// `group` or `window` has an invalid value that is already reported.
+    pub invalid_key: bool,
+    /// Time within which an answer earns the full worth, in microseconds.
     pub wanted: Option<At<u64>>,
-    /// Microseconds.
+    /// Longest wait of a client over all its attempts, in microseconds.
     pub deadline: Option<At<u64>>,
-    /// What an answer is worth.
+    /// Worth of one answer in time.
     pub worth: Option<At<f64>>,
-    /// The most units of one request.
+    /// Most quota units that one request takes.
     pub units: At<f64>,
 }
 
 impl Class {
-    /// Whether it may run again; none where the file does not make that clear.
+    /// Whether a request may be repeated; none if the file leaves that incomplete.
     pub fn repeat(&self) -> Option<Effect> {
         match self.effect.as_ref()?.value.as_str() {
             "safe" => Some(Effect::Safe),
@@ -98,159 +98,163 @@
     }
 }
 
-/// A plan.
+/// A plan that accounts are on.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name.
+    /// Name, unique within the site.
     pub name: At<String>,
-    /// Units a second.
+    /// Quota of each account, in units per second.
     pub quota: Option<At<f64>>,
-    /// Units.
+    /// Burst of each account, in units.
     pub burst: Option<At<f64>>,
-    /// Units a second.
+    /// Hard limit of each account, in units per second; none for no limit.
     pub never_over: Option<At<f64>>,
-    /// Units.
+    /// Burst of the hard limit, in units; none for twice the burst.
     pub never_over_burst: Option<f64>,
-    /// Factor on the worth.
+    /// Factor on the worth of the plan's answers.
     pub price: f64,
-    /// Share of the worth.
+    /// Share of the worth that is lost by serving beyond the quota, from 0 to 1.
     pub beyond_costs: f64,
 }
 
-/// What all accounts of a plan may be promised.
+/// Limit on the sum of all quotas of a plan.
 #[derive(Clone, Debug)]
 pub struct Ceiling {
-    /// The plan.
+    /// Name of the plan.
     pub plan: At<String>,
-    /// Units a second.
+    /// Most that the quotas may add up to, in units per second.
     pub rate: At<f64>,
 }
 
 /// For a hall, the others in order of nearness.
 #[derive(Clone, Debug)]
 pub struct Near {
-    /// The hall.
+    /// Hall that the requests come from.
     pub hall: At<String>,
-    /// The others, the nearest first.
+    /// Other halls, the nearest first.
     pub others: Vec<At<String>>,
 }
 
-/// A site.
+/// Contents of a file with `kind = "site"`.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Its name.
+    /// Name that applications refer to.
     pub name: Option<At<String>>,
-    /// Its halls.
+    /// Halls in which nodes and sidecars run.
     pub halls: Vec<At<String>>,
-    /// Halls in order of nearness.
+    /// For each listed hall, the other halls in order of nearness.
     pub near: Vec<Near>,
-    /// What a node of weight 1 serves, in units a second.
+    /// Capacity of a node of weight 1, in units per second.
     pub per_weight: Option<f64>,
-    /// What an ingress may do.
+    /// Limits of each ingress.
     pub limits: SiteLimits,
-    /// The rules' figures.
+    /// Parameters of the platform's rules.
     pub rules: Rules,
-    /// The classes.
+    /// Classes of requests.
     pub classes: Vec<Class>,
-    /// The plans.
+    /// Plans that accounts can be on.
     pub plans: Vec<Plan>,
-    /// Ceilings over applications.
+    /// Ceilings on the quotas of all applications together.
     pub ceilings: Vec<Ceiling>,
 }
 
 impl Site {
-    /// What a file's values mean.
-    pub fn new(f: &Fields) -> Site {
+    /// Builds the site from the valid fields of its file.
+    pub fn new(fields: &Fields) -> Site {
         let empty = Fields::default();
-        let limits = f.table("limits").unwrap_or(&empty);
-        let rules = f.table("rules").unwrap_or(&empty);
+        let limits = fields.table("limits").unwrap_or(&empty);
+        let rules = fields.table("rules").unwrap_or(&empty);
         Site {
-            name: f.text("name"),
-            halls: or(f.names("halls"), Vec::new()),
-            near: f.tables("near").iter().filter_map(near).collect(),
-            per_weight: f.number("per-weight").map(|n| n.value),
+            name: fields.text("name"),
+            halls: value_or(fields.names("halls"), Vec::new()),
+            near: fields.tables("near").iter().filter_map(near).collect(),
+            per_weight: fields.number("per-weight").map(|n| n.value),
             limits: SiteLimits {
-                attempts: or(limits.whole("attempts"), 3),
-                second_copies: or(limits.flag("second-copies"), true),
-                cancel: or(limits.flag("cancel"), true),
-                probes: or(limits.flag("probes"), false),
-                open: or(limits.whole("open"), 20_000),
-                retry_after: limits.whole("retry-after").map(|t| t.value),
-                connect: or(limits.whole("connect"), 250_000),
-                keepalive: or(limits.whole("keepalive"), 15_000_000),
-                tick: or(limits.whole("tick"), 4_000),
-                messages: or(limits.number("messages"), 40.0),
+                attempts: value_or(limits.integer("attempts"), 3),
+                second_copies: value_or(limits.flag("second-copies"), true),
+                cancel: value_or(limits.flag("cancel"), true),
+                probes: value_or(limits.flag("probes"), false),
+                open: value_or(limits.integer("open"), 20_000),
+                retry_after: limits.integer("retry-after").map(|t| t.value),
+                connect: value_or(limits.integer("connect"), 250_000),
+                keepalive: value_or(limits.integer("keepalive"), 15_000_000),
+                tick: value_or(limits.integer("tick"), 4_000),
+                messages: value_or(limits.number("messages"), 40.0),
             },
             rules: Rules {
-                answer_slack: or(rules.whole("answer-slack"), 16_000),
-                drain_grace: or(rules.whole("drain-grace"), 1_000_000),
-                cold_from: or(rules.number("cold-from"), 0.28),
-                cold: or(rules.whole("cold"), 16_000_000),
-                cold_factor: or(rules.number("cold-factor"), 4.0),
-                cold_push: or(rules.whole("cold-push"), 1_000_000),
+                answer_slack: value_or(rules.integer("answer-slack"), 16_000),
+                drain_grace: value_or(rules.integer("drain-grace"), 1_000_000),
+                cold_from: value_or(rules.number("cold-from"), 0.28),
+                cold: value_or(rules.integer("cold"), 16_000_000),
+                cold_factor: value_or(rules.number("cold-factor"), 4.0),
+                cold_push: value_or(rules.integer("cold-push"), 1_000_000),
             },
-            classes: f.tables("class").iter().filter_map(class).collect(),
-            plans: f.tables("plan").iter().filter_map(plan).collect(),
-            ceilings: f.tables("ceiling").iter().filter_map(ceiling).collect(),
+            classes: fields.tables("class").iter().filter_map(class).collect(),
+            plans: fields.tables("plan").iter().filter_map(plan).collect(),
+            ceilings: fields
+                .tables("ceiling")
+                .iter()
+                .filter_map(ceiling)
+                .collect(),
         }
     }
 
-    /// The class whose largest request takes most units, among those of some names.
-    pub fn largest(&self, among: impl Fn(&str) -> bool) -> Option<&Class> {
-        let classes = self.classes.iter().filter(|c| among(&c.name.value));
+    /// The class whose requests can take the most units, among the classes whose name `filter` accepts.
+    pub fn largest(&self, filter: impl Fn(&str) -> bool) -> Option<&Class> {
+        let classes = self.classes.iter().filter(|c| filter(&c.name.value));
         classes.max_by(|a, b| a.units.value.total_cmp(&b.units.value))
     }
 
-    /// A class by its name.
+    /// Finds a class by name.
     pub fn class(&self, name: &str) -> Option<&Class> {
         self.classes.iter().find(|c| c.name.value == name)
     }
 
-    /// A plan by its name.
+    /// Finds a plan by name.
     pub fn plan(&self, name: &str) -> Option<&Plan> {
         self.plans.iter().find(|p| p.name.value == name)
     }
 }
 
-pub(super) fn near(f: &Fields) -> Option<Near> {
+pub(super) fn near(fields: &Fields) -> Option<Near> {
     Some(Near {
-        hall: f.text("hall")?,
-        others: or(f.names("others"), Vec::new()),
+        hall: fields.text("hall")?,
+        others: value_or(fields.names("others"), Vec::new()),
     })
 }
 
-fn class(f: &Fields) -> Option<Class> {
+fn class(fields: &Fields) -> Option<Class> {
     Some(Class {
-        name: f.text("name")?,
-        effect: f.text("effect"),
-        group: f.text("group"),
-        window: f.whole("window"),
-        bad_key: f.is_bad("group") || f.is_bad("window"),
-        wanted: f.whole("wanted"),
-        deadline: f.whole("deadline"),
-        worth: f.number("worth"),
-        units: f.number("units").unwrap_or(At {
+        name: fields.text("name")?,
+        effect: fields.text("effect"),
+        group: fields.text("group"),
+        window: fields.integer("window"),
+        invalid_key: fields.is_invalid("group") || fields.is_invalid("window"),
+        wanted: fields.integer("wanted"),
+        deadline: fields.integer("deadline"),
+        worth: fields.number("worth"),
+        units: fields.number("units").unwrap_or(At {
             value: 1.0,
-            span: f.span.clone(),
+            span: fields.span.clone(),
         }),
     })
 }
 
-fn plan(f: &Fields) -> Option<Plan> {
+fn plan(fields: &Fields) -> Option<Plan> {
     Some(Plan {
-        name: f.text("name")?,
-        quota: f.number("quota"),
-        burst: f.number("burst"),
-        never_over: f.number("never-over"),
-        never_over_burst: f.number("never-over-burst").map(|n| n.value),
-        price: or(f.number("price"), 1.0),
-        beyond_costs: or(f.number("beyond-costs"), 0.0),
+        name: fields.text("name")?,
+        quota: fields.number("quota"),
+        burst: fields.number("burst"),
+        never_over: fields.number("never-over"),
+        never_over_burst: fields.number("never-over-burst").map(|n| n.value),
+        price: value_or(fields.number("price"), 1.0),
+        beyond_costs: value_or(fields.number("beyond-costs"), 0.0),
     })
 }
 
-fn ceiling(f: &Fields) -> Option<Ceiling> {
+fn ceiling(fields: &Fields) -> Option<Ceiling> {
     Some(Ceiling {
-        plan: f.text("plan")?,
-        rate: f.number("rate")?,
+        plan: fields.text("plan")?,
+        rate: fields.number("rate")?,
     })
 }
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -1,30 +1,30 @@
-//! What an operator adds to an ingress that the platform's own file describes: pools and routes, the nearness of halls, and
-//! where it is controlled. The same reader and the same checks as for all other files.
+//! Reads an operator's file, which extends an ingress that the platform's own file describes: pools, routes, nearness of
+//! halls, callers and the control socket. The reader and the checks are those of all other files.
 
 use crate::check;
-use crate::enforced::{route, Pairs};
-use crate::locality::ways_from;
+use crate::enforced::{insert_routing, Pairs};
+use crate::locality::pools_and_routes_from;
 use crate::set::Set;
 use std::path::{Path, PathBuf};
 
-/// What such a file says.
+/// Contents of an operator's file for one ingress.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Operator {
-    /// Pools, routes and callers, as keys and values of what is enforced.
-    pub ways: Pairs,
-    /// The control socket.
+    /// Enforced state for pools, routes and callers.
+    pub routing: Pairs,
+    /// Path of the control socket.
     pub control: Option<PathBuf>,
-    /// The folder for what must not be forgotten.
+    /// Folder for the state that must survive a restart.
     pub state: Option<PathBuf>,
-    /// The file that says what became of the last reload.
+    /// File to which the ingress writes the result of the last reload.
     pub status: Option<PathBuf>,
 }
 
-/// Reads and checks the file beside the platform's halls and classes, for an ingress that stands in one of the halls.
+/// Reads the file and checks it against the platform's halls and classes, for an ingress in the hall with index `hall`.
 ///
 /// # Errors
 ///
-/// All that is wrong, a line each.
+/// Lists every mistake, one per line.
 pub fn read(
     path: &Path,
     halls: &[String],
@@ -37,32 +37,33 @@
     if let [file] = &files[..] {
         check::ingress(file, Some((halls, classes)), &mut found);
     }
-    let mut wrong: Vec<String> = found
+    let mut mistakes: Vec<String> = found
         .iter()
         .filter(|d| d.refused())
         .map(|d| d.line(&set.sources))
         .collect();
-    wrong.dedup();
-    if !wrong.is_empty() {
-        return Err(format!("refused:\n{}", wrong.join("\n")));
+    mistakes.dedup();
+    if !mistakes.is_empty() {
+        return Err(format!("refused:\n{}", mistakes.join("\n")));
     }
     let [file] = &files[..] else {
         return Err(format!("{} has no kind = \"ingress\"", path.display()));
     };
-    let (site, app) = file.content.at(halls, classes);
-    let (pools, routes) = ways_from(&app, &site, site.halls.get(hall));
-    let mut ways = Pairs::new();
-    route(&mut ways, &pools, &routes);
+    let (site, app) = file.content.with_platform_names(halls, classes);
+    let (pools, routes) = pools_and_routes_from(&app, &site, site.halls.get(hall));
+    let mut routing = Pairs::new();
+    insert_routing(&mut routing, &pools, &routes);
     app.identity
         .iter()
-        .for_each(|identity| crate::callers::put(&mut ways, identity));
-    let place = |p: &Option<crate::reader::At<String>>| p.as_ref().map(|p| PathBuf::from(&p.value));
+        .for_each(|identity| crate::callers::insert_identity(&mut routing, identity));
+    let path_buf =
+        |path: &Option<crate::reader::At<String>>| path.as_ref().map(|p| PathBuf::from(&p.value));
     let file = file.content;
     Ok(Operator {
-        ways,
-        control: place(&file.control),
-        state: place(&file.state),
-        status: place(&file.status),
+        routing,
+        control: path_buf(&file.control),
+        state: path_buf(&file.state),
+        status: path_buf(&file.status),
     })
 }
 
--- a/crates/config/src/operator/tests.rs
+++ b/crates/config/src/operator/tests.rs
@@ -1,6 +1,6 @@
 use super::{read, Operator};
 
-fn told(text: &str) -> Result<Operator, String> {
+fn read_text(text: &str) -> Result<Operator, String> {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("wrenfork.toml");
     std::fs::write(&path, format!("version = 1\nkind = \"ingress\"\n{text}")).unwrap();
@@ -8,20 +8,20 @@
     read(&path, &list(&["a", "b"]), &list(&["quote", "save"]), 1)
 }
 
-/// Guards against a file that is taken although the platform has no such class or hall, and one that says nothing and
-/// changes something all the same.
+/// Guards against accepting a file that names an unknown class or hall, and against an empty file that changes
+/// something.
 #[test]
-fn pools_and_routes_are_checked_beside_the_platforms_own_names() {
-    assert_eq!(told(""), Ok(Operator::default()));
+fn pools_and_routes_are_checked_against_the_platforms_names() {
+    assert_eq!(read_text(""), Ok(Operator::default()));
     let pool =
         "[[pool]]\nname = \"p\"\nhalls = [\"a\"]\n[[route]]\nclass = \"quote\"\npool = \"p\"\n";
     let near = "[[near]]\nhall = \"b\"\nothers = [\"a\"]\n";
-    let said = told(&format!("control = \"/run/c\"\n{pool}{near}")).unwrap();
-    assert_eq!(said.control, Some("/run/c".into()));
+    let operator = read_text(&format!("control = \"/run/c\"\n{pool}{near}")).unwrap();
+    assert_eq!(operator.control, Some("/run/c".into()));
     assert_eq!(
         (
-            &*said.ways["routes.quote.pool"],
-            &*said.ways["routes.save.pool"]
+            &*operator.routing["routes.quote.pool"],
+            &*operator.routing["routes.save.pool"]
         ),
         ("p", "hall:b")
     );
@@ -32,7 +32,7 @@
         (near.replace("\"b\"", "\"x\""), "C204"),
         ("listen = 3\n".into(), "C101"),
     ] {
-        let why = told(&text).unwrap_err();
-        assert!(why.contains(code), "{text}: {why}");
+        let error = read_text(&text).unwrap_err();
+        assert!(error.contains(code), "{text}: {error}");
     }
 }
--- a/crates/config/src/pairs.rs
+++ b/crates/config/src/pairs.rs
@@ -1,6 +1,6 @@
-//! The keys and values that an ingress enforces.
+//! The keys and values of the state that an ingress enforces.
 
 use std::collections::BTreeMap;
 
-/// Keys with their values.
+/// Enforced state: values by key, such as `contracts.1.quota_rate`.
 pub type Pairs = BTreeMap<String, String>;
--- a/crates/config/src/reach.rs
+++ b/crates/config/src/reach.rs
@@ -1,31 +1,31 @@
-//! What a change of pools and routes means for the nodes that are there now: which class loses the last one that takes its
-//! requests, before anybody applies it.
+//! Effect of a change of pools and routes on the current nodes. Before the change is applied, this finds the classes that
+//! would lose their last node.
 
 use crate::enforced::{names, table, Pairs};
 use std::collections::BTreeMap;
 use wrenfork_routes::{NodeLabels, PoolId};
 
-/// A node as an ingress sees it now.
+/// Current state of a node as an ingress reports it.
 #[derive(Clone, Copy, Debug)]
 pub struct Node<'a> {
-    /// What pools go by.
-    pub traits: NodeLabels<'a>,
-    /// It is up and does not drain.
-    pub takes: bool,
-    /// The classes that it is rested for, since it failed.
-    pub rests: &'a [String],
+    /// Labels that pool selectors match.
+    pub labels: NodeLabels<'a>,
+    /// The node is up and not draining.
+    pub available: bool,
+    /// Classes whose requests the node does not receive after failures.
+    pub ejected_for: &'a [String],
 }
 
-/// A pool on a class's way, and how many of its nodes take that class's requests.
+/// A pool in a class's fallback order, with the number of its nodes that accept the class's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Stop {
-    /// None where the class has no route: all nodes.
+struct Tier {
+    /// Name of the pool; none for a class without a route, which goes to all nodes.
     pool: Option<String>,
     healthy: usize,
 }
 
-/// The pools that each class goes over, best first, those of a trial left out: it falls back on the others' way.
-fn ways(state: &Pairs, nodes: &[Node]) -> BTreeMap<String, Vec<Stop>> {
+/// The fallback order of each class, first pool first. Trial pools are left out: a trial falls back to the route's pools.
+fn fallback_tiers(state: &Pairs, nodes: &[Node]) -> BTreeMap<String, Vec<Tier>> {
     let Ok((table, pools)) = table(state) else {
         return BTreeMap::new();
     };
@@ -33,68 +33,71 @@
         .into_iter()
         .enumerate()
         .filter(|(_, class)| !class.is_empty());
-    let way = |(place, class): (usize, String)| {
-        let able = |n: &&Node| n.takes && !n.rests.contains(&class);
-        let Some(route) = table.routes.get(place).copied().flatten() else {
+    let class_tiers = |(index, class): (usize, String)| {
+        let healthy = |n: &&Node| n.available && !n.ejected_for.contains(&class);
+        let Some(route) = table.routes.get(index).copied().flatten() else {
             return (
                 class.clone(),
-                vec![Stop {
+                vec![Tier {
                     pool: None,
-                    healthy: nodes.iter().filter(able).count(),
+                    healthy: nodes.iter().filter(healthy).count(),
                 }],
             );
         };
         let order = table
             .fallback_order(route.pool)
             .unwrap_or_else(|_| vec![route.pool]);
-        let stop = |no: PoolId| {
-            let at = usize::from(no.0);
-            let of = |n: &&Node| {
+        let tier = |id: PoolId| {
+            let index = usize::from(id.0);
+            let is_member = |n: &&Node| {
                 table
                     .pools
-                    .get(at)
-                    .is_some_and(|p| p.selector.matches(&n.traits))
+                    .get(index)
+                    .is_some_and(|p| p.selector.matches(&n.labels))
             };
-            let healthy = nodes.iter().filter(of).filter(able).count();
-            Stop {
-                pool: pools.get(at).cloned(),
+            let healthy = nodes.iter().filter(is_member).filter(healthy).count();
+            Tier {
+                pool: pools.get(index).cloned(),
                 healthy,
             }
         };
-        let stops = order.into_iter().map(stop).collect();
-        (class.clone(), stops)
+        let tiers = order.into_iter().map(tier).collect();
+        (class.clone(), tiers)
     };
-    classes.map(way).collect()
+    classes.map(class_tiers).collect()
 }
 
-/// The classes that a change leaves without a node that takes their requests, or without one in their first pool: by the
-/// key of their route, with what that means in plain words. Nothing where no node is known.
-pub fn stranded(has: &Pairs, wanted: &Pairs, nodes: &[Node]) -> Vec<(String, String)> {
+/// The classes that a change leaves without a healthy node, or without one in their first pool. Each is returned as the key
+/// of its route and a message. Empty if no node is known.
+pub fn stranded(current: &Pairs, wanted: &Pairs, nodes: &[Node]) -> Vec<(String, String)> {
     if nodes.is_empty() {
         return Vec::new();
     }
-    let (before, after) = (ways(has, nodes), ways(wanted, nodes));
-    let any = |way: &[Stop]| way.iter().any(|s| s.healthy > 0);
+    let (before, after) = (
+        fallback_tiers(current, nodes),
+        fallback_tiers(wanted, nodes),
+    );
+    let any = |tiers: &[Tier]| tiers.iter().any(|s| s.healthy > 0);
     let mut found = Vec::new();
-    for (class, way) in &after {
-        let was = before.get(class);
-        let pools: Vec<&str> = way.iter().filter_map(|s| s.pool.as_deref()).collect();
+    for (class, tiers) in &after {
+        let previous = before.get(class);
+        let pools: Vec<&str> = tiers.iter().filter_map(|s| s.pool.as_deref()).collect();
         let pools = pools.join(", ");
-        let first = way
+        let first = tiers
             .first()
             .filter(|s| s.healthy == 0)
             .and_then(|s| s.pool.as_deref());
-        let first_had = was.is_none_or(|w| w.first().is_some_and(|s| s.healthy > 0));
-        let what = if !any(way) && was.is_some_and(|w| any(w)) {
+        let first_was_healthy = previous.is_none_or(|w| w.first().is_some_and(|s| s.healthy > 0));
+        let message = if !any(tiers) && previous.is_some_and(|w| any(w)) {
             format!("it loses its last healthy node: none of {pools} has one right now, and its requests are refused")
-        } else if !any(way) && was != Some(way) {
+        } else if !any(tiers) && previous != Some(tiers) {
             format!("none of {pools} has a healthy node right now: its requests are refused")
-        } else if let Some(first) = first.filter(|_| any(way) && first_had) {
+        } else if let Some(first) = first.filter(|_| any(tiers) && first_was_healthy) {
             format!("its first pool {first} has no healthy node right now: all that goes there falls back")
         } else {
             continue;
         };
-        found.push((format!("routes.{class}.pool"), what));
+        found.push((format!("routes.{class}.pool"), message));
     }
     found
 }
--- a/crates/config/src/reach/tests.rs
+++ b/crates/config/src/reach/tests.rs
@@ -16,22 +16,22 @@
     s
 }
 
-fn node<'a>(name: &'a str, takes: bool, rests: &'a [String]) -> Node<'a> {
+fn node<'a>(name: &'a str, available: bool, ejected_for: &'a [String]) -> Node<'a> {
     Node {
-        traits: NodeLabels {
+        labels: NodeLabels {
             name,
             zone_group: "h",
             machine_type: "m",
             cell: 1,
         },
-        takes,
-        rests,
+        available,
+        ejected_for,
     }
 }
 
-/// Guards against a change that refuses every request of a class and passes for harmless.
+/// Guards against applying a change without a warning although every request of a class would be refused.
 #[test]
-fn a_class_that_loses_its_last_healthy_node_is_told_and_no_other() {
+fn only_classes_that_lose_healthy_nodes_are_reported() {
     let quote = ["quote".to_string()];
     let other = ["save-scenario".to_string()];
     let nodes = [
@@ -52,46 +52,46 @@
             pool,
         )
     };
-    let told = |has: &Pairs, wanted: &Pairs| {
-        let found = stranded(has, wanted, &nodes);
+    let reported = |current: &Pairs, wanted: &Pairs| {
+        let found = stranded(current, wanted, &nodes);
         found.first().map_or(String::new(), |f| {
             f.1.split(':').next().unwrap().to_string()
         })
     };
     let (free, a) = (from(None), from(Some("a")));
-    assert_eq!(told(&free, &a), "");
+    assert_eq!(reported(&free, &a), "");
     assert_eq!(
-        told(&a, &from(Some("d"))),
+        reported(&a, &from(Some("d"))),
         "",
-        "resting for another class is no harm"
+        "the node is ejected for another class only"
     );
     let loses = "it loses its last healthy node";
-    assert_eq!(told(&a, &from(Some("b"))), loses, "it drains");
+    assert_eq!(reported(&a, &from(Some("b"))), loses, "node b is draining");
     assert_eq!(
-        told(&free, &from(Some("c"))),
+        reported(&free, &from(Some("c"))),
         loses,
-        "one rests, its fallback drains"
+        "node c is ejected, its fallback is draining"
     );
     assert_eq!(
-        told(&a, &from(Some("e"))),
+        reported(&a, &from(Some("e"))),
         "its first pool e has no healthy node right now"
     );
     assert_eq!(
-        told(&from(Some("b")), &from(Some("b"))),
+        reported(&from(Some("b")), &from(Some("b"))),
         "",
         "nothing changes"
     );
     assert_eq!(
-        told(&from(Some("b")), &from(Some("c"))),
+        reported(&from(Some("b")), &from(Some("c"))),
         "none of c, b has a healthy node right now"
     );
-    // The route stays, its pool is another.
-    let mut moved = a.clone();
-    moved.insert("pools.0.nodes".into(), "b".into());
-    assert_eq!(told(&a, &moved), loses);
+    // The route is unchanged, its pool selects another node.
+    let mut changed_pool = a.clone();
+    changed_pool.insert("pools.0.nodes".into(), "b".into());
+    assert_eq!(reported(&a, &changed_pool), loses);
     assert_eq!(
-        stranded(&a, &moved, &[]),
+        stranded(&a, &changed_pool, &[]),
         [],
-        "who knows no node says nothing"
+        "nothing is reported when no node is known"
     );
 }
