--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -47,7 +47,7 @@
             found.push(
                 app_file
                     .diagnostic(Code::NoSite, name, message)
-                    .with(site_file.at(&own.span), "the site given"),
+                    .with(site_file.place(&own.span), "the site given"),
             );
         }
     }
@@ -119,7 +119,7 @@
             file.with_platform_names(&halls, &classes)
         }
     };
-    site::nearness(
+    site::check_nearness(
         &InFile {
             file: ingress_file.file,
             content: &site,
--- a/crates/config/src/check/accounts.rs
+++ b/crates/config/src/check/accounts.rs
@@ -1,7 +1,7 @@
 //! Checks the accounts of an application and their quotas.
 
 use super::findings::{report_duplicates, unknown_name, InFile};
-use super::site::small_burst;
+use super::site::check_burst;
 use super::ROUNDING_TOLERANCE;
 use crate::codes::Code;
 use crate::diagnostic::Diagnostic;
@@ -47,19 +47,19 @@
             ));
             continue;
         };
-        let owner = display_name(account);
-        hard_limit(app_file, site_file, account, plan, found);
+        let owner = account_label(account);
+        check_hard_limit(app_file, site_file, account, plan, found);
         if let (Some(burst), Some(class)) = (&account.burst, largest) {
-            small_burst(app_file, burst, &owner, class, site_file.file, found);
+            check_burst(app_file, burst, &owner, class, site_file.file, found);
         }
         if let Some(quota) = &account.quota {
             let median = medians.get(name.value.as_str()).copied();
-            implausible_quota(app_file, &owner, quota, plan, median, found);
+            check_quota_plausibility(app_file, &owner, quota, plan, median, found);
         }
     }
 }
 
-fn display_name(account: &Account) -> String {
+fn account_label(account: &Account) -> String {
     format!("account {:016x}", account.id.value)
 }
 
@@ -86,7 +86,7 @@
 }
 
 /// Reports a quota above the hard limit of the account's plan.
-fn hard_limit(
+fn check_hard_limit(
     app_file: &InFile<Application>,
     site_file: &InFile<Site>,
     account: &Account,
@@ -100,17 +100,20 @@
         let limit = show_rate(max_rate.value);
         let message = format!(
             "{} has a quota of {}, and plan \"{}\" is never over {limit}",
-            display_name(account),
+            account_label(account),
             show_rate(quota.value),
             plan.name.value
         );
         let diagnostic = app_file.diagnostic(Code::OverPlan, quota, message);
-        found.push(diagnostic.with(site_file.at(&max_rate.span), format!("never over {limit}")));
+        found.push(diagnostic.with(
+            site_file.place(&max_rate.span),
+            format!("never over {limit}"),
+        ));
     }
 }
 
-/// Reports a quota far from the plan's or from the median of its accounts: the unit is probably diagnostic.
-fn implausible_quota(
+/// Reports a quota far from the plan's or from the median of its accounts: the unit is probably wrong.
+fn check_quota_plausibility(
     app_file: &InFile<Application>,
     owner: &str,
     quota: &At<f64>,
--- a/crates/config/src/check/findings.rs
+++ b/crates/config/src/check/findings.rs
@@ -16,20 +16,22 @@
 }
 
 impl<T> InFile<'_, T> {
-    pub(super) fn at(&self, span: &Range<usize>) -> Place {
+    /// The place of a span in the file.
+    pub(super) fn place(&self, span: &Range<usize>) -> Place {
         Place {
             file: self.file,
             span: span.clone(),
         }
     }
 
+    /// A diagnostic at a value of the file.
     pub(super) fn diagnostic<V>(
         &self,
         code: Code,
         at: &At<V>,
         message: impl Into<String>,
     ) -> Diagnostic {
-        Diagnostic::new(code, self.at(&at.span), message)
+        Diagnostic::new(code, self.place(&at.span), message)
     }
 }
 
@@ -49,7 +51,7 @@
                     name,
                     format!("{kind} {shown} is there twice"),
                 )
-                .with(file.at(&first.span), "first here"),
+                .with(file.place(&first.span), "first here"),
             ),
             None => drop(seen.insert(&name.value, name)),
         }
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -53,8 +53,8 @@
             let span = n
                 .checked_sub(1)
                 .map_or(&node.name.span, |n| &node.addresses[n].span);
-            let diagnostic = Diagnostic::new(Code::AddressTwice, fleet_file.at(span), message);
-            found.push(diagnostic.with(fleet_file.at(&first.name.span), "the first one"));
+            let diagnostic = Diagnostic::new(Code::AddressTwice, fleet_file.place(span), message);
+            found.push(diagnostic.with(fleet_file.place(&first.name.span), "the first one"));
         }
         if node.addresses.len() >= MAX_ADDRESSES {
             let message = format!(
@@ -81,18 +81,18 @@
         .collect();
     for pool in &app.pools {
         let before = found.len();
-        named_nodes(app_file, pool, fleet, &by_name, found);
+        check_named_nodes(app_file, pool, fleet, &by_name, found);
         if found.len() > before {
             continue; // the pool's nodes are already reported
         }
-        members(app_file, pool, fleet, found);
+        check_members(app_file, pool, fleet, found);
     }
     let table = table(&app.pools, &app.routes, site_file.content);
     let up = fleet.nodes.iter().filter(|n| n.status == Status::Up);
     let pools_and_nodes: Vec<(u64, &Node)> = up.map(|n| (table.pools_of(&labels(n)), n)).collect();
     let total_quota: f64 = quotas(app, site_file.content).map(|(_, q)| q).sum();
     for route in &app.routes {
-        mixed_groups(
+        check_groups(
             app_file,
             site_file.content,
             &table,
@@ -100,7 +100,7 @@
             &pools_and_nodes,
             found,
         );
-        capacity(
+        check_capacity(
             app_file,
             site_file,
             total_quota,
@@ -112,7 +112,7 @@
 }
 
 /// Reports nodes that a pool names and that are missing, draining or removed.
-fn named_nodes(
+fn check_named_nodes(
     app_file: &InFile<Application>,
     pool: &Pool,
     fleet: &Fleet,
@@ -142,7 +142,7 @@
 }
 
 /// Reports a pool without nodes, or without one that is up.
-fn members(
+fn check_members(
     app_file: &InFile<Application>,
     pool: &Pool,
     fleet: &Fleet,
@@ -161,7 +161,7 @@
 }
 
 /// Reports a keyed class that is routed to several groups of nodes: a group does not know the idempotency keys of another.
-fn mixed_groups(
+fn check_groups(
     app_file: &InFile<Application>,
     site: &Site,
     table: &Table,
@@ -222,7 +222,7 @@
 }
 
 /// Reports pools of a route whose nodes can't serve the quotas that go there.
-fn capacity(
+fn check_capacity(
     app_file: &InFile<Application>,
     site_file: &InFile<Site>,
     total_quota: f64,
@@ -240,7 +240,7 @@
     };
     let trial = pool(&route.trial).zip(route.share.as_ref().map(|s| s.value));
     let share = trial.as_ref().map_or(0.0, |t| t.1);
-    let trial_set = trial.as_ref().map_or(0, |((_, p), _)| p.bit());
+    let trial_bit = trial.as_ref().map_or(0, |((_, p), _)| p.bit());
     let mut check_pool = |name: &At<String>, members: u64, excluded: u64, share: f64| {
         let nodes = pools_and_nodes
             .iter()
@@ -257,7 +257,7 @@
         }
     };
     if let Some((name, p)) = pool(&route.pool) {
-        check_pool(&name, p.bit(), trial_set, 1.0 - share);
+        check_pool(&name, p.bit(), trial_bit, 1.0 - share);
     }
     if let Some(((name, p), share)) = &trial {
         check_pool(name, p.bit(), 0, *share);
--- a/crates/config/src/check/group.rs
+++ b/crates/config/src/check/group.rs
@@ -31,7 +31,7 @@
         }
         return;
     };
-    member_names(app_file, found);
+    check_member_names(app_file, found);
     for sidecar in app
         .sidecars
         .iter()
@@ -58,10 +58,10 @@
         let message = "a change does not hold at a sidecar that is cut off while it is made";
         found.push(app_file.diagnostic(Code::AsKnown, alone, message));
     }
-    voters(app_file, roster, found);
+    check_voters(app_file, roster, found);
 }
 
-fn voters(app_file: &InFile<Application>, roster: &Roster, found: &mut Vec<Diagnostic>) {
+fn check_voters(app_file: &InFile<Application>, roster: &Roster, found: &mut Vec<Diagnostic>) {
     let app = app_file.content;
     let member_names = || {
         let sidecars = app.sidecars.iter().map(|s| s.name.value.as_str());
@@ -89,7 +89,7 @@
     } else {
         roster.voters.len()
     };
-    let place = app_file.at(&roster.span);
+    let place = app_file.place(&roster.span);
     let (code, message) = match count {
         _ if !all_known => return,
         1 => (
@@ -114,7 +114,7 @@
 }
 
 /// Reports members that share a name.
-fn member_names(app_file: &InFile<Application>, found: &mut Vec<Diagnostic>) {
+fn check_member_names(app_file: &InFile<Application>, found: &mut Vec<Diagnostic>) {
     let app = app_file.content;
     if app.witnesses.is_empty() {
         return;
--- a/crates/config/src/check/identity.rs
+++ b/crates/config/src/check/identity.rs
@@ -30,18 +30,18 @@
             issuer.keys.iter().map(|k| quoted(&k.name)),
             found,
         );
-        rotation(app_file, identity, issuer, found);
+        check_rotation(app_file, identity, issuer, found);
     }
     for tenant in &identity.tenants {
-        tenant_classes(app_file, site, tenant, found);
+        check_tenant_classes(app_file, site, tenant, found);
         if own {
-            tenant_accounts(app_file, tenant, found);
+            check_tenant_accounts(app_file, tenant, found);
         }
     }
 }
 
 /// Reports times at which an issuer has no valid key.
-fn rotation(
+fn check_rotation(
     app_file: &InFile<Application>,
     identity: &Identity,
     issuer: &Issuer,
@@ -52,8 +52,8 @@
     trust.issuers.retain(|i| i.name == *name);
     // Checked from the first key's start on: the check has no clock, and a gap is a mistake at any time.
     let start = issuer.keys.iter().map(|k| k.from).min().unwrap_or(0);
-    for doubt in trust.rotation(start) {
-        let message = match &doubt {
+    for problem in trust.rotation(start) {
+        let message = match &problem {
             Doubt::Gap(_, at) => format!("issuer \"{name}\" has no key from {} on", told(*at)),
             Doubt::Never(_, key) => format!("key \"{key}\" ends before it begins"),
             Doubt::NoKey(_) | Doubt::Twice(..) => continue,
@@ -62,7 +62,7 @@
     }
 }
 
-fn tenant_classes(
+fn check_tenant_classes(
     app_file: &InFile<Application>,
     site: &Site,
     tenant: &Tenant,
@@ -81,7 +81,11 @@
     }
 }
 
-fn tenant_accounts(app_file: &InFile<Application>, tenant: &Tenant, found: &mut Vec<Diagnostic>) {
+fn check_tenant_accounts(
+    app_file: &InFile<Application>,
+    tenant: &Tenant,
+    found: &mut Vec<Diagnostic>,
+) {
     let is_own = |id: u64| {
         app_file
             .content
--- a/crates/config/src/check/pools.rs
+++ b/crates/config/src/check/pools.rs
@@ -136,7 +136,7 @@
     let message = format!("pools fall back in a circle: {}", names.join(", then "));
     let place = |id: &PoolId| {
         let pool = pool(id);
-        app_file.at(pool.fallback.as_ref().map_or(&pool.name.span, |f| &f.span))
+        app_file.place(pool.fallback.as_ref().map_or(&pool.name.span, |f| &f.span))
     };
     let mut diagnostic = Diagnostic::new(Code::Circle, place(&cycle[0]), message);
     for id in &cycle[1..] {
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -18,7 +18,7 @@
         if let Some(first) = routed.get(class.value.as_str()) {
             let message = format!("class \"{}\" has two routes", class.value);
             let diagnostic = app_file.diagnostic(Code::RoutedTwice, class, message);
-            found.push(diagnostic.with(app_file.at(&first.span), "the first one"));
+            found.push(diagnostic.with(app_file.place(&first.span), "the first one"));
         } else {
             routed.insert(&class.value, class);
         }
@@ -127,6 +127,6 @@
             route.class.value, trial.value
         );
         let diagnostic = app_file.diagnostic(Code::TrialAtHome, trial, message);
-        found.push(diagnostic.with(app_file.at(&pool.span), "it begins here"));
+        found.push(diagnostic.with(app_file.place(&pool.span), "it begins here"));
     }
 }
--- a/crates/config/src/check/sidecars.rs
+++ b/crates/config/src/check/sidecars.rs
@@ -61,7 +61,7 @@
                 sidecar.name.value
             );
             let diagnostic =
-                Diagnostic::new(Code::NoPeer, app_file.at(&sidecar.name.span), message);
+                Diagnostic::new(Code::NoPeer, app_file.place(&sidecar.name.span), message);
             found.push(diagnostic.help("add peers = \"127.0.0.1:7946\", an address of its own"));
         }
     }
--- a/crates/config/src/check/site.rs
+++ b/crates/config/src/check/site.rs
@@ -15,21 +15,21 @@
     report_duplicates(site_file, "class", classes, found);
     let plans = site.plans.iter().map(|p| quoted(&p.name));
     report_duplicates(site_file, "plan", plans, found);
-    nearness(site_file, found);
+    check_nearness(site_file, found);
     let ceilings = site.ceilings.iter().map(|c| quoted(&c.plan));
     report_duplicates(site_file, "a ceiling for", ceilings, found);
     for class in &site.classes {
-        idempotency_key(site_file, class, found);
-        deadline(site_file, class, found);
-        worth(site_file, class, found);
+        check_idempotency_key(site_file, class, found);
+        check_deadline(site_file, class, found);
+        check_worth(site_file, class, found);
     }
     let largest = site.largest(|_| true);
     for plan in &site.plans {
         if let (Some(burst), Some(class)) = (&plan.burst, largest) {
             let owner = format!("plan \"{}\"", plan.name.value);
-            small_burst(site_file, burst, &owner, class, site_file.file, found);
+            check_burst(site_file, burst, &owner, class, site_file.file, found);
         }
-        hard_limit(site_file, plan, found);
+        check_hard_limit(site_file, plan, found);
     }
     for ceiling in &site.ceilings {
         if site.plan(&ceiling.plan.value).is_none() {
@@ -46,7 +46,7 @@
 }
 
 /// Reports unknown and repeated halls in the orders of nearness.
-pub(super) fn nearness(site_file: &InFile<Site>, found: &mut Vec<Diagnostic>) {
+pub(super) fn check_nearness(site_file: &InFile<Site>, found: &mut Vec<Diagnostic>) {
     let site = site_file.content;
     report_duplicates(
         site_file,
@@ -71,15 +71,15 @@
 }
 
 /// Checks that `window` and `group` are given for a class with idempotency keys, and for no other class.
-fn idempotency_key(site_file: &InFile<Site>, class: &Class, found: &mut Vec<Diagnostic>) {
+fn check_idempotency_key(site_file: &InFile<Site>, class: &Class, found: &mut Vec<Diagnostic>) {
     match class.effect.as_ref().map(|e| e.value == "keyed") {
-        Some(true) => keyed(site_file, class, found),
-        Some(false) => not_keyed(site_file, class, found),
+        Some(true) => check_keyed(site_file, class, found),
+        Some(false) => check_not_keyed(site_file, class, found),
         None => {}
     }
 }
 
-fn keyed(site_file: &InFile<Site>, class: &Class, found: &mut Vec<Diagnostic>) {
+fn check_keyed(site_file: &InFile<Site>, class: &Class, found: &mut Vec<Diagnostic>) {
     let name = &class.name.value;
     if let Some(window) = class.window.as_ref().filter(|w| w.value == 0) {
         let message = format!("class \"{name}\" has keys that are known for no time");
@@ -101,18 +101,18 @@
     }
 }
 
-fn not_keyed(site_file: &InFile<Site>, class: &Class, found: &mut Vec<Diagnostic>) {
+fn check_not_keyed(site_file: &InFile<Site>, class: &Class, found: &mut Vec<Diagnostic>) {
     let window = class.window.as_ref().map(|w| &w.span);
     let group = class.group.as_ref().map(|g| &g.span);
     for span in window.into_iter().chain(group) {
         let message = format!("class \"{}\" has no keys", class.name.value);
-        let diagnostic = Diagnostic::new(Code::IdleWindow, site_file.at(span), message);
+        let diagnostic = Diagnostic::new(Code::IdleWindow, site_file.place(span), message);
         found.push(diagnostic.help("take the line out"));
     }
 }
 
 /// Reports a deadline that is shorter than the time within which an answer earns its full worth.
-fn deadline(site_file: &InFile<Site>, class: &Class, found: &mut Vec<Diagnostic>) {
+fn check_deadline(site_file: &InFile<Site>, class: &Class, found: &mut Vec<Diagnostic>) {
     let (Some(wanted), Some(deadline)) = (&class.wanted, &class.deadline) else {
         return;
     };
@@ -124,11 +124,11 @@
         );
         let note = format!("wanted within {}", show_time(wanted.value));
         let diagnostic = site_file.diagnostic(Code::LateDeadline, deadline, message);
-        found.push(diagnostic.with(site_file.at(&wanted.span), note));
+        found.push(diagnostic.with(site_file.place(&wanted.span), note));
     }
 }
 
-fn worth(site_file: &InFile<Site>, class: &Class, found: &mut Vec<Diagnostic>) {
+fn check_worth(site_file: &InFile<Site>, class: &Class, found: &mut Vec<Diagnostic>) {
     if let Some(worth) = class.worth.as_ref().filter(|w| w.value <= 0.0) {
         let message = format!("class \"{}\" is worth nothing", class.name.value);
         found.push(site_file.diagnostic(Code::Unpriced, worth, message));
@@ -136,7 +136,7 @@
 }
 
 /// Reports a hard limit below the plan's quota.
-fn hard_limit(site_file: &InFile<Site>, plan: &Plan, found: &mut Vec<Diagnostic>) {
+fn check_hard_limit(site_file: &InFile<Site>, plan: &Plan, found: &mut Vec<Diagnostic>) {
     let (Some(quota), Some(max_rate)) = (&plan.quota, &plan.never_over) else {
         return;
     };
@@ -148,12 +148,12 @@
         );
         let note = format!("a quota of {}", show_rate(quota.value));
         let diagnostic = site_file.diagnostic(Code::LowCeiling, max_rate, message);
-        found.push(diagnostic.with(site_file.at(&quota.span), note));
+        found.push(diagnostic.with(site_file.place(&quota.span), note));
     }
 }
 
 /// Reports a burst that is smaller than the largest request of a class.
-pub(super) fn small_burst<T>(
+pub(super) fn check_burst<T>(
     file: &InFile<T>,
     burst: &At<f64>,
     owner: &str,
--- a/crates/config/src/check/together.rs
+++ b/crates/config/src/check/together.rs
@@ -23,18 +23,18 @@
     let mut ids = HashMap::new();
     let mut addresses = BTreeMap::new();
     for app_file in apps {
-        name(app_file, &mut names, found);
-        accounts(app_file, &mut ids, found);
+        check_name(app_file, &mut names, found);
+        check_accounts(app_file, &mut ids, found);
         for sidecar in &app_file.content.sidecars {
-            sockets(app_file, sidecar, &mut addresses, found);
+            check_addresses(app_file, sidecar, &mut addresses, found);
         }
     }
     if let Some(site) = site {
-        ceilings(apps, site, found);
+        check_ceilings(apps, site, found);
     }
 }
 
-fn name<'a>(
+fn check_name<'a>(
     app_file: &InFile<'a, Application>,
     names: &mut BTreeMap<&'a str, Place>,
     found: &mut Vec<Diagnostic>,
@@ -47,7 +47,7 @@
         let diagnostic = app_file.diagnostic(Code::ApplicationTwice, name, message);
         found.push(diagnostic.with(first.clone(), "the first one"));
     } else {
-        names.insert(&name.value, app_file.at(&name.span));
+        names.insert(&name.value, app_file.place(&name.span));
     }
 }
 
@@ -57,7 +57,7 @@
     place: Place,
 }
 
-fn accounts<'a>(
+fn check_accounts<'a>(
     app_file: &InFile<'a, Application>,
     owners: &mut HashMap<u64, Owner<'a>>,
     found: &mut Vec<Diagnostic>,
@@ -74,7 +74,7 @@
             None => {
                 let owner = Owner {
                     application: app_file.content.display_name(),
-                    place: app_file.at(&account.id.span),
+                    place: app_file.place(&account.id.span),
                 };
                 owners.insert(id, owner);
             }
@@ -100,7 +100,7 @@
     listen.into_iter().chain(peers).chain(paths)
 }
 
-fn sockets(
+fn check_addresses(
     app_file: &InFile<Application>,
     sidecar: &Sidecar,
     taken: &mut BTreeMap<String, Place>,
@@ -109,15 +109,15 @@
     for (address, span) in addresses(sidecar) {
         if let Some(first) = taken.get(&address) {
             let message = format!("{} is taken already", address.trim_end_matches("/udp"));
-            let diagnostic = Diagnostic::new(Code::AddressTwice, app_file.at(span), message);
+            let diagnostic = Diagnostic::new(Code::AddressTwice, app_file.place(span), message);
             found.push(diagnostic.with(first.clone(), "by this one"));
         } else {
-            taken.insert(address, app_file.at(span));
+            taken.insert(address, app_file.place(span));
         }
     }
 }
 
-/// Sum of the quotas that one application gives on a plan.
+/// Sum of the quotas that one application grants on a plan.
 struct QuotaSum<'a> {
     application: &'a str,
     /// Sum of the accounts' quotas, in units per second.
@@ -144,7 +144,7 @@
             let sum = own.entry(&plan.value).or_insert_with(|| QuotaSum {
                 application: app_file.content.display_name(),
                 rate: 0.0,
-                place: app_file.at(&plan.span),
+                place: app_file.place(&plan.span),
             });
             sum.rate += quota;
         }
@@ -155,7 +155,11 @@
     sums
 }
 
-fn ceilings(apps: &[InFile<Application>], site_file: &InFile<Site>, found: &mut Vec<Diagnostic>) {
+fn check_ceilings(
+    apps: &[InFile<Application>],
+    site_file: &InFile<Site>,
+    found: &mut Vec<Diagnostic>,
+) {
     let sums = quota_sums(apps, site_file.content);
     for ceiling in &site_file.content.ceilings {
         let Some(parts) = sums.get(ceiling.plan.value.as_str()) else {
@@ -208,7 +212,7 @@
         parts[exceeding].place.clone(),
         message,
     )
-    .with(site_file.at(&ceiling.rate.span), note);
+    .with(site_file.place(&ceiling.rate.span), note);
     for other in others {
         let note = format!(
             "\"{}\" has {} of it",
--- a/crates/config/src/enforced.rs
+++ b/crates/config/src/enforced.rs
@@ -380,24 +380,24 @@
             running.iter().map(|r| names(r, list)).collect::<Vec<_>>(),
             names(wanted, list),
         );
-        let known = running_names.iter().map(Vec::len).max().unwrap_or(0);
-        // The name at each index in any running state. If two names share an index, neither keeps it.
-        let mut names_by_index: Vec<Option<&str>> = vec![None; known];
-        let mut conflicting = vec![false; known];
+        let running_count = running_names.iter().map(Vec::len).max().unwrap_or(0);
+        // The name position each index in any running state. If two names share an index, neither keeps it.
+        let mut names_by_index: Vec<Option<&str>> = vec![None; running_count];
+        let mut conflicting = vec![false; running_count];
         for names in &running_names {
             for (index, name) in names
                 .iter()
                 .enumerate()
                 .filter(|(_, name)| !name.is_empty())
             {
-                conflicting[index] |= names_by_index[index].is_some_and(|h| h != name);
+                conflicting[index] |= names_by_index[index].is_some_and(|other| other != name);
                 names_by_index[index] = Some(name);
             }
         }
         let mut index_of: HashMap<&str, usize> = HashMap::new();
         let mut ambiguous: Vec<&str> = Vec::new();
-        for (index, holder) in names_by_index.iter().enumerate() {
-            let Some(name) = holder.filter(|_| !conflicting[index]) else {
+        for (index, owner) in names_by_index.iter().enumerate() {
+            let Some(name) = owner.filter(|_| !conflicting[index]) else {
                 continue;
             };
             if index_of.insert(name, index).is_some() {
@@ -405,12 +405,13 @@
             }
         }
         index_of.retain(|name, _| !ambiguous.contains(name));
-        let mut free: Vec<usize> = (0..known)
+        let mut free: Vec<usize> = (0..running_count)
             .rev()
             .filter(|index| names_by_index[*index].is_none())
             .collect();
-        let (mut next, mut from): (usize, BTreeMap<usize, usize>) = (known, BTreeMap::new());
-        for (at, name) in wanted_names
+        let (mut next, mut wanted_index): (usize, BTreeMap<usize, usize>) =
+            (running_count, BTreeMap::new());
+        for (position, name) in wanted_names
             .iter()
             .enumerate()
             .filter(|(_, name)| !name.is_empty())
@@ -421,9 +422,11 @@
                 .or_else(|| free.pop())
                 .unwrap_or(next);
             next = next.max(index + 1);
-            from.insert(index, at);
+            wanted_index.insert(index, position);
         }
-        let count = from.last_key_value().map_or(0, |(index, _)| index + 1);
+        let count = wanted_index
+            .last_key_value()
+            .map_or(0, |(index, _)| index + 1);
         let max_count = match list {
             "grades" => MAX_CLASSES,
             "pools" => wrenfork_routes::MAX_POOLS,
@@ -434,9 +437,11 @@
                 "{list} has no place left for a new name: a restart of all gives those that went free"
             ));
         }
-        let first = from.first_key_value().map_or(0, |(_, at)| *at);
+        let first = wanted_index
+            .first_key_value()
+            .map_or(0, |(_, position)| *position);
         for index in 0..count {
-            let named = from.get(&index);
+            let named = wanted_index.get(&index);
             let prefix = format!("{list}.{}.", named.unwrap_or(&first));
             let fields = wanted
                 .range(prefix.clone()..)
@@ -474,10 +479,10 @@
         "routes" => return format!("route {entry} {field}"),
         _ => return key.to_string(),
     };
-    let at = format!("{list}.{entry}.name");
+    let name_key = format!("{list}.{entry}.name");
     let name = [new, old]
         .iter()
-        .find_map(|s| s.get(&at).filter(|n| !n.is_empty()).cloned());
+        .find_map(|s| s.get(&name_key).filter(|n| !n.is_empty()).cloned());
     format!(
         "{kind} {} {field}",
         name.unwrap_or_else(|| entry.to_string())
--- a/crates/config/src/group.rs
+++ b/crates/config/src/group.rs
@@ -48,7 +48,7 @@
 
 impl Group {
     /// Initial membership of the group, without the replica ids, which are created with the members' folders.
-    pub fn charter(&self) -> membership::Membership {
+    pub fn initial_membership(&self) -> membership::Membership {
         let to_member = |m: &Member| {
             let role = if m.serves {
                 MemberRole::Ingress
--- a/crates/config/src/locality.rs
+++ b/crates/config/src/locality.rs
@@ -12,7 +12,7 @@
 }
 
 /// Name of the pool that joins all remaining halls.
-const OTHERS: &str = "hall:*";
+const OTHER_HALLS_POOL: &str = "hall:*";
 
 /// Pool names with their halls, nearest first; none if the site gives no order for `home`.
 fn hall_order(site: &Site, home: &str) -> Option<Vec<(String, Vec<String>)>> {
@@ -35,7 +35,7 @@
         .map(|h| (pool_name(h), vec![h.to_string()]))
         .collect();
     if !rest.is_empty() {
-        order.push((OTHERS.to_string(), rest));
+        order.push((OTHER_HALLS_POOL.to_string(), rest));
     }
     Some(order)
 }
@@ -63,7 +63,7 @@
     let Some((home, order)) = home.and_then(|h| Some((h, hall_order(site, &h.value)?))) else {
         return (pools, routes);
     };
-    let at_home = |value: &str| At {
+    let at_home_span = |value: &str| At {
         value: value.to_string(),
         span: home.span.clone(),
     };
@@ -73,9 +73,9 @@
             zone_groups: halls.clone(),
             ..Selector::default()
         };
-        let fallback = order.get(n + 1).map(|next| at_home(&next.0));
+        let fallback = order.get(n + 1).map(|next| at_home_span(&next.0));
         local.push(Pool {
-            name: at_home(name),
+            name: at_home_span(name),
             selector,
             halls: Vec::new(),
             nodes: Vec::new(),
@@ -88,7 +88,7 @@
             .iter()
             .position(|h| p.selector.zone_groups[0] == h.value)
     };
-    local.sort_by_key(|p| (p.name.value == OTHERS, hall_index(p)));
+    local.sort_by_key(|p| (p.name.value == OTHER_HALLS_POOL, hall_index(p)));
     pools.extend(local);
     let unrouted = site
         .classes
@@ -96,8 +96,8 @@
         .filter(|c| app.routes.iter().all(|r| r.class.value != c.name.value));
     routes.extend(unrouted.map(|class| Route {
         span: home.span.clone(),
-        class: at_home(&class.name.value),
-        pool: Some(at_home(&order[0].0)),
+        class: at_home_span(&class.name.value),
+        pool: Some(at_home_span(&order[0].0)),
         trial: None,
         share: None,
         invalid_trial: false,
--- a/crates/config/src/model/application.rs
+++ b/crates/config/src/model/application.rs
@@ -155,7 +155,7 @@
     pub fn new(fields: &Fields) -> Application {
         let empty = Fields::default();
         let limits = fields.table("limits").unwrap_or(&empty);
-        let here = |value| At {
+        let default_at = |value| At {
             value,
             span: limits.span.clone(),
         };
@@ -163,8 +163,12 @@
             name: fields.text("name"),
             site: fields.text("site"),
             sends: value_or(fields.names("sends"), Vec::new()),
-            memory: limits.integer("memory").unwrap_or_else(|| here(48 << 20)),
-            descriptors: limits.integer("descriptors").unwrap_or_else(|| here(256)),
+            memory: limits
+                .integer("memory")
+                .unwrap_or_else(|| default_at(48 << 20)),
+            descriptors: limits
+                .integer("descriptors")
+                .unwrap_or_else(|| default_at(256)),
             cores: value_or(limits.number("cores"), 1.0),
             sidecars: fields
                 .tables("sidecar")
@@ -232,13 +236,15 @@
 }
 
 fn roster(fields: &Fields) -> Roster {
-    let here = |value| At {
+    let default_at = |value| At {
         value,
         span: fields.span.clone(),
     };
     Roster {
         span: fields.span.clone(),
-        lease: fields.integer("lease").unwrap_or_else(|| here(1_500_000)),
+        lease: fields
+            .integer("lease")
+            .unwrap_or_else(|| default_at(1_500_000)),
         alone: fields.text("alone"),
         voters: value_or(fields.names("voters"), Vec::new()),
     }
--- a/crates/config/src/reach.rs
+++ b/crates/config/src/reach.rs
@@ -69,7 +69,11 @@
 
 /// The classes that a change leaves without a healthy node, or without one in their first pool. Each is returned as the key
 /// of its route and a message. Empty if no node is known.
-pub fn stranded(current: &Pairs, wanted: &Pairs, nodes: &[Node]) -> Vec<(String, String)> {
+pub fn classes_losing_nodes(
+    current: &Pairs,
+    wanted: &Pairs,
+    nodes: &[Node],
+) -> Vec<(String, String)> {
     if nodes.is_empty() {
         return Vec::new();
     }
--- a/crates/config/src/reach/tests.rs
+++ b/crates/config/src/reach/tests.rs
@@ -1,4 +1,4 @@
-use super::{stranded, Node, NodeLabels, Pairs};
+use super::{classes_losing_nodes, Node, NodeLabels, Pairs};
 
 fn state(pools: &[(&str, &str, &str)], pool: Option<&str>) -> Pairs {
     let mut s = Pairs::from([
@@ -53,7 +53,7 @@
         )
     };
     let reported = |current: &Pairs, wanted: &Pairs| {
-        let found = stranded(current, wanted, &nodes);
+        let found = classes_losing_nodes(current, wanted, &nodes);
         found.first().map_or(String::new(), |f| {
             f.1.split(':').next().unwrap().to_string()
         })
@@ -90,7 +90,7 @@
     changed_pool.insert("pools.0.nodes".into(), "b".into());
     assert_eq!(reported(&a, &changed_pool), loses);
     assert_eq!(
-        stranded(&a, &changed_pool, &[]),
+        classes_losing_nodes(&a, &changed_pool, &[]),
         [],
         "nothing is reported when no node is known"
     );
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -114,8 +114,8 @@
         Ok(count)
     }
 
-    fn class(&self, i: u64) -> Result<Class, String> {
-        let key = |name: &str| format!("grades.{i}.{name}");
+    fn class(&self, index: u64) -> Result<Class, String> {
+        let key = |name: &str| format!("grades.{index}.{name}");
         let idempotency = match self.text(&key("effect"))? {
             "repeatable" => Idempotency::Idempotent,
             "once" => Idempotency::NotIdempotent,
@@ -141,8 +141,8 @@
         })
     }
 
-    fn plan(&self, i: u64) -> Result<Plan, String> {
-        let key = |name: &str| format!("contracts.{i}.{name}");
+    fn plan(&self, index: u64) -> Result<Plan, String> {
+        let key = |name: &str| format!("contracts.{index}.{name}");
         Ok(Plan {
             rate: self.number(&key("quota_rate"))?,
             burst: self.number(&key("burst"))?,
--- a/crates/config/src/source_file.rs
+++ b/crates/config/src/source_file.rs
@@ -16,10 +16,14 @@
     /// of the file in its set.
     pub fn read(path: &Path, file: usize) -> Result<Source, Diagnostic> {
         let name = path.display().to_string();
-        let wrong = |code, why: String| {
-            Diagnostic::new(code, Place { file, span: 0..0 }, format!("{name}: {why}"))
+        let error = |code, reason: String| {
+            Diagnostic::new(
+                code,
+                Place { file, span: 0..0 },
+                format!("{name}: {reason}"),
+            )
         };
-        let unreadable = |e: std::io::Error| wrong(Code::CannotRead, e.to_string());
+        let unreadable = |e: std::io::Error| error(Code::CannotRead, e.to_string());
         // The type is checked before opening: opening a pipe blocks until it has a writer.
         let metadata = std::fs::metadata(path).map_err(unreadable)?;
         if !metadata.is_file() {
@@ -28,7 +32,7 @@
             } else {
                 "no ordinary file"
             };
-            return Err(wrong(Code::CannotRead, format!("it is {file_type}")));
+            return Err(error(Code::CannotRead, format!("it is {file_type}")));
         }
         let mut bytes = Vec::new();
         let mut opened = File::open(path)
@@ -44,11 +48,15 @@
     ///
     /// Returns a diagnostic if there are too many bytes or they are not UTF-8.
     pub fn from_bytes(name: &str, bytes: Vec<u8>, file: usize) -> Result<Source, Diagnostic> {
-        let wrong = |code, why: String| {
-            Diagnostic::new(code, Place { file, span: 0..0 }, format!("{name}: {why}"))
+        let error = |code, reason: String| {
+            Diagnostic::new(
+                code,
+                Place { file, span: 0..0 },
+                format!("{name}: {reason}"),
+            )
         };
         if bytes.len() > MAX_FILE_BYTES {
-            return Err(wrong(
+            return Err(error(
                 Code::TooLarge,
                 format!("it holds more than {} MiB", MAX_FILE_BYTES >> 20),
             ));
@@ -60,7 +68,7 @@
                 .filter(|b| **b == b'\n')
                 .count()
                 + 1;
-            wrong(
+            error(
                 Code::NoText,
                 format!("line {line} holds bytes that are no UTF-8 text"),
             )
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -210,10 +210,10 @@
 #[test]
 fn operators_reference_is_up_to_date() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/operators/configuration.md");
-    let have = fs::read_to_string(page).unwrap();
-    let want = wrenfork_config::schema::reference();
+    let actual = fs::read_to_string(page).unwrap();
+    let expected = wrenfork_config::schema::reference();
     assert!(
-        have == want,
+        actual == expected,
         "run: wrenctl config reference > docs/operators/configuration.md"
     );
 }
--- a/crates/ctl/src/change/plan.rs
+++ b/crates/ctl/src/change/plan.rs
@@ -18,7 +18,7 @@
 use wrenfork_commit::protocol::{AuditRecord, CommitRequest};
 use wrenfork_commit::state::{Digest, Generation, State};
 use wrenfork_config::enforced::align;
-use wrenfork_config::reach::{stranded, Node};
+use wrenfork_config::reach::{classes_losing_nodes, Node};
 use wrenfork_consensus::group_state::GroupState;
 use wrenfork_routes::NodeLabels;
 
@@ -265,7 +265,7 @@
     let aligned = aligned.collect::<Result<Vec<_>, _>>()?;
     for ((ingress, has), wanted) in ingresses.into_iter().zip(has).zip(aligned) {
         let nodes: Vec<Node> = has.figures.nodes.iter().map(node).collect();
-        let lost = stranded(&has.state.0, &wanted.0, &nodes);
+        let lost = classes_losing_nodes(&has.state.0, &wanted.0, &nodes);
         seen.push(IngressSnapshot {
             extra_dangers: lost
                 .into_iter()
--- a/crates/ctl/src/group/witness.rs
+++ b/crates/ctl/src/group/witness.rs
@@ -132,7 +132,7 @@
     let socket = socket::listen(&own.control, 0o600).map_err(|why| format!("control: {why}"))?;
     let links = told.links(&own.name);
     let group = GroupConfig {
-        initial_members: told.charter(),
+        initial_members: told.initial_membership(),
         control_sockets: links,
         without_lease: WithoutLease::Reject,
         inherited_lease: None,
--- a/crates/ingress/src/config/sidecar.rs
+++ b/crates/ingress/src/config/sidecar.rs
@@ -84,7 +84,7 @@
 fn membership(app: &Application, name: &str) -> Option<GroupConfig> {
     let group = group::group(app)?;
     Some(GroupConfig {
-        initial_members: group.charter(),
+        initial_members: group.initial_membership(),
         control_sockets: group.links(&app.member_name(name)),
         without_lease: if group.as_known {
             WithoutLease::ServeLastKnown
