--- a/crates/config/examples/large.rs
+++ b/crates/config/examples/large.rs
@@ -1,5 +1,5 @@
-//! Measures the time and memory of checking many applications: `cargo run --release -p wrenfork-config --example large`.
-//! An optional argument gives the number of applications, with 100 accounts each. Without it, 10, 100 and 1,000
+//! Measures the time and memory of checking many applications: `cargo run --release -p wrenfork-config --example
+//! large`. An optional argument gives the number of applications, with 100 accounts each. Without it, 10, 100 and 1,000
 //! applications are checked, each number in its own process.
 
 use std::fmt::Write;
--- a/crates/config/src/callers.rs
+++ b/crates/config/src/callers.rs
@@ -1,5 +1,5 @@
-//! Converts the table `identity` to enforced state and back, so that a change of keys or tenants is planned and applied like
-//! any other change.
+//! Converts the table `identity` to enforced state and back, so that a change of keys or tenants is planned and applied
+//! like any other change.
 
 use crate::model::Identity;
 use crate::pairs::Pairs;
@@ -118,7 +118,7 @@
     let whole = |key: &str| {
         let text = state.get(key).ok_or_else(|| format!("{key} is missing"))?;
         text.parse::<u64>()
-            .map_err(|_| format!("{key} is no whole number"))
+            .map_err(|_| format!("{key} is not an integer"))
     };
     let mut trust = Trust {
         audience: audience.clone(),
@@ -139,8 +139,9 @@
         let prefix = format!("identity.issuers.{name}");
         let (issuer, key) = name
             .split_once('/')
-            .ok_or_else(|| format!("{prefix} names no key"))?;
-        let public = public(&text).ok_or_else(|| format!("{prefix}.public is no public key"))?;
+            .ok_or_else(|| format!("{prefix} has no key name after the issuer's name"))?;
+        let public =
+            public(&text).ok_or_else(|| format!("{prefix}.public is not an Ed25519 public key"))?;
         let until = state
             .contains_key(&format!("{prefix}.until"))
             .then(|| whole(&format!("{prefix}.until")))
@@ -169,7 +170,9 @@
         let class_index = |class: &str| {
             let at = classes.iter().position(|c| c == class && !class.is_empty());
             let at = at.and_then(|n| u8::try_from(n).ok());
-            at.ok_or_else(|| format!("identity.tenants.{name}.classes: there is no class {class}"))
+            at.ok_or_else(|| {
+                format!("identity.tenants.{name}.classes: class {class} does not exist")
+            })
         };
         let classes_text = state.get(&format!("identity.tenants.{name}.classes"));
         let allowed = classes_text
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,5 +1,5 @@
-//! Checks files alone, against the site, against a fleet snapshot and against each other. Each module checks one part of
-//! the files.
+//! Checks files alone, against the site, against a fleet snapshot and against each other. Each module checks one part
+//! of the files.
 
 mod accounts;
 mod findings;
@@ -87,8 +87,8 @@
     routes::routes(app_file, site, found);
 }
 
-/// Checks an operator's file. `known` has the platform's halls and classes; without it, all halls and classes that the file
-/// names are assumed to exist.
+/// Checks an operator's file. `known` has the platform's halls and classes; without it, all halls and classes that the
+/// file names are assumed to exist.
 pub fn ingress(
     ingress_file: &InFile<Ingress>,
     known: Option<(&[String], &[String])>,
--- a/crates/config/src/check/fleet.rs
+++ b/crates/config/src/check/fleet.rs
@@ -160,7 +160,8 @@
     }
 }
 
-/// Reports a keyed class that is routed to several groups of nodes: a group does not know the idempotency keys of another.
+/// Reports a keyed class that is routed to several groups of nodes: a group does not know the idempotency keys of
+/// another.
 fn check_groups(
     app_file: &InFile<Application>,
     site: &Site,
--- a/crates/config/src/enforced.rs
+++ b/crates/config/src/enforced.rs
@@ -1,10 +1,10 @@
-//! Splits an ingress's settings into the enforced state, which may change while the ingress runs, and the settings that are
-//! fixed at its start.
+//! Splits an ingress's settings into the enforced state, which may change while the ingress runs, and the settings that
+//! are fixed at its start.
 //!
-//! The keys of the state are those of the settings (`contracts.1.quota_rate`), plus `discovery`, `sends` and `accounts.HEX`
-//! for a sidecar. An index in the lists `contracts`, `grades` and `pools` belongs to a name, because open requests and
-//! messages between peers refer to classes and plans by index. [`align`] gives a wanted state the indexes of the running
-//! states.
+//! The keys of the state are those of the settings (`contracts.1.quota_rate`), plus `discovery`, `sends` and
+//! `accounts.HEX` for a sidecar. An index in the lists `contracts`, `grades` and `pools` belongs to a name, because
+//! open requests and messages between peers refer to classes and plans by index. [`align`] gives a wanted state the
+//! indexes of the running states.
 
 use crate::callers;
 use crate::locality::pools_and_routes;
@@ -245,7 +245,7 @@
         let at = pool_names.iter().position(|n| !n.is_empty() && n == name);
         at.and_then(|n| u8::try_from(n).ok())
             .map(PoolId)
-            .ok_or_else(|| format!("there is no pool {name}"))
+            .ok_or_else(|| format!("pool {name} does not exist"))
     };
     let field = |list: &str, at: &str, key: &str| {
         state.get(&format!("{list}.{at}.{key}")).map(String::as_str)
@@ -261,7 +261,10 @@
     for (n, name) in pool_names.iter().enumerate() {
         let groups = list_items(n, "groups")
             .iter()
-            .map(|g| g.parse().map_err(|_| format!("{g} is no group")))
+            .map(|g| {
+                g.parse()
+                    .map_err(|_| format!("pools.{n}.groups: {g} is not a group number"))
+            })
             .collect();
         let groups: Result<Vec<u64>, String> = groups;
         let selector = Selector {
@@ -287,7 +290,8 @@
         ) {
             (Some(trial), Some(share)) => {
                 let share = share.parse().ok().filter(|s: &f64| (0.0..=1.0).contains(s));
-                let share = share.ok_or_else(|| format!("routes.{class}.share is no share"))?;
+                let share = share
+                    .ok_or_else(|| format!("routes.{class}.share is not a number from 0 to 1"))?;
                 Some(Canary {
                     pool: pool_id(trial)?,
                     fraction: share,
@@ -301,7 +305,7 @@
         }));
     }
     match table.errors().first() {
-        Some(error) => Err(format!("the pools can't be used: {error}")),
+        Some(error) => Err(format!("invalid pools: {error}")),
         None => Ok((table, pool_names)),
     }
 }
@@ -328,7 +332,7 @@
 pub fn join(fixed: &[(String, String)], state: &Pairs) -> Result<Conf, String> {
     if let Some(key) = state.keys().find(|key| !changeable(key)) {
         return Err(format!(
-            "the key {key} is unknown here, or fixed from the start on"
+            "the key {key} is unknown or can't change while the ingress runs"
         ));
     }
     Ok(Conf::new(
@@ -355,10 +359,10 @@
         .collect()
 }
 
-/// Gives a wanted state the indexes of the running states. `running` has the states of all ingresses that exchange usage
-/// reports, because an index must mean the same at all of them. A name keeps its index; a new name takes an index that is
-/// free everywhere, or the next one. An unused index between used ones has an empty name and the fields of the first named
-/// entry, so that the same names at the same indexes always give the same state.
+/// Gives a wanted state the indexes of the running states. `running` has the states of all ingresses that exchange
+/// usage reports, because an index must mean the same at all of them. A name keeps its index; a new name takes an index
+/// that is free everywhere, or the next one. An unused index between used ones has an empty name and the fields of the
+/// first named entry, so that the same names at the same indexes always give the same state.
 ///
 /// # Errors
 ///
@@ -381,7 +385,7 @@
             names(wanted, list),
         );
         let running_count = running_names.iter().map(Vec::len).max().unwrap_or(0);
-        // The name position each index in any running state. If two names share an index, neither keeps it.
+        // The name at each index in any running state. If two names share an index, neither keeps it.
         let mut names_by_index: Vec<Option<&str>> = vec![None; running_count];
         let mut conflicting = vec![false; running_count];
         for names in &running_names {
@@ -434,7 +438,7 @@
         };
         if count > max_count {
             return Err(format!(
-                "{list} has no place left for a new name: a restart of all gives those that went free"
+                "{list} has no free index for a new name: restarting all ingresses frees the indexes of removed names"
             ));
         }
         let first = wanted_index
@@ -463,8 +467,8 @@
     Ok(aligned)
 }
 
-/// A key for people, with the name of a class, plan or pool instead of its index. The name is looked up in `new`, then in
-/// `old`.
+/// A key for people, with the name of a class, plan or pool instead of its index. The name is looked up in `new`, then
+/// in `old`.
 pub fn display_key(key: &str, old: &Pairs, new: &Pairs) -> String {
     let mut parts = key.splitn(3, '.');
     let (Some(list), Some(entry), Some(field)) = (parts.next(), parts.next(), parts.next()) else {
--- a/crates/config/src/form.rs
+++ b/crates/config/src/form.rs
@@ -1,5 +1,5 @@
-//! The form of all kinds of files: each table with its keys, their types and descriptions. The reader, the JSON Schema, the
-//! operators' reference and the templates are generated from these tables.
+//! The form of all kinds of files: each table with its keys, their types and descriptions. The reader, the JSON Schema,
+//! the operators' reference and the templates are generated from these tables.
 
 mod tables;
 
--- a/crates/config/src/format.rs
+++ b/crates/config/src/format.rs
@@ -1,5 +1,5 @@
-//! Formats a file: one blank line before each table, one space on each side of `=`, no trailing spaces. Order and comments
-//! are kept.
+//! Formats a file: one blank line before each table, one space on each side of `=`, no trailing spaces. Order and
+//! comments are kept.
 
 use toml_edit::{Array, Decor, DocumentMut, Item, RawString, Table, Value};
 
--- a/crates/config/src/group.rs
+++ b/crates/config/src/group.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Control socket paths of all members, by name, as the member `name` reaches them. If no member has that name, the paths
-    /// at which the sockets listen.
+    /// Control socket paths of all members, by name, as the member `name` reaches them. If no member has that name, the
+    /// paths at which the sockets listen.
     pub fn links(&self, name: &str) -> BTreeMap<String, PathBuf> {
         let own = self.members.iter().find(|m| m.name == name);
         let path = |m: &Member| own.map_or_else(|| m.control.clone(), |own| own.path_to(m));
--- a/crates/config/src/locality.rs
+++ b/crates/config/src/locality.rs
@@ -1,6 +1,6 @@
-//! Derives pools and routes from the nearness of halls. A class without a route goes to the nodes of the sidecar's own hall
-//! first and to those of the next halls after that. These pools are ordinary ones: traffic stays in the own hall while it
-//! has room, and what overflows is limited by the room in the next hall.
+//! Derives pools and routes from the nearness of halls. A class without a route goes to the nodes of the sidecar's own
+//! hall first and to those of the next halls after that. These pools are ordinary ones: traffic stays in the own hall
+//! while it has room, and what overflows is limited by the room in the next hall.
 
 use crate::model::{Application, Pool, Route, Sidecar, Site};
 use crate::reader::At;
@@ -53,7 +53,8 @@
     )
 }
 
-/// Pools and routes for an ingress in the hall `home`: those in the application's file, and those derived from the hall.
+/// Pools and routes for an ingress in the hall `home`: those in the application's file, and those derived from the
+/// hall.
 pub fn pools_and_routes_from(
     app: &Application,
     site: &Site,
--- a/crates/config/src/model/fleet.rs
+++ b/crates/config/src/model/fleet.rs
@@ -112,7 +112,10 @@
         let further = self.addresses.iter().map(|text| self.parse(text));
         let further: Vec<Address> = further.collect::<Result<_, String>>()?;
         if !self.weight.is_finite() || self.weight < 0.0 {
-            return Err(format!("{}: the weight is no number from 0 up", self.name));
+            return Err(format!(
+                "{}: the weight {} is not a number from 0 up",
+                self.name, self.weight
+            ));
         }
         Ok(Node {
             name: without_span(self.name),
--- a/crates/config/src/model/ingress.rs
+++ b/crates/config/src/model/ingress.rs
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Builds a site with the platform's halls and classes, complete enough to check pools and routes, and an application
-    /// that may send all of the classes.
+    /// Builds a site with the platform's halls and classes, complete enough to check pools and routes, and an
+    /// application that may send all of the classes.
     pub fn with_platform_names(&self, halls: &[String], classes: &[String]) -> (Site, Application) {
         let without_span = |value: &String| At {
             value: value.clone(),
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -1,5 +1,5 @@
-//! Reads an operator's file, which extends an ingress that the platform's own file describes: pools, routes, nearness of
-//! halls, callers and the control socket. The reader and the checks are those of all other files.
+//! Reads an operator's file, which extends an ingress that the platform's own file describes: pools, routes, nearness
+//! of halls, callers and the control socket. The reader and the checks are those of all other files.
 
 use crate::check;
 use crate::enforced::{insert_routing, Pairs};
--- a/crates/config/src/reach.rs
+++ b/crates/config/src/reach.rs
@@ -1,5 +1,5 @@
-//! Effect of a change of pools and routes on the current nodes. Before the change is applied, this finds the classes that
-//! would lose their last node.
+//! Effect of a change of pools and routes on the current nodes. Before the change is applied, this finds the classes
+//! that would lose their last node.
 
 use crate::enforced::{names, table, Pairs};
 use std::collections::BTreeMap;
@@ -24,7 +24,8 @@
     healthy: usize,
 }
 
-/// The fallback order of each class, first pool first. Trial pools are left out: a trial falls back to the route's pools.
+/// The fallback order of each class, first pool first. Trial pools are left out: a trial falls back to the route's
+/// pools.
 fn fallback_tiers(state: &Pairs, nodes: &[Node]) -> BTreeMap<String, Vec<Tier>> {
     let Ok((table, pools)) = table(state) else {
         return BTreeMap::new();
@@ -67,8 +68,8 @@
     classes.map(class_tiers).collect()
 }
 
-/// The classes that a change leaves without a healthy node, or without one in their first pool. Each is returned as the key
-/// of its route and a message. Empty if no node is known.
+/// The classes that a change leaves without a healthy node, or without one in their first pool. Each is returned as the
+/// key of its route and a message. Empty if no node is known.
 pub fn classes_losing_nodes(
     current: &Pairs,
     wanted: &Pairs,
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,4 +1,5 @@
-//! Parses a file with the tables of [`crate::form`]. It reports every mistake and keeps every valid value with its span.
+//! Parses a file with the tables of [`crate::form`]. It reports every mistake and keeps every valid value with its
+//! span.
 
 use crate::codes::Code;
 use crate::diagnostic::{Diagnostic, Place};
@@ -140,8 +141,8 @@
     let before = found.len();
     let kind = read_document(&root, file, broken, found);
     if broken {
-        // Other mistakes on a line with a syntax error, or after a bracket that is never closed, are consequences of that
-        // error.
+        // Other mistakes on a line with a syntax error, or after a bracket that is never closed, are consequences of
+        // that error.
         let line = |at: usize| text[..at.min(text.len())].matches('\n').count();
         let lines: BTreeSet<usize> = errors.iter().map(|e| line(e.0.start)).collect();
         let open = errors
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -246,7 +246,8 @@
     }
 }
 
-/// Stores a value of a load report. `name` is the name used in the settings or its plain synonym; other names are ignored.
+/// Stores a value of a load report. `name` is the name used in the settings or its plain synonym; other names are
+/// ignored.
 pub fn note_field(report: &mut LoadReport, name: &str, value: Option<f64>) {
     match name {
         "concurrent" | "inflight" => report.in_flight = value,
--- a/crates/config/src/source_file.rs
+++ b/crates/config/src/source_file.rs
@@ -12,8 +12,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a diagnostic if the path is not a regular file, or the file is too large or not UTF-8. `file` is the index
-    /// of the file in its set.
+    /// Returns a diagnostic if the path is not a regular file, or the file is too large or not UTF-8. `file` is the
+    /// index of the file in its set.
     pub fn read(path: &Path, file: usize) -> Result<Source, Diagnostic> {
         let name = path.display().to_string();
         let error = |code, reason: String| {
@@ -30,7 +30,7 @@
             let file_type = if metadata.is_dir() {
                 "a directory"
             } else {
-                "no ordinary file"
+                "not a regular file"
             };
             return Err(error(Code::CannotRead, format!("it is {file_type}")));
         }
--- a/crates/config/src/template.rs
+++ b/crates/config/src/template.rs
@@ -87,7 +87,7 @@
     values::address(&wanted.discovery)?;
     if wanted.sends.is_empty() || wanted.accounts.is_empty() {
         return Err(
-            "an application has a class that it may send and an account at the least".into(),
+            "an application needs at least one class that it may send and one account".into(),
         );
     }
     let mut out = format!("# {}\n", APPLICATION.about);
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -109,8 +109,8 @@
     Ok(bytes as u64)
 }
 
-/// Whether a text is a valid name: up to 64 ASCII letters, digits, dots, dashes and underscores, beginning with a letter
-/// or a digit.
+/// Whether a text is a valid name: up to 64 ASCII letters, digits, dots, dashes and underscores, beginning with a
+/// letter or a digit.
 pub fn is_name(text: &str) -> bool {
     let mut bytes = text.bytes();
     text.len() <= MAX_NAME_BYTES
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -1,6 +1,6 @@
-//! Checks a corpus of invalid files, each with the expected diagnostics, and of valid files, which must give none. Comments
-//! at the top of an invalid file give each expected code, line and column (`# refused: C106 12:9`) and the valid files
-//! that it is checked with (`# with: site.toml`).
+//! Checks a corpus of invalid files, each with the expected diagnostics, and of valid files, which must give none.
+//! Comments at the top of an invalid file give each expected code, line and column (`# refused: C106 12:9`) and the
+//! valid files that it is checked with (`# with: site.toml`).
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -129,8 +129,8 @@
     set.found.first().map(|d| d.code.id())
 }
 
-/// Guards against reading a directory, blocking on a pipe without a writer, exhausting memory, and accepting bytes that are
-/// not UTF-8.
+/// Guards against reading a directory, blocking on a pipe without a writer, exhausting memory, and accepting bytes that
+/// are not UTF-8.
 #[test]
 fn unreadable_and_oversized_files_are_reported() {
     let refused = |name: &str| Set::read([folder("refused").join(name)]);
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Compares all output formats of this package with the files under `tests/golden/`, byte for byte: the JSON Schema, the
-//! settings and enforced state of each sidecar, each formatted file, an application's template, and each diagnostic in
-//! full.
+//! Compares all output formats of this package with the files under `tests/golden/`, byte for byte: the JSON Schema,
+//! the settings and enforced state of each sidecar, each formatted file, an application's template, and each diagnostic
+//! in full.
 //!
 //! The files are updated only by hand, after an intended change of a format:
 //! `cargo test -p wrenfork-config --test golden -- --ignored write_golden_files`
