--- a/crates/config/src/codes.rs
+++ b/crates/config/src/codes.rs
@@ -5,9 +5,9 @@
 /// Effect of a mistake on its file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
-    /// The file could not be read at all.
+    /// The file could not be read or is not text.
     Unreadable,
-    /// The file is refused.
+    /// The file is invalid.
     Refused,
     /// The mistake is reported and the file is accepted.
     Warned,
--- a/crates/config/src/form.rs
+++ b/crates/config/src/form.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// The kinds of files.
+/// Kind of a file, given by its key `kind`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FileKind {
     /// A site: its classes, plans, ceilings, halls and limits.
--- a/crates/config/src/form/tables.rs
+++ b/crates/config/src/form/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of each kind of file.
+//! Definitions of the tables of each kind of file.
 
 use super::{Field, Kind, Need, Table, VERSION};
 
--- a/crates/config/src/reach.rs
+++ b/crates/config/src/reach.rs
@@ -82,7 +82,7 @@
         fallback_tiers(current, nodes),
         fallback_tiers(wanted, nodes),
     );
-    let any = |tiers: &[Tier]| tiers.iter().any(|s| s.healthy > 0);
+    let any_healthy = |tiers: &[Tier]| tiers.iter().any(|s| s.healthy > 0);
     let mut found = Vec::new();
     for (class, tiers) in &after {
         let previous = before.get(class);
@@ -93,11 +93,11 @@
             .filter(|s| s.healthy == 0)
             .and_then(|s| s.pool.as_deref());
         let first_was_healthy = previous.is_none_or(|w| w.first().is_some_and(|s| s.healthy > 0));
-        let message = if !any(tiers) && previous.is_some_and(|w| any(w)) {
+        let message = if !any_healthy(tiers) && previous.is_some_and(|w| any_healthy(w)) {
             format!("it loses its last healthy node: none of {pools} has one right now, and its requests are refused")
-        } else if !any(tiers) && previous != Some(tiers) {
+        } else if !any_healthy(tiers) && previous != Some(tiers) {
             format!("none of {pools} has a healthy node right now: its requests are refused")
-        } else if let Some(first) = first.filter(|_| any(tiers) && first_was_healthy) {
+        } else if let Some(first) = first.filter(|_| any_healthy(tiers) && first_was_healthy) {
             format!("its first pool {first} has no healthy node right now: all that goes there falls back")
         } else {
             continue;
--- a/crates/config/src/set.rs
+++ b/crates/config/src/set.rs
@@ -205,7 +205,7 @@
         self.found.iter().any(Diagnostic::refused)
     }
 
-    /// Whether any file could not be read.
+    /// Whether any file could not be read or is not text.
     pub fn unreadable(&self) -> bool {
         self.found
             .iter()
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -68,7 +68,7 @@
             .collect();
         assert!(
             !expected.is_empty(),
-            "{name} does not say what it is refused with"
+            "{name} has no line `# refused:` with the expected diagnostics"
         );
         let with = after("# with:");
         let with = with
--- a/crates/config/tests/locality.rs
+++ b/crates/config/tests/locality.rs
@@ -26,9 +26,9 @@
     assert!(!set.refused(), "{near}");
     let (site, app) = (set.site().unwrap().content, set.applications()[0].content);
     let (pools, routes) = pools_and_routes(app, site, app.sidecars.first());
-    let own = routes.iter().find(|r| r.class.value == "quote").unwrap();
+    let quote_route = routes.iter().find(|r| r.class.value == "quote").unwrap();
     assert_eq!(
-        own.pool.as_ref().unwrap().value,
+        quote_route.pool.as_ref().unwrap().value,
         "own",
         "a route of the file is kept"
     );
