--- a/crates/config/src/group.rs
+++ b/crates/config/src/group.rs
@@ -21,7 +21,7 @@
     pub control: PathBuf,
     /// Folder for the state that must survive a restart.
     pub state: Option<PathBuf>,
-    /// Folder with links to the other members' control sockets, if they are not reached at their own paths.
+    /// Folder in which the other members' control sockets are found by name, if not at their own paths.
     pub links: Option<PathBuf>,
 }
 
--- a/crates/config/src/model/application.rs
+++ b/crates/config/src/model/application.rs
@@ -31,11 +31,12 @@
     pub control: Option<At<String>>,
     /// Folder for the state that must survive a restart.
     pub state: Option<At<String>>,
-    /// Folder with links to the other members' control sockets, if they are not reached at their own paths.
+    /// Folder in which the other members' control sockets are found by name, if not at their own paths. The operator
+    /// forwards the sockets there if members run on several machines.
     pub links: Option<At<String>>,
 }
 
-/// A member of the group that votes and serves no requests.
+/// A member of the group that can vote and serves no requests.
 #[derive(Clone, Debug)]
 pub struct Witness {
     /// Name, unique among the application's sidecars and witnesses.
@@ -44,7 +45,7 @@
     pub control: Option<At<String>>,
     /// Folder for the state that must survive a restart.
     pub state: Option<At<String>>,
-    /// Folder with links to the other members' control sockets.
+    /// Folder in which the other members' control sockets are found by name.
     pub links: Option<At<String>>,
 }
 
@@ -94,7 +95,7 @@
     pub halls: Vec<At<String>>,
     /// The selector's node names with their spans, for diagnostics.
     pub nodes: Vec<At<String>>,
-    /// Pool that is tried next when this one has no room.
+    /// Pool that is used when no node of this one takes work.
     pub fallback: Option<At<String>>,
 }
 
@@ -136,7 +137,7 @@
     pub roster: Option<Roster>,
     /// Program that the group's sidecars run, if the file names one.
     pub program: Option<Program>,
-    /// Members of the group that vote and serve no requests.
+    /// Members of the group that can vote and serve no requests.
     pub witnesses: Vec<Witness>,
     /// Accounts whose requests the sidecars admit.
     pub accounts: Vec<Account>,
--- a/crates/config/src/model/fleet.rs
+++ b/crates/config/src/model/fleet.rs
@@ -29,13 +29,13 @@
     pub hall: At<String>,
     /// Machine model.
     pub model: String,
-    /// Number of the group that shares idempotency keys.
+    /// Number of the group of nodes that know each other's idempotency keys.
     pub group: u64,
     /// Whether the node accepts requests.
     pub status: Status,
     /// Capacity relative to other nodes; 0 or more, 1 by default.
     pub weight: f64,
-    /// Since when the node has its status, in milliseconds of Unix time; 0 if unknown.
+    /// When the node started, in milliseconds of Unix time; 0 for long ago.
     pub since_ms: u64,
 }
 
--- a/crates/config/src/model/site.rs
+++ b/crates/config/src/model/site.rs
@@ -33,15 +33,15 @@
 pub struct Rules {
     /// How long after the deadline a final answer still counts.
     pub answer_slack: u64,
-    /// How long a draining node may still receive new requests.
+    /// Time within which new work sent to a draining node must have ended.
     pub drain_grace: u64,
     /// Share of its full speed at which a node starts.
     pub cold_from: f64,
     /// Time until a started node reaches full speed.
     pub cold: u64,
-    /// Load, as a multiple of its current speed, that overloads a warming node.
+    /// A warming node fails under more than this multiple of its speed, if the load lasts for `cold_push`.
     pub cold_factor: f64,
-    /// How long that load must last to overload the node.
+    /// How long a warming node tolerates more than `cold_factor`.
     pub cold_push: u64,
 }
 
