--- a/crates/ingress/src/config.rs
+++ b/crates/ingress/src/config.rs
@@ -46,7 +46,7 @@
     /// Names of zones and machine types in endpoint lists.
     pub location_names: LocationNames,
     /// The configuration as pairs, split into the changeable state and the fixed settings.
-    pub source_pairs: enforced::Told,
+    pub source_pairs: enforced::SplitSettings,
     /// Whether only the platform's file configures the ingress; that file has no pools.
     pub platform_only: bool,
     /// Status file for the result of the last reload; `None` if there is none.
--- a/crates/ingress/src/reload.rs
+++ b/crates/ingress/src/reload.rs
@@ -6,7 +6,7 @@
 use crate::error::BoxError;
 use crate::reload_status::{ReloadOutcome, ReloadStatusFile};
 use wrenfork_commit::state::State;
-use wrenfork_config::enforced::{align, Pairs, Told};
+use wrenfork_config::enforced::{align, Pairs, SplitSettings};
 use wrenfork_decision::Micros;
 
 /// Initial backoff before a file that may be half written is read again, in microseconds; doubled up to [`MAX_BACKOFF`].
@@ -80,7 +80,7 @@
 pub struct ConfigReloader {
     source: ConfigSource,
     /// The fixed settings from the start, and the state that is enforced now.
-    enforced: Told,
+    enforced: SplitSettings,
     limits: FixedLimits,
     has_peers: bool,
     /// Backoff after the next failed reading; `None` while no reading is due.
@@ -109,7 +109,7 @@
     }
 
     /// The enforced configuration as pairs, which is handed over to a successor.
-    pub fn enforced(&self) -> &Told {
+    pub fn enforced(&self) -> &SplitSettings {
         &self.enforced
     }
 
@@ -120,7 +120,11 @@
 
     /// Continues with the configuration that the predecessor enforced. If the files decide what is enforced, as they do without
     /// a control port, and their content differs, returns the configuration compiled from them.
-    pub fn resume(&mut self, enforced: Told, files_decide: bool) -> Option<Box<ActiveConfig>> {
+    pub fn resume(
+        &mut self,
+        enforced: SplitSettings,
+        files_decide: bool,
+    ) -> Option<Box<ActiveConfig>> {
         self.enforced = enforced;
         if !files_decide {
             return None;
