--- a/crates/ingress/src/control/pending_server.rs
+++ b/crates/ingress/src/control/pending_server.rs
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::Duration;
 use wrenfork_commit::state::State;
-use wrenfork_config::enforced::Told;
+use wrenfork_config::enforced::SplitSettings;
 use wrenfork_control_plane::group::InheritedLease;
 
 /// Stack size of the thread in bytes. The thread only opens the stored state, without recursion.
@@ -43,7 +43,7 @@
     /// Returns an error if the waker can't be created or the thread can't be started.
     pub fn start(
         config: &Config,
-        handed_over: &Told,
+        handed_over: &SplitSettings,
         lease: Option<InheritedLease>,
         registry: &Registry,
         token: Token,
--- a/crates/ingress/src/takeover/state.rs
+++ b/crates/ingress/src/takeover/state.rs
@@ -9,7 +9,7 @@
 use crate::requests::OpenRequests;
 use crate::timers::Timers;
 use serde::{Deserialize, Serialize};
-use wrenfork_config::enforced::Told;
+use wrenfork_config::enforced::SplitSettings;
 use wrenfork_control_plane::group::InheritedLease;
 use wrenfork_decision::{Gateway, Micros};
 
@@ -29,7 +29,7 @@
 #[derive(Serialize)]
 pub struct OutgoingState<'a> {
     /// The enforced configuration, with the indices of classes and plans.
-    pub source_pairs: &'a Told,
+    pub source_pairs: &'a SplitSettings,
     /// Event loop clock and system clock at the moment of the handover.
     pub clocks: ClockReading,
     /// Time of the last event loop iteration.
@@ -53,7 +53,7 @@
 /// [`OutgoingState`] as decoded by the successor: same fields in the same order.
 #[derive(Deserialize)]
 pub struct InheritedState {
-    pub source_pairs: Told,
+    pub source_pairs: SplitSettings,
     pub clocks: ClockReading,
     pub now: Micros,
     pub gateway: Gateway,
