--- a/crates/commit/src/participant.rs
+++ b/crates/commit/src/participant.rs
@@ -225,7 +225,7 @@
     #[error("another coordinator decides this change: check how it ended")]
     DecidedByAnother,
     /// The request reads or writes history, which this state machine does not keep.
-    #[error("this participant keeps no history")]
+    #[error("this participant does not keep a history of generations and audit records")]
     NoHistory,
 }
 
--- a/crates/commit/src/plan.rs
+++ b/crates/commit/src/plan.rs
@@ -30,7 +30,7 @@
     pub wanted: Digest,
 }
 
-/// A risk of a change, shown to its reviewer.
+/// A risk of a plan, shown to its reviewer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Danger {
     /// Key whose change is risky.
@@ -205,9 +205,9 @@
 }
 
 impl Plan {
-    /// Makes a plan from the current and wanted state of each ingress; none if no state differs.
+    /// Makes a plan from the current and wanted state of each ingress; `None` if no state differs.
     pub fn make(header: PlanHeader, ingresses: Vec<IngressSnapshot>) -> Option<Plan> {
-        let newest = ingresses.iter().map(|i| i.base.number).max();
+        let newest_number = ingresses.iter().map(|i| i.base.number).max();
         let mut builder = PlanBuilder::default();
         let targets = ingresses.into_iter().map(|i| builder.add(i)).collect();
         if builder.differences.iter().all(Vec::is_empty) {
@@ -218,7 +218,7 @@
             author: header.author,
             made_at: header.made_at,
             valid_for: header.valid_for,
-            generation: newest.unwrap_or(0) + 1,
+            generation: newest_number.unwrap_or(0) + 1,
             targets,
             states: builder.states,
             differences: builder.differences,
@@ -311,16 +311,16 @@
         let number = |value: &Option<String>| value.as_ref().and_then(|v| v.parse::<f64>().ok());
         let (old, new) = (number(&difference.old), number(&difference.new));
         let is_lower = matches!((old, new), (Some(old), Some(new)) if new < old);
-        let first_limit = matches!((old, new), (Some(0.0), Some(new)) if new > 0.0);
+        let introduces_limit = matches!((old, new), (Some(0.0), Some(new)) if new > 0.0);
         NumberChange {
             new: new.unwrap_or(0.0),
             is_lower,
-            is_stricter: is_lower && new != Some(0.0) || first_limit,
+            is_stricter: is_lower && new != Some(0.0) || introduces_limit,
         }
     }
 }
 
-/// Usage of the customers on the plan whose settings differ.
+/// A customer plan whose settings differ, and the usage of its customers.
 struct UsedPlan<'a> {
     name: &'a str,
     usage: PlanUsage,
@@ -408,7 +408,7 @@
     let removed = difference.new.is_none();
     let description = match field_name(key) {
         "effect" if difference.old.is_some() => {
-            "the rule whether a request may be repeated changes: check that the backends follow the same rule"
+            "the rule for which requests may be repeated changes: check that the backends follow the same rule"
         }
         "name" if difference.new.as_deref() == Some("") => {
             let kind = if key.starts_with("grades") {
@@ -423,7 +423,7 @@
         _ if key.starts_with("identity.") && removed => {
             "an identity setting is removed: callers that depend on it are rejected"
         }
-        "discovery" => "the discovery source changes: the endpoint list comes from another place",
+        "discovery" => "the discovery source changes: the endpoint list will come from a different source",
         "sends" => "the set of classes that may be sent changes",
         _ => return None,
     };
--- a/crates/consensus/src/eligibility.rs
+++ b/crates/consensus/src/eligibility.rs
@@ -10,7 +10,7 @@
     OtherReplica,
     /// Too few voters have confirmed since the process started that the replica is not an outdated copy.
     #[error(
-        "too few voters have confirmed since the start that the state folder is not an outdated copy"
+        "too few voters have confirmed since the process started that the state folder is not an outdated copy"
     )]
     TooFewConfirmations,
 }
--- a/crates/consensus/src/group_state.rs
+++ b/crates/consensus/src/group_state.rs
@@ -105,7 +105,7 @@
     #[error("generation {0} is older than the one in force")]
     GenerationOutdated(u64),
     /// The generation is the one in force, but the policy differs.
-    #[error("generation {0} is in force already, with another policy")]
+    #[error("generation {0} is already in force with a different policy")]
     GenerationReused(u64),
     /// A majority of the membership need not share a voter with each majority of the one in force.
     #[error("more than one vote changes at once: majorities of the old and the new roster would not overlap")]
--- a/crates/decision/src/load_balancing.rs
+++ b/crates/decision/src/load_balancing.rs
@@ -18,13 +18,13 @@
 /// Minimum number of backends that a gateway sends to: enough that half of them may fail, and few
 /// enough that connections stay in use.
 const MIN_SUBSET: usize = 12;
-/// Number of gateways whose subsets each backend is in on average, so that hardly any backend is in
-/// none.
+/// Average number of gateways that have a given backend in their subset: high enough that almost
+/// every backend is in at least one.
 const SUBSET_OVERLAP: usize = 8;
 /// Limits on the backends examined: per member of the subset, and per wanted candidate.
 const EXAMINED_PER_MEMBER: usize = 4;
 const EXAMINED_PER_CANDIDATE: usize = 16;
-/// The search ends after this many outliers per wanted candidate.
+/// The search for candidates ends after more than this many outliers per wanted candidate.
 const OUTLIERS_PER_CANDIDATE: usize = 4;
 /// Relative size of the random part of a cost.
 const JITTER: f64 = 0.1;
@@ -48,8 +48,9 @@
     pub(crate) zones: &'a Zones,
     pub(crate) slow_start: &'a SlowStart,
     pub(crate) sends: SendContext<'a>,
-    /// Indices of the pool's ready backends, and their total weight.
+    /// Indices of the pool's ready backends.
     pub(crate) backend_indices: &'a [usize],
+    /// Total weight of the pool's ready backends.
     pub(crate) pool_weight: f64,
     pub(crate) request: &'a PendingRequest,
     pub(crate) binding: Option<KeyBinding>,
@@ -61,8 +62,9 @@
 
 /// How many backends are examined and compared.
 struct Sampling {
-    /// Number of backends in the pool, and in the subset that this gateway sends to.
+    /// Number of ready backends in the pool.
     pool_size: usize,
+    /// Number of backends in the subset that this gateway sends to.
     subset: usize,
     /// Number of candidates to compare.
     wanted: usize,
@@ -72,7 +74,7 @@
 
 impl Sampling {
     /// Whether candidates are sampled by weight; otherwise all backends are compared.
-    fn is_drawn(&self) -> bool {
+    fn is_sampled(&self) -> bool {
         self.wanted < self.pool_size
     }
 }
@@ -120,15 +122,15 @@
         let pool_size = self.backend_indices.len();
         let gateways = self.sends.gateway_count as usize;
         let wanted = (2 + 3 * pool_size / gateways).min(MAX_CANDIDATES);
-        let drawn = wanted < pool_size;
+        let sampled = wanted < pool_size;
         // Send to the same few backends each time: connections that are seldom used are closed and
         // would have to be opened again.
-        let subset = if drawn && self.binding.is_none() {
+        let subset = if sampled && self.binding.is_none() {
             pool_size.min(MIN_SUBSET.max(SUBSET_OVERLAP * pool_size / gateways))
         } else {
             pool_size
         };
-        let max_examined = if !drawn {
+        let max_examined = if !sampled {
             subset
         } else if self.binding.is_some() {
             EXAMINED_PER_MEMBER * subset
@@ -167,12 +169,12 @@
             * sampling.pool_size as f64
             / self.pool_weight
             / 2.0;
-        let drawn = sampling.is_drawn();
-        if drawn && unit_hash(self.seed ^ (position as u64) << 40) > weight {
+        let sampled = sampling.is_sampled();
+        if sampled && unit_hash(self.seed ^ (position as u64) << 40) > weight {
             return None;
         }
         let jitter = 1.0 + JITTER * ((random + position as f64 * GOLDEN_FRACTION) % 1.0);
-        let share = if drawn { 1.0 } else { weight };
+        let share = if sampled { 1.0 } else { weight };
         Some(self.cost(backend, jitter, share))
     }
 
@@ -208,6 +210,7 @@
         }
     }
 
+    /// Attempts in flight including the new one, plus this gateway's part of the reported queue.
     #[inline]
     fn load(&self, backend: &Backend) -> f64 {
         let gateways = self.sends.gateway_count.min(MAX_QUEUE_GATEWAYS) as f64;
--- a/crates/decision/tests/golden.rs
+++ b/crates/decision/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Byte-for-byte checks of a gateway's stored state, which is positional and is read by the next
-//! build.
+//! Byte-for-byte checks of a gateway's stored state. Its fields are identified by position only, and
+//! the next build must be able to read it.
 //!
 //! `tests/golden/` contains states from the middle of seeded runs. They are rewritten only by hand:
 //!
@@ -43,8 +43,8 @@
     run.stored(gateway)
 }
 
-/// Guards against two fields of the same type that swap positions. Reading a state and storing it
-/// again does not show that, so the run must produce the same bytes.
+/// Guards against two fields of the same type that swap positions. A round trip would not detect
+/// that, so seeded runs must produce the same bytes.
 #[test]
 fn seeded_runs_store_the_golden_states() {
     for state in STATES {
@@ -132,14 +132,14 @@
             run.run(10);
             for gateway in 0..gateways {
                 let stored: StoredGateway = postcard::from_bytes(&run.stored(gateway)).unwrap();
-                uncovered.extend(stored.features().into_iter().map(|p| p.0));
+                uncovered.extend(stored.features().into_iter().map(|(name, _)| name));
                 candidates.push((stored.present_features(), scenario_index, step, gateway));
             }
         }
     }
     while !uncovered.is_empty() {
         let gain = |present: &BTreeSet<_>| present.intersection(&uncovered).count();
-        let best = candidates.iter().max_by_key(|m| gain(&m.0)).unwrap();
+        let best = candidates.iter().max_by_key(|c| gain(&c.0)).unwrap();
         println!(
             "{:?}: {} new contents",
             (best.1, best.2, best.3),
--- a/crates/ingress/src/config/source.rs
+++ b/crates/ingress/src/config/source.rs
@@ -1,4 +1,4 @@
-//! The files from which an ingress is configured, at the start and at SIGHUP.
+//! The files from which an ingress is configured, at startup and on SIGHUP.
 
 use super::error::ConfigError;
 use super::Config;
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     ///
-    /// If a file cannot be read or is refused.
+    /// If a file cannot be read or is invalid.
     pub fn read(&self, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         match self {
             ConfigSource::Platform { path, operator } => {
--- a/crates/ingress/src/control/restored_state.rs
+++ b/crates/ingress/src/control/restored_state.rs
@@ -89,7 +89,7 @@
         tracing::warn!(
             generation,
             digest,
-            "control: enforcing the configuration applied last instead of the files"
+            "control: enforcing the last applied configuration instead of the configuration files"
         );
     }
     config.active = compile(&config.source_pairs.fixed, &participant.state)
--- a/crates/ingress/src/counter/tests.rs
+++ b/crates/ingress/src/counter/tests.rs
@@ -58,8 +58,8 @@
             .collect()
     }
 
-    /// Polls until the service has received `calls` calls.
-    fn receive_calls(&mut self, peer: &mut Peer, calls: usize) {
+    /// Polls until the service has received `count` calls.
+    fn receive_calls(&mut self, peer: &mut Peer, count: usize) {
         peer.set_read_timeout(Some(Duration::from_millis(5)))
             .unwrap();
         let (mut received, mut chunk) = (Vec::new(), [0; 4096]);
@@ -68,14 +68,14 @@
             if let Ok(n) = peer.read(&mut chunk) {
                 received.extend_from_slice(&chunk[..n]);
             }
-            if received.windows(5).filter(|w| w == b"TALLY").count() == calls
+            if received.windows(5).filter(|w| w == b"TALLY").count() == count
                 && received.ends_with(b"1000\r\n")
             {
                 return;
             }
         }
         panic!(
-            "expected {calls} calls, received: {}",
+            "expected {count} calls, received: {}",
             String::from_utf8_lossy(&received)
         );
     }
@@ -118,14 +118,14 @@
 }
 
 #[test]
-fn broken_connection_leaves_written_calls_undecided() {
+fn broken_connection_reports_written_calls_as_timed_out() {
     let mut service = TestService::new();
     service.call(1);
     let mut peer = service.listener.accept().unwrap().0;
     service.receive_calls(&mut peer, 1);
     drop(peer);
     assert_eq!(service.results(1), [(1, Outcome::TimedOut, 0.0)]);
-    // Nothing listens at the address: the call was not counted, and the next attempts wait for the backoff.
+    // Nothing listens at the address: the calls fail to connect, and the next attempts wait for the backoff.
     let address = service.listener.local_addr().unwrap();
     drop(std::mem::replace(
         &mut service.listener,
--- a/crates/ingress/src/reload.rs
+++ b/crates/ingress/src/reload.rs
@@ -34,7 +34,7 @@
     FixedLimits,
     /// The indices of plans or classes differ. Peers refer to plans and classes by index, so all must change together.
     #[error(
-        "plans or classes have other indices, which must change at all ingresses at once: use wrenctl apply"
+        "the files change indices of plans or classes, which must change at all ingresses at once: use wrenctl apply"
     )]
     ChangedIndices,
 }
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Compares every stored and sent format of this package byte for byte with the files in `golden/`. The members of a group store
-//! rollouts and send each other metrics, and the digest of the group state covers the `Debug` output of a rollout, so neither
-//! names nor order may change unnoticed.
+//! rollouts and send each other metrics, and the digest of the group state covers the `Debug` output of a rollout, so the
+//! names and the order of fields must not change by accident.
 //!
 //! The files are only rewritten by hand: `cargo test -p wrenfork-rollout --test golden -- --ignored`.
 
@@ -15,14 +15,14 @@
     RolloutPolicy, SequentialTest, StageScope, ValueChange,
 };
 
-fn path(name: &str) -> PathBuf {
+fn golden_path(name: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "tests", "golden", name]
         .iter()
         .collect()
 }
 
 fn read_golden(name: &str) -> String {
-    fs::read_to_string(path(name)).unwrap()
+    fs::read_to_string(golden_path(name)).unwrap()
 }
 
 fn rollout(phase: RolloutPhase, reason: &str) -> Rollout {
@@ -51,7 +51,7 @@
         stages: vec![vec!["n0".into()], vec!["n1".into(), "n2".into()]],
         changes: vec![first_change.into(), second_change.into()],
         change_of: [("n0", 0), ("n1", 1), ("n2", 0)]
-            .map(|(name, index)| (name.to_string(), index))
+            .map(|(member, change_index)| (member.to_string(), change_index))
             .into(),
         phase,
         reason: reason.into(),
@@ -102,7 +102,7 @@
     test
 }
 
-/// The assignment of members to stages depends on the `Debug` output of the rollout's identity.
+/// Stages assigned from a fixed rollout identity. The assignment depends on the `Debug` output of that identity.
 fn assigned_stages() -> Vec<Vec<String>> {
     let zone_groups: BTreeMap<String, String> = (0..12)
         .map(|n| (format!("n{n}"), format!("hall-{}", n % 3)))
@@ -120,7 +120,7 @@
     serde_json::to_string(value).unwrap() + "\n"
 }
 
-fn files() -> Vec<(&'static str, String)> {
+fn golden_files() -> Vec<(&'static str, String)> {
     let debug: String = rollouts().iter().map(|r| format!("{r:?}\n")).collect();
     let displayed: String = rollouts()
         .iter()
@@ -149,7 +149,7 @@
 
 #[test]
 fn every_format_matches_its_golden_file() {
-    for (name, text) in files() {
+    for (name, text) in golden_files() {
         assert_eq!(text, read_golden(name), "{name}");
     }
 }
@@ -171,7 +171,7 @@
 #[test]
 #[ignore = "writes the golden files; run it by hand when a format changes on purpose"]
 fn write_the_golden_files() {
-    for (name, text) in files() {
-        fs::write(path(name), text).unwrap();
+    for (name, text) in golden_files() {
+        fs::write(golden_path(name), text).unwrap();
     }
 }
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -50,6 +50,7 @@
     before_wait_end: usize,
     /// End of the options that follow the value of `d`.
     options_end: usize,
+    /// The authentication token, if the options contained one.
     token: Option<Vec<u8>>,
     /// A long body as received. All attempts share this one copy.
     body: Option<Body>,
@@ -177,7 +178,7 @@
         let replaced = own_plan.map(|plan| replace_claims(text, plan, vocabulary.gateways));
         let text = replaced.as_deref().unwrap_or(text);
         let options = Options::parse(text)?;
-        let request = request(is_post, customer, &options, own_plan, vocabulary)?;
+        let request = build_request(is_post, customer, &options, own_plan, vocabulary)?;
         let wait = options.wait.ok_or(CallError::Missing(Field::Wait))?;
         let call = Call::from_parts(request, arguments, text, wait.range);
         Ok(Call {
@@ -234,7 +235,7 @@
         self.token.take()
     }
 
-    /// The long body, if there is one. [`Call::write`] does not append it: the caller sends it directly after those bytes.
+    /// The long body, if there is one. [`Call::write`] does not append the body: the caller sends it directly after the bytes from `write`.
     pub fn body(&self) -> Option<Body> {
         self.body.clone()
     }
@@ -274,7 +275,7 @@
 
 /// Builds the request for the decision module. Rejects values that are out of range, so that they reach neither a backend nor the
 /// decision module, which stores them in the customer's record.
-fn request(
+fn build_request(
     is_post: bool,
     customer: u64,
     options: &Options,
