--- a/crates/ctl/examples/changes.rs
+++ b/crates/ctl/examples/changes.rs
@@ -12,7 +12,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{command, list, place, serve, until, Backend, Client, Ingress};
+use wrenfork_testbed::service_fixture::{
+    command, list, place, serve, until, Backend, Client, Ingress,
+};
 
 fn program(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("this program's path");
--- a/crates/ctl/src/fleet/cost.rs
+++ b/crates/ctl/src/fleet/cost.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, Ordering};
-use wrenfork_testbed::report::{Report, MOST_LATE};
+use wrenfork_testbed::report::{Report, MAX_P99_LATENESS_US};
 use wrenfork_testbed::rig::{self, Run};
 use wrenfork_testbed::scenario::Scenario;
 
@@ -168,7 +168,7 @@
             if self.stop.load(Ordering::Relaxed) {
                 return Err("stopped early".into());
             }
-            if report.rig.lateness.p99_us <= MOST_LATE {
+            if report.rig.lateness.p99_us <= MAX_P99_LATENESS_US {
                 return Ok(report);
             }
         }
--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -11,7 +11,7 @@
 use wrenfork_commit::protocol::{CommitRequest, CommitResponse};
 use wrenfork_commit::state::Generation;
 use wrenfork_control_plane::{client, failpoints};
-use wrenfork_testbed::small::{
+use wrenfork_testbed::service_fixture::{
     command, list, place, serve, served, until, Act, Backend, Client, Ingress, LONG,
 };
 
--- a/crates/ctl/tests/group/main.rs
+++ b/crates/ctl/tests/group/main.rs
@@ -18,7 +18,7 @@
 use wrenfork_control_plane::failpoints;
 use wrenfork_testbed::judge::policy::judge;
 use wrenfork_testbed::links::Fault;
-use wrenfork_testbed::small::{command, signal, stopped, Client};
+use wrenfork_testbed::service_fixture::{command, signal, stopped, Client};
 
 /// Three that serve, whom most tests have.
 fn three() -> Layout {
--- a/crates/ctl/tests/group/measure.rs
+++ b/crates/ctl/tests/group/measure.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use wrenfork_testbed::links::Fault;
-use wrenfork_testbed::small::Client;
+use wrenfork_testbed::service_fixture::Client;
 
 /// The lease that files have unless they say another one.
 const DEFAULT: Duration = Duration::from_millis(1_500);
--- a/crates/ctl/tests/group/programs.rs
+++ b/crates/ctl/tests/group/programs.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use wrenfork_rollout::RolloutPhase;
-use wrenfork_testbed::small::Client;
+use wrenfork_testbed::service_fixture::Client;
 
 pub fn kept(versions: &[&'static str]) -> Layout {
     Layout {
--- a/crates/ctl/tests/group/rollout.rs
+++ b/crates/ctl/tests/group/rollout.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_rollout::RolloutPhase;
 use wrenfork_testbed::links::Fault;
-use wrenfork_testbed::small::LONG;
+use wrenfork_testbed::service_fixture::LONG;
 
 /// Terms under which a stage is decided in some ten blocks of a second.
 const TERMS: &str =
--- a/crates/ctl/tests/group/site.rs
+++ b/crates/ctl/tests/group/site.rs
@@ -14,7 +14,9 @@
 use wrenfork_handover::listener;
 use wrenfork_testbed::judge::policy::{judge, Answer, Change, Said};
 use wrenfork_testbed::links::Links;
-use wrenfork_testbed::small::{command, list, place, signal, Act, Backend, Client, Ingress, LONG};
+use wrenfork_testbed::service_fixture::{
+    command, list, place, signal, Act, Backend, Client, Ingress, LONG,
+};
 
 /// The policies that tests go through: each sends quotes to a pool of its own, whose node says its name.
 pub const POLICIES: usize = 4;
--- a/crates/ctl/tests/reload.rs
+++ b/crates/ctl/tests/reload.rs
@@ -6,7 +6,9 @@
 use std::fs;
 use std::path::Path;
 use std::process::{Command, Output};
-use wrenfork_testbed::small::{command, list, place, serve, until, Backend, Client, Ingress};
+use wrenfork_testbed::service_fixture::{
+    command, list, place, serve, until, Backend, Client, Ingress,
+};
 
 fn good(name: &str) -> String {
     fs::read_to_string(
--- a/crates/ingress/tests/accepted.rs
+++ b/crates/ingress/tests/accepted.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_config::set::Set;
 use wrenfork_config::source::Source;
-use wrenfork_testbed::small::{command, place, Client, Ingress};
+use wrenfork_testbed::service_fixture::{command, place, Client, Ingress};
 
 #[derive(Clone, Debug)]
 struct Class {
--- a/crates/ingress/tests/addresses.rs
+++ b/crates/ingress/tests/addresses.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
-use wrenfork_testbed::small::{
+use wrenfork_testbed::service_fixture::{
     command, entry, list, place, serve, until, Act, Backend, Client, Ingress,
 };
 
--- a/crates/ingress/tests/crowds.rs
+++ b/crates/ingress/tests/crowds.rs
@@ -2,7 +2,7 @@
 
 use std::thread;
 use std::time::Duration;
-use wrenfork_testbed::small::{call, serve, served, until, Act, Backend, Client, Setup};
+use wrenfork_testbed::service_fixture::{call, serve, served, until, Act, Backend, Client, Setup};
 
 fn setup(backend: &Backend, sockets: usize) -> Setup {
     let mut setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[backend]);
--- a/crates/ingress/tests/discovery_delay.rs
+++ b/crates/ingress/tests/discovery_delay.rs
@@ -5,7 +5,7 @@
 use std::net::TcpListener;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{
+use wrenfork_testbed::service_fixture::{
     call, command, list, serve, until, Backend, Client, Discovery, Jammed, Setup,
 };
 
--- a/crates/ingress/tests/endings.rs
+++ b/crates/ingress/tests/endings.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::operators::figure;
-use wrenfork_testbed::small::{
+use wrenfork_testbed::service_fixture::operators::figure;
+use wrenfork_testbed::service_fixture::{
     call, command, leave, place, serve, served, stands_in, until, Act, Backend, Client, Discovery,
     Ingress, Jammed, Setup, FIN_WAIT_1, LONG,
 };
--- a/crates/ingress/tests/handover/main.rs
+++ b/crates/ingress/tests/handover/main.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use support::{attempts_by_id, half_way_until, long_value, longest_pause, Load, Platform, Sampler};
-use wrenfork_testbed::small::{
+use wrenfork_testbed::service_fixture::{
     call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Jammed,
 };
 
--- a/crates/ingress/tests/handover/support.rs
+++ b/crates/ingress/tests/handover/support.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{call, place, until, Act, Backend, Client, Setup, LONG};
+use wrenfork_testbed::service_fixture::{call, place, until, Act, Backend, Client, Setup, LONG};
 
 /// The platform: the clients' socket, the folder that all processes share, and the configuration.
 pub struct Platform {
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use wrenfork_identity::token::{sign, told, Claims};
 use wrenfork_identity::trust::written;
-use wrenfork_testbed::small::{
+use wrenfork_testbed::service_fixture::{
     command, list, place, serve, served, until, Act, Backend, Client, Ingress,
 };
 
--- a/crates/ingress/tests/ingress/answers.rs
+++ b/crates/ingress/tests/ingress/answers.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{call, call_of, command, serve, Backend};
+use wrenfork_testbed::service_fixture::{call, call_of, command, serve, Backend};
 
 #[test]
 fn a_request_is_forwarded_as_it_came_and_its_value_returned_as_it_was_given() {
--- a/crates/ingress/tests/ingress/attempts.rs
+++ b/crates/ingress/tests/ingress/attempts.rs
@@ -5,7 +5,9 @@
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{call, entry, place, serve, served, until, Act, Backend, Client};
+use wrenfork_testbed::service_fixture::{
+    call, entry, place, serve, served, until, Act, Backend, Client,
+};
 
 /// An unsafe request that a backend was given whole goes to nobody else, whatever becomes of it.
 fn may_have_run(bad: Backend) -> (Backend, String) {
--- a/crates/ingress/tests/ingress/clients.rs
+++ b/crates/ingress/tests/ingress/clients.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{
+use wrenfork_testbed::service_fixture::{
     call, call_of, command, leave, serve, served, until, Act, Backend, Client,
 };
 
--- a/crates/ingress/tests/ingress/descriptors.rs
+++ b/crates/ingress/tests/ingress/descriptors.rs
@@ -3,7 +3,7 @@
 use crate::support::{is_rejected, setup};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{call, command, serve, until, Act, Backend, Client, Setup};
+use wrenfork_testbed::service_fixture::{call, command, serve, until, Act, Backend, Client, Setup};
 
 /// More clients than descriptors: idle ones make room, and everyone who asks is answered.
 fn crowd(setup: &Setup) {
--- a/crates/ingress/tests/ingress/discovery.rs
+++ b/crates/ingress/tests/ingress/discovery.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::Duration;
-use wrenfork_testbed::small::{call, serve, until, Backend, Discovery};
+use wrenfork_testbed::service_fixture::{call, serve, until, Backend, Discovery};
 
 #[test]
 fn a_draining_backend_gets_no_new_request() {
--- a/crates/ingress/tests/ingress/main.rs
+++ b/crates/ingress/tests/ingress/main.rs
@@ -11,7 +11,7 @@
 mod support;
 
 use support::setup;
-use wrenfork_testbed::small::{call, place, serve, Backend, Ingress};
+use wrenfork_testbed::service_fixture::{call, place, serve, Backend, Ingress};
 
 /// The command in deploy/balancer.toml; `.ci/run` hands it in.
 #[test]
--- a/crates/ingress/tests/ingress/peers.rs
+++ b/crates/ingress/tests/ingress/peers.rs
@@ -3,7 +3,7 @@
 use crate::support::setup;
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{call, place, serve, until, Backend, LONG};
+use wrenfork_testbed::service_fixture::{call, place, serve, until, Backend, LONG};
 
 /// A socket that is read for 0.1 s.
 fn udp() -> UdpSocket {
--- a/crates/ingress/tests/ingress/reload.rs
+++ b/crates/ingress/tests/ingress/reload.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{call, serve, until, Backend, Discovery};
+use wrenfork_testbed::service_fixture::{call, serve, until, Backend, Discovery};
 
 /// Guards against SIGHUP for an end, and against news that wait for the old discovery's call to run out.
 #[test]
--- a/crates/ingress/tests/ingress/shutdown.rs
+++ b/crates/ingress/tests/ingress/shutdown.rs
@@ -3,7 +3,9 @@
 use crate::support::{new_id, setup};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{call, command, serve, served, until, Act, Backend, Client};
+use wrenfork_testbed::service_fixture::{
+    call, command, serve, served, until, Act, Backend, Client,
+};
 
 #[test]
 fn on_sigterm_admitted_requests_and_new_ones_are_served() {
--- a/crates/ingress/tests/ingress/support.rs
+++ b/crates/ingress/tests/ingress/support.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 use std::time::Duration;
-use wrenfork_testbed::small::{call, Backend, Ingress, Setup};
+use wrenfork_testbed::service_fixture::{call, Backend, Ingress, Setup};
 
 /// A setup round the program as it was built for the tests.
 pub fn setup(backends: &[&Backend]) -> Setup {
--- a/crates/ingress/tests/long.rs
+++ b/crates/ingress/tests/long.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
-use wrenfork_testbed::small::{
+use wrenfork_testbed::service_fixture::{
     call, command, serve, served, until, Act, Backend, Client, Ingress, Setup,
 };
 
--- a/crates/ingress/tests/management.rs
+++ b/crates/ingress/tests/management.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::operators::{ask, figure};
-use wrenfork_testbed::small::{
+use wrenfork_testbed::service_fixture::operators::{ask, figure};
+use wrenfork_testbed::service_fixture::{
     call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Setup,
 };
 
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{
+use wrenfork_testbed::service_fixture::{
     call, command, place, serve, until, Backend, Client, Discovery, Ingress, Setup,
 };
 
--- a/crates/ingress/tests/sidecar.rs
+++ b/crates/ingress/tests/sidecar.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Command;
-use wrenfork_testbed::small::{
+use wrenfork_testbed::service_fixture::{
     command, list, place, read_value, serve, served, until, Act, Backend, Client, Discovery,
     Ingress,
 };
--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -1,27 +1,27 @@
-//! Who asks for what, when: drawn from the seed ahead of everything, so that no answer changes it.
+//! First tries: time, account and class of each, drawn from the seed alone, so that answers don't influence them.
 
 use crate::scenario::{Micros, Scenario, SECOND};
 use fastrand::Rng;
 
-/// Account numbers from here on are used once only.
+/// Account numbers from here on are each used for one request only.
 pub const ONCE: u32 = 1 << 30;
-/// Account numbers from here on belong to accounts that a fault makes hot.
+/// Account numbers from here up to [`ONCE`] belong to accounts that a fault makes hot.
 pub const HOT: u32 = 1 << 29;
 
-/// A first try.
+/// The first try of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, after the start.
+    /// Microseconds after the start.
     pub at: Micros,
-    /// The account's number.
+    /// Account number; see [`ONCE`] and [`HOT`] for the reserved ranges.
     pub account: u32,
-    /// The class's index.
+    /// Index into the scenario's classes.
     pub class: usize,
 }
 
-/// A number drawn from 0 to 1 for a place in the world, the same whenever it is asked for.
-pub fn lot(seed: u64, place: &[u64]) -> f64 {
-    let mixed = place.iter().fold(seed, |h, p| {
+/// A pseudo-random number in 0..1 that depends on `seed` and `key` alone.
+pub fn hash_draw(seed: u64, key: &[u64]) -> f64 {
+    let mixed = key.iter().fold(seed, |h, p| {
         let mut z = (h ^ p).wrapping_add(0x9E37_79B9_7F4A_7C15);
         z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
@@ -30,9 +30,10 @@
     (mixed >> 11) as f64 / (1u64 << 53) as f64
 }
 
+/// The index whose share of the weights covers `draw`, a number in 0..1.
 fn pick(weights: impl Iterator<Item = f64> + Clone, draw: f64) -> usize {
-    let all: f64 = weights.clone().sum();
-    let mut left = draw * all;
+    let total: f64 = weights.clone().sum();
+    let mut left = draw * total;
     let mut last = 0;
     for (n, weight) in weights.enumerate() {
         last = n;
@@ -44,7 +45,7 @@
     last
 }
 
-/// What is fixed about accounts: their plan, their set of ingresses, how much they ask for.
+/// Fixed properties of accounts: plan, set of ingresses, share of the load.
 #[derive(Clone)]
 pub struct Accounts {
     seed: u64,
@@ -57,7 +58,7 @@
 }
 
 impl Accounts {
-    /// Those of a scenario.
+    /// The accounts of a scenario.
     pub fn new(s: &Scenario) -> Self {
         Accounts {
             seed: s.seed,
@@ -74,58 +75,58 @@
     pub fn plan(&self, account: u32) -> usize {
         pick(
             self.shares.iter().copied(),
-            lot(self.seed, &[1, u64::from(account)]),
+            hash_draw(self.seed, &[1, u64::from(account)]),
         )
     }
 
-    /// How many ingresses an account's requests come through, and the first of them.
+    /// Size of an account's set of ingresses, and the index of its first ingress.
     pub fn set(&self, account: u32) -> (u16, u16) {
         let (low, high) = (f64::from(self.spread.0), f64::from(self.spread.1));
-        let width = low + lot(self.seed, &[2, u64::from(account)]) * (high - low + 1.0);
-        let first = lot(self.seed, &[3, u64::from(account)]) * self.ingresses as f64;
+        let width = low + hash_draw(self.seed, &[2, u64::from(account)]) * (high - low + 1.0);
+        let first = hash_draw(self.seed, &[3, u64::from(account)]) * self.ingresses as f64;
         (
             (width as u16).clamp(self.spread.0, self.spread.1),
             first as u16,
         )
     }
 
-    /// How much an account asks for, beside others.
+    /// Relative request rate of an account.
     fn weight(&self, account: u32) -> f64 {
-        let heavy = lot(self.seed, &[4, u64::from(account)]) < self.heavy;
-        (0.25 + lot(self.seed, &[5, u64::from(account)]))
+        let heavy = hash_draw(self.seed, &[4, u64::from(account)]) < self.heavy;
+        (0.25 + hash_draw(self.seed, &[5, u64::from(account)]))
             * if heavy { self.heavy_factor } else { 1.0 }
     }
 
-    /// The ingresses of an account's set, the one that a request takes first, then the others in the order in which
-    /// the front falls back on them. Weights are uneven and shift.
-    pub fn way(&self, account: u32, at: Micros, draw: f64) -> Vec<usize> {
+    /// The ingresses of an account's set in the order in which the front tries them for a request. The weights for the
+    /// first choice are uneven and change over time.
+    pub fn ingress_order(&self, account: u32, at: Micros, draw: f64) -> Vec<usize> {
         let (width, first) = self.set(account);
-        let phase = lot(self.seed, &[6, u64::from(account)]) * self.shift as f64;
+        let phase = hash_draw(self.seed, &[6, u64::from(account)]) * self.shift as f64;
         let epoch = (at + phase as Micros) / self.shift;
         let all = self.ingresses;
         let set = (0..u64::from(width)).map(|n| ((u64::from(first) + n) % all) as usize);
         let weights = set.clone().map(|i| {
-            let lot = lot(self.seed, &[7, u64::from(account), i as u64, epoch]);
-            0.15 + 2.0 * lot * lot
+            let draw = hash_draw(self.seed, &[7, u64::from(account), i as u64, epoch]);
+            0.15 + 2.0 * draw * draw
         });
         let chosen = pick(weights, draw);
         set.clone().skip(chosen).chain(set.take(chosen)).collect()
     }
 }
 
-/// The stream of first tries, in the order of their times.
+/// Iterator over first tries in order of time.
 pub struct Arrivals {
     rng: Rng,
     at: f64,
     rate: f64,
     lasts: Micros,
     shares: Vec<f64>,
-    /// Sums of the accounts' weights.
+    /// Cumulative sums of the accounts' weights.
     sums: Vec<f64>,
 }
 
 impl Arrivals {
-    /// Those of a scenario, without what faults add.
+    /// The arrivals of a scenario, without those that faults add.
     pub fn new(s: &Scenario) -> Self {
         let accounts = Accounts::new(s);
         let mut sum = 0.0;
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Those of a few accounts that a fault makes hot, or of accounts seen once, from a time on.
+    /// Arrivals that a fault adds from a time on: of `hot` accounts, or if `None`, of accounts that send one request each.
     pub fn extra(
         s: &Scenario,
         from: Micros,
@@ -161,7 +162,7 @@
             }
             let account = match hot {
                 Some(count) => HOT + rng.u32(0..count),
-                // New ones with each such fault.
+                // Each fault start gets its own range of account numbers.
                 None => ONCE + (from / 100_000 % 10_000) as u32 * 100_000 + list.len() as u32,
             };
             let class = pick(s.classes.iter().map(|c| c.share), rng.f64());
--- a/crates/testbed/src/bin/wrenfork-relay.rs
+++ b/crates/testbed/src/bin/wrenfork-relay.rs
@@ -1,8 +1,8 @@
-//! A bare relay, for `wrenctl fleet cost` to measure the ingress beside: the same bytes over the same hops with the
-//! same loop library, and no decision but whose turn it is. It reads the same configuration.
+//! A minimal relay as the baseline of `wrenctl fleet cost`: it forwards the same bytes over the same hops with the same
+//! event loop library as the ingress, chooses backends round-robin, and reads the same configuration.
 //!
-//! With `WRENFORK_RELAY=fallback` it is what pools are measured beside: every class but `referral` goes to the nodes of the
-//! first hall, and all of it at once to the others while none of those can be reached.
+//! With `WRENFORK_RELAY=fallback` it is the baseline for pools: `referral` requests go to the nodes outside the first
+//! zone, all others to the nodes of the first zone, or to the other nodes while none in the first zone is reachable.
 
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Registry, Token};
@@ -16,17 +16,18 @@
 use wrenfork_wire::resp::{self, Reply};
 
 const LISTENER: Token = Token(0);
-const FIRST: usize = 1;
-/// How long a node counts as gone whose connection broke.
-const GONE: Duration = Duration::from_millis(500);
+const FIRST_CONN_TOKEN: usize = 1;
+/// How long a node counts as unreachable after one of its connections closed.
+const UNREACHABLE_FOR: Duration = Duration::from_millis(500);
 
 struct Conn {
     stream: TcpStream,
     inbox: Vec<u8>,
     outbox: Vec<u8>,
-    /// The client's side: none. The backend's: which, and the client that waits.
+    /// Index of the backend; `None` for a client connection.
     backend: Option<usize>,
-    other: Option<usize>,
+    /// Client connection that waits for this backend connection's answer.
+    client: Option<usize>,
 }
 
 struct Relay {
@@ -34,10 +35,10 @@
     conns: Slab<Conn>,
     backends: Vec<SocketAddr>,
     idle: Vec<Vec<usize>>,
-    /// Whether each stands in the first hall; none where any node will do.
-    home: Option<Vec<bool>>,
-    /// Until when each counts as gone.
-    gone: Vec<Instant>,
+    /// For each backend whether it is in the first zone; `None` without the fallback mode.
+    in_first_zone: Option<Vec<bool>>,
+    /// For each backend the time until which it counts as unreachable.
+    unreachable_until: Vec<Instant>,
     next: usize,
     chunk: Vec<u8>,
     args: Vec<Range<usize>>,
@@ -48,21 +49,21 @@
         &mut self,
         mut stream: TcpStream,
         backend: Option<usize>,
-        other: Option<usize>,
+        client: Option<usize>,
     ) -> Option<usize> {
         let _ = stream.set_nodelay(true);
         let place = self.conns.vacant_entry();
         let key = place.key();
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.registry
-            .register(&mut stream, Token(FIRST + key), interest)
+            .register(&mut stream, Token(FIRST_CONN_TOKEN + key), interest)
             .ok()?;
         place.insert(Conn {
             stream,
             inbox: Vec::new(),
             outbox: Vec::new(),
             backend,
-            other,
+            client,
         });
         Some(key)
     }
@@ -73,14 +74,14 @@
         };
         if let Some(backend) = conn.backend {
             self.idle[backend].retain(|k| *k != key);
-            self.gone[backend] = Instant::now() + GONE;
-            if let Some(client) = conn.other {
-                self.say(client, b"-ERR failed\r\n");
+            self.unreachable_until[backend] = Instant::now() + UNREACHABLE_FOR;
+            if let Some(client) = conn.client {
+                self.send(client, b"-ERR failed\r\n");
             }
         }
     }
 
-    fn say(&mut self, key: usize, bytes: &[u8]) {
+    fn send(&mut self, key: usize, bytes: &[u8]) {
         if let Some(conn) = self.conns.get_mut(key) {
             conn.outbox.extend_from_slice(bytes);
             self.flush(key);
@@ -138,27 +139,27 @@
         }
     }
 
-    /// Whose turn it is.
-    fn turn(&mut self, referral: bool) -> usize {
+    /// Picks the next backend round-robin, within the preferred zone in fallback mode.
+    fn next_backend(&mut self, referral: bool) -> usize {
         let (count, now) = (self.backends.len(), Instant::now());
         let from = self.next + 1;
-        let turns = (0..count).map(|n| (from + n) % count);
-        let turn = match &self.home {
+        let candidates = (0..count).map(|n| (from + n) % count);
+        let chosen = match &self.in_first_zone {
             None => None,
-            Some(home) => {
-                let of = |first: bool| {
-                    turns
-                        .clone()
-                        .find(|n| home[*n] == first && self.gone[*n] <= now)
+            Some(in_first_zone) => {
+                let find = |first_zone: bool| {
+                    candidates.clone().find(|n| {
+                        in_first_zone[*n] == first_zone && self.unreachable_until[*n] <= now
+                    })
                 };
                 if referral {
-                    of(false)
+                    find(false)
                 } else {
-                    of(true).or_else(|| of(false))
+                    find(true).or_else(|| find(false))
                 }
             }
         };
-        self.next = turn.unwrap_or(from % count);
+        self.next = chosen.unwrap_or(from % count);
         self.next
     }
 
@@ -175,20 +176,20 @@
                 .first()
                 .is_some_and(|a| &command[a.clone()] == b"PING")
             {
-                self.say(key, b"+PONG\r\n");
+                self.send(key, b"+PONG\r\n");
                 continue;
             }
-            let backend = self.turn(command.windows(10).any(|w| w == b"c=referral"));
+            let backend = self.next_backend(command.windows(10).any(|w| w == b"c=referral"));
             let conn = self.idle[backend].pop().or_else(|| {
                 let stream = TcpStream::connect(self.backends[backend]).ok()?;
                 self.add(stream, Some(backend), None)
             });
             match conn {
                 Some(conn) => {
-                    self.conns[conn].other = Some(key);
-                    self.say(conn, &command);
+                    self.conns[conn].client = Some(key);
+                    self.send(conn, &command);
                 }
-                None => self.say(key, b"-ERR failed\r\n"),
+                None => self.send(key, b"-ERR failed\r\n"),
             }
         }
     }
@@ -206,12 +207,12 @@
         };
         let text = first.map_or(Vec::new(), |e| conn.inbox[e.span.clone()].to_vec());
         conn.inbox.drain(..n);
-        let client = conn.other.take();
+        let client = conn.client.take();
         if let Some(backend) = conn.backend {
             self.idle[backend].push(key);
         }
         if let Some(client) = client {
-            self.say(client, &text);
+            self.send(client, &text);
         }
     }
 }
@@ -221,13 +222,13 @@
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
     let config: Value = serde_json::from_str(&text).map_err(|e| format!("{path}: {e}"))?;
     let address = |v: &Value| v.as_str().and_then(|t| t.parse::<SocketAddr>().ok());
-    let listen = address(&config["listen"]).ok_or("listen is no address")?;
+    let listen = address(&config["listen"]).ok_or("listen is missing or not a socket address")?;
     let list = config["known"]["endpoints"]
         .as_array()
-        .ok_or("known.endpoints is no list")?;
+        .ok_or("known.endpoints is missing or not a list")?;
     let backends: Vec<SocketAddr> = list.iter().filter_map(|e| address(&e["address"])).collect();
     if backends.is_empty() {
-        return Err("there is no backend".into());
+        return Err("known.endpoints has no valid address".into());
     }
     let mut poll = Poll::new().map_err(|e| e.to_string())?;
     let mut listener = TcpListener::bind(listen).map_err(|e| e.to_string())?;
@@ -236,8 +237,9 @@
         .map_err(|e| e.to_string())?;
     let registry = poll.registry().try_clone().map_err(|e| e.to_string())?;
     let fallback = std::env::var("WRENFORK_RELAY").is_ok_and(|v| v == "fallback");
-    let home = fallback.then(|| list.iter().map(|e| e["zone"] == list[0]["zone"]).collect());
-    let gone = vec![Instant::now(); backends.len()];
+    let in_first_zone =
+        fallback.then(|| list.iter().map(|e| e["zone"] == list[0]["zone"]).collect());
+    let unreachable_until = vec![Instant::now(); backends.len()];
     let idle = vec![Vec::new(); backends.len()];
     let chunk = vec![0; 16 * 1024];
     let conns = Slab::new();
@@ -246,8 +248,8 @@
         conns,
         backends,
         idle,
-        home,
-        gone,
+        in_first_zone,
+        unreachable_until,
         next: 0,
         chunk,
         args: Vec::new(),
@@ -264,7 +266,7 @@
                     relay.add(stream, None, None);
                 }
             } else {
-                relay.ready(event.token().0 - FIRST);
+                relay.ready(event.token().0 - FIRST_CONN_TOKEN);
             }
         }
     }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,8 +1,9 @@
-//! A fleet of its own on loopback addresses: stand-ins for clients, backends, discovery and the network round real
-//! ingress processes, faults on a timetable, and a judge of the five rules.
+//! Test bed: runs real ingress processes on loopback addresses between stand-ins for clients, backends, discovery and
+//! the network, injects faults on a timetable, and checks the five rules.
 //!
-//! A [`scenario`] says what the world is and what goes wrong when; [`rig::play`] plays it; the [`judge`] decides from
-//! what the stand-ins saw; the [`report`] tells what it came to. [`small`] has stand-ins that a test drives by hand.
+//! A [`scenario`] describes the setup and its timetable of faults; [`rig::play`] runs it; the [`judge`] checks the
+//! rules against what the stand-ins observed; the [`report`] summarizes the run. [`service_fixture`] has stand-ins that
+//! tests drive directly.
 
 // Not done yet, see docs/ROADMAP.md.
 #![allow(
@@ -18,4 +19,4 @@
 pub mod report;
 pub mod rig;
 pub mod scenario;
-pub mod small;
+pub mod service_fixture;
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -1,5 +1,5 @@
-//! Relays between the control sockets of ingresses: one for each ordered pair, each of which may fail on its own. What is
-//! held back while a link is dropped arrives once it is well again, as on a network that sends again what was lost.
+//! Relays between the control sockets of ingresses: one for each ordered pair, with a fault of its own. Bytes held back
+//! while a link is dropped are delivered once the fault ends, as a network that retransmits lost packets does.
 
 use mio::net::{UnixListener, UnixStream};
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -11,35 +11,35 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a link fails. The one that opens a connection on it asks, the other answers.
+/// How a link fails. The side that opens a connection sends requests; the other side answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Silence: nothing passes either way, and nobody is told.
+    /// Nothing passes in either direction, and connections stay open.
     Dropped,
-    /// Connections end at once, those that are open as well.
+    /// Open and new connections are closed at once.
     Refused,
-    /// A connection ends once so many bytes were asked over it.
+    /// A connection is closed once this many request bytes have passed.
     Reset(usize),
-    /// All that passes is late by so much.
+    /// All bytes are delayed by this time.
     Late(Duration),
-    /// Asks arrive, answers don't.
+    /// Requests arrive, answers don't.
     OneWay,
 }
 
-/// By who asks and who answers.
+/// The names of the requesting and the answering side.
 type Pair = (String, String);
 
 const WAKE: Token = Token(0);
-/// The most bytes that are held back in one direction of a connection.
-const MOST_HELD: usize = 64 << 20;
+/// Bytes held back in one direction of a connection at which the connection is closed.
+const MAX_HELD_BYTES: usize = 64 << 20;
 
 struct Half {
     stream: UnixStream,
     pair: Pair,
     other: usize,
-    /// Whether what comes from here is asked, or answered.
-    asks: bool,
-    /// What came from here and has not been passed on, with when it came.
+    /// Whether this side sends the requests.
+    requester: bool,
+    /// Received bytes that are not forwarded yet, with the time of receipt.
     held: VecDeque<(Instant, Vec<u8>)>,
     passed: usize,
     ended: bool,
@@ -52,24 +52,24 @@
     faults: Arc<Mutex<BTreeMap<Pair, Fault>>>,
 }
 
-/// The relays of some members. They end with the process.
+/// The relays between the members of a group. They run until the process exits.
 pub struct Links {
     folder: PathBuf,
     faults: Arc<Mutex<BTreeMap<Pair, Fault>>>,
     waker: Waker,
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Links {
-    /// Opens, below a folder, for each pair of one that asks and a member that answers at its socket, a socket at
-    /// `FOLDER/ASKER/MEMBER`.
+    /// Opens a socket at `FOLDER/ASKER/MEMBER` for each pair of an asker and another member, and relays its connections
+    /// to the member's own socket, the second item in `members`.
     ///
     /// # Errors
     ///
-    /// Where a socket can't be had.
+    /// If a folder, a socket or the relay thread can't be created.
     pub fn open(folder: &Path, askers: &[&str], members: &[(&str, PathBuf)]) -> io::Result<Links> {
         let poll = Poll::new()?;
         let waker = Waker::new(poll.registry(), WAKE)?;
@@ -106,7 +106,7 @@
         })
     }
 
-    /// Where an asker finds the members.
+    /// The folder with the sockets through which an asker reaches the members.
     pub fn folder(&self, asker: &str) -> PathBuf {
         self.folder.join(asker)
     }
@@ -116,7 +116,7 @@
         let _ = self.waker.wake();
     }
 
-    /// Has the link between two fail, or be well.
+    /// Sets the fault of the link from one member to another; `None` removes the fault.
     pub fn set(&self, from: &str, to: &str, fault: Option<Fault>) {
         let pair = (from.to_string(), to.to_string());
         self.change(|faults| match fault {
@@ -125,7 +125,7 @@
         });
     }
 
-    /// Has all links between some and others fail, in both directions.
+    /// Sets a fault on all links between two sets of members, in both directions.
     pub fn between(&self, some: &[&str], others: &[&str], fault: Fault) {
         self.change(|faults| {
             for (a, b) in some.iter().flat_map(|a| others.iter().map(move |b| (a, b))) {
@@ -135,7 +135,7 @@
         });
     }
 
-    /// Has every link be well.
+    /// Removes the faults of all links.
     pub fn heal(&self) {
         self.change(BTreeMap::clear);
     }
@@ -146,7 +146,7 @@
         let mut events = Events::with_capacity(256);
         let mut chunk = vec![0; 64 << 10];
         loop {
-            let wait = self.pass_on();
+            let wait = self.forward();
             if self.poll.poll(&mut events, wait).is_err() {
                 continue;
             }
@@ -167,37 +167,37 @@
             if lock(&self.faults).get(&pair) == Some(&Fault::Refused) {
                 continue;
             }
-            // Where nobody listens, whoever asks finds the connection ended.
+            // Nobody listens at the member's socket: the asker's connection is closed.
             let Ok(far) = UnixStream::connect(at) else {
                 continue;
             };
-            let half = |stream, pair, other, asks| Half {
+            let half = |stream, pair, other, requester| Half {
                 stream,
                 pair,
                 other,
-                asks,
+                requester,
                 held: VecDeque::new(),
                 passed: 0,
                 ended: false,
             };
-            let one = self
+            let near_key = self
                 .halves
                 .insert(half(near, pair.clone(), usize::MAX, true));
-            let two = self.halves.insert(half(far, pair, one, false));
-            self.halves[one].other = two;
-            let first = 1 + self.listeners.len();
-            for key in [one, two] {
+            let far_key = self.halves.insert(half(far, pair, near_key, false));
+            self.halves[near_key].other = far_key;
+            let first_token = 1 + self.listeners.len();
+            for key in [near_key, far_key] {
                 let stream = &mut self.halves[key].stream;
                 let interest = Interest::READABLE | Interest::WRITABLE;
                 let _ = self
                     .poll
                     .registry()
-                    .register(stream, Token(first + key), interest);
+                    .register(stream, Token(first_token + key), interest);
             }
         }
     }
 
-    fn end(&mut self, key: usize) {
+    fn close(&mut self, key: usize) {
         if let Some(half) = self.halves.try_remove(key) {
             self.halves.try_remove(half.other);
         }
@@ -213,7 +213,7 @@
                 Ok(0) => half.ended = true,
                 Ok(n) => {
                     half.held.push_back((now, chunk[..n].to_vec()));
-                    if half.held.iter().map(|h| h.1.len()).sum::<usize>() < MOST_HELD {
+                    if half.held.iter().map(|h| h.1.len()).sum::<usize>() < MAX_HELD_BYTES {
                         continue;
                     }
                     half.ended = true;
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Passes on what may pass; how long until more may, unless something else happens.
-    fn pass_on(&mut self) -> Option<Duration> {
+    /// Forwards the bytes that no fault holds back; returns the time until the next delayed bytes are due.
+    fn forward(&mut self) -> Option<Duration> {
         let (now, faults) = (Instant::now(), lock(&self.faults).clone());
         let mut wait: Option<Duration> = None;
         let keys: Vec<usize> = self.halves.iter().map(|(key, _)| key).collect();
@@ -236,32 +236,32 @@
                 continue;
             };
             let fault = faults.get(&half.pair).copied();
-            let (other, asks) = (half.other, half.asks);
+            let (other, requester) = (half.other, half.requester);
             match fault {
                 Some(Fault::Refused) => {
-                    self.end(key);
+                    self.close(key);
                     continue;
                 }
                 Some(Fault::Dropped) => continue,
-                Some(Fault::OneWay) if !asks => continue,
+                Some(Fault::OneWay) if !requester => continue,
                 _ => {}
             }
-            let late = if let Some(Fault::Late(by)) = fault {
-                by
+            let delay = if let Some(Fault::Late(delay)) = fault {
+                delay
             } else {
                 Duration::ZERO
             };
-            let mut gone = false;
-            while let Some((came, mut bytes)) = self.halves[key].held.pop_front() {
-                if came + late > now {
-                    let left = came + late - now;
+            let mut closed = false;
+            while let Some((received, mut bytes)) = self.halves[key].held.pop_front() {
+                if received + delay > now {
+                    let left = received + delay - now;
                     wait = Some(wait.map_or(left, |w| w.min(left)));
-                    self.halves[key].held.push_front((came, bytes));
+                    self.halves[key].held.push_front((received, bytes));
                     break;
                 }
-                if let (Some(Fault::Reset(most)), true) = (fault, asks) {
-                    let left = most.saturating_sub(self.halves[key].passed);
-                    gone = left <= bytes.len();
+                if let (Some(Fault::Reset(max_bytes)), true) = (fault, requester) {
+                    let left = max_bytes.saturating_sub(self.halves[key].passed);
+                    closed = left <= bytes.len();
                     bytes.truncate(left);
                 }
                 let written = match self.halves[other].stream.write(&bytes) {
@@ -272,23 +272,23 @@
                         0
                     }
                     Err(_) => {
-                        gone = true;
+                        closed = true;
                         0
                     }
                 };
                 self.halves[key].passed += written;
-                if gone {
+                if closed {
                     break;
                 }
                 if written < bytes.len() {
                     self.halves[key]
                         .held
-                        .push_front((came, bytes.split_off(written)));
-                    break; // the other side's writability wakes this again
+                        .push_front((received, bytes.split_off(written)));
+                    break; // resumes when the other side is writable
                 }
             }
-            if gone || self.halves[key].ended && self.halves[key].held.is_empty() {
-                self.end(key);
+            if closed || self.halves[key].ended && self.halves[key].held.is_empty() {
+                self.close(key);
             }
         }
         wait
@@ -301,7 +301,7 @@
     use std::io::{Read, Write};
     use std::os::unix::net;
 
-    /// A member that says back what it hears, a line at a time.
+    /// Starts a member that echoes all bytes it receives.
     fn echo(at: &Path) {
         let listener = net::UnixListener::bind(at).unwrap();
         thread::spawn(move || {
@@ -330,7 +330,7 @@
     }
 
     #[test]
-    fn each_pair_fails_on_its_own_and_what_was_held_arrives_when_it_is_well() {
+    fn faults_affect_one_pair_only_and_held_bytes_arrive_after_the_fault_ends() {
         let folder = tempfile::tempdir().unwrap();
         let at = folder.path().join("b");
         echo(&at);
@@ -342,20 +342,27 @@
             let mut held = net::UnixStream::connect(&a).unwrap();
             held.set_read_timeout(Some(short)).unwrap();
             held.write_all(b"hello\n").unwrap();
-            assert!(held.read(&mut [0; 8]).is_err(), "{fault:?}: silence");
+            assert!(
+                held.read(&mut [0; 8]).is_err(),
+                "{fault:?}: an answer passed"
+            );
             assert!(
                 ask(&c, long).is_some_and(|(_, n)| n == 6),
-                "{fault:?}: another pair is well"
+                "{fault:?}: another pair is affected"
             );
             links.heal();
             held.set_read_timeout(Some(long)).unwrap();
-            assert_eq!(held.read(&mut [0; 8]).unwrap(), 6, "{fault:?}: it arrives");
+            assert_eq!(
+                held.read(&mut [0; 8]).unwrap(),
+                6,
+                "{fault:?}: held bytes did not arrive"
+            );
         }
         links.set("a", "b", Some(Fault::Refused));
         assert!(ask(&a, long).is_some_and(|(_, n)| n == 0));
         links.set("a", "b", Some(Fault::Reset(3)));
         let (mut stream, n) = ask(&a, long).unwrap();
-        assert!(n <= 3, "{n}");
+        assert!(n <= 3, "{n} bytes passed before the reset");
         assert!(n == 0 || matches!(stream.read(&mut [0; 8]), Ok(0) | Err(_)));
         links.set("a", "b", Some(Fault::Late(short)));
         let start = Instant::now();
--- a/crates/testbed/src/machine.rs
+++ b/crates/testbed/src/machine.rs
@@ -1,23 +1,23 @@
-//! A backend as a model, without sockets: cores, a queue, warming up, falling over, load reports.
+//! Model of a backend without sockets: cores, queue, warm-up, collapse under load while cold, load reports.
 
 use crate::scenario::{BackendSet, Micros, SECOND};
 use std::collections::VecDeque;
 
-/// The part of its capacity with which a backend starts, how long it takes to be warm, and how much of its present
-/// capacity it bears for how long: the rule on cold backends.
+/// The rule on cold backends: capacity at the start, warm-up time, and the overload under which a cold backend
+/// collapses.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdRule {
-    /// Capacity at the start, as a share.
+    /// Capacity at the start, as a share of the warm capacity.
     pub from: f64,
-    /// Until it is warm.
+    /// Time from the start until the backend is warm, in microseconds.
     pub warm_in: Micros,
-    /// It falls over when sent more than this multiple of what it can do ...
+    /// A cold backend collapses when it is sent more than this multiple of its current capacity
     pub factor: f64,
-    /// ... over this time.
+    /// within this time, in microseconds.
     pub over: Micros,
 }
 
-/// The figures of the platform's rule.
+/// The platform's limits for cold backends.
 pub const COLD: ColdRule = ColdRule {
     from: 0.28,
     warm_in: 16 * SECOND,
@@ -25,7 +25,7 @@
     over: SECOND,
 };
 
-/// What a backend can do now, as a share of what it can do when warm.
+/// Current capacity as a share of the warm capacity. A `started` of 0 means long ago, hence warm.
 pub fn warmth(started: Micros, now: Micros) -> f64 {
     let age = now.saturating_sub(started);
     if started == 0 || age >= COLD.warm_in {
@@ -35,55 +35,56 @@
     }
 }
 
-/// A request that a backend works on, by the rig's number for it.
+/// A request at a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// The rig's number.
+    /// Key that the rig assigns.
     pub key: u64,
-    /// Microseconds on a core of speed 1.
+    /// Execution time in microseconds on a core of speed 1.
     pub work: Micros,
 }
 
-/// What becomes of a request that comes.
+/// Result of offering a request to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// It is begun, and done at that time.
+    /// Execution started and ends at this time.
     Begun(Micros),
-    /// It waits for a core.
+    /// The request is queued for a core.
     Waits,
-    /// The queue is full.
+    /// The request is rejected because the queue is full.
     TurnedAway,
 }
 
-/// A backend's process.
+/// A backend process.
 #[derive(Debug)]
 pub struct Machine {
     cores: usize,
     speed: f64,
-    most_waiting: usize,
-    /// When it started, in Unix time; 0 for long ago.
+    max_waiting: usize,
+    /// Start time in Unix microseconds; 0 for long ago.
     pub started: Micros,
     running: usize,
     waiting: VecDeque<Job>,
-    /// The part of the machine that another program takes.
+    /// Share of the machine's capacity that another program uses.
     pub taken: f64,
-    /// Pushed over while cold: it stays down.
+    /// Collapsed under load while cold; never recovers.
     pub fallen: bool,
-    /// What came lately while it was cold, in microseconds of work.
+    /// Arrival time and work (both in microseconds) of recent requests while cold.
     recent: VecDeque<(Micros, Micros)>,
-    /// Core time spent, and what the next report tells.
+    /// Core time used up to `counted`, in microseconds.
     busy: f64,
     counted: Micros,
+    /// Latest load report: its time, `busy` at that time, and the utilization reported.
     report: (Micros, f64, f64),
 }
 
 impl Machine {
-    /// A new process on a machine of a set.
+    /// A new process of a backend set.
     pub fn new(set: &BackendSet, started: Micros, now: Micros) -> Self {
         Machine {
             cores: set.cores as usize,
             speed: set.speed,
-            most_waiting: set.queue as usize,
+            max_waiting: set.queue as usize,
             started,
             running: 0,
             waiting: VecDeque::new(),
@@ -96,23 +97,23 @@
         }
     }
 
-    /// Microseconds of work that it can do in a second, warm.
+    /// Warm capacity of one backend, in microseconds of work per second.
     pub fn capacity(set: &BackendSet) -> f64 {
         f64::from(set.cores) * set.speed * SECOND as f64
     }
 
-    fn lasts(&self, work: Micros, now: Micros) -> Micros {
+    fn duration(&self, work: Micros, now: Micros) -> Micros {
         let speed = self.speed * warmth(self.started, now) * (1.0 - self.taken);
         (work as f64 / speed.max(1e-3)) as Micros
     }
 
-    fn count(&mut self, now: Micros) {
+    fn account_busy_time(&mut self, now: Micros) {
         self.busy += self.running as f64 * now.saturating_sub(self.counted) as f64;
         self.counted = now;
     }
 
-    /// Work reaches it; whether it bears that, as long as it is cold.
-    pub fn bears(&mut self, now: Micros, work: Micros) -> bool {
+    /// Records arriving work; false once the backend has collapsed. A warm backend never collapses.
+    pub fn withstands(&mut self, now: Micros, work: Micros) -> bool {
         let warm = warmth(self.started, now);
         if warm >= 1.0 {
             self.recent.clear();
@@ -123,19 +124,19 @@
             self.recent.pop_front();
         }
         let sent: f64 = self.recent.iter().map(|r| r.1 as f64).sum();
-        let can = self.cores as f64 * self.speed * warm * COLD.over as f64;
-        // One request more than the rule's budget: whose last one tips it is chance.
-        self.fallen |= sent > COLD.factor * can + work as f64;
+        let capacity = self.cores as f64 * self.speed * warm * COLD.over as f64;
+        // One request of tolerance: which request exceeds the budget last depends on timing.
+        self.fallen |= sent > COLD.factor * capacity + work as f64;
         !self.fallen
     }
 
-    /// Offers it a request.
+    /// Starts a request, queues it, or rejects it if the queue is full.
     pub fn offer(&mut self, now: Micros, job: Job) -> Taken {
-        self.count(now);
+        self.account_busy_time(now);
         if self.running < self.cores {
             self.running += 1;
-            Taken::Begun(now + self.lasts(job.work, now))
-        } else if self.waiting.len() < self.most_waiting {
+            Taken::Begun(now + self.duration(job.work, now))
+        } else if self.waiting.len() < self.max_waiting {
             self.waiting.push_back(job);
             Taken::Waits
         } else {
@@ -143,25 +144,25 @@
         }
     }
 
-    /// A core is free again: the next that waits, and when it will be done.
+    /// Frees a core and starts the next queued request; returns that request and its end time.
     pub fn done(&mut self, now: Micros) -> Option<(Job, Micros)> {
-        self.count(now);
+        self.account_busy_time(now);
         self.running = self.running.saturating_sub(1);
         let job = self.waiting.pop_front()?;
         self.running += 1;
-        Some((job, now + self.lasts(job.work, now)))
+        Some((job, now + self.duration(job.work, now)))
     }
 
-    /// Drops a request that nobody waits for any more, if it has not begun.
+    /// Removes a cancelled request from the queue; false if it is not queued.
     pub fn drop_waiting(&mut self, key: u64) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|j| j.key != key);
         self.waiting.len() < before
     }
 
-    /// The share of its cores in use, as it reports it: refreshed every `period`.
+    /// Reported utilization (0 to 1), refreshed every `period`.
     pub fn util(&mut self, now: Micros, period: Micros) -> f64 {
-        self.count(now);
+        self.account_busy_time(now);
         let (at, busy, util) = self.report;
         if now >= at + period {
             let span = (now - at) as f64 * self.cores as f64;
@@ -172,12 +173,12 @@
         util
     }
 
-    /// Requests that wait for a core.
+    /// Number of queued requests.
     pub fn queue(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests in work and waiting.
+    /// Number of running and queued requests.
     pub fn held(&self) -> usize {
         self.running + self.waiting.len()
     }
@@ -203,7 +204,7 @@
     }
 
     #[test]
-    fn cores_then_the_queue_then_turned_away() {
+    fn requests_fill_the_cores_then_the_queue_then_are_rejected() {
         let mut m = Machine::new(&set(), 0, 0);
         let job = |key| Job { key, work: 50_000 };
         assert_eq!(
@@ -223,12 +224,12 @@
         );
         assert!(
             (m.util(200_000, 1) - 0.75).abs() < 0.01,
-            "two cores, then one"
+            "busy: two cores for 0.1 s, then one for 0.1 s"
         );
     }
 
     #[test]
-    fn what_waits_can_be_dropped_and_what_runs_cannot() {
+    fn queued_requests_can_be_dropped_and_running_ones_cannot() {
         let mut m = Machine::new(&set(), 0, 0);
         for key in 1..=3 {
             m.offer(0, Job { key, work: 10 });
@@ -237,22 +238,22 @@
         assert_eq!(m.done(20), None);
     }
 
-    /// The rule: more than four times what it can do at that moment, for a second.
+    /// A cold backend collapses when it is sent more than four times its current capacity within a second.
     #[test]
-    fn a_cold_backend_falls_over_and_a_warm_one_never() {
+    fn cold_backend_collapses_under_overload_and_warm_one_does_not() {
         let flood = |started: Micros| {
             let mut m = Machine::new(&set(), started, started);
-            (0..60).all(|n| m.bears(started + n * 10_000, 50_000))
+            (0..60).all(|n| m.withstands(started + n * 10_000, 50_000))
         };
         assert!(
             !flood(SECOND),
             "3 s of work within 0.6 s, where 0.28 s can be done in a second"
         );
-        assert!(flood(0), "started long ago");
+        assert!(flood(0), "a warm backend collapsed");
         let mut m = Machine::new(&set(), SECOND, SECOND);
         assert!(
-            (0..60).all(|n| m.bears(SECOND + n * 50_000, 50_000)),
-            "the same over 3 s"
+            (0..60).all(|n| m.withstands(SECOND + n * 50_000, 50_000)),
+            "the same work spread over 3 s"
         );
     }
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,54 +1,54 @@
-//! What a run came to.
+//! Summary of a run: verdict, rule violations, worth, resource usage and timing quality.
 
 use crate::judge::{Judge, Rule, Violation};
 use crate::scenario::{Micros, Scenario, SECOND};
 use serde::Serialize;
 
-/// A rig whose timers were later than this, one in a hundred, gives no verdict.
-pub const MOST_LATE: u32 = 5_000;
+/// Limit on the 99th percentile of timer lateness, in microseconds; a run beyond it gets [`Verdict::Late`].
+pub const MAX_P99_LATENESS_US: u32 = 5_000;
 
-/// How a run goes, for those who watch it.
+/// Progress of a run, for live display.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Time since the first arrival.
+    /// Microseconds since the start of arrivals.
     pub at: Micros,
-    /// How long requests arrive.
+    /// Length of the arrival period, in microseconds.
     pub lasts: Micros,
-    /// First tries.
+    /// Number of first tries sent.
     pub asked: u64,
-    /// Tries that were served, refused, failed.
+    /// Number of tries that were served.
     pub served: u64,
-    /// See `served`.
+    /// Number of tries that were refused.
     pub refused: u64,
-    /// See `served`.
+    /// Number of tries that failed.
     pub failed: u64,
-    /// Tries that wait for their answer.
+    /// Number of tries without an answer yet.
     pub waiting: usize,
-    /// For each ingress whether its process runs and whether the front takes it for ready.
+    /// For each ingress: whether its process runs, and whether the front considers it ready.
     pub ingresses: Vec<(bool, bool)>,
-    /// The rung that each ingress told last.
+    /// Load-shedding level that each ingress reported last.
     pub rungs: Vec<u8>,
-    /// For each backend whether its process runs.
+    /// For each backend: whether its process runs.
     pub backends: Vec<bool>,
-    /// How often each rule was broken, in the order of [`Rule::ALL`].
+    /// Number of violations of each rule, in the order of [`Rule::ALL`].
     pub broken: [u64; 5],
-    /// The last thing that happened.
+    /// Latest entry of the event log.
     pub log: String,
 }
 
-/// How late the rig was with what it had to do, in microseconds.
+/// Lateness of the rig's timers, in microseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Lateness {
-    /// Half of the timers were no later.
+    /// Median.
     pub median_us: u32,
-    /// All but one in a hundred.
+    /// 99th percentile.
     pub p99_us: u32,
-    /// The latest.
+    /// Maximum.
     pub most_us: u32,
 }
 
 impl Lateness {
-    /// Of timers that were so late.
+    /// Statistics over timer delays in microseconds; sorts `late` in place.
     pub fn of(late: &mut [u32]) -> Self {
         late.sort_unstable();
         let at = |share: f64| {
@@ -63,20 +63,20 @@
     }
 }
 
-/// What the rig counted.
+/// Counters of the rig.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct RigFigures {
-    /// How late it was.
+    /// Lateness of the rig's timers.
     pub lateness: Lateness,
-    /// Tries that no ingress took.
+    /// Number of tries for which no ingress accepted a connection.
     pub unreachable: u64,
-    /// Tries that crossed the end of a connection and were sent again.
+    /// Number of tries sent again because the ingress closed the idle connection at the same time.
     pub crossed: u64,
-    /// Messages between peers, and those longer than 256 bytes.
+    /// Number of messages between peers.
     pub peer_messages: u64,
-    /// See `peer_messages`.
+    /// Number of messages between peers longer than 256 bytes; any such message makes the verdict `Broken`.
     pub peer_too_long: u64,
-    /// Connections open at the end: of clients, at backends.
+    /// Connections open at the end of the run: from clients, and at backends.
     pub connections: (usize, usize),
 }
 
@@ -84,101 +84,101 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Verdict {
-    /// All rules held and no ingress crashed.
+    /// No rule was broken, no ingress crashed and no peer message was too long.
     Held,
-    /// A rule was broken, or an ingress crashed.
+    /// A rule was broken, an ingress crashed, or a peer message was too long.
     Broken,
-    /// The rig was late: its word counts for nothing.
+    /// The rig's timers were too late for a valid verdict.
     Late,
 }
 
-/// A rule and how often it was broken.
+/// Number of violations of a rule.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct RuleCount {
-    /// The rule.
+    /// The rule counted.
     pub rule: Rule,
-    /// How often it was broken.
+    /// Number of violations.
     pub broken: u64,
 }
 
-/// The service of a class or a plan.
+/// Worth offered and earned for a class or a plan.
 #[derive(Clone, Debug, Serialize)]
 pub struct Part {
-    /// Its name.
+    /// Name of the class or plan.
     pub name: String,
-    /// Worth offered inside the quotas.
+    /// Worth of the first tries inside the quotas.
     pub offered: f64,
-    /// The share of it that was earned.
+    /// Share of `offered` that was earned.
     pub share: f64,
 }
 
-/// What an ingress used.
+/// Resources that an ingress used.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Used {
-    /// Processor time in microseconds.
+    /// CPU time in microseconds.
     pub cpu_us: Micros,
-    /// The most resident memory in kilobytes.
+    /// Peak resident memory in kilobytes.
     pub memory_kb: u64,
-    /// The most descriptors open.
+    /// Peak number of open file descriptors.
     pub descriptors: usize,
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The scenario's name and seed.
+    /// Name of the scenario.
     pub scenario: String,
-    /// See `scenario`.
+    /// Seed of the scenario.
     pub seed: u64,
-    /// The verdict.
+    /// Overall result.
     pub verdict: Verdict,
-    /// How often each rule was broken.
+    /// Number of violations of each rule.
     pub rules: Vec<RuleCount>,
-    /// The violations, the first ones at the least.
+    /// The violations recorded; limited in number, with at least the first of each rule.
     pub violations: Vec<Violation>,
-    /// Ingresses that ended by themselves.
+    /// Ingresses that exited without being stopped.
     pub crashes: Vec<String>,
-    /// How long it lasted, in microseconds.
+    /// Duration of the run in microseconds.
     pub lasted_us: Micros,
-    /// First tries, and answers to all tries.
+    /// Number of first tries.
     pub asked: u64,
-    /// See `asked`.
+    /// Number of tries that were served.
     pub served: u64,
-    /// See `asked`.
+    /// Number of tries that were refused.
     pub refused: u64,
-    /// See `asked`.
+    /// Number of tries that failed.
     pub failed: u64,
-    /// Tries sent on beyond their quota, and what that has cost as a share of what was offered.
+    /// Number of tries sent to a backend beyond their quota.
     pub sent_beyond: u64,
-    /// See `sent_beyond`.
+    /// Worth lost by sending beyond quotas, as a share of the worth offered.
     pub beyond_cost: f64,
-    /// Attempts that reached backends, and those for clients that had left.
+    /// Number of attempts that reached backends.
     pub attempts: u64,
-    /// See `attempts`.
+    /// Number of attempts for requests that no longer expected an answer, for example after the client had left.
     pub attempts_for_nobody: u64,
-    /// The share of the offered worth that was earned; the worst ten seconds and when they began.
+    /// Share of the offered worth that was earned, less the cost of sending beyond quotas.
     pub goodput: f64,
-    /// See `goodput`.
+    /// Lowest share of worth earned in ten consecutive seconds.
     pub worst_10s: f64,
-    /// See `goodput`.
+    /// Start of these ten seconds, in seconds after the start.
     pub worst_from_s: usize,
-    /// The same in each second.
+    /// Share of the offered worth that was earned in each second.
     pub seconds: Vec<f64>,
-    /// By class and by plan.
+    /// Worth by class.
     pub classes: Vec<Part>,
-    /// See `classes`.
+    /// Worth by plan.
     pub plans: Vec<Part>,
-    /// Processor time of all ingresses for each first try, in microseconds.
+    /// CPU time of all ingresses per first try, in microseconds.
     pub cpu_per_request_us: f64,
-    /// By ingress.
+    /// Resources used by each ingress.
     pub ingresses: Vec<Used>,
-    /// How unevenly attempts were spread over backends, by capacity: standard deviation over mean.
+    /// Coefficient of variation (standard deviation over mean) of attempts per unit of backend capacity.
     pub spread: f64,
-    /// What the rig counted.
+    /// Counters of the rig.
     pub rig: RigFigures,
-    /// What happened, as the timetable had it.
+    /// Event log of the timetable.
     pub log: Vec<String>,
-    /// What the ingresses said; shown where something went wrong.
+    /// Log output of the ingresses, for display after a failure.
     #[serde(skip)]
     pub ingress_logs: Vec<String>,
 }
@@ -205,7 +205,7 @@
             share: c.share(),
         };
         let broken = counts.iter().any(|n| *n > 0) || !crashes.is_empty() || rig.peer_too_long > 0;
-        let verdict = match (rig.lateness.p99_us > MOST_LATE, broken) {
+        let verdict = match (rig.lateness.p99_us > MAX_P99_LATENESS_US, broken) {
             (true, _) => Verdict::Late,
             (false, true) => Verdict::Broken,
             (false, false) => Verdict::Held,
@@ -259,20 +259,20 @@
                     descriptors: u.2,
                 })
                 .collect(),
-            spread: unevenness(&spread),
+            spread: coefficient_of_variation(&spread),
             rig,
             log,
             ingress_logs,
         }
     }
 
-    /// How long it lasted, in seconds.
+    /// Duration of the run in seconds.
     pub fn seconds_lasted(&self) -> f64 {
         self.lasted_us as f64 / SECOND as f64
     }
 }
 
-fn unevenness(spread: &[(u64, f64)]) -> f64 {
+fn coefficient_of_variation(spread: &[(u64, f64)]) -> f64 {
     let shares: Vec<f64> = spread
         .iter()
         .map(|(n, capacity)| *n as f64 / capacity.max(1.0))
--- a/crates/testbed/src/rig/backends.rs
+++ b/crates/testbed/src/rig/backends.rs
@@ -4,7 +4,7 @@
 use super::address;
 use super::context::{token, Context, Due, Part};
 use super::pipe::{Flow, Pipe};
-use crate::arrivals::lot;
+use crate::arrivals::hash_draw;
 use crate::judge::Seen;
 use crate::machine::{Job, Machine, Taken};
 use crate::scenario::{Effect, Micros, Reports, Scenario, SECOND};
@@ -394,7 +394,7 @@
                 Some(b"INFO") => {
                     let slot = conn.slot;
                     let machine = &mut self.slots[slot].machine;
-                    machine.bears(context.now, PROBE_WORK);
+                    machine.withstands(context.now, PROBE_WORK);
                     let load = match self.scenario.network.reports {
                         Reports::Answers => {
                             format!("util={:.3}", machine.util(context.now, REPORT_PERIOD))
@@ -447,7 +447,7 @@
         let (index, now) = (conn.slot, context.now);
         let (_, effect, mean) = &self.classes[class];
         // Drawn by the request, so that each of its attempts has the same work wherever it goes.
-        let work = (*mean as f64 * (0.7 + 0.6 * lot(self.seed, &[11, id]))) as Micros;
+        let work = (*mean as f64 * (0.7 + 0.6 * hash_draw(self.seed, &[11, id]))) as Micros;
         let slot = &mut self.slots[index];
         slot.reached += 1;
         context.see(Seen::Reached {
@@ -460,7 +460,7 @@
             capacity: self.capacities[index],
             started: slot.machine.started,
         });
-        if !slot.machine.bears(now, work) {
+        if !slot.machine.withstands(now, work) {
             return self.die(index, context);
         }
         let mode = slot.mode.0;
--- a/crates/testbed/src/rig/clients.rs
+++ b/crates/testbed/src/rig/clients.rs
@@ -4,7 +4,7 @@
 use super::backends::value_of;
 use super::context::{token, Context, Due, Part};
 use super::pipe::{Flow, Pipe};
-use crate::arrivals::{lot, Accounts, Arrival};
+use crate::arrivals::{hash_draw, Accounts, Arrival};
 use crate::judge::{Answer, Seen, Try, ANSWER_SLACK, ON_SOCKETS};
 use crate::scenario::{Effect, Manner, Micros, Scenario, SECOND};
 use mio::net::TcpStream;
@@ -255,7 +255,7 @@
             plan: self.accounts.plan(a.account),
             until: context.now + class.deadline,
             tries: 0,
-            draw: lot(self.scenario.seed, &[21, first]),
+            draw: hash_draw(self.scenario.seed, &[21, first]),
         };
         self.try_it(op, first, context);
     }
@@ -269,15 +269,17 @@
     fn try_it(&mut self, op: Op, id: u64, context: &mut Context) {
         let class = &self.scenario.classes[op.class];
         let (low, high) = self.scenario.clients.try_share;
-        let share = low + (high - low) * lot(self.scenario.seed, &[22, op.first]);
+        let share = low + (high - low) * hash_draw(self.scenario.seed, &[22, op.first]);
         let left = op.until.saturating_sub(context.now);
         let wait = ((class.deadline as f64 * share) as Micros).min(left) / 1000 * 1000;
         if wait < 1000 {
             return;
         }
-        let way = self
-            .accounts
-            .way(op.account, context.now.saturating_sub(self.start), op.draw);
+        let way = self.accounts.ingress_order(
+            op.account,
+            context.now.saturating_sub(self.start),
+            op.draw,
+        );
         let open = |i: &&usize| self.places[**i].door == Door::Open;
         let kept =
             |i: &&usize| self.places[**i].door == Door::NoNew && !self.places[**i].idle.is_empty();
@@ -285,7 +287,7 @@
         let Some(ingress) = found else {
             return self.unreached(op, context);
         };
-        let stays = lot(self.scenario.seed, &[28, id]) < self.scenario.clients.stay;
+        let stays = hash_draw(self.scenario.seed, &[28, id]) < self.scenario.clients.stay;
         let (conn, until) = (usize::MAX, Micros::MAX);
         let tried = Tried {
             op,
@@ -359,8 +361,8 @@
         let most = deadline + ANSWER_SLACK + ON_SOCKETS + 1_000;
         context.at(most, Due::Client(ClientDue::Overdue { key, id }));
         let leave = self.scenario.clients.leave;
-        if leave > 0.0 && lot(self.scenario.seed, &[23, id]) < leave {
-            let after = (t.wait as f64 * 0.5 * lot(self.scenario.seed, &[24, id])) as Micros;
+        if leave > 0.0 && hash_draw(self.scenario.seed, &[23, id]) < leave {
+            let after = (t.wait as f64 * 0.5 * hash_draw(self.scenario.seed, &[24, id])) as Micros;
             context.after(after, Due::Client(ClientDue::Leave { key, id }));
         }
     }
@@ -496,8 +498,8 @@
             return;
         }
         let seed = self.scenario.seed;
-        op.draw = lot(seed, &[25, op.first, u64::from(op.tries)]);
-        let honours = lot(seed, &[26, op.first]) < self.scenario.clients.honour;
+        op.draw = hash_draw(seed, &[25, op.first, u64::from(op.tries)]);
+        let honours = hash_draw(seed, &[26, op.first]) < self.scenario.clients.honour;
         let pause = pause
             .filter(|_| honours)
             .unwrap_or(0)
@@ -685,7 +687,7 @@
             Manner::Mute => Vec::new(),
             Manner::Half => b"*5\r\n$9\r\nCALL.POST\r\n$16\r\n00000000000000".to_vec(),
             Manner::Garbage => {
-                let draw = |n: u64| (lot(self.scenario.seed, &[27, now, n]) * 256.0) as u8;
+                let draw = |n: u64| (hash_draw(self.scenario.seed, &[27, now, n]) * 256.0) as u8;
                 (0..512).map(draw).collect()
             }
             Manner::Deaf => b"*1\r\n$4\r\nPING\r\n".repeat(DEAF),
--- a/crates/testbed/src/rig/discovery.rs
+++ b/crates/testbed/src/rig/discovery.rs
@@ -151,7 +151,7 @@
         self.changes.push(line);
         let index = self.changes.len() as u64;
         for ingress in 0..self.agents.len() {
-            let lot = crate::arrivals::lot(self.seed, &[12, index, ingress as u64]);
+            let lot = crate::arrivals::hash_draw(self.seed, &[12, index, ingress as u64]);
             let mut delay = SPREAD.0 + ((SPREAD.1 - SPREAD.0) as f64 * lot) as Micros;
             if let AgentMode::Late(more) = self.agents[ingress].mode.0 {
                 delay += more;
--- a/crates/testbed/src/small.rs
+++ b/crates/testbed/src/service_fixture.rs
@@ -1,5 +1,5 @@
-//! What the ingress meets in service, in small: clients, backends and discovery on loopback sockets. Each test has
-//! a loopback address of its own, so that no other test can be in the way.
+//! Test fixtures for one ingress process: clients, backends and discovery on loopback sockets. Each test uses its own
+//! loopback address, so that parallel tests don't compete for ports.
 #![allow(missing_docs)]
 
 use crate::rig::address;
@@ -13,23 +13,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long anything that must come is waited for.
+/// Upper limit on waiting for an expected event.
 pub const LONG: Duration = Duration::from_secs(20);
 
-pub fn until(what: &str, mut ready: impl FnMut() -> bool) {
+/// Polls `ready` until it returns true; panics with `condition` after [`LONG`].
+pub fn until(condition: &str, mut ready: impl FnMut() -> bool) {
     let start = Instant::now();
     while !ready() {
-        assert!(start.elapsed() < LONG, "waited in vain: {what}");
+        assert!(
+            start.elapsed() < LONG,
+            "timed out after {LONG:?} waiting for: {condition}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A free port at an address that only this test has.
+/// A free port on a loopback address that only this test uses.
 pub fn place() -> SocketAddr {
     address::free(address::own()).unwrap()
 }
 
-// ---- RESP2, from the other side ----
+// ---- RESP2 encoding and decoding for the stand-ins ----
 
 pub fn command(parts: &[&str]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", parts.len());
@@ -39,7 +43,7 @@
     out.into_bytes()
 }
 
-/// Reads one RESP2 value, flattened to its texts; none where the connection ends first.
+/// Reads one RESP2 value and flattens it to its strings; `None` if the connection ends first.
 pub fn read_value(stream: &mut impl Read) -> Option<Vec<String>> {
     let mut line = Vec::new();
     while !line.ends_with(b"\r\n") {
@@ -64,7 +68,7 @@
     }
 }
 
-/// A client's connection.
+/// A client connection to the ingress, with [`LONG`] as its read timeout.
 pub struct Client(pub TcpStream);
 
 impl Client {
@@ -79,7 +83,7 @@
         self.0.write_all(bytes).unwrap();
     }
 
-    /// The next answer's text; empty where the connection ended.
+    /// Reads the next answer as text; empty if the connection ended.
     pub fn answer(&mut self) -> String {
         read_value(&mut self.0).map_or(String::new(), |v| v.concat())
     }
@@ -89,7 +93,7 @@
         self.answer()
     }
 
-    /// Whether the other side ends the connection, with nothing said before.
+    /// Whether the peer ends the connection without sending anything first.
     pub fn ended(&mut self) -> bool {
         match self.0.read(&mut [0; 64]) {
             Ok(n) => n == 0,
@@ -98,7 +102,7 @@
     }
 }
 
-/// A request of a customer that nobody else has asked for.
+/// Encodes a request for a customer number that no earlier call in this process used.
 pub fn call(class: &str, id: &str, wait_ms: u32) -> Vec<u8> {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     call_of(NEXT.fetch_add(1, Ordering::Relaxed), class, id, wait_ms)
@@ -117,20 +121,20 @@
 
 // ---- Backends ----
 
-/// What a backend does with a command.
+/// How a backend responds to a command.
 pub enum Act {
     Say(Vec<u8>),
     Later(Duration, Vec<u8>),
-    /// The first so many bytes, and a moment later the rest.
+    /// Sends this many bytes, pauses, then sends the rest.
     Parts(usize, Duration, Vec<u8>),
-    /// The first so many bytes, and the rest once that is told.
+    /// Sends this many bytes, and the rest once the flag is set.
     Until(usize, Arc<AtomicBool>, Vec<u8>),
     Silent,
-    /// Ends the connection.
+    /// Closes the connection.
     Hang,
 }
 
-/// What a backend that works answers: the request's id as the value.
+/// The answer of a healthy backend: the request id as the value.
 pub fn serve(args: &[String]) -> Act {
     Act::Say(served(args))
 }
@@ -149,9 +153,9 @@
     pub commands: Mutex<Vec<Vec<String>>>,
     pub opened: AtomicUsize,
     pub ended: AtomicUsize,
-    /// Closes all connections that have nothing to do.
+    /// Closes all idle connections.
     pub hang_up: AtomicBool,
-    /// Resets a connection at a request that comes after it was idle for so many milliseconds; 0 for never.
+    /// Closes a connection when a request arrives after it was idle for this many milliseconds; 0 means never.
     pub stale_ms: AtomicU64,
 }
 
@@ -165,7 +169,7 @@
         Backend::on(TcpListener::bind("127.0.0.1:0").unwrap(), act)
     }
 
-    /// Serves whoever connects to a listener.
+    /// Serves all connections to a listener.
     pub fn on(
         listener: TcpListener,
         act: impl Fn(&[String]) -> Act + Send + Sync + 'static,
@@ -215,7 +219,7 @@
                 return;
             };
             seen.commands.lock().unwrap().push(args.clone());
-            let said = match act(&args) {
+            let written = match act(&args) {
                 Act::Say(bytes) => stream.write_all(&bytes),
                 Act::Later(pause, bytes) => {
                     thread::sleep(pause);
@@ -225,14 +229,16 @@
                     thread::sleep(pause);
                     stream.write_all(&bytes[at..])
                 }),
-                Act::Until(at, told, bytes) => stream.write_all(&bytes[..at]).and_then(|()| {
-                    until("the rest may go", || told.load(Ordering::SeqCst));
+                Act::Until(at, release, bytes) => stream.write_all(&bytes[..at]).and_then(|()| {
+                    until("permission to send the rest of the answer", || {
+                        release.load(Ordering::SeqCst)
+                    });
                     stream.write_all(&bytes[at..])
                 }),
                 Act::Silent => Ok(()),
                 Act::Hang => return,
             };
-            if said.is_err() {
+            if written.is_err() {
                 return;
             }
             answered = Some(Instant::now());
@@ -261,15 +267,15 @@
     )
 }
 
-/// States of a TCP connection, by the kernel's numbers.
+/// TCP connection states as `/proc/net/tcp` numbers them.
 pub const SYN_SENT: &str = "02";
 pub const FIN_WAIT_1: &str = "04";
 
-/// Whether a TCP connection stands in a state, as seen from its end at `from`, or from any.
+/// Whether a TCP connection from `from` (any address if `None`) to `to` is in the given state.
 pub fn stands_in(state: &str, from: Option<SocketAddr>, to: SocketAddr) -> bool {
     let hex = |at: SocketAddr| {
         let SocketAddr::V4(at) = at else {
-            panic!("{at}")
+            panic!("{at} is not an IPv4 address")
         };
         format!(
             "{:08X}:{:04X}",
@@ -283,19 +289,19 @@
         .lines()
         .any(|line| {
             let fields: Vec<&str> = line.split_whitespace().collect();
-            let [_, local, remote, is, ..] = fields[..] else {
+            let [_, local, remote, current, ..] = fields[..] else {
                 return false;
             };
-            from.as_ref().is_none_or(|from| from == local) && remote == to && is == state
+            from.as_ref().is_none_or(|from| from == local) && remote == to && current == state
         })
 }
 
-/// A listener to which nothing comes up until it is cleared: the kernel drops what its full line has no room for, and whoever
-/// connects tries again a second later.
+/// A listener with a full accept queue: new connections stay unestablished until [`Jammed::clear`]. The kernel drops
+/// their SYN packets, and the connecting side retransmits a second later.
 pub struct Jammed {
     pub at: SocketAddr,
     listener: TcpListener,
-    line: Vec<Socket>,
+    queued: Vec<Socket>,
 }
 
 impl Jammed {
@@ -305,24 +311,24 @@
         listener.bind(&place().into()).unwrap();
         listener.listen(0).unwrap();
         let at = listener.local_addr().unwrap();
-        let mut line = Vec::new();
+        let mut queued = Vec::new();
         loop {
-            let one = socket();
-            one.set_nonblocking(true).unwrap();
-            let _ = one.connect(&at);
+            let candidate = socket();
+            candidate.set_nonblocking(true).unwrap();
+            let _ = candidate.connect(&at);
             let start = Instant::now();
-            while one.peer_addr().is_err() && start.elapsed() < Duration::from_millis(50) {
+            while candidate.peer_addr().is_err() && start.elapsed() < Duration::from_millis(50) {
                 thread::sleep(Duration::from_millis(1));
             }
-            if one.peer_addr().is_err() {
-                break; // it is full
+            if candidate.peer_addr().is_err() {
+                break; // the accept queue is full
             }
-            line.push(one);
+            queued.push(candidate);
         }
         Jammed {
             at: at.as_socket().unwrap(),
             listener: listener.into(),
-            line,
+            queued,
         }
     }
 
@@ -330,16 +336,16 @@
         entry(name, self.at, status)
     }
 
-    /// Takes out what stands in the line. What comes from now on comes up.
+    /// Empties the accept queue; connections are established from now on.
     pub fn clear(self) -> TcpListener {
-        self.line.into_iter().for_each(|one| {
-            drop(one);
+        self.queued.into_iter().for_each(|client| {
+            drop(client);
             drop(self.listener.accept().unwrap());
         });
         self.listener
     }
 
-    /// Whether somebody is trying to connect at this moment.
+    /// Whether a connection attempt is in progress.
     pub fn tried(&self) -> bool {
         stands_in(SYN_SENT, None, self.at)
     }
@@ -348,23 +354,23 @@
 // ---- Discovery ----
 
 #[derive(Default)]
-struct Told {
-    /// What was told, in order; the index is the place in it plus 2.
-    changes: Vec<String>,
-    /// The index that the latest call was for.
+struct Changes {
+    /// Entries in the order of their changes; the index of an entry is its position plus 2.
+    entries: Vec<String>,
+    /// The `since` index of the latest call.
     since: u64,
 }
 
-/// Answers watches from a list that begins at index 1; silent or gone as told.
+/// A discovery stand-in that answers watch calls from a list starting at index 1, and can fail on request.
 pub struct Discovery {
     pub at: SocketAddr,
-    told: Arc<Mutex<Told>>,
+    changes: Arc<Mutex<Changes>>,
     silent: Arc<AtomicBool>,
-    /// Ends connections and takes no new ones.
+    /// Closes open and new connections.
     down: Arc<AtomicBool>,
-    /// Turns each call away at once.
+    /// Answers every call with 503 at once.
     overbooked: Arc<AtomicBool>,
-    /// Connections that came before this number of them stay open and say nothing any more.
+    /// Connections numbered below this stay open but get no more answers.
     muted: Arc<AtomicUsize>,
     opened: Arc<AtomicUsize>,
     pub calls: Arc<AtomicUsize>,
@@ -375,11 +381,11 @@
         Discovery::on(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    /// Serves whoever connects to a listener.
+    /// Serves all connections to a listener.
     pub fn on(listener: TcpListener) -> Discovery {
         let d = Discovery {
             at: listener.local_addr().unwrap(),
-            told: Arc::default(),
+            changes: Arc::default(),
             silent: Arc::default(),
             down: Arc::default(),
             overbooked: Arc::default(),
@@ -387,8 +393,8 @@
             opened: Arc::default(),
             calls: Arc::default(),
         };
-        let (told, silent, down, calls) = (
-            d.told.clone(),
+        let (changes, silent, down, calls) = (
+            d.changes.clone(),
             d.silent.clone(),
             d.down.clone(),
             d.calls.clone(),
@@ -396,13 +402,19 @@
         let (overbooked, muted, opened) = (d.overbooked.clone(), d.muted.clone(), d.opened.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (told, silent, down, calls) =
-                    (told.clone(), silent.clone(), down.clone(), calls.clone());
+                let (changes, silent, down, calls) =
+                    (changes.clone(), silent.clone(), down.clone(), calls.clone());
                 let (overbooked, muted) = (overbooked.clone(), muted.clone());
                 let number = opened.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
                     let mute = || number < muted.load(Ordering::SeqCst);
-                    Self::talk(stream, &told, [&silent, &down, &overbooked], &mute, &calls);
+                    Self::talk(
+                        stream,
+                        &changes,
+                        [&silent, &down, &overbooked],
+                        &mute,
+                        &calls,
+                    );
                 });
             }
         });
@@ -411,7 +423,7 @@
 
     fn talk(
         mut stream: TcpStream,
-        told: &Mutex<Told>,
+        changes: &Mutex<Changes>,
         [silent, down, overbooked]: [&AtomicBool; 3],
         mute: &dyn Fn() -> bool,
         calls: &AtomicUsize,
@@ -446,7 +458,7 @@
                 Instant::now() + Duration::from_millis(number("timeout_ms=")),
             );
             calls.fetch_add(1, Ordering::SeqCst);
-            told.lock().unwrap().since = since;
+            changes.lock().unwrap().since = since;
             if overbooked.load(Ordering::SeqCst) {
                 let answer = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
                 if stream.write_all(answer).is_err() {
@@ -458,18 +470,18 @@
                 if down.load(Ordering::SeqCst) {
                     return;
                 }
-                let told = told.lock().unwrap();
-                let news = told.changes.len() as u64 + 1;
+                let changes = changes.lock().unwrap();
+                let newest = changes.entries.len() as u64 + 1;
                 if !silent.load(Ordering::SeqCst) && !mute() {
                     if whole {
-                        break list(news, true, &told.changes);
-                    } else if news > since {
-                        break list(news, false, &told.changes[since as usize - 1..]);
+                        break list(newest, true, &changes.entries);
+                    } else if newest > since {
+                        break list(newest, false, &changes.entries[since as usize - 1..]);
                     } else if Instant::now() > end {
                         break list(since, false, &[]);
                     }
                 }
-                drop(told);
+                drop(changes);
                 thread::sleep(Duration::from_millis(5));
             };
             let answer = format!(
@@ -482,28 +494,30 @@
         }
     }
 
-    /// Changes an entry, and waits until the ingress has been told and asks for what is newer.
+    /// Changes an entry and waits until the ingress has received the change and asks for later ones.
     pub fn tell(&self, entry: String) {
         let index = self.change(entry);
-        until("the ingress asks for newer", || self.heard(index));
+        until("the ingress to ask for changes after this one", || {
+            self.heard(index)
+        });
     }
 
-    /// Changes an entry, whether or not the ingress hears of it.
+    /// Changes an entry without waiting for the ingress; returns the new index.
     pub fn change(&self, entry: String) -> u64 {
-        let mut told = self.told.lock().unwrap();
-        told.changes.push(entry);
-        told.changes.len() as u64 + 1
+        let mut changes = self.changes.lock().unwrap();
+        changes.entries.push(entry);
+        changes.entries.len() as u64 + 1
     }
 
-    /// Has the connections that are open now stay open and say nothing any more; those that come are served.
+    /// Stops answering on connections that are open now, without closing them; new connections are served.
     pub fn mute(&self) {
         self.muted
             .store(self.opened.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
-    /// Whether the ingress has this version, and asks for what is newer.
+    /// Whether the latest call of the ingress asked for changes after `index`.
     pub fn heard(&self, index: u64) -> bool {
-        self.told.lock().unwrap().since == index
+        self.changes.lock().unwrap().since == index
     }
 
     pub fn silence(&self, on: bool) {
@@ -521,7 +535,7 @@
 
 // ---- The ingress ----
 
-/// The settings of a site in small; words in it can be replaced.
+/// Settings of a small site; tests replace parts of the text (`PEERS` must be replaced).
 pub const SETTINGS: &str = r#"{
  "n_instances":1,"slot_no":0,"zone":0,"tick_us":4000,"zones":["hall-a","hall-b"],"skus":["std-3c","small-2c"],
  "grades":[
@@ -543,21 +557,21 @@
  "membership_mode":"push","weights":"nominal","reporting":{"how":"answers","fields":["load_share"]}}"#;
 
 pub struct Setup {
-    /// The built program's file.
+    /// Path of the ingress program.
     pub program: String,
     pub known: Vec<String>,
     pub discovery: Option<SocketAddr>,
     pub sockets: usize,
     pub memory_mb: usize,
-    /// A limit of the system's own, in place of the one that the configuration tells.
+    /// File descriptor limit set by `ulimit -n`; `None` leaves the inherited limit.
     pub ulimit: Option<usize>,
     pub settings: String,
-    /// More keys of the configuration.
+    /// Additional configuration keys, as JSON text inserted before `known`.
     pub more: String,
 }
 
 impl Setup {
-    /// Round an ingress that runs the program in a file.
+    /// A setup for `program` whose known endpoints are `backends`, without discovery.
     pub fn of(program: &str, backends: &[&Backend]) -> Setup {
         let known = backends
             .iter()
@@ -600,11 +614,11 @@
         self.start_with(&format!("{limit}exec '{}'", self.program))
     }
 
-    /// Starts an ingress by a shell command.
+    /// Starts an ingress with a shell command and waits until it answers PING.
     pub fn start_with(&self, program: &str) -> Ingress {
         let at = place();
         let ingress = Ingress::run(&self.config(at), at, program);
-        until("the ingress is ready", || {
+        until("the ingress to answer PING", || {
             TcpStream::connect(at)
                 .is_ok_and(|stream| Client(stream).ask(&command(&["PING"])) == "+PONG")
         });
@@ -639,7 +653,7 @@
         Client::connect(self.at)
     }
 
-    /// Replaces the file of the configuration.
+    /// Replaces the configuration file atomically.
     pub fn configure(&self, config: &str) {
         let new = self.file.with_extension("new");
         std::fs::write(&new, config).unwrap();
@@ -652,14 +666,14 @@
 
     pub fn exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until("the ingress ends", || {
+        until("the ingress process to exit", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
         status.unwrap()
     }
 
-    /// Its log, once it has ended.
+    /// Standard error of the process; blocks until the process has exited.
     pub fn log(&mut self) -> String {
         let mut text = String::new();
         self.child
@@ -671,7 +685,7 @@
         text
     }
 
-    /// Processor time used so far, in hundredths of a second.
+    /// CPU time used so far (user and system), in hundredths of a second.
     pub fn cpu(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat
@@ -692,11 +706,11 @@
     }
 }
 
-/// What operators ask an ingress at its address for them.
+/// Queries to the management address of an ingress.
 pub mod operators {
     use super::{Read, SocketAddr, TcpStream, Write, LONG};
 
-    /// What a line is answered, whole.
+    /// Sends a line and reads the answer until the connection ends.
     pub fn ask(at: SocketAddr, line: &str) -> String {
         let mut stream = TcpStream::connect(at).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
@@ -706,7 +720,7 @@
         text
     }
 
-    /// A figure; the answer must be whole.
+    /// The value of a telemetry line; panics if the answer is truncated or lacks `name`.
     pub fn figure(at: SocketAddr, name: &str) -> u64 {
         let text = ask(at, "telemetry\n");
         assert!(
@@ -716,13 +730,13 @@
         let line = text
             .lines()
             .find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
-        line.unwrap_or_else(|| panic!("no {name} in {text}"))
+        line.unwrap_or_else(|| panic!("telemetry has no {name}: {text}"))
             .parse()
             .unwrap()
     }
 }
 
-/// Whether a process stands still, with all of its threads.
+/// Whether all threads of a process are stopped.
 pub fn stopped(id: u32) -> bool {
     std::fs::read_dir(format!("/proc/{id}/task"))
         .unwrap()
@@ -733,8 +747,8 @@
         })
 }
 
-/// Sends a process a signal. One that is told to stop has stopped, with all of its threads, once this returns: one that runs on
-/// another core goes on for a moment behind the signal, and would read what is sent to it then.
+/// Sends a signal to a process. For STOP, waits until all threads have stopped: a thread on another core runs on for a
+/// moment after the signal and could read data sent in that time.
 pub fn signal(id: u32, name: &str) {
     let line = format!("kill -{name} {id}");
     assert!(Command::new("/bin/sh")
@@ -743,11 +757,11 @@
         .unwrap()
         .success());
     if name == "STOP" {
-        until("the process has stopped", || stopped(id));
+        until("all threads of the process to stop", || stopped(id));
     }
 }
 
-/// Ends a client's sending and reading.
+/// Shuts down both directions of a client connection.
 pub fn leave(client: Client) {
     let _ = client.0.shutdown(Shutdown::Both);
 }
--- a/crates/testbed/tests/files.rs
+++ b/crates/testbed/tests/files.rs
@@ -345,7 +345,7 @@
             (
                 a,
                 accounts.plan(a.account),
-                accounts.way(a.account, a.at, 0.5),
+                accounts.ingress_order(a.account, a.at, 0.5),
             )
         });
         list.collect::<Vec<_>>()
--- a/crates/testbed/tests/wrong_ingress/main.rs
+++ b/crates/testbed/tests/wrong_ingress/main.rs
@@ -10,7 +10,7 @@
 use std::sync::Mutex;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{command, read_value};
+use wrenfork_testbed::service_fixture::{command, read_value};
 
 struct Ingress {
     wrong: String,
