--- a/crates/ctl/tests/group/main.rs
+++ b/crates/ctl/tests/group/main.rs
@@ -16,7 +16,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use wrenfork_control_plane::failpoints;
-use wrenfork_testbed::judge::policy::judge;
+use wrenfork_testbed::judge::policy::find_violations;
 use wrenfork_testbed::links::Fault;
 use wrenfork_testbed::service_fixture::{command, signal, stopped, Client};
 
@@ -680,7 +680,7 @@
     says(&group.run(&["status", "files"]), 0, &["desk/d2"]);
     let found = |answers: &[(wrenfork_testbed::judge::policy::Answer, Got)], group: &Group| {
         let answers: Vec<_> = answers.iter().map(|a| a.0.clone()).collect();
-        judge(&group.changes, 1_000, &answers, &[]).len()
+        find_violations(&group.changes, 1_000, &answers, &[]).len()
     };
     assert!(
         found(&load.stop(), &group) > 0,
--- a/crates/ctl/tests/group/site.rs
+++ b/crates/ctl/tests/group/site.rs
@@ -12,7 +12,7 @@
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse, GroupStatus};
 use wrenfork_control_plane::{client, failpoints};
 use wrenfork_handover::listener;
-use wrenfork_testbed::judge::policy::{judge, Answer, Change, Said};
+use wrenfork_testbed::judge::policy::{find_violations, Answer, Change, ReportedGeneration};
 use wrenfork_testbed::links::Links;
 use wrenfork_testbed::service_fixture::{
     command, list, place, signal, Act, Backend, Client, Ingress, LONG,
@@ -684,16 +684,16 @@
     pub fn judged(&self, answers: &[(Answer, Got)]) {
         let answers: Vec<Answer> = answers.iter().map(|a| a.0.clone()).collect();
         assert!(!answers.is_empty());
-        let said: Vec<Said> = (0..self.count())
+        let said: Vec<ReportedGeneration> = (0..self.count())
             .filter_map(|n| self.stand(n))
             .filter(|s| s.version > 0)
-            .map(|s| Said {
+            .map(|s| ReportedGeneration {
                 member: s.name,
                 generation: s.version,
                 enforces: s.digest.0,
             })
             .collect();
-        let wrong = judge(&self.changes, BOUND, &answers, &said);
+        let wrong = find_violations(&self.changes, BOUND, &answers, &said);
         assert!(
             wrong.is_empty(),
             "{} wrong, first {:?}\n{:?}\n{}",
--- a/crates/testbed/src/judge/ceilings.rs
+++ b/crates/testbed/src/judge/ceilings.rs
@@ -1,9 +1,10 @@
-//! Exact stores of units, one for each account, replayed from what was seen.
+//! Exact token buckets, one for each account, replayed from the observations.
 
 use crate::scenario::{Micros, SECOND};
 use std::collections::HashMap;
 
-/// Stores that start full, fill at a rate and hold a burst.
+/// Token buckets by account: each starts full at its burst and refills at its rate. The value is the time of the last
+/// change and the level then.
 #[derive(Default)]
 pub struct Stores(HashMap<u32, (Micros, f64)>);
 
@@ -14,8 +15,8 @@
         })
     }
 
-    /// Takes units and tells what is left, perhaps less than nothing. Without `debt` nothing is taken where there is
-    /// not enough, and what is told is less than nothing.
+    /// Takes units from a bucket and returns the level after that, which may be negative. Without `debt` a bucket with
+    /// too few units stays unchanged; the result is negative then.
     pub fn take(
         &mut self,
         account: u32,
@@ -38,12 +39,16 @@
     use super::{Stores, SECOND};
 
     #[test]
-    fn a_store_starts_full_fills_and_holds_no_more() {
+    fn bucket_starts_full_refills_and_never_exceeds_its_burst() {
         let mut s = Stores::default();
         assert_eq!(s.take(1, 0, 4.0, 2.0, 6.0, true), 2.0);
         assert_eq!(s.take(1, SECOND, 4.0, 2.0, 6.0, true), 0.0);
         assert_eq!(s.take(1, 60 * SECOND, 1.0, 2.0, 6.0, true), 5.0);
         assert_eq!(s.take(2, 0, 7.0, 2.0, 6.0, false), -1.0);
-        assert_eq!(s.take(2, 0, 6.0, 2.0, 6.0, false), 0.0, "nothing was taken");
+        assert_eq!(
+            s.take(2, 0, 6.0, 2.0, 6.0, false),
+            0.0,
+            "the rejected request took units"
+        );
     }
 }
--- a/crates/testbed/src/judge/mod.rs
+++ b/crates/testbed/src/judge/mod.rs
@@ -1,5 +1,5 @@
-//! The judge: decides from what the stand-ins saw whether the five rules were kept, and what the service was worth.
-//! No I/O and no clock; never a word from an ingress's log or figures.
+//! The judge: checks the five rules against the observations of the stand-ins, and computes the worth earned.
+//! It does no I/O, reads no clock and uses neither logs nor metrics of the ingresses.
 
 mod ceilings;
 pub mod policy;
@@ -15,37 +15,38 @@
 use serde::Serialize;
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// How much longer each time limit is on sockets than in the rules.
+/// Tolerance added to each time limit for delays in sockets, in microseconds.
 pub const ON_SOCKETS: Micros = 50_000;
-/// How long after the client's deadline an answer still counts, besides.
+/// Time after the client's deadline within which an answer is still in time, in microseconds.
 pub const ANSWER_SLACK: Micros = 16_000;
-/// The slack of a ceiling: a share of its burst, or the largest request if that is more ...
+/// Slack of a ceiling: this share of its burst, or the units of the largest class if those are more,
 pub const CEILING_SLACK: f64 = 0.1;
-/// ... and what its rate gives in so many seconds.
+/// plus the refill of this many seconds.
 pub const CEILING_SECONDS: f64 = 0.15;
-/// Of the work that pushes a cold backend over, the part that must come from ingresses that knew it was cold.
-const KNEW: f64 = 2.0 / 3.0;
-/// Violations that are kept; the others are counted.
-const MOST_KEPT: usize = 200;
+/// Minimum share of the work on an overloaded cold backend that must come from ingresses that knew it was cold for the
+/// overload to count as a violation.
+const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
+/// Number of violations kept in full; further ones are only counted.
+const MAX_KEPT: usize = 200;
 
 /// The five rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Rule {
-    /// One final answer for each request that was taken, in time, and nothing sent on after it.
+    /// Each accepted request gets one final answer in time, and no attempt is sent after it.
     Answer,
-    /// No unsafe effect twice, no keyed one outside its group or time.
+    /// No unsafe request may run twice, and no keyed request is repeated outside its group or time window.
     Effects,
-    /// Nothing new to a backend that drains.
+    /// No new work is sent to a draining backend.
     Drains,
-    /// No cold backend pushed over.
+    /// No cold backend is overloaded until it collapses.
     Cold,
-    /// No more units sent on for an account than its ceiling allows.
+    /// No account uses more units than its ceiling allows.
     Ceilings,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules, in the order of their discriminants.
     pub const ALL: [Rule; 5] = [
         Rule::Answer,
         Rule::Effects,
@@ -54,7 +55,7 @@
         Rule::Ceilings,
     ];
 
-    /// A word for it.
+    /// The rule's name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Rule::Answer => "answer",
@@ -66,129 +67,129 @@
     }
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// Which rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// The request, by the number that is its id.
+    /// Id of the request.
     pub request: u64,
-    /// When it was seen, in microseconds from the start.
+    /// Time of the observation, in microseconds from the start.
     pub at: Micros,
-    /// What was seen.
+    /// Description of the violation.
     pub what: String,
 }
 
-/// A try as its client sent it.
+/// A try: one sending of a request by a client.
 #[derive(Clone, Copy, Debug)]
 pub struct Try {
-    /// Its id.
+    /// Request id of this try, unique in the run.
     pub id: u64,
     /// The id of the first try of the same request.
     pub first: u64,
-    /// The account's number.
+    /// Account number; see [`crate::arrivals`] for the reserved ranges.
     pub account: u32,
-    /// Index of its class.
+    /// Index into the scenario's classes.
     pub class: usize,
-    /// Index of its plan.
+    /// Index into the scenario's plans.
     pub plan: usize,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub deadline: Micros,
 }
 
 /// How a client's request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// With the value that a backend made for it.
+    /// Served with the value that a backend produced for this request.
     Served,
-    /// With another value.
+    /// Served with a value that no backend produced for this request.
     Foreign,
-    /// Refused: trying again is harmless.
+    /// Refused: the request had no effect, so a retry is safe.
     Refused,
-    /// Failed.
+    /// Failed: the request may have had an effect.
     Failed,
 }
 
-/// What a stand-in saw.
+/// An observation of a stand-in.
 #[derive(Clone, Copy, Debug)]
 pub enum Seen {
-    /// A client found no ingress to take a try.
+    /// No ingress accepted a client's connection for a try.
     Unreached(Try),
-    /// A client wrote the last byte of a try to a connection that an ingress had accepted.
+    /// A client wrote the last byte of a try to a connection with this ingress.
     Asked(Try, usize),
-    /// A client got a whole answer.
+    /// A client received a complete answer.
     Answered(u64, Answer),
-    /// More came on a connection than was asked for, behind the answer to this one.
+    /// Unrequested bytes followed the answer to this request.
     Surplus(u64),
-    /// The connection ended without a whole answer.
+    /// The connection ended before a complete answer.
     Broken(u64),
-    /// No answer came until its time was up.
+    /// No answer arrived before the client's time limit.
     Overdue(u64),
-    /// The client left before the answer.
+    /// The client closed its connection before the answer.
     Left(u64),
-    /// The connection ended between two requests and crossed this one, which is asked again.
+    /// The ingress closed the idle connection while the request was on its way; the client sends the request again.
     Crossed(u64),
-    /// An ingress was killed: what it held is the client's to retry.
+    /// An ingress was killed; its clients have to retry their open requests.
     Killed(usize),
-    /// It is started again.
+    /// An ingress was started again.
     Started(usize),
-    /// An ingress stands still.
+    /// An ingress was paused.
     Frozen(usize),
-    /// And goes on.
+    /// An ingress was resumed.
     Resumed(usize),
-    /// A leg of the way before an ingress fails: clients can't tell what it took.
+    /// The network between clients and an ingress fails: clients can't tell which requests the ingress received.
     LegDown(usize),
-    /// And works again.
+    /// The network between clients and an ingress works again.
     LegUp(usize),
-    /// What an ingress sends to its backends is under way for so long.
+    /// Bytes from an ingress to its backends are delayed by this time.
     Slow(usize, Micros),
-    /// An ingress was told of a backend: whether it takes new work, and when it started.
+    /// Discovery sent an ingress the state of a backend.
     Told {
-        /// The ingress.
+        /// Index of the ingress.
         ingress: usize,
-        /// The backend's identity, new with a new name.
+        /// Identity of the backend; a backend with a new name has a new identity.
         backend: usize,
-        /// Whether it takes new work.
+        /// Whether the backend accepts new work.
         up: bool,
-        /// When it started; 0 for long ago.
+        /// Start time of the backend; 0 for long ago.
         started: Micros,
     },
-    /// A command came whole to a backend.
+    /// A backend received a complete command.
     Reached {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// From where.
+        /// Index of the sending ingress.
         ingress: usize,
-        /// To which backend.
+        /// Identity of the backend.
         backend: usize,
-        /// The pod that knows its key there.
+        /// Pod of the backend, whose members share idempotency keys.
         pod: usize,
-        /// When its first byte came.
+        /// Arrival time of the command's first byte.
         first_byte: Micros,
-        /// Its work.
+        /// Execution time in microseconds on a core of speed 1.
         work: Micros,
-        /// Microseconds of work that the backend can do in a second, warm.
+        /// Warm capacity of the backend, in microseconds of work per second.
         capacity: f64,
-        /// When the backend started.
+        /// Start time of the backend; 0 for long ago.
         started: Micros,
     },
-    /// An attempt is out no longer: its answer is written, or its connection has ended.
+    /// An attempt ended: its answer was written or its connection closed.
     Over {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// Which backend had it.
+        /// Identity of the backend.
         backend: usize,
     },
-    /// A backend turned it away unseen.
+    /// A backend rejected a request without running it.
     TurnedAway {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// Which backend.
+        /// Identity of the backend.
         backend: usize,
     },
-    /// A backend carried it out.
+    /// A backend ran a request.
     Ran {
-        /// The request.
+        /// Id of the request.
         id: u64,
     },
 }
@@ -197,8 +198,9 @@
     at: Micros,
     backend: usize,
     pod: usize,
+    /// The backend rejected the attempt without running it.
     void: bool,
-    /// It is out no longer.
+    /// The attempt has ended.
     over: bool,
 }
 
@@ -206,7 +208,7 @@
 enum End {
     Open,
     Answered,
-    /// It is not the ingress's to answer any more.
+    /// The ingress no longer owes an answer.
     Gone,
 }
 
@@ -219,46 +221,50 @@
     ran: u32,
 }
 
-/// What an ingress was told of a backend.
+/// State of a backend as discovery sent it to an ingress.
 struct Told {
     up: bool,
     since: Micros,
     started: Micros,
 }
 
-/// Watches a run.
+/// Checks the rules on the observations of a run.
 pub struct Judge {
     classes: Vec<(Effect, f64)>,
     plans: Vec<crate::scenario::Plan>,
     second_copies: bool,
     drain_grace: Micros,
-    /// Attempts out, by account.
+    /// Number of outstanding attempts by account.
     out: HashMap<u32, u32>,
     requests: HashMap<u64, Request>,
     told: HashMap<(usize, usize), Told>,
-    /// Ingresses that were killed: what reaches their sockets until they are gone is lost with them.
+    /// Ingresses that were killed. Requests that reach their sockets before the process is gone are lost too.
     killed: HashSet<usize>,
-    /// Ingresses that stand still, and for what time the last one did.
+    /// Paused ingresses with the time at which they were paused.
     frozen: HashMap<usize, Micros>,
-    thawed: HashMap<usize, Micros>,
-    legs: HashSet<usize>,
+    /// Time at which each ingress was last resumed.
+    resumed: HashMap<usize, Micros>,
+    /// Ingresses whose network to clients fails.
+    legs_down: HashSet<usize>,
+    /// Time at which the network between clients and each ingress last recovered.
     legs_up: HashMap<usize, Micros>,
-    /// The longest that what an ingress sent to backends was under way.
+    /// Longest delay so far between each ingress and its backends, in microseconds.
     slow: HashMap<usize, Micros>,
     ceilings: Stores,
     worth: Worth,
+    /// Recent work by cold backend: arrival, work, and whether the ingress knew that the backend was cold.
     cold: HashMap<usize, VecDeque<(Micros, Micros, bool)>>,
     found: HashSet<(Rule, u64)>,
     violations: Vec<Violation>,
     counts: [u64; 5],
     start: Micros,
-    /// Attempts seen, and those of requests whose client had left.
+    /// Number of attempts, and of those for requests that no longer expected an answer (`for_nobody`).
     attempts: u64,
     for_nobody: u64,
 }
 
 impl Judge {
-    /// For a scenario's rules; times are told from `start`.
+    /// A judge for a scenario. Times in violations are relative to `start`.
     pub fn new(s: &Scenario, start: Micros) -> Self {
         Judge {
             classes: s.classes.iter().map(|c| (c.effect, c.units)).collect(),
@@ -270,8 +276,8 @@
             told: HashMap::new(),
             killed: HashSet::new(),
             frozen: HashMap::new(),
-            thawed: HashMap::new(),
-            legs: HashSet::new(),
+            resumed: HashMap::new(),
+            legs_down: HashSet::new(),
             legs_up: HashMap::new(),
             slow: HashMap::new(),
             ceilings: Stores::default(),
@@ -286,30 +292,30 @@
         }
     }
 
-    /// What was found so far, the first ones of each rule at the least.
+    /// Violations kept so far; includes at least the first of each rule.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// How often each rule was broken.
+    /// Number of violations of each rule, in the order of [`Rule::ALL`].
     pub fn counts(&self) -> [u64; 5] {
         self.counts
     }
 
-    /// The worth of the service so far.
+    /// Worth counted so far.
     pub fn worth(&self) -> &Worth {
         &self.worth
     }
 
-    /// Attempts that reached backends, and those among them for clients that had left.
+    /// Number of attempts that reached backends, and of those for requests that no longer expected an answer.
     pub fn attempts(&self) -> (u64, u64) {
         (self.attempts, self.for_nobody)
     }
 
-    fn broken(&mut self, rule: Rule, request: u64, at: Micros, what: impl Into<String>) {
+    fn record_violation(&mut self, rule: Rule, request: u64, at: Micros, what: impl Into<String>) {
         if self.found.insert((rule, request)) {
             self.counts[rule as usize] += 1;
-            if self.violations.len() < MOST_KEPT || self.counts[rule as usize] == 1 {
+            if self.violations.len() < MAX_KEPT || self.counts[rule as usize] == 1 {
                 let at = at.saturating_sub(self.start);
                 self.violations.push(Violation {
                     rule,
@@ -321,21 +327,23 @@
         }
     }
 
-    /// Takes what a stand-in saw; times never go back.
+    /// Processes an observation. Times must not decrease from call to call.
     pub fn note(&mut self, at: Micros, seen: Seen) {
         match seen {
             Seen::Asked(try_, ingress) => self.asked(at, try_, ingress),
             Seen::Unreached(t) if t.id == t.first => self.worth.offered(at, &t),
             Seen::Unreached(_) => {}
             Seen::Answered(id, answer) => self.answered(at, id, answer),
-            Seen::Surplus(id) => self.broken(Rule::Answer, id, at, "more than one answer came"),
+            Seen::Surplus(id) => {
+                self.record_violation(Rule::Answer, id, at, "more than one answer came")
+            }
             Seen::Broken(id) => {
                 self.unanswered(at, id, "its connection ended without a whole answer")
             }
             Seen::Overdue(id) => self.unanswered(at, id, "no answer came in time"),
             Seen::Left(id) => self.end(at, id, End::Gone),
             Seen::Crossed(id) => {
-                // Not taken, as long as no backend has seen it.
+                // The ingress had not accepted the request if no backend received it.
                 let taken = self
                     .requests
                     .get(&id)
@@ -360,11 +368,11 @@
             Seen::Frozen(ingress) => drop(self.frozen.insert(ingress, at)),
             Seen::Resumed(ingress) => {
                 self.frozen.remove(&ingress);
-                self.thawed.insert(ingress, at);
+                self.resumed.insert(ingress, at);
             }
-            Seen::LegDown(ingress) => drop(self.legs.insert(ingress)),
+            Seen::LegDown(ingress) => drop(self.legs_down.insert(ingress)),
             Seen::LegUp(ingress) => {
-                self.legs.remove(&ingress);
+                self.legs_down.remove(&ingress);
                 self.legs_up.insert(ingress, at);
             }
             Seen::Slow(ingress, delay) => {
@@ -401,7 +409,7 @@
 
     fn asked(&mut self, at: Micros, try_: Try, ingress: usize) {
         if let Some(r) = self.requests.get_mut(&try_.id) {
-            // Asked again on a new connection, under the same id.
+            // Sent again on a new connection, with the same id.
             (r.ingress, r.end, r.try_.deadline) = (ingress, End::Open, try_.deadline);
             return;
         }
@@ -425,15 +433,16 @@
         }
     }
 
-    /// Whether what an ingress owes since a time is excused: it stood still, or its clients' leg failed.
+    /// Whether an ingress is excused for an answer due at `deadline`: it was killed or paused, or its network to clients
+    /// failed, up to a second before.
     fn excused(&self, ingress: usize, deadline: Micros) -> bool {
-        let lately =
+        let recent =
             |m: &HashMap<usize, Micros>| m.get(&ingress).is_some_and(|t| deadline <= t + SECOND);
         self.killed.contains(&ingress)
             || self.frozen.contains_key(&ingress)
-            || lately(&self.thawed)
-            || self.legs.contains(&ingress)
-            || lately(&self.legs_up)
+            || recent(&self.resumed)
+            || self.legs_down.contains(&ingress)
+            || recent(&self.legs_up)
     }
 
     fn unanswered(&mut self, at: Micros, id: u64, why: &str) {
@@ -444,21 +453,21 @@
         let why = format!("{why} (ingress {})", r.ingress);
         self.end(at, id, End::Gone);
         if !excused {
-            self.broken(Rule::Answer, id, at, why);
+            self.record_violation(Rule::Answer, id, at, why);
         }
     }
 
     fn answered(&mut self, at: Micros, id: u64, answer: Answer) {
         let Some(r) = self.requests.get(&id) else {
-            return self.broken(Rule::Answer, id, at, "an answer to what nobody asked");
+            return self.record_violation(Rule::Answer, id, at, "an answer to what nobody asked");
         };
         if r.end == End::Answered {
-            return self.broken(Rule::Answer, id, at, "a second answer came");
+            return self.record_violation(Rule::Answer, id, at, "a second answer came");
         }
         let late = at > r.try_.deadline + ANSWER_SLACK + ON_SOCKETS;
         if r.end == End::Open && late && !self.excused(r.ingress, r.try_.deadline) {
             let by = (at - r.try_.deadline) / 1000;
-            self.broken(
+            self.record_violation(
                 Rule::Answer,
                 id,
                 at,
@@ -466,7 +475,7 @@
             );
         }
         if answer == Answer::Foreign {
-            self.broken(
+            self.record_violation(
                 Rule::Answer,
                 id,
                 at,
@@ -480,7 +489,7 @@
         let harmless = matches!(effect, Effect::Safe | Effect::Keyed { all: true, .. });
         let may_have_run = r.attempts.iter().any(|a| !a.void);
         if answer == Answer::Refused && !harmless && may_have_run {
-            self.broken(
+            self.record_violation(
                 Rule::Effects,
                 id,
                 at,
@@ -509,22 +518,27 @@
             return;
         };
         self.attempts += 1;
-        let under_way = self.slow.get(&ingress).copied().unwrap_or(0);
-        self.drain(
+        let send_delay = self.slow.get(&ingress).copied().unwrap_or(0);
+        self.check_drain(
             at,
             id,
             ingress,
             backend,
-            first_byte.saturating_sub(under_way),
+            first_byte.saturating_sub(send_delay),
         );
-        self.cold(at, id, ingress, backend, work, capacity, started);
+        self.check_cold(at, id, ingress, backend, work, capacity, started);
         let Some(r) = self.requests.get(&id) else {
-            return self.broken(Rule::Answer, id, at, "a backend got what nobody asked for");
+            return self.record_violation(
+                Rule::Answer,
+                id,
+                at,
+                "a backend got what nobody asked for",
+            );
         };
-        if r.end == End::Answered && at > r.ended + ON_SOCKETS + under_way {
+        if r.end == End::Answered && at > r.ended + ON_SOCKETS + send_delay {
             let by = (at - r.ended) / 1000;
             let what = format!("sent on to backend {backend} {by} ms after its final answer");
-            self.broken(Rule::Answer, id, at, what);
+            self.record_violation(Rule::Answer, id, at, what);
         }
         let Some(r) = self.requests.get_mut(&id) else {
             return;
@@ -562,14 +576,14 @@
         *out += 1;
         let others = *out - 1;
         if let Some(what) = wrong {
-            self.broken(Rule::Effects, id, at, what);
+            self.record_violation(Rule::Effects, id, at, what);
         }
         if first {
             let plan = &self.plans[try_.plan];
             self.worth.sent_on(at, &try_, others);
-            let most = self.classes.iter().map(|c| c.1).fold(0.0, f64::max);
+            let largest = self.classes.iter().map(|c| c.1).fold(0.0, f64::max);
             let slack =
-                (plan.ceiling_burst * CEILING_SLACK).max(most) + plan.ceiling * CEILING_SECONDS;
+                (plan.ceiling_burst * CEILING_SLACK).max(largest) + plan.ceiling * CEILING_SECONDS;
             if plan.ceiling > 0.0 {
                 let left = self.ceilings.take(
                     try_.account,
@@ -585,14 +599,14 @@
                         "account {} is {over:.1} units over its ceiling",
                         try_.account
                     );
-                    self.broken(Rule::Ceilings, id, at, what);
+                    self.record_violation(Rule::Ceilings, id, at, what);
                 }
             }
         }
     }
 
-    /// An attempt is out no longer. Where no request may have two out, another must not have been sent long before: how
-    /// long, is what the end of one connection may be seen after the use of another.
+    /// Ends an attempt. Where hedged requests are off, the next attempt must not have been sent long before that; the
+    /// tolerance covers seeing the end of one connection later than bytes on another.
     fn attempt_over(&mut self, at: Micros, id: u64, backend: usize) {
         let Some(r) = self.requests.get_mut(&id) else {
             return;
@@ -605,25 +619,32 @@
             return;
         };
         r.attempts[n].over = true;
-        let under_way = self.slow.get(&r.ingress).copied().unwrap_or(0);
+        let send_delay = self.slow.get(&r.ingress).copied().unwrap_or(0);
         let second = r.attempts[n + 1..]
             .iter()
-            .find(|a| at > a.at + ON_SOCKETS + under_way);
+            .find(|a| at > a.at + ON_SOCKETS + send_delay);
         let second = second.map(|a| (a.backend, (at - a.at) / 1000));
         let out = self.out.entry(r.try_.account).or_default();
         *out = out.saturating_sub(1);
         if let Some((other, ms)) = second.filter(|_| !self.second_copies) {
             let what =
                 format!("out at backend {other} for {ms} ms while backend {backend} still had it");
-            self.broken(Rule::Effects, id, at, what);
+            self.record_violation(Rule::Effects, id, at, what);
         }
     }
 
-    fn drain(&mut self, at: Micros, id: u64, ingress: usize, backend: usize, first_byte: Micros) {
+    fn check_drain(
+        &mut self,
+        at: Micros,
+        id: u64,
+        ingress: usize,
+        backend: usize,
+        first_byte: Micros,
+    ) {
         let Some(told) = self.told.get(&(ingress, backend)).filter(|t| !t.up) else {
             return;
         };
-        // An ingress that stood still had no chance to stop.
+        // A paused ingress could not react to the drain.
         if first_byte > told.since + self.drain_grace + ON_SOCKETS
             && !self.excused(ingress, first_byte - SECOND)
         {
@@ -631,12 +652,12 @@
             let what = format!(
                 "ingress {ingress} sent it to backend {backend} {by} ms after it was told to drain it"
             );
-            self.broken(Rule::Drains, id, at, what);
+            self.record_violation(Rule::Drains, id, at, what);
         }
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn cold(
+    fn check_cold(
         &mut self,
         at: Micros,
         id: u64,
@@ -650,25 +671,26 @@
         if warm >= 1.0 {
             return;
         }
-        let knew = self
+        let informed = self
             .told
             .get(&(ingress, backend))
             .is_some_and(|t| t.started == started);
         let recent = self.cold.entry(backend).or_default();
-        recent.push_back((at, work, knew));
+        recent.push_back((at, work, informed));
         while recent.front().is_some_and(|r| r.0 + COLD.over <= at) {
             recent.pop_front();
         }
         let sent: f64 = recent.iter().map(|r| r.1 as f64).sum();
-        let known: f64 = recent.iter().filter(|r| r.2).map(|r| r.1 as f64).sum();
-        let can = capacity * warm * COLD.over as f64 / SECOND as f64;
-        if sent > COLD.factor * can + work as f64 && known >= KNEW * sent {
-            let times = sent / can;
+        let informed_work: f64 = recent.iter().filter(|r| r.2).map(|r| r.1 as f64).sum();
+        let allowed = capacity * warm * COLD.over as f64 / SECOND as f64;
+        if sent > COLD.factor * allowed + work as f64 && informed_work >= MIN_INFORMED_SHARE * sent
+        {
+            let times = sent / allowed;
             let what = format!(
                 "backend {backend}, just started, was sent {times:.1} times what it can do"
             );
             recent.clear();
-            self.broken(Rule::Cold, id, at, what);
+            self.record_violation(Rule::Cold, id, at, what);
         }
     }
 
@@ -678,13 +700,13 @@
         };
         r.ran += 1;
         if r.ran > 1 && self.classes[r.try_.class].0 == Effect::Unsafe {
-            self.broken(Rule::Effects, id, at, "it ran twice");
+            self.record_violation(Rule::Effects, id, at, "it ran twice");
         }
     }
 
-    /// The end of a run: what is still open has had its time.
+    /// Ends the run at `at`: checks attempts and requests that are still open.
     pub fn finish(&mut self, at: Micros) {
-        let still: Vec<(u64, usize)> = self
+        let open_attempts: Vec<(u64, usize)> = self
             .requests
             .values()
             .flat_map(|r| {
@@ -694,7 +716,7 @@
                     .map(|a| (r.try_.id, a.backend))
             })
             .collect();
-        still
+        open_attempts
             .into_iter()
             .for_each(|(id, backend)| self.attempt_over(at, id, backend));
         let late =
--- a/crates/testbed/src/judge/policy.rs
+++ b/crates/testbed/src/judge/policy.rs
@@ -1,84 +1,90 @@
-//! The judge of policy: decides from what clients were answered, and from what members say, whether a change held everywhere
-//! or nowhere. No I/O and no clock.
+//! The judge of policy: checks, from the answers to clients and the states that members report, that each change took
+//! effect on all members or on none. It does no I/O and reads no clock.
 
 use crate::scenario::Micros;
 use std::collections::BTreeMap;
 
-/// What became of a change, in the order of the changes.
+/// A change and its outcome.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// The number of the generation that it was to make.
+    /// Generation that the change was to create.
     pub generation: u64,
-    /// What tells its policy from others in an answer.
+    /// Text in an answer that identifies the policy of this change.
     pub policy: String,
-    /// When it counted as made; none where that was never said.
+    /// Time at which the change was reported as made; `None` if it never was.
     pub made: Option<Micros>,
-    /// Whether it was said that nothing had happened.
+    /// Whether the change was reported as abandoned without effect.
     pub given_up: bool,
 }
 
-/// An answer that a client got.
+/// An answer that a client received.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Whose.
+    /// Name of the ingress that answered.
     pub ingress: String,
-    /// When the request was sent: it was let in after that.
+    /// Time at which the request was sent; it was admitted later than that.
     pub sent: Micros,
-    /// The policy under which it was let in; none where it was turned away.
+    /// Policy under which the request was admitted; `None` if it was rejected.
     pub policy: Option<String>,
 }
 
-/// What a member said that it enforces.
+/// The generation that a member reported as enforced.
 #[derive(Clone, Debug)]
-pub struct Said {
-    /// Which member.
+pub struct ReportedGeneration {
+    /// Name of the member.
     pub member: String,
-    /// The number.
+    /// Number of the generation.
     pub generation: u64,
-    /// What it is, whole: the digest of it.
+    /// Digest of the enforced state.
     pub enforces: String,
 }
 
-/// What must not be.
+/// A violation of the policy rules.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    /// Let in under an older generation, though a newer one was made and the bound had passed.
+pub enum PolicyViolation {
+    /// Admitted under an old generation after a newer one was made and the bound had passed.
     Older {
-        /// By whom.
+        /// Name of the ingress that admitted the request.
         ingress: String,
-        /// Sent when.
+        /// Time at which the request was sent.
         sent: Micros,
-        /// Under what.
+        /// Policy under which the request was admitted.
         policy: String,
-        /// What was made by then.
+        /// Generation that was in effect.
         made: u64,
     },
-    /// Let in under one that was given up.
+    /// Admitted under the policy of an abandoned change.
     GivenUp {
-        /// By whom.
+        /// Name of the ingress that admitted the request.
         ingress: String,
-        /// Under what.
+        /// Policy under which the request was admitted.
         policy: String,
     },
-    /// Let in under one that nobody ever asked for.
+    /// Admitted under a policy that no change created.
     Unknown {
-        /// By whom.
+        /// Name of the ingress that admitted the request.
         ingress: String,
-        /// Under what.
+        /// Policy under which the request was admitted.
         policy: String,
     },
-    /// Two generations under one number.
-    TwoUnderOne {
-        /// The number.
+    /// Different states under one generation number.
+    ConflictingStates {
+        /// Number of the generation.
         generation: u64,
-        /// Who says what.
-        said: Vec<(String, String)>,
+        /// Members and the digests that they report.
+        reported: Vec<(String, String)>,
     },
 }
 
-/// Decides. `bound` is how long after a change counted as made an older generation may still let requests in.
-pub fn judge(changes: &[Change], bound: Micros, answers: &[Answer], said: &[Said]) -> Vec<Wrong> {
-    let mut wrong = Vec::new();
+/// Returns all violations. For `bound` microseconds after a change is made, the older generation may still admit
+/// requests.
+pub fn find_violations(
+    changes: &[Change],
+    bound: Micros,
+    answers: &[Answer],
+    reports: &[ReportedGeneration],
+) -> Vec<PolicyViolation> {
+    let mut violations = Vec::new();
     for answer in answers {
         let Some(policy) = &answer.policy else {
             continue;
@@ -87,19 +93,19 @@
             .iter()
             .rposition(|c| c.made.is_some_and(|at| at + bound < answer.sent));
         let from = made.unwrap_or(0);
-        let mut of = changes
+        let mut matching = changes
             .iter()
             .enumerate()
             .filter(|(_, c)| c.policy == *policy)
             .peekable();
         let (ingress, policy) = (answer.ingress.clone(), policy.clone());
-        if of.peek().is_none() {
-            wrong.push(Wrong::Unknown { ingress, policy });
-        } else if of.clone().all(|(_, c)| c.given_up) {
-            wrong.push(Wrong::GivenUp { ingress, policy });
-        } else if of.all(|(n, c)| n < from || c.given_up) {
+        if matching.peek().is_none() {
+            violations.push(PolicyViolation::Unknown { ingress, policy });
+        } else if matching.clone().all(|(_, c)| c.given_up) {
+            violations.push(PolicyViolation::GivenUp { ingress, policy });
+        } else if matching.all(|(n, c)| n < from || c.given_up) {
             let made = changes.get(from).map_or(0, |c| c.generation);
-            wrong.push(Wrong::Older {
+            violations.push(PolicyViolation::Older {
                 ingress,
                 sent: answer.sent,
                 policy,
@@ -108,25 +114,28 @@
         }
     }
     let mut numbers: BTreeMap<u64, BTreeMap<&str, &str>> = BTreeMap::new();
-    for one in said {
+    for report in reports {
         numbers
-            .entry(one.generation)
+            .entry(report.generation)
             .or_default()
-            .insert(&one.enforces, &one.member);
+            .insert(&report.enforces, &report.member);
     }
-    for (generation, said) in numbers.into_iter().filter(|(_, said)| said.len() > 1) {
-        let said = said
+    for (generation, states) in numbers.into_iter().filter(|(_, states)| states.len() > 1) {
+        let reported = states
             .into_iter()
-            .map(|(what, who)| (who.to_string(), what.to_string()))
+            .map(|(digest, member)| (member.to_string(), digest.to_string()))
             .collect();
-        wrong.push(Wrong::TwoUnderOne { generation, said });
+        violations.push(PolicyViolation::ConflictingStates {
+            generation,
+            reported,
+        });
     }
-    wrong
+    violations
 }
 
 #[cfg(test)]
 mod tests {
-    use super::{judge, Answer, Change, Micros, Said, Wrong};
+    use super::{find_violations, Answer, Change, Micros, PolicyViolation, ReportedGeneration};
 
     fn changes() -> Vec<Change> {
         let of = |generation, policy: &str, made, given_up| Change {
@@ -152,32 +161,32 @@
     }
 
     #[test]
-    fn what_held_everywhere_is_right_and_what_was_turned_away_is_nobodys() {
-        let turned = Answer {
+    fn answers_under_current_policies_and_rejections_are_no_violations() {
+        let rejected = Answer {
             policy: None,
             ..answer("d0", 9_000, "")
         };
         let answers = [
             answer("d0", 10, "p0"),
             answer("d1", 1_040, "p0"), // within the bound
-            answer("d0", 900, "p1"),   // before all is told
+            answer("d0", 900, "p1"),   // before the change is reported as made
             answer("d1", 4_000, "p1"),
             answer("d1", 6_000, "p3"),
-            turned,
+            rejected,
         ];
-        assert_eq!(judge(&changes(), 50, &answers, &[]), []);
+        assert_eq!(find_violations(&changes(), 50, &answers, &[]), []);
     }
 
-    /// A member that serves past its lease, or lets its folder win, is found by what it lets in; one that forgets a promise
-    /// by a number that stands for two things.
+    /// A member that serves past its lease or prefers its local files is found by the policy of its answers; a member
+    /// that forgets a prepared vote is found by two states under one generation.
     #[test]
-    fn a_wrong_member_is_found() {
+    fn stale_abandoned_unknown_and_conflicting_policies_are_found() {
         let past = [
             answer("d2", 1_051, "p0"),
             answer("d2", 7_000, "p1"),
             answer("d2", 7_000, "p0"),
         ];
-        let older = |sent, policy: &str, made| Wrong::Older {
+        let older = |sent, policy: &str, made| PolicyViolation::Older {
             ingress: "d2".into(),
             sent,
             policy: policy.into(),
@@ -188,8 +197,8 @@
             older(7_000, "p1", 3),
             older(7_000, "p0", 3),
         ];
-        assert_eq!(judge(&changes(), 50, &past, &[]), wanted);
-        let dropped = judge(
+        assert_eq!(find_violations(&changes(), 50, &past, &[]), wanted);
+        let dropped = find_violations(
             &changes(),
             50,
             &[answer("d1", 3_000, "p2"), answer("d1", 3_000, "p9")],
@@ -197,17 +206,17 @@
         );
         let (ingress, [given_up, unknown]) = ("d1".to_string(), ["p2", "p9"].map(String::from));
         let wanted = [
-            Wrong::GivenUp {
+            PolicyViolation::GivenUp {
                 ingress: ingress.clone(),
                 policy: given_up,
             },
-            Wrong::Unknown {
+            PolicyViolation::Unknown {
                 ingress,
                 policy: unknown,
             },
         ];
         assert_eq!(dropped, wanted);
-        let said = |member: &str, generation, enforces: &str| Said {
+        let said = |member: &str, generation, enforces: &str| ReportedGeneration {
             member: member.into(),
             generation,
             enforces: enforces.into(),
@@ -218,9 +227,9 @@
             said("d2", 3, "y"),
             said("d0", 3, "z"),
         ];
-        let found = judge(&changes(), 50, &[], &all);
+        let found = find_violations(&changes(), 50, &[], &all);
         assert!(
-            matches!(&found[..], [Wrong::TwoUnderOne { generation: 3, said }] if said.len() == 2),
+            matches!(&found[..], [PolicyViolation::ConflictingStates { generation: 3, reported }] if reported.len() == 2),
             "{found:?}"
         );
     }
--- a/crates/testbed/src/judge/tests.rs
+++ b/crates/testbed/src/judge/tests.rs
@@ -1,4 +1,4 @@
-//! The judge by what it is told: the excuses, and the edges of the rules.
+//! Tests of the judge on single observations: excuses and limits of the rules.
 
 use super::{Answer, Judge, Micros, Rule, Scenario, Seen, Try, ANSWER_SLACK, ON_SOCKETS, SECOND};
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_answer_in_time_is_well_and_one_past_the_slack_is_not() {
+fn answer_past_the_slack_breaks_the_answer_rule() {
     let slack = ANSWER_SLACK + ON_SOCKETS;
     for (after, broken) in [(SECOND + slack, 0), (SECOND + slack + 1, 1)] {
         let mut j = judge();
@@ -55,9 +55,9 @@
     }
 }
 
-/// Guards against blaming an ingress for what it lost by being killed, also between the signal and its end.
+/// Guards against blaming an ingress for requests lost by a kill, also between the signal and the end of the process.
 #[test]
-fn what_a_killed_ingress_held_or_was_sent_until_it_was_gone_is_excused() {
+fn killed_ingress_is_excused_for_open_requests_until_it_is_started_again() {
     let mut j = judge();
     asked(&mut j, 0, 1, 0);
     j.note(10, Seen::Killed(0));
@@ -68,11 +68,15 @@
     j.note(SECOND, Seen::Started(0));
     asked(&mut j, 2 * SECOND, 3, 0);
     j.note(2 * SECOND + 10, Seen::Broken(3));
-    assert_eq!(rules(&j), [Rule::Answer], "the next one is its own fault");
+    assert_eq!(
+        rules(&j),
+        [Rule::Answer],
+        "a request after the restart is not excused"
+    );
 }
 
 #[test]
-fn what_an_ingress_owed_while_it_stood_still_is_excused() {
+fn paused_ingress_is_excused_for_overdue_answers() {
     let mut j = judge();
     asked(&mut j, 0, 1, 0);
     j.note(10, Seen::Frozen(0));
@@ -82,13 +86,13 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_a_connection_is_asked_once_more_and_not_lost() {
+fn request_that_crosses_a_connection_close_is_sent_again_and_not_lost() {
     let mut j = judge();
     asked(&mut j, 0, 1, 0);
     j.note(10, Seen::Crossed(1));
     asked(&mut j, 20, 1, 0);
     j.note(30, Seen::Answered(1, Answer::Served));
-    // One that a backend had seen was taken: ending its connection lost it.
+    // A request that a backend received was accepted, so closing its connection lost the answer.
     asked(&mut j, 40, 2, 0);
     reached(&mut j, 50, 2, 0, 0);
     j.note(60, Seen::Crossed(2));
@@ -96,9 +100,9 @@
     assert_eq!(j.violations()[0].request, 2);
 }
 
-/// Guards against blaming an ingress for what was under way when it gave its final answer.
+/// Guards against blaming an ingress for attempts that it sent before its final answer over a slow network.
 #[test]
-fn what_a_slow_way_holds_back_was_sent_before_the_answer() {
+fn delayed_attempt_does_not_count_as_sent_after_the_answer() {
     for (slow, broken) in [(0, true), (80_000, false)] {
         let mut j = judge();
         j.note(0, Seen::Slow(0, slow));
@@ -111,7 +115,7 @@
 }
 
 #[test]
-fn a_keyed_request_may_be_repeated_in_its_pod_and_time_alone() {
+fn keyed_request_may_be_repeated_only_in_its_pod_and_window() {
     for (at, pod, broken) in [
         (SECOND, 1, false),
         (SECOND, 2, true),
@@ -126,7 +130,7 @@
 }
 
 #[test]
-fn an_unsafe_request_may_go_on_only_where_the_first_backend_turned_it_away() {
+fn unsafe_request_may_be_retried_only_after_a_rejection() {
     for turned_away in [true, false] {
         let mut j = judge();
         asked(&mut j, 0, 1, 2);
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn a_drain_counts_from_when_this_ingress_was_told() {
+fn drain_grace_starts_when_discovery_first_reports_the_drain() {
     let told = |j: &mut Judge, at, up| {
         j.note(
             at,
@@ -158,17 +162,21 @@
     asked(&mut j, SECOND, 1, 0);
     reached(&mut j, 2 * SECOND, 1, 5, 0);
     assert_eq!(rules(&j), [], "within the grace");
-    told(&mut j, 2 * SECOND, false); // told again: it counts from the first time
+    told(&mut j, 2 * SECOND, false); // reported again: the grace still starts at the first report
     asked(&mut j, 2 * SECOND, 2, 0);
     reached(&mut j, 2 * SECOND + 60_000, 2, 5, 0);
     assert_eq!(rules(&j), [Rule::Drains]);
     told(&mut j, 3 * SECOND, true);
     asked(&mut j, 5 * SECOND, 3, 0);
     reached(&mut j, 5 * SECOND, 3, 5, 0);
-    assert_eq!(rules(&j), [Rule::Drains], "listed as up again");
+    assert_eq!(
+        rules(&j),
+        [Rule::Drains],
+        "a backend that is up again takes new work"
+    );
 }
 
-/// A judge of a site where no request may have two attempts out, and where an account may have two out.
+/// A judge for a site without hedged requests, with a plan that allows two outstanding attempts inside the quota.
 fn strict() -> Judge {
     let text = include_str!("../../scenarios/calm.toml");
     let text = text.replacen(
@@ -184,7 +192,7 @@
 }
 
 #[test]
-fn two_attempts_at_once_are_found_where_they_are_not_allowed() {
+fn simultaneous_attempts_break_the_effects_rule_without_hedging() {
     for (ends, broken) in [
         (100 + ON_SOCKETS, false),
         (101 + ON_SOCKETS, true),
@@ -201,7 +209,7 @@
             "the first ends at {ends}"
         );
     }
-    // One after the other is well, and so are copies where the site allows them.
+    // Sequential attempts are allowed, and simultaneous ones where hedged requests are on.
     let mut j = strict();
     asked(&mut j, 0, 1, 0);
     reached(&mut j, 10, 1, 0, 0);
@@ -217,9 +225,9 @@
     assert_eq!(rules(&j), []);
 }
 
-/// Guards against a judge that overlooks the copy whose first attempt never ends.
+/// Guards against missing a second attempt when the first never ends.
 #[test]
-fn two_attempts_that_are_both_out_at_the_end_are_found() {
+fn simultaneous_attempts_still_open_at_the_end_are_found() {
     let mut j = strict();
     asked(&mut j, 0, 1, 0);
     reached(&mut j, 10, 1, 0, 0);
@@ -230,7 +238,7 @@
 }
 
 #[test]
-fn what_is_sent_on_over_a_cap_is_beyond_the_quota() {
+fn attempt_over_the_limit_of_outstanding_ones_is_beyond_the_quota() {
     let mut j = strict();
     for id in 1..=4 {
         let try_ = Try {
@@ -251,6 +259,6 @@
     assert_eq!(
         j.worth().sent_beyond,
         1,
-        "the third; the fourth came after two were over"
+        "only the third request: the fourth was sent after two attempts had ended"
     );
 }
--- a/crates/testbed/src/judge/worth.rs
+++ b/crates/testbed/src/judge/worth.rs
@@ -1,4 +1,4 @@
-//! What the service was worth: by class, by plan, and in the worst ten seconds.
+//! Worth offered and earned: in total, by class, by plan, by second, and in the worst ten seconds.
 
 use super::ceilings::Stores;
 use super::{Answer, Try};
@@ -6,20 +6,20 @@
 use serde::Serialize;
 use std::collections::{HashMap, HashSet};
 
-/// How long the worst stretch is.
-const STRETCH: usize = 10;
+/// Length of the window for the worst share, in seconds.
+const WINDOW_S: usize = 10;
 
-/// Worth offered inside the quotas, and earned of it.
+/// Worth offered inside the quotas, and the part of it that was earned.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Cell {
-    /// Worth of first tries that one gateway that saw all would let in.
+    /// Worth of the first tries that a single gateway for all traffic would admit.
     pub offered: f64,
-    /// Worth of those that were served within their aim.
+    /// Worth of the first tries that were served within the class's `aim`.
     pub earned: f64,
 }
 
 impl Cell {
-    /// The share that was earned; 1 where nothing was offered.
+    /// Share of `offered` that was earned; 1 if nothing was offered.
     pub fn share(&self) -> f64 {
         if self.offered > 0.0 {
             self.earned / self.offered
@@ -35,13 +35,14 @@
     inside: bool,
 }
 
-/// Counts the worth.
+/// Counts offered and earned worth during a run.
 pub struct Worth {
     classes: Vec<Class>,
     plans: Vec<Plan>,
     start: Micros,
-    /// What one gateway that saw all first tries would let in, and what was sent on inside the quota.
+    /// Quota of each account as a single gateway for all first tries would apply it.
     ideal: Stores,
+    /// Quota of each account applied to the tries sent to backends.
     sent: Stores,
     firsts: HashMap<u64, First>,
     beyond: HashSet<u64>,
@@ -49,20 +50,20 @@
     by_plan: Vec<Cell>,
     by_second: Vec<Cell>,
     lost_beyond: f64,
-    /// Answers of each kind.
+    /// Number of tries that were served.
     pub served: u64,
-    /// See `served`.
+    /// Number of tries that were refused.
     pub refused: u64,
-    /// See `served`.
+    /// Number of tries that failed.
     pub failed: u64,
-    /// First tries.
+    /// Number of first tries.
     pub asked: u64,
-    /// Tries sent on beyond their quota.
+    /// Number of tries sent to a backend beyond their quota.
     pub sent_beyond: u64,
 }
 
 impl Worth {
-    /// For a scenario's classes and plans.
+    /// Starts counting for a scenario; seconds are counted from `start`.
     pub fn new(s: &Scenario, start: Micros) -> Self {
         Worth {
             classes: s.classes.clone(),
@@ -89,7 +90,7 @@
         class.worth * class.units * self.plans[t.plan].price
     }
 
-    /// A first try is asked.
+    /// Records a first try.
     pub(super) fn offered(&mut self, at: Micros, t: &Try) {
         let (worth, plan) = (self.worth(t), &self.plans[t.plan]);
         let units = self.classes[t.class].units;
@@ -111,27 +112,27 @@
         }
     }
 
-    /// A try is sent on for the first time, while so many other attempts of its account are out.
-    pub(super) fn sent_on(&mut self, at: Micros, t: &Try, out: u32) {
+    /// Records the first attempt of a try, with the number of other outstanding attempts of its account.
+    pub(super) fn sent_on(&mut self, at: Micros, t: &Try, outstanding: u32) {
         let (worth, plan) = (self.worth(t), &self.plans[t.plan]);
         let units = self.classes[t.class].units;
-        // Beyond the quota it takes nothing, whichever of the two it is beyond.
-        let crowded = plan.open > 0 && out >= plan.open;
-        let mut short = || {
+        // A try beyond either limit takes no units from the quota.
+        let over_open_limit = plan.open > 0 && outstanding >= plan.open;
+        let mut over_rate = || {
             plan.rate > 0.0
                 && self
                     .sent
                     .take(t.account, at, units, plan.rate, plan.burst, false)
                     < 0.0
         };
-        if crowded || short() {
+        if over_open_limit || over_rate() {
             self.beyond.insert(t.id);
             self.sent_beyond += 1;
             self.lost_beyond += worth * plan.beyond_costs;
         }
     }
 
-    /// A try has its answer.
+    /// Records the answer to a try.
     pub(super) fn answered(&mut self, at: Micros, t: &Try, answer: Answer) {
         match answer {
             Answer::Served | Answer::Foreign => self.served += 1,
@@ -141,7 +142,7 @@
         if answer != Answer::Served || self.beyond.contains(&t.id) {
             return;
         }
-        // Counted once, for the request and not for its tries.
+        // A request earns its worth once, however many of its tries are served.
         let Some(first) = self.firsts.get_mut(&t.first).filter(|f| f.inside) else {
             return;
         };
@@ -154,22 +155,22 @@
         }
     }
 
-    /// All in all.
+    /// Worth of the whole run.
     pub fn whole(&self) -> Cell {
         self.sum(&self.by_second)
     }
 
-    /// Worth that sending on beyond quotas has cost, as a share of what was offered.
+    /// Worth lost by sending beyond quotas, as a share of the worth offered.
     pub fn beyond_cost(&self) -> f64 {
         self.lost_beyond / self.whole().offered.max(1e-9)
     }
 
-    /// By class and by plan, in their order.
+    /// Worth by class and by plan, in the order of the scenario.
     pub fn parts(&self) -> (&[Cell], &[Cell]) {
         (&self.by_class, &self.by_plan)
     }
 
-    /// The share earned in each second.
+    /// Share of the offered worth earned in each second.
     pub fn seconds(&self) -> Vec<f64> {
         self.by_second.iter().map(Cell::share).collect()
     }
@@ -181,9 +182,10 @@
         })
     }
 
-    /// The worst ten seconds, or all where there are fewer: when they begin, in seconds, and their share.
+    /// The ten consecutive seconds (or the whole run if shorter) with the lowest share: their start in seconds, and the
+    /// share.
     pub fn worst(&self) -> (usize, f64) {
-        let length = STRETCH.min(self.by_second.len());
+        let length = WINDOW_S.min(self.by_second.len());
         let windows = self.by_second.windows(length.max(1)).enumerate();
         let shares = windows.map(|(n, w)| (n, self.sum(w).share()));
         shares
--- a/crates/testbed/src/scenario/diagnostic.rs
+++ b/crates/testbed/src/scenario/diagnostic.rs
@@ -1,25 +1,25 @@
-//! What is wrong with a file, and where.
+//! Errors in scenario files, with their location.
 
 use std::fmt;
 use std::ops::Range;
 
-/// One thing that is wrong with a file.
+/// An error in a scenario file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// The file, as the user named it.
+    /// Path of the file as the user gave it.
     pub file: String,
-    /// The line and the column, from 1; none where the file as a whole is meant.
+    /// Line and column, both from 1; `None` for an error of the whole file.
     pub place: Option<(usize, usize)>,
-    /// The key that stands on that line.
+    /// The key or table header on that line.
     pub key: Option<String>,
-    /// The text of that line.
+    /// Text of that line.
     pub text: String,
-    /// What is wrong.
+    /// Reason for the error.
     pub reason: String,
 }
 
 impl Diagnostic {
-    /// About a file as a whole.
+    /// An error of the whole file.
     pub fn whole(file: &str, reason: impl Into<String>) -> Self {
         let reason = reason.into();
         Diagnostic {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// About a part of a file's text.
+    /// An error at a byte range of the file's text.
     pub fn at(file: &str, source: &str, span: Range<usize>, reason: impl Into<String>) -> Self {
         let mut start = span.start.min(source.len());
         while !source.is_char_boundary(start) {
@@ -80,13 +80,13 @@
     use super::Diagnostic;
 
     #[test]
-    fn the_place_is_that_of_the_line_and_its_key() {
+    fn diagnostic_names_line_column_and_key() {
         let source = "a = 1\n\n[world]\n  tick = \"-1s\"\n";
         let at = source.find("\"-1s").unwrap();
         let d = Diagnostic::at("f.toml", source, at..at + 5, "a time is not negative");
         assert_eq!((d.place, d.key.as_deref()), (Some((4, 10)), Some("tick")));
         assert!(d.to_string().contains("--> f.toml:4:10"), "{d}");
-        // Past the end, or inside a letter of several bytes, is no reason to panic.
+        // Spans past the end or inside a multi-byte character must not panic.
         Diagnostic::at("f", "ä", 1..9, "");
     }
 }
--- a/crates/testbed/src/scenario/file.rs
+++ b/crates/testbed/src/scenario/file.rs
@@ -1,4 +1,4 @@
-//! The form of a scenario file.
+//! Format of scenario files, and the checks on their values.
 
 use super::timetable::{Fault, Row, Step};
 use super::{Diagnostic, Micros, SECOND};
@@ -8,17 +8,20 @@
 use std::path::Path;
 use toml::Spanned;
 
-/// The only version of the form so far.
+/// The only supported version of the file format.
 const VERSION: u32 = 1;
-/// The most of anything that a world may hold: what the rig can carry, with room to spare.
-const MOST_INGRESSES: u16 = 64;
-const MOST_BACKENDS: usize = 2_000;
-const MOST_ACCOUNTS: u32 = 2_000_000;
-const MOST_LISTED: u32 = 10_000;
-const MOST_RATE: f64 = 20_000.0;
-const LONGEST: Micros = 3_600 * SECOND;
+// Upper limits on the size of a scenario, below what the rig can handle.
+const MAX_INGRESSES: u16 = 64;
+const MAX_BACKENDS: usize = 2_000;
+const MAX_ACCOUNTS: u32 = 2_000_000;
+/// Limit on the accounts of a group, which are listed one by one in its files.
+const MAX_GROUP_ACCOUNTS: u32 = 10_000;
+/// First tries per second.
+const MAX_RATE: f64 = 20_000.0;
+/// Longest duration that a file may give.
+const MAX_SPAN: Micros = 3_600 * SECOND;
 
-/// A span of time, written as `"250ms"`, `"4s"`, `"1.5s"` or `"2m"`.
+/// A duration, written as `"250ms"`, `"4s"`, `"1.5s"` or `"2m"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Span(pub Micros);
 
@@ -46,7 +49,7 @@
         if micros < 0.0 {
             return Err(format!("a time is not negative: \"{text}\""));
         }
-        if micros > LONGEST as f64 {
+        if micros > MAX_SPAN as f64 {
             return Err(format!("a time is an hour at the most: \"{text}\""));
         }
         Ok(Span(micros.round() as Micros))
@@ -97,14 +100,14 @@
     peer_delay: [Span; 2],
     peer_loss: f64,
     peer_in_per_s: f64,
-    /// Whether discovery tells sizes.
+    /// Whether discovery reports the weights of backends.
     weights: bool,
-    /// Where load reports come: in answers, to probes alone, or not at all.
+    /// Where load reports come from: `answers`, `probes` or `none`.
     reports: String,
-    /// Whether one request may have two attempts out.
+    /// Whether hedged requests are on: two outstanding attempts of one request.
     second_copies: bool,
     drain_grace: Span,
-    /// The least and the most that the count service takes for an answer, where there is one.
+    /// Shortest and longest response time of the count service; `None` for no such service.
     counter: Option<[Span; 2]>,
 }
 
@@ -136,20 +139,20 @@
     memory_mb: u32,
     #[serde(default = "descriptors")]
     descriptors: u32,
-    /// The first of the ports to listen on; free ones where it is not given.
+    /// First of the consecutive ports to listen on; `None` for free ports.
     port: Option<u16>,
 }
 
-/// That the ingresses are sidecars that decide together.
+/// Makes the ingresses sidecars that form a group.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct GroupTable {
     lease: Span,
-    #[serde(default = "refuse")]
+    #[serde(default = "default_alone")]
     alone: String,
 }
 
-fn refuse() -> String {
+fn default_alone() -> String {
     "refuse".into()
 }
 
@@ -248,7 +251,7 @@
     ceiling: f64,
     #[serde(default)]
     ceiling_burst: f64,
-    /// Attempts that may be out at once inside the quota; 0 for no such quota.
+    /// Outstanding attempts allowed inside the quota; 0 for no limit.
     #[serde(default)]
     open: u32,
     #[serde(default = "one")]
@@ -272,10 +275,10 @@
     pod: u16,
     #[serde(default)]
     cold: bool,
-    /// Whether it is listed from the start on; one that is not comes with `up`.
+    /// Whether discovery lists the backends from the start; the `up` fault adds them later.
     #[serde(default = "yes")]
     listed: bool,
-    /// Whether work runs on, waiting or begun, when its attempt is called off.
+    /// Whether queued and running work continues after its attempt is cancelled.
     #[serde(default)]
     runs_on: bool,
 }
@@ -290,145 +293,145 @@
     true
 }
 
-/// A scenario that was read and checked.
+/// A scenario whose file was read and checked.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The file's name without its ending.
+    /// File name without its extension.
     pub name: String,
-    /// What it is about, in a line.
+    /// One-line description.
     pub about: String,
-    /// Draws arrivals, fates and faults.
+    /// Seed of all random draws of the run.
     pub seed: u64,
-    /// How long requests arrive.
+    /// Length of the arrival period, in microseconds.
     pub lasts: Micros,
-    /// The network and the module's settings that depend on it.
+    /// Network properties and the decision settings that depend on them.
     pub network: Network,
-    /// The ingresses.
+    /// Number and limits of the ingress processes.
     pub ingresses: Ingresses,
-    /// What makes them a group; none where each serves for itself.
+    /// Group settings; `None` if the ingresses are independent.
     pub group: Option<Group>,
-    /// The clients.
+    /// Load and behaviour of the clients.
     pub clients: Clients,
-    /// The classes of requests.
+    /// Classes of requests, 1 to 8.
     pub classes: Vec<Class>,
-    /// The plans.
+    /// Plans of the accounts, 1 to 8.
     pub plans: Vec<Plan>,
-    /// The backends, in sets of equal ones.
+    /// Sets of identical backends; backends are numbered through all sets from 0.
     pub backends: Vec<BackendSet>,
-    /// The faults in the order of their times.
+    /// Faults in order of time.
     pub steps: Vec<Step>,
 }
 
-/// The network between the parts.
+/// Network between the processes of a run.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// Names of the halls.
+    /// Names of the zones (`halls` in the file).
     pub halls: Vec<String>,
-    /// The module's tick.
+    /// Tick interval of the decision module, in microseconds.
     pub tick: Micros,
-    /// Whether ingresses may send each other messages.
+    /// Whether ingresses exchange messages; false with a single ingress.
     pub peers: bool,
-    /// The least and the most that a message is under way.
+    /// Shortest and longest delay of a message between peers, in microseconds.
     pub peer_delay: (Micros, Micros),
-    /// The share of messages that are lost.
+    /// Share of messages between peers that are lost.
     pub peer_loss: f64,
-    /// Messages that an ingress takes in a second.
+    /// Messages per second that an ingress accepts from peers.
     pub peer_in_per_s: f64,
-    /// Whether discovery tells sizes.
+    /// Whether discovery reports the weights of backends.
     pub weights: bool,
-    /// Where load reports come.
+    /// Where load reports come from.
     pub reports: Reports,
-    /// Whether one request may have two attempts out.
+    /// Whether hedged requests are on: two outstanding attempts of one request.
     pub second_copies: bool,
-    /// How long after it was told that a backend drains an ingress may still send it new work.
+    /// Time after the report of a drain during which an ingress may still send new work, in microseconds.
     pub drain_grace: Micros,
-    /// The least and the most that the count service takes for an answer; none where there is no such service.
+    /// Shortest and longest response time of the count service, in microseconds; `None` for no such service.
     pub counter: Option<(Micros, Micros)>,
 }
 
-/// Where load reports come.
+/// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
-    /// In answers and to probes: the share of the cores in use.
+    /// Utilization, in answers and in responses to probes.
     Answers,
-    /// To probes alone: the queue and what is held.
+    /// Queue length and number of held requests, in responses to probes only.
     Probes,
-    /// Nowhere.
+    /// Backends send no load reports.
     None,
 }
 
-/// The ingress processes.
+/// Number and limits of the ingress processes.
 #[derive(Clone, Debug)]
 pub struct Ingresses {
-    /// How many there are.
+    /// Number of ingresses.
     pub count: u16,
-    /// Cores that each may use.
+    /// CPU limit of each ingress, in cores.
     pub cores: f64,
-    /// Megabytes that each may use.
+    /// Memory limit of each ingress, in megabytes.
     pub memory_mb: u32,
-    /// Descriptors that each may hold.
+    /// File descriptor limit of each ingress.
     pub descriptors: u32,
-    /// The first of the ports that they listen on; none for free ones.
+    /// First of the consecutive ports to listen on; `None` for free ports.
     pub port: Option<u16>,
 }
 
-/// What makes the ingresses a group.
+/// Settings of a group of ingresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Group {
-    /// How long one may serve on the word of a majority.
+    /// Lease duration in microseconds.
     pub lease: Micros,
-    /// Whether one without a lease serves on.
+    /// Whether a member without a lease goes on serving with its last state.
     pub as_known: bool,
 }
 
-/// The clients and the front before the ingresses.
+/// The clients, and the front that distributes their requests over the ingresses.
 #[derive(Clone, Debug)]
 pub struct Clients {
-    /// First tries a second, all accounts together.
+    /// First tries per second, over all accounts.
     pub rate: f64,
-    /// How many accounts there are.
+    /// Number of accounts.
     pub accounts: u32,
-    /// Connections to each ingress that are opened before the start.
+    /// Connections opened to each ingress before the start.
     pub connections: u32,
-    /// Further tries of a request.
+    /// Maximum number of retries of a request.
     pub retries: u32,
-    /// The pause before a further try.
+    /// Pause before a retry, in microseconds.
     pub backoff: Micros,
-    /// The share of the clients who keep the pause that a refusal names.
+    /// Share of the clients that wait as long as a refusal asks before they retry.
     pub honour: f64,
-    /// A try is given up after such a share of the class's deadline.
+    /// Lower and upper bound of a try's time limit, as a share of the class's deadline.
     pub try_share: (f64, f64),
-    /// Over how many ingresses an account's requests come.
+    /// Smallest and largest number of ingresses that an account's requests use.
     pub spread: (u16, u16),
-    /// How long the weights of a set last.
+    /// Time after which an account's ingress weights change, in microseconds.
     pub shift: Micros,
-    /// How long the front goes on sending to a dead ingress.
+    /// Time that the front needs to notice a dead ingress, in microseconds.
     pub notice: Micros,
-    /// The share of the requests whose client leaves before the answer.
+    /// Share of the requests whose client leaves before the answer.
     pub leave: f64,
-    /// The share of the requests whose client opens a connection of its own, asks once, and stays connected.
+    /// Share of the requests whose client opens its own connection, sends one request, and stays connected.
     pub stay: f64,
-    /// The most connections that the front holds to an ingress for requests.
+    /// Maximum number of connections for requests from the front to an ingress.
     pub most_connections: usize,
-    /// The share of the accounts that ask for `heavy_factor` times what the others do.
+    /// Share of the accounts with `heavy_factor` times the normal load.
     pub heavy: f64,
-    /// See `heavy`.
+    /// Load of heavy accounts as a multiple of the normal load.
     pub heavy_factor: f64,
 }
 
-/// Whether a request may run again.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Always.
+    /// Repeats are always harmless.
     Safe,
-    /// Within a group of backends, for `window`.
+    /// Repeats are harmless for `window` within a group of backends that share idempotency keys.
     Keyed {
-        /// Whether all backends drop repeats, not only those of one cell.
+        /// Whether all backends recognize repeats, not only those of the same pod.
         all: bool,
-        /// How long they do.
+        /// Time during which repeats are recognized, in microseconds.
         window: Micros,
     },
-    /// Never, if it may have run.
+    /// Must not be repeated if it may have run.
     Unsafe,
 }
 
@@ -437,76 +440,76 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// Its share of the requests.
+    /// Share of the requests, relative to the other classes.
     pub share: f64,
-    /// The mean work of one on a core of speed 1.
+    /// Mean execution time on a core of speed 1, in microseconds.
     pub work: Micros,
-    /// An answer within this earns the worth.
+    /// Latency objective in microseconds; an answer within this time earns the worth.
     pub aim: Micros,
-    /// The longest that a client waits over all tries.
+    /// Longest time that a client waits over all tries, in microseconds.
     pub deadline: Micros,
-    /// What one is worth.
+    /// Worth of a request.
     pub worth: f64,
-    /// What one takes from the quota.
+    /// Quota units that a request takes.
     pub units: f64,
-    /// Whether one may run again.
+    /// Whether a request of this class may be repeated.
     pub effect: Effect,
 }
 
-/// A plan.
+/// A plan: the quota and ceiling of its accounts.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Its name.
     pub name: String,
-    /// Its share of the accounts.
+    /// Share of the accounts, relative to the other plans.
     pub share: f64,
-    /// Units a second.
+    /// Quota refill in units per second; 0 for no quota.
     pub rate: f64,
-    /// Units at once.
+    /// Quota burst in units.
     pub burst: f64,
-    /// Units a second that are never passed; 0 for no ceiling.
+    /// Ceiling refill in units per second; 0 for no ceiling.
     pub ceiling: f64,
-    /// Units at once that are never passed.
+    /// Ceiling burst in units.
     pub ceiling_burst: f64,
-    /// Attempts that may be out at once inside the quota; 0 for no such quota.
+    /// Outstanding attempts allowed inside the quota; 0 for no limit.
     pub open: u32,
-    /// Factor on the worth.
+    /// Factor on the worth of requests.
     pub price: f64,
-    /// Share of the worth that sending beyond the quota costs.
+    /// Worth lost by sending beyond the quota, as a multiple of the request's worth.
     pub beyond_costs: f64,
 }
 
-/// Backends that are alike.
+/// A set of identical backends.
 #[derive(Clone, Debug)]
 pub struct BackendSet {
-    /// How many.
+    /// Number of backends in the set.
     pub count: usize,
-    /// The model's name.
+    /// Name of the machine model.
     pub model: String,
-    /// Index of the hall they stand in.
+    /// Index of the zone in [`Network::halls`].
     pub hall: usize,
-    /// Cores of each.
+    /// Cores of each backend.
     pub cores: u32,
-    /// Speed of a core.
+    /// Speed of a core, relative to the core on which `work` is given.
     pub speed: f64,
-    /// Requests that wait at the most.
+    /// Maximum queue length.
     pub queue: u32,
-    /// How many share a pod, whose backends know each other's keys.
+    /// Number of backends per pod; the backends of a pod share idempotency keys.
     pub pod: u16,
-    /// Whether they have just started when the run begins.
+    /// Whether the backends are cold at the start of the run.
     pub cold: bool,
-    /// Whether discovery lists them from the start on.
+    /// Whether discovery lists the backends from the start.
     pub listed: bool,
-    /// Whether work runs on, waiting or begun, when its attempt is called off.
+    /// Whether queued and running work continues after its attempt is cancelled.
     pub runs_on: bool,
 }
 
 impl Scenario {
-    /// Reads a file.
+    /// Reads and checks a scenario file.
     ///
     /// # Errors
     ///
-    /// All that is wrong with it: one entry where it can't be read or is no TOML of this form, else each check.
+    /// A single entry if the file can't be read or parsed, otherwise one entry for each failed check.
     pub fn read(path: &Path) -> Result<Scenario, Vec<Diagnostic>> {
         let file = path.display().to_string();
         let source = std::fs::read_to_string(path)
@@ -514,16 +517,16 @@
         Scenario::parse(&file, &source)
     }
 
-    /// Reads the text of a file.
+    /// Parses and checks the text of a scenario file.
     ///
     /// # Errors
     ///
-    /// As [`Scenario::read`].
+    /// See [`Scenario::read`].
     pub fn parse(file: &str, source: &str) -> Result<Scenario, Vec<Diagnostic>> {
         let read: File = toml::from_str(source).map_err(|e| {
             let (span, reason) = (e.span().unwrap_or(0..0), e.message().trim());
             let mut found = Diagnostic::at(file, source, span, reason);
-            // The key that is missing stands on no line: its table's does.
+            // A missing key is on no line, so the location is that of its table.
             if let Some(missing) = reason.strip_prefix("missing field `") {
                 found.key = Some(missing.trim_end_matches('`').to_string());
             }
@@ -542,12 +545,12 @@
         }
     }
 
-    /// How many backends there are in all.
+    /// Number of backends in all sets.
     pub fn backend_count(&self) -> usize {
         self.backends.iter().map(|s| s.count).sum()
     }
 
-    /// The set that a backend belongs to.
+    /// The set of a backend; the first set if the number is out of range.
     pub fn set_of(&self, backend: usize) -> &BackendSet {
         let mut left = backend;
         for set in &self.backends {
@@ -560,7 +563,7 @@
     }
 }
 
-/// Collects what is wrong.
+/// Collects the errors found in a file.
 pub(super) struct Checks<'a> {
     file: &'a str,
     source: &'a str,
@@ -568,8 +571,8 @@
 }
 
 impl Checks<'_> {
-    /// Notes what is wrong with a part of the text.
-    pub fn wrong(&mut self, span: std::ops::Range<usize>, reason: impl Into<String>) {
+    /// Records an error at a byte range of the text; an empty range means the whole file.
+    pub fn error(&mut self, span: std::ops::Range<usize>, reason: impl Into<String>) {
         let found = match span.is_empty() {
             true => Diagnostic::whole(self.file, reason),
             false => Diagnostic::at(self.file, self.source, span, reason),
@@ -577,29 +580,29 @@
         self.found.push(found);
     }
 
-    fn want(&mut self, good: bool, span: std::ops::Range<usize>, reason: &str) {
-        if !good {
-            self.wrong(span, reason);
+    fn require(&mut self, valid: bool, span: std::ops::Range<usize>, reason: &str) {
+        if !valid {
+            self.error(span, reason);
         }
     }
 }
 
-fn from_zero(n: f64) -> bool {
+fn is_non_negative(n: f64) -> bool {
     n.is_finite() && n >= 0.0
 }
 
-fn share(n: f64) -> bool {
+fn is_share(n: f64) -> bool {
     (0.0..=1.0).contains(&n)
 }
 
 impl File {
     fn check(self, c: &mut Checks) -> Scenario {
-        c.want(
+        c.require(
             *self.version.get_ref() == VERSION,
             self.version.span(),
             "the only version of this form is 1; a newer file needs a newer wrenctl",
         );
-        c.want(
+        c.require(
             self.lasts.get_ref().0 >= SECOND / 10,
             self.lasts.span(),
             "a run lasts 100ms at the least",
@@ -610,29 +613,29 @@
         let name = name.into_owned();
         let network = self.network;
         let at = self.ingresses.span();
-        c.want(
+        c.require(
             !network.halls.is_empty(),
             at.clone(),
             "network.halls names no hall",
         );
-        c.want(
+        c.require(
             (500..=100_000).contains(&network.tick.0),
             at.clone(),
             "network.tick is from 0.5ms to 100ms",
         );
-        c.want(
-            share(network.peer_loss),
+        c.require(
+            is_share(network.peer_loss),
             at.clone(),
             "network.peer_loss is a share from 0 to 1",
         );
-        c.want(
-            from_zero(network.peer_in_per_s),
+        c.require(
+            is_non_negative(network.peer_in_per_s),
             at.clone(),
             "network.peer_in_per_s is a number from 0 up",
         );
-        let [least, most] = network.peer_delay;
-        c.want(
-            least.0 <= most.0,
+        let [shortest, longest] = network.peer_delay;
+        c.require(
+            shortest.0 <= longest.0,
             at.clone(),
             "network.peer_delay is the least and the most, in this order",
         );
@@ -641,37 +644,39 @@
             "probes" => Reports::Probes,
             "none" => Reports::None,
             other => {
-                c.wrong(
+                c.error(
                     at.clone(),
                     format!("network.reports is answers, probes or none, not {other}"),
                 );
                 Reports::None
             }
         };
-        let counter = network.counter.map(|[least, most]| (least.0, most.0));
-        let in_order = counter.is_none_or(|(least, most)| least <= most);
-        c.want(
+        let counter = network
+            .counter
+            .map(|[shortest, longest]| (shortest.0, longest.0));
+        let in_order = counter.is_none_or(|(shortest, longest)| shortest <= longest);
+        c.require(
             in_order,
             at.clone(),
             "network.counter is the least and the most, in this order",
         );
         let i = self.ingresses.into_inner();
-        c.want(
-            (1..=MOST_INGRESSES).contains(&i.count),
+        c.require(
+            (1..=MAX_INGRESSES).contains(&i.count),
             at.clone(),
             "count is from 1 to 64",
         );
-        c.want(
+        c.require(
             i.cores > 0.0 && i.cores <= 64.0,
             at.clone(),
             "cores is above 0",
         );
-        c.want(
+        c.require(
             i.memory_mb >= 16,
             at.clone(),
             "memory_mb is 16 at the least",
         );
-        c.want(
+        c.require(
             (64..=65_536).contains(&i.descriptors),
             at.clone(),
             "descriptors is from 64 to 65536",
@@ -679,7 +684,7 @@
         let ports = i
             .port
             .is_none_or(|p| p >= 1024 && u32::from(p) + u32::from(i.count) < 65_536);
-        c.want(
+        c.require(
             ports,
             at,
             "port leaves no room for one port each up to 65535, from 1024 on",
@@ -705,19 +710,19 @@
                 b.hall,
                 network.halls.join(", ")
             );
-            c.want(hall.is_some(), span.clone(), &unknown);
-            c.want(b.count > 0, span.clone(), "count is above 0");
-            c.want(
+            c.require(hall.is_some(), span.clone(), &unknown);
+            c.require(b.count > 0, span.clone(), "count is above 0");
+            c.require(
                 (1..=1024).contains(&b.cores),
                 span.clone(),
                 "cores is from 1 to 1024",
             );
-            c.want(
+            c.require(
                 b.speed.is_finite() && b.speed > 0.0,
                 span.clone(),
                 "speed is above 0",
             );
-            c.want(b.pod > 0, span.clone(), "pod is above 0");
+            c.require(b.pod > 0, span.clone(), "pod is above 0");
             sets.push(BackendSet {
                 count: b.count,
                 model: b.model,
@@ -733,17 +738,17 @@
         }
         let count = sets.iter().fold(0usize, |n, s| n.saturating_add(s.count));
         let top = 0..0;
-        c.want(
-            (1..=MOST_BACKENDS).contains(&count),
+        c.require(
+            (1..=MAX_BACKENDS).contains(&count),
             top.clone(),
             "there are 1 to 2000 [[backends]] in all",
         );
-        c.want(
+        c.require(
             (1..=8).contains(&classes.len()),
             top.clone(),
             "there are 1 to 8 [[class]]es",
         );
-        c.want(
+        c.require(
             (1..=8).contains(&plans.len()),
             top,
             "there are 1 to 8 [[plan]]s",
@@ -757,22 +762,22 @@
         for row in self.at {
             let (span, row) = (row.span(), row.into_inner());
             let step = row.check(i.count, count, self.seed, c);
-            let counts = step
+            let is_counter_fault = step
                 .as_ref()
                 .is_some_and(|s| matches!(s.fault, Fault::Counter { .. }));
-            c.want(
-                !counts || counter.is_some(),
+            c.require(
+                !is_counter_fault || counter.is_some(),
                 span.clone(),
                 "there is no count service: network.counter is not given",
             );
             let fault = step.as_ref().map(|s| &s.fault);
-            let linked = matches!(fault, Some(Fault::Link { .. }));
-            c.want(
-                !linked || grouped,
+            let is_link_fault = matches!(fault, Some(Fault::Link { .. }));
+            c.require(
+                !is_link_fault || grouped,
                 span.clone(),
                 "there are no links: [group] is not given",
             );
-            let other = matches!(
+            let unsupported_in_group = matches!(
                 fault,
                 Some(
                     Fault::Move { .. }
@@ -785,7 +790,7 @@
             let reason =
                 "a group's members are told by checked files: their peers, their discovery and their \
                           accounts are as they stand there";
-            c.want(!other || !grouped, span, reason);
+            c.require(!unsupported_in_group || !grouped, span, reason);
             steps.extend(step);
         }
         steps.sort_by_key(|s| s.at);
@@ -798,7 +803,7 @@
                 halls: network.halls,
                 tick: network.tick.0,
                 peers: network.peers && i.count > 1,
-                peer_delay: (least.0, most.0),
+                peer_delay: (shortest.0, longest.0),
                 peer_loss: network.peer_loss,
                 peer_in_per_s: network.peer_in_per_s,
                 weights: network.weights,
@@ -827,36 +832,36 @@
 fn check_clients(table: Spanned<ClientTable>, ingresses: u16, c: &mut Checks) -> Clients {
     let span = table.span();
     let t = table.into_inner();
-    let mut want = |good: bool, reason: &str| c.want(good, span.clone(), reason);
-    want(
-        t.rate > 0.0 && t.rate <= MOST_RATE,
+    let mut require = |valid: bool, reason: &str| c.require(valid, span.clone(), reason);
+    require(
+        t.rate > 0.0 && t.rate <= MAX_RATE,
         "rate is above 0 and 20000 requests a second at the most",
     );
-    want(
-        (1..=MOST_ACCOUNTS).contains(&t.accounts),
+    require(
+        (1..=MAX_ACCOUNTS).contains(&t.accounts),
         "accounts is from 1 to 2000000",
     );
-    want(t.connections <= 20_000, "connections is 20000 at the most");
-    want(t.retries <= 10, "retries is 10 at the most");
-    want(share(t.honour), "honour is a share from 0 to 1");
-    want(share(t.leave), "leave is a share from 0 to 1");
-    want(share(t.stay), "stay is a share from 0 to 1");
-    want(t.most_connections != Some(0), "most_connections is above 0");
-    want(share(t.heavy), "heavy is a share from 0 to 1");
-    want(
-        from_zero(t.heavy_factor),
+    require(t.connections <= 20_000, "connections is 20000 at the most");
+    require(t.retries <= 10, "retries is 10 at the most");
+    require(is_share(t.honour), "honour is a share from 0 to 1");
+    require(is_share(t.leave), "leave is a share from 0 to 1");
+    require(is_share(t.stay), "stay is a share from 0 to 1");
+    require(t.most_connections != Some(0), "most_connections is above 0");
+    require(is_share(t.heavy), "heavy is a share from 0 to 1");
+    require(
+        is_non_negative(t.heavy_factor),
         "heavy_factor is a number from 0 up",
     );
     let [low, high] = t.try_share;
-    want(
+    require(
         low > 0.0 && low <= high && high <= 1.0,
         "try_share is two shares above 0, the lesser first",
     );
-    want(
+    require(
         t.spread[0] > 0 && t.spread[0] <= t.spread[1],
         "spread is two numbers from 1 up, the lesser first",
     );
-    want(t.shift.0 > 0, "shift is above 0");
+    require(t.shift.0 > 0, "shift is above 0");
     Clients {
         rate: t.rate,
         accounts: t.accounts,
@@ -876,7 +881,7 @@
     }
 }
 
-/// A group's members are told by files, which have no words for all that a scenario may want.
+/// Members of a group are configured by files, which can't express every option of a scenario; this rejects the others.
 fn check_group(
     table: Spanned<GroupTable>,
     network: &NetworkTable,
@@ -888,32 +893,32 @@
 ) -> Group {
     let span = table.span();
     let t = table.into_inner();
-    let mut want = |good: bool, reason: &str| c.want(good, span.clone(), reason);
+    let mut require = |valid: bool, reason: &str| c.require(valid, span.clone(), reason);
     let lease = t.lease.0;
-    want(
+    require(
         (SECOND * 3 / 10..=60 * SECOND).contains(&lease),
         "lease is from 300ms to 60s",
     );
-    want(
+    require(
         ["refuse", "as-known"].contains(&t.alone.as_str()),
         "alone is \"refuse\" or \"as-known\"",
     );
-    want(
+    require(
         i.count >= 3,
         "the ingresses decide by majority: count is 3 at the least",
     );
-    want(
-        clients.accounts <= MOST_LISTED,
+    require(
+        clients.accounts <= MAX_GROUP_ACCOUNTS,
         "a group's accounts are listed one by one: 10000 at the most",
     );
-    want(
+    require(
         network.peers
             && network.weights
             && reports == Reports::Answers
             && network.counter.is_none(),
         "a group has peers, weights and reports in answers, and no count service",
     );
-    want(
+    require(
         plans.iter().all(|p| p.rate > 0.0 && p.open == 0),
         "a group's plans have a rate, and no `open`",
     );
@@ -935,33 +940,33 @@
         },
         "unsafe" => Effect::Unsafe,
         other => {
-            c.wrong(
+            c.error(
                 t.effect.span(),
                 format!("an effect is safe, keyed or unsafe, not {other}"),
             );
             Effect::Unsafe
         }
     };
-    let mut want = |good: bool, reason: &str| c.want(good, span.clone(), reason);
-    want(
+    let mut require = |valid: bool, reason: &str| c.require(valid, span.clone(), reason);
+    require(
         t.name
             .bytes()
             .all(|b| b.is_ascii_graphic() && b != b',' && b != b'='),
         "name is a plain word",
     );
-    want(t.share > 0.0 && t.share.is_finite(), "share is above 0");
-    want(t.work.0 > 0, "work is above 0");
-    want(
+    require(t.share > 0.0 && t.share.is_finite(), "share is above 0");
+    require(t.work.0 > 0, "work is above 0");
+    require(
         t.aim.0 > 0 && t.aim.0 <= t.deadline.0,
         "aim is above 0 and no longer than deadline",
     );
-    want(t.worth > 0.0 && t.worth.is_finite(), "worth is above 0");
-    want(
+    require(t.worth > 0.0 && t.worth.is_finite(), "worth is above 0");
+    require(
         t.units > 0.0 && t.units <= 100.0,
         "units is above 0 and 100 at the most",
     );
-    want(all || t.group == "cell", "group is \"cell\" or \"all\"");
-    want(
+    require(all || t.group == "cell", "group is \"cell\" or \"all\"");
+    require(
         effect != (Effect::Keyed { all, window: 0 }),
         "window is above 0 in a keyed class",
     );
@@ -980,36 +985,36 @@
 fn check_plan(table: Spanned<PlanTable>, c: &mut Checks) -> Plan {
     let span = table.span();
     let t = table.into_inner();
-    let mut want = |good: bool, reason: &str| c.want(good, span.clone(), reason);
-    want(
+    let mut require = |valid: bool, reason: &str| c.require(valid, span.clone(), reason);
+    require(
         t.name
             .bytes()
             .all(|b| b.is_ascii_graphic() && b != b',' && b != b'='),
         "name is a plain word",
     );
-    want(t.share > 0.0 && t.share.is_finite(), "share is above 0");
-    want(
-        from_zero(t.rate) && from_zero(t.burst),
+    require(t.share > 0.0 && t.share.is_finite(), "share is above 0");
+    require(
+        is_non_negative(t.rate) && is_non_negative(t.burst),
         "rate and burst are numbers from 0 up",
     );
-    want(
+    require(
         t.rate == 0.0 || t.burst > 0.0,
         "burst is above 0 where there is a rate",
     );
-    want(
-        from_zero(t.ceiling) && from_zero(t.ceiling_burst),
+    require(
+        is_non_negative(t.ceiling) && is_non_negative(t.ceiling_burst),
         "ceiling and ceiling_burst are from 0 up",
     );
-    want(
+    require(
         (t.ceiling > 0.0) == (t.ceiling_burst > 0.0),
         "ceiling and ceiling_burst come together",
     );
-    want(
+    require(
         t.ceiling == 0.0 || t.ceiling >= t.rate,
         "ceiling is not below rate",
     );
-    want(
-        from_zero(t.price) && from_zero(t.beyond_costs),
+    require(
+        is_non_negative(t.price) && is_non_negative(t.beyond_costs),
         "price and beyond_costs are numbers from 0 up",
     );
     Plan {
@@ -1030,12 +1035,12 @@
     use super::Span;
 
     #[test]
-    fn times_are_read_in_their_units_and_bad_ones_are_told() {
+    fn spans_are_parsed_by_unit_and_invalid_ones_are_rejected() {
         assert_eq!(Span::parse("250ms"), Ok(Span(250_000)));
         assert_eq!(Span::parse("1.5s"), Ok(Span(1_500_000)));
         assert_eq!(Span::parse("2m"), Ok(Span(120_000_000)));
         for bad in ["-1s", "4", "s", "1e99s", "nans", "1 h", "", "two s", "99m"] {
-            assert!(Span::parse(bad).is_err(), "{bad}");
+            assert!(Span::parse(bad).is_err(), "{bad:?} was accepted");
         }
     }
 }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios: a world, a seed and a timetable of faults, read from TOML. What is wrong with a file is told by its
-//! line, its key and the reason.
+//! Scenarios: the setup of a run, a seed and a timetable of faults, read from TOML. Errors in a file are reported with
+//! line, key and reason.
 
 mod diagnostic;
 mod file;
@@ -11,11 +11,11 @@
 };
 pub use timetable::{CounterFault, Fault, Leg, LegFault, LinkFault, Manner, Step};
 
-/// A time on the rig's clock, or a span of it, in microseconds.
+/// A time on the rig's clock or a duration, in microseconds.
 pub type Micros = u64;
 
 /// The scenario of `wrenctl fleet demo`.
 pub const DEMO: &str = include_str!("../../scenarios/demo.toml");
 
-/// A second.
+/// One second in [`Micros`].
 pub const SECOND: Micros = 1_000_000;
--- a/crates/testbed/src/scenario/timetable.rs
+++ b/crates/testbed/src/scenario/timetable.rs
@@ -1,4 +1,4 @@
-//! The timetable: what goes wrong when, and to whom.
+//! The timetable: faults with their times and targets.
 
 use super::file::{Checks, Span};
 use super::{Micros, SECOND};
@@ -7,7 +7,7 @@
 use std::fmt;
 use toml::Spanned;
 
-/// A row of the timetable as it is written. Which of the keys a row may have depends on `what`.
+/// A row of the timetable as written in the file. The allowed keys depend on `what`; see [`KEYS`].
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Row {
@@ -15,7 +15,7 @@
     what: Spanned<String>,
     ingress: Option<Spanned<OneOrMore>>,
     backend: Option<Spanned<OneOrMore>>,
-    /// In place of `backend`: this share of them, drawn by the seed.
+    /// Instead of `backend`: a share of all backends, drawn from the seed.
     share: Option<Spanned<f64>>,
     #[serde(rename = "for")]
     lasts: Option<Spanned<Span>>,
@@ -37,7 +37,7 @@
     fault: Option<Spanned<String>>,
 }
 
-/// A number from 0, or a list of them.
+/// An index from 0, or a list of indexes.
 #[derive(Clone)]
 struct OneOrMore(Vec<u64>);
 
@@ -66,31 +66,31 @@
     }
 }
 
-/// A fault that is due at a time after the first arrival.
+/// A fault with its time.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// When.
+    /// Microseconds after the start of arrivals.
     pub at: Micros,
-    /// What.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
 /// How a hostile client behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Manner {
-    /// Says half a command and no more.
+    /// Sends half a command and then nothing.
     Half,
-    /// Says what is no RESP2.
+    /// Sends bytes that are not RESP2.
     Garbage,
-    /// Asks without end and never reads.
+    /// Sends requests without end and never reads.
     Deaf,
-    /// Connects and says nothing.
+    /// Connects and sends nothing.
     Mute,
-    /// Asks for one request again and again under one id.
+    /// Repeats one request with the same id.
     SameId,
 }
 
-/// A leg of a request's way.
+/// A network segment around an ingress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Leg {
     /// From the front to an ingress.
@@ -101,109 +101,109 @@
     Discovery,
 }
 
-/// What goes wrong on a leg.
+/// How a network segment fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LegFault {
     /// Nothing passes in either direction, and connections stay open.
     Silent,
-    /// Open connections are reset, and new ones right after they are accepted.
+    /// Open connections are reset, and new ones right after accept.
     Reset,
-    /// What passes is late by so much.
+    /// Bytes are delayed by this time, in microseconds.
     Slow(Micros),
 }
 
 /// How the count service fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CounterFault {
-    /// It adds, and answers nothing until it is well again.
+    /// Counts, but sends no answers until the fault ends.
     Silent,
-    /// It turns every call away.
+    /// Rejects every call.
     Busy,
-    /// Its answers are late by so much more.
+    /// Answers are delayed by this additional time, in microseconds.
     Slow(Micros),
-    /// It ends, refuses connections, and comes back with every number forgotten.
+    /// Stops, refuses connections, and restarts with all counts lost.
     Gone,
 }
 
-/// How a link from one member of a group that asks to another that answers fails. See [`crate::links::Fault`].
+/// How the link from a requesting to an answering group member fails. See [`crate::links::Fault`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Silence both ways.
+    /// Nothing passes in either direction.
     Dropped,
-    /// Connections end at once.
+    /// Open and new connections are closed at once.
     Refused,
-    /// A connection ends once so many bytes were asked over it.
+    /// A connection is closed once this many request bytes have passed.
     Reset(u32),
-    /// All that passes is late by so much.
+    /// All bytes are delayed by this time, in microseconds.
     Late(Micros),
-    /// Asks arrive, answers don't.
+    /// Requests arrive, answers don't.
     OneWay,
 }
 
-/// What goes wrong. Lists name ingresses or backends by their number, from 0; `lasts`, `down`, `every` and `delay` are
-/// spans of time.
-#[allow(missing_docs)] // each field is explained with its variant
+/// A fault to inject. Lists have indexes of ingresses or backends, from 0; `lasts`, `down`, `every` and `delay` are
+/// durations in microseconds.
+#[allow(missing_docs)] // the doc of each variant covers its fields
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Ingresses are killed at once and started again after `down`, or never.
+    /// Ingresses are killed (SIGKILL) and started again after `down`; `None` means never.
     Kill {
         ingresses: Vec<usize>,
         down: Option<Micros>,
     },
-    /// Ingresses are told to stop, one every so often, and started again when they have ended.
+    /// Ingresses are asked to stop, one per interval `every`, and started again after they exit.
     Restart {
         ingresses: Vec<usize>,
         every: Micros,
         down: Micros,
     },
-    /// Ingresses stand still and go on.
+    /// Ingresses are paused for `lasts`, then resumed.
     Freeze {
         ingresses: Vec<usize>,
         lasts: Micros,
     },
-    /// Ingresses get so many cores for a while.
+    /// Ingresses are limited to `cores` for `lasts`.
     Throttle {
         ingresses: Vec<usize>,
         cores: f64,
         lasts: Micros,
     },
-    /// Discovery moves to another address, and ingresses are told by SIGHUP.
+    /// Discovery moves to another address, and ingresses get a SIGHUP.
     Move { ingresses: Vec<usize> },
     /// Backends are listed as draining.
     Drain { backends: Vec<usize> },
     /// Backends are listed as up.
     Up { backends: Vec<usize> },
-    /// Backends are listed no more.
+    /// Backends are removed from the endpoint list.
     Remove { backends: Vec<usize> },
-    /// Backends die and come back cold after `down`, under the same name.
+    /// Backends stop and restart cold after `down` under the same name.
     Die { backends: Vec<usize>, down: Micros },
-    /// Backends are drained, die, and come back cold under a new name at the old address, one every so often.
+    /// Backends are drained, stop, and restart cold under a new name at the same address, one per interval `every`.
     Replace {
         backends: Vec<usize>,
         every: Micros,
         down: Micros,
     },
-    /// Backends take requests and answer none.
+    /// Backends accept requests and send no answers.
     Hang { backends: Vec<usize>, lasts: Micros },
-    /// Backends reset connections at such a byte of a command; 0 stands for right behind its last.
+    /// Backends reset connections at this byte of a command; 0 means right after its last byte.
     Reset {
         backends: Vec<usize>,
         byte: u32,
         lasts: Micros,
     },
-    /// Backends spoil their answers.
+    /// Backends send corrupted answers.
     Spoil { backends: Vec<usize>, lasts: Micros },
-    /// Backends' answers come byte by byte.
+    /// Backends send their answers byte by byte.
     Bytewise { backends: Vec<usize>, lasts: Micros },
     /// Backends send each answer twice.
     Echo { backends: Vec<usize>, lasts: Micros },
-    /// Another program takes such a part of the backends.
+    /// Another program uses the share `factor` of the backends' capacity.
     Neighbour {
         backends: Vec<usize>,
         factor: f64,
         lasts: Micros,
     },
-    /// Discovery accepts calls and answers none.
+    /// Discovery accepts calls and sends no answers.
     DiscoverySilent {
         ingresses: Vec<usize>,
         lasts: Micros,
@@ -213,50 +213,50 @@
         ingresses: Vec<usize>,
         lasts: Micros,
     },
-    /// Discovery tells what is new so much later.
+    /// Discovery reports changes late by `delay`.
     DiscoveryLate {
         ingresses: Vec<usize>,
         delay: Micros,
         lasts: Micros,
     },
-    /// Peers of one half hear nothing of the other half.
+    /// Messages between the two halves of the peers are lost.
     Split { lasts: Micros },
-    /// Messages between peers are lost, repeated and late (and so reordered).
+    /// Messages between peers are lost, repeated and delayed (and thus reordered).
     Lossy {
         loss: f64,
         repeat: f64,
         delay: Micros,
         lasts: Micros,
     },
-    /// A few accounts ask for so many requests a second on top.
+    /// A few accounts send `rate` additional requests per second.
     Hot {
         accounts: u32,
         rate: f64,
         lasts: Micros,
     },
-    /// Accounts that send one request each and are not seen again.
+    /// `rate` requests per second, each from an account that sends only this one.
     Scan { rate: f64, lasts: Micros },
-    /// Clients open so many more connections to each of the ingresses, and use them.
+    /// Clients open and use `count` additional connections to each of the ingresses.
     Crowd {
         ingresses: Vec<usize>,
         count: u32,
         lasts: Micros,
     },
-    /// Hostile clients.
+    /// `count` hostile clients connect to each of the ingresses.
     Hostile {
         ingresses: Vec<usize>,
         count: u32,
         manner: Manner,
         lasts: Micros,
     },
-    /// A leg of the way fails.
+    /// A network segment around the ingresses fails.
     Leg {
         leg: Leg,
         fault: LegFault,
         ingresses: Vec<usize>,
         lasts: Micros,
     },
-    /// Links from members that ask to members that answer fail.
+    /// Links from requesting to answering group members fail.
     Link {
         from: Vec<usize>,
         to: Vec<usize>,
@@ -267,7 +267,7 @@
     Counter { fault: CounterFault, lasts: Micros },
 }
 
-/// The keys that each fault takes besides `at` and `what`: those it needs, and those it may have.
+/// For each fault the required and the optional keys, besides `at` and `what`.
 const KEYS: &[(&str, &[&str], &[&str])] = &[
     ("kill", &["ingress"], &["down"]),
     ("restart", &["ingress"], &["every", "down"]),
@@ -304,6 +304,7 @@
     ("counter-gone", &["for"], &[]),
 ];
 
+/// Draws a share of the indexes below `count`, at least one, in ascending order.
 fn draw_share(count: usize, share: f64, seed: u64) -> Vec<usize> {
     let mut all: Vec<usize> = (0..count).collect();
     fastrand::Rng::with_seed(seed ^ 0x5ec7).shuffle(&mut all);
@@ -313,7 +314,7 @@
 }
 
 impl Row {
-    /// Turns a row into what it means; what is wrong with it is noted, and nothing comes of it.
+    /// Checks a row and converts it to a step; errors are recorded in `c`, and the result is `None`.
     pub(super) fn check(
         self,
         ingresses: u16,
@@ -322,40 +323,41 @@
         c: &mut Checks,
     ) -> Option<Step> {
         let what = self.what.get_ref().as_str();
-        let Some((_, needs, may)) = KEYS.iter().find(|k| k.0 == what) else {
+        let Some((_, required, optional)) = KEYS.iter().find(|k| k.0 == what) else {
             let known: Vec<&str> = KEYS.iter().map(|k| k.0).collect();
-            c.wrong(
+            c.error(
                 self.what.span(),
                 format!("there is no fault \"{what}\"; known: {}", known.join(", ")),
             );
             return None;
         };
-        let mut good = true;
+        let mut valid = true;
         let mut given: Vec<(&str, std::ops::Range<usize>)> = Vec::new();
-        macro_rules! note {
+        macro_rules! collect_given {
             ($($key:expr => $field:ident),* $(,)?) => {
                 $(given.extend(self.$field.as_ref().map(|s| ($key, s.span())));)*
             };
         }
-        note!("ingress" => ingress, "backend" => backend, "share" => share, "for" => lasts, "down" => down,
+        collect_given!("ingress" => ingress, "backend" => backend, "share" => share, "for" => lasts, "down" => down,
               "delay" => delay, "every" => every, "byte" => byte, "factor" => factor, "cores" => cores,
               "rate" => rate, "loss" => loss, "repeat" => repeat, "accounts" => accounts, "count" => count,
               "manner" => manner, "leg" => leg, "from" => from, "to" => to, "fault" => fault);
-        let takes_backends = needs.contains(&"backend");
+        let accepts_share = required.contains(&"backend");
         for (key, span) in &given {
-            let fits =
-                needs.contains(key) || may.contains(key) || (*key == "share" && takes_backends);
+            let fits = required.contains(key)
+                || optional.contains(key)
+                || (*key == "share" && accepts_share);
             if !fits {
-                c.wrong(span.clone(), format!("\"{what}\" takes no {key}"));
-                good = false;
+                c.error(span.clone(), format!("\"{what}\" takes no {key}"));
+                valid = false;
             }
         }
-        for need in needs.iter() {
-            let instead = *need == "backend" && self.share.is_some();
-            if !instead && !given.iter().any(|g| g.0 == *need) {
-                let or = if *need == "backend" { " or share" } else { "" };
-                c.wrong(self.what.span(), format!("\"{what}\" needs {need}{or}"));
-                good = false;
+        for key in required.iter() {
+            let replaced_by_share = *key == "backend" && self.share.is_some();
+            if !replaced_by_share && !given.iter().any(|g| g.0 == *key) {
+                let or = if *key == "backend" { " or share" } else { "" };
+                c.error(self.what.span(), format!("\"{what}\" needs {key}{or}"));
+                valid = false;
             }
         }
         let mut list = |field: &Option<Spanned<OneOrMore>>, count: usize, kind: &str| {
@@ -364,18 +366,18 @@
             };
             let numbers = field.get_ref().0.clone();
             if let Some(n) = numbers.iter().find(|n| **n >= count as u64) {
-                c.wrong(
+                c.error(
                     field.span(),
                     format!(
                         "there is no {kind} {n}: they are numbered from 0 to {}",
                         count - 1
                     ),
                 );
-                good = false;
+                valid = false;
             }
             if numbers.is_empty() {
-                c.wrong(field.span(), format!("names no {kind}"));
-                good = false;
+                c.error(field.span(), format!("names no {kind}"));
+                valid = false;
             }
             numbers
                 .into_iter()
@@ -383,21 +385,21 @@
                 .filter(|n| *n < count)
                 .collect::<Vec<_>>()
         };
-        let on = list(&self.ingress, usize::from(ingresses), "ingress");
+        let target_ingresses = list(&self.ingress, usize::from(ingresses), "ingress");
         let (from, to) = (
             list(&self.from, usize::from(ingresses), "ingress"),
             list(&self.to, usize::from(ingresses), "ingress"),
         );
-        let mut of = list(&self.backend, backends, "backend");
+        let mut target_backends = list(&self.backend, backends, "backend");
         if let Some(share) = &self.share {
             if self.backend.is_some() || !(0.0..=1.0).contains(share.get_ref()) {
-                c.wrong(
+                c.error(
                     share.span(),
                     "share is from 0 to 1, and stands in place of backend",
                 );
-                good = false;
+                valid = false;
             }
-            of = draw_share(
+            target_backends = draw_share(
                 backends,
                 share.get_ref().clamp(0.0, 1.0),
                 seed ^ self.at.get_ref().0,
@@ -407,11 +409,11 @@
             let Some(field) = field else { return absent };
             let n = *field.get_ref();
             if !(low..=high).contains(&n) {
-                c.wrong(
+                c.error(
                     field.span(),
                     format!("this is from {low} to {high}, not {n}"),
                 );
-                good = false;
+                valid = false;
             }
             n
         };
@@ -430,8 +432,8 @@
             .as_ref()
             .filter(|s| !(1..=20_000).contains(s.get_ref()))
         {
-            c.wrong(s.span(), "count is from 1 to 20000");
-            good = false;
+            c.error(s.span(), "count is from 1 to 20000");
+            valid = false;
         }
         let accounts = self.accounts.as_ref().map_or(1, |s| *s.get_ref());
         if let Some(s) = self
@@ -439,8 +441,8 @@
             .as_ref()
             .filter(|s| !(1..=1_000).contains(s.get_ref()))
         {
-            c.wrong(s.span(), "accounts is from 1 to 1000");
-            good = false;
+            c.error(s.span(), "accounts is from 1 to 1000");
+            valid = false;
         }
         let manner = match self
             .manner
@@ -453,7 +455,7 @@
             Some(("mute", _)) => Manner::Mute,
             Some(("same-id", _)) => Manner::SameId,
             Some((other, span)) => {
-                c.wrong(
+                c.error(
                     span,
                     format!("a manner is half, garbage, deaf, mute or same-id, not {other}"),
                 );
@@ -465,7 +467,7 @@
             Some(("clients", _)) => Leg::Clients,
             Some(("discovery", _)) => Leg::Discovery,
             Some((other, span)) => {
-                c.wrong(
+                c.error(
                     span,
                     format!("a leg is clients, backends or discovery, not {other}"),
                 );
@@ -478,10 +480,10 @@
             _ => None,
         };
         if let (Some((key, false)), Some(fault)) = (needed, &self.fault) {
-            c.wrong(fault.span(), format!("this fault needs {key}"));
-            good = false;
+            c.error(fault.span(), format!("this fault needs {key}"));
+            valid = false;
         }
-        if !good {
+        if !valid {
             return None;
         }
         let span = |s: &Option<Spanned<Span>>, absent| s.as_ref().map_or(absent, |s| s.get_ref().0);
@@ -499,7 +501,7 @@
             Some(("late", _)) => LinkFault::Late(delay),
             Some(("one-way", _)) => LinkFault::OneWay,
             Some((other, span)) => {
-                c.wrong(
+                c.error(
                     span,
                     format!("a fault is dropped, refused, reset, late or one-way, not {other}"),
                 );
@@ -514,69 +516,80 @@
                 lasts,
             },
             "kill" => Fault::Kill {
-                ingresses: on,
+                ingresses: target_ingresses,
                 down: self.down.as_ref().map(|s| s.get_ref().0),
             },
             "restart" => Fault::Restart {
-                ingresses: on,
+                ingresses: target_ingresses,
                 every,
                 down,
             },
             "freeze" => Fault::Freeze {
-                ingresses: on,
+                ingresses: target_ingresses,
                 lasts,
             },
             "throttle" => Fault::Throttle {
-                ingresses: on,
+                ingresses: target_ingresses,
                 cores,
                 lasts,
             },
-            "move-discovery" => Fault::Move { ingresses: on },
-            "drain" => Fault::Drain { backends: of },
-            "up" => Fault::Up { backends: of },
-            "remove" => Fault::Remove { backends: of },
-            "die" => Fault::Die { backends: of, down },
+            "move-discovery" => Fault::Move {
+                ingresses: target_ingresses,
+            },
+            "drain" => Fault::Drain {
+                backends: target_backends,
+            },
+            "up" => Fault::Up {
+                backends: target_backends,
+            },
+            "remove" => Fault::Remove {
+                backends: target_backends,
+            },
+            "die" => Fault::Die {
+                backends: target_backends,
+                down,
+            },
             "replace" => Fault::Replace {
-                backends: of,
+                backends: target_backends,
                 every,
                 down,
             },
             "hang" => Fault::Hang {
-                backends: of,
+                backends: target_backends,
                 lasts,
             },
             "reset" => Fault::Reset {
-                backends: of,
+                backends: target_backends,
                 byte: self.byte.map_or(0, |b| *b.get_ref()),
                 lasts,
             },
             "spoil" => Fault::Spoil {
-                backends: of,
+                backends: target_backends,
                 lasts,
             },
             "bytewise" => Fault::Bytewise {
-                backends: of,
+                backends: target_backends,
                 lasts,
             },
             "echo" => Fault::Echo {
-                backends: of,
+                backends: target_backends,
                 lasts,
             },
             "neighbour" => Fault::Neighbour {
-                backends: of,
+                backends: target_backends,
                 factor,
                 lasts,
             },
             "discovery-silent" => Fault::DiscoverySilent {
-                ingresses: on,
+                ingresses: target_ingresses,
                 lasts,
             },
             "discovery-gone" => Fault::DiscoveryGone {
-                ingresses: on,
+                ingresses: target_ingresses,
                 lasts,
             },
             "discovery-late" => Fault::DiscoveryLate {
-                ingresses: on,
+                ingresses: target_ingresses,
                 delay,
                 lasts,
             },
@@ -594,12 +607,12 @@
             },
             "scan" => Fault::Scan { rate, lasts },
             "crowd" => Fault::Crowd {
-                ingresses: on,
+                ingresses: target_ingresses,
                 count,
                 lasts,
             },
             "hostile" => Fault::Hostile {
-                ingresses: on,
+                ingresses: target_ingresses,
                 count,
                 manner,
                 lasts,
@@ -607,7 +620,7 @@
             "leg-silent" => Fault::Leg {
                 leg,
                 fault: LegFault::Silent,
-                ingresses: on,
+                ingresses: target_ingresses,
                 lasts,
             },
             "counter-silent" => Fault::Counter {
@@ -629,13 +642,13 @@
             "leg-reset" => Fault::Leg {
                 leg,
                 fault: LegFault::Reset,
-                ingresses: on,
+                ingresses: target_ingresses,
                 lasts,
             },
             _ => Fault::Leg {
                 leg,
                 fault: LegFault::Slow(delay),
-                ingresses: on,
+                ingresses: target_ingresses,
                 lasts,
             },
         };
@@ -646,7 +659,7 @@
     }
 }
 
-/// A list of numbers for people: `1, 2, 5`, or how many where there are many.
+/// Formats indexes as `1, 2, 5`, or as a count if there are more than eight.
 fn numbers(list: &[usize]) -> String {
     if list.len() > 8 {
         return format!("({} of them)", list.len());
@@ -657,7 +670,7 @@
         .join(", ")
 }
 
-/// What goes wrong, in plain words.
+/// Describes the fault for the event log.
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let s = |m: &Micros| *m as f64 / SECOND as f64;
--- a/crates/testbed/tests/files.rs
+++ b/crates/testbed/tests/files.rs
@@ -1,4 +1,4 @@
-//! Scenario files: each that is broken is refused with its line, its key and the reason, and each that ships is good.
+//! Scenario files: invalid files are rejected with line, key and reason, and all files in `scenarios/` are valid.
 
 use std::path::{Path, PathBuf};
 use wrenfork_testbed::arrivals::{Accounts, Arrivals};
@@ -13,20 +13,28 @@
 }
 
 #[test]
-fn every_file_that_ships_is_good_and_says_what_it_is_about() {
+fn all_included_scenarios_are_valid_and_have_a_description() {
     let files: Vec<PathBuf> = std::fs::read_dir(folder())
         .unwrap()
         .map(|e| e.unwrap().path())
         .collect();
-    assert!(files.len() >= 12, "at least twelve scenarios ship");
+    assert!(
+        files.len() >= 12,
+        "expected at least 12 scenarios, found {}",
+        files.len()
+    );
     for file in files {
         let scenario = Scenario::read(&file).unwrap_or_else(|found| panic!("{}", found[0]));
-        assert!(scenario.about.len() > 10, "{}", file.display());
+        assert!(
+            scenario.about.len() > 10,
+            "{}: `about` is too short",
+            file.display()
+        );
     }
 }
 
-/// A change of the good file, the line's text where it is found, the key that is named and a part of the reason.
-const BROKEN: &[(&str, &str, &str, &str)] = &[
+/// Text of the valid file, its replacement, and the key and a part of the reason in the resulting error.
+const INVALID_CHANGES: &[(&str, &str, &str, &str)] = &[
     ("version = 1", "version = 2", "version", "only version"),
     (
         "seed = 11",
@@ -153,8 +161,8 @@
     ("cores = 3", "cores = 0", "[[backends]]", "cores is from 1"),
 ];
 
-/// Rows of the timetable, the key that is named and a part of the reason.
-const BROKEN_ROWS: &[(&str, &str, &str)] = &[
+/// Invalid rows of the timetable, with the key and a part of the reason in the resulting error.
+const INVALID_ROWS: &[(&str, &str, &str)] = &[
     (
         "at = \"1s\"\nwhat = \"explode\"",
         "what",
@@ -282,15 +290,19 @@
     ),
 ];
 
-fn refused(source: &str, key: &str, reason: &str) {
+fn assert_rejected(source: &str, key: &str, reason: &str) {
     let found = Scenario::parse("broken.toml", source).expect_err(&format!("{key}: {reason}"));
-    let fits = found
+    let reported = found
         .iter()
         .any(|d| d.key.as_deref() == Some(key) && d.reason.contains(reason));
-    let told: Vec<String> = found.iter().map(ToString::to_string).collect();
-    assert!(fits, "wanted {key}: {reason}, got\n{}", told.join("\n"));
+    let messages: Vec<String> = found.iter().map(ToString::to_string).collect();
+    assert!(
+        reported,
+        "expected {key}: {reason}, got\n{}",
+        messages.join("\n")
+    );
     for d in &found {
-        let (line, column) = d.place.expect("a place");
+        let (line, column) = d.place.expect("error without line and column");
         assert!(
             line >= 1 && column >= 1 && line <= source.lines().count() + 1,
             "{d}"
@@ -299,24 +311,24 @@
 }
 
 #[test]
-fn a_broken_file_is_refused_with_its_key_and_the_reason() {
-    for (good, bad, key, reason) in BROKEN {
+fn invalid_file_is_rejected_with_key_and_reason() {
+    for (good, bad, key, reason) in INVALID_CHANGES {
         let source = calm();
-        assert!(source.contains(good), "the good file has no {good}");
-        refused(&source.replacen(good, bad, 1), key, reason);
+        assert!(source.contains(good), "calm.toml does not contain {good:?}");
+        assert_rejected(&source.replacen(good, bad, 1), key, reason);
     }
 }
 
 #[test]
-fn a_broken_row_of_the_timetable_is_refused_with_its_key_and_the_reason() {
-    for (row, key, reason) in BROKEN_ROWS {
-        refused(&format!("{}\n[[at]]\n{row}\n", calm()), key, reason);
+fn invalid_timetable_row_is_rejected_with_key_and_reason() {
+    for (row, key, reason) in INVALID_ROWS {
+        assert_rejected(&format!("{}\n[[at]]\n{row}\n", calm()), key, reason);
     }
 }
 
-/// Guards against telling one mistake at a time.
+/// Guards against reporting only the first error of a file.
 #[test]
-fn all_that_is_wrong_is_told_at_once() {
+fn all_errors_are_reported_together() {
     let source = calm()
         .replace("rate = 150", "rate = -1")
         .replace("cores = 3", "cores = 0");
@@ -327,16 +339,16 @@
 }
 
 #[test]
-fn what_is_no_toml_or_not_there_is_told() {
+fn syntax_error_and_missing_file_are_reported() {
     let found = Scenario::parse("broken.toml", "version = = 1").unwrap_err();
     assert_eq!(found[0].place.map(|p| p.0), Some(1));
     let found = Scenario::read(Path::new("/nowhere/at-all.toml")).unwrap_err();
     assert!(found[0].reason.contains("cannot read it"), "{}", found[0]);
 }
 
-/// Guards against a run that can't be repeated: the same file and seed give the same arrivals.
+/// Guards against runs that can't be reproduced from file and seed.
 #[test]
-fn the_same_seed_gives_the_same_arrivals_and_another_one_others() {
+fn arrivals_depend_on_the_seed_alone() {
     let arrivals = |seed: u64| {
         let mut scenario = Scenario::parse("calm.toml", &calm()).unwrap();
         scenario.seed = seed;
@@ -355,6 +367,6 @@
     let rate = one.len() as f64 / 4.0;
     assert!(
         (120.0..180.0).contains(&rate),
-        "150 a second are wanted, {rate} came"
+        "expected about 150 arrivals per second, got {rate}"
     );
 }
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,5 +1,5 @@
-//! The judge must be able to fail: an ingress that breaks one rule on purpose is found out, with that rule, with the
-//! request, and with no other rule.
+//! Tests that the judge detects violations: for an ingress that breaks one rule on purpose, the judge reports this rule
+//! and these requests, and no other rule.
 
 use std::collections::BTreeSet;
 use std::os::unix::fs::PermissionsExt;
@@ -11,8 +11,8 @@
 use wrenfork_testbed::rig::{play, Run};
 use wrenfork_testbed::scenario::Scenario;
 
-/// One at a time: a rig wants its core.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Serializes the runs: a rig needs a CPU core of its own.
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
 const WORLD: &str = r#"
 version = 1
@@ -60,7 +60,7 @@
 "#;
 
 fn run(wrong: &str, world: &str) -> Report {
-    let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
+    let _guard = RUN_LOCK.lock().unwrap_or_else(|e| e.into_inner());
     let scenario = Scenario::parse("world.toml", world).unwrap_or_else(|e| panic!("{}", e[0]));
     let dir = tempfile::tempdir().unwrap();
     let program = dir.path().join("ingress");
@@ -82,31 +82,35 @@
         )
         .unwrap_or_else(|e| panic!("{e}"))
     };
-    // A rig that the machine held up has no say: it is asked again.
+    // A run with late timers has no valid verdict and is repeated.
     for _ in 0..10 {
         let report = play_once(&program);
         if report.verdict != Verdict::Late {
             return report;
         }
     }
-    panic!("the machine is too busy for the rig");
+    panic!("the rig's timers were too late in all 10 runs: the machine is too busy");
 }
 
-/// Plays a wrong ingress and checks that the judge names just this rule, and no request but those that were wronged.
-fn found_out(wrong: &str, rule: Rule, more: &str) {
-    found_out_in(WORLD, wrong, rule, more);
+/// Runs the faulty ingress and checks that the judge reports only this rule, and only requests that the ingress logged.
+fn assert_detected(wrong: &str, rule: Rule, more: &str) {
+    assert_detected_in(WORLD, wrong, rule, more);
 }
 
-fn found_out_in(world: &str, wrong: &str, rule: Rule, more: &str) {
+fn assert_detected_in(world: &str, wrong: &str, rule: Rule, more: &str) {
     let report = run(wrong, &format!("{world}{more}"));
     let log = &report.ingress_logs[0];
-    let wronged: BTreeSet<u64> = log
+    let violated: BTreeSet<u64> = log
         .lines()
         .filter_map(|l| l.strip_prefix("wrong: "))
         .map(|id| u64::from_str_radix(id, 16).unwrap())
         .collect();
-    assert!(!wronged.is_empty(), "the ingress did no wrong");
-    assert_eq!(report.verdict, Verdict::Broken, "{wrong} was not found out");
+    assert!(!violated.is_empty(), "{wrong}: the ingress broke no rule");
+    assert_eq!(
+        report.verdict,
+        Verdict::Broken,
+        "{wrong}: the judge reported no violation"
+    );
     for count in &report.rules {
         assert_eq!(
             count.broken > 0,
@@ -117,15 +121,15 @@
     }
     for v in &report.violations {
         assert!(
-            wronged.contains(&v.request),
-            "{wrong}: the judge names another request: {v:?}"
+            violated.contains(&v.request),
+            "{wrong}: the judge reported a request that is not in the ingress log: {v:?}"
         );
     }
 }
 
-/// Guards against a judge that finds fault where there is none.
+/// Guards against false violations.
 #[test]
-fn an_ingress_that_keeps_all_rules_is_not_accused() {
+fn correct_ingress_has_no_violations() {
     let report = run("nothing", &format!("{WORLD}{RESETS}"));
     assert_eq!(
         report.verdict,
@@ -134,11 +138,18 @@
         report.violations,
         report.crashes
     );
-    assert!(report.served > 50, "it served {}", report.served);
-    assert!(report.failed > 0, "the resets hit nobody");
+    assert!(
+        report.served > 50,
+        "only {} requests were served",
+        report.served
+    );
+    assert!(
+        report.failed > 0,
+        "no request failed by the injected resets"
+    );
 }
 
-/// Backends that cut connections behind the last byte: what was sent may have run.
+/// Backends reset connections after the last byte of a command, so the request may have run.
 const RESETS: &str = "
 [[at]]
 at = \"200ms\"
@@ -148,52 +159,51 @@
 ";
 
 #[test]
-fn two_answers_to_one_request() {
-    found_out("twice", Rule::Answer, "");
+fn detects_two_answers_to_one_request() {
+    assert_detected("twice", Rule::Answer, "");
 }
 
 #[test]
-fn a_request_that_is_lost() {
-    found_out("lose", Rule::Answer, "");
+fn detects_a_lost_request() {
+    assert_detected("lose", Rule::Answer, "");
 }
 
 #[test]
-fn an_answer_after_its_time() {
-    found_out("late", Rule::Answer, "");
+fn detects_a_late_answer() {
+    assert_detected("late", Rule::Answer, "");
 }
 
 #[test]
-fn an_answer_that_no_backend_made() {
-    found_out("foreign", Rule::Answer, "");
+fn detects_an_answer_that_no_backend_sent() {
+    assert_detected("foreign", Rule::Answer, "");
 }
 
 #[test]
-fn a_request_sent_on_after_its_final_answer() {
-    found_out("after", Rule::Answer, "");
+fn detects_an_attempt_after_the_final_answer() {
+    assert_detected("after", Rule::Answer, "");
 }
 
 #[test]
-fn an_unsafe_request_sent_again_after_a_reset() {
-    found_out("resend", Rule::Effects, RESETS);
+fn detects_a_retry_of_an_unsafe_request_after_a_reset() {
+    assert_detected("resend", Rule::Effects, RESETS);
 }
 
-/// Of one request two attempts out at once, on a site that allows one.
+/// Two simultaneous attempts of a request without hedged requests.
 #[test]
-fn a_second_attempt_while_the_first_is_out() {
+fn detects_simultaneous_attempts() {
     let world = WORLD.replace("peers = false", "peers = false\nsecond_copies = false");
     let hang = "[[at]]\nat = \"200ms\"\nwhat = \"hang\"\nbackend = 0\nfor = \"1s\"\n";
-    found_out_in(&world, "copies", Rule::Effects, hang);
+    assert_detected_in(&world, "copies", Rule::Effects, hang);
 }
 
 #[test]
-fn an_unsafe_request_refused_though_it_may_have_run() {
-    found_out("refuse", Rule::Effects, RESETS);
+fn detects_a_refusal_of_an_unsafe_request_that_may_have_run() {
+    assert_detected("refuse", Rule::Effects, RESETS);
 }
 
-/// The ingress never asks discovery: it must be told all the same, so it takes its list from there once. What it
-/// was told counts, not what it makes of it.
+/// The faulty ingress reads discovery but ignores the content: the judge counts what discovery sent.
 #[test]
-fn new_work_for_a_backend_that_drains() {
+fn detects_new_work_for_a_draining_backend() {
     let world = format!("{WORLD}\n[[at]]\nat = \"100ms\"\nwhat = \"drain\"\nbackend = 2\n");
     let report = run("drain", &world.replace("1500ms", "2500ms"));
     let count = |rule: Rule| report.rules.iter().find(|c| c.rule == rule).unwrap().broken;
@@ -211,8 +221,8 @@
 }
 
 #[test]
-fn units_beyond_a_ceiling() {
-    found_out(
+fn detects_units_beyond_a_ceiling() {
+    assert_detected(
         "ceiling",
         Rule::Ceilings,
         "\n[[at]]\nat = \"100ms\"\nwhat = \"hot\"\naccounts = 1\nrate = 150\nfor = \"1s\"\n",
@@ -220,7 +230,7 @@
 }
 
 #[test]
-fn a_flood_for_a_cold_backend() {
+fn detects_an_overload_of_a_cold_backend() {
     let cold = "\n[[backends]]\ncount = 1\nmodel = \"m\"\nhall = \"hall-a\"\ncores = 1\nspeed = 0.1\ncold = true\nqueue = 200\n";
-    found_out("cold", Rule::Cold, cold);
+    assert_detected("cold", Rule::Cold, cold);
 }
--- a/crates/testbed/tests/wrong_ingress/main.rs
+++ b/crates/testbed/tests/wrong_ingress/main.rs
@@ -1,6 +1,6 @@
-//! An ingress that breaks one rule on purpose, for the judge to find: a thread for each client, a new connection to a
-//! backend for each attempt. `WRONG` says how it is wrong; without it, it is simple and keeps all rules. It writes the
-//! ids of the requests with which it broke a rule to standard error.
+//! A simple ingress that breaks one rule on purpose, to test the judge. It uses a thread for each client and a new
+//! backend connection for each attempt. The environment variable `WRONG` selects the fault; without it the ingress keeps
+//! all rules. It writes the ids of the requests with which it broke a rule to standard error.
 
 use serde_json::Value;
 use std::collections::HashMap;
@@ -16,9 +16,9 @@
     wrong: String,
     backends: Vec<(String, bool)>,
     next: AtomicUsize,
-    /// Units left of an account's ceiling, and when that was.
+    /// Ceiling units left for each account, and the time of that level.
     ceilings: Mutex<HashMap<String, (Instant, f64)>>,
-    /// Of the plan that has one: name, rate, burst.
+    /// Name, ceiling rate and ceiling burst of the plan with a ceiling.
     ceiling: (String, f64, f64),
     done: AtomicUsize,
 }
@@ -31,13 +31,13 @@
 }
 
 impl Ingress {
-    /// Whether to be wrong with this request; often enough, and not with all.
-    fn slips(&self, wrong: &str, id: &str) -> bool {
-        let slips = self.wrong == wrong && self.done.fetch_add(1, Ordering::SeqCst) % 10 == 5;
-        if slips {
+    /// Whether to apply the fault to this request (every tenth); logs the id if so.
+    fn misbehaves(&self, wrong: &str, id: &str) -> bool {
+        let misbehaves = self.wrong == wrong && self.done.fetch_add(1, Ordering::SeqCst) % 10 == 5;
+        if misbehaves {
             eprintln!("wrong: {id}");
         }
-        slips
+        misbehaves
     }
 
     fn backend(&self, id: &str) -> String {
@@ -55,24 +55,24 @@
         warm[self.next.fetch_add(1, Ordering::SeqCst) % warm.len()].clone()
     }
 
-    /// Takes a request's units from its ceiling; false if they are not there.
-    fn draw(&self, account: &str, options: &str) -> bool {
+    /// Takes a request's units from its account's ceiling; false if too few are left.
+    fn take_units(&self, account: &str, options: &str) -> bool {
         let (plan, rate, burst) = &self.ceiling;
         if option(options, "t=") != plan {
             return true;
         }
         let units: f64 = option(options, "units=").parse().unwrap_or(1.0);
-        let mut all = self.ceilings.lock().unwrap();
+        let mut ceilings = self.ceilings.lock().unwrap();
         let now = Instant::now();
-        let (at, left) = all.entry(account.to_string()).or_insert((now, *burst));
+        let (at, left) = ceilings.entry(account.to_string()).or_insert((now, *burst));
         *left = (*left + rate * at.elapsed().as_secs_f64()).min(*burst);
         *at = now;
-        // One that ignores the ceiling counts on all the same, to know with which requests it does wrong.
-        let room = *left >= units;
-        if room || self.wrong == "ceiling" {
+        // The fault `ceiling` keeps counting, to log which requests exceed the ceiling.
+        let enough = *left >= units;
+        if enough || self.wrong == "ceiling" {
             *left -= units;
         }
-        room
+        enough
     }
 
     fn attempt(&self, to: &str, call: &[u8], wait: Duration) -> Option<Vec<String>> {
@@ -82,8 +82,14 @@
         read_value(&mut BufReader::new(stream))
     }
 
-    /// Sends a second attempt while the first, which is not answered, is still out.
-    fn copy(&self, to: &str, id: &str, call: &[u8], wait: Duration) -> Option<Vec<String>> {
+    /// Sends a second attempt while the first is still outstanding.
+    fn attempt_twice(
+        &self,
+        to: &str,
+        id: &str,
+        call: &[u8],
+        wait: Duration,
+    ) -> Option<Vec<String>> {
         let mut first = TcpStream::connect(to).ok()?;
         first
             .set_read_timeout(Some(Duration::from_millis(100)))
@@ -103,7 +109,7 @@
     fn serve(&self, args: &[String]) -> Vec<u8> {
         let (id, options) = (&args[2], &args[3]);
         let wait = Duration::from_millis(option(options, "d=").parse().unwrap_or(100));
-        if !self.draw(&args[1], options) {
+        if !self.take_units(&args[1], options) {
             if self.wrong != "ceiling" {
                 return b"-BUSY 100\r\n".to_vec();
             }
@@ -111,7 +117,7 @@
         }
         let parts: Vec<&str> = args.iter().map(String::as_str).collect();
         let call = command(&parts);
-        if self.slips("after", id) {
+        if self.misbehaves("after", id) {
             let to = self.backend(id);
             thread::spawn(move || {
                 thread::sleep(Duration::from_millis(250));
@@ -122,31 +128,31 @@
             });
             return b"-BUSY\r\n".to_vec();
         }
-        if self.slips("late", id) {
-            // Past what the judge allows for (16 ms, and 50 on sockets) on a fast machine as on a slow one.
+        if self.misbehaves("late", id) {
+            // Later than the judge tolerates (16 ms plus 50 ms for sockets), on any machine.
             thread::sleep(wait + Duration::from_millis(120));
             return b"-ERR failed\r\n".to_vec();
         }
         let to = self.backend(id);
         let answer = match self.wrong.as_str() {
-            "copies" => self.copy(&to, id, &call, wait),
+            "copies" => self.attempt_twice(&to, id, &call, wait),
             _ => self.attempt(&to, &call, wait.mul_f64(0.8)),
         };
         match answer {
             Some(value) if value[0].starts_with("-BUSY") => b"-BUSY\r\n".to_vec(),
             Some(value) if !value[0].starts_with('-') => {
-                let value = if self.slips("foreign", id) {
+                let value = if self.misbehaves("foreign", id) {
                     "value of another"
                 } else {
                     &value[0]
                 };
                 let text = format!("${}\r\n{value}\r\n", value.len()).into_bytes();
-                if self.slips("twice", id) {
+                if self.misbehaves("twice", id) {
                     return [text.clone(), text].concat();
                 }
                 text
             }
-            // A reset, or silence: it may have run.
+            // Reset or no answer: the request may have run.
             _ if option(options, "c=") == "lender-referral" && self.wrong == "resend" => {
                 eprintln!("wrong: {id}");
                 self.attempt(&self.backend(id), &call, wait.mul_f64(0.1));
@@ -160,7 +166,7 @@
         }
     }
 
-    fn talk(&self, stream: TcpStream) {
+    fn serve_connection(&self, stream: TcpStream) {
         let Ok(mut out) = stream.try_clone() else {
             return;
         };
@@ -169,7 +175,7 @@
             let answer = match args.first().map(String::as_str) {
                 Some("PING") => b"+PONG\r\n".to_vec(),
                 Some(_) if args.len() >= 4 => {
-                    if self.slips("lose", &args[2]) {
+                    if self.misbehaves("lose", &args[2]) {
                         continue;
                     }
                     self.serve(&args)
@@ -183,8 +189,8 @@
     }
 }
 
-/// Hears what discovery tells, and makes nothing of it.
-fn hear(discovery: &str) {
+/// Polls discovery and ignores the content.
+fn poll_discovery(discovery: &str) {
     let Ok(mut stream) = TcpStream::connect(discovery) else {
         return;
     };
@@ -210,14 +216,14 @@
 
 fn main() {
     let mut text = String::new();
-    let path = std::env::var("LB_CONFIG").expect("LB_CONFIG is set");
+    let path = std::env::var("LB_CONFIG").expect("LB_CONFIG is not set");
     std::fs::File::open(path)
         .and_then(|mut f| f.read_to_string(&mut text))
-        .expect("a configuration");
-    let config: Value = serde_json::from_str(&text).expect("JSON");
+        .expect("configuration file is not readable");
+    let config: Value = serde_json::from_str(&text).expect("configuration is not JSON");
     let list = config["known"]["endpoints"]
         .as_array()
-        .expect("a list")
+        .expect("known.endpoints is not a list")
         .iter();
     let backends = list.map(|e| {
         (
@@ -249,10 +255,11 @@
     let ingress: &'static Ingress = Box::leak(Box::new(ingress));
     if ingress.wrong == "drain" {
         let discovery = config["discovery"].as_str().unwrap().to_string();
-        thread::spawn(move || hear(&discovery));
+        thread::spawn(move || poll_discovery(&discovery));
     }
-    let listener = TcpListener::bind(config["listen"].as_str().unwrap()).expect("a free address");
+    let listener = TcpListener::bind(config["listen"].as_str().unwrap())
+        .expect("cannot bind the listen address");
     for stream in listener.incoming().flatten() {
-        thread::spawn(move || ingress.talk(stream));
+        thread::spawn(move || ingress.serve_connection(stream));
     }
 }
