--- a/crates/ctl/examples/changes.rs
+++ b/crates/ctl/examples/changes.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use wrenfork_testbed::service_fixture::{
-    command, list, place, serve, until, Backend, Client, Ingress,
+    command, free_address, list, serve, until, Backend, Client, Ingress,
 };
 
 fn program(name: &str) -> PathBuf {
@@ -84,7 +84,9 @@
             .collect();
         fs::write(folder.path().join("fleet.json"), list(1, true, &entries))
             .expect("the list of nodes");
-        let (at, peers): (Vec<_>, Vec<_>) = (0..sidecars).map(|_| (place(), place())).unzip();
+        let (at, peers): (Vec<_>, Vec<_>) = (0..sidecars)
+            .map(|_| (free_address(), free_address()))
+            .unzip();
         let mut site = Site {
             folder,
             at,
--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -12,7 +12,7 @@
 use wrenfork_commit::state::Generation;
 use wrenfork_control_plane::{client, failpoints};
 use wrenfork_testbed::service_fixture::{
-    command, list, place, serve, served, until, Act, Backend, Client, Ingress, LONG,
+    command, free_address, list, serve, served, until, Act, Backend, Client, Ingress, WAIT_LIMIT,
 };
 
 /// How many sidecars there are, where it does not matter.
@@ -45,8 +45,8 @@
             fs::create_dir(folder.path().join(name)).unwrap();
         }
         let (at, peers) = (
-            (0..count).map(|_| place()).collect(),
-            (0..count).map(|_| place()).collect(),
+            (0..count).map(|_| free_address()).collect(),
+            (0..count).map(|_| free_address()).collect(),
         );
         let ingresses = (0..count).map(|_| None).collect();
         let site = Site {
@@ -164,7 +164,7 @@
     }
 
     fn status(&self, n: usize) -> (Generation, bool) {
-        match client::request(&self.control(n), &CommitRequest::Status, LONG) {
+        match client::request(&self.control(n), &CommitRequest::Status, WAIT_LIMIT) {
             Ok(CommitResponse::Status {
                 generation,
                 state,
@@ -660,7 +660,7 @@
     let at = site.control(0);
     let Ok(CommitResponse::Status {
         generation, state, ..
-    }) = client::request(&at, &CommitRequest::Status, LONG)
+    }) = client::request(&at, &CommitRequest::Status, WAIT_LIMIT)
     else {
         panic!()
     };
@@ -684,7 +684,7 @@
             ballot: 1,
             state: state.into(),
         },
-        LONG,
+        WAIT_LIMIT,
     )
     .unwrap();
     assert!(
--- a/crates/ctl/tests/group/rollout.rs
+++ b/crates/ctl/tests/group/rollout.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_rollout::RolloutPhase;
 use wrenfork_testbed::links::Fault;
-use wrenfork_testbed::service_fixture::LONG;
+use wrenfork_testbed::service_fixture::WAIT_LIMIT;
 
 /// Terms under which a stage is decided in some ten blocks of a second.
 const TERMS: &str =
@@ -49,7 +49,7 @@
                 return;
             }
             assert!(
-                start.elapsed() < 3 * LONG,
+                start.elapsed() < 3 * WAIT_LIMIT,
                 "in vain: {what}: {phase:?}\n{}",
                 self.logs()
             );
--- a/crates/ctl/tests/group/site.rs
+++ b/crates/ctl/tests/group/site.rs
@@ -15,7 +15,7 @@
 use wrenfork_testbed::judge::policy::{find_violations, Answer, Change, ReportedGeneration};
 use wrenfork_testbed::links::Links;
 use wrenfork_testbed::service_fixture::{
-    command, list, place, signal, Act, Backend, Client, Ingress, LONG,
+    command, free_address, list, signal, Act, Backend, Client, Ingress, WAIT_LIMIT,
 };
 
 /// The policies that tests go through: each sends quotes to a pool of its own, whose node says its name.
@@ -227,8 +227,8 @@
         )
         .unwrap();
         let mut group = Group {
-            at: (0..layout.ingresses).map(|_| place()).collect(),
-            peers: (0..layout.ingresses).map(|_| place()).collect(),
+            at: (0..layout.ingresses).map(|_| free_address()).collect(),
+            peers: (0..layout.ingresses).map(|_| free_address()).collect(),
             ingresses: (0..layout.ingresses).map(|_| None).collect(),
             witnesses: (0..layout.witnesses).map(|_| None).collect(),
             layout,
@@ -440,7 +440,7 @@
         let start = Instant::now();
         while !ready() {
             assert!(
-                start.elapsed() < LONG,
+                start.elapsed() < WAIT_LIMIT,
                 "waited in vain: {what}\n{}",
                 self.logs()
             );
@@ -477,7 +477,7 @@
     }
 
     pub fn stand(&self, n: usize) -> Option<GroupStatus> {
-        match client::request(&self.control(n), &GroupRequest::Status, LONG) {
+        match client::request(&self.control(n), &GroupRequest::Status, WAIT_LIMIT) {
             Ok(GroupResponse::Status(stand)) => Some(*stand),
             _ => None,
         }
@@ -656,7 +656,7 @@
                 last = format!("{digests:?} pending: {pending}, {last}");
             }
             assert!(
-                start.elapsed() < LONG,
+                start.elapsed() < WAIT_LIMIT,
                 "no agreement: {last}\n{}",
                 self.logs()
             );
--- a/crates/ctl/tests/reload.rs
+++ b/crates/ctl/tests/reload.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::process::{Command, Output};
 use wrenfork_testbed::service_fixture::{
-    command, list, place, serve, until, Backend, Client, Ingress,
+    command, free_address, list, serve, until, Backend, Client, Ingress,
 };
 
 fn good(name: &str) -> String {
@@ -22,7 +22,11 @@
 /// Guards against a reload that ends well although nothing was taken, or of which nobody hears how it ended.
 #[test]
 fn a_reload_tells_whether_the_files_were_taken() {
-    let (at, backend, folder) = (place(), Backend::start(serve), tempfile::tempdir().unwrap());
+    let (at, backend, folder) = (
+        free_address(),
+        Backend::start(serve),
+        tempfile::tempdir().unwrap(),
+    );
     let app = good("with-site-no-routes.toml").replace("127.0.0.1:7600", &at.to_string());
     let write = |name: &str, text: &str| fs::write(folder.path().join(name), text).unwrap();
     write("site.toml", &good("site.toml"));
--- a/crates/ingress/tests/accepted.rs
+++ b/crates/ingress/tests/accepted.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_config::set::Set;
 use wrenfork_config::source::Source;
-use wrenfork_testbed::service_fixture::{command, place, Client, Ingress};
+use wrenfork_testbed::service_fixture::{command, free_address, Client, Ingress};
 
 #[derive(Clone, Debug)]
 struct Class {
@@ -228,7 +228,7 @@
             "{taken} of {refused} are taken, {with_pools} with pools"
         );
         let files = strategy.new_tree(&mut runner).unwrap().current();
-        let at = place();
+        let at = free_address();
         let (site, app): (String, String) = (files.site(), files.app(at));
         if Set::from_sources([
             Source::new("site.toml", &site),
--- a/crates/ingress/tests/addresses.rs
+++ b/crates/ingress/tests/addresses.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 use wrenfork_testbed::service_fixture::{
-    command, entry, list, place, serve, until, Act, Backend, Client, Ingress,
+    command, entry, free_address, list, serve, until, Act, Backend, Client, Ingress,
 };
 
 const ACCOUNT: &str = "00000000000004d3";
@@ -97,7 +97,7 @@
 
     /// The same, where a connect may take so long.
     fn with(addresses: &[String], connect: &str) -> Site {
-        let (folder, at) = (tempfile::tempdir().unwrap(), place());
+        let (folder, at) = (tempfile::tempdir().unwrap(), free_address());
         let good = |name: &str| {
             fs::read_to_string(
                 Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -196,7 +196,7 @@
     let folder = tempfile::tempdir().unwrap();
     let (path, gone) = (folder.path().join("node"), folder.path().join("nobody"));
     let came = unix_door(&path, backend.at);
-    let dead = place();
+    let dead = free_address();
     let unix = |p: &Path| format!("unix:{}", p.display());
     let site = Site::new(&[
         dead.to_string(),
@@ -293,7 +293,7 @@
     let backend = Backend::start(|args| {
         // By its id: answered, cut off without a word, or refused.
         match args[2].bytes().map(usize::from).sum::<usize>() % 3 {
-            0 => Act::Hang,
+            0 => Act::Close,
             1 => serve(args),
             _ => Act::Say(b"-BUSY\r\n".to_vec()),
         }
--- a/crates/ingress/tests/endings.rs
+++ b/crates/ingress/tests/endings.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 use wrenfork_testbed::service_fixture::operators::figure;
 use wrenfork_testbed::service_fixture::{
-    call, command, leave, place, serve, served, stands_in, until, Act, Backend, Client, Discovery,
-    Ingress, Jammed, Setup, FIN_WAIT_1, LONG,
+    call, command, connection_in_state, free_address, leave, serve, served, until, Act, Backend,
+    Client, Discovery, Ingress, Jammed, Setup, FIN_WAIT_1, WAIT_LIMIT,
 };
 
 /// A setup whose connections to backends may take three seconds to come up: longer than the kernel takes to try again.
@@ -59,7 +59,7 @@
         until("the first attempt may break", || {
             told.load(Ordering::SeqCst)
         });
-        Act::Hang
+        Act::Close
     });
     // Two tries: a third one, a copy, would find the line cleared and come up in time.
     let setup = with(patient(&[&first]), r#""most_tries":3"#, r#""most_tries":2"#);
@@ -123,7 +123,7 @@
     leave(gone);
     ingress.signal("CONT");
     let mut came = Vec::new();
-    connection.set_read_timeout(Some(LONG)).unwrap();
+    connection.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     let end = connection.read_to_end(&mut came);
     assert!(end.is_ok() || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset));
     assert_eq!(String::from_utf8_lossy(&came), "");
@@ -141,7 +141,7 @@
     });
     let (mut setup, at) = (
         Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend]),
-        place(),
+        free_address(),
     );
     setup.more = format!(r#""management":"{at}","#);
     let ingress = setup.start();
@@ -312,7 +312,7 @@
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&ingress.at.into()).unwrap();
-    socket.set_read_timeout(Some(LONG)).unwrap();
+    socket.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     let mut client = Client(socket.into());
     client.send(&call("refer", "r1", 5000));
     until("it is answered", || {
@@ -326,7 +326,7 @@
 fn a_request_that_crosses(ingress: &Ingress, client: &mut Client, answer: &str) {
     let ours = client.0.local_addr().unwrap();
     until("the connection is being closed", || {
-        stands_in(FIN_WAIT_1, Some(ingress.at), ours)
+        connection_in_state(FIN_WAIT_1, Some(ingress.at), ours)
     });
     client.send(&call("refer", "crosses", 5000));
     assert!(client.answer() == answer, "the answer did not come whole");
--- a/crates/ingress/tests/handover/main.rs
+++ b/crates/ingress/tests/handover/main.rs
@@ -12,7 +12,8 @@
 use std::time::{Duration, Instant};
 use support::{attempts_by_id, half_way_until, long_value, longest_pause, Load, Platform, Sampler};
 use wrenfork_testbed::service_fixture::{
-    call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Jammed,
+    call, call_of, command, free_address, serve, served, until, Act, Backend, Client, Discovery,
+    Jammed,
 };
 
 /// Guards against connections that are closed or left unread, answers that go missing and effects that come twice, over two
@@ -144,7 +145,7 @@
             until("the first attempt may break", || {
                 told.load(Ordering::SeqCst)
             });
-            Act::Hang
+            Act::Close
         });
         let mut platform = Platform::new(&[&taken]);
         let settings = &mut platform.setup.settings;
@@ -411,7 +412,7 @@
         ("3<&0", "not at"), // a listener of another address
     ] {
         let mut platform = Platform::new(&[&backend]);
-        let own = place();
+        let own = free_address();
         platform.at = own;
         let mut process = platform.run(redirect);
         until("it says yes", || process.ask("readyz").starts_with("+OK"));
--- a/crates/ingress/tests/handover/support.rs
+++ b/crates/ingress/tests/handover/support.rs
@@ -10,7 +10,9 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::service_fixture::{call, place, until, Act, Backend, Client, Setup, LONG};
+use wrenfork_testbed::service_fixture::{
+    call, free_address, until, Act, Backend, Client, Setup, WAIT_LIMIT,
+};
 
 /// The platform: the clients' socket, the folder that all processes share, and the configuration.
 pub struct Platform {
@@ -28,7 +30,7 @@
 
 impl Platform {
     pub fn new(backends: &[&Backend]) -> Platform {
-        let listener = TcpListener::bind((place().ip(), 0)).unwrap();
+        let listener = TcpListener::bind((free_address().ip(), 0)).unwrap();
         let at = listener.local_addr().unwrap();
         let setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends);
         Platform {
@@ -47,7 +49,7 @@
 
     /// Starts `run` once more; the descriptor is passed as 3 unless another redirection is wanted.
     pub fn run(&self, redirect: &str) -> Process {
-        let (file, management) = (self.folder.path().join("config.json"), place());
+        let (file, management) = (self.folder.path().join("config.json"), free_address());
         std::fs::write(&file, self.setup.config(self.at)).unwrap();
         let mut command = Command::new("/bin/sh");
         command.args([
@@ -82,7 +84,7 @@
     pub fn ask(&self, call: &str) -> String {
         let mut text = String::new();
         if let Ok(mut stream) = TcpStream::connect(self.management) {
-            stream.set_read_timeout(Some(LONG)).unwrap();
+            stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
             let _ = stream.write_all(format!("{call}\n").as_bytes());
             let _ = stream.read_to_string(&mut text);
         }
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -9,7 +9,7 @@
 use wrenfork_identity::token::{sign, told, Claims};
 use wrenfork_identity::trust::written;
 use wrenfork_testbed::service_fixture::{
-    command, list, place, serve, served, until, Act, Backend, Client, Ingress,
+    command, free_address, list, serve, served, until, Act, Backend, Client, Ingress,
 };
 
 const OWN: &str = "00000000000004d3";
@@ -34,7 +34,7 @@
 
 impl Site {
     fn new(backend: &Backend, keys: &str) -> Site {
-        let (folder, at) = (tempfile::tempdir().unwrap(), place());
+        let (folder, at) = (tempfile::tempdir().unwrap(), free_address());
         let write = |name: &str, text: &str| fs::write(folder.path().join(name), text).unwrap();
         write("site.toml", &good("site.toml"));
         write("app.toml", &app(at, keys));
--- a/crates/ingress/tests/ingress/attempts.rs
+++ b/crates/ingress/tests/ingress/attempts.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use wrenfork_testbed::service_fixture::{
-    call, entry, place, serve, served, until, Act, Backend, Client,
+    call, entry, free_address, serve, served, until, Act, Backend, Client,
 };
 
 /// An unsafe request that a backend was given whole goes to nobody else, whatever becomes of it.
@@ -43,7 +43,10 @@
 /// Guards against taking a break behind the last byte for a connection that never was.
 #[test]
 fn a_request_that_must_not_run_twice_fails_with_a_reset_after_its_last_byte() {
-    assert_eq!(may_have_run(Backend::start(|_| Act::Hang)).1, "-ERR failed");
+    assert_eq!(
+        may_have_run(Backend::start(|_| Act::Close)).1,
+        "-ERR failed"
+    );
 }
 
 #[test]
@@ -206,14 +209,14 @@
 
 #[test]
 fn a_request_to_a_closed_port_is_retried_elsewhere() {
-    never_ran(place());
+    never_ran(free_address());
 }
 
 /// Guards against waiting for a connection for as long as for an answer: a machine that is cut off says nothing.
 #[test]
 fn a_connect_without_an_answer_times_out() {
     let silent = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    silent.bind(&place().into()).unwrap();
+    silent.bind(&free_address().into()).unwrap();
     silent.listen(0).unwrap();
     let at = silent.local_addr().unwrap().as_socket().unwrap();
     // What the line holds is taken; the kernel drops whatever comes then.
--- a/crates/ingress/tests/ingress/main.rs
+++ b/crates/ingress/tests/ingress/main.rs
@@ -11,7 +11,7 @@
 mod support;
 
 use support::setup;
-use wrenfork_testbed::service_fixture::{call, place, serve, Backend, Ingress};
+use wrenfork_testbed::service_fixture::{call, free_address, serve, Backend, Ingress};
 
 /// The command in deploy/balancer.toml; `.ci/run` hands it in.
 #[test]
@@ -31,7 +31,7 @@
 
 #[test]
 fn an_invalid_configuration_is_refused_with_its_key() {
-    let at = place();
+    let at = free_address();
     let good = setup(&[]).config(at);
     for (from, to, key) in [
         (
--- a/crates/ingress/tests/ingress/peers.rs
+++ b/crates/ingress/tests/ingress/peers.rs
@@ -3,11 +3,11 @@
 use crate::support::setup;
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::service_fixture::{call, place, serve, until, Backend, LONG};
+use wrenfork_testbed::service_fixture::{call, free_address, serve, until, Backend, WAIT_LIMIT};
 
 /// A socket that is read for 0.1 s.
 fn udp() -> UdpSocket {
-    let socket = UdpSocket::bind(place()).unwrap();
+    let socket = UdpSocket::bind(free_address()).unwrap();
     let timeout = Duration::from_millis(100);
     socket.set_read_timeout(Some(timeout)).unwrap();
     socket
@@ -17,7 +17,7 @@
 fn only_peers_are_believed_and_messages_are_short() {
     let backend = Backend::start(serve);
     let mut setup = setup(&[&backend]);
-    let (peer, stranger, own) = (udp(), udp(), place());
+    let (peer, stranger, own) = (udp(), udp(), free_address());
     setup.settings = setup.settings.replace(
         "\"may_probe\":true,\"peers\":false",
         "\"may_probe\":true,\"peers\":true",
@@ -48,7 +48,7 @@
     let mut told = None;
     until("the peer is told", || {
         told = hear(&peer).filter(|m| m[1] & 3 == 0 && m[8] > 0);
-        told.is_some() || start.elapsed() > LONG
+        told.is_some() || start.elapsed() > WAIT_LIMIT
     });
     assert_eq!(client.answer(), "value of q1");
     // The same message, asking for news, brings an answer if it comes from the peer, and only then.
--- a/crates/ingress/tests/management.rs
+++ b/crates/ingress/tests/management.rs
@@ -8,12 +8,16 @@
 use std::time::{Duration, Instant};
 use wrenfork_testbed::service_fixture::operators::{ask, figure};
 use wrenfork_testbed::service_fixture::{
-    call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Setup,
+    call, call_of, command, free_address, serve, served, until, Act, Backend, Client, Discovery,
+    Setup,
 };
 
 /// A setup whose ingress listens for operators.
 fn setup(backends: &[&Backend]) -> (Setup, SocketAddr) {
-    let (mut setup, at) = (Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends), place());
+    let (mut setup, at) = (
+        Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends),
+        free_address(),
+    );
     setup.more = format!(r#""management":"{at}","#);
     (setup, at)
 }
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use wrenfork_testbed::service_fixture::{
-    call, command, place, serve, until, Backend, Client, Discovery, Ingress, Setup,
+    call, command, free_address, serve, until, Backend, Client, Discovery, Ingress, Setup,
 };
 
 /// As many as the machines of the tests bear; the users run some hundreds.
@@ -47,7 +47,7 @@
         discovery: Some(discovery.at),
         ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend])
     };
-    let places: Vec<SocketAddr> = (0..PROCESSES).map(|_| place()).collect();
+    let places: Vec<SocketAddr> = (0..PROCESSES).map(|_| free_address()).collect();
     let (mut first, _) = start(&setup, &places);
     for (n, ingress) in first.iter_mut().enumerate() {
         if n % 2 == 0 {
--- a/crates/ingress/tests/sidecar.rs
+++ b/crates/ingress/tests/sidecar.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use wrenfork_testbed::service_fixture::{
-    command, list, place, read_value, serve, served, until, Act, Backend, Client, Discovery,
+    command, free_address, list, read_value, serve, served, until, Act, Backend, Client, Discovery,
     Ingress,
 };
 
@@ -69,7 +69,7 @@
 /// Guards against a request that spends another's plan, or more than its share, by saying so.
 #[test]
 fn claims_of_plan_and_spread_are_ignored() {
-    let (at, backend) = (place(), Backend::start(serve));
+    let (at, backend) = (free_address(), Backend::start(serve));
     let folder = Folder::new(&app(at), &[&backend]);
     let ingress = folder.start(at, "");
     let mut client = ingress.client();
@@ -89,7 +89,7 @@
 /// The starter plan lets 7 through at once, whatever plan is claimed.
 #[test]
 fn the_quota_is_that_of_the_accounts_own_plan() {
-    let (at, backend) = (place(), Backend::start(serve));
+    let (at, backend) = (free_address(), Backend::start(serve));
     let folder = Folder::new(&app(at), &[&backend]);
     let ingress = folder.start(at, "");
     let mut client = ingress.client();
@@ -114,7 +114,7 @@
 
 #[test]
 fn foreign_accounts_and_classes_not_allowed_are_refused() {
-    let (at, backend) = (place(), Backend::start(serve));
+    let (at, backend) = (free_address(), Backend::start(serve));
     let folder = Folder::new(&app(at), &[&backend]);
     let ingress = folder.start(at, "");
     let mut client = ingress.client();
@@ -147,7 +147,7 @@
 /// Guards against a sidecar that runs from a file that the check refuses, or does not say what is wrong with it.
 #[test]
 fn a_refused_file_starts_nothing_and_reports_all_errors() {
-    let at = place();
+    let at = free_address();
     let folder = Folder::new(
         &app(at)
             .replace("\"starter\"", "\"stater\"")
@@ -178,12 +178,12 @@
         .collect();
     names.sort();
     for name in names {
-        let at = place();
+        let at = free_address();
         let text = good(&name).replace("127.0.0.1:7600", &at.to_string());
         // One of a group alone starts, and turns away what comes.
         let (two, grouped) = (name.contains("two-sidecars"), name.contains("roster"));
         let text = (7946..=7949).fold(text, |text, port| {
-            text.replace(&format!("127.0.0.1:{port}"), &place().to_string())
+            text.replace(&format!("127.0.0.1:{port}"), &free_address().to_string())
         });
         let own = tempfile::tempdir().unwrap();
         let text = text
@@ -245,7 +245,7 @@
 #[test]
 fn requests_go_to_the_pools_of_their_routes_and_fall_back_when_these_drain() {
     let (at, fast, slow, other) = (
-        place(),
+        free_address(),
         Backend::start(serve),
         Backend::start(serve),
         Backend::start(serve),
@@ -308,7 +308,7 @@
 #[test]
 fn on_sighup_a_new_file_is_applied_completely_or_not_at_all() {
     let (at, backend) = (
-        place(),
+        free_address(),
         Backend::start(|args| Act::Later(std::time::Duration::from_millis(300), served(args))),
     );
     let folder = Folder::new(&app(at), &[&backend]);
@@ -381,7 +381,11 @@
     use std::io::{Read, Write};
     use std::os::unix::fs::PermissionsExt;
     use std::os::unix::net::UnixStream;
-    let (at, backend, run) = (place(), Backend::start(serve), tempfile::tempdir().unwrap());
+    let (at, backend, run) = (
+        free_address(),
+        Backend::start(serve),
+        tempfile::tempdir().unwrap(),
+    );
     let path = run.path().join("desk.sock");
     let text = app(at).replace(&at.to_string(), &format!("unix:{}", path.display()));
     let folder = Folder::new(&text, &[&backend]);
@@ -428,7 +432,11 @@
     use std::io::{Read, Write};
     use std::os::unix::net::UnixStream;
     let own = rustix::process::getuid().as_raw();
-    let (at, backend, run) = (place(), Backend::start(serve), tempfile::tempdir().unwrap());
+    let (at, backend, run) = (
+        free_address(),
+        Backend::start(serve),
+        tempfile::tempdir().unwrap(),
+    );
     let path = run.path().join("desk.sock");
     let listen = format!("\"{at}\"");
     for (users, lets) in [(vec![own + 1, own], true), (vec![own + 1], false)] {
@@ -476,7 +484,7 @@
 #[test]
 fn a_class_without_a_route_prefers_its_own_zone_then_the_nearest() {
     let (at, home, next, far) = (
-        place(),
+        free_address(),
         Backend::start(serve),
         Backend::start(serve),
         Backend::start(serve),
--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -103,8 +103,8 @@
         let (width, first) = self.set(account);
         let phase = hash_draw(self.seed, &[6, u64::from(account)]) * self.shift as f64;
         let epoch = (at + phase as Micros) / self.shift;
-        let all = self.ingresses;
-        let set = (0..u64::from(width)).map(|n| ((u64::from(first) + n) % all) as usize);
+        let ingress_count = self.ingresses;
+        let set = (0..u64::from(width)).map(|n| ((u64::from(first) + n) % ingress_count) as usize);
         let weights = set.clone().map(|i| {
             let draw = hash_draw(self.seed, &[7, u64::from(account), i as u64, epoch]);
             0.15 + 2.0 * draw * draw
--- a/crates/testbed/src/machine.rs
+++ b/crates/testbed/src/machine.rs
@@ -46,13 +46,13 @@
 
 /// Result of offering a request to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum OfferResult {
     /// Execution started and ends at this time.
-    Begun(Micros),
+    Started(Micros),
     /// The request is queued for a core.
-    Waits,
+    Queued,
     /// The request is rejected because the queue is full.
-    TurnedAway,
+    Rejected,
 }
 
 /// A backend process.
@@ -123,24 +123,24 @@
         while self.recent.front().is_some_and(|r| r.0 + COLD.over <= now) {
             self.recent.pop_front();
         }
-        let sent: f64 = self.recent.iter().map(|r| r.1 as f64).sum();
+        let recent_work: f64 = self.recent.iter().map(|r| r.1 as f64).sum();
         let capacity = self.cores as f64 * self.speed * warm * COLD.over as f64;
         // One request of tolerance: which request exceeds the budget last depends on timing.
-        self.fallen |= sent > COLD.factor * capacity + work as f64;
+        self.fallen |= recent_work > COLD.factor * capacity + work as f64;
         !self.fallen
     }
 
     /// Starts a request, queues it, or rejects it if the queue is full.
-    pub fn offer(&mut self, now: Micros, job: Job) -> Taken {
+    pub fn offer(&mut self, now: Micros, job: Job) -> OfferResult {
         self.account_busy_time(now);
         if self.running < self.cores {
             self.running += 1;
-            Taken::Begun(now + self.duration(job.work, now))
+            OfferResult::Started(now + self.duration(job.work, now))
         } else if self.waiting.len() < self.max_waiting {
             self.waiting.push_back(job);
-            Taken::Waits
+            OfferResult::Queued
         } else {
-            Taken::TurnedAway
+            OfferResult::Rejected
         }
     }
 
@@ -186,7 +186,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{BackendSet, Job, Machine, Micros, Taken, SECOND};
+    use super::{BackendSet, Job, Machine, Micros, OfferResult, SECOND};
 
     fn set() -> BackendSet {
         BackendSet {
@@ -209,13 +209,13 @@
         let job = |key| Job { key, work: 50_000 };
         assert_eq!(
             m.offer(0, job(1)),
-            Taken::Begun(100_000),
+            OfferResult::Started(100_000),
             "half the speed takes twice the time"
         );
-        assert_eq!(m.offer(0, job(2)), Taken::Begun(100_000));
+        assert_eq!(m.offer(0, job(2)), OfferResult::Started(100_000));
         assert_eq!(
             (m.offer(0, job(3)), m.offer(0, job(4))),
-            (Taken::Waits, Taken::TurnedAway)
+            (OfferResult::Queued, OfferResult::Rejected)
         );
         assert_eq!(m.done(100_000), Some((job(3), 200_000)));
         assert_eq!(
@@ -241,15 +241,15 @@
     /// A cold backend collapses when it is sent more than four times its current capacity within a second.
     #[test]
     fn cold_backend_collapses_under_overload_and_warm_one_does_not() {
-        let flood = |started: Micros| {
+        let survives_overload = |started: Micros| {
             let mut m = Machine::new(&set(), started, started);
             (0..60).all(|n| m.withstands(started + n * 10_000, 50_000))
         };
         assert!(
-            !flood(SECOND),
+            !survives_overload(SECOND),
             "3 s of work within 0.6 s, where 0.28 s can be done in a second"
         );
-        assert!(flood(0), "a warm backend collapsed");
+        assert!(survives_overload(0), "a warm backend collapsed");
         let mut m = Machine::new(&set(), SECOND, SECOND);
         assert!(
             (0..60).all(|n| m.withstands(SECOND + n * 50_000, 50_000)),
--- a/crates/testbed/src/rig/backends.rs
+++ b/crates/testbed/src/rig/backends.rs
@@ -6,7 +6,7 @@
 use super::pipe::{Flow, Pipe};
 use crate::arrivals::hash_draw;
 use crate::judge::Seen;
-use crate::machine::{Job, Machine, Taken};
+use crate::machine::{Job, Machine, OfferResult};
 use crate::scenario::{Effect, Micros, Reports, Scenario, SECOND};
 use mio::net::TcpListener;
 use mio::{Interest, Token};
@@ -507,7 +507,7 @@
                 work,
             },
         ) {
-            Taken::Begun(at) => {
+            OfferResult::Started(at) => {
                 let life = slot.life;
                 context.see(Seen::Ran { id });
                 context.at(
@@ -520,8 +520,8 @@
                     }),
                 );
             }
-            Taken::Waits => {}
-            Taken::TurnedAway => {
+            OfferResult::Queued => {}
+            OfferResult::Rejected => {
                 context.see(Seen::TurnedAway {
                     id,
                     backend: slot.ident,
--- a/crates/testbed/src/service_fixture.rs
+++ b/crates/testbed/src/service_fixture.rs
@@ -14,27 +14,28 @@
 use std::time::{Duration, Instant};
 
 /// Upper limit on waiting for an expected event.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Polls `ready` until it returns true; panics with `condition` after [`LONG`].
+/// Polls `ready` until it returns true; panics with `condition` after [`WAIT_LIMIT`].
 pub fn until(condition: &str, mut ready: impl FnMut() -> bool) {
     let start = Instant::now();
     while !ready() {
         assert!(
-            start.elapsed() < LONG,
-            "timed out after {LONG:?} waiting for: {condition}"
+            start.elapsed() < WAIT_LIMIT,
+            "timed out after {WAIT_LIMIT:?} waiting for: {condition}"
         );
         thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// A free port on a loopback address that only this test uses.
-pub fn place() -> SocketAddr {
+pub fn free_address() -> SocketAddr {
     address::free(address::own()).unwrap()
 }
 
 // ---- RESP2 encoding and decoding for the stand-ins ----
 
+/// Encodes a command as a RESP2 array of bulk strings.
 pub fn command(parts: &[&str]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", parts.len());
     parts
@@ -68,13 +69,13 @@
     }
 }
 
-/// A client connection to the ingress, with [`LONG`] as its read timeout.
+/// A client connection to the ingress, with [`WAIT_LIMIT`] as its read timeout.
 pub struct Client(pub TcpStream);
 
 impl Client {
     pub fn connect(to: SocketAddr) -> Client {
         let stream = TcpStream::connect(to).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         stream.set_nodelay(true).unwrap();
         Client(stream)
     }
@@ -108,6 +109,7 @@
     call_of(NEXT.fetch_add(1, Ordering::Relaxed), class, id, wait_ms)
 }
 
+/// Encodes a request of a given customer; the class decides between `CALL.GET` and `CALL.POST`.
 pub fn call_of(customer: usize, class: &str, id: &str, wait_ms: u32) -> Vec<u8> {
     let customer = format!("{customer:016x}");
     let options =
@@ -123,15 +125,18 @@
 
 /// How a backend responds to a command.
 pub enum Act {
+    /// Sends the answer at once.
     Say(Vec<u8>),
+    /// Sends the answer after a pause.
     Later(Duration, Vec<u8>),
     /// Sends this many bytes, pauses, then sends the rest.
     Parts(usize, Duration, Vec<u8>),
     /// Sends this many bytes, and the rest once the flag is set.
     Until(usize, Arc<AtomicBool>, Vec<u8>),
+    /// Sends nothing and keeps the connection open.
     Silent,
     /// Closes the connection.
-    Hang,
+    Close,
 }
 
 /// The answer of a healthy backend: the request id as the value.
@@ -185,7 +190,7 @@
                 let (seen, act) = (shared.clone(), act.clone());
                 seen.opened.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
-                    Self::talk(stream, &seen, &*act);
+                    Self::serve_connection(stream, &seen, &*act);
                     seen.ended.fetch_add(1, Ordering::SeqCst);
                 });
             }
@@ -193,7 +198,7 @@
         Backend { at, seen }
     }
 
-    fn talk(mut stream: TcpStream, seen: &Seen, act: &dyn Fn(&[String]) -> Act) {
+    fn serve_connection(mut stream: TcpStream, seen: &Seen, act: &dyn Fn(&[String]) -> Act) {
         let _ = stream.set_nodelay(true);
         let mut answered: Option<Instant> = None;
         loop {
@@ -236,7 +241,7 @@
                     stream.write_all(&bytes[at..])
                 }),
                 Act::Silent => Ok(()),
-                Act::Hang => return,
+                Act::Close => return,
             };
             if written.is_err() {
                 return;
@@ -254,15 +259,17 @@
     }
 }
 
+/// JSON of an endpoint list entry in zone `hall-a`.
 pub fn entry(name: &str, at: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{at}","zone":"hall-a","type":"std-3c","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
-pub fn list(index: u64, whole: bool, entries: &[String]) -> String {
+/// JSON of an endpoint list: a snapshot, or the changes up to `index`.
+pub fn list(index: u64, snapshot: bool, entries: &[String]) -> String {
     format!(
-        r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#,
+        r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
         entries.join(",")
     )
 }
@@ -272,7 +279,7 @@
 pub const FIN_WAIT_1: &str = "04";
 
 /// Whether a TCP connection from `from` (any address if `None`) to `to` is in the given state.
-pub fn stands_in(state: &str, from: Option<SocketAddr>, to: SocketAddr) -> bool {
+pub fn connection_in_state(state: &str, from: Option<SocketAddr>, to: SocketAddr) -> bool {
     let hex = |at: SocketAddr| {
         let SocketAddr::V4(at) = at else {
             panic!("{at} is not an IPv4 address")
@@ -308,7 +315,7 @@
     pub fn start() -> Jammed {
         let socket = || Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         let listener = socket();
-        listener.bind(&place().into()).unwrap();
+        listener.bind(&free_address().into()).unwrap();
         listener.listen(0).unwrap();
         let at = listener.local_addr().unwrap();
         let mut queued = Vec::new();
@@ -347,7 +354,7 @@
 
     /// Whether a connection attempt is in progress.
     pub fn tried(&self) -> bool {
-        stands_in(SYN_SENT, None, self.at)
+        connection_in_state(SYN_SENT, None, self.at)
     }
 }
 
@@ -408,7 +415,7 @@
                 let number = opened.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
                     let mute = || number < muted.load(Ordering::SeqCst);
-                    Self::talk(
+                    Self::serve_connection(
                         stream,
                         &changes,
                         [&silent, &down, &overbooked],
@@ -421,7 +428,7 @@
         d
     }
 
-    fn talk(
+    fn serve_connection(
         mut stream: TcpStream,
         changes: &Mutex<Changes>,
         [silent, down, overbooked]: [&AtomicBool; 3],
@@ -616,7 +623,7 @@
 
     /// Starts an ingress with a shell command and waits until it answers PING.
     pub fn start_with(&self, program: &str) -> Ingress {
-        let at = place();
+        let at = free_address();
         let ingress = Ingress::run(&self.config(at), at, program);
         until("the ingress to answer PING", || {
             TcpStream::connect(at)
@@ -708,12 +715,12 @@
 
 /// Queries to the management address of an ingress.
 pub mod operators {
-    use super::{Read, SocketAddr, TcpStream, Write, LONG};
+    use super::{Read, SocketAddr, TcpStream, Write, WAIT_LIMIT};
 
     /// Sends a line and reads the answer until the connection ends.
     pub fn ask(at: SocketAddr, line: &str) -> String {
         let mut stream = TcpStream::connect(at).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         stream.write_all(line.as_bytes()).unwrap();
         let mut text = String::new();
         stream.read_to_string(&mut text).unwrap();
