--- a/crates/ctl/src/fleet/run.rs
+++ b/crates/ctl/src/fleet/run.rs
@@ -200,7 +200,7 @@
         return;
     }
     println!("    by second {}", style::bars(&r.seconds));
-    let parts = |list: &[wrenfork_testbed::report::Part]| {
+    let parts = |list: &[wrenfork_testbed::report::WorthShare]| {
         list.iter()
             .map(|p| format!("{} {:.3}", p.name, p.share))
             .collect::<Vec<_>>()
--- a/crates/testbed/src/arrivals.rs
+++ b/crates/testbed/src/arrivals.rs
@@ -80,7 +80,7 @@
     }
 
     /// Size of an account's set of ingresses, and the index of its first ingress.
-    pub fn set(&self, account: u32) -> (u16, u16) {
+    pub fn ingress_set(&self, account: u32) -> (u16, u16) {
         let (low, high) = (f64::from(self.spread.0), f64::from(self.spread.1));
         let width = low + hash_draw(self.seed, &[2, u64::from(account)]) * (high - low + 1.0);
         let first = hash_draw(self.seed, &[3, u64::from(account)]) * self.ingresses as f64;
@@ -100,7 +100,7 @@
     /// The ingresses of an account's set in the order in which the front tries them for a request. The weights for the
     /// first choice are uneven and change over time.
     pub fn ingress_order(&self, account: u32, at: Micros, draw: f64) -> Vec<usize> {
-        let (width, first) = self.set(account);
+        let (width, first) = self.ingress_set(account);
         let phase = hash_draw(self.seed, &[6, u64::from(account)]) * self.shift as f64;
         let epoch = (at + phase as Micros) / self.shift;
         let ingress_count = self.ingresses;
--- a/crates/testbed/src/judge/mod.rs
+++ b/crates/testbed/src/judge/mod.rs
@@ -7,7 +7,7 @@
 mod tests;
 mod worth;
 
-pub use worth::{Cell, Worth};
+pub use worth::{Worth, WorthTotals};
 
 use crate::machine::{self, COLD};
 use crate::scenario::{Effect, Micros, Scenario, SECOND};
@@ -144,7 +144,7 @@
     /// Bytes from an ingress to its backends are delayed by this time.
     Slow(usize, Micros),
     /// Discovery sent an ingress the state of a backend.
-    Told {
+    BackendReported {
         /// Index of the ingress.
         ingress: usize,
         /// Identity of the backend; a backend with a new name has a new identity.
@@ -174,14 +174,14 @@
         started: Micros,
     },
     /// An attempt ended: its answer was written or its connection closed.
-    Over {
+    AttemptEnded {
         /// Id of the request.
         id: u64,
         /// Identity of the backend.
         backend: usize,
     },
     /// A backend rejected a request without running it.
-    TurnedAway {
+    Rejected {
         /// Id of the request.
         id: u64,
         /// Identity of the backend.
@@ -222,7 +222,7 @@
 }
 
 /// State of a backend as discovery sent it to an ingress.
-struct Told {
+struct ReportedState {
     up: bool,
     since: Micros,
     started: Micros,
@@ -235,9 +235,10 @@
     second_copies: bool,
     drain_grace: Micros,
     /// Number of outstanding attempts by account.
-    out: HashMap<u32, u32>,
+    outstanding: HashMap<u32, u32>,
     requests: HashMap<u64, Request>,
-    told: HashMap<(usize, usize), Told>,
+    /// State of each backend as discovery last sent it, by ingress and backend.
+    reported: HashMap<(usize, usize), ReportedState>,
     /// Ingresses that were killed. Requests that reach their sockets before the process is gone are lost too.
     killed: HashSet<usize>,
     /// Paused ingresses with the time at which they were paused.
@@ -271,9 +272,9 @@
             plans: s.plans.clone(),
             second_copies: s.network.second_copies,
             drain_grace: s.network.drain_grace,
-            out: HashMap::new(),
+            outstanding: HashMap::new(),
             requests: HashMap::new(),
-            told: HashMap::new(),
+            reported: HashMap::new(),
             killed: HashSet::new(),
             frozen: HashMap::new(),
             resumed: HashMap::new(),
@@ -379,25 +380,28 @@
                 let slow = self.slow.entry(ingress).or_default();
                 *slow = delay.max(*slow);
             }
-            Seen::Told {
+            Seen::BackendReported {
                 ingress,
                 backend,
                 up,
                 started,
             } => {
-                let told = self.told.entry((ingress, backend)).or_insert(Told {
-                    up,
-                    since: at,
-                    started,
-                });
-                if told.up != up {
-                    (told.up, told.since) = (up, at);
+                let reported = self
+                    .reported
+                    .entry((ingress, backend))
+                    .or_insert(ReportedState {
+                        up,
+                        since: at,
+                        started,
+                    });
+                if reported.up != up {
+                    (reported.up, reported.since) = (up, at);
                 }
-                told.started = started;
+                reported.started = started;
             }
             Seen::Reached { .. } => self.reached(at, seen),
-            Seen::Over { id, backend } => self.attempt_over(at, id, backend),
-            Seen::TurnedAway { id, backend } => {
+            Seen::AttemptEnded { id, backend } => self.attempt_ended(at, id, backend),
+            Seen::Rejected { id, backend } => {
                 let attempts = self.requests.get_mut(&id).map(|r| &mut r.attempts);
                 let last = attempts
                     .and_then(|a| a.iter_mut().rev().find(|a| a.backend == backend && !a.void));
@@ -572,7 +576,7 @@
             void: false,
             over: false,
         });
-        let out = self.out.entry(try_.account).or_default();
+        let out = self.outstanding.entry(try_.account).or_default();
         *out += 1;
         let others = *out - 1;
         if let Some(what) = wrong {
@@ -607,7 +611,7 @@
 
     /// Ends an attempt. Where hedged requests are off, the next attempt must not have been sent long before that; the
     /// tolerance covers seeing the end of one connection later than bytes on another.
-    fn attempt_over(&mut self, at: Micros, id: u64, backend: usize) {
+    fn attempt_ended(&mut self, at: Micros, id: u64, backend: usize) {
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
@@ -624,7 +628,7 @@
             .iter()
             .find(|a| at > a.at + ON_SOCKETS + send_delay);
         let second = second.map(|a| (a.backend, (at - a.at) / 1000));
-        let out = self.out.entry(r.try_.account).or_default();
+        let out = self.outstanding.entry(r.try_.account).or_default();
         *out = out.saturating_sub(1);
         if let Some((other, ms)) = second.filter(|_| !self.second_copies) {
             let what =
@@ -641,14 +645,14 @@
         backend: usize,
         first_byte: Micros,
     ) {
-        let Some(told) = self.told.get(&(ingress, backend)).filter(|t| !t.up) else {
+        let Some(reported) = self.reported.get(&(ingress, backend)).filter(|t| !t.up) else {
             return;
         };
         // A paused ingress could not react to the drain.
-        if first_byte > told.since + self.drain_grace + ON_SOCKETS
+        if first_byte > reported.since + self.drain_grace + ON_SOCKETS
             && !self.excused(ingress, first_byte - SECOND)
         {
-            let by = (first_byte - told.since) / 1000;
+            let by = (first_byte - reported.since) / 1000;
             let what = format!(
                 "ingress {ingress} sent it to backend {backend} {by} ms after it was told to drain it"
             );
@@ -672,7 +676,7 @@
             return;
         }
         let informed = self
-            .told
+            .reported
             .get(&(ingress, backend))
             .is_some_and(|t| t.started == started);
         let recent = self.cold.entry(backend).or_default();
@@ -718,7 +722,7 @@
             .collect();
         open_attempts
             .into_iter()
-            .for_each(|(id, backend)| self.attempt_over(at, id, backend));
+            .for_each(|(id, backend)| self.attempt_ended(at, id, backend));
         let late =
             |r: &Request| r.end == End::Open && at > r.try_.deadline + ANSWER_SLACK + ON_SOCKETS;
         let mut open: Vec<u64> = self
--- a/crates/testbed/src/judge/tests.rs
+++ b/crates/testbed/src/judge/tests.rs
@@ -136,7 +136,7 @@
         asked(&mut j, 0, 1, 2);
         reached(&mut j, 0, 1, 0, 0);
         if turned_away {
-            j.note(1, Seen::TurnedAway { id: 1, backend: 0 });
+            j.note(1, Seen::Rejected { id: 1, backend: 0 });
         }
         reached(&mut j, 2, 1, 1, 0);
         assert_eq!(rules(&j).is_empty(), turned_away);
@@ -148,7 +148,7 @@
     let told = |j: &mut Judge, at, up| {
         j.note(
             at,
-            Seen::Told {
+            Seen::BackendReported {
                 ingress: 0,
                 backend: 5,
                 up,
@@ -202,7 +202,7 @@
         asked(&mut j, 0, 1, 0);
         reached(&mut j, 10, 1, 0, 0);
         reached(&mut j, 100, 1, 1, 0);
-        j.note(ends, Seen::Over { id: 1, backend: 0 });
+        j.note(ends, Seen::AttemptEnded { id: 1, backend: 0 });
         assert_eq!(
             rules(&j).contains(&Rule::Effects),
             broken,
@@ -213,15 +213,15 @@
     let mut j = strict();
     asked(&mut j, 0, 1, 0);
     reached(&mut j, 10, 1, 0, 0);
-    j.note(20, Seen::Over { id: 1, backend: 0 });
+    j.note(20, Seen::AttemptEnded { id: 1, backend: 0 });
     reached(&mut j, 30, 1, 1, 0);
-    j.note(SECOND, Seen::Over { id: 1, backend: 1 });
+    j.note(SECOND, Seen::AttemptEnded { id: 1, backend: 1 });
     assert_eq!(rules(&j), []);
     let mut j = judge();
     asked(&mut j, 0, 1, 0);
     reached(&mut j, 10, 1, 0, 0);
     reached(&mut j, 20, 1, 1, 0);
-    j.note(SECOND, Seen::Over { id: 1, backend: 0 });
+    j.note(SECOND, Seen::AttemptEnded { id: 1, backend: 0 });
     assert_eq!(rules(&j), []);
 }
 
@@ -251,8 +251,8 @@
         };
         j.note(0, Seen::Asked(try_, 0));
         if id == 4 {
-            j.note(35, Seen::Over { id: 1, backend: 0 });
-            j.note(35, Seen::Over { id: 2, backend: 0 });
+            j.note(35, Seen::AttemptEnded { id: 1, backend: 0 });
+            j.note(35, Seen::AttemptEnded { id: 2, backend: 0 });
         }
         reached(&mut j, 10 * id, id, 0, 0);
     }
--- a/crates/testbed/src/judge/worth.rs
+++ b/crates/testbed/src/judge/worth.rs
@@ -11,14 +11,14 @@
 
 /// Worth offered inside the quotas, and the part of it that was earned.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Cell {
+pub struct WorthTotals {
     /// Worth of the first tries that a single gateway for all traffic would admit.
     pub offered: f64,
     /// Worth of the first tries that were served within the class's `aim`.
     pub earned: f64,
 }
 
-impl Cell {
+impl WorthTotals {
     /// Share of `offered` that was earned; 1 if nothing was offered.
     pub fn share(&self) -> f64 {
         if self.offered > 0.0 {
@@ -46,9 +46,9 @@
     sent: Stores,
     firsts: HashMap<u64, First>,
     beyond: HashSet<u64>,
-    by_class: Vec<Cell>,
-    by_plan: Vec<Cell>,
-    by_second: Vec<Cell>,
+    by_class: Vec<WorthTotals>,
+    by_plan: Vec<WorthTotals>,
+    by_second: Vec<WorthTotals>,
     lost_beyond: f64,
     /// Number of tries that were served.
     pub served: u64,
@@ -73,8 +73,8 @@
             sent: Stores::default(),
             firsts: HashMap::new(),
             beyond: HashSet::new(),
-            by_class: vec![Cell::default(); s.classes.len()],
-            by_plan: vec![Cell::default(); s.plans.len()],
+            by_class: vec![WorthTotals::default(); s.classes.len()],
+            by_plan: vec![WorthTotals::default(); s.plans.len()],
             by_second: Vec::new(),
             lost_beyond: 0.0,
             served: 0,
@@ -104,7 +104,7 @@
         if inside {
             let second = (at.saturating_sub(self.start) / SECOND) as usize;
             if self.by_second.len() <= second {
-                self.by_second.resize(second + 1, Cell::default());
+                self.by_second.resize(second + 1, WorthTotals::default());
             }
             self.by_second[second].offered += worth;
             self.by_class[t.class].offered += worth;
@@ -156,7 +156,7 @@
     }
 
     /// Worth of the whole run.
-    pub fn whole(&self) -> Cell {
+    pub fn whole(&self) -> WorthTotals {
         self.sum(&self.by_second)
     }
 
@@ -166,20 +166,22 @@
     }
 
     /// Worth by class and by plan, in the order of the scenario.
-    pub fn parts(&self) -> (&[Cell], &[Cell]) {
+    pub fn parts(&self) -> (&[WorthTotals], &[WorthTotals]) {
         (&self.by_class, &self.by_plan)
     }
 
     /// Share of the offered worth earned in each second.
     pub fn seconds(&self) -> Vec<f64> {
-        self.by_second.iter().map(Cell::share).collect()
+        self.by_second.iter().map(WorthTotals::share).collect()
     }
 
-    fn sum(&self, cells: &[Cell]) -> Cell {
-        cells.iter().fold(Cell::default(), |a, c| Cell {
-            offered: a.offered + c.offered,
-            earned: a.earned + c.earned,
-        })
+    fn sum(&self, cells: &[WorthTotals]) -> WorthTotals {
+        cells
+            .iter()
+            .fold(WorthTotals::default(), |a, c| WorthTotals {
+                offered: a.offered + c.offered,
+                earned: a.earned + c.earned,
+            })
     }
 
     /// The ten consecutive seconds (or the whole run if shorter) with the lowest share: their start in seconds, and the
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -103,7 +103,7 @@
 
 /// Worth offered and earned for a class or a plan.
 #[derive(Clone, Debug, Serialize)]
-pub struct Part {
+pub struct WorthShare {
     /// Name of the class or plan.
     pub name: String,
     /// Worth of the first tries inside the quotas.
@@ -114,7 +114,7 @@
 
 /// Resources that an ingress used.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Used {
+pub struct ResourceUsage {
     /// CPU time in microseconds.
     pub cpu_us: Micros,
     /// Peak resident memory in kilobytes.
@@ -165,13 +165,13 @@
     /// Share of the offered worth that was earned in each second.
     pub seconds: Vec<f64>,
     /// Worth by class.
-    pub classes: Vec<Part>,
+    pub classes: Vec<WorthShare>,
     /// Worth by plan.
-    pub plans: Vec<Part>,
+    pub plans: Vec<WorthShare>,
     /// CPU time of all ingresses per first try, in microseconds.
     pub cpu_per_request_us: f64,
     /// Resources used by each ingress.
-    pub ingresses: Vec<Used>,
+    pub ingresses: Vec<ResourceUsage>,
     /// Coefficient of variation (standard deviation over mean) of attempts per unit of backend capacity.
     pub spread: f64,
     /// Counters of the rig.
@@ -199,7 +199,7 @@
         let worth = judge.worth();
         let counts = judge.counts();
         let (by_class, by_plan) = worth.parts();
-        let part = |name: &String, c: &crate::judge::Cell| Part {
+        let part = |name: &String, c: &crate::judge::WorthTotals| WorthShare {
             name: name.clone(),
             offered: c.offered,
             share: c.share(),
@@ -253,7 +253,7 @@
             cpu_per_request_us: cpu as f64 / worth.asked.max(1) as f64,
             ingresses: usage
                 .iter()
-                .map(|u| Used {
+                .map(|u| ResourceUsage {
                     cpu_us: u.0,
                     memory_kb: u.1,
                     descriptors: u.2,
--- a/crates/testbed/src/rig/backends.rs
+++ b/crates/testbed/src/rig/backends.rs
@@ -286,7 +286,7 @@
         let runs_on = self.scenario.set_of(conn.slot).runs_on;
         let backend = self.slots[conn.slot].ident;
         for Owed { number, id, .. } in conn.waiting {
-            context.see(Seen::Over { id, backend });
+            context.see(Seen::AttemptEnded { id, backend });
             // What waits is dropped, where work does not run on; what runs goes on, and its answer reaches nobody.
             let Some(work) = number.filter(|_| !runs_on) else {
                 continue;
@@ -522,7 +522,7 @@
             }
             OfferResult::Queued => {}
             OfferResult::Rejected => {
-                context.see(Seen::TurnedAway {
+                context.see(Seen::Rejected {
                     id,
                     backend: slot.ident,
                 });
@@ -642,7 +642,7 @@
             else {
                 return;
             };
-            context.see(Seen::Over { id, backend });
+            context.see(Seen::AttemptEnded { id, backend });
             match mode {
                 Mode::Spoil => {
                     let at = text.len() / 2;
--- a/crates/testbed/src/rig/clients.rs
+++ b/crates/testbed/src/rig/clients.rs
@@ -745,7 +745,7 @@
 /// A try as a command.
 fn command(s: &Scenario, op: &Op, id: u64, wait: Micros, accounts: &Accounts) -> Vec<u8> {
     let class = &s.classes[op.class];
-    let (width, first) = accounts.set(op.account);
+    let (width, first) = accounts.ingress_set(op.account);
     let key = match class.effect {
         Effect::Keyed { .. } => format!(",k={:016x}", op.first),
         _ => String::new(),
--- a/crates/testbed/src/rig/discovery.rs
+++ b/crates/testbed/src/rig/discovery.rs
@@ -119,7 +119,7 @@
         for ingress in 0..self.agents.len() {
             for line in &self.changes {
                 let (backend, up, started) = (line.ident, line.status == "up", line.started);
-                context.see(Seen::Told {
+                context.see(Seen::BackendReported {
                     ingress,
                     backend,
                     up,
@@ -302,7 +302,7 @@
         }
         for line in lines.values() {
             let (backend, up, started) = (line.ident, line.status == "up", line.started);
-            context.see(Seen::Told {
+            context.see(Seen::BackendReported {
                 ingress,
                 backend,
                 up,
--- a/crates/testbed/src/rig/mod.rs
+++ b/crates/testbed/src/rig/mod.rs
@@ -403,7 +403,9 @@
         for (at, seen) in std::mem::take(&mut self.context.seen) {
             // What discovery writes is told once it has passed the way to the ingress.
             let way = match seen {
-                Seen::Told { ingress, .. } => self.relays.fault((Leg::Discovery, ingress)),
+                Seen::BackendReported { ingress, .. } => {
+                    self.relays.fault((Leg::Discovery, ingress))
+                }
                 _ => None,
             };
             match way {
