--- a/crates/ctl/examples/changes.rs
+++ b/crates/ctl/examples/changes.rs
@@ -12,7 +12,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{command, list, place, serve, until, Backend, Client, Ingress};
+use wrenfork_testbed::service_fixture::{
+    command, free_address, list, serve, until, Backend, Client, Ingress,
+};
 
 fn program(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("this program's path");
@@ -82,7 +84,9 @@
             .collect();
         fs::write(folder.path().join("fleet.json"), list(1, true, &entries))
             .expect("the list of nodes");
-        let (at, peers): (Vec<_>, Vec<_>) = (0..sidecars).map(|_| (place(), place())).unzip();
+        let (at, peers): (Vec<_>, Vec<_>) = (0..sidecars)
+            .map(|_| (free_address(), free_address()))
+            .unzip();
         let mut site = Site {
             folder,
             at,
