--- a/crates/config/src/callers.rs
+++ b/crates/config/src/callers.rs
@@ -5,7 +5,7 @@
 use crate::pairs::Pairs;
 use crate::values;
 use wrenfork_identity::rights::{Tenant, Tenants};
-use wrenfork_identity::trust::{public, Issuer, Key, Trust};
+use wrenfork_identity::trust::{parse_public_key, Issuer, Key, Trust};
 
 const SECOND: u64 = 1_000_000;
 /// The key that says that callers are asked at all.
@@ -25,7 +25,7 @@
 /// What a file trusts; a key that is none has been told.
 pub fn trust(from: &Identity) -> Trust {
     let key = |k: &crate::model::IssuerKey| {
-        let public = public(&k.public.value)?;
+        let public = parse_public_key(&k.public.value)?;
         Some(Key {
             name: k.name.value.clone(),
             public,
@@ -44,7 +44,7 @@
             .map_or(String::new(), |a| a.value.clone()),
         issuers: issuers.collect(),
         skew: from.skew / SECOND,
-        longest: from.longest / SECOND,
+        max_lifetime: from.longest / SECOND,
     }
 }
 
@@ -120,7 +120,7 @@
         audience: audience.clone(),
         issuers: Vec::new(),
         skew: whole("identity.skew_s")?,
-        longest: whole("identity.longest_s")?,
+        max_lifetime: whole("identity.longest_s")?,
     };
     let below = |prefix: &'static str, field: &'static str| {
         let rows = state.iter().filter_map(move |(key, value)| {
@@ -136,7 +136,8 @@
         let (issuer, key) = name
             .split_once('/')
             .ok_or_else(|| format!("{at} names no key"))?;
-        let public = public(&text).ok_or_else(|| format!("{at}.public is no public key"))?;
+        let public =
+            parse_public_key(&text).ok_or_else(|| format!("{at}.public is no public key"))?;
         let until = state
             .contains_key(&format!("{at}.until"))
             .then(|| whole(&format!("{at}.until")))
--- a/crates/config/src/check/identity.rs
+++ b/crates/config/src/check/identity.rs
@@ -5,8 +5,8 @@
 use crate::codes::Code;
 use crate::diagnostic::Diagnostic;
 use crate::model::{Application, Identity, Issuer, Site, Tenant};
-use wrenfork_identity::token::told;
-use wrenfork_identity::trust::Doubt;
+use wrenfork_identity::token::format_time;
+use wrenfork_identity::trust::RotationProblem;
 
 /// Who may call: names once, keys without a gap, and accounts and classes that there are. Whether tenants' accounts must
 /// be the application's own is `own`.
@@ -42,11 +42,13 @@
     trust.issuers.retain(|i| i.name == *name);
     // From the first key's start on: there is no clock here, and a gap is one whenever it comes.
     let start = issuer.keys.iter().map(|k| k.from).min().unwrap_or(0);
-    for doubt in trust.rotation(start) {
-        let message = match &doubt {
-            Doubt::Gap(_, at) => format!("issuer \"{name}\" has no key from {} on", told(*at)),
-            Doubt::Never(_, key) => format!("key \"{key}\" ends before it begins"),
-            Doubt::NoKey(_) | Doubt::Twice(..) => continue,
+    for problem in trust.rotation_problems(start) {
+        let message = match &problem {
+            RotationProblem::Gap(_, at) => {
+                format!("issuer \"{name}\" has no key from {} on", format_time(*at))
+            }
+            RotationProblem::EmptyPeriod(_, key) => format!("key \"{key}\" ends before it begins"),
+            RotationProblem::NoKey(_) | RotationProblem::DuplicateKey(..) => continue,
         };
         found.push(a.wrong(Code::NoKeyNow, &issuer.name, message));
     }
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -196,7 +196,7 @@
 ///
 /// With what is wrong, in words.
 pub fn public_key(text: &str) -> Result<String, String> {
-    wrenfork_identity::trust::public(text)
+    wrenfork_identity::trust::parse_public_key(text)
         .map(|_| text.to_string())
         .ok_or_else(|| "this is no public key of Ed25519: 64 hex digits in lower case".to_string())
 }
@@ -221,7 +221,7 @@
 ///
 /// With what is wrong, in words.
 pub fn moment(text: &str) -> Result<u64, String> {
-    wrenfork_identity::token::moment(text)
+    wrenfork_identity::token::parse_time(text)
         .ok_or_else(|| format!("a moment is written like \"2026-12-01T00:00:00Z\", not \"{text}\""))
 }
 
--- a/crates/ctl/src/keys.rs
+++ b/crates/ctl/src/keys.rs
@@ -13,8 +13,8 @@
 use toml_edit::{value, DocumentMut, Item, Table};
 use wrenfork_config::callers;
 use wrenfork_config::set::Set;
-use wrenfork_identity::token::{sign, told, Claims};
-use wrenfork_identity::trust::{written, Doubt, Stage};
+use wrenfork_identity::token::{format_time, sign, Claims};
+use wrenfork_identity::trust::{format_public_key, RotationProblem, Stage};
 use zeroize::Zeroizing;
 
 /// What could not be done or read.
@@ -109,7 +109,7 @@
         .map_err(told)?;
     println!(
         "{}",
-        written(&SigningKey::from_bytes(&seed).verifying_key())
+        format_public_key(&SigningKey::from_bytes(&seed).verifying_key())
     );
     Ok(ExitCode::SUCCESS)
 }
@@ -220,7 +220,7 @@
         )));
     }
     let from = now() + lead.as_secs();
-    let until = told(from + overlap.as_secs());
+    let until = format_time(from + overlap.as_secs());
     for key in keys.iter_mut().filter(|k| !k.contains_key("until")) {
         key.insert("until", value(&until));
     }
@@ -228,7 +228,7 @@
     for (key, text) in [
         ("name", name.as_str()),
         ("public", &public),
-        ("from", &told(from)),
+        ("from", &format_time(from)),
     ] {
         new.insert(key, value(text));
     }
@@ -251,7 +251,7 @@
     println!(
         "{} {issuer}/{name} is taken from {}, the others until {until}",
         style::good("listed:"),
-        told(from)
+        format_time(from)
     );
     println!("apply this file before that, then sign with the new key; to go back, apply the file as it was");
     Ok(ExitCode::SUCCESS)
@@ -281,12 +281,12 @@
             .flat_map(|i| i.keys.iter().map(move |k| (&i.name, k)))
         {
             let stands = match key.stage(at) {
-                Stage::Coming => "coming",
-                Stage::Used => "used",
-                Stage::Leaving => "leaving",
+                Stage::Pending => "coming",
+                Stage::Active => "used",
+                Stage::Expiring => "leaving",
                 Stage::Withdrawn => "withdrawn",
             };
-            let moment = |t: Option<u64>| t.filter(|t| *t > 0).map_or("-".into(), told);
+            let moment = |t: Option<u64>| t.filter(|t| *t > 0).map_or("-".into(), format_time);
             table.add_row([
                 issuer.clone(),
                 key.name.clone(),
@@ -302,23 +302,38 @@
                 .iter()
                 .filter(|i| i.name == *issuer)
                 .flat_map(|i| &i.keys);
-            if soon && !next.into_iter().any(|k| k.until.is_none() && k.taken(at)) {
+            if soon
+                && !next
+                    .into_iter()
+                    .any(|k| k.until.is_none() && k.is_active(at))
+            {
                 said.push(format!(
                     "key {issuer}/{} ends soon, and no other one is used yet",
                     key.name
                 ));
             }
         }
-        said.extend(trust.rotation(at).iter().map(|doubt| match doubt {
-            Doubt::NoKey(issuer) => {
-                format!("no key of issuer {issuer} is taken now: all of its tokens are refused")
-            }
-            Doubt::Gap(issuer, from) => {
-                format!("issuer {issuer} has no key from {} on", told(*from))
-            }
-            Doubt::Twice(issuer, key) => format!("key {issuer}/{key} is there twice"),
-            Doubt::Never(issuer, key) => format!("key {issuer}/{key} ends before it begins"),
-        }));
+        said.extend(
+            trust
+                .rotation_problems(at)
+                .iter()
+                .map(|problem| match problem {
+                    RotationProblem::NoKey(issuer) => {
+                        format!(
+                            "no key of issuer {issuer} is taken now: all of its tokens are refused"
+                        )
+                    }
+                    RotationProblem::Gap(issuer, from) => {
+                        format!("issuer {issuer} has no key from {} on", format_time(*from))
+                    }
+                    RotationProblem::DuplicateKey(issuer, key) => {
+                        format!("key {issuer}/{key} is there twice")
+                    }
+                    RotationProblem::EmptyPeriod(issuer, key) => {
+                        format!("key {issuer}/{key} ends before it begins")
+                    }
+                }),
+        );
     }
     println!("{table}");
     for line in said {
--- a/crates/ctl/tests/keys.rs
+++ b/crates/ctl/tests/keys.rs
@@ -8,8 +8,8 @@
 use std::path::Path;
 use std::process::{Command, Output};
 use std::time::{SystemTime, UNIX_EPOCH};
-use wrenfork_identity::token::{told, verify};
-use wrenfork_identity::trust::{public, Issuer, Key, Trust};
+use wrenfork_identity::token::{format_time, verify};
+use wrenfork_identity::trust::{parse_public_key, Issuer, Key, Trust};
 
 fn run(args: &[&str]) -> (Option<i32>, String) {
     let Output {
@@ -69,7 +69,7 @@
     assert_eq!(code, Some(0), "{token}");
     let key = Key {
         name: "1".into(),
-        public: public(half.trim()).unwrap(),
+        public: parse_public_key(half.trim()).unwrap(),
         from: 0,
         until: None,
     };
@@ -130,8 +130,8 @@
         run(&["keys", "status", Path::new(&file).to_str().unwrap()])
     };
     let (until, from) = (
-        |t: u64| format!("until = \"{}\"", told(t)),
-        |t: u64| format!("from = \"{}\"", told(t)),
+        |t: u64| format!("until = \"{}\"", format_time(t)),
+        |t: u64| format!("from = \"{}\"", format_time(t)),
     );
     let (code, said) = status(&[("1", String::new())]);
     assert!(code == Some(0) && said.contains("used"), "{said}");
--- a/crates/identity/src/cache.rs
+++ b/crates/identity/src/cache.rs
@@ -1,81 +1,82 @@
-//! Tokens that were checked, by the digest of their bytes: a signature is checked once, and what may change since, times and
-//! keys, at each use. Of bounded size; a token itself is not kept.
+//! A bounded cache of verified tokens, keyed by the SHA-256 of the token's bytes. A signature is verified once; validity times,
+//! audience and key are checked at each use, as they may have changed. The token itself is not stored.
 
-use crate::token::{holds, verify, Claims};
+use crate::token::{check_claims, verify, Claims};
 use crate::trust::Trust;
 use crate::{Refusal, Seconds};
 use sha2::{Digest, Sha256};
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// Tokens that were checked.
+/// The claims of verified tokens.
 #[derive(Debug)]
 pub struct Cache {
-    known: HashMap<[u8; 32], Arc<Claims>>,
-    /// The oldest first.
+    claims_by_digest: HashMap<[u8; 32], Arc<Claims>>,
+    /// Digests in order of insertion, oldest first.
     order: VecDeque<[u8; 32]>,
-    most: usize,
-    /// Signatures that were checked: what a caller without a cached token costs.
-    pub checked: u64,
+    capacity: usize,
+    /// How many tokens were verified because they were not in the cache.
+    pub verifications: u64,
 }
 
 impl Cache {
-    /// For so many tokens.
-    pub fn new(most: usize) -> Cache {
+    /// An empty cache that keeps at most `capacity` tokens, and at least one.
+    pub fn new(capacity: usize) -> Cache {
         Cache {
-            known: HashMap::new(),
+            claims_by_digest: HashMap::new(),
             order: VecDeque::new(),
-            most: most.max(1),
-            checked: 0,
+            capacity: capacity.max(1),
+            verifications: 0,
         }
     }
 
-    /// What a token says, checked now or before; one that was not is looked at only where that is allowed.
+    /// Returns the claims of a valid token. A token that is not in the cache is verified only if `may_verify` is true.
     ///
     /// # Errors
     ///
-    /// The reason; a token that does not hold any more is forgotten.
+    /// The reason why the token is refused. A cached token that is no longer valid is removed.
     pub fn verify(
         &mut self,
         text: &[u8],
         trust: &Trust,
         now: Seconds,
-        allowed: bool,
+        may_verify: bool,
     ) -> Result<Arc<Claims>, Refusal> {
         let digest: [u8; 32] = Sha256::digest(text).into();
-        if let Some(claims) = self.known.get(&digest) {
-            return match holds(claims, trust, now) {
+        if let Some(claims) = self.claims_by_digest.get(&digest) {
+            return match check_claims(claims, trust, now) {
                 Ok(()) => Ok(claims.clone()),
-                // One whose key comes later, or whose time does, may be shown again.
-                Err(why) => {
-                    self.known.remove(&digest);
+                // The token may become valid later, as its key or its `nbf` time may lie in the
+                // future; it is then verified again.
+                Err(refusal) => {
+                    self.claims_by_digest.remove(&digest);
                     self.order.retain(|d| *d != digest);
-                    Err(why)
+                    Err(refusal)
                 }
             };
         }
-        if !allowed {
-            return Err(Refusal::Crowd);
+        if !may_verify {
+            return Err(Refusal::RateLimited);
         }
-        self.checked += 1;
+        self.verifications += 1;
         let claims = Arc::new(verify(text, trust, now)?);
-        if self.known.len() >= self.most {
+        if self.claims_by_digest.len() >= self.capacity {
             if let Some(oldest) = self.order.pop_front() {
-                self.known.remove(&oldest);
+                self.claims_by_digest.remove(&oldest);
             }
         }
-        self.known.insert(digest, claims.clone());
+        self.claims_by_digest.insert(digest, claims.clone());
         self.order.push_back(digest);
         Ok(claims)
     }
 
-    /// How many are kept.
+    /// How many tokens are in the cache.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.claims_by_digest.len()
     }
 
-    /// Whether none is.
+    /// Whether the cache has no tokens.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.claims_by_digest.is_empty()
     }
 }
--- a/crates/identity/src/lib.rs
+++ b/crates/identity/src/lib.rs
@@ -1,6 +1,6 @@
-//! Who is calling, and what it may do. A caller proves something ([`token`]: a signed token; a certificate's names); the
-//! operator's trust says what that is worth ([`trust`]), and the map of tenants what it may ask for ([`rights`]). What is
-//! refused has a [`Refusal`] with its reason. No I/O, no clock: the time comes with each question.
+//! Authenticates and authorizes callers. A caller presents a signed token ([`token`]) or a certificate with names. [`trust`] has
+//! the issuers and keys that the operator trusts, [`rights`] the tenants and what each may send. A refused caller gets a
+//! [`Refusal`] with the reason. No I/O, no clock: the caller of each function passes the time.
 
 pub mod cache;
 pub mod refusal;
--- a/crates/identity/src/refusal.rs
+++ b/crates/identity/src/refusal.rs
@@ -1,104 +1,105 @@
-//! Why a caller is turned away.
+//! The reasons for which a caller is refused.
 
-/// A reason, the same in answers, logs and figures. Neither a key nor any part of a token is in it.
+/// The reason why a caller is refused. Responses, logs and metrics use the same code for it. It never contains a key or a part of
+/// a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Refusal {
-    /// Nothing was proved, and something must be.
-    Nobody,
-    /// It is no token of the one form that is taken.
-    Form,
-    /// A token of another kind or version: other algorithms are not taken, whatever they say.
-    Kind,
-    /// It is longer than a token may be.
+    /// The caller presented neither a token nor a certificate, and authentication is required.
+    Unauthenticated,
+    /// The token is not a well-formed PASETO v4 public token, or a claim is missing or malformed.
+    Malformed,
+    /// A JWT, or a PASETO of another version or purpose. Only `v4.public` is accepted.
+    UnsupportedKind,
+    /// The token exceeds [`MAX_TOKEN_BYTES`](crate::token::MAX_TOKEN_BYTES), or lists too many accounts or classes.
     TooLong,
-    /// Nobody who is trusted goes by its issuer or its key's name.
-    Issuer,
-    /// Its signature is not that of the key it names.
-    Signature,
-    /// The key that signed it is not used yet, or was withdrawn.
-    Key,
-    /// It is for somebody else.
-    Audience,
-    /// Its time is over.
+    /// No trusted issuer has a key of the name in the footer, or the `iss` claim differs from the footer's issuer.
+    UnknownIssuer,
+    /// The signature was not made with the key that the token names.
+    BadSignature,
+    /// The signing key's period of use has not begun, or has ended.
+    InactiveKey,
+    /// The audience is another installation.
+    WrongAudience,
+    /// The `exp` time has passed.
     Expired,
-    /// Its time has not begun.
-    Early,
-    /// It holds for longer than a token may.
-    TooLasting,
-    /// It was not looked at: too many bad ones came from there.
-    Crowd,
-    /// Whoever it names is no tenant here.
-    Tenant,
-    /// The tenant may not name this account.
-    Account,
-    /// The tenant, or the token, may not send this class.
-    Class,
-    /// The certificate has no name that leads to a tenant, or names that lead to two.
-    Names,
+    /// The `nbf` time lies in the future.
+    NotYetValid,
+    /// The time from `nbf` to `exp` exceeds the longest lifetime allowed.
+    LifetimeTooLong,
+    /// The token was not verified, because the source has sent too many invalid tokens.
+    RateLimited,
+    /// The `sub` claim names no known tenant, or another tenant than the certificate does.
+    UnknownTenant,
+    /// The tenant or the token has no right to this account.
+    AccountDenied,
+    /// The tenant or the token has no right to send this class.
+    ClassDenied,
+    /// The names in the certificate belong to no tenant, or to more than one.
+    CertificateNames,
 }
 
 impl Refusal {
-    /// All of them.
+    /// All reasons, in ascending order of their codes.
     pub const ALL: [Refusal; 16] = [
-        Refusal::Nobody,
-        Refusal::Form,
-        Refusal::Kind,
+        Refusal::Unauthenticated,
+        Refusal::Malformed,
+        Refusal::UnsupportedKind,
         Refusal::TooLong,
-        Refusal::Issuer,
-        Refusal::Signature,
-        Refusal::Key,
-        Refusal::Audience,
+        Refusal::UnknownIssuer,
+        Refusal::BadSignature,
+        Refusal::InactiveKey,
+        Refusal::WrongAudience,
         Refusal::Expired,
-        Refusal::Early,
-        Refusal::TooLasting,
-        Refusal::Crowd,
-        Refusal::Tenant,
-        Refusal::Account,
-        Refusal::Class,
-        Refusal::Names,
+        Refusal::NotYetValid,
+        Refusal::LifetimeTooLong,
+        Refusal::RateLimited,
+        Refusal::UnknownTenant,
+        Refusal::AccountDenied,
+        Refusal::ClassDenied,
+        Refusal::CertificateNames,
     ];
 
-    /// Its code, such as `I105`.
+    /// The stable code of the reason, such as `I105`.
     pub fn code(self) -> &'static str {
         match self {
-            Refusal::Nobody => "I100",
-            Refusal::Form => "I101",
-            Refusal::Kind => "I102",
+            Refusal::Unauthenticated => "I100",
+            Refusal::Malformed => "I101",
+            Refusal::UnsupportedKind => "I102",
             Refusal::TooLong => "I103",
-            Refusal::Issuer => "I104",
-            Refusal::Signature => "I105",
-            Refusal::Key => "I106",
-            Refusal::Audience => "I107",
+            Refusal::UnknownIssuer => "I104",
+            Refusal::BadSignature => "I105",
+            Refusal::InactiveKey => "I106",
+            Refusal::WrongAudience => "I107",
             Refusal::Expired => "I108",
-            Refusal::Early => "I109",
-            Refusal::TooLasting => "I110",
-            Refusal::Crowd => "I111",
-            Refusal::Tenant => "I201",
-            Refusal::Account => "I202",
-            Refusal::Class => "I203",
-            Refusal::Names => "I204",
+            Refusal::NotYetValid => "I109",
+            Refusal::LifetimeTooLong => "I110",
+            Refusal::RateLimited => "I111",
+            Refusal::UnknownTenant => "I201",
+            Refusal::AccountDenied => "I202",
+            Refusal::ClassDenied => "I203",
+            Refusal::CertificateNames => "I204",
         }
     }
 
-    /// In plain words.
+    /// A description for the caller, sent after the code.
     pub fn why(self) -> &'static str {
         match self {
-            Refusal::Nobody => "nothing says who is calling",
-            Refusal::Form => "this is no token",
-            Refusal::Kind => "tokens of this kind are not taken",
+            Refusal::Unauthenticated => "nothing says who is calling",
+            Refusal::Malformed => "this is no token",
+            Refusal::UnsupportedKind => "tokens of this kind are not taken",
             Refusal::TooLong => "the token is too long",
-            Refusal::Issuer => "the token's issuer or key is unknown here",
-            Refusal::Signature => "the token's signature is wrong",
-            Refusal::Key => "the token's key is not in use",
-            Refusal::Audience => "the token is for somebody else",
+            Refusal::UnknownIssuer => "the token's issuer or key is unknown here",
+            Refusal::BadSignature => "the token's signature is wrong",
+            Refusal::InactiveKey => "the token's key is not in use",
+            Refusal::WrongAudience => "the token is for somebody else",
             Refusal::Expired => "the token's time is over",
-            Refusal::Early => "the token's time has not begun",
-            Refusal::TooLasting => "the token holds for too long",
-            Refusal::Crowd => "too many bad tokens came from there: try again later",
-            Refusal::Tenant => "the caller is no tenant here",
-            Refusal::Account => "the caller may not use this account",
-            Refusal::Class => "the caller may not send this class",
-            Refusal::Names => "the certificate leads to no tenant",
+            Refusal::NotYetValid => "the token's time has not begun",
+            Refusal::LifetimeTooLong => "the token holds for too long",
+            Refusal::RateLimited => "too many bad tokens came from there: try again later",
+            Refusal::UnknownTenant => "the caller is no tenant here",
+            Refusal::AccountDenied => "the caller may not use this account",
+            Refusal::ClassDenied => "the caller may not send this class",
+            Refusal::CertificateNames => "the certificate leads to no tenant",
         }
     }
 }
@@ -116,7 +117,7 @@
     use super::Refusal;
 
     #[test]
-    fn codes_are_given_once_and_in_order() {
+    fn refusal_codes_are_unique_and_ascending() {
         let codes: Vec<&str> = Refusal::ALL.iter().map(|r| r.code()).collect();
         let mut sorted = codes.clone();
         sorted.sort_unstable();
--- a/crates/identity/src/rights.rs
+++ b/crates/identity/src/rights.rs
@@ -1,64 +1,64 @@
-//! What a caller may ask for: tenants, with the names in certificates that lead to them, the accounts that they may name and
-//! the classes that they may send. A token may say less than its tenant may, never more.
+//! Tenants and their rights: the certificate names that identify a tenant, and the accounts and classes that it may use. A token
+//! can narrow the rights of its tenant, never widen them.
 
 use crate::token::Claims;
 use crate::Refusal;
 use std::collections::{BTreeSet, HashMap};
 
-/// A name in a certificate.
+/// A subject alternative name of a certificate.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Name {
-    /// A URI in SPIFFE's form, `spiffe://DOMAIN/PATH`, compared byte for byte.
+    /// A SPIFFE ID, `spiffe://DOMAIN/PATH`, compared byte for byte.
     Uri(String),
-    /// A host's name, in lower case. No wildcards: a tenant is one name.
+    /// A DNS name, in lower case. Wildcards are not supported, as each name identifies one tenant.
     Dns(String),
 }
 
 impl Name {
-    /// A URI, if it has SPIFFE's form: a domain, a path, no query, no fragment, no port and no user.
+    /// Parses a SPIFFE ID. Returns `None` unless it has a domain and a path, and no query, fragment, port or user.
     pub fn uri(text: &str) -> Option<Name> {
         let (domain, path) = text.strip_prefix("spiffe://")?.split_once('/')?;
-        let domain_good = !domain.is_empty()
+        let domain_valid = !domain.is_empty()
             && domain.bytes().all(|b| {
                 b.is_ascii_lowercase() || b.is_ascii_digit() || matches!(b, b'.' | b'-' | b'_')
             });
-        let step = |s: &str| {
+        let segment_valid = |s: &str| {
             !matches!(s, "" | "." | "..")
                 && s.bytes()
                     .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'-' | b'_'))
         };
-        (domain_good && text.len() <= 2_048 && path.split('/').all(step))
+        (domain_valid && text.len() <= 2_048 && path.split('/').all(segment_valid))
             .then(|| Name::Uri(text.into()))
     }
 
-    /// A host's name.
+    /// Parses a DNS name. Returns `None` for wildcards and malformed names.
     pub fn dns(text: &str) -> Option<Name> {
-        let label = |l: &str| {
+        let label_valid = |l: &str| {
             !l.is_empty()
                 && l.len() <= 63
                 && !l.starts_with('-')
                 && !l.ends_with('-')
                 && l.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
         };
-        (text.len() <= 253 && text.split('.').all(label))
+        (text.len() <= 253 && text.split('.').all(label_valid))
             .then(|| Name::Dns(text.to_ascii_lowercase()))
     }
 }
 
-/// A tenant.
+/// A tenant and its rights.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tenant {
-    /// Its name, which tokens say as `sub`.
+    /// The unique name of the tenant; tokens have it as `sub`.
     pub name: String,
-    /// The names in certificates that lead to it.
+    /// The certificate names that identify the tenant.
     pub names: Vec<Name>,
-    /// The accounts that it may name.
+    /// The accounts that the tenant may use.
     pub accounts: BTreeSet<u64>,
-    /// The classes that it may send, by their places; none for all.
+    /// Indices of the classes that the tenant may send; `None` allows all.
     pub classes: Option<BTreeSet<u8>>,
 }
 
-/// All tenants, as callers are found among them.
+/// All tenants, indexed by name and by certificate name.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
     list: Vec<Tenant>,
@@ -67,16 +67,16 @@
     classes: Vec<String>,
 }
 
-/// Why tenants can't be told apart.
+/// Why a list of tenants is ambiguous.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Two of one name.
+    /// Two tenants have this name.
     Name(String),
-    /// A certificate's name that leads to two.
+    /// Two tenants have this certificate name.
     Certificate(Name),
 }
 
-/// A caller whose proof was good: a tenant, with what its token leaves of the tenant's rights.
+/// An authenticated caller: its tenant, and the accounts and classes that its token is limited to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
     tenant: usize,
@@ -85,11 +85,11 @@
 }
 
 impl Tenants {
-    /// These, with the names of the classes by their places.
+    /// Indexes a list of tenants. `classes` has the name of each class, in the order of class indices.
     ///
     /// # Errors
     ///
-    /// Where two can't be told apart.
+    /// Two tenants have the same name or the same certificate name.
     pub fn new(list: Vec<Tenant>, classes: Vec<String>) -> Result<Tenants, Fault> {
         let (mut by_name, mut by_certificate) = (HashMap::new(), HashMap::new());
         for (n, tenant) in list.iter().enumerate() {
@@ -113,11 +113,11 @@
         })
     }
 
-    /// The tenant that a certificate's names lead to: one, and not two. Names that lead nowhere count for nothing.
+    /// Finds the tenant that a certificate's names identify. Names that no tenant has are ignored.
     ///
     /// # Errors
     ///
-    /// Where they lead to none, or to two.
+    /// [`Refusal::CertificateNames`] if the names identify no tenant, or more than one.
     pub fn by_names<'a>(
         &self,
         names: impl IntoIterator<Item = &'a Name>,
@@ -128,11 +128,11 @@
             .filter_map(|n| self.by_certificate.get(n).copied())
         {
             if found.is_some_and(|f| f != tenant) {
-                return Err(Refusal::Names);
+                return Err(Refusal::CertificateNames);
             }
             found = Some(tenant);
         }
-        let tenant = found.ok_or(Refusal::Names)?;
+        let tenant = found.ok_or(Refusal::CertificateNames)?;
         Ok(Caller {
             tenant,
             accounts: None,
@@ -140,11 +140,12 @@
         })
     }
 
-    /// The tenant that a token names. With a certificate on the same connection both must mean the same one.
+    /// Finds the tenant that a token names. `certificate` is the caller that the certificate of the same connection identifies, if
+    /// any; both must be the same tenant.
     ///
     /// # Errors
     ///
-    /// Where there is none, or it is not the certificate's.
+    /// [`Refusal::UnknownTenant`] if no tenant has that name, or the certificate identifies another one.
     pub fn by_token(
         &self,
         claims: &Claims,
@@ -154,19 +155,19 @@
             .by_name
             .get(&claims.tenant)
             .copied()
-            .ok_or(Refusal::Tenant)?;
+            .ok_or(Refusal::UnknownTenant)?;
         if certificate.is_some_and(|c| c.tenant != tenant) {
-            return Err(Refusal::Tenant);
+            return Err(Refusal::UnknownTenant);
         }
-        let place = |name: &String| {
-            let at = self.classes.iter().position(|c| c == name && !c.is_empty());
-            at.and_then(|n| u8::try_from(n).ok())
+        let class_index = |name: &String| {
+            let index = self.classes.iter().position(|c| c == name && !c.is_empty());
+            index.and_then(|n| u8::try_from(n).ok())
         };
-        // A class that there is not gives no right; it takes none of the others away.
+        // An unknown class grants nothing and leaves the other classes of the token as they are.
         let classes = claims
             .classes
             .as_ref()
-            .map(|list| list.iter().filter_map(place).collect());
+            .map(|list| list.iter().filter_map(class_index).collect());
         let accounts = claims
             .accounts
             .as_ref()
@@ -178,27 +179,28 @@
         })
     }
 
-    /// A caller's tenant.
+    /// The name of a caller's tenant.
     pub fn tenant(&self, caller: &Caller) -> &str {
         self.list.get(caller.tenant).map_or("", |t| &t.name)
     }
 
-    /// Whether a caller may send a class on an account.
+    /// Checks whether a caller may send a request of a class for an account.
     ///
     /// # Errors
     ///
-    /// The reason why not.
-    pub fn may(&self, caller: &Caller, account: u64, class: u8) -> Result<(), Refusal> {
-        let tenant = self.list.get(caller.tenant).ok_or(Refusal::Tenant)?;
-        let within = |narrowed: &Option<BTreeSet<u64>>| {
-            narrowed.as_ref().is_none_or(|l| l.contains(&account))
+    /// [`Refusal::AccountDenied`] or [`Refusal::ClassDenied`] if the tenant or the token has no such right.
+    pub fn authorize(&self, caller: &Caller, account: u64, class: u8) -> Result<(), Refusal> {
+        let tenant = self.list.get(caller.tenant).ok_or(Refusal::UnknownTenant)?;
+        let account_allowed = |accounts: &Option<BTreeSet<u64>>| {
+            accounts.as_ref().is_none_or(|l| l.contains(&account))
         };
-        if !tenant.accounts.contains(&account) || !within(&caller.accounts) {
-            return Err(Refusal::Account);
+        if !tenant.accounts.contains(&account) || !account_allowed(&caller.accounts) {
+            return Err(Refusal::AccountDenied);
         }
-        let within = |list: &Option<BTreeSet<u8>>| list.as_ref().is_none_or(|l| l.contains(&class));
-        if !within(&tenant.classes) || !within(&caller.classes) {
-            return Err(Refusal::Class);
+        let class_allowed =
+            |classes: &Option<BTreeSet<u8>>| classes.as_ref().is_none_or(|l| l.contains(&class));
+        if !class_allowed(&tenant.classes) || !class_allowed(&caller.classes) {
+            return Err(Refusal::ClassDenied);
         }
         Ok(())
     }
--- a/crates/identity/src/sources.rs
+++ b/crates/identity/src/sources.rs
@@ -1,106 +1,114 @@
-//! How many tokens that turn out bad a source may have checked: each costs a signature check, and a caller that fails costs less
-//! than one that is served only as long as such checks are few. What is cached is not counted, so that a source with
-//! honest callers among others still serves those that were here before.
+//! Limits how many invalid tokens of one source are verified. Each one costs a signature check, so without a limit a flood of
+//! invalid tokens costs more than the requests that are served. Cached tokens don't count, so that callers with a cached token
+//! are still served when another caller at the same source sends invalid ones.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::IpAddr;
 
-/// Microseconds.
+/// A time in microseconds, on any clock that never goes back.
 pub type Micros = u64;
 
-/// Bad tokens that a source may show at once, and in a second after that.
+/// How many invalid tokens of a source are verified in one burst.
 const BURST: f64 = 20.0;
-const RATE: f64 = 2.0;
-/// Sources that are remembered; of more, the one that was noticed first is forgotten.
-const MOST: usize = 1_024;
+/// How many invalid tokens of a source are verified per second after the burst.
+const RATE_PER_SECOND: f64 = 2.0;
+/// How many sources are tracked; beyond that, the one that was added first is dropped.
+const MAX_SOURCES: usize = 1_024;
 
-/// Where a connection comes from.
+/// The origin of a connection, as far as limits on invalid tokens go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
-    /// An IPv4 address, or the first half of an IPv6 one: whoever has one address there has them all.
+    /// An IPv4 address, or the upper 64 bits of an IPv6 address: whoever has one address of a /64 network can use all of them.
     Net(u64),
-    /// A user of this machine.
+    /// A local user, by user ID.
     User(u32),
-    /// Nothing is known of it.
+    /// The origin could not be determined; all such connections share one limit.
     Unknown,
 }
 
 impl Source {
-    /// Of an address.
+    /// The source that an address belongs to. IPv4-mapped IPv6 addresses count as IPv4.
     pub fn of(address: IpAddr) -> Source {
         match address.to_canonical() {
             IpAddr::V4(v4) => Source::Net(u64::from(u32::from(v4))),
-            // The lowest bit keeps these apart from all of IPv4.
+            // The top bit keeps IPv6 networks apart from all IPv4 addresses.
             IpAddr::V6(v6) => Source::Net((u128::from(v6) >> 64) as u64 | 1 << 63),
         }
     }
 }
 
-/// Sources that have failed.
+/// The sources that have sent invalid tokens, each with a token bucket of remaining verifications.
 #[derive(Debug, Default)]
 pub struct Sources {
-    left: HashMap<Source, (f64, Micros)>,
+    buckets: HashMap<Source, (f64, Micros)>,
     order: VecDeque<Source>,
 }
 
 impl Sources {
-    /// Whether one more token from there is checked.
-    pub fn may(&self, source: Source, now: Micros) -> bool {
-        self.left
+    /// Whether another token from this source may be verified.
+    pub fn may_verify(&self, source: Source, now: Micros) -> bool {
+        self.buckets
             .get(&source)
-            .is_none_or(|l| filled(*l, now) >= 1.0)
+            .is_none_or(|bucket| refilled(*bucket, now) >= 1.0)
     }
 
-    /// One from there turned out bad.
-    pub fn failed(&mut self, source: Source, now: Micros) {
-        if let Some(left) = self.left.get_mut(&source) {
-            *left = (filled(*left, now) - 1.0, now);
+    /// Records that a token from this source was invalid.
+    pub fn record_failure(&mut self, source: Source, now: Micros) {
+        if let Some(bucket) = self.buckets.get_mut(&source) {
+            *bucket = (refilled(*bucket, now) - 1.0, now);
             return;
         }
-        if self.left.len() >= MOST {
+        if self.buckets.len() >= MAX_SOURCES {
             if let Some(first) = self.order.pop_front() {
-                self.left.remove(&first);
+                self.buckets.remove(&first);
             }
         }
-        self.left.insert(source, (BURST - 1.0, now));
+        self.buckets.insert(source, (BURST - 1.0, now));
         self.order.push_back(source);
     }
 }
 
-fn filled((left, at): (f64, Micros), now: Micros) -> f64 {
-    (left + now.saturating_sub(at) as f64 / 1e6 * RATE).min(BURST)
+/// The verifications left in a bucket that had `left` of them at time `updated`.
+fn refilled((left, updated): (f64, Micros), now: Micros) -> f64 {
+    (left + now.saturating_sub(updated) as f64 / 1e6 * RATE_PER_SECOND).min(BURST)
 }
 
 #[cfg(test)]
 mod tests {
-    use super::{Source, Sources, MOST};
+    use super::{Source, Sources, MAX_SOURCES};
 
-    /// Guards against a flood of bad tokens that has each of them checked, and one source that shuts out another.
+    /// Guards against verifying every token of a flood of invalid ones, and against one source using up the limit of another.
     #[test]
-    fn a_source_has_few_bad_tokens_checked_and_no_other_suffers_for_it() {
-        let (mut sources, mut checked) = (Sources::default(), 0);
-        let (bad, good) = (
+    fn invalid_tokens_are_limited_per_source() {
+        let (mut sources, mut verified) = (Sources::default(), 0);
+        let (failing, other) = (
             Source::of("10.0.0.1".parse().unwrap()),
             Source::of("10.0.0.2".parse().unwrap()),
         );
         for n in 0..10_000u64 {
-            let now = n * 1_000; // ten seconds, a thousand a second
-            if sources.may(bad, now) {
-                checked += 1;
-                sources.failed(bad, now);
+            let now = n * 1_000; // 1000 tokens per second for 10 seconds
+            if sources.may_verify(failing, now) {
+                verified += 1;
+                sources.record_failure(failing, now);
             }
-            assert!(sources.may(good, now));
+            assert!(sources.may_verify(other, now));
         }
-        assert!((38..=42).contains(&checked), "{checked}");
-        assert!(sources.may(bad, 20_000_000), "it may try again later");
+        assert!((38..=42).contains(&verified), "{verified}");
+        assert!(
+            sources.may_verify(failing, 20_000_000),
+            "the bucket of the failing source is not refilled after 10 seconds"
+        );
         for n in 0..5_000u64 {
-            sources.failed(Source::Net(n << 8), 0);
+            sources.record_failure(Source::Net(n << 8), 0);
         }
-        assert_eq!((sources.left.len(), sources.order.len()), (MOST, MOST));
+        assert_eq!(
+            (sources.buckets.len(), sources.order.len()),
+            (MAX_SOURCES, MAX_SOURCES)
+        );
     }
 
     #[test]
-    fn one_net_of_version_6_is_one_source_and_none_of_version_4() {
+    fn an_ipv6_network_is_one_source_distinct_from_ipv4() {
         let of = |t: &str| Source::of(t.parse().unwrap());
         assert_eq!(of("2001:db8::1"), of("2001:db8::ffff:1"));
         assert_ne!(of("2001:db8::1"), of("2001:db8:0:1::1"));
--- a/crates/identity/src/token.rs
+++ b/crates/identity/src/token.rs
@@ -1,9 +1,10 @@
-//! Signed tokens: PASETO version 4, public (Ed25519), and nothing else. The form has no field that names an algorithm, so
-//! that no token can choose how it is checked: `none`, or a public key taken for a shared one, can't be said in it.
+//! Signed tokens: PASETO version 4, public (Ed25519), and nothing else. The format has no field that names an algorithm, so a
+//! token cannot choose how it is verified. The JWT attacks with `alg: none`, or with the public key used as an HMAC secret, are
+//! ruled out.
 //!
-//! The footer names issuer and key, `{"kid":"desk/2026-12"}`; the claims are JSON: `iss`, `aud`, `sub` (the tenant), `iat`, `nbf`
-//! and `exp` as RFC 3339, and what this token may do of what its tenant may: `accounts` (16 hex digits each) and
-//! `classes`. From the public specification of PASETO (github.com/paseto-standard/paseto-spec).
+//! The footer names issuer and key, `{"kid":"desk/2026-12"}`. The claims are JSON: `iss`, `aud`, `sub` (the tenant), `iat`, `nbf`
+//! and `exp` as RFC 3339, and optional limits on the tenant's rights: `accounts` (16 hex digits each) and `classes`. Follows the
+//! public specification of PASETO (github.com/paseto-standard/paseto-spec).
 
 use crate::trust::{Key, Trust};
 use crate::{Refusal, Seconds};
@@ -14,31 +15,32 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const HEADER: &str = "v4.public.";
-/// The longest token, in bytes.
-pub const MOST_BYTES: usize = 4 * 1024;
-/// The most accounts and classes that one token names.
-const MOST_NAMED: usize = 64;
+/// The maximum length of a token, in bytes.
+pub const MAX_TOKEN_BYTES: usize = 4 * 1024;
+/// The maximum number of accounts, and of classes, in one token.
+const MAX_LIST_ENTRIES: usize = 64;
 
-/// What a token says, once its signature has been checked.
+/// The claims of a token, with the key that its signature is verified by.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claims {
-    /// Who signed it.
+    /// The name of the issuer that signed the token (`iss`).
     pub issuer: String,
-    /// With which of its keys.
+    /// The name of the issuer's key that signed the token.
     pub key: String,
-    /// The half of that key by which it was checked: another one under the same name is another key.
+    /// The public key that verified the signature. If the issuer lists another public key under the same name later, the token
+    /// is refused.
     pub public: VerifyingKey,
-    /// Whom it is for.
+    /// The name of the installation that the token is for (`aud`).
     pub audience: String,
-    /// On whose behalf.
+    /// The tenant that the caller acts for (`sub`).
     pub tenant: String,
-    /// The accounts that it may name; none for all of the tenant's.
+    /// The accounts that the token is limited to; `None` allows all accounts of the tenant.
     pub accounts: Option<Vec<u64>>,
-    /// The classes that it may send; none for all that the tenant may.
+    /// The classes that the token is limited to; `None` allows all classes of the tenant.
     pub classes: Option<Vec<String>>,
-    /// It holds from then on.
+    /// The token is valid from this time on (`nbf`).
     pub from: Seconds,
-    /// Until then.
+    /// The token is valid before this time (`exp`).
     pub until: Seconds,
 }
 
@@ -62,19 +64,20 @@
     classes: Option<Vec<String>>,
 }
 
-/// What is signed: the parts with their number and lengths, so that no two lists of parts are the same bytes.
-fn parts(list: &[&[u8]]) -> Vec<u8> {
+/// The bytes that are signed: the pre-authentication encoding (PAE) of PASETO. It prefixes the number of parts and the length of
+/// each, so that two different lists of parts never have the same encoding.
+fn pre_auth_encode(parts: &[&[u8]]) -> Vec<u8> {
     let length = |n: usize| (n as u64 & (u64::MAX >> 1)).to_le_bytes();
-    let mut out = length(list.len()).to_vec();
-    for part in list {
+    let mut out = length(parts.len()).to_vec();
+    for part in parts {
         out.extend_from_slice(&length(part.len()));
         out.extend_from_slice(part);
     }
     out
 }
 
-/// Reads a moment in UTC, such as `2026-12-01T00:00:00Z`.
-pub fn moment(text: &str) -> Option<Seconds> {
+/// Parses a UTC time, such as `2026-12-01T00:00:00Z`. Returns `None` if malformed or before 1970.
+pub fn parse_time(text: &str) -> Option<Seconds> {
     humantime::parse_rfc3339(text)
         .ok()?
         .duration_since(UNIX_EPOCH)
@@ -82,18 +85,18 @@
         .map(|d| d.as_secs())
 }
 
-fn time(text: &str) -> Result<Seconds, Refusal> {
-    moment(text).ok_or(Refusal::Form)
+fn time_claim(text: &str) -> Result<Seconds, Refusal> {
+    parse_time(text).ok_or(Refusal::Malformed)
 }
 
-/// A moment as it is written.
-pub fn told(at: Seconds) -> String {
-    // Years beyond four digits can't be told; no token holds for so long.
-    let at = SystemTime::UNIX_EPOCH + Duration::from_secs(at.min(253_402_300_799));
-    humantime::format_rfc3339_seconds(at).to_string()
+/// Formats a time as RFC 3339 in UTC, such as `2026-12-01T00:00:00Z`.
+pub fn format_time(time: Seconds) -> String {
+    // The format ends with the year 9999; no token is valid for so long.
+    let time = SystemTime::UNIX_EPOCH + Duration::from_secs(time.min(253_402_300_799));
+    humantime::format_rfc3339_seconds(time).to_string()
 }
 
-fn account(text: &str) -> Result<u64, Refusal> {
+fn account_claim(text: &str) -> Result<u64, Refusal> {
     let hex = text.len() == 16
         && text
             .bytes()
@@ -101,65 +104,72 @@
     u64::from_str_radix(text, 16)
         .ok()
         .filter(|_| hex)
-        .ok_or(Refusal::Form)
+        .ok_or(Refusal::Malformed)
 }
 
-/// Checks a token: its form, its signature, its key and its times.
+/// Verifies a token: its format, signature, key, audience and validity times.
 ///
 /// # Errors
 ///
-/// The reason; nothing that the token says is believed then.
-pub fn verify(text: &[u8], trust: &Trust, now: Seconds) -> Result<Claims, Refusal> {
-    if text.len() > MOST_BYTES {
+/// The reason why the token is refused. No claim of a refused token may be used.
+pub fn verify(token: &[u8], trust: &Trust, now: Seconds) -> Result<Claims, Refusal> {
+    if token.len() > MAX_TOKEN_BYTES {
         return Err(Refusal::TooLong);
     }
-    let text = std::str::from_utf8(text).map_err(|_| Refusal::Form)?;
+    let text = std::str::from_utf8(token).map_err(|_| Refusal::Malformed)?;
     let Some(rest) = text.strip_prefix(HEADER) else {
-        // A JWT, or another version or purpose.
-        let other = text.split('.').count() >= 3;
-        return Err(if other { Refusal::Kind } else { Refusal::Form });
+        // A JWT, or another version or purpose of PASETO.
+        let other_kind = text.split('.').count() >= 3;
+        return Err(if other_kind {
+            Refusal::UnsupportedKind
+        } else {
+            Refusal::Malformed
+        });
     };
-    let (body, footer) = rest.split_once('.').ok_or(Refusal::Issuer)?;
-    let bytes = |part: &str| URL_SAFE_NO_PAD.decode(part).map_err(|_| Refusal::Form);
-    let (body, footer) = (bytes(body)?, bytes(footer)?);
-    let at = body
+    let (body, footer) = rest.split_once('.').ok_or(Refusal::UnknownIssuer)?;
+    let decode = |part: &str| URL_SAFE_NO_PAD.decode(part).map_err(|_| Refusal::Malformed);
+    let (body, footer) = (decode(body)?, decode(footer)?);
+    let message_len = body
         .len()
         .checked_sub(SIGNATURE_LENGTH)
-        .ok_or(Refusal::Form)?;
-    let (message, signature) = body.split_at(at);
-    let signature = Signature::from_slice(signature).map_err(|_| Refusal::Form)?;
-    // What the footer says is believed only as far as to which key it is.
-    let named: Footer = serde_json::from_slice(&footer).map_err(|_| Refusal::Form)?;
-    let (issuer, name) = named.kid.split_once('/').ok_or(Refusal::Issuer)?;
-    let key = trust.key(issuer, name).ok_or(Refusal::Issuer)?;
-    let signed = parts(&[HEADER.as_bytes(), message, &footer, b""]);
+        .ok_or(Refusal::Malformed)?;
+    let (message, signature) = body.split_at(message_len);
+    let signature = Signature::from_slice(signature).map_err(|_| Refusal::Malformed)?;
+    // The footer is not verified yet: it is used only to select the key.
+    let footer_claims: Footer = serde_json::from_slice(&footer).map_err(|_| Refusal::Malformed)?;
+    let (issuer, key_name) = footer_claims
+        .kid
+        .split_once('/')
+        .ok_or(Refusal::UnknownIssuer)?;
+    let key = trust.key(issuer, key_name).ok_or(Refusal::UnknownIssuer)?;
+    let signed = pre_auth_encode(&[HEADER.as_bytes(), message, &footer, b""]);
     key.public
         .verify_strict(&signed, &signature)
-        .map_err(|_| Refusal::Signature)?;
-    let claims = read(message, issuer, key)?;
-    holds(&claims, trust, now)?;
+        .map_err(|_| Refusal::BadSignature)?;
+    let claims = parse_claims(message, issuer, key)?;
+    check_claims(&claims, trust, now)?;
     Ok(claims)
 }
 
-fn read(message: &[u8], issuer: &str, key: &Key) -> Result<Claims, Refusal> {
-    let body: Body = serde_json::from_slice(message).map_err(|_| Refusal::Form)?;
-    // One issuer's key signs nothing in another's name.
+fn parse_claims(message: &[u8], issuer: &str, key: &Key) -> Result<Claims, Refusal> {
+    let body: Body = serde_json::from_slice(message).map_err(|_| Refusal::Malformed)?;
+    // An issuer's key must not sign tokens that claim another issuer.
     if body.iss != issuer {
-        return Err(Refusal::Issuer);
+        return Err(Refusal::UnknownIssuer);
     }
-    let named = body
+    let list_lengths = body
         .accounts
         .iter()
         .map(Vec::len)
         .chain(body.classes.iter().map(Vec::len));
-    if named.max().unwrap_or(0) > MOST_NAMED {
+    if list_lengths.max().unwrap_or(0) > MAX_LIST_ENTRIES {
         return Err(Refusal::TooLong);
     }
     let accounts = body
         .accounts
         .map(|list| {
             list.iter()
-                .map(|a| account(a))
+                .map(|a| account_claim(a))
                 .collect::<Result<Vec<_>, _>>()
         })
         .transpose()?;
@@ -171,40 +181,40 @@
         tenant: body.sub,
         accounts,
         classes: body.classes,
-        from: time(&body.nbf)?,
-        until: time(&body.exp)?,
+        from: time_claim(&body.nbf)?,
+        until: time_claim(&body.exp)?,
     })
 }
 
-/// Whether claims that were checked once still hold: their times, their audience, and the key that signed them.
+/// Checks whether claims of a verified token are valid at the time `now`: their key, audience and validity times.
 ///
 /// # Errors
 ///
-/// The reason why not.
-pub fn holds(claims: &Claims, trust: &Trust, now: Seconds) -> Result<(), Refusal> {
+/// The reason why the claims are not valid.
+pub fn check_claims(claims: &Claims, trust: &Trust, now: Seconds) -> Result<(), Refusal> {
     let key = trust
         .key(&claims.issuer, &claims.key)
         .filter(|k| k.public == claims.public);
-    if !key.ok_or(Refusal::Issuer)?.taken(now) {
-        return Err(Refusal::Key);
+    if !key.ok_or(Refusal::UnknownIssuer)?.is_active(now) {
+        return Err(Refusal::InactiveKey);
     }
     if claims.audience != trust.audience {
-        return Err(Refusal::Audience);
+        return Err(Refusal::WrongAudience);
     }
     if now >= claims.until.saturating_add(trust.skew) {
         return Err(Refusal::Expired);
     }
     if now.saturating_add(trust.skew) < claims.from {
-        return Err(Refusal::Early);
+        return Err(Refusal::NotYetValid);
     }
-    if claims.until.saturating_sub(claims.from) > trust.longest {
-        return Err(Refusal::TooLasting);
+    if claims.until.saturating_sub(claims.from) > trust.max_lifetime {
+        return Err(Refusal::LifetimeTooLong);
     }
     Ok(())
 }
 
-/// Signs a token; `public` of the claims is not looked at.
-pub fn sign(claims: &Claims, with: &SigningKey) -> String {
+/// Signs a token with the given claims. The `public` field is ignored.
+pub fn sign(claims: &Claims, signing_key: &SigningKey) -> String {
     let accounts = claims
         .accounts
         .as_ref()
@@ -214,8 +224,8 @@
         aud: claims.audience.clone(),
         sub: claims.tenant.clone(),
         iat: None,
-        nbf: told(claims.from),
-        exp: told(claims.until),
+        nbf: format_time(claims.from),
+        exp: format_time(claims.until),
         accounts,
         classes: claims.classes.clone(),
     };
@@ -224,12 +234,12 @@
         serde_json::to_vec(&body).unwrap_or_default(),
         serde_json::to_vec(&Footer { kid }).unwrap_or_default(),
     );
-    seal(&message, &footer, with)
+    sign_raw(&message, &footer, signing_key)
 }
 
-/// Signs any message and footer.
-pub fn seal(message: &[u8], footer: &[u8], with: &SigningKey) -> String {
-    let signature = with.sign(&parts(&[HEADER.as_bytes(), message, footer, b""]));
+/// Makes a token from any message and footer, well-formed or not.
+pub fn sign_raw(message: &[u8], footer: &[u8], signing_key: &SigningKey) -> String {
+    let signature = signing_key.sign(&pre_auth_encode(&[HEADER.as_bytes(), message, footer, b""]));
     let body = URL_SAFE_NO_PAD.encode([message, &signature.to_bytes()].concat());
     format!("{HEADER}{body}.{}", URL_SAFE_NO_PAD.encode(footer))
 }
--- a/crates/identity/src/trust.rs
+++ b/crates/identity/src/trust.rs
@@ -1,12 +1,13 @@
-//! Whom an operator trusts to sign tokens, and with which keys from when to when. A key is trusted before it is used and used
-//! before the old one is withdrawn; [`Trust::rotation`] says where each stands.
+//! The issuers that an operator trusts to sign tokens, and the period of use of each of their keys. To rotate a key, the operator
+//! lists the new key first, signs with it second and withdraws the old one last. [`Trust::rotation_problems`] reports mistakes in
+//! that order.
 
 use crate::Seconds;
 use ed25519_dalek::VerifyingKey;
 
-/// Reads a public key from 64 hex digits in lower case; none where it is none, or one of the weak ones that more than one
-/// signature fits.
-pub fn public(text: &str) -> Option<VerifyingKey> {
+/// Parses a public key of 64 lower-case hex digits. Returns `None` if it is malformed, or weak: a point of small order, for which
+/// one signature can be valid for many messages.
+pub fn parse_public_key(text: &str) -> Option<VerifyingKey> {
     let hex = text.len() == 64
         && text
             .bytes()
@@ -17,74 +18,74 @@
     (!key.is_weak()).then_some(key)
 }
 
-/// A key as it is written.
-pub fn written(key: &VerifyingKey) -> String {
+/// Formats a public key as 64 lower-case hex digits.
+pub fn format_public_key(key: &VerifyingKey) -> String {
     key.as_bytes().iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// A key of an issuer.
+/// A public key of an issuer, with its period of use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Key {
-    /// What tokens call it.
+    /// The name of the key, unique within the issuer; tokens have it in `kid` after the slash.
     pub name: String,
-    /// The public half.
+    /// The public key that verifies signatures.
     pub public: VerifyingKey,
-    /// From when on tokens signed with it are taken.
+    /// Tokens signed with the key are accepted from this time on.
     pub from: Seconds,
-    /// From when on they are not any more; none for as long as it is listed.
+    /// Tokens signed with the key are refused from this time on; `None` while the key has no end.
     pub until: Option<Seconds>,
 }
 
-/// Where a key stands.
+/// The stage of a key within its rotation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Trusted from a later time on.
-    Coming,
-    /// In use.
-    Used,
-    /// In use, with an end that has been set.
-    Leaving,
-    /// Withdrawn.
+    /// The period of use has not begun.
+    Pending,
+    /// In use, with no end set.
+    Active,
+    /// In use, with an end set.
+    Expiring,
+    /// The period of use has ended.
     Withdrawn,
 }
 
 impl Key {
-    /// Where it stands at a time.
+    /// The stage of the key at the time `now`.
     pub fn stage(&self, now: Seconds) -> Stage {
         match self.until {
             Some(until) if now >= until => Stage::Withdrawn,
-            _ if now < self.from => Stage::Coming,
-            Some(_) => Stage::Leaving,
-            None => Stage::Used,
+            _ if now < self.from => Stage::Pending,
+            Some(_) => Stage::Expiring,
+            None => Stage::Active,
         }
     }
 
-    /// Whether tokens signed with it are taken at a time.
-    pub fn taken(&self, now: Seconds) -> bool {
-        matches!(self.stage(now), Stage::Used | Stage::Leaving)
+    /// Whether tokens signed with the key are accepted at the time `now`.
+    pub fn is_active(&self, now: Seconds) -> bool {
+        matches!(self.stage(now), Stage::Active | Stage::Expiring)
     }
 }
 
-/// Whoever signs tokens.
+/// An issuer of tokens.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Issuer {
-    /// What tokens call it.
+    /// The name of the issuer; tokens have it as `iss`, and in `kid` before the slash.
     pub name: String,
-    /// Its keys.
+    /// The keys of the issuer, past and future ones included.
     pub keys: Vec<Key>,
 }
 
-/// What is trusted, and how strictly times are taken.
+/// The trusted issuers, and the rules for audience and validity times.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trust {
-    /// Whom tokens must be for: this installation's name.
+    /// The name of this installation, which must be the audience of each token.
     pub audience: String,
-    /// Who may sign them.
+    /// The issuers whose tokens are accepted.
     pub issuers: Vec<Issuer>,
-    /// By how much clocks may differ.
+    /// The clock skew tolerated when `nbf` and `exp` are checked, in seconds.
     pub skew: Seconds,
-    /// The longest time that a token may hold for.
-    pub longest: Seconds,
+    /// The longest time allowed from `nbf` to `exp`, in seconds.
+    pub max_lifetime: Seconds,
 }
 
 impl Default for Trust {
@@ -93,26 +94,26 @@
             audience: String::new(),
             issuers: Vec::new(),
             skew: 30,
-            longest: 24 * 3600,
+            max_lifetime: 24 * 3600,
         }
     }
 }
 
-/// What is wrong with a set of keys, for those who change it.
+/// A mistake in the rotation of keys, reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Doubt {
-    /// No key of the issuer is taken now: all of its tokens are refused.
+pub enum RotationProblem {
+    /// The issuer has no key in use at present, so all of its tokens are refused.
     NoKey(String),
-    /// The last key that is taken ends, and none comes before that.
+    /// From this time on the issuer has no key in use: the last one ends before the next begins, or there is no next one.
     Gap(String, Seconds),
-    /// Two keys of one name.
-    Twice(String, String),
-    /// One that ends before it begins.
-    Never(String, String),
+    /// Two keys of the issuer have the same name. Fields: issuer, key.
+    DuplicateKey(String, String),
+    /// The key ends before it begins, or at the same time. Fields: issuer, key.
+    EmptyPeriod(String, String),
 }
 
 impl Trust {
-    /// An issuer's key by their names.
+    /// Finds a key by the names of issuer and key.
     pub fn key(&self, issuer: &str, name: &str) -> Option<&Key> {
         self.issuers
             .iter()
@@ -122,46 +123,53 @@
             .find(|k| k.name == name)
     }
 
-    /// What is wrong with the keys at a time: a rotation that stopped half way, or was made in the wrong order.
-    pub fn rotation(&self, now: Seconds) -> Vec<Doubt> {
-        let mut doubts = Vec::new();
+    /// Finds mistakes in the keys as of the time `now`, such as a rotation that was left unfinished or done in the wrong order.
+    pub fn rotation_problems(&self, now: Seconds) -> Vec<RotationProblem> {
+        let mut problems = Vec::new();
         for issuer in &self.issuers {
             for (n, key) in issuer.keys.iter().enumerate() {
                 if issuer.keys[..n].iter().any(|k| k.name == key.name) {
-                    doubts.push(Doubt::Twice(issuer.name.clone(), key.name.clone()));
+                    problems.push(RotationProblem::DuplicateKey(
+                        issuer.name.clone(),
+                        key.name.clone(),
+                    ));
                 }
                 if key.until.is_some_and(|until| until <= key.from) {
-                    doubts.push(Doubt::Never(issuer.name.clone(), key.name.clone()));
+                    problems.push(RotationProblem::EmptyPeriod(
+                        issuer.name.clone(),
+                        key.name.clone(),
+                    ));
                 }
             }
-            if !issuer.keys.iter().any(|k| k.taken(now)) {
-                doubts.push(Doubt::NoKey(issuer.name.clone()));
+            if !issuer.keys.iter().any(|k| k.is_active(now)) {
+                problems.push(RotationProblem::NoKey(issuer.name.clone()));
                 continue;
             }
-            // From one end to the next: is there always one that is taken?
-            let mut at = now;
+            // Steps from the end of one key to the end of the next, and checks that a key is in
+            // use at each.
+            let mut time = now;
             while let Some(end) = issuer
                 .keys
                 .iter()
-                .filter(|k| k.taken(at))
+                .filter(|k| k.is_active(time))
                 .map(|k| k.until)
                 .max_by_key(|u| u.unwrap_or(u64::MAX))
             {
                 let Some(end) = end else { break };
-                if !issuer.keys.iter().any(|k| k.taken(end)) {
-                    doubts.push(Doubt::Gap(issuer.name.clone(), end));
+                if !issuer.keys.iter().any(|k| k.is_active(end)) {
+                    problems.push(RotationProblem::Gap(issuer.name.clone(), end));
                     break;
                 }
-                at = end;
+                time = end;
             }
         }
-        doubts
+        problems
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::{Doubt, Issuer, Key, Seconds, Stage, Trust};
+    use super::{Issuer, Key, RotationProblem, Seconds, Stage, Trust};
     use ed25519_dalek::SigningKey;
 
     fn key(name: &str, from: Seconds, until: Option<Seconds>) -> Key {
@@ -184,32 +192,38 @@
     }
 
     #[test]
-    fn a_rotation_is_whole_when_one_key_is_taken_at_every_moment() {
-        let a = || "desk".to_string();
-        assert_eq!(trust(vec![key("1", 0, None)]).rotation(100), []);
+    fn rotation_is_complete_only_if_a_key_is_active_at_all_times() {
+        let issuer = || "desk".to_string();
+        assert_eq!(trust(vec![key("1", 0, None)]).rotation_problems(100), []);
         let good = trust(vec![key("1", 0, Some(500)), key("2", 400, None)]);
-        assert_eq!(good.rotation(100), []);
-        assert_eq!(good.issuers[0].keys[0].stage(450), Stage::Leaving);
-        assert_eq!(good.issuers[0].keys[1].stage(100), Stage::Coming);
+        assert_eq!(good.rotation_problems(100), []);
+        assert_eq!(good.issuers[0].keys[0].stage(450), Stage::Expiring);
+        assert_eq!(good.issuers[0].keys[1].stage(100), Stage::Pending);
         assert_eq!(good.issuers[0].keys[0].stage(500), Stage::Withdrawn);
-        assert!(good.issuers[0].keys[1].taken(400) && !good.issuers[0].keys[1].taken(399));
+        assert!(good.issuers[0].keys[1].is_active(400) && !good.issuers[0].keys[1].is_active(399));
         assert_eq!(
-            trust(vec![key("1", 0, Some(500)), key("2", 501, None)]).rotation(1),
-            [Doubt::Gap(a(), 500)]
+            trust(vec![key("1", 0, Some(500)), key("2", 501, None)]).rotation_problems(1),
+            [RotationProblem::Gap(issuer(), 500)]
         );
         assert_eq!(
-            trust(vec![key("1", 0, Some(500))]).rotation(1),
-            [Doubt::Gap(a(), 500)]
+            trust(vec![key("1", 0, Some(500))]).rotation_problems(1),
+            [RotationProblem::Gap(issuer(), 500)]
         );
         assert_eq!(
-            trust(vec![key("1", 9, None)]).rotation(1),
-            [Doubt::NoKey(a())]
+            trust(vec![key("1", 9, None)]).rotation_problems(1),
+            [RotationProblem::NoKey(issuer())]
+        );
+        assert_eq!(
+            trust(vec![]).rotation_problems(1),
+            [RotationProblem::NoKey(issuer())]
         );
-        assert_eq!(trust(vec![]).rotation(1), [Doubt::NoKey(a())]);
         let twice = trust(vec![key("1", 0, None), key("1", 5, Some(5))]);
         assert_eq!(
-            twice.rotation(1),
-            [Doubt::Twice(a(), "1".into()), Doubt::Never(a(), "1".into())]
+            twice.rotation_problems(1),
+            [
+                RotationProblem::DuplicateKey(issuer(), "1".into()),
+                RotationProblem::EmptyPeriod(issuer(), "1".into())
+            ]
         );
     }
 }
--- a/crates/ingress/src/authenticator.rs
+++ b/crates/ingress/src/authenticator.rs
@@ -7,7 +7,7 @@
 use wrenfork_identity::cache::Cache;
 use wrenfork_identity::rights::Caller;
 use wrenfork_identity::sources::{Source, Sources};
-use wrenfork_identity::token::{holds, Claims};
+use wrenfork_identity::token::{check_claims, Claims};
 use wrenfork_identity::Refusal;
 
 /// Tokens whose signature need not be verified again.
@@ -79,14 +79,14 @@
         now: Micros,
     ) -> Result<AuthenticatedCaller, Refusal> {
         let PresentedToken { token, source } = presented;
-        let verified_before = self.cache.checked;
-        let may_verify = self.sources.may(source, now);
+        let verified_before = self.cache.verifications;
+        let may_verify = self.sources.may_verify(source, now);
         let seconds = now / MICROS_PER_SECOND;
         let claims = self
             .cache
             .verify(token, &self.callers.trust, seconds, may_verify);
-        if claims.is_err() && self.cache.checked > verified_before {
-            self.sources.failed(source, now);
+        if claims.is_err() && self.cache.verifications > verified_before {
+            self.sources.record_failure(source, now);
         }
         self.caller_of(claims?)
     }
@@ -113,11 +113,13 @@
                 self.refresh(caller, now)?;
                 caller
             }
-            (None, None) if self.callers.required => return Err(Refusal::Nobody),
+            (None, None) if self.callers.required => return Err(Refusal::Unauthenticated),
             (None, None) => return Ok(()),
         };
         let (account, class) = (request.customer.0, request.class);
-        self.callers.tenants.may(&caller.caller, account, class)
+        self.callers
+            .tenants
+            .authorize(&caller.caller, account, class)
     }
 
     /// Checks what a connection has proved against the tenants and the time of now.
@@ -125,6 +127,6 @@
         if caller.generation != self.generation {
             *caller = self.caller_of(caller.claims.clone())?;
         }
-        holds(&caller.claims, &self.callers.trust, now / MICROS_PER_SECOND)
+        check_claims(&caller.claims, &self.callers.trust, now / MICROS_PER_SECOND)
     }
 }
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -6,8 +6,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use wrenfork_identity::token::{sign, told, Claims};
-use wrenfork_identity::trust::written;
+use wrenfork_identity::token::{format_time, sign, Claims};
+use wrenfork_identity::trust::format_public_key;
 use wrenfork_testbed::small::{
     command, list, place, serve, served, until, Act, Backend, Client, Ingress,
 };
@@ -86,7 +86,7 @@
 }
 
 fn listed(name: &str, n: u8, more: &str) -> String {
-    let public = written(&key(n).verifying_key());
+    let public = format_public_key(&key(n).verifying_key());
     format!("[[identity.issuer.key]]\nname = \"{name}\"\npublic = \"{public}\"\n{more}")
 }
 
@@ -283,7 +283,7 @@
     let before = backend.count();
     client.send(&quote(OWN, "k2", ""));
     until("it is with the backend", || backend.count() > before);
-    let ended = format!("until = \"{}\"\n", told(now() - 1));
+    let ended = format!("until = \"{}\"\n", format_time(now() - 1));
     reload(&site, &(listed("one", 1, &ended) + &listed("two", 2, "")));
     until("the old key is withdrawn", || {
         site.client()
