--- a/crates/testbed/src/rig/address.rs
+++ b/crates/testbed/src/rig/address.rs
@@ -1,11 +1,11 @@
-//! Loopback addresses that nobody else has.
+//! Loopback addresses and ports that no other test uses.
 
 use std::io::ErrorKind;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU16, AtomicU32, Ordering};
 
-/// An address of 127.0.0.0/8 of this process's own, a new one at each call, so that ports can be bound again
-/// later without meeting those that the system hands out elsewhere.
+/// Returns an address of 127.0.0.0/8 that is derived from the process id and a counter, another one at each call. A port on it can
+/// be bound again later without colliding with ephemeral ports that the system assigns on 127.0.0.1.
 pub fn own() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (pid, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -19,12 +19,12 @@
     .into()
 }
 
-/// A port that nobody listens at, below those that the system hands out by itself. It is not tried by binding it: a process
-/// that another thread starts at that moment would hold the trial's descriptor for as long as it takes to become another program.
+/// Finds a port without a listener, below the ephemeral range. The port is probed by connecting, not by binding: a process that
+/// another thread forks at that moment would inherit the bound descriptor and hold it until it calls `exec`.
 ///
 /// # Errors
 ///
-/// Where none of them is free.
+/// If no port is free, or a probe fails for another reason than a refused connection.
 pub fn free(ip: IpAddr) -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     const PORTS: (u16, u16) = (10_000, 20_000);
--- a/crates/testbed/src/rig/backends.rs
+++ b/crates/testbed/src/rig/backends.rs
@@ -1,8 +1,8 @@
-//! The backends' side: a listener of each backend for each ingress, their connections, and what they do with
-//! commands, well or badly.
+//! The stand-ins for backends: a listener of each backend for each ingress, their connections, and how they handle commands, faults
+//! included.
 
 use super::address;
-use super::context::{token, Context, Due, Part};
+use super::context::{token, Component, Context, Due};
 use super::pipe::{Flow, Pipe};
 use crate::arrivals::lot;
 use crate::judge::Seen;
@@ -19,39 +19,40 @@
 
 /// How often a backend refreshes the load that it reports.
 const REPORT_PERIOD: Micros = 300_000;
-/// What a probe costs a backend.
+/// The work of a probe, in microseconds.
 const PROBE_WORK: Micros = 300;
-/// The pause between the bytes of an answer that comes byte by byte, and how many come so.
+/// The pause between the bytes of a reply that is sent byte by byte.
 const BYTE_PAUSE: Micros = 200;
-const MOST_BYTES: usize = 48;
-/// The bytes of a value.
-const VALUE: usize = 64;
+/// How many bytes of such a reply are sent one by one, at its end.
+const SINGLE_BYTES: usize = 48;
+/// The length of a value, in bytes.
+const VALUE_BYTES: usize = 64;
 
-/// What falls due for backends.
+/// A timer event of the backends.
 pub enum BackendDue {
-    /// A core is done with a job.
+    /// A core has finished a job.
     Done {
         slot: usize,
         life: u64,
         key: usize,
         serial: u64,
     },
-    /// The next byte of an answer goes out.
+    /// The next byte of a reply is sent.
     Byte {
         conn: usize,
         serial: u64,
         rest: Vec<u8>,
     },
-    /// A misbehaviour of a backend is over.
-    Well { slot: usize, since: Micros },
-    /// The share that another program takes changes.
-    Taken { slot: usize, factor: f64 },
+    /// The fault of a backend that began at `since` ends, unless a later one has replaced it.
+    Recovered { slot: usize, since: Micros },
+    /// The load of another program on the machine changes to `factor`.
+    NeighbourLoad { slot: usize, factor: f64 },
 }
 
-/// How a backend behaves.
+/// The behaviour of a backend: normal, or with a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    Well,
+    Normal,
     Hang,
     Reset { byte: u32 },
     Spoil,
@@ -59,13 +60,13 @@
     Echo,
 }
 
-/// A backend: its place in the scenario, and the process that is there now.
+/// A backend of the scenario, with its current process.
 struct Slot {
     machine: Machine,
-    /// Its identity; a new one with a new name.
+    /// The identity of the backend, which changes with its name.
     ident: usize,
     pod: usize,
-    /// The number of its process, so that what an earlier one began is known as such.
+    /// The number of the current process; timer events of earlier ones are ignored.
     life: u64,
     alive: bool,
     mode: (Mode, Micros),
@@ -79,25 +80,25 @@
     ingress: usize,
     slot: usize,
     serial: u64,
-    /// When the first byte of the command came that is not whole yet.
+    /// When the first byte of the incomplete command was received.
     first_byte: Option<Micros>,
-    /// Bytes of it that have come.
-    came: usize,
-    /// Commands that are not answered, in their order.
-    waiting: VecDeque<Owed>,
+    /// How many bytes of the incomplete command were received.
+    received: usize,
+    /// Commands without a reply, in order.
+    waiting: VecDeque<PendingReply>,
     shut: bool,
 }
 
-/// A command that is not answered.
-struct Owed {
-    /// Its work; none where it is never begun.
+/// A command without a reply.
+struct PendingReply {
+    /// The key of its work; `None` if a hanging backend never begins it.
     number: Option<usize>,
     id: u64,
-    /// The answer, while it waits for those before it.
+    /// The reply, while it waits for the replies before it.
     text: Option<Vec<u8>>,
 }
 
-/// A command under work.
+/// A command that is queued or being worked on.
 struct Work {
     serial: u64,
     conn: usize,
@@ -105,7 +106,7 @@
     id: u64,
 }
 
-/// All backends.
+/// All backends, with their connections and work.
 pub struct Backends {
     seed: u64,
     classes: Vec<(String, Effect, Micros)>,
@@ -117,23 +118,23 @@
     serial: u64,
     chunk: Vec<u8>,
     args: Vec<Range<usize>>,
-    /// Keys that a pod has carried out, and when.
+    /// Idempotency keys that each pod has carried out, and when.
     keys: HashMap<(usize, u64), Micros>,
     idents: usize,
     scenario: Scenario,
 }
 
-/// The value that a backend makes for a request.
+/// The value that a backend returns for a request; it contains the id, so that a foreign reply is noticed.
 pub fn value_of(id: u64) -> String {
     let mut value = format!("value of {id:016x} ");
-    while value.len() < VALUE {
+    while value.len() < VALUE_BYTES {
         value.push('.');
     }
     value
 }
 
 impl Backends {
-    /// Opens the listeners of all backends, for each ingress its own.
+    /// Opens the listeners of all backends, a separate one for each ingress.
     pub fn open(s: &Scenario, context: &mut Context) -> io::Result<Self> {
         let mut backends = Backends {
             seed: s.seed,
@@ -169,7 +170,7 @@
                     pod: pods,
                     life: 0,
                     alive: true,
-                    mode: (Mode::Well, 0),
+                    mode: (Mode::Normal, 0),
                     addresses,
                     listeners: Vec::new(),
                     reached: 0,
@@ -184,10 +185,10 @@
     fn listen(&mut self, slot: usize, context: &mut Context) -> io::Result<()> {
         for (ingress, at) in self.slots[slot].addresses.clone().into_iter().enumerate() {
             let mut listener = TcpListener::bind(at)?;
-            // The system's choice the first time, the same port from then on.
+            // The system assigns a port the first time; a restart binds the same one.
             self.slots[slot].addresses[ingress] = listener.local_addr()?;
             let place = self.listeners.vacant_entry();
-            let (key, token) = (place.key(), token(Part::BackendListener, place.key()));
+            let (key, token) = (place.key(), token(Component::BackendListener, place.key()));
             context
                 .registry
                 .register(&mut listener, token, Interest::READABLE)?;
@@ -197,23 +198,23 @@
         Ok(())
     }
 
-    /// Where a backend listens for an ingress.
+    /// The address of a backend for an ingress.
     pub fn address(&self, slot: usize, ingress: usize) -> SocketAddr {
         self.slots[slot].addresses[ingress]
     }
 
-    /// A backend's identity, its pod, and when it started.
+    /// The identity of a backend, its pod, and its start time.
     pub fn facts(&self, slot: usize) -> (usize, usize, Micros) {
         let s = &self.slots[slot];
         (s.ident, s.pod, s.machine.started)
     }
 
-    /// Whether a backend's process runs.
+    /// Whether the process of a backend runs.
     pub fn alive(&self, slot: usize) -> bool {
         self.slots[slot].alive
     }
 
-    /// How many commands each backend got, and its capacity.
+    /// The number of commands that each backend received, and its capacity.
     pub fn spread(&self) -> Vec<(u64, f64)> {
         self.slots
             .iter()
@@ -222,29 +223,29 @@
             .collect()
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
         self.conns.len()
     }
 
-    /// Has a backend behave in a way for a time.
+    /// Sets the behaviour of a backend for a time.
     pub fn behave(&mut self, slot: usize, mode: Mode, lasts: Micros, context: &mut Context) {
         self.slots[slot].mode = (mode, context.now);
         context.after(
             lasts,
-            Due::Backend(BackendDue::Well {
+            Due::Backend(BackendDue::Recovered {
                 slot,
                 since: context.now,
             }),
         );
     }
 
-    /// Has another program take a part of a backend's machine.
-    pub fn neighbour(&mut self, slot: usize, factor: f64) {
+    /// Sets the load that another program puts on the machine of a backend.
+    pub fn set_neighbour(&mut self, slot: usize, factor: f64) {
         self.slots[slot].machine.taken = factor;
     }
 
-    /// Ends a backend's process: connections are reset and new ones refused.
+    /// Ends the process of a backend: its connections are reset and new ones refused.
     pub fn die(&mut self, slot: usize, context: &mut Context) {
         let s = &mut self.slots[slot];
         (s.alive, s.life) = (false, s.life + 1);
@@ -260,11 +261,11 @@
         gone.into_iter().for_each(|key| self.reset(key, context));
     }
 
-    /// Starts a backend's process, cold; under a new name it is another backend.
+    /// Starts the process of a backend, cold. With a new name it gets a new identity.
     pub fn start(&mut self, slot: usize, new_name: bool, context: &mut Context) -> io::Result<()> {
         let machine = Machine::new(self.scenario.set_of(slot), context.now, context.now);
         let s = &mut self.slots[slot];
-        (s.machine, s.alive, s.mode) = (machine, true, (Mode::Well, context.now));
+        (s.machine, s.alive, s.mode) = (machine, true, (Mode::Normal, context.now));
         if new_name {
             s.ident = self.idents;
             self.idents += 1;
@@ -285,9 +286,10 @@
         };
         let runs_on = self.scenario.set_of(conn.slot).runs_on;
         let backend = self.slots[conn.slot].ident;
-        for Owed { number, id, .. } in conn.waiting {
-            context.see(Seen::Over { id, backend });
-            // What waits is dropped, where work does not run on; what runs goes on, and its answer reaches nobody.
+        for PendingReply { number, id, .. } in conn.waiting {
+            context.record(Seen::Over { id, backend });
+            // Unless work outlives its connection, queued work is dropped. Running work continues,
+            // and its reply is discarded.
             let Some(work) = number.filter(|_| !runs_on) else {
                 continue;
             };
@@ -297,7 +299,7 @@
         }
     }
 
-    /// Takes in connections.
+    /// Accepts pending connections.
     pub fn accept(&mut self, key: usize, context: &mut Context) {
         loop {
             let Some((listener, ingress, slot)) = self.listeners.get(key) else {
@@ -308,7 +310,7 @@
                 return;
             };
             let place = self.conns.vacant_entry();
-            let token: Token = token(Part::Backend, place.key());
+            let token: Token = token(Component::Backend, place.key());
             let interest = Interest::READABLE | Interest::WRITABLE;
             if context
                 .registry
@@ -324,38 +326,38 @@
                 slot,
                 serial: self.serial,
                 first_byte: None,
-                came: 0,
+                received: 0,
                 waiting: VecDeque::new(),
                 shut: false,
             });
         }
     }
 
-    /// Does what a connection is ready for.
-    pub fn ready(&mut self, key: usize, context: &mut Context) {
+    /// Reads and writes a connection that is ready.
+    pub fn handle_ready(&mut self, key: usize, context: &mut Context) {
         context.read_clock();
         let Some(conn) = self.conns.get_mut(key) else {
             return;
         };
         let before = conn.pipe.inbox.len();
         let flow = conn.pipe.fill(&mut self.chunk);
-        let came = conn.pipe.inbox.len() - before;
-        if came > 0 {
+        let received = conn.pipe.inbox.len() - before;
+        if received > 0 {
             conn.first_byte.get_or_insert(context.now);
-            conn.came += came;
+            conn.received += received;
         }
         if !conn.pipe.flush() || flow == Flow::Reset {
             return self.close(key, context);
         }
         let slot = conn.slot;
         if let Mode::Reset { byte } = self.slots[slot].mode.0 {
-            if byte > 0 && conn.came >= byte as usize {
+            if byte > 0 && conn.received >= byte as usize {
                 return self.reset(key, context);
             }
         }
         self.take_commands(key, context);
         if flow == Flow::Ended {
-            // An ingress that ends its sending gives its attempt up.
+            // An ingress that closes its sending side cancels its attempt.
             self.close(key, context);
         }
     }
@@ -370,14 +372,14 @@
                 Ok(Some(n)) => n,
                 Err(_) => {
                     conn.shut = true;
-                    conn.pipe.say(b"-SYNTAX\r\n");
+                    conn.pipe.send(b"-SYNTAX\r\n");
                     return;
                 }
             };
             let command: Vec<u8> = conn.pipe.inbox.drain(..found).collect();
             let first_byte = conn.first_byte.take().unwrap_or(context.now);
-            conn.came = conn.pipe.inbox.len();
-            if conn.came > 0 {
+            conn.received = conn.pipe.inbox.len();
+            if conn.received > 0 {
                 conn.first_byte = Some(context.now);
             }
             let args: Vec<&[u8]> = self.args.iter().map(|r| &command[r.clone()]).collect();
@@ -387,10 +389,10 @@
                     if let Some(known) = self.read_call(&customer, &id, &options) {
                         self.call(key, known, first_byte, context);
                     } else {
-                        self.say(key, b"-SYNTAX\r\n", context);
+                        self.send(key, b"-SYNTAX\r\n", context);
                     }
                 }
-                Some(b"PING") => self.say(key, b"+PONG\r\n", context),
+                Some(b"PING") => self.send(key, b"+PONG\r\n", context),
                 Some(b"INFO") => {
                     let slot = conn.slot;
                     let machine = &mut self.slots[slot].machine;
@@ -403,20 +405,20 @@
                             format!("queue={},inflight={}", machine.queue(), machine.held())
                         }
                         Reports::None => {
-                            self.say(key, b"-NOPERM\r\n", context);
+                            self.send(key, b"-NOPERM\r\n", context);
                             continue;
                         }
                     };
                     let answer = format!("${}\r\n{load}\r\n", load.len());
-                    self.say(key, answer.as_bytes(), context);
+                    self.send(key, answer.as_bytes(), context);
                 }
-                Some(b"CLIENT" | b"SELECT") => self.say(key, b"+OK\r\n", context),
-                _ => self.say(key, b"-ERR unknown command\r\n", context),
+                Some(b"CLIENT" | b"SELECT") => self.send(key, b"+OK\r\n", context),
+                _ => self.send(key, b"-ERR unknown command\r\n", context),
             }
         }
     }
 
-    /// The id, the class and the key of a call.
+    /// Parses a call: the id, the class and the idempotency key. Returns `None` if it is malformed.
     fn read_call(
         &self,
         customer: &str,
@@ -446,11 +448,11 @@
         };
         let (index, now) = (conn.slot, context.now);
         let (_, effect, mean) = &self.classes[class];
-        // Drawn by the request, so that each of its attempts has the same work wherever it goes.
+        // Derived from the request id, so that each attempt has the same work on every backend.
         let work = (*mean as f64 * (0.7 + 0.6 * lot(self.seed, &[11, id]))) as Micros;
         let slot = &mut self.slots[index];
         slot.reached += 1;
-        context.see(Seen::Reached {
+        context.record(Seen::Reached {
             id,
             ingress: conn.ingress,
             backend: slot.ident,
@@ -465,7 +467,7 @@
         }
         let mode = slot.mode.0;
         if mode == Mode::Hang {
-            conn.waiting.push_back(Owed {
+            conn.waiting.push_back(PendingReply {
                 number: None,
                 id,
                 text: None,
@@ -480,7 +482,7 @@
             conn_serial,
             id,
         });
-        conn.waiting.push_back(Owed {
+        conn.waiting.push_back(PendingReply {
             number: Some(number),
             id,
             text: None,
@@ -496,7 +498,7 @@
                 .get(&(slot.pod, k))
                 .is_some_and(|at| now < at + window);
             if known {
-                return self.finish(number, context); // a repeat: answered, and not carried out again
+                return self.finish(number, context); // a repeat: replied to without work
             }
             self.keys.insert((slot.pod, k), now);
         }
@@ -509,7 +511,7 @@
         ) {
             Taken::Begun(at) => {
                 let life = slot.life;
-                context.see(Seen::Ran { id });
+                context.record(Seen::Ran { id });
                 context.at(
                     at,
                     Due::Backend(BackendDue::Done {
@@ -522,14 +524,14 @@
             }
             Taken::Waits => {}
             Taken::TurnedAway => {
-                context.see(Seen::TurnedAway {
+                context.record(Seen::TurnedAway {
                     id,
                     backend: slot.ident,
                 });
                 if let Some(k) = keyed {
                     self.keys.remove(&(self.slots[index].pod, k));
                 }
-                self.answer(number, b"-BUSY\r\n".to_vec(), context);
+                self.store_reply(number, b"-BUSY\r\n".to_vec(), context);
             }
         }
         if mode == (Mode::Reset { byte: 0 }) {
@@ -537,8 +539,8 @@
         }
     }
 
-    /// Carries out what is due.
-    pub fn due(&mut self, due: BackendDue, context: &mut Context) {
+    /// Handles a timer event.
+    pub fn handle_due(&mut self, due: BackendDue, context: &mut Context) {
         match due {
             BackendDue::Done {
                 slot,
@@ -552,12 +554,12 @@
                 if self.work.get(key).is_some_and(|w| w.serial == serial) {
                     self.finish(key, context);
                 }
-                // Those whose connection has gone are dropped, and the core goes to the next.
+                // The core takes the next job. Jobs whose connection has closed are dropped.
                 if let Some((job, at)) = self.slots[slot].machine.done(context.now) {
                     let key = job.key as usize;
                     if let Some(work) = self.work.get(key) {
                         let (id, serial) = (work.id, work.serial);
-                        context.see(Seen::Ran { id });
+                        context.record(Seen::Ran { id });
                         context.at(
                             at,
                             Due::Backend(BackendDue::Done {
@@ -577,7 +579,7 @@
             } => {
                 if self.conns.get(conn).is_some_and(|c| c.serial == serial) {
                     let next: Vec<u8> = rest.drain(..1).collect();
-                    self.say(conn, &next, context);
+                    self.send(conn, &next, context);
                     if !rest.is_empty() {
                         context.after(
                             BYTE_PAUSE,
@@ -586,12 +588,12 @@
                     }
                 }
             }
-            BackendDue::Well { slot, since } => {
+            BackendDue::Recovered { slot, since } => {
                 if self.slots[slot].mode.1 == since {
-                    self.slots[slot].mode = (Mode::Well, context.now);
+                    self.slots[slot].mode = (Mode::Normal, context.now);
                 }
             }
-            BackendDue::Taken { slot, factor } => self.neighbour(slot, factor),
+            BackendDue::NeighbourLoad { slot, factor } => self.set_neighbour(slot, factor),
         }
     }
 
@@ -616,11 +618,11 @@
             Reports::Probes | Reports::None => "$-1".into(),
         };
         let answer = format!("*3\r\n${}\r\n{value}\r\n$-1\r\n{load}\r\n", value.len()).into_bytes();
-        self.answer(number, answer, context);
+        self.store_reply(number, answer, context);
     }
 
-    /// Puts an answer in its place, and writes what is due in order.
-    fn answer(&mut self, number: usize, text: Vec<u8>, context: &mut Context) {
+    /// Stores a reply, and sends all replies whose predecessors have been sent.
+    fn store_reply(&mut self, number: usize, text: Vec<u8>, context: &mut Context) {
         let work = self.work.remove(number);
         let Some(conn) = self
             .conns
@@ -629,12 +631,12 @@
         else {
             return;
         };
-        if let Some(owed) = conn.waiting.iter_mut().find(|w| w.number == Some(number)) {
-            owed.text = Some(text);
+        if let Some(pending) = conn.waiting.iter_mut().find(|w| w.number == Some(number)) {
+            pending.text = Some(text);
         }
         let (mode, backend) = (self.slots[conn.slot].mode.0, self.slots[conn.slot].ident);
         while conn.waiting.front().is_some_and(|w| w.text.is_some()) {
-            let Some(Owed {
+            let Some(PendingReply {
                 id,
                 text: Some(mut text),
                 ..
@@ -642,7 +644,7 @@
             else {
                 return;
             };
-            context.see(Seen::Over { id, backend });
+            context.record(Seen::Over { id, backend });
             match mode {
                 Mode::Spoil => {
                     let at = text.len() / 2;
@@ -651,7 +653,7 @@
                 }
                 Mode::Echo => text.extend_from_within(..),
                 Mode::Bytewise => {
-                    let rest = text.split_off(text.len().saturating_sub(MOST_BYTES).max(1));
+                    let rest = text.split_off(text.len().saturating_sub(SINGLE_BYTES).max(1));
                     let serial = conn.serial;
                     let due = BackendDue::Byte {
                         conn: work.conn,
@@ -662,19 +664,19 @@
                 }
                 _ => {}
             }
-            if !conn.pipe.say(&text) {
+            if !conn.pipe.send(&text) {
                 return self.close(work.conn, context);
             }
         }
     }
 
-    fn say(&mut self, key: usize, text: &[u8], context: &mut Context) {
-        if self.conns.get_mut(key).is_some_and(|c| !c.pipe.say(text)) {
+    fn send(&mut self, key: usize, text: &[u8], context: &mut Context) {
+        if self.conns.get_mut(key).is_some_and(|c| !c.pipe.send(text)) {
             self.close(key, context);
         }
     }
 
-    /// Forgets keys that are long past their window.
+    /// Drops idempotency keys that are older than ten seconds.
     pub fn sweep(&mut self, now: Micros) {
         self.keys.retain(|_, at| *at + 10 * SECOND > now);
     }
--- a/crates/testbed/src/rig/clients.rs
+++ b/crates/testbed/src/rig/clients.rs
@@ -1,8 +1,8 @@
-//! The clients' side: a front that deals requests out to ingresses, connections that are kept and opened, tries and
-//! further tries, clients that leave, and hostile ones.
+//! The stand-ins for clients: a front that distributes requests over ingresses with a pool of connections, retries, clients that
+//! leave before the reply, crowds, and hostile clients.
 
 use super::backends::value_of;
-use super::context::{token, Context, Due, Part};
+use super::context::{token, Component, Context, Due};
 use super::pipe::{Flow, Pipe};
 use crate::arrivals::{lot, Accounts, Arrival};
 use crate::judge::{Answer, Seen, Try, ANSWER_SLACK, ON_SOCKETS};
@@ -14,75 +14,76 @@
 use std::net::SocketAddr;
 use wrenfork_wire::resp::{self, Kind, Reply};
 
-/// The pause between two looks whether an ingress answers `PING`.
-const PING_AGAIN: Micros = 20_000;
-/// New connections go on coming for so long to an ingress that was told to stop.
-const STILL_NEW: Micros = 300_000;
-/// The pause before a connection of a crowd or of a hostile client is opened again.
-const OPEN_AGAIN: Micros = 200_000;
-/// Connections of a crowd that are opened at once.
-const AT_ONCE: u32 = 16;
+/// The interval of `PING` until an ingress is ready.
+const PING_INTERVAL: Micros = 20_000;
+/// How long the front still opens connections to an ingress after its graceful shutdown began.
+const NEW_CONNECTIONS_AFTER_STOP: Micros = 300_000;
+/// The pause before a connection of a hostile client is opened again; a crowd waits a twentieth of it.
+const REOPEN_DELAY: Micros = 200_000;
+/// How many connections of a crowd or of hostile clients are opened at once.
+const OPEN_BATCH: u32 = 16;
 /// The body of a request that is not safe.
 const BODY: &str = "amount=2500000&years=30&rate=3.10";
-/// Bytes that a deaf client asks for in one go.
-const DEAF: usize = 4_000;
+/// How many `PING` commands a deaf client sends without reading a reply.
+const DEAF_PINGS: usize = 4_000;
 
-/// What falls due for clients.
+/// A timer event of the clients.
 pub enum ClientDue {
-    /// A further try of a request.
-    Again(Op),
-    /// A try's time is over.
+    /// A request is retried.
+    Retry(Operation),
+    /// The time to wait for the reply to a try has passed.
     Overdue { key: usize, id: u64 },
-    /// A client leaves.
+    /// A client leaves before the reply.
     Leave { key: usize, id: u64 },
-    /// An ingress is asked whether it is ready.
+    /// A `PING` is sent to check whether an ingress is ready.
     Ping { ingress: usize },
-    /// The front has noticed that an ingress is down.
+    /// The front notices that an ingress is down.
     Notice { ingress: usize, since: Micros },
-    /// The front opens no new connections to an ingress.
-    NoNew { ingress: usize, since: Micros },
-    /// A crowd's or a hostile client's connections are opened.
+    /// The front stops opening connections to an ingress.
+    StopNew { ingress: usize, since: Micros },
+    /// Connections of a crowd or of hostile clients are opened.
     Open { group: usize, count: u32 },
-    /// A group's time is over.
+    /// A crowd or a group of hostile clients ends.
     GroupOver { group: usize },
 }
 
-/// A request over all its tries.
+/// A request with the state that its tries share.
 #[derive(Clone, Copy, Debug)]
-pub struct Op {
+pub struct Operation {
     first: u64,
     account: u32,
     class: usize,
     plan: usize,
-    /// When its client gives it up for good.
+    /// When the client gives up on the request.
     until: Micros,
     tries: u32,
-    /// Which of the set it goes to, drawn once for each try.
+    /// A random number in [0, 1) that selects the ingress, drawn anew for each try.
     draw: f64,
 }
 
-struct Tried {
-    op: Op,
+/// A try that waits for its reply.
+struct PendingTry {
+    op: Operation,
     id: u64,
     conn: usize,
     ingress: usize,
     wait: Micros,
     asked: bool,
-    /// Sent again on a new connection, since the one before ended between two requests.
+    /// Sent a second time on a new connection, as the first one was closed between two requests.
     crossed: bool,
-    /// Its client opens a connection of its own, and stays.
-    stays: bool,
-    /// Until when it is waited for, once it is asked.
+    /// The client uses a connection of its own and keeps it open after the reply.
+    dedicated: bool,
+    /// Until when the client waits for the reply, once the try is sent.
     until: Micros,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Use {
+enum Purpose {
     Front,
-    /// Asks whether an ingress is ready.
+    /// Checks whether an ingress is ready.
     Ping,
-    /// Of a client that asks once and stays connected.
-    Stay,
+    /// Carries one request of a client that stays connected.
+    Dedicated,
     /// Belongs to a group of hostile clients.
     Hostile(usize),
 }
@@ -90,31 +91,32 @@
 struct Conn {
     pipe: Pipe,
     ingress: usize,
-    usage: Use,
-    /// The try that waits for its answer, and the id of the last that had one.
+    purpose: Purpose,
+    /// The try that waits for its reply.
     busy: Option<usize>,
+    /// The id of the last try that was replied to; 0 if there is none.
     last: u64,
 }
 
-/// Where the front stands with an ingress.
+/// Whether the front sends requests to an ingress.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Door {
-    Shut,
+enum Admission {
+    Closed,
     Open,
-    /// Only over connections that are there.
-    NoNew,
+    /// Only over existing connections.
+    ExistingOnly,
 }
 
-struct Place {
+struct IngressTarget {
     at: SocketAddr,
-    door: Door,
+    admission: Admission,
     since: Micros,
     idle: VecDeque<usize>,
-    /// Connections that the front holds, and those that it keeps at the least.
+    /// How many connections the front has open.
     held: usize,
 }
 
-/// A crowd, or hostile clients of one manner, at one ingress.
+/// A crowd (no manner), or hostile clients of one manner, at one ingress.
 struct Group {
     ingress: usize,
     manner: Option<Manner>,
@@ -122,29 +124,29 @@
     wanted: u32,
 }
 
-/// All clients.
+/// All clients, with their connections and tries.
 pub struct Clients {
     scenario: Scenario,
     accounts: Accounts,
     conns: Slab<Conn>,
-    tries: Slab<Tried>,
-    places: Vec<Place>,
+    tries: Slab<PendingTry>,
+    targets: Vec<IngressTarget>,
     groups: Vec<Group>,
     next: u64,
     chunk: Vec<u8>,
     start: Micros,
-    /// Tries that reached no ingress, or crossed the end of a connection.
+    /// How many tries reached no ingress.
     pub unreachable: u64,
-    /// See `unreachable`.
+    /// How many tries were sent again, as they crossed with the close of their connection.
     pub crossed: u64,
 }
 
 impl Clients {
-    /// For ingresses at such addresses; none is known to be up.
+    /// Creates the clients for ingresses at these addresses. No ingress is taken to be ready yet.
     pub fn new(s: &Scenario, at: &[SocketAddr]) -> Self {
-        let place = |at: &SocketAddr| Place {
+        let target = |at: &SocketAddr| IngressTarget {
             at: *at,
-            door: Door::Shut,
+            admission: Admission::Closed,
             since: 0,
             idle: VecDeque::new(),
             held: 0,
@@ -154,7 +156,7 @@
             accounts: Accounts::new(s),
             conns: Slab::new(),
             tries: Slab::new(),
-            places: at.iter().map(place).collect(),
+            targets: at.iter().map(target).collect(),
             groups: Vec::new(),
             next: 0,
             chunk: vec![0; 64 * 1024],
@@ -164,47 +166,50 @@
         }
     }
 
-    /// Arrivals count from now on.
+    /// Sets the start of the arrivals.
     pub fn begin(&mut self, now: Micros) {
         self.start = now;
     }
 
-    /// Whether the front takes an ingress for ready.
+    /// Whether the front considers an ingress ready.
     pub fn up(&self, ingress: usize) -> bool {
-        self.places[ingress].door == Door::Open
+        self.targets[ingress].admission == Admission::Open
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
         self.conns.len()
     }
 
-    /// Requests that wait for their answer.
+    /// The number of tries that wait for a reply.
     pub fn waiting(&self) -> usize {
         self.tries.len()
     }
 
-    /// An ingress has been started: it is asked until it is ready.
+    /// Sends `PING` to a started ingress until it is ready.
     pub fn watch_for(&mut self, ingress: usize, context: &mut Context) {
-        context.after(PING_AGAIN, Due::Client(ClientDue::Ping { ingress }));
+        context.after(PING_INTERVAL, Due::Client(ClientDue::Ping { ingress }));
     }
 
-    /// An ingress has died: the front notices later.
+    /// Notes the death of an ingress, which the front notices after a delay.
     pub fn died(&mut self, ingress: usize, context: &mut Context) {
         let since = context.now;
-        self.places[ingress].since = since;
+        self.targets[ingress].since = since;
         let notice = self.scenario.clients.notice;
         context.after(notice, Due::Client(ClientDue::Notice { ingress, since }));
     }
 
-    /// An ingress was told to stop: new connections go on coming for a moment.
+    /// Notes that an ingress shuts down. The front stops opening connections to it after a delay.
     pub fn leaving(&mut self, ingress: usize, context: &mut Context) {
         let since = context.now;
-        self.places[ingress].since = since;
-        context.after(STILL_NEW, Due::Client(ClientDue::NoNew { ingress, since }));
+        self.targets[ingress].since = since;
+        context.after(
+            NEW_CONNECTIONS_AFTER_STOP,
+            Due::Client(ClientDue::StopNew { ingress, since }),
+        );
     }
 
-    /// Clients open more connections to an ingress, and use them.
+    /// Opens more connections to an ingress, which the front then uses.
     pub fn crowd(&mut self, ingress: usize, count: u32, lasts: Micros, context: &mut Context) {
         self.group(
             Group {
@@ -219,7 +224,7 @@
         );
     }
 
-    /// Hostile clients come.
+    /// Connects hostile clients to an ingress.
     pub fn hostile(
         &mut self,
         ingress: usize,
@@ -244,11 +249,11 @@
         context.after(lasts, Due::Client(ClientDue::GroupOver { group }));
     }
 
-    /// A first try.
+    /// Starts the first try of a request.
     pub fn arrive(&mut self, a: Arrival, context: &mut Context) {
         let first = self.new_id();
         let class = &self.scenario.classes[a.class];
-        let op = Op {
+        let op = Operation {
             first,
             account: a.account,
             class: a.class,
@@ -257,16 +262,17 @@
             tries: 0,
             draw: lot(self.scenario.seed, &[21, first]),
         };
-        self.try_it(op, first, context);
+        self.start_try(op, first, context);
     }
 
     fn new_id(&mut self) -> u64 {
         self.next += 1;
-        // Spread over all digits, so that nothing can be read off them; one to one.
+        // Multiplying by an odd number is a bijection, so ids stay unique. It changes all digits, so
+        // that nothing can rely on the order of ids.
         self.next.wrapping_mul(0x9E37_79B9_7F4A_7C15)
     }
 
-    fn try_it(&mut self, op: Op, id: u64, context: &mut Context) {
+    fn start_try(&mut self, op: Operation, id: u64, context: &mut Context) {
         let class = &self.scenario.classes[op.class];
         let (low, high) = self.scenario.clients.try_share;
         let share = low + (high - low) * lot(self.scenario.seed, &[22, op.first]);
@@ -275,19 +281,21 @@
         if wait < 1000 {
             return;
         }
-        let way = self
-            .accounts
-            .way(op.account, context.now.saturating_sub(self.start), op.draw);
-        let open = |i: &&usize| self.places[**i].door == Door::Open;
-        let kept =
-            |i: &&usize| self.places[**i].door == Door::NoNew && !self.places[**i].idle.is_empty();
-        let found = way.iter().find(|i| open(i) || kept(i)).copied();
+        let candidates =
+            self.accounts
+                .way(op.account, context.now.saturating_sub(self.start), op.draw);
+        let open = |i: &&usize| self.targets[**i].admission == Admission::Open;
+        let kept = |i: &&usize| {
+            self.targets[**i].admission == Admission::ExistingOnly
+                && !self.targets[**i].idle.is_empty()
+        };
+        let found = candidates.iter().find(|i| open(i) || kept(i)).copied();
         let Some(ingress) = found else {
-            return self.unreached(op, context);
+            return self.record_unreached(op, context);
         };
-        let stays = lot(self.scenario.seed, &[28, id]) < self.scenario.clients.stay;
+        let dedicated = lot(self.scenario.seed, &[28, id]) < self.scenario.clients.stay;
         let (conn, until) = (usize::MAX, Micros::MAX);
-        let tried = Tried {
+        let pending = PendingTry {
             op,
             id,
             conn,
@@ -295,43 +303,48 @@
             wait,
             asked: false,
             crossed: false,
-            stays,
+            dedicated,
             until,
         };
-        let key = self.tries.insert(tried);
+        let key = self.tries.insert(pending);
         self.send(key, context);
     }
 
-    /// Sends a try over an idle connection, or a new one.
+    /// Sends a try over an idle connection or a new one.
     fn send(&mut self, key: usize, context: &mut Context) {
         let t = &self.tries[key];
-        let (ingress, fresh, stays) = (t.ingress, t.crossed || t.stays, t.stays);
-        let place = &mut self.places[ingress];
-        // A crowd's connections take turns; else the newest is used again.
-        let found = match place.idle.len() {
+        let (ingress, fresh, dedicated) = (t.ingress, t.crossed || t.dedicated, t.dedicated);
+        let target = &mut self.targets[ingress];
+        // With more than 256 idle connections, as of a crowd, they are used in rotation; otherwise
+        // the most recently used one is reused.
+        let found = match target.idle.len() {
             _ if fresh => None,
-            n if n > 256 => place.idle.pop_front(),
-            _ => place.idle.pop_back(),
+            n if n > 256 => target.idle.pop_front(),
+            _ => target.idle.pop_back(),
+        };
+        let room = target.held < self.scenario.clients.most_connections;
+        let purpose = if dedicated {
+            Purpose::Dedicated
+        } else {
+            Purpose::Front
         };
-        let room = place.held < self.scenario.clients.most_connections;
-        let usage = if stays { Use::Stay } else { Use::Front };
         let connect =
-            |clients: &mut Self, context: &mut Context| clients.connect(ingress, usage, context);
+            |clients: &mut Self, context: &mut Context| clients.connect(ingress, purpose, context);
         let conn = found.or_else(|| if room { connect(self, context) } else { None });
         let Some(conn) = conn else {
-            return self.not_taken(key, context);
+            return self.try_not_sent(key, context);
         };
         let t = &mut self.tries[key];
         t.conn = conn;
         let command = command(&self.scenario, &t.op, t.id, t.wait, &self.accounts);
         self.conns[conn].busy = Some(key);
-        if !self.conns[conn].pipe.say(&command) {
-            return self.ended(conn, context);
+        if !self.conns[conn].pipe.send(&command) {
+            return self.connection_ended(conn, context);
         }
         self.note_asked(conn, context);
     }
 
-    /// Notes that a try is written whole, once.
+    /// Records a try for the judge once it is completely written.
     fn note_asked(&mut self, conn: usize, context: &mut Context) {
         let c = &self.conns[conn];
         let Some(key) = c.busy.filter(|_| c.pipe.all_written()) else {
@@ -354,10 +367,10 @@
             plan: op.plan,
             deadline,
         };
-        context.see(Seen::Asked(asked, ingress));
-        // It is waited for as long as an answer counts.
-        let most = deadline + ANSWER_SLACK + ON_SOCKETS + 1_000;
-        context.at(most, Due::Client(ClientDue::Overdue { key, id }));
+        context.record(Seen::Asked(asked, ingress));
+        // The client waits as long as the judge accepts a reply.
+        let give_up_at = deadline + ANSWER_SLACK + ON_SOCKETS + 1_000;
+        context.at(give_up_at, Due::Client(ClientDue::Overdue { key, id }));
         let leave = self.scenario.clients.leave;
         if leave > 0.0 && lot(self.scenario.seed, &[23, id]) < leave {
             let after = (t.wait as f64 * 0.5 * lot(self.scenario.seed, &[24, id])) as Micros;
@@ -365,24 +378,30 @@
         }
     }
 
-    fn connect(&mut self, ingress: usize, usage: Use, context: &mut Context) -> Option<usize> {
-        let mut stream = TcpStream::connect(self.places[ingress].at).ok()?;
-        let place = self.conns.vacant_entry();
+    fn connect(
+        &mut self,
+        ingress: usize,
+        purpose: Purpose,
+        context: &mut Context,
+    ) -> Option<usize> {
+        let mut stream = TcpStream::connect(self.targets[ingress].at).ok()?;
+        let entry = self.conns.vacant_entry();
         let interest = Interest::READABLE | Interest::WRITABLE;
         context
             .registry
-            .register(&mut stream, token(Part::Client, place.key()), interest)
+            .register(&mut stream, token(Component::Client, entry.key()), interest)
             .ok()?;
         let pipe = Pipe::new(stream);
-        let key = place.key();
-        place.insert(Conn {
+        let key = entry.key();
+        entry.insert(Conn {
             pipe,
             ingress,
-            usage,
+            purpose,
             busy: None,
             last: 0,
         });
-        self.places[ingress].held += usize::from(matches!(usage, Use::Front | Use::Stay));
+        self.targets[ingress].held +=
+            usize::from(matches!(purpose, Purpose::Front | Purpose::Dedicated));
         Some(key)
     }
 
@@ -390,23 +409,23 @@
         let Some(c) = self.conns.try_remove(conn) else {
             return;
         };
-        if let Use::Front | Use::Stay = c.usage {
-            self.places[c.ingress].held -= 1;
-            if c.busy.is_none() && c.usage == Use::Front {
-                self.places[c.ingress].idle.retain(|k| *k != conn);
+        if let Purpose::Front | Purpose::Dedicated = c.purpose {
+            self.targets[c.ingress].held -= 1;
+            if c.busy.is_none() && c.purpose == Purpose::Front {
+                self.targets[c.ingress].idle.retain(|k| *k != conn);
             }
         }
     }
 
-    /// Does what a connection is ready for.
-    pub fn ready(&mut self, conn: usize, context: &mut Context) {
+    /// Reads and writes a connection that is ready.
+    pub fn handle_ready(&mut self, conn: usize, context: &mut Context) {
         context.read_clock();
         let Some(c) = self.conns.get_mut(conn) else {
             return;
         };
         let writes = c.pipe.flush();
         let deaf =
-            matches!(c.usage, Use::Hostile(g) if self.groups[g].manner == Some(Manner::Deaf));
+            matches!(c.purpose, Purpose::Hostile(g) if self.groups[g].manner == Some(Manner::Deaf));
         if deaf && writes {
             return;
         }
@@ -414,7 +433,7 @@
         self.note_asked(conn, context);
         self.take_answers(conn, context);
         if flow != Flow::Open || !writes {
-            self.ended(conn, context);
+            self.connection_ended(conn, context);
         }
     }
 
@@ -426,71 +445,71 @@
             if c.pipe.inbox.is_empty() {
                 return;
             }
-            if let Use::Hostile(_) = c.usage {
-                c.pipe.inbox.clear(); // what they are told is of no interest
+            if let Purpose::Hostile(_) = c.purpose {
+                c.pipe.inbox.clear(); // replies to hostile clients are ignored
                 return;
             }
             let read = resp::reply(&c.pipe.inbox);
             let (answer, size) = match read {
                 Ok(None) => return,
-                Ok(Some((reply, size))) => (judge_reply(&c.pipe.inbox, &reply), size),
-                Err(_) => (Reading::Failed, c.pipe.inbox.len()),
+                Ok(Some((reply, size))) => (parse_reply(&c.pipe.inbox, &reply), size),
+                Err(_) => (ParsedReply::Failed, c.pipe.inbox.len()),
             };
             let answer = match (answer, c.busy) {
-                (Reading::Value(at), Some(key)) => {
-                    let good = value_of(self.tries[key].id).as_bytes() == &c.pipe.inbox[at];
-                    Some(if good {
+                (ParsedReply::Value(at), Some(key)) => {
+                    let expected = value_of(self.tries[key].id).as_bytes() == &c.pipe.inbox[at];
+                    Some(if expected {
                         (Answer::Served, None)
                     } else {
                         (Answer::Foreign, None)
                     })
                 }
-                (Reading::Value(_), None) => None,
-                (Reading::Busy(pause), _) => Some((Answer::Refused, pause)),
-                (Reading::Pong, _) if c.usage == Use::Ping => {
+                (ParsedReply::Value(_), None) => None,
+                (ParsedReply::Busy(pause), _) => Some((Answer::Refused, pause)),
+                (ParsedReply::Pong, _) if c.purpose == Purpose::Ping => {
                     let ingress = c.ingress;
                     self.close(conn);
-                    return self.let_in(ingress, context);
+                    return self.mark_ready(ingress, context);
                 }
-                (Reading::Failed | Reading::Pong, _) => Some((Answer::Failed, None)),
+                (ParsedReply::Failed | ParsedReply::Pong, _) => Some((Answer::Failed, None)),
             };
             c.pipe.inbox.drain(..size);
             let Some(key) = c.busy.take() else {
-                if c.usage == Use::Ping {
-                    // Turned away: it is there, and lets nobody in yet.
+                if c.purpose == Purpose::Ping {
+                    // Rejected: the ingress runs and is not ready yet.
                     let ingress = c.ingress;
                     self.close(conn);
                     return self.watch_for(ingress, context);
                 }
                 let last = c.last;
-                if matches!(c.usage, Use::Front | Use::Stay) && last != 0 {
-                    context.see(Seen::Surplus(last));
+                if matches!(c.purpose, Purpose::Front | Purpose::Dedicated) && last != 0 {
+                    context.record(Seen::Surplus(last));
                 }
                 return self.close(conn);
             };
             let t = self.tries.remove(key);
             let c = &mut self.conns[conn];
             c.last = t.id;
-            if c.usage == Use::Front {
-                self.places[t.ingress].idle.push_back(conn);
+            if c.purpose == Purpose::Front {
+                self.targets[t.ingress].idle.push_back(conn);
             }
             let Some((answer, pause)) = answer else {
                 continue;
             };
-            context.see(Seen::Answered(t.id, answer));
+            context.record(Seen::Answered(t.id, answer));
             let all = matches!(
                 self.scenario.classes[t.op.class].effect,
                 Effect::Keyed { all: true, .. }
             );
             let safe = self.scenario.classes[t.op.class].effect == Effect::Safe || all;
             if answer == Answer::Refused || (answer == Answer::Failed && safe) {
-                self.again(t.op, pause, context);
+                self.schedule_retry(t.op, pause, context);
             }
         }
     }
 
-    /// A further try, where there is one to be had.
-    fn again(&mut self, mut op: Op, pause: Option<Micros>, context: &mut Context) {
+    /// Schedules a retry, if the number of retries and the deadline allow one.
+    fn schedule_retry(&mut self, mut op: Operation, pause: Option<Micros>, context: &mut Context) {
         op.tries += 1;
         if op.tries > self.scenario.clients.retries {
             return;
@@ -503,20 +522,20 @@
             .unwrap_or(0)
             .max(self.scenario.clients.backoff);
         if context.now + pause < op.until {
-            context.after(pause, Due::Client(ClientDue::Again(op)));
+            context.after(pause, Due::Client(ClientDue::Retry(op)));
         }
     }
 
-    /// A try that no ingress has taken.
-    fn not_taken(&mut self, key: usize, context: &mut Context) {
+    /// Ends a try that could not be sent to any ingress.
+    fn try_not_sent(&mut self, key: usize, context: &mut Context) {
         let t = self.tries.remove(key);
-        self.unreached(t.op, context);
+        self.record_unreached(t.op, context);
     }
 
-    fn unreached(&mut self, op: Op, context: &mut Context) {
+    fn record_unreached(&mut self, op: Operation, context: &mut Context) {
         self.unreachable += 1;
         if op.tries == 0 {
-            let Op {
+            let Operation {
                 first,
                 account,
                 class,
@@ -524,7 +543,7 @@
                 until,
                 ..
             } = op;
-            context.see(Seen::Unreached(Try {
+            context.record(Seen::Unreached(Try {
                 id: first,
                 first,
                 account,
@@ -533,78 +552,79 @@
                 deadline: until,
             }));
         }
-        self.again(op, None, context);
+        self.schedule_retry(op, None, context);
     }
 
-    /// A connection has ended, by the ingress or by itself.
-    fn ended(&mut self, conn: usize, context: &mut Context) {
+    /// Handles the end of a connection, closed by the ingress or failed.
+    fn connection_ended(&mut self, conn: usize, context: &mut Context) {
         let Some(c) = self.conns.get(conn) else {
             return;
         };
-        let (busy, usage, ingress) = (c.busy, c.usage, c.ingress);
+        let (busy, purpose, ingress) = (c.busy, c.purpose, c.ingress);
         let between = c.pipe.inbox.is_empty();
         self.close(conn);
-        match usage {
-            Use::Ping => return self.watch_for(ingress, context),
-            Use::Hostile(group) => {
+        match purpose {
+            Purpose::Ping => return self.watch_for(ingress, context),
+            Purpose::Hostile(group) => {
                 let due = ClientDue::Open { group, count: 1 };
-                // Not all of a group at one moment: the rig would be busy with them for milliseconds.
-                let pause = OPEN_AGAIN + OPEN_AGAIN / 4 * (conn as Micros % 8);
+                // Spread over time: reopening a whole group at once would keep the rig busy for
+                // milliseconds.
+                let pause = REOPEN_DELAY + REOPEN_DELAY / 4 * (conn as Micros % 8);
                 return context.after(pause, Due::Client(due));
             }
-            Use::Front | Use::Stay => {}
+            Purpose::Front | Purpose::Dedicated => {}
         }
         let Some(key) = busy else { return };
         let t = &mut self.tries[key];
         if !t.asked {
-            return self.not_taken(key, context);
+            return self.try_not_sent(key, context);
         }
         let id = t.id;
         if between && !t.crossed {
-            // It crossed the end of a connection between two requests: asked once more on a new one, and where that
-            // can't be had it was never taken.
+            // The try crossed with the close of an idle connection: it is sent once more on a new
+            // one. If none can be opened, the try counts as never sent.
             (t.crossed, t.asked) = (true, false);
             self.crossed += 1;
-            context.see(Seen::Crossed(id));
+            context.record(Seen::Crossed(id));
             return self.send(key, context);
         }
-        context.see(Seen::Broken(id));
+        context.record(Seen::Broken(id));
         let t = self.tries.remove(key);
         if self.scenario.classes[t.op.class].effect == Effect::Safe {
-            self.again(t.op, None, context);
+            self.schedule_retry(t.op, None, context);
         }
     }
 
-    /// An ingress has answered `PING`.
-    fn let_in(&mut self, ingress: usize, context: &mut Context) {
-        let place = &mut self.places[ingress];
-        (place.door, place.since) = (Door::Open, context.now);
-        for _ in place.held..self.scenario.clients.connections as usize {
-            if let Some(conn) = self.connect(ingress, Use::Front, context) {
-                self.places[ingress].idle.push_back(conn);
+    /// Marks an ingress that has replied to `PING` as ready, and fills its connection pool.
+    fn mark_ready(&mut self, ingress: usize, context: &mut Context) {
+        let target = &mut self.targets[ingress];
+        (target.admission, target.since) = (Admission::Open, context.now);
+        for _ in target.held..self.scenario.clients.connections as usize {
+            if let Some(conn) = self.connect(ingress, Purpose::Front, context) {
+                self.targets[ingress].idle.push_back(conn);
             }
         }
     }
 
-    /// Carries out what is due.
-    pub fn due(&mut self, due: ClientDue, context: &mut Context) {
+    /// Handles a timer event.
+    pub fn handle_due(&mut self, due: ClientDue, context: &mut Context) {
         match due {
-            ClientDue::Again(op) => {
+            ClientDue::Retry(op) => {
                 let id = self.new_id();
-                self.try_it(op, id, context);
+                self.start_try(op, id, context);
             }
             ClientDue::Overdue { key, id } => {
-                // One that was asked again has its time anew.
-                let overdue = |t: &&Tried| t.id == id && t.until <= context.now;
+                // A try that was sent again has a later deadline and another timer.
+                let overdue = |t: &&PendingTry| t.id == id && t.until <= context.now;
                 let Some(t) = self.tries.get(key).filter(overdue) else {
                     return;
                 };
                 let conn = t.conn;
-                context.see(Seen::Overdue(id));
+                context.record(Seen::Overdue(id));
                 self.close(conn);
                 let t = self.tries.remove(key);
                 if self.scenario.classes[t.op.class].effect == Effect::Safe {
-                    self.again(t.op, None, context);
+                    self.schedule_retry(t.op, None, context);
                 }
             }
             ClientDue::Leave { key, id } => {
@@ -612,28 +632,30 @@
                     return;
                 };
                 let conn = t.conn;
-                context.see(Seen::Left(id));
+                context.record(Seen::Left(id));
                 self.close(conn);
                 self.tries.remove(key);
             }
-            ClientDue::Ping { ingress } => match self.connect(ingress, Use::Ping, context) {
-                Some(conn) => drop(self.conns[conn].pipe.say(b"*1\r\n$4\r\nPING\r\n")),
+            ClientDue::Ping { ingress } => match self.connect(ingress, Purpose::Ping, context) {
+                Some(conn) => drop(self.conns[conn].pipe.send(b"*1\r\n$4\r\nPING\r\n")),
                 None => self.watch_for(ingress, context),
             },
             ClientDue::Notice { ingress, since } => {
-                if self.places[ingress].since == since {
-                    self.places[ingress].door = Door::Shut;
+                if self.targets[ingress].since == since {
+                    self.targets[ingress].admission = Admission::Closed;
                 }
             }
-            ClientDue::NoNew { ingress, since } => {
-                if self.places[ingress].since == since && self.places[ingress].door == Door::Open {
-                    self.places[ingress].door = Door::NoNew;
+            ClientDue::StopNew { ingress, since } => {
+                if self.targets[ingress].since == since
+                    && self.targets[ingress].admission == Admission::Open
+                {
+                    self.targets[ingress].admission = Admission::ExistingOnly;
                 }
             }
             ClientDue::Open { group, count } => self.open_group(group, count, context),
             ClientDue::GroupOver { group } => {
                 self.groups[group].over = true;
-                let of = |c: &Conn| c.usage == Use::Hostile(group);
+                let of = |c: &Conn| c.purpose == Purpose::Hostile(group);
                 let gone: Vec<usize> = self
                     .conns
                     .iter()
@@ -655,32 +677,32 @@
         if over {
             return;
         }
-        for _ in 0..count.min(AT_ONCE) {
+        for _ in 0..count.min(OPEN_BATCH) {
             match manner {
                 None => {
-                    if self.places[ingress].held < wanted as usize && self.up(ingress) {
-                        if let Some(conn) = self.connect(ingress, Use::Front, context) {
-                            self.places[ingress].idle.push_back(conn);
+                    if self.targets[ingress].held < wanted as usize && self.up(ingress) {
+                        if let Some(conn) = self.connect(ingress, Purpose::Front, context) {
+                            self.targets[ingress].idle.push_back(conn);
                         }
                     }
                 }
                 Some(manner) => {
-                    if let Some(conn) = self.connect(ingress, Use::Hostile(group), context) {
-                        let words = self.hostile_words(manner, ingress, context.now);
-                        self.conns[conn].pipe.say(&words);
+                    if let Some(conn) = self.connect(ingress, Purpose::Hostile(group), context) {
+                        let bytes = self.hostile_bytes(manner, ingress, context.now);
+                        self.conns[conn].pipe.send(&bytes);
                     }
                 }
             }
         }
         let (left, pause) = match manner {
-            None => (wanted, OPEN_AGAIN / 20), // those that were closed are opened again
-            Some(_) if count > AT_ONCE => (count - AT_ONCE, OPEN_AGAIN / 20),
+            None => (wanted, REOPEN_DELAY / 20), // connections that were closed are opened again
+            Some(_) if count > OPEN_BATCH => (count - OPEN_BATCH, REOPEN_DELAY / 20),
             Some(_) => return,
         };
         context.after(pause, Due::Client(ClientDue::Open { group, count: left }));
     }
 
-    fn hostile_words(&mut self, manner: Manner, ingress: usize, now: Micros) -> Vec<u8> {
+    fn hostile_bytes(&mut self, manner: Manner, ingress: usize, now: Micros) -> Vec<u8> {
         match manner {
             Manner::Mute => Vec::new(),
             Manner::Half => b"*5\r\n$9\r\nCALL.POST\r\n$16\r\n00000000000000".to_vec(),
@@ -688,9 +710,9 @@
                 let draw = |n: u64| (lot(self.scenario.seed, &[27, now, n]) * 256.0) as u8;
                 (0..512).map(draw).collect()
             }
-            Manner::Deaf => b"*1\r\n$4\r\nPING\r\n".repeat(DEAF),
+            Manner::Deaf => b"*1\r\n$4\r\nPING\r\n".repeat(DEAF_PINGS),
             Manner::SameId => {
-                // The id of a request that waits for its answer there at this moment, if there is one.
+                // The id of a request that waits for its reply at this ingress, if there is one.
                 let Some((_, t)) = self
                     .tries
                     .iter()
@@ -703,45 +725,45 @@
         }
     }
 
-    /// Looks whether all ingresses are up.
+    /// Whether the front considers all ingresses ready.
     pub fn all_up(&self) -> bool {
-        self.places.iter().all(|p| p.door == Door::Open)
+        self.targets.iter().all(|p| p.admission == Admission::Open)
     }
 }
 
-/// What an answer says.
-enum Reading {
+/// A parsed reply.
+enum ParsedReply {
     Value(std::ops::Range<usize>),
     Busy(Option<Micros>),
     Pong,
     Failed,
 }
 
-fn judge_reply(buf: &[u8], reply: &Reply) -> Reading {
+fn parse_reply(buf: &[u8], reply: &Reply) -> ParsedReply {
     let first = match reply {
         Reply::Single(e) => e,
         Reply::Array(list) => match list.first() {
             Some(e) if e.kind == Kind::Bulk => e,
-            _ => return Reading::Failed,
+            _ => return ParsedReply::Failed,
         },
     };
     let text = &buf[first.text.clone()];
     match first.kind {
-        Kind::Bulk => Reading::Value(first.text.clone()),
-        Kind::Simple if text == b"PONG" => Reading::Pong,
-        Kind::Error if text == b"BUSY" => Reading::Busy(None),
+        Kind::Bulk => ParsedReply::Value(first.text.clone()),
+        Kind::Simple if text == b"PONG" => ParsedReply::Pong,
+        Kind::Error if text == b"BUSY" => ParsedReply::Busy(None),
         Kind::Error if text.starts_with(b"BUSY ") => {
             let ms = std::str::from_utf8(&text[5..])
                 .ok()
                 .and_then(|t| t.parse::<u64>().ok());
-            Reading::Busy(ms.map(|ms| (ms * 1000).min(60 * SECOND)))
+            ParsedReply::Busy(ms.map(|ms| (ms * 1000).min(60 * SECOND)))
         }
-        _ => Reading::Failed,
+        _ => ParsedReply::Failed,
     }
 }
 
-/// A try as a command.
-fn command(s: &Scenario, op: &Op, id: u64, wait: Micros, accounts: &Accounts) -> Vec<u8> {
+/// Encodes a try as a command.
+fn command(s: &Scenario, op: &Operation, id: u64, wait: Micros, accounts: &Accounts) -> Vec<u8> {
     let class = &s.classes[op.class];
     let (width, first) = accounts.set(op.account);
     let key = match class.effect {
--- a/crates/testbed/src/rig/context.rs
+++ b/crates/testbed/src/rig/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of the rig share: the clock, the timers, the poll, and the log of what was seen.
+//! State that all components of the rig share: the clock, the timers, the poll registry, and the observations for the judge.
 
 use super::backends::BackendDue;
 use super::clients::ClientDue;
@@ -15,7 +15,7 @@
 use std::collections::BinaryHeap;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// What falls due.
+/// An event that a timer delivers.
 pub enum Due {
     Arrival(Arrival),
     Step(usize),
@@ -26,19 +26,19 @@
     Peer(PeerDue),
     Relay(RelayDue),
     Process(ProcessDue),
-    Later(Later),
-    /// What a relay has held back is seen on the other side.
+    FollowUp(FollowUp),
+    /// An observation that takes effect later, as a slow relay delays what it reports.
     Seen(Seen),
 }
 
-/// The later parts of what a step has begun.
-pub enum Later {
+/// A delayed action of a step of the scenario.
+pub enum FollowUp {
     Die {
         slot: usize,
         down: Micros,
         new_name: bool,
     },
-    Noticed {
+    Remove {
         slot: usize,
     },
     Revive {
@@ -53,7 +53,7 @@
         ingress: usize,
         down: Micros,
     },
-    LinksWell {
+    RestoreLinks {
         from: Vec<usize>,
         to: Vec<usize>,
     },
@@ -82,9 +82,9 @@
     }
 }
 
-/// The part of the rig that a socket belongs to.
+/// The component of the rig that a socket belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Component {
     Client = 0,
     BackendListener = 1,
     Backend = 2,
@@ -97,42 +97,42 @@
     Counter = 9,
 }
 
-const PARTS: usize = 10;
+const COMPONENTS: usize = 10;
 
-/// The token of a part's socket.
-pub fn token(part: Part, key: usize) -> Token {
-    Token(key * PARTS + part as usize)
+/// Encodes component and key as a poll token.
+pub fn token(component: Component, key: usize) -> Token {
+    Token(key * COMPONENTS + component as usize)
 }
 
-/// The part and the key of a token.
-pub fn owner(token: Token) -> (Part, usize) {
-    let part = match token.0 % PARTS {
-        0 => Part::Client,
-        1 => Part::BackendListener,
-        2 => Part::Backend,
-        3 => Part::DiscoveryListener,
-        4 => Part::Discovery,
-        5 => Part::Peer,
-        6 => Part::RelayListener,
-        7 => Part::Relay,
-        8 => Part::CounterListener,
-        _ => Part::Counter,
+/// Decodes a poll token into component and key.
+pub fn decode_token(token: Token) -> (Component, usize) {
+    let component = match token.0 % COMPONENTS {
+        0 => Component::Client,
+        1 => Component::BackendListener,
+        2 => Component::Backend,
+        3 => Component::DiscoveryListener,
+        4 => Component::Discovery,
+        5 => Component::Peer,
+        6 => Component::RelayListener,
+        7 => Component::Relay,
+        8 => Component::CounterListener,
+        _ => Component::Counter,
     };
-    (part, token.0 / PARTS)
+    (component, token.0 / COMPONENTS)
 }
 
-/// What all parts share.
+/// State that all components share.
 pub struct Context {
     pub registry: Registry,
     started: Instant,
     offset: Micros,
-    /// The clock at its last reading: monotonic, counted from the same moment as Unix time.
+    /// The last reading of the clock, in microseconds: monotonic, and equal to Unix time at the start of the rig.
     pub now: Micros,
     timers: BinaryHeap<Reverse<Entry>>,
     serial: u64,
-    /// What was seen and the judge has not heard.
+    /// Observations with their times that the judge has not received yet.
     pub seen: Vec<(Micros, Seen)>,
-    /// How late the timers were carried out, in microseconds.
+    /// How late each timer was handled, in microseconds.
     pub lateness: Vec<u32>,
 }
 
@@ -160,12 +160,12 @@
         self.now
     }
 
-    /// Has something fall due so much later.
+    /// Schedules an event `delay` after the last reading of the clock.
     pub fn after(&mut self, delay: Micros, due: Due) {
         self.at(self.now + delay, due);
     }
 
-    /// Has something fall due at a time.
+    /// Schedules an event at a time.
     pub fn at(&mut self, at: Micros, due: Due) {
         self.serial += 1;
         self.timers.push(Reverse(Entry {
@@ -175,27 +175,27 @@
         }));
     }
 
-    /// When the next timer is due.
-    pub fn next(&self) -> Option<Micros> {
+    /// The time of the next event; `None` if no timer is set.
+    pub fn next_time(&self) -> Option<Micros> {
         self.timers.peek().map(|e| e.0.at)
     }
 
-    /// What is due by now, one by one; how late it is, is noted once `counts`.
-    pub fn take(&mut self, counts: bool) -> Option<Due> {
+    /// Removes and returns the next event that is due. Its lateness is recorded if `record_lateness` is set.
+    pub fn next_due(&mut self, record_lateness: bool) -> Option<Due> {
         self.read_clock();
-        if self.next().is_none_or(|at| at > self.now) {
+        if self.next_time().is_none_or(|at| at > self.now) {
             return None;
         }
         let entry = self.timers.pop()?.0;
-        if counts {
+        if record_lateness {
             self.lateness
                 .push(u32::try_from(self.now - entry.at).unwrap_or(u32::MAX));
         }
         Some(entry.due)
     }
 
-    /// Notes what was seen, at the clock's last reading.
-    pub fn see(&mut self, seen: Seen) {
+    /// Records an observation for the judge, at the last reading of the clock.
+    pub fn record(&mut self, seen: Seen) {
         self.seen.push((self.now, seen));
     }
 }
--- a/crates/testbed/src/rig/counter.rs
+++ b/crates/testbed/src/rig/counter.rs
@@ -1,8 +1,8 @@
-//! The count service: named numbers that all ingresses add to, at an address for each. It can fail in the ways that its
-//! clients must bear: late, turning away, silent (and adding all the same), gone and back with nothing.
+//! A stand-in for the count service: named counters that all ingresses add to, with one address for each ingress. It can be slow,
+//! reply `BUSY`, be silent (but still add), or be gone and come back with all counters lost.
 
 use super::address;
-use super::context::{token, Context, Due, Part};
+use super::context::{token, Component, Context, Due};
 use super::pipe::{Flow, Pipe};
 use crate::scenario::{CounterFault, Micros, Scenario, SECOND};
 use fastrand::Rng;
@@ -15,33 +15,35 @@
 use std::ops::Range;
 use wrenfork_wire::resp;
 
-/// The longest life of a name, and the largest amount.
-const MOST_LIFE: Micros = 60 * SECOND;
-const MOST_AMOUNT: f64 = 1e9;
-const MOST_NAME: usize = 64;
+/// The longest lifetime of a counter; longer ones are shortened to it.
+const MAX_LIFETIME: Micros = 60 * SECOND;
+/// The largest amount of one call, by absolute value.
+const MAX_AMOUNT: f64 = 1e9;
+/// The maximum length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 64;
 
-/// What falls due for the count service.
+/// A timer event of the count service.
 pub enum CounterDue {
-    /// Answers go out.
-    Say {
+    /// Replies are sent.
+    Send {
         key: usize,
         serial: u64,
         text: Vec<u8>,
     },
-    /// A fault is over, if no later one came.
-    Well { since: Micros },
+    /// The fault that began at `since` ends, unless a later one has replaced it.
+    Recovered { since: Micros },
 }
 
 struct Conn {
     pipe: Pipe,
     serial: u64,
-    /// Until when an answer is held back: the next one must not overtake it.
-    held: Micros,
-    /// Answers that a silent service owes.
-    owed: Vec<u8>,
+    /// The send time of the last reply; the next one must not be sent before.
+    last_send_at: Micros,
+    /// Replies that are held back while the service is silent.
+    held_back: Vec<u8>,
 }
 
-/// The count service.
+/// The count service, with all connections to it.
 pub struct Counter {
     addresses: Vec<SocketAddr>,
     listeners: Vec<TcpListener>,
@@ -49,19 +51,19 @@
     serial: u64,
     delay: (Micros, Micros),
     fault: Option<(CounterFault, Micros)>,
-    /// Totals, and when they are forgotten.
-    numbers: HashMap<Vec<u8>, (f64, Micros)>,
+    /// Totals by name, with the time at which each expires.
+    counters: HashMap<Vec<u8>, (f64, Micros)>,
     rng: Rng,
     chunk: Vec<u8>,
     args: Vec<Range<usize>>,
-    /// Calls that were added, and those of them that were left unanswered.
+    /// How many calls were added to a counter.
     pub added: u64,
-    /// See `added`.
+    /// How many times replies were held back while the service was silent.
     pub unanswered: u64,
 }
 
 impl Counter {
-    /// Opens an address for each ingress, where the scenario has a count service.
+    /// Opens an address for each ingress. Returns `None` if the scenario has no count service.
     pub fn open(s: &Scenario, context: &mut Context) -> io::Result<Option<Self>> {
         let Some(delay) = s.network.counter else {
             return Ok(None);
@@ -74,7 +76,7 @@
             serial: 0,
             delay,
             fault: None,
-            numbers: HashMap::new(),
+            counters: HashMap::new(),
             rng: Rng::with_seed(s.seed ^ 0xC07E),
             chunk: vec![0; 16 * 1024],
             args: Vec::new(),
@@ -90,7 +92,7 @@
             let mut listener = TcpListener::bind(*at)?;
             context.registry.register(
                 &mut listener,
-                token(Part::CounterListener, ingress),
+                token(Component::CounterListener, ingress),
                 Interest::READABLE,
             )?;
             self.listeners.push(listener);
@@ -98,36 +100,39 @@
         Ok(())
     }
 
-    /// Where an ingress finds it.
+    /// The address of the service for an ingress.
     pub fn address(&self, ingress: usize) -> SocketAddr {
         self.addresses[ingress]
     }
 
-    /// Has it fail for a time.
+    /// Makes the service fail for a time.
     pub fn fail(&mut self, fault: CounterFault, lasts: Micros, context: &mut Context) {
         if fault == CounterFault::Gone {
             self.listeners.clear();
-            self.numbers.clear();
+            self.counters.clear();
             for conn in self.conns.drain() {
                 conn.pipe.reset_on_close();
             }
         }
         self.fault = Some((fault, context.now));
-        context.after(lasts, Due::Counter(CounterDue::Well { since: context.now }));
+        context.after(
+            lasts,
+            Due::Counter(CounterDue::Recovered { since: context.now }),
+        );
     }
 
-    /// Takes in connections.
+    /// Accepts pending connections.
     pub fn accept(&mut self, ingress: usize, context: &mut Context) {
         while let Some(Ok((stream, _))) = self.listeners.get(ingress).map(TcpListener::accept) {
             self.serial += 1;
             let conn = Conn {
                 pipe: Pipe::new(stream),
                 serial: self.serial,
-                held: 0,
-                owed: Vec::new(),
+                last_send_at: 0,
+                held_back: Vec::new(),
             };
             let key = self.conns.insert(conn);
-            let token: Token = token(Part::Counter, key);
+            let token: Token = token(Component::Counter, key);
             let interest = Interest::READABLE | Interest::WRITABLE;
             if context
                 .registry
@@ -139,8 +144,8 @@
         }
     }
 
-    /// Does what a connection is ready for.
-    pub fn ready(&mut self, key: usize, context: &mut Context) {
+    /// Reads and writes a connection that is ready.
+    pub fn handle_ready(&mut self, key: usize, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(key) else {
             return;
         };
@@ -165,10 +170,10 @@
             answers.extend(match args[..] {
                 [b"PING"] => b"+PONG\r\n".to_vec(),
                 [b"CLIENT" | b"SELECT", ..] => b"+OK\r\n".to_vec(),
-                [b"TALLY", name, amount, life] => tally(
-                    &mut self.numbers,
+                [b"TALLY", name, amount, lifetime] => tally(
+                    &mut self.counters,
                     self.fault,
-                    (name, amount, life),
+                    (name, amount, lifetime),
                     context.now,
                     &mut self.added,
                 ),
@@ -183,65 +188,66 @@
             return;
         }
         let (low, high) = self.delay;
-        let more = match self.fault {
+        let extra_delay = match self.fault {
             Some((CounterFault::Slow(delay), _)) => delay,
             _ => 0,
         };
         let conn = &mut self.conns[key];
         if let Some((CounterFault::Silent, _)) = self.fault {
             self.unanswered += 1;
-            conn.owed.extend(text);
+            conn.held_back.extend(text);
             return;
         }
-        conn.held = conn
-            .held
-            .max(context.now + low + self.rng.u64(0..=high - low) + more);
-        let say = CounterDue::Say {
+        conn.last_send_at = conn
+            .last_send_at
+            .max(context.now + low + self.rng.u64(0..=high - low) + extra_delay);
+        let send = CounterDue::Send {
             key,
             serial: conn.serial,
             text,
         };
-        context.at(conn.held, Due::Counter(say));
+        context.at(conn.last_send_at, Due::Counter(send));
     }
 
-    /// Carries out what is due.
+    /// Handles a timer event.
     ///
     /// # Errors
     ///
-    /// Where it can't listen again.
-    pub fn due(&mut self, due: CounterDue, context: &mut Context) -> io::Result<()> {
+    /// If the service cannot listen again at its address.
+    pub fn handle_due(&mut self, due: CounterDue, context: &mut Context) -> io::Result<()> {
         match due {
-            CounterDue::Say { key, serial, text } => {
+            CounterDue::Send { key, serial, text } => {
                 let conn = self.conns.get_mut(key).filter(|c| c.serial == serial);
-                if conn.is_some_and(|c| !c.pipe.say(&text)) {
+                if conn.is_some_and(|c| !c.pipe.send(&text)) {
                     self.conns.remove(key);
                 }
             }
-            CounterDue::Well { since } if self.fault.is_some_and(|f| f.1 == since) => {
-                let was = self.fault.take().map(|f| f.0);
-                if was == Some(CounterFault::Gone) {
+            CounterDue::Recovered { since } if self.fault.is_some_and(|f| f.1 == since) => {
+                let ended = self.fault.take().map(|f| f.0);
+                if ended == Some(CounterFault::Gone) {
                     self.listen(context)?;
                 }
-                // What it owes comes late, in its order.
-                let owed: Vec<(usize, Vec<u8>)> = self
+                // The replies that were held back are sent now, in order.
+                let held_back: Vec<(usize, Vec<u8>)> = self
                     .conns
                     .iter_mut()
-                    .map(|(key, c)| (key, std::mem::take(&mut c.owed)))
+                    .map(|(key, c)| (key, std::mem::take(&mut c.held_back)))
                     .collect();
-                owed.into_iter()
+                held_back
+                    .into_iter()
                     .for_each(|(key, text)| self.answer(key, text, context));
             }
-            CounterDue::Well { .. } => {}
+            CounterDue::Recovered { .. } => {}
         }
         Ok(())
     }
 }
 
-/// One call: the answer to it.
+/// Handles a `TALLY` call and returns the reply.
 fn tally(
-    numbers: &mut HashMap<Vec<u8>, (f64, Micros)>,
+    counters: &mut HashMap<Vec<u8>, (f64, Micros)>,
     fault: Option<(CounterFault, Micros)>,
-    (name, amount, life): (&[u8], &[u8], &[u8]),
+    (name, amount, lifetime): (&[u8], &[u8], &[u8]),
     now: Micros,
     added: &mut u64,
 ) -> Vec<u8> {
@@ -251,13 +257,13 @@
     if let Some((CounterFault::Busy, _)) = fault {
         return b"-BUSY\r\n".to_vec();
     }
-    let amount = number::<f64>(amount).filter(|a| a.abs() <= MOST_AMOUNT);
-    let life = number::<u64>(life).filter(|l| *l > 0);
-    let (Some(amount), Some(life), 1..=MOST_NAME) = (amount, life, name.len()) else {
+    let amount = number::<f64>(amount).filter(|a| a.abs() <= MAX_AMOUNT);
+    let lifetime = number::<u64>(lifetime).filter(|l| *l > 0);
+    let (Some(amount), Some(lifetime), 1..=MAX_NAME_BYTES) = (amount, lifetime, name.len()) else {
         return b"-ERR no such call\r\n".to_vec();
     };
-    let until = now + life.saturating_mul(1000).min(MOST_LIFE);
-    let entry = numbers.entry(name.to_vec()).or_insert((0.0, until));
+    let until = now + lifetime.saturating_mul(1000).min(MAX_LIFETIME);
+    let entry = counters.entry(name.to_vec()).or_insert((0.0, until));
     if entry.1 <= now {
         *entry = (0.0, until);
     }
@@ -272,30 +278,38 @@
     use super::{tally, HashMap, SECOND};
 
     #[test]
-    fn a_number_starts_at_nothing_is_forgotten_after_its_life_and_bad_calls_add_nothing() {
-        let (mut numbers, mut added) = (HashMap::new(), 0);
-        let mut call = |name: &str, amount: &str, life: &str, now| {
-            let call = (name.as_bytes(), amount.as_bytes(), life.as_bytes());
-            let answer = tally(&mut numbers, None, call, now, &mut added);
+    fn counters_start_at_zero_and_expire_and_invalid_calls_add_nothing() {
+        let (mut counters, mut added) = (HashMap::new(), 0);
+        let mut call = |name: &str, amount: &str, lifetime: &str, now| {
+            let call = (name.as_bytes(), amount.as_bytes(), lifetime.as_bytes());
+            let answer = tally(&mut counters, None, call, now, &mut added);
             String::from_utf8(answer).unwrap()
         };
         assert_eq!(call("a", "2.5", "1000", 0), "$3\r\n2.5\r\n");
         assert_eq!(
             call("a", "-1", "60000", 999_999),
             "$3\r\n1.5\r\n",
-            "a later call does not lengthen its life"
+            "a later call must not extend the lifetime"
+        );
+        assert_eq!(
+            call("a", "1", "1000", SECOND),
+            "$1\r\n1\r\n",
+            "the counter has not expired"
         );
-        assert_eq!(call("a", "1", "1000", SECOND), "$1\r\n1\r\n", "forgotten");
         let long = "x".repeat(65);
-        for (name, amount, life) in [
+        for (name, amount, lifetime) in [
             ("", "1", "1"),
             (&long, "1", "1"),
             ("b", "x", "1"),
             ("b", "2e9", "1"),
             ("b", "1", "0"),
         ] {
-            assert_eq!(call(name, amount, life, 0), "-ERR no such call\r\n");
+            assert_eq!(call(name, amount, lifetime, 0), "-ERR no such call\r\n");
         }
-        assert_eq!(call("b", "0", "5", 0), "$1\r\n0\r\n", "nothing was added");
+        assert_eq!(
+            call("b", "0", "5", 0),
+            "$1\r\n0\r\n",
+            "an invalid call was added"
+        );
     }
 }
--- a/crates/testbed/src/rig/discovery.rs
+++ b/crates/testbed/src/rig/discovery.rs
@@ -1,7 +1,8 @@
-//! Discovery: an agent for each ingress that tells the list and its changes over HTTP/1.1, late or not at all.
+//! A stand-in for discovery: an agent for each ingress that serves the endpoint list and its changes over HTTP/1.1. An agent can be
+//! late, silent or gone.
 
 use super::address;
-use super::context::{token, Context, Due, Part};
+use super::context::{token, Component, Context, Due};
 use super::pipe::{Flow, Pipe};
 use crate::judge::Seen;
 use crate::scenario::{Micros, Scenario};
@@ -13,33 +14,33 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// How late a change reaches an agent, at the least and at the most.
-const SPREAD: (Micros, Micros) = (50_000, 400_000);
-/// The longest that a watch waits.
+/// The shortest and the longest delay until a change reaches an agent.
+const CHANGE_DELAY: (Micros, Micros) = (50_000, 400_000);
+/// The longest time that a watch waits for a change.
 const LONGEST_WATCH_MS: u64 = 60_000;
-/// The most bytes of a call.
-const MOST_CALL: usize = 8 * 1024;
+/// The maximum of unread bytes of a connection.
+const MAX_INBOX_BYTES: usize = 8 * 1024;
 
-/// What falls due for discovery.
+/// A timer event of discovery.
 pub enum DiscoveryDue {
-    /// An agent has what was new at this index.
-    Known { ingress: usize, index: u64 },
-    /// A watch has waited for long enough.
+    /// The change at this index reaches an agent.
+    ChangeArrived { ingress: usize, index: u64 },
+    /// The timeout of a watch has passed.
     WatchOver { conn: usize, watch: u64 },
-    /// An agent's fault is over.
-    Back { ingress: usize, since: Micros },
+    /// The fault of an agent that began at `since` ends, unless a later one has replaced it.
+    Recovered { ingress: usize, since: Micros },
 }
 
-/// How an agent fails.
+/// The fault of an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentMode {
-    Well,
+    Normal,
     Silent,
     Gone,
     Late(Micros),
 }
 
-/// A line of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Line {
     pub ident: usize,
@@ -50,7 +51,7 @@
     pub status: &'static str,
     pub started: Micros,
     pub weight: f64,
-    /// Where it listens for each ingress.
+    /// The address of the backend for each ingress.
     pub addresses: Vec<SocketAddr>,
 }
 
@@ -65,7 +66,7 @@
 struct Agent {
     at: SocketAddr,
     listener: Option<TcpListener>,
-    /// The newest index that it has.
+    /// The index of the newest change that has reached the agent.
     known: u64,
     mode: (AgentMode, Micros),
 }
@@ -73,24 +74,24 @@
 struct Conn {
     pipe: Pipe,
     ingress: usize,
-    /// A watch that waits for what is newer than this, and its number.
+    /// The waiting watch: the index after which it wants changes, and its number.
     watch: Option<(u64, u64)>,
 }
 
-/// The list and its agents.
+/// The endpoint list and its agents.
 pub struct Discovery {
     agents: Vec<Agent>,
     conns: Slab<Conn>,
-    /// All changes; the index is the place in it plus 1.
+    /// All changes. The index of a change is its position plus 1.
     changes: Vec<Line>,
-    /// Watches so far.
+    /// How many watches there have been; numbers the next one.
     watches: u64,
     chunk: Vec<u8>,
     seed: u64,
 }
 
 impl Discovery {
-    /// Opens an agent for each ingress, with a list that all have.
+    /// Opens an agent for each ingress. All agents start with the same list.
     pub fn open(s: &Scenario, lines: Vec<Line>, context: &mut Context) -> io::Result<Self> {
         let mut discovery = Discovery {
             agents: Vec::new(),
@@ -107,19 +108,19 @@
                 at,
                 listener: None,
                 known,
-                mode: (AgentMode::Well, 0),
+                mode: (AgentMode::Normal, 0),
             });
             discovery.listen(ingress, context)?;
         }
         Ok(discovery)
     }
 
-    /// Notes what all ingresses are told by their configuration.
-    pub fn told_at_start(&self, context: &mut Context) {
+    /// Records for the judge the list that each ingress has from its configuration.
+    pub fn record_initial_lists(&self, context: &mut Context) {
         for ingress in 0..self.agents.len() {
             for line in &self.changes {
                 let (backend, up, started) = (line.ident, line.status == "up", line.started);
-                context.see(Seen::Told {
+                context.record(Seen::Told {
                     ingress,
                     backend,
                     up,
@@ -134,36 +135,37 @@
         self.agents[ingress].at = listener.local_addr()?;
         context.registry.register(
             &mut listener,
-            token(Part::DiscoveryListener, ingress),
+            token(Component::DiscoveryListener, ingress),
             Interest::READABLE,
         )?;
         self.agents[ingress].listener = Some(listener);
         Ok(())
     }
 
-    /// Where an ingress's agent listens.
+    /// The address of the agent of an ingress.
     pub fn address(&self, ingress: usize) -> SocketAddr {
         self.agents[ingress].at
     }
 
-    /// Changes a line for all agents, each of which has it a little later.
+    /// Adds a change, which reaches each agent after a delay of its own.
     pub fn change(&mut self, line: Line, context: &mut Context) {
         self.changes.push(line);
         let index = self.changes.len() as u64;
         for ingress in 0..self.agents.len() {
-            let lot = crate::arrivals::lot(self.seed, &[12, index, ingress as u64]);
-            let mut delay = SPREAD.0 + ((SPREAD.1 - SPREAD.0) as f64 * lot) as Micros;
-            if let AgentMode::Late(more) = self.agents[ingress].mode.0 {
-                delay += more;
+            let fraction = crate::arrivals::lot(self.seed, &[12, index, ingress as u64]);
+            let mut delay =
+                CHANGE_DELAY.0 + ((CHANGE_DELAY.1 - CHANGE_DELAY.0) as f64 * fraction) as Micros;
+            if let AgentMode::Late(extra) = self.agents[ingress].mode.0 {
+                delay += extra;
             }
             context.after(
                 delay,
-                Due::Discovery(DiscoveryDue::Known { ingress, index }),
+                Due::Discovery(DiscoveryDue::ChangeArrived { ingress, index }),
             );
         }
     }
 
-    /// Has an agent fail for a time.
+    /// Makes an agent fail for a time.
     pub fn fail(&mut self, ingress: usize, mode: AgentMode, lasts: Micros, context: &mut Context) {
         self.agents[ingress].mode = (mode, context.now);
         if mode == AgentMode::Gone {
@@ -172,14 +174,14 @@
         }
         context.after(
             lasts,
-            Due::Discovery(DiscoveryDue::Back {
+            Due::Discovery(DiscoveryDue::Recovered {
                 ingress,
                 since: context.now,
             }),
         );
     }
 
-    /// Moves an agent to another address; the old one is gone.
+    /// Moves an agent to another address and closes its connections.
     pub fn move_agent(&mut self, ingress: usize, context: &mut Context) -> io::Result<()> {
         self.agents[ingress].at = SocketAddr::new(address::own(), 0);
         self.close_all(ingress);
@@ -190,7 +192,7 @@
         self.conns.retain(|_, c| c.ingress != ingress);
     }
 
-    /// Takes in connections.
+    /// Accepts pending connections.
     pub fn accept(&mut self, ingress: usize, context: &mut Context) {
         loop {
             let Some(listener) = &self.agents[ingress].listener else {
@@ -200,7 +202,7 @@
                 return;
             };
             let place = self.conns.vacant_entry();
-            let token = token(Part::Discovery, place.key());
+            let token = token(Component::Discovery, place.key());
             if context
                 .registry
                 .register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)
@@ -215,14 +217,14 @@
         }
     }
 
-    /// Does what a connection is ready for.
-    pub fn ready(&mut self, key: usize, context: &mut Context) {
+    /// Reads and writes a connection that is ready.
+    pub fn handle_ready(&mut self, key: usize, context: &mut Context) {
         context.read_clock();
         let Some(conn) = self.conns.get_mut(key) else {
             return;
         };
         let flow = conn.pipe.fill(&mut self.chunk);
-        if flow != Flow::Open || !conn.pipe.flush() || conn.pipe.inbox.len() > MOST_CALL {
+        if flow != Flow::Open || !conn.pipe.flush() || conn.pipe.inbox.len() > MAX_INBOX_BYTES {
             self.conns.remove(key);
             return;
         }
@@ -250,7 +252,7 @@
         let (path, query) = path.split_once('?').unwrap_or((&path, ""));
         if path != "/v1/endpoints" {
             conn.pipe
-                .say(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+                .send(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
             return;
         }
         let number = |name: &str| {
@@ -269,16 +271,16 @@
                     Due::Discovery(DiscoveryDue::WatchOver { conn: key, watch }),
                 );
             }
-            // One that knows what this agent does not is told the whole list.
+            // An ingress with an index that the agent does not have yet gets the whole list.
             Some(since) if since < self.agents[ingress].known => {
-                self.tell(key, Some(since), context)
+                self.send_list(key, Some(since), context)
             }
-            _ => self.tell(key, None, context),
+            _ => self.send_list(key, None, context),
         }
     }
 
-    /// Tells what is newer than an index, or the whole list.
-    fn tell(&mut self, key: usize, since: Option<u64>, context: &mut Context) {
+    /// Sends the changes after an index, or the whole list.
+    fn send_list(&mut self, key: usize, since: Option<u64>, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(key) else {
             return;
         };
@@ -287,22 +289,24 @@
         for line in &self.changes[since.unwrap_or(0) as usize..known as usize] {
             lines.insert(line.ident, line);
         }
-        let whole = since.is_none();
-        let told = lines.values().filter(|l| !(whole && l.status == "removed"));
-        let list: Vec<Value> = told.map(|l| l.json(ingress)).collect();
-        let body = json!({"index": known, "snapshot": whole, "endpoints": list}).to_string();
+        let snapshot = since.is_none();
+        let listed = lines
+            .values()
+            .filter(|l| !(snapshot && l.status == "removed"));
+        let list: Vec<Value> = listed.map(|l| l.json(ingress)).collect();
+        let body = json!({"index": known, "snapshot": snapshot, "endpoints": list}).to_string();
         let head = format!(
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
         conn.watch = None;
-        if !conn.pipe.say((head + &body).as_bytes()) {
+        if !conn.pipe.send((head + &body).as_bytes()) {
             self.conns.remove(key);
             return;
         }
         for line in lines.values() {
             let (backend, up, started) = (line.ident, line.status == "up", line.started);
-            context.see(Seen::Told {
+            context.record(Seen::Told {
                 ingress,
                 backend,
                 up,
@@ -311,10 +315,10 @@
         }
     }
 
-    /// Carries out what is due.
-    pub fn due(&mut self, due: DiscoveryDue, context: &mut Context) {
+    /// Handles a timer event.
+    pub fn handle_due(&mut self, due: DiscoveryDue, context: &mut Context) {
         match due {
-            DiscoveryDue::Known { ingress, index } => {
+            DiscoveryDue::ChangeArrived { ingress, index } => {
                 let agent = &mut self.agents[ingress];
                 agent.known = agent.known.max(index);
                 if agent.mode.0 != AgentMode::Silent {
@@ -329,26 +333,27 @@
                     return;
                 };
                 if self.agents[c.ingress].mode.0 != AgentMode::Silent {
-                    self.tell(conn, Some(since), context);
+                    self.send_list(conn, Some(since), context);
                 }
             }
-            DiscoveryDue::Back { ingress, since } => {
+            DiscoveryDue::Recovered { ingress, since } => {
                 let agent = &mut self.agents[ingress];
                 if agent.mode.1 != since {
                     return;
                 }
-                let was = std::mem::replace(&mut agent.mode, (AgentMode::Well, context.now)).0;
-                if was == AgentMode::Gone {
-                    // The address is this rig's own: only a connection of its own could still be in the way.
+                let ended = std::mem::replace(&mut agent.mode, (AgentMode::Normal, context.now)).0;
+                if ended == AgentMode::Gone {
+                    // No other program uses the address: binding fails only while an old connection of the
+                    // rig is closing.
                     if self.listen(ingress, context).is_err() {
-                        let again = DiscoveryDue::Back {
+                        let retry = DiscoveryDue::Recovered {
                             ingress,
                             since: context.now,
                         };
-                        context.after(100_000, Due::Discovery(again));
+                        context.after(100_000, Due::Discovery(retry));
                         self.agents[ingress].mode = (AgentMode::Gone, context.now);
                     }
-                } else if was == AgentMode::Silent {
+                } else if ended == AgentMode::Silent {
                     self.answer_watches(ingress, context);
                     let waiting: Vec<usize> = self
                         .conns
@@ -374,12 +379,12 @@
             .map(|(key, c)| (key, c.watch.map(|w| w.0)))
             .collect();
         due.into_iter()
-            .for_each(|(key, since)| self.tell(key, since, context));
+            .for_each(|(key, since)| self.send_list(key, since, context));
     }
 
-    /// The list as an ingress has it at its start, in discovery's form.
-    pub fn known(&self, ingress: usize, upto: Option<u64>) -> (u64, Value) {
-        let index = upto.unwrap_or(self.agents[ingress].known);
+    /// The endpoint list up to a change, by default the newest one that the agent has, with the index of that change.
+    pub fn list_at(&self, ingress: usize, up_to: Option<u64>) -> (u64, Value) {
+        let index = up_to.unwrap_or(self.agents[ingress].known);
         let mut lines: BTreeMap<usize, &Line> = BTreeMap::new();
         self.changes[..index as usize].iter().for_each(|l| {
             lines.insert(l.ident, l);
@@ -395,7 +400,7 @@
         )
     }
 
-    /// The newest line of a backend.
+    /// The newest entry of a backend.
     pub fn line(&self, ident: usize) -> Option<&Line> {
         self.changes.iter().rev().find(|l| l.ident == ident)
     }
--- a/crates/testbed/src/rig/group.rs
+++ b/crates/testbed/src/rig/group.rs
@@ -1,8 +1,8 @@
-//! Ingresses that are a group: the files that make them one, and the links between them.
+//! Ingresses that form a group: their site and application files, and the links between them.
 
 use crate::arrivals::Accounts;
 use crate::links::{self, Links};
-use crate::scenario::{Effect, Group as Told, LinkFault, Scenario};
+use crate::scenario::{Effect, Group as GroupSpec, LinkFault, Scenario};
 use std::fmt::Write as _;
 use std::fs;
 use std::io;
@@ -10,16 +10,16 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What the files call the application, and the site.
-const NAME: &str = "fleet";
+/// The name of the application and of the site.
+const APP_NAME: &str = "fleet";
 
-/// Where a member listens.
-pub struct Place {
-    /// For clients.
+/// The addresses of a member.
+pub struct MemberAddresses {
+    /// The listener for clients.
     pub listen: SocketAddr,
-    /// Its discovery's agent.
+    /// The discovery agent of the member.
     pub discovery: SocketAddr,
-    /// For messages of its peers.
+    /// The socket for messages of peers.
     pub peers: SocketAddr,
 }
 
@@ -34,29 +34,34 @@
 }
 
 impl Group {
-    /// Writes the files of a group below a folder, and opens the links.
+    /// Writes the files of a group into a folder, and opens the links between its members.
     ///
     /// # Errors
     ///
-    /// Where a file or a socket can't be had.
-    pub fn open(s: &Scenario, told: &Told, places: &[Place], dir: &Path) -> io::Result<Group> {
-        let names: Vec<String> = (0..places.len()).map(member).collect();
+    /// If a file cannot be written or a socket cannot be opened.
+    pub fn open(
+        s: &Scenario,
+        spec: &GroupSpec,
+        members_at: &[MemberAddresses],
+        dir: &Path,
+    ) -> io::Result<Group> {
+        let names: Vec<String> = (0..members_at.len()).map(member).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let members: Vec<(&str, PathBuf)> = names.iter().map(|n| (*n, control(dir, n))).collect();
         let links = Links::open(&dir.join("l"), &names, &members)?;
         let app = dir.join("fleet.toml");
         fs::write(dir.join("site.toml"), site(s))?;
-        fs::write(&app, application(s, told, places, dir, &links))?;
+        fs::write(&app, application(s, spec, members_at, dir, &links))?;
         Ok(Group { app, links })
     }
 
-    /// What an ingress is started with.
+    /// The command-line arguments of an ingress.
     pub fn arguments(&self, ingress: usize) -> Vec<String> {
         let app = self.app.display().to_string();
         vec!["--app".into(), app, "--sidecar".into(), member(ingress)]
     }
 
-    /// Has the links from some to others fail, or be well.
+    /// Sets the fault of the links from some members to others; `None` restores the links.
     pub fn fail(&self, from: &[usize], to: &[usize], fault: Option<LinkFault>) {
         let fault = fault.map(|f| match f {
             LinkFault::Dropped => links::Fault::Dropped,
@@ -83,11 +88,11 @@
     format!("\"{span}us\"")
 }
 
-/// The site: its halls, classes and plans.
+/// The site file: halls, classes and plans.
 fn site(s: &Scenario) -> String {
     let halls: Vec<String> = s.network.halls.iter().map(|h| format!("{h:?}")).collect();
     let mut text = format!(
-        "version = 1\nkind = \"site\"\nname = \"{NAME}\"\nhalls = [{}]\n\n[limits]\nretry-after = \"2s\"\n\
+        "version = 1\nkind = \"site\"\nname = \"{APP_NAME}\"\nhalls = [{}]\n\n[limits]\nretry-after = \"2s\"\n\
          second-copies = {}\nprobes = true\ntick = {}\nmessages = {}\n\n[rules]\ndrain-grace = {}\n",
         halls.join(", "),
         s.network.second_copies,
@@ -131,25 +136,31 @@
     text
 }
 
-/// The application: the group, its members and its accounts.
-fn application(s: &Scenario, told: &Told, places: &[Place], dir: &Path, links: &Links) -> String {
+/// The application file: the group, its members and accounts.
+fn application(
+    s: &Scenario,
+    spec: &GroupSpec,
+    members_at: &[MemberAddresses],
+    dir: &Path,
+    links: &Links,
+) -> String {
     let sends: Vec<String> = s.classes.iter().map(|c| format!("{:?}", c.name)).collect();
-    let alone = if told.as_known { "as-known" } else { "refuse" };
+    let alone = if spec.as_known { "as-known" } else { "refuse" };
     let mut text = format!(
-        "version = 1\nkind = \"application\"\nname = \"{NAME}\"\nsite = \"{NAME}\"\nsends = [{}]\n\n[limits]\n\
+        "version = 1\nkind = \"application\"\nname = \"{APP_NAME}\"\nsite = \"{APP_NAME}\"\nsends = [{}]\n\n[limits]\n\
          memory = \"{}MiB\"\ndescriptors = {}\ncores = {}\n\n[roster]\nlease = {}\nalone = \"{alone}\"\n",
         sends.join(", "),
         s.ingresses.memory_mb,
         s.ingresses.descriptors,
         s.ingresses.cores.min(1.0),
-        us(told.lease),
+        us(spec.lease),
     );
-    for (n, place) in places.iter().enumerate() {
+    for (n, addresses) in members_at.iter().enumerate() {
         let (name, hall) = (member(n), &s.network.halls[n % s.network.halls.len()]);
         let (control, state) = (control(dir, &name), dir.join(format!("{name}.state")));
         let (folder, [listen, discovery, peers]) = (
             links.folder(&name),
-            [place.listen, place.discovery, place.peers],
+            [addresses.listen, addresses.discovery, addresses.peers],
         );
         let _ = write!(
             text,
--- a/crates/testbed/src/rig/told.rs
+++ b/crates/testbed/src/rig/ingress_config.rs
@@ -1,4 +1,4 @@
-//! What an ingress is told: its configuration, in the form of the deployment page.
+//! The configuration file of an ingress.
 
 use crate::judge::{ANSWER_SLACK, CEILING_SLACK};
 use crate::machine::COLD;
@@ -6,26 +6,27 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// How long an unanswered connect is waited for, and idle connections are kept.
-const CONNECT_WITHIN: u64 = 250_000;
-const KEEPALIVE: u64 = 15_000_000;
+/// How long an ingress waits for a connection to a backend, in microseconds.
+const CONNECT_TIMEOUT_US: u64 = 250_000;
+/// How long an ingress keeps idle connections, in microseconds.
+const KEEPALIVE_US: u64 = 15_000_000;
 
-/// Where an ingress listens and finds the others.
+/// The addresses at which an ingress listens and reaches its peers.
 pub struct Addresses {
-    /// Its own listener.
+    /// The listener for clients.
     pub listen: SocketAddr,
-    /// Discovery's agent.
+    /// The discovery agent of the ingress.
     pub discovery: SocketAddr,
-    /// Its own socket for peers, each peer, and all of them.
+    /// The own socket for peers, the address of each peer, and the address that reaches all peers.
     pub peers: (SocketAddr, Vec<SocketAddr>, SocketAddr),
-    /// The count service, where there is one.
+    /// The count service; `None` if the scenario has none.
     pub counter: Option<SocketAddr>,
 }
 
-/// How long an answer of the count service is waited for.
-const COUNT_WAIT: u64 = 30_000;
+/// How long an ingress waits for a reply of the count service, in microseconds.
+const COUNT_WAIT_US: u64 = 30_000;
 
-/// The configuration of an ingress.
+/// Builds the configuration of an ingress. `known` is the endpoint list that it starts with.
 pub fn config(s: &Scenario, ingress: usize, at: &Addresses, known: &Value) -> Value {
     let (own, peers, all) = &at.peers;
     let list: Vec<String> = peers.iter().map(SocketAddr::to_string).collect();
@@ -56,14 +57,14 @@
                "objective_us": c.aim, "give_up_us": c.deadline, "worth": c.worth, "late_worth": 0.0,
                "stream": false})
     });
-    let most = s.classes.iter().map(|c| c.units).fold(1.0, f64::max);
+    let max_units = s.classes.iter().map(|c| c.units).fold(1.0, f64::max);
     let plans = s.plans.iter().map(|p| {
         json!({"name": p.name, "quota_rate": p.rate, "burst": p.burst, "max_out": p.open,
                "never_over_rate": p.ceiling, "ceiling_burst": p.ceiling_burst,
-               "ceiling_slack": (p.ceiling_burst * CEILING_SLACK).max(most), "worth_factor": p.price,
+               "ceiling_slack": (p.ceiling_burst * CEILING_SLACK).max(max_units), "worth_factor": p.price,
                "over_worth": 0.0, "beyond_costs": p.beyond_costs})
     });
-    let (how, fields) = match s.network.reports {
+    let (reporting_mode, fields) = match s.network.reports {
         Reports::Answers => ("answers", vec!["load_share"]),
         Reports::Probes => ("probe", vec!["depth", "concurrent"]),
         Reports::None => ("none", vec![]),
@@ -77,13 +78,13 @@
         "grades": classes.collect::<Vec<_>>(), "contracts": plans.collect::<Vec<_>>(),
         "limits": {"most_tries": 3, "second_copies": s.network.second_copies, "cancelling": true, "may_probe": true,
                    "peers": s.network.peers, "retry_after": true, "max_retry_after_us": 2_000_000,
-                   "max_open": 20_000, "connect_timeout_us": CONNECT_WITHIN, "keepalive_us": KEEPALIVE},
+                   "max_open": 20_000, "connect_timeout_us": CONNECT_TIMEOUT_US, "keepalive_us": KEEPALIVE_US},
         "family_info": {"peer_in_per_s": s.network.peer_in_per_s, "has_counter": s.network.counter.is_some(),
-                        "count_wait_us": COUNT_WAIT, "meter_period_us": 0, "post_paid": false, "most_units": most},
+                        "count_wait_us": COUNT_WAIT_US, "meter_period_us": 0, "post_paid": false, "most_units": max_units},
         "rules": {"answer_slack_us": ANSWER_SLACK, "drain_grace_us": s.network.drain_grace, "cold_from": COLD.from,
                   "cold_us": COLD.warm_in, "overload_factor": COLD.factor, "fall_us": COLD.over,
                   "must_ask_in_us": 10_000_000},
         "membership_mode": "push", "weights": if s.network.weights { "nominal" } else { "none" },
-        "reporting": {"how": how, "fields": fields},
+        "reporting": {"how": reporting_mode, "fields": fields},
     })
 }
--- a/crates/testbed/src/rig/mod.rs
+++ b/crates/testbed/src/rig/mod.rs
@@ -1,5 +1,5 @@
-//! The rig: one thread and one readiness loop that is clients, backends, discovery and the network at once, round
-//! real ingress processes. One clock orders all that is seen.
+//! The rig runs real ingress processes against stand-ins on sockets. One thread with one event loop plays the clients, backends,
+//! discovery and the network. All observations have times of one clock, so that they are in order.
 
 pub mod address;
 mod backends;
@@ -8,13 +8,13 @@
 mod counter;
 mod discovery;
 mod group;
+mod ingress_config;
 mod peers;
 mod pipe;
 mod processes;
 mod relays;
 #[cfg(test)]
 mod tests;
-mod told;
 
 use crate::arrivals::{Arrivals, HOT};
 use crate::judge::{Judge, Seen};
@@ -24,10 +24,11 @@
 use crate::scenario::{Fault, Leg, LegFault, Micros, Scenario, SECOND};
 use backends::{BackendDue, Backends, Mode};
 use clients::Clients;
-use context::{owner, Context, Due, Part};
+use context::{decode_token, Component, Context, Due};
 use counter::Counter;
 use discovery::{AgentMode, Discovery, Line};
-use group::{Group, Place};
+use group::{Group, MemberAddresses};
+use ingress_config::Addresses;
 use mio::{Events, Poll};
 use peers::Peers;
 use processes::{Ended, ProcessDue, Processes};
@@ -39,19 +40,19 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
-use told::Addresses;
-
-/// How long the ingresses may take to be ready.
-const READY_WITHIN: Micros = 10 * SECOND;
-/// How long after the last deadline the run goes on: what is sent on too late must show.
-const AFTER: Micros = 300_000;
-/// How long after a backend's death discovery lists it no more, and before its death that it drains.
-const NOTICED: Micros = 500_000;
-const DRAINED: Micros = 1_500_000;
-/// Time between two snapshots.
-const LOOK: Micros = 250_000;
-
-/// Why a run could not be made.
+
+/// How long the ingresses may take until all are ready.
+const READY_TIMEOUT: Micros = 10 * SECOND;
+/// How long the run goes on after the last deadline, so that attempts sent too late are seen.
+const RUN_ON: Micros = 300_000;
+/// The delay from the death of a backend until discovery removes it.
+const REMOVAL_DELAY: Micros = 500_000;
+/// How long a backend drains before it is replaced.
+const DRAIN_TIME: Micros = 1_500_000;
+/// The time between two snapshots.
+const SNAPSHOT_INTERVAL: Micros = 250_000;
+
+/// The reason why a run could not be set up or finished.
 #[derive(Debug)]
 pub struct RigError(pub String);
 
@@ -67,13 +68,13 @@
     result.map_err(|e| RigError(format!("{what}: {e}")))
 }
 
-/// How a run is to be made.
+/// The parameters of a run.
 pub struct Run<'a> {
-    /// The built ingress.
+    /// The ingress executable.
     pub program: &'a Path,
-    /// Ends the run early, with its report, once it is set.
+    /// Ends the run early, with a report, once set.
     pub stop: &'a AtomicBool,
-    /// Is shown how the run goes, four times a second; the ingresses' logs are read for that.
+    /// Receives a snapshot four times a second. Each snapshot reads the logs of the ingresses.
     pub watch: Option<&'a mut dyn FnMut(&Snapshot)>,
 }
 
@@ -98,12 +99,12 @@
     failed: Option<RigError>,
 }
 
-/// Plays a scenario.
+/// Runs a scenario and reports what the judge found.
 ///
 /// # Errors
 ///
-/// Where the rig can't be set up: a port that is taken, a program that doesn't start or is never ready. No process is
-/// left behind.
+/// If the rig cannot be set up, as a port is in use or an ingress does not start or become ready, or if a component fails during
+/// the run. No process is left running.
 pub fn play(scenario: &Scenario, run: Run) -> Result<Report, RigError> {
     let mut watch = run.watch;
     let dir = rig(
@@ -114,18 +115,18 @@
     let mut poll = rig("cannot poll", Poll::new())?;
     let registry = rig("cannot poll", poll.registry().try_clone())?;
     let mut rig = Rig::set_up(scenario, run.program, dir.path(), Context::new(registry))?;
-    rig.processes.keep_apart();
+    rig.processes.pin_rig_thread();
     let mut events = Events::with_capacity(1024);
-    let ready_by = rig.context.now + READY_WITHIN;
+    let ready_by = rig.context.now + READY_TIMEOUT;
     for ingress in 0..rig.listens.len() {
         rig.start(ingress)?;
     }
-    rig.context.after(0, Due::Process(ProcessDue::Look));
-    let mut next_look = 0;
+    rig.context.after(0, Due::Process(ProcessDue::Measure));
+    let mut next_snapshot = 0;
     let end = loop {
         let now = rig.context.read_clock();
-        if rig.began && now >= next_look {
-            next_look = now + LOOK;
+        if rig.began && now >= next_snapshot {
+            next_snapshot = now + SNAPSHOT_INTERVAL;
             if let Some(watch) = &mut watch {
                 watch(&rig.snapshot());
             }
@@ -136,14 +137,14 @@
         if !rig.began && now > ready_by {
             return Err(rig.never_ready());
         }
-        if run.stop.load(Ordering::Relaxed) || rig.over(now) {
+        if run.stop.load(Ordering::Relaxed) || rig.is_over(now) {
             break now;
         }
         let wait = rig
             .context
-            .next()
-            .map_or(LOOK, |at| at.saturating_sub(now))
-            .min(LOOK / 10);
+            .next_time()
+            .map_or(SNAPSHOT_INTERVAL, |at| at.saturating_sub(now))
+            .min(SNAPSHOT_INTERVAL / 10);
         match poll.poll(&mut events, Some(Duration::from_micros(wait))) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => {
                 return Err(RigError(format!("cannot poll: {e}")))
@@ -151,25 +152,25 @@
             _ => {}
         }
         for event in events.iter() {
-            let (part, key) = owner(event.token());
-            rig.ready(part, key);
+            let (part, key) = decode_token(event.token());
+            rig.handle_ready(part, key);
         }
-        while let Some(due) = rig.context.take(rig.began) {
-            rig.due(due);
+        while let Some(due) = rig.context.next_due(rig.began) {
+            rig.handle_due(due);
         }
         rig.reap();
-        rig.tell_judge();
+        rig.report_to_judge();
         if let Some(e) = rig.failed.take() {
             return Err(e);
         }
     };
-    rig.tell_judge();
+    rig.report_to_judge();
     rig.judge.finish(end);
     rig.processes.end();
     Ok(rig.report(end))
 }
 
-/// A fleet of hundreds of backends wants more descriptors than a shell gives.
+/// Raises the descriptor limit to the maximum: hundreds of backends need more than the default of a shell.
 fn raise_limit() {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let limit = getrlimit(Resource::Nofile);
@@ -252,7 +253,7 @@
             "cannot open the count service",
             Counter::open(s, &mut context),
         )?;
-        let (mut fronts, mut configs, mut places) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut fronts, mut configs, mut members) = (Vec::new(), Vec::new(), Vec::new());
         for (ingress, listen) in listens.iter().copied().enumerate() {
             let mut front = listen;
             if relayed(Leg::Clients, ingress) {
@@ -266,12 +267,12 @@
                 agent = rig("cannot open a relay", relay)?;
             }
             let peers = rig("cannot open the peers' relay", peers.addresses(ingress))?;
-            places.push(Place {
+            members.push(MemberAddresses {
                 listen,
                 discovery: agent,
                 peers: peers.0,
             });
-            let (_, known) = discovery.known(ingress, None);
+            let (_, known) = discovery.list_at(ingress, None);
             let counter = counter.as_ref().map(|c| c.address(ingress));
             let at = Addresses {
                 listen,
@@ -279,12 +280,12 @@
                 peers,
                 counter,
             };
-            configs.push(told::config(s, ingress, &at, &known));
+            configs.push(ingress_config::config(s, ingress, &at, &known));
         }
         let group = s
             .group
             .as_ref()
-            .map(|g| Group::open(s, g, &places, dir))
+            .map(|g| Group::open(s, g, &members, dir))
             .transpose();
         let processes = Processes::new(
             program,
@@ -292,7 +293,7 @@
             rig("cannot set up the group", group)?,
             dir,
         );
-        discovery.told_at_start(&mut context);
+        discovery.record_initial_lists(&mut context);
         let now = context.now;
         let mut rig = Rig {
             clients: Clients::new(s, &fronts),
@@ -331,7 +332,7 @@
     fn start(&mut self, ingress: usize) -> Result<(), RigError> {
         let started = self.processes.start(ingress, &mut self.context);
         rig("cannot start an ingress", started)?;
-        self.context.see(Seen::Started(ingress));
+        self.context.record(Seen::Started(ingress));
         self.clients.watch_for(ingress, &mut self.context);
         Ok(())
     }
@@ -341,19 +342,19 @@
             .find(|i| !self.clients.up(*i))
             .unwrap_or(0);
         let log = self.processes.log(missing);
-        let last = log.lines().last().unwrap_or("it said nothing").to_string();
+        let last = log.lines().last().unwrap_or("its log is empty").to_string();
         RigError(format!(
             "ingress {missing} was not ready within {} s: {last}",
-            READY_WITHIN / SECOND
+            READY_TIMEOUT / SECOND
         ))
     }
 
-    /// All ingresses are ready: the first arrivals and the timetable count from now on.
+    /// Starts the arrivals and the steps of the scenario, once all ingresses are ready.
     fn begin(&mut self) {
         let now = self.context.now;
         (self.begin, self.began) = (now, true);
         self.judge = Judge::new(self.scenario, now);
-        self.tell_judge();
+        self.report_to_judge();
         self.clients.begin(now);
         for (n, step) in self.scenario.steps.iter().enumerate() {
             self.context.at(now + step.at, Due::Step(n));
@@ -367,7 +368,7 @@
         }
     }
 
-    fn over(&self, now: Micros) -> bool {
+    fn is_over(&self, now: Micros) -> bool {
         let longest = self
             .scenario
             .classes
@@ -377,36 +378,41 @@
             .unwrap_or(0);
         let idle = self.clients.waiting() == 0;
         let last = self.begin + self.scenario.lasts;
-        self.began && (now > last + longest + AFTER || (idle && now > last + AFTER.max(SECOND)))
+        self.began && (now > last + longest + RUN_ON || (idle && now > last + RUN_ON.max(SECOND)))
     }
 
-    fn ready(&mut self, part: Part, key: usize) {
+    fn handle_ready(&mut self, part: Component, key: usize) {
         let context = &mut self.context;
         match part {
-            Part::Client => self.clients.ready(key, context),
-            Part::BackendListener => self.backends.accept(key, context),
-            Part::Backend => self.backends.ready(key, context),
-            Part::DiscoveryListener => self.discovery.accept(key, context),
-            Part::Discovery => self.discovery.ready(key, context),
-            Part::Peer => self.peers.ready(key, context),
-            Part::RelayListener => self.relays.accept(key, context),
-            Part::Relay => self.relays.ready(key, context),
-            Part::CounterListener => self.counter.iter_mut().for_each(|c| c.accept(key, context)),
-            Part::Counter => self.counter.iter_mut().for_each(|c| c.ready(key, context)),
+            Component::Client => self.clients.handle_ready(key, context),
+            Component::BackendListener => self.backends.accept(key, context),
+            Component::Backend => self.backends.handle_ready(key, context),
+            Component::DiscoveryListener => self.discovery.accept(key, context),
+            Component::Discovery => self.discovery.handle_ready(key, context),
+            Component::Peer => self.peers.handle_ready(key, context),
+            Component::RelayListener => self.relays.accept(key, context),
+            Component::Relay => self.relays.handle_ready(key, context),
+            Component::CounterListener => {
+                self.counter.iter_mut().for_each(|c| c.accept(key, context))
+            }
+            Component::Counter => self
+                .counter
+                .iter_mut()
+                .for_each(|c| c.handle_ready(key, context)),
         }
     }
 
-    fn tell_judge(&mut self) {
+    fn report_to_judge(&mut self) {
         if !self.began {
             return;
         }
         for (at, seen) in std::mem::take(&mut self.context.seen) {
-            // What discovery writes is told once it has passed the way to the ingress.
-            let way = match seen {
+            // An ingress knows what discovery wrote only once it has passed the relay between them.
+            let leg_fault = match seen {
                 Seen::Told { ingress, .. } => self.relays.fault((Leg::Discovery, ingress)),
                 _ => None,
             };
-            match way {
+            match leg_fault {
                 None => self.judge.note(at, seen),
                 Some(LegFault::Slow(delay)) => self.context.after(delay, Due::Seen(seen)),
                 Some(LegFault::Silent | LegFault::Reset) => {}
@@ -414,7 +420,7 @@
         }
     }
 
-    fn due(&mut self, due: Due) {
+    fn handle_due(&mut self, due: Due) {
         match due {
             Due::Arrival(a) => {
                 self.clients.arrive(a, &mut self.context);
@@ -423,47 +429,51 @@
                 }
             }
             Due::Step(n) => self.step(n),
-            Due::Client(due) => self.clients.due(due, &mut self.context),
-            Due::Backend(due) => self.backends.due(due, &mut self.context),
-            Due::Discovery(due) => self.discovery.due(due, &mut self.context),
-            Due::Peer(due) => self.peers.due(due, &mut self.context),
+            Due::Client(due) => self.clients.handle_due(due, &mut self.context),
+            Due::Backend(due) => self.backends.handle_due(due, &mut self.context),
+            Due::Discovery(due) => self.discovery.handle_due(due, &mut self.context),
+            Due::Peer(due) => self.peers.handle_due(due, &mut self.context),
             Due::Counter(due) => {
-                let done = self.counter.as_mut().map(|c| c.due(due, &mut self.context));
+                let done = self
+                    .counter
+                    .as_mut()
+                    .map(|c| c.handle_due(due, &mut self.context));
                 if let Some(Err(e)) = done {
-                    self.failed = Some(RigError(format!("the count service can't come back: {e}")));
+                    self.failed = Some(RigError(format!("cannot restart the count service: {e}")));
                 }
             }
             Due::Relay(due) => {
-                if let Some((leg, ingress)) = self.relays.due(due, &mut self.context) {
-                    self.leg_seen(leg, ingress, false);
+                if let Some((leg, ingress)) = self.relays.handle_due(due, &mut self.context) {
+                    self.record_leg(leg, ingress, false);
                 }
             }
             Due::Process(ProcessDue::Start { ingress }) => {
                 if let Err(e) = self.start(ingress) {
                     self.failed = Some(e);
                 }
-                self.say(format!("ingress {ingress} starts"));
+                self.log_event(format!("ingress {ingress} starts"));
             }
             Due::Process(ProcessDue::Resume { ingress, life }) => {
                 if self
                     .processes
-                    .due(ProcessDue::Resume { ingress, life }, &mut self.context)
+                    .handle_due(ProcessDue::Resume { ingress, life }, &mut self.context)
                 {
-                    self.context.see(Seen::Resumed(ingress));
-                    self.say(format!("ingress {ingress} goes on"));
+                    self.context.record(Seen::Resumed(ingress));
+                    self.log_event(format!("ingress {ingress} goes on"));
                 }
             }
-            Due::Process(ProcessDue::Look) => {
-                self.processes.due(ProcessDue::Look, &mut self.context);
+            Due::Process(ProcessDue::Measure) => {
+                self.processes
+                    .handle_due(ProcessDue::Measure, &mut self.context);
                 self.backends.sweep(self.context.now);
             }
-            Due::Process(due) => drop(self.processes.due(due, &mut self.context)),
-            Due::Later(later) => self.carry_on(later),
+            Due::Process(due) => drop(self.processes.handle_due(due, &mut self.context)),
+            Due::FollowUp(later) => self.follow_up(later),
             Due::Seen(seen) => self.judge.note(self.context.now, seen),
         }
     }
 
-    fn say(&mut self, text: String) {
+    fn log_event(&mut self, text: String) {
         let at = self.context.now.saturating_sub(self.begin) as f64 / SECOND as f64;
         self.log.push(format!("{at:6.2} s  {text}"));
     }
@@ -471,8 +481,9 @@
     fn reap(&mut self) {
         for ended in self.processes.reap() {
             match ended {
-                Ended::AsTold(ingress, down) => {
-                    // What a killed ingress held is the client's; one that was told to stop owes all its answers.
+                Ended::Requested(ingress, down) => {
+                    // Requests of a killed ingress are left to the clients; an ingress that shut down
+                    // gracefully must have answered all of its requests.
                     self.clients.died(ingress, &mut self.context);
                     if let Some(down) = down {
                         self.context
@@ -481,12 +492,12 @@
                 }
                 Ended::Crashed(ingress, status) => {
                     let log = self.processes.log(ingress);
-                    let last = log.lines().last().unwrap_or("it said nothing");
+                    let last = log.lines().last().unwrap_or("its log is empty");
                     let text = format!("ingress {ingress} ended by itself ({status}): {last}");
                     if self.began {
-                        self.context.see(Seen::Killed(ingress));
+                        self.context.record(Seen::Killed(ingress));
                         self.clients.died(ingress, &mut self.context);
-                        self.say(text.clone());
+                        self.log_event(text.clone());
                         self.crashes.push(text);
                     } else {
                         self.failed = Some(RigError(text));
@@ -496,18 +507,18 @@
         }
     }
 
-    fn leg_seen(&mut self, leg: Leg, ingress: usize, down: bool) {
+    fn record_leg(&mut self, leg: Leg, ingress: usize, down: bool) {
         if leg == Leg::Clients {
             let seen = if down {
                 Seen::LegDown(ingress)
             } else {
                 Seen::LegUp(ingress)
             };
-            self.context.see(seen);
+            self.context.record(seen);
         }
     }
 
-    fn status(&mut self, slot: usize, status: &'static str) {
+    fn set_status(&mut self, slot: usize, status: &'static str) {
         let (ident, _, started) = self.backends.facts(slot);
         let Some(line) = self.discovery.line(ident) else {
             return;
@@ -520,7 +531,7 @@
         self.discovery.change(line, &mut self.context);
     }
 
-    /// A backend's process starts again, under its old name or a new one.
+    /// Starts the process of a backend again, under its old name or a new one.
     fn revive(&mut self, slot: usize, new_name: bool) {
         let (old, pod, _) = self.backends.facts(slot);
         let Some(line) = self.discovery.line(old).cloned() else {
@@ -548,62 +559,62 @@
             ..line
         };
         self.discovery.change(line, &mut self.context);
-        self.say(format!(
+        self.log_event(format!(
             "backend {slot} is back, cold{}",
             if new_name { ", under a new name" } else { "" }
         ));
     }
 
-    /// The later parts of what happens to backends.
-    fn carry_on(&mut self, later: context::Later) {
-        use context::Later;
+    /// Carries out a delayed action.
+    fn follow_up(&mut self, later: context::FollowUp) {
+        use context::FollowUp;
         match later {
-            Later::Die {
+            FollowUp::Die {
                 slot,
                 down,
                 new_name,
             } => {
                 self.backends.die(slot, &mut self.context);
                 self.context
-                    .after(down, Due::Later(Later::Revive { slot, new_name }));
+                    .after(down, Due::FollowUp(FollowUp::Revive { slot, new_name }));
                 self.context
-                    .after(NOTICED, Due::Later(Later::Noticed { slot }));
+                    .after(REMOVAL_DELAY, Due::FollowUp(FollowUp::Remove { slot }));
             }
-            Later::Noticed { slot } => {
+            FollowUp::Remove { slot } => {
                 if !self.backends.alive(slot) {
-                    self.status(slot, "removed");
+                    self.set_status(slot, "removed");
                 }
             }
-            Later::Revive { slot, new_name } => self.revive(slot, new_name),
-            Later::Replace { slot, down } => {
-                self.status(slot, "draining");
-                self.say(format!("backend {slot} is replaced"));
-                let die = Later::Die {
+            FollowUp::Revive { slot, new_name } => self.revive(slot, new_name),
+            FollowUp::Replace { slot, down } => {
+                self.set_status(slot, "draining");
+                self.log_event(format!("backend {slot} is replaced"));
+                let die = FollowUp::Die {
                     slot,
                     down,
                     new_name: true,
                 };
-                self.context.after(DRAINED, Due::Later(die));
+                self.context.after(DRAIN_TIME, Due::FollowUp(die));
             }
-            Later::LinksWell { from, to } => self.processes.link(&from, &to, None),
-            Later::Stop { ingress, down } => {
+            FollowUp::RestoreLinks { from, to } => self.processes.link(&from, &to, None),
+            FollowUp::Stop { ingress, down } => {
                 self.processes.stop(ingress, Some(down), &mut self.context);
                 self.clients.leaving(ingress, &mut self.context);
-                self.say(format!("ingress {ingress} is told to stop"));
+                self.log_event(format!("ingress {ingress} is told to stop"));
             }
         }
     }
 
     fn step(&mut self, n: usize) {
-        use context::Later;
+        use context::FollowUp;
         let fault = self.scenario.steps[n].fault.clone();
-        self.say(fault.to_string());
+        self.log_event(fault.to_string());
         let context = &mut self.context;
         match fault {
             Fault::Kill { ingresses, down } => {
                 for ingress in ingresses {
                     self.processes.kill(ingress, down);
-                    self.context.see(Seen::Killed(ingress));
+                    self.context.record(Seen::Killed(ingress));
                 }
             }
             Fault::Restart {
@@ -612,13 +623,13 @@
                 down,
             } => {
                 for (n, ingress) in (0..).zip(ingresses) {
-                    context.after(n * every, Due::Later(Later::Stop { ingress, down }));
+                    context.after(n * every, Due::FollowUp(FollowUp::Stop { ingress, down }));
                 }
             }
             Fault::Freeze { ingresses, lasts } => {
                 for ingress in ingresses {
                     if self.processes.freeze(ingress, lasts, context) {
-                        context.see(Seen::Frozen(ingress));
+                        context.record(Seen::Frozen(ingress));
                     }
                 }
             }
@@ -643,24 +654,24 @@
                     if let Err(e) = self.processes.configure(ingress, &text) {
                         self.failed = Some(RigError(format!("cannot write a configuration: {e}")));
                     }
-                    self.processes.hang_up(ingress);
+                    self.processes.reload(ingress);
                 }
             }
             Fault::Drain { backends } => backends
                 .into_iter()
-                .for_each(|b| self.status(b, "draining")),
-            Fault::Up { backends } => backends.into_iter().for_each(|b| self.status(b, "up")),
-            Fault::Remove { backends } => {
-                backends.into_iter().for_each(|b| self.status(b, "removed"))
-            }
+                .for_each(|b| self.set_status(b, "draining")),
+            Fault::Up { backends } => backends.into_iter().for_each(|b| self.set_status(b, "up")),
+            Fault::Remove { backends } => backends
+                .into_iter()
+                .for_each(|b| self.set_status(b, "removed")),
             Fault::Die { backends, down } => {
                 for slot in backends {
-                    let die = Later::Die {
+                    let die = FollowUp::Die {
                         slot,
                         down,
                         new_name: false,
                     };
-                    self.context.after(0, Due::Later(die));
+                    self.context.after(0, Due::FollowUp(die));
                 }
             }
             Fault::Replace {
@@ -670,7 +681,7 @@
             } => {
                 for (n, slot) in (0..).zip(backends) {
                     self.context
-                        .after(n * every, Due::Later(Later::Replace { slot, down }));
+                        .after(n * every, Due::FollowUp(FollowUp::Replace { slot, down }));
                 }
             }
             Fault::Hang { backends, lasts } => self.behave(backends, Mode::Hang, lasts),
@@ -688,23 +699,23 @@
                 lasts,
             } => {
                 for slot in backends {
-                    self.backends.neighbour(slot, factor);
-                    let over = BackendDue::Taken { slot, factor: 0.0 };
+                    self.backends.set_neighbour(slot, factor);
+                    let over = BackendDue::NeighbourLoad { slot, factor: 0.0 };
                     self.context.after(lasts, Due::Backend(over));
                 }
             }
             Fault::DiscoverySilent { ingresses, lasts } => {
-                self.agents(ingresses, AgentMode::Silent, lasts)
+                self.fail_agents(ingresses, AgentMode::Silent, lasts)
             }
             Fault::DiscoveryGone { ingresses, lasts } => {
-                self.agents(ingresses, AgentMode::Gone, lasts)
+                self.fail_agents(ingresses, AgentMode::Gone, lasts)
             }
             Fault::DiscoveryLate {
                 ingresses,
                 delay,
                 lasts,
             } => {
-                self.agents(ingresses, AgentMode::Late(delay), lasts);
+                self.fail_agents(ingresses, AgentMode::Late(delay), lasts);
             }
             Fault::Split { lasts } => self.peers.split(lasts, context),
             Fault::Lossy {
@@ -719,8 +730,8 @@
                 accounts,
                 rate,
                 lasts,
-            } => self.more(n, lasts, rate, Some(accounts)),
-            Fault::Scan { rate, lasts } => self.more(n, lasts, rate, None),
+            } => self.add_arrivals(n, lasts, rate, Some(accounts)),
+            Fault::Scan { rate, lasts } => self.add_arrivals(n, lasts, rate, None),
             Fault::Crowd {
                 ingresses,
                 count,
@@ -747,7 +758,7 @@
                 lasts,
             } => {
                 self.processes.link(&from, &to, Some(fault));
-                context.after(lasts, Due::Later(Later::LinksWell { from, to }));
+                context.after(lasts, Due::FollowUp(FollowUp::RestoreLinks { from, to }));
             }
             Fault::Counter { fault, lasts } => {
                 if let Some(counter) = &mut self.counter {
@@ -764,9 +775,9 @@
                     self.relays
                         .fail((leg, ingress), fault, lasts, &mut self.context);
                     if let (Leg::Backends, LegFault::Slow(delay)) = (leg, fault) {
-                        self.context.see(Seen::Slow(ingress, delay));
+                        self.context.record(Seen::Slow(ingress, delay));
                     }
-                    self.leg_seen(leg, ingress, true);
+                    self.record_leg(leg, ingress, true);
                 }
             }
         }
@@ -778,14 +789,14 @@
             .for_each(|b| self.backends.behave(b, mode, lasts, &mut self.context));
     }
 
-    fn agents(&mut self, ingresses: Vec<usize>, mode: AgentMode, lasts: Micros) {
+    fn fail_agents(&mut self, ingresses: Vec<usize>, mode: AgentMode, lasts: Micros) {
         ingresses
             .into_iter()
             .for_each(|i| self.discovery.fail(i, mode, lasts, &mut self.context));
     }
 
-    /// Arrivals that a fault adds.
-    fn more(&mut self, n: usize, lasts: Micros, rate: f64, hot: Option<u32>) {
+    /// Schedules the additional arrivals of a fault.
+    fn add_arrivals(&mut self, n: usize, lasts: Micros, rate: f64, hot: Option<u32>) {
         let from = self.scenario.steps[n].at;
         for a in Arrivals::extra(self.scenario, from, lasts, rate, hot) {
             self.context.at(self.begin + a.at, Due::Arrival(a));
@@ -797,7 +808,7 @@
         let count = self.listens.len();
         let (asked, served, refused, failed) =
             (worth.asked, worth.served, worth.refused, worth.failed);
-        let rungs = (0..count).map(|i| rung(&self.processes.log(i)));
+        let rungs = (0..count).map(|i| last_rung(&self.processes.log(i)));
         Snapshot {
             at: self.context.now - self.begin,
             lasts: self.scenario.lasts,
@@ -853,8 +864,8 @@
     }
 }
 
-/// The rung of the ladder that an ingress's log tells last: shown to people, and nothing that the judge goes by.
-fn rung(log: &str) -> u8 {
+/// The last load-shedding level in the log of an ingress. It is shown in snapshots; the judge does not use it.
+fn last_rung(log: &str) -> u8 {
     let last = log
         .lines()
         .rev()
@@ -874,7 +885,7 @@
             let at = SocketAddr::from(([127, 0, 0, 1], first + ingress as u16));
             let free = std::net::TcpListener::bind(at);
             free.map(|_| at)
-                .map_err(|e| RigError(format!("ingress {ingress} can't listen at {at}: {e}")))
+                .map_err(|e| RigError(format!("ingress {ingress} cannot listen at {at}: {e}")))
         }
     }
 }
--- a/crates/testbed/src/rig/peers.rs
+++ b/crates/testbed/src/rig/peers.rs
@@ -1,8 +1,8 @@
-//! The network between ingresses: a UDP relay that delays, drops, repeats and splits. Each ingress sees each other
-//! one under an address of its own, so that the relay knows who sends what to whom.
+//! The network between ingresses: a UDP relay that delays, drops and repeats messages and can partition the network. Each ingress
+//! has a separate relay address for each peer, by which the relay knows sender and receiver of a message.
 
 use super::address;
-use super::context::{token, Context, Due, Part};
+use super::context::{token, Component, Context, Due};
 use crate::scenario::{Micros, Scenario, SECOND};
 use fastrand::Rng;
 use mio::net::UdpSocket;
@@ -10,46 +10,48 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The most bytes of a message.
-const MOST: usize = 256;
+/// The maximum length of a message, in bytes; the relay cuts off the rest.
+const MAX_MESSAGE_BYTES: usize = 256;
 
-/// What falls due for peers.
+/// A timer event of the peers' network.
 pub enum PeerDue {
-    /// A message arrives.
+    /// A message is delivered.
     Arrive {
         from: usize,
         to: usize,
         bytes: Vec<u8>,
     },
-    /// The peers are one again, if no later split came.
-    Whole { since: Micros },
-    /// The network is as it was, if no later fault came.
-    Calm { since: Micros },
+    /// The partition that began at `since` ends, unless a later one has replaced it.
+    SplitOver { since: Micros },
+    /// The fault that began at `since` ends, unless a later one has replaced it.
+    FaultOver { since: Micros },
 }
 
 #[derive(Clone, Copy)]
-struct Weather {
+struct Conditions {
     delay: (Micros, Micros),
     loss: f64,
     repeat: f64,
 }
 
-/// The relay.
+/// The relay between all ingresses.
 pub struct Peers {
-    /// By sender and receiver: the address at which the sender sees the receiver. With itself: all others.
+    /// The relay's sockets by sender and receiver: the sender reaches the receiver through it. The socket of a sender with itself
+    /// reaches all peers.
     sockets: Vec<Vec<UdpSocket>>,
-    /// Where each ingress takes messages.
+    /// The address at which each ingress receives messages.
     listens: Vec<SocketAddr>,
-    calm: Weather,
-    weather: (Weather, Micros),
-    /// Messages that an ingress takes in a second, and what it took in this one.
-    most_a_second: f64,
-    taken: Vec<(Micros, f64)>,
+    normal: Conditions,
+    conditions: (Conditions, Micros),
+    /// How many messages an ingress receives per second; the relay drops the rest.
+    max_per_second: f64,
+    /// For each ingress: the start of the current second, and the messages received since.
+    received: Vec<(Micros, f64)>,
     split: Option<Micros>,
     rng: Rng,
-    /// Messages that came, and those that were longer than allowed.
+    /// How many messages ingresses sent.
     pub sent: u64,
-    /// See `sent`.
+    /// How many of them exceeded the maximum length.
     pub too_long: u64,
 }
 
@@ -64,7 +66,7 @@
             let mut row = Vec::new();
             for to in 0..count {
                 let mut socket = UdpSocket::bind((ip, 0).into())?;
-                let token = token(Part::Peer, from * count + to);
+                let token = token(Component::Peer, from * count + to);
                 context
                     .registry
                     .register(&mut socket, token, Interest::READABLE)?;
@@ -73,7 +75,7 @@
             sockets.push(row);
         }
         let (delay, loss) = (s.network.peer_delay, s.network.peer_loss);
-        let calm = Weather {
+        let normal = Conditions {
             delay,
             loss,
             repeat: 0.0,
@@ -81,10 +83,10 @@
         Ok(Peers {
             sockets,
             listens,
-            calm,
-            weather: (calm, 0),
-            most_a_second: s.network.peer_in_per_s,
-            taken: vec![(0, 0.0); count],
+            normal,
+            conditions: (normal, 0),
+            max_per_second: s.network.peer_in_per_s,
+            received: vec![(0, 0.0); count],
             split: None,
             rng: Rng::with_seed(s.seed ^ 0x9EE5),
             sent: 0,
@@ -92,7 +94,7 @@
         })
     }
 
-    /// Where an ingress takes messages, how it sees the others, and how all of them.
+    /// The address at which an ingress receives messages, its address for each peer, and its address for all peers.
     pub fn addresses(
         &self,
         ingress: usize,
@@ -115,29 +117,29 @@
         ))
     }
 
-    /// Cuts the peers into two halves.
+    /// Partitions the ingresses into two halves.
     pub fn split(&mut self, lasts: Micros, context: &mut Context) {
         self.split = Some(context.now);
-        context.after(lasts, Due::Peer(PeerDue::Whole { since: context.now }));
+        context.after(lasts, Due::Peer(PeerDue::SplitOver { since: context.now }));
     }
 
-    /// Loses, repeats and delays messages.
+    /// Drops, repeats and delays messages for a time: the probabilities of a loss and of a repeat, and the extra delay.
     pub fn lossy(&mut self, fault: (f64, f64, Micros), lasts: Micros, context: &mut Context) {
         let (loss, repeat, delay) = fault;
-        let (low, high) = self.calm.delay;
-        self.weather = (
-            Weather {
+        let (low, high) = self.normal.delay;
+        self.conditions = (
+            Conditions {
                 delay: (low, high + delay),
                 loss,
                 repeat,
             },
             context.now,
         );
-        context.after(lasts, Due::Peer(PeerDue::Calm { since: context.now }));
+        context.after(lasts, Due::Peer(PeerDue::FaultOver { since: context.now }));
     }
 
-    /// Takes in what a socket has.
-    pub fn ready(&mut self, key: usize, context: &mut Context) {
+    /// Receives and relays all messages that wait at a socket.
+    pub fn handle_ready(&mut self, key: usize, context: &mut Context) {
         let count = self.sockets.len();
         let (from, to) = (key / count, key % count);
         let mut buf = [0; 2048];
@@ -145,64 +147,67 @@
             match self.sockets[from][to].recv_from(&mut buf) {
                 Ok((n, sender)) if sender == self.listens[from] => {
                     self.sent += 1;
-                    self.too_long += u64::from(n > MOST);
+                    self.too_long += u64::from(n > MAX_MESSAGE_BYTES);
                     let to: Vec<usize> = if to == from {
                         (0..count).filter(|t| *t != from).collect()
                     } else {
                         vec![to]
                     };
-                    to.into_iter()
-                        .for_each(|to| self.carry(from, to, &buf[..n.min(MOST)], context));
+                    to.into_iter().for_each(|to| {
+                        self.relay(from, to, &buf[..n.min(MAX_MESSAGE_BYTES)], context)
+                    });
                 }
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // What an earlier message met on its way: an ingress that is down.
+                // An error of an earlier message: its receiver is down (ICMP port unreachable).
                 Err(_) => {}
             }
         }
     }
 
-    fn carry(&mut self, from: usize, to: usize, bytes: &[u8], context: &mut Context) {
+    fn relay(&mut self, from: usize, to: usize, bytes: &[u8], context: &mut Context) {
         let half = |i: usize| i < self.sockets.len().div_ceil(2);
         let cut = self.split.is_some() && half(from) != half(to);
-        let weather = self.weather.0;
-        let weather = if self.weather.1 == 0 {
-            self.calm
+        let conditions = self.conditions.0;
+        let conditions = if self.conditions.1 == 0 {
+            self.normal
         } else {
-            weather
+            conditions
         };
-        // Drawn for each message in any case, so that a cut doesn't shift the fate of the others.
-        let (lost, again) = (
-            self.rng.f64() < weather.loss,
-            self.rng.f64() < weather.repeat,
+        // Drawn for each message, dropped or not, so that a partition does not change the random
+        // numbers of later messages.
+        let (lost, repeated) = (
+            self.rng.f64() < conditions.loss,
+            self.rng.f64() < conditions.repeat,
         );
         if cut || lost {
             return;
         }
-        for _ in 0..1 + usize::from(again) {
-            let delay = weather.delay.0 + self.rng.u64(0..=weather.delay.1 - weather.delay.0);
+        for _ in 0..1 + usize::from(repeated) {
+            let delay =
+                conditions.delay.0 + self.rng.u64(0..=conditions.delay.1 - conditions.delay.0);
             let bytes = bytes.to_vec();
             context.after(delay, Due::Peer(PeerDue::Arrive { from, to, bytes }));
         }
     }
 
-    /// Carries out what is due.
-    pub fn due(&mut self, due: PeerDue, context: &mut Context) {
+    /// Handles a timer event.
+    pub fn handle_due(&mut self, due: PeerDue, context: &mut Context) {
         match due {
             PeerDue::Arrive { from, to, bytes } => {
-                let (second, taken) = &mut self.taken[to];
+                let (second, received) = &mut self.received[to];
                 if context.now >= *second + SECOND {
-                    (*second, *taken) = (context.now, 0.0);
+                    (*second, *received) = (context.now, 0.0);
                 }
-                *taken += 1.0;
-                if *taken <= self.most_a_second {
-                    // As the receiver sees the sender.
+                *received += 1.0;
+                if *received <= self.max_per_second {
+                    // Sent from the address under which the receiver knows the sender.
                     let _ = self.sockets[to][from].send_to(&bytes, self.listens[to]);
                 }
             }
-            PeerDue::Whole { since } if self.split == Some(since) => self.split = None,
-            PeerDue::Calm { since } if self.weather.1 == since => self.weather.1 = 0,
-            PeerDue::Whole { .. } | PeerDue::Calm { .. } => {}
+            PeerDue::SplitOver { since } if self.split == Some(since) => self.split = None,
+            PeerDue::FaultOver { since } if self.conditions.1 == since => self.conditions.1 = 0,
+            PeerDue::SplitOver { .. } | PeerDue::FaultOver { .. } => {}
         }
     }
 }
--- a/crates/testbed/src/rig/pipe.rs
+++ b/crates/testbed/src/rig/pipe.rs
@@ -1,25 +1,25 @@
-//! A connection with what has come and what is still to be written.
+//! A non-blocking connection with buffers for received and unsent bytes.
 
 use mio::net::TcpStream;
 use socket2::SockRef;
 use std::io::{self, Read, Write};
 use std::time::Duration;
 
-/// The most that may wait to be written before a peer that reads nothing is given up.
-const MOST_UNWRITTEN: usize = 8 << 20;
+/// The maximum of unsent bytes; beyond it the peer is taken to read nothing, and the connection is dropped.
+const MAX_UNSENT_BYTES: usize = 8 << 20;
 
-/// Where a connection stands after a reading.
+/// The state of a connection after a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
-    /// It goes on.
+    /// The peer may send more.
     Open,
-    /// The other side has ended its sending.
+    /// The peer has closed its sending side.
     Ended,
-    /// It was reset, or never came up.
+    /// The connection was reset, or could not be established.
     Reset,
 }
 
-/// A connection.
+/// A connection with its buffers.
 pub struct Pipe {
     pub stream: TcpStream,
     pub inbox: Vec<u8>,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes in what has come.
+    /// Reads all available bytes into `inbox`.
     pub fn fill(&mut self, chunk: &mut [u8]) -> Flow {
         loop {
             match self.stream.read(chunk) {
@@ -58,13 +58,13 @@
         }
     }
 
-    /// Has something written, now or once there is room; false if the connection is of no more use.
-    pub fn say(&mut self, bytes: &[u8]) -> bool {
+    /// Sends bytes, now or once the socket is writable. Returns false if the connection has failed.
+    pub fn send(&mut self, bytes: &[u8]) -> bool {
         self.outbox.extend_from_slice(bytes);
-        self.outbox.len() < MOST_UNWRITTEN && self.flush()
+        self.outbox.len() < MAX_UNSENT_BYTES && self.flush()
     }
 
-    /// Writes on; false if the connection is of no more use.
+    /// Writes unsent bytes as far as the socket takes them. Returns false if the connection has failed.
     pub fn flush(&mut self) -> bool {
         while !self.all_written() {
             match self.stream.write(&self.outbox[self.written..]) {
@@ -86,12 +86,12 @@
         true
     }
 
-    /// Whether nothing waits to be written.
+    /// Whether no unsent bytes are left.
     pub fn all_written(&self) -> bool {
         self.written == self.outbox.len()
     }
 
-    /// Has the connection's end be a reset.
+    /// Makes closing the connection send a reset (RST).
     pub fn reset_on_close(&self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
--- a/crates/testbed/src/rig/processes.rs
+++ b/crates/testbed/src/rig/processes.rs
@@ -10,37 +10,37 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// How often a process with less than a core is looked at: it is stopped where it has had its part.
-const THROTTLE: Micros = 4_000;
-/// What it may use ahead.
-const AHEAD: Micros = 8_000;
-/// How long an ingress that was told to stop may take before it is killed.
-pub const STOP_WITHIN: Micros = 3_700_000;
+/// How often the processor time of a throttled process is checked. It is stopped while it has used more than its share.
+const THROTTLE_INTERVAL: Micros = 4_000;
+/// How much processor time a throttled process may use beyond its share.
+const CPU_ALLOWANCE: Micros = 8_000;
+/// How long a graceful shutdown may take before the ingress is killed.
+pub const STOP_TIMEOUT: Micros = 3_700_000;
 
-/// What falls due for processes.
+/// A timer event of the processes.
 pub enum ProcessDue {
     /// An ingress is started.
     Start { ingress: usize },
-    /// A frozen ingress goes on.
+    /// A frozen ingress resumes.
     Resume { ingress: usize, life: u64 },
-    /// An ingress that was told to stop has had its time.
+    /// The time for a graceful shutdown has passed.
     Overdue { ingress: usize, life: u64 },
-    /// A throttled ingress is looked at.
+    /// The processor time of a throttled ingress is checked.
     Throttle { ingress: usize, life: u64 },
-    /// An ingress gets its cores again.
+    /// The throttling that began at `since` ends, unless a later one has replaced it.
     Unthrottle { ingress: usize, since: Micros },
-    /// Processes are looked at: who has ended, who uses what.
-    Look,
+    /// The resource usage of all processes is measured.
+    Measure,
 }
 
-/// What an ingress used, over all its lives.
+/// The resource usage of an ingress over all its processes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Processor time.
+    /// Processor time, in microseconds.
     pub cpu: Micros,
-    /// The most memory that was resident, in kilobytes.
+    /// The peak resident memory, in kilobytes.
     pub memory_kb: u64,
-    /// The most descriptors seen open.
+    /// The highest number of open descriptors measured.
     pub descriptors: usize,
 }
 
@@ -49,28 +49,30 @@
     log: PathBuf,
     child: Option<Child>,
     life: u64,
-    /// It was told to end, by a signal that ends it.
+    /// A signal that ends the process has been sent.
     ending: bool,
     down: Option<Micros>,
     frozen: bool,
-    /// Cores, and since when; what it had used then; whether it is held at the moment.
+    /// The share of processor time, in cores.
     cores: f64,
+    /// When the throttling began, and the processor time used until then.
     throttled: Option<(Micros, Micros)>,
-    held: bool,
+    /// The process is stopped at the moment, as it has used more than its share.
+    over_share: bool,
     ended_cpu: Micros,
     usage: Usage,
 }
 
-/// What became of a process.
+/// How a process has ended.
 #[derive(Debug)]
 pub enum Ended {
-    /// It ended as it was told to, and is started again after a while, or never.
-    AsTold(usize, Option<Micros>),
-    /// It ended by itself.
+    /// The rig ended it: the ingress, and the delay until it is started again, if ever.
+    Requested(usize, Option<Micros>),
+    /// It ended by itself: the ingress, and the exit status.
     Crashed(usize, ExitStatus),
 }
 
-/// All ingress processes. They end with it, whatever becomes of the rig.
+/// All ingress processes. Dropping the value kills them.
 pub struct Processes {
     program: PathBuf,
     group: Option<Group>,
@@ -86,7 +88,7 @@
 }
 
 impl Processes {
-    /// None is started yet. Files of the ingresses go into `dir`.
+    /// Prepares the processes without starting them. Files of the ingresses go into `dir`.
     pub fn new(program: &Path, limits: &Ingresses, group: Option<Group>, dir: &Path) -> Self {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
         let list = (0..limits.count).map(|n| Process {
@@ -99,7 +101,7 @@
             frozen: false,
             cores: limits.cores,
             throttled: None,
-            held: false,
+            over_share: false,
             ended_cpu: 0,
             usage: Usage::default(),
         });
@@ -109,14 +111,14 @@
             limits: limits.clone(),
             list: list.collect(),
             dir: dir.to_path_buf(),
-            // The rig has the first core to itself where there are three or more.
+            // With three or more cores, the first one is reserved for the rig.
             first_core: usize::from(cores > 2),
             cores,
         }
     }
 
-    /// Keeps the calling thread, the rig's, off the cores of the ingresses.
-    pub fn keep_apart(&self) {
+    /// Pins the calling thread, which runs the rig, to the reserved core, if there is one.
+    pub fn pin_rig_thread(&self) {
         if self.first_core > 0 {
             let mut set = rustix::thread::CpuSet::new();
             set.set(0);
@@ -124,19 +126,19 @@
         }
     }
 
-    /// Writes an ingress's configuration.
+    /// Writes the configuration of an ingress, and replaces the old file atomically.
     pub fn configure(&self, ingress: usize, text: &str) -> io::Result<()> {
         let new = self.dir.join(format!("ingress-{ingress}.new"));
         fs::write(&new, text)?;
         fs::rename(&new, &self.list[ingress].config)
     }
 
-    /// Starts an ingress.
+    /// Starts the process of an ingress, with its limits and core set.
     pub fn start(&mut self, ingress: usize, context: &mut Context) -> io::Result<()> {
         let (first, cores) = (self.first_core, self.cores);
         let p = &mut self.list[ingress];
         let log = File::options().create(true).append(true).open(&p.log)?;
-        // The shell sets the limits and is replaced by the program.
+        // The shell sets the limits and then runs the program by `exec`.
         let script = r#"ulimit -n "$1" && ulimit -v "$2" && shift 2 && exec "$@""#;
         let kilobytes = u64::from(self.limits.memory_mb) * 1024 + 64 * 1024;
         let mut command = Command::new("/bin/sh");
@@ -164,31 +166,31 @@
             set.set(first + ingress % (cores - first));
             let _ = rustix::thread::sched_setaffinity(Some(pid), &set);
         }
-        (p.child, p.ending, p.frozen, p.held) = (Some(child), false, false, false);
+        (p.child, p.ending, p.frozen, p.over_share) = (Some(child), false, false, false);
         p.life += 1;
         p.throttled = None;
         let (cores, life) = (p.cores, p.life);
         if cores < 1.0 {
             p.throttled = Some((context.now, 0));
             context.after(
-                THROTTLE,
+                THROTTLE_INTERVAL,
                 Due::Process(ProcessDue::Throttle { ingress, life }),
             );
         }
         Ok(())
     }
 
-    /// Has the links from some ingresses to others fail, or be well, where they are a group.
+    /// Sets the fault of the links from some ingresses to others; `None` restores them. Does nothing without a group.
     pub fn link(&self, from: &[usize], to: &[usize], fault: Option<LinkFault>) {
         self.group.iter().for_each(|g| g.fail(from, to, fault));
     }
 
-    /// Whether an ingress's process runs.
+    /// Whether the process of an ingress runs.
     pub fn runs(&self, ingress: usize) -> bool {
         self.list[ingress].child.is_some()
     }
 
-    /// The last line of an ingress's log.
+    /// The whole log of an ingress; empty if it cannot be read.
     pub fn log(&self, ingress: usize) -> String {
         fs::read_to_string(&self.list[ingress].log).unwrap_or_default()
     }
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Kills an ingress at once, and waits for its end; it comes back after `down`.
+    /// Kills an ingress; it is started again `down` after its end is noticed, or never.
     pub fn kill(&mut self, ingress: usize, down: Option<Micros>) {
         self.list[ingress].ending = true;
         self.list[ingress].down = down;
@@ -207,24 +209,24 @@
         self.send(ingress, Signal::KILL);
     }
 
-    /// Tells an ingress to stop; it comes back `down` after it has ended.
+    /// Starts the graceful shutdown of an ingress; it is started again `down` after its end, or never.
     pub fn stop(&mut self, ingress: usize, down: Option<Micros>, context: &mut Context) {
         let p = &mut self.list[ingress];
         (p.ending, p.down) = (true, down);
         let life = p.life;
         self.send(ingress, Signal::TERM);
         context.after(
-            STOP_WITHIN,
+            STOP_TIMEOUT,
             Due::Process(ProcessDue::Overdue { ingress, life }),
         );
     }
 
-    /// Has an ingress read its configuration again.
-    pub fn hang_up(&mut self, ingress: usize) {
+    /// Makes an ingress reload its configuration.
+    pub fn reload(&mut self, ingress: usize) {
         self.send(ingress, Signal::HUP);
     }
 
-    /// Has an ingress stand still for a time; false if it does not run.
+    /// Stops the process of an ingress for a time. Returns false if it does not run.
     pub fn freeze(&mut self, ingress: usize, lasts: Micros, context: &mut Context) -> bool {
         if self.list[ingress].child.is_none() {
             return false;
@@ -236,16 +238,16 @@
         true
     }
 
-    /// Gives an ingress so many cores for a time.
+    /// Limits an ingress to a number of cores for a time.
     pub fn throttle(&mut self, ingress: usize, cores: f64, lasts: Micros, context: &mut Context) {
         let used = self.cpu(ingress);
         let p = &mut self.list[ingress];
-        let fresh = p.throttled.is_none();
+        let newly_throttled = p.throttled.is_none();
         (p.cores, p.throttled) = (cores, Some((context.now, used)));
         let life = p.life;
-        if fresh {
+        if newly_throttled {
             context.after(
-                THROTTLE,
+                THROTTLE_INTERVAL,
                 Due::Process(ProcessDue::Throttle { ingress, life }),
             );
         }
@@ -258,7 +260,7 @@
         );
     }
 
-    /// Processor time of an ingress's present process.
+    /// The processor time of the current process of an ingress.
     fn cpu(&self, ingress: usize) -> Micros {
         let Some(child) = &self.list[ingress].child else {
             return 0;
@@ -290,13 +292,13 @@
         p.usage.descriptors = p.usage.descriptors.max(descriptors);
     }
 
-    /// What an ingress has used so far.
+    /// Measures and returns the resource usage of an ingress so far.
     pub fn usage(&mut self, ingress: usize) -> Usage {
         self.measure(ingress);
         self.list[ingress].usage
     }
 
-    /// Notes the end of processes.
+    /// Collects the processes that have ended.
     pub fn reap(&mut self) -> Vec<Ended> {
         let mut ended = Vec::new();
         for (ingress, p) in self.list.iter_mut().enumerate() {
@@ -304,9 +306,9 @@
             let Some(status) = status else { continue };
             p.child = None;
             p.ended_cpu = p.usage.cpu;
-            let well = p.ending;
-            ended.push(if well {
-                Ended::AsTold(ingress, p.down)
+            let requested = p.ending;
+            ended.push(if requested {
+                Ended::Requested(ingress, p.down)
             } else {
                 Ended::Crashed(ingress, status)
             });
@@ -314,8 +316,8 @@
         ended
     }
 
-    /// Carries out what is due; true if an ingress goes on that stood still.
-    pub fn due(&mut self, due: ProcessDue, context: &mut Context) -> bool {
+    /// Handles a timer event. Returns true if a frozen ingress has resumed.
+    pub fn handle_due(&mut self, due: ProcessDue, context: &mut Context) -> bool {
         match due {
             ProcessDue::Resume { ingress, life } => {
                 let p = &mut self.list[ingress];
@@ -331,44 +333,46 @@
                     self.send(ingress, Signal::KILL);
                 }
             }
-            ProcessDue::Throttle { ingress, life } => self.look_at_share(ingress, life, context),
+            ProcessDue::Throttle { ingress, life } => {
+                self.enforce_cpu_share(ingress, life, context)
+            }
             ProcessDue::Unthrottle { ingress, since } => {
                 let p = &mut self.list[ingress];
                 if p.throttled.is_some_and(|t| t.0 == since) {
                     (p.cores, p.throttled) = (self.limits.cores, None);
-                    if std::mem::take(&mut p.held) && !p.frozen {
+                    if std::mem::take(&mut p.over_share) && !p.frozen {
                         self.send(ingress, Signal::CONT);
                     }
                 }
             }
-            ProcessDue::Look => {
+            ProcessDue::Measure => {
                 (0..self.list.len()).for_each(|ingress| self.measure(ingress));
-                context.after(SECOND / 4, Due::Process(ProcessDue::Look));
+                context.after(SECOND / 4, Due::Process(ProcessDue::Measure));
             }
             ProcessDue::Start { .. } => {}
         }
         false
     }
 
-    fn look_at_share(&mut self, ingress: usize, life: u64, context: &mut Context) {
+    fn enforce_cpu_share(&mut self, ingress: usize, life: u64, context: &mut Context) {
         let used = self.cpu(ingress);
         let p = &mut self.list[ingress];
-        let Some((since, had)) = p.throttled.filter(|_| p.life == life) else {
+        let Some((since, used_before)) = p.throttled.filter(|_| p.life == life) else {
             return;
         };
-        let may = ((context.now - since) as f64 * p.cores) as Micros + AHEAD;
-        let over = used.saturating_sub(had) > may;
-        if over != p.held && !p.frozen {
-            p.held = over;
+        let allowed = ((context.now - since) as f64 * p.cores) as Micros + CPU_ALLOWANCE;
+        let over = used.saturating_sub(used_before) > allowed;
+        if over != p.over_share && !p.frozen {
+            p.over_share = over;
             self.send(ingress, if over { Signal::STOP } else { Signal::CONT });
         }
         context.after(
-            THROTTLE,
+            THROTTLE_INTERVAL,
             Due::Process(ProcessDue::Throttle { ingress, life }),
         );
     }
 
-    /// Ends all: told to, and killed if they do not.
+    /// Ends all processes: by a graceful shutdown, and after 1.5 seconds by a kill.
     pub fn end(&mut self) {
         for ingress in 0..self.list.len() {
             self.measure(ingress);
--- a/crates/testbed/src/rig/relays.rs
+++ b/crates/testbed/src/rig/relays.rs
@@ -1,7 +1,7 @@
-//! TCP relays on the legs that a scenario has fail: what passes may stop, be reset, or be late.
+//! TCP relays on the legs for which a scenario has faults: a leg can be silent, slow, or reset its connections.
 
 use super::address;
-use super::context::{token, Context, Due, Part};
+use super::context::{token, Component, Context, Due};
 use super::pipe::{Flow, Pipe};
 use crate::scenario::{Leg, LegFault, Micros};
 use mio::net::{TcpListener, TcpStream};
@@ -11,17 +11,17 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What falls due for relays.
+/// A timer event of the relays.
 pub enum RelayDue {
-    /// Bytes are passed on that were held back.
-    Pass {
+    /// Delayed bytes are forwarded.
+    Forward {
         key: usize,
         serial: u64,
         bytes: Vec<u8>,
         end: bool,
     },
-    /// A leg is well again, if no later fault came.
-    Well {
+    /// The fault that began at `since` ends, unless a later one has replaced it.
+    Recovered {
         leg: Leg,
         ingress: usize,
         since: Micros,
@@ -34,11 +34,11 @@
     serial: u64,
     leg: (Leg, usize),
     ended: bool,
-    /// Until when what came here is held back: what comes later must not overtake it.
-    held: Micros,
+    /// When the last bytes received here are forwarded; later bytes must not overtake them.
+    forward_at: Micros,
 }
 
-/// All relays.
+/// All relays, and the faults of their legs.
 #[derive(Default)]
 pub struct Relays {
     listeners: Slab<(TcpListener, SocketAddr, (Leg, usize))>,
@@ -48,12 +48,12 @@
     chunk: Vec<u8>,
 }
 
-fn place(leg: (Leg, usize)) -> (u8, usize) {
+fn leg_key(leg: (Leg, usize)) -> (u8, usize) {
     (leg.0 as u8, leg.1)
 }
 
 impl Relays {
-    /// No relay yet.
+    /// Creates the set without any relay.
     pub fn new() -> Self {
         Relays {
             chunk: vec![0; 64 * 1024],
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Opens a relay on a leg of an ingress, and tells where.
+    /// Opens a relay on a leg of an ingress, and returns its address.
     pub fn open(
         &mut self,
         leg: (Leg, usize),
@@ -71,7 +71,7 @@
         let mut listener = TcpListener::bind(SocketAddr::new(address::own(), 0))?;
         let at = listener.local_addr()?;
         let entry = self.listeners.vacant_entry();
-        let token = token(Part::RelayListener, entry.key());
+        let token = token(Component::RelayListener, entry.key());
         context
             .registry
             .register(&mut listener, token, Interest::READABLE)?;
@@ -79,7 +79,7 @@
         Ok(at)
     }
 
-    /// Has a leg fail for a time.
+    /// Makes a leg fail for a time.
     pub fn fail(
         &mut self,
         leg: (Leg, usize),
@@ -87,7 +87,7 @@
         lasts: Micros,
         context: &mut Context,
     ) {
-        self.faults.insert(place(leg), (fault, context.now));
+        self.faults.insert(leg_key(leg), (fault, context.now));
         if fault == LegFault::Reset {
             let gone: Vec<usize> = self
                 .halves
@@ -97,7 +97,7 @@
                 .collect();
             gone.into_iter().for_each(|key| self.reset(key));
         }
-        let due = RelayDue::Well {
+        let due = RelayDue::Recovered {
             leg: leg.0,
             ingress: leg.1,
             since: context.now,
@@ -105,12 +105,12 @@
         context.after(lasts, Due::Relay(due));
     }
 
-    /// How a leg fails at the moment.
+    /// The current fault of a leg.
     pub fn fault(&self, leg: (Leg, usize)) -> Option<LegFault> {
-        self.faults.get(&place(leg)).map(|f| f.0)
+        self.faults.get(&leg_key(leg)).map(|f| f.0)
     }
 
-    /// Takes in connections, each with one of its own to where it goes.
+    /// Accepts pending connections, and connects each to the destination of the relay.
     pub fn accept(&mut self, key: usize, context: &mut Context) {
         loop {
             let Some((listener, to, leg)) = self.listeners.get(key) else {
@@ -136,7 +136,7 @@
                 serial,
                 leg,
                 ended: false,
-                held: 0,
+                forward_at: 0,
             };
             let one = self.halves.insert(half(near, usize::MAX));
             let two = self.halves.insert(half(Pipe::new(far), one));
@@ -146,7 +146,7 @@
                 let interest = Interest::READABLE | Interest::WRITABLE;
                 let _ = context
                     .registry
-                    .register(stream, token(Part::Relay, key), interest);
+                    .register(stream, token(Component::Relay, key), interest);
             }
         }
     }
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Does what a half of a connection is ready for.
-    pub fn ready(&mut self, key: usize, context: &mut Context) {
+    /// Reads and writes one side of a relayed connection that is ready.
+    pub fn handle_ready(&mut self, key: usize, context: &mut Context) {
         let Some(half) = self.halves.get_mut(key) else {
             return;
         };
@@ -172,7 +172,7 @@
         let (leg, serial, other) = (half.leg, half.serial, half.other);
         let fault = self.fault(leg);
         if fault == Some(LegFault::Silent) {
-            return; // read once the leg is well again
+            return; // the bytes stay in the socket until the leg recovers
         }
         let half = &mut self.halves[key];
         let flow = half.pipe.fill(&mut self.chunk);
@@ -190,12 +190,12 @@
             0
         };
         let half = &mut self.halves[key];
-        let at = half.held.max(context.now + delay);
+        let at = half.forward_at.max(context.now + delay);
         if at > context.now {
-            half.held = at;
+            half.forward_at = at;
             context.at(
                 at,
-                Due::Relay(RelayDue::Pass {
+                Due::Relay(RelayDue::Forward {
                     key: other,
                     serial,
                     bytes,
@@ -203,62 +203,62 @@
                 }),
             );
         } else {
-            self.pass(other, &bytes, end);
+            self.forward(other, &bytes, end);
         }
     }
 
-    fn pass(&mut self, key: usize, bytes: &[u8], end: bool) {
+    fn forward(&mut self, key: usize, bytes: &[u8], end: bool) {
         let Some(half) = self.halves.get_mut(key) else {
             return;
         };
-        if !half.pipe.say(bytes) {
+        if !half.pipe.send(bytes) {
             return self.reset(key);
         }
         if end {
-            // The end of one direction ends both here: no part of the protocol needs half of a connection.
+            // The end of one direction closes both: the protocol does not use half-closed connections.
             let other = half.other;
             self.halves.remove(key);
             self.halves.try_remove(other);
         }
     }
 
-    /// Carries out what is due.
-    pub fn due(&mut self, due: RelayDue, context: &mut Context) -> Option<(Leg, usize)> {
+    /// Handles a timer event. Returns the leg that has recovered, if any.
+    pub fn handle_due(&mut self, due: RelayDue, context: &mut Context) -> Option<(Leg, usize)> {
         match due {
-            RelayDue::Pass {
+            RelayDue::Forward {
                 key,
                 serial,
                 bytes,
                 end,
             } => {
                 if self.halves.get(key).is_some_and(|h| h.serial == serial) {
-                    self.pass(key, &bytes, end);
+                    self.forward(key, &bytes, end);
                 }
                 None
             }
-            RelayDue::Well {
+            RelayDue::Recovered {
                 leg,
                 ingress,
                 since,
             } => {
                 let at = (leg, ingress);
-                if self.faults.get(&place(at)).is_none_or(|f| f.1 != since) {
+                if self.faults.get(&leg_key(at)).is_none_or(|f| f.1 != since) {
                     return None;
                 }
-                let was = self.faults.remove(&place(at)).map(|f| f.0);
-                let held = self
+                let ended = self.faults.remove(&leg_key(at)).map(|f| f.0);
+                let affected = self
                     .halves
                     .iter()
                     .filter(|(_, h)| h.leg == at)
                     .map(|(key, _)| key);
-                let held: Vec<usize> = held.collect();
-                // What stood still for that long is over when the way is back: nothing old arrives.
-                let silent = was == Some(LegFault::Silent);
-                held.into_iter().for_each(|key| {
+                let affected: Vec<usize> = affected.collect();
+                // Connections of a silent leg are reset at recovery, so that no stale bytes arrive.
+                let silent = ended == Some(LegFault::Silent);
+                affected.into_iter().for_each(|key| {
                     if silent {
                         self.reset(key)
                     } else {
-                        self.ready(key, context)
+                        self.handle_ready(key, context)
                     }
                 });
                 Some(at)
