--- a/crates/testbed/src/rig/address.rs
+++ b/crates/testbed/src/rig/address.rs
@@ -5,7 +5,8 @@
 use std::sync::atomic::{AtomicU16, AtomicU32, Ordering};
 
 /// Returns an address of 127.0.0.0/8 that is derived from the process id and a counter, another one at each call. A port on it can
-/// be bound again later without colliding with ephemeral ports that the system assigns on 127.0.0.1.
+/// be bound again later without colliding with ephemeral ports that the system assigns on other
+/// loopback addresses.
 pub fn own() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (pid, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
--- a/crates/testbed/src/rig/backends.rs
+++ b/crates/testbed/src/rig/backends.rs
@@ -204,18 +204,18 @@
     }
 
     /// The identity of a backend, its pod, and its start time.
-    pub fn facts(&self, slot: usize) -> (usize, usize, Micros) {
+    pub fn identity(&self, slot: usize) -> (usize, usize, Micros) {
         let s = &self.slots[slot];
         (s.ident, s.pod, s.machine.started)
     }
 
     /// Whether the process of a backend runs.
-    pub fn alive(&self, slot: usize) -> bool {
+    pub fn is_alive(&self, slot: usize) -> bool {
         self.slots[slot].alive
     }
 
     /// The number of commands that each backend received, and its capacity.
-    pub fn spread(&self) -> Vec<(u64, f64)> {
+    pub fn commands_and_capacities(&self) -> Vec<(u64, f64)> {
         self.slots
             .iter()
             .map(|s| s.reached)
@@ -229,7 +229,7 @@
     }
 
     /// Sets the behaviour of a backend for a time.
-    pub fn behave(&mut self, slot: usize, mode: Mode, lasts: Micros, context: &mut Context) {
+    pub fn set_mode(&mut self, slot: usize, mode: Mode, lasts: Micros, context: &mut Context) {
         self.slots[slot].mode = (mode, context.now);
         context.after(
             lasts,
--- a/crates/testbed/src/rig/clients.rs
+++ b/crates/testbed/src/rig/clients.rs
@@ -18,7 +18,8 @@
 const PING_INTERVAL: Micros = 20_000;
 /// How long the front still opens connections to an ingress after its graceful shutdown began.
 const NEW_CONNECTIONS_AFTER_STOP: Micros = 300_000;
-/// The pause before a connection of a hostile client is opened again; a crowd waits a twentieth of it.
+/// The pause before a connection of a hostile client is opened again. The pause between two batches of connections is a
+/// twentieth of it.
 const REOPEN_DELAY: Micros = 200_000;
 /// How many connections of a crowd or of hostile clients are opened at once.
 const OPEN_BATCH: u32 = 16;
@@ -68,7 +69,7 @@
     conn: usize,
     ingress: usize,
     wait: Micros,
-    asked: bool,
+    sent: bool,
     /// Sent a second time on a new connection, as the first one was closed between two requests.
     crossed: bool,
     /// The client uses a connection of its own and keeps it open after the reply.
@@ -95,7 +96,7 @@
     /// The try that waits for its reply.
     busy: Option<usize>,
     /// The id of the last try that was replied to; 0 if there is none.
-    last: u64,
+    last_id: u64,
 }
 
 /// Whether the front sends requests to an ingress.
@@ -107,13 +108,17 @@
     ExistingOnly,
 }
 
+/// An ingress as the front sees it.
 struct IngressTarget {
     at: SocketAddr,
     admission: Admission,
+    /// When the ingress last became ready, died or began to shut down; timers of earlier events are
+    /// ignored.
     since: Micros,
+    /// Idle connections, the most recently used one last.
     idle: VecDeque<usize>,
     /// How many connections the front has open.
-    held: usize,
+    open_connections: usize,
 }
 
 /// A crowd (no manner), or hostile clients of one manner, at one ingress.
@@ -149,7 +154,7 @@
             admission: Admission::Closed,
             since: 0,
             idle: VecDeque::new(),
-            held: 0,
+            open_connections: 0,
         };
         Clients {
             scenario: s.clone(),
@@ -172,7 +177,7 @@
     }
 
     /// Whether the front considers an ingress ready.
-    pub fn up(&self, ingress: usize) -> bool {
+    pub fn is_ready(&self, ingress: usize) -> bool {
         self.targets[ingress].admission == Admission::Open
     }
 
@@ -187,7 +192,7 @@
     }
 
     /// Sends `PING` to a started ingress until it is ready.
-    pub fn watch_for(&mut self, ingress: usize, context: &mut Context) {
+    pub fn ping_until_ready(&mut self, ingress: usize, context: &mut Context) {
         context.after(PING_INTERVAL, Due::Client(ClientDue::Ping { ingress }));
     }
 
@@ -200,7 +205,7 @@
     }
 
     /// Notes that an ingress shuts down. The front stops opening connections to it after a delay.
-    pub fn leaving(&mut self, ingress: usize, context: &mut Context) {
+    pub fn shutting_down(&mut self, ingress: usize, context: &mut Context) {
         let since = context.now;
         self.targets[ingress].since = since;
         context.after(
@@ -210,7 +215,7 @@
     }
 
     /// Opens more connections to an ingress, which the front then uses.
-    pub fn crowd(&mut self, ingress: usize, count: u32, lasts: Micros, context: &mut Context) {
+    pub fn add_crowd(&mut self, ingress: usize, count: u32, lasts: Micros, context: &mut Context) {
         self.group(
             Group {
                 ingress,
@@ -225,7 +230,7 @@
     }
 
     /// Connects hostile clients to an ingress.
-    pub fn hostile(
+    pub fn add_hostile(
         &mut self,
         ingress: usize,
         count: u32,
@@ -301,7 +306,7 @@
             conn,
             ingress,
             wait,
-            asked: false,
+            sent: false,
             crossed: false,
             dedicated,
             until,
@@ -322,7 +327,7 @@
             n if n > 256 => target.idle.pop_front(),
             _ => target.idle.pop_back(),
         };
-        let room = target.held < self.scenario.clients.most_connections;
+        let room = target.open_connections < self.scenario.clients.most_connections;
         let purpose = if dedicated {
             Purpose::Dedicated
         } else {
@@ -341,17 +346,17 @@
         if !self.conns[conn].pipe.send(&command) {
             return self.connection_ended(conn, context);
         }
-        self.note_asked(conn, context);
+        self.record_sent(conn, context);
     }
 
     /// Records a try for the judge once it is completely written.
-    fn note_asked(&mut self, conn: usize, context: &mut Context) {
+    fn record_sent(&mut self, conn: usize, context: &mut Context) {
         let c = &self.conns[conn];
         let Some(key) = c.busy.filter(|_| c.pipe.all_written()) else {
             return;
         };
         let t = &mut self.tries[key];
-        if std::mem::replace(&mut t.asked, true) {
+        if std::mem::replace(&mut t.sent, true) {
             return;
         }
         context.read_clock();
@@ -359,7 +364,7 @@
         t.until = deadline;
         let (op, id, ingress) = (t.op, t.id, t.ingress);
         let (first, account) = (op.first, op.account);
-        let asked = Try {
+        let sent = Try {
             id,
             first,
             account,
@@ -367,7 +372,7 @@
             plan: op.plan,
             deadline,
         };
-        context.record(Seen::Asked(asked, ingress));
+        context.record(Seen::Asked(sent, ingress));
         // The client waits as long as the judge accepts a reply.
         let give_up_at = deadline + ANSWER_SLACK + ON_SOCKETS + 1_000;
         context.at(give_up_at, Due::Client(ClientDue::Overdue { key, id }));
@@ -398,9 +403,9 @@
             ingress,
             purpose,
             busy: None,
-            last: 0,
+            last_id: 0,
         });
-        self.targets[ingress].held +=
+        self.targets[ingress].open_connections +=
             usize::from(matches!(purpose, Purpose::Front | Purpose::Dedicated));
         Some(key)
     }
@@ -410,7 +415,7 @@
             return;
         };
         if let Purpose::Front | Purpose::Dedicated = c.purpose {
-            self.targets[c.ingress].held -= 1;
+            self.targets[c.ingress].open_connections -= 1;
             if c.busy.is_none() && c.purpose == Purpose::Front {
                 self.targets[c.ingress].idle.retain(|k| *k != conn);
             }
@@ -430,14 +435,14 @@
             return;
         }
         let flow = c.pipe.fill(&mut self.chunk);
-        self.note_asked(conn, context);
-        self.take_answers(conn, context);
+        self.record_sent(conn, context);
+        self.handle_replies(conn, context);
         if flow != Flow::Open || !writes {
             self.connection_ended(conn, context);
         }
     }
 
-    fn take_answers(&mut self, conn: usize, context: &mut Context) {
+    fn handle_replies(&mut self, conn: usize, context: &mut Context) {
         loop {
             let Some(c) = self.conns.get_mut(conn) else {
                 return;
@@ -479,17 +484,17 @@
                     // Rejected: the ingress runs and is not ready yet.
                     let ingress = c.ingress;
                     self.close(conn);
-                    return self.watch_for(ingress, context);
+                    return self.ping_until_ready(ingress, context);
                 }
-                let last = c.last;
-                if matches!(c.purpose, Purpose::Front | Purpose::Dedicated) && last != 0 {
-                    context.record(Seen::Surplus(last));
+                let last_id = c.last_id;
+                if matches!(c.purpose, Purpose::Front | Purpose::Dedicated) && last_id != 0 {
+                    context.record(Seen::Surplus(last_id));
                 }
                 return self.close(conn);
             };
             let t = self.tries.remove(key);
             let c = &mut self.conns[conn];
-            c.last = t.id;
+            c.last_id = t.id;
             if c.purpose == Purpose::Front {
                 self.targets[t.ingress].idle.push_back(conn);
             }
@@ -564,7 +569,7 @@
         let between = c.pipe.inbox.is_empty();
         self.close(conn);
         match purpose {
-            Purpose::Ping => return self.watch_for(ingress, context),
+            Purpose::Ping => return self.ping_until_ready(ingress, context),
             Purpose::Hostile(group) => {
                 let due = ClientDue::Open { group, count: 1 };
                 // Spread over time: reopening a whole group at once would keep the rig busy for
@@ -576,14 +581,14 @@
         }
         let Some(key) = busy else { return };
         let t = &mut self.tries[key];
-        if !t.asked {
+        if !t.sent {
             return self.try_not_sent(key, context);
         }
         let id = t.id;
         if between && !t.crossed {
             // The try crossed with the close of an idle connection: it is sent once more on a new
             // one. If none can be opened, the try counts as never sent.
-            (t.crossed, t.asked) = (true, false);
+            (t.crossed, t.sent) = (true, false);
             self.crossed += 1;
             context.record(Seen::Crossed(id));
             return self.send(key, context);
@@ -599,7 +604,7 @@
     fn mark_ready(&mut self, ingress: usize, context: &mut Context) {
         let target = &mut self.targets[ingress];
         (target.admission, target.since) = (Admission::Open, context.now);
-        for _ in target.held..self.scenario.clients.connections as usize {
+        for _ in target.open_connections..self.scenario.clients.connections as usize {
             if let Some(conn) = self.connect(ingress, Purpose::Front, context) {
                 self.targets[ingress].idle.push_back(conn);
             }
@@ -638,7 +643,7 @@
             }
             ClientDue::Ping { ingress } => match self.connect(ingress, Purpose::Ping, context) {
                 Some(conn) => drop(self.conns[conn].pipe.send(b"*1\r\n$4\r\nPING\r\n")),
-                None => self.watch_for(ingress, context),
+                None => self.ping_until_ready(ingress, context),
             },
             ClientDue::Notice { ingress, since } => {
                 if self.targets[ingress].since == since {
@@ -680,7 +685,9 @@
         for _ in 0..count.min(OPEN_BATCH) {
             match manner {
                 None => {
-                    if self.targets[ingress].held < wanted as usize && self.up(ingress) {
+                    if self.targets[ingress].open_connections < wanted as usize
+                        && self.is_ready(ingress)
+                    {
                         if let Some(conn) = self.connect(ingress, Purpose::Front, context) {
                             self.targets[ingress].idle.push_back(conn);
                         }
@@ -716,7 +723,7 @@
                 let Some((_, t)) = self
                     .tries
                     .iter()
-                    .find(|(_, t)| t.ingress == ingress && t.asked)
+                    .find(|(_, t)| t.ingress == ingress && t.sent)
                 else {
                     return Vec::new();
                 };
@@ -726,7 +733,7 @@
     }
 
     /// Whether the front considers all ingresses ready.
-    pub fn all_up(&self) -> bool {
+    pub fn all_ready(&self) -> bool {
         self.targets.iter().all(|p| p.admission == Admission::Open)
     }
 }
--- a/crates/testbed/src/rig/context.rs
+++ b/crates/testbed/src/rig/context.rs
@@ -33,30 +33,22 @@
 
 /// A delayed action of a step of the scenario.
 pub enum FollowUp {
+    /// A backend dies and is started again after `down`.
     Die {
         slot: usize,
         down: Micros,
         new_name: bool,
     },
-    Remove {
-        slot: usize,
-    },
-    Revive {
-        slot: usize,
-        new_name: bool,
-    },
-    Replace {
-        slot: usize,
-        down: Micros,
-    },
-    Stop {
-        ingress: usize,
-        down: Micros,
-    },
-    RestoreLinks {
-        from: Vec<usize>,
-        to: Vec<usize>,
-    },
+    /// Discovery removes a backend that is still dead.
+    Remove { slot: usize },
+    /// A dead backend is started again.
+    Revive { slot: usize, new_name: bool },
+    /// A backend drains, dies and is started again under a new name.
+    Replace { slot: usize, down: Micros },
+    /// An ingress shuts down gracefully and is started again after `down`.
+    Stop { ingress: usize, down: Micros },
+    /// The links from some ingresses to others work again.
+    RestoreLinks { from: Vec<usize>, to: Vec<usize> },
 }
 
 struct Entry {
--- a/crates/testbed/src/rig/mod.rs
+++ b/crates/testbed/src/rig/mod.rs
@@ -64,8 +64,9 @@
 
 impl std::error::Error for RigError {}
 
-fn rig<T>(what: &str, result: io::Result<T>) -> Result<T, RigError> {
-    result.map_err(|e| RigError(format!("{what}: {e}")))
+/// Turns an I/O error into a [`RigError`] with a description of the failed action.
+fn with_context<T>(action: &str, result: io::Result<T>) -> Result<T, RigError> {
+    result.map_err(|e| RigError(format!("{action}: {e}")))
 }
 
 /// The parameters of a run.
@@ -107,13 +108,13 @@
 /// the run. No process is left running.
 pub fn play(scenario: &Scenario, run: Run) -> Result<Report, RigError> {
     let mut watch = run.watch;
-    let dir = rig(
+    let dir = with_context(
         "cannot make a folder for the ingresses' files",
         tempfile::tempdir(),
     )?;
     raise_limit();
-    let mut poll = rig("cannot poll", Poll::new())?;
-    let registry = rig("cannot poll", poll.registry().try_clone())?;
+    let mut poll = with_context("cannot poll", Poll::new())?;
+    let registry = with_context("cannot poll", poll.registry().try_clone())?;
     let mut rig = Rig::set_up(scenario, run.program, dir.path(), Context::new(registry))?;
     rig.processes.pin_rig_thread();
     let mut events = Events::with_capacity(1024);
@@ -131,7 +132,7 @@
                 watch(&rig.snapshot());
             }
         }
-        if !rig.began && rig.clients.all_up() {
+        if !rig.began && rig.clients.all_ready() {
             rig.begin();
         }
         if !rig.began && now > ready_by {
@@ -152,8 +153,8 @@
             _ => {}
         }
         for event in events.iter() {
-            let (part, key) = decode_token(event.token());
-            rig.handle_ready(part, key);
+            let (component, key) = decode_token(event.token());
+            rig.handle_ready(component, key);
         }
         while let Some(due) = rig.context.next_due(rig.began) {
             rig.handle_due(due);
@@ -200,7 +201,7 @@
         let listens = (0..count)
             .map(|n| listen_at(s, n))
             .collect::<Result<Vec<_>, _>>()?;
-        let backends = rig("cannot open the backends", Backends::open(s, &mut context))?;
+        let backends = with_context("cannot open the backends", Backends::open(s, &mut context))?;
         let mut relays = Relays::new();
         let legs: HashSet<(u8, usize)> = s
             .steps
@@ -222,11 +223,11 @@
                     Ok(at)
                 }
             });
-            let addresses = rig(
+            let addresses = with_context(
                 "cannot open a relay",
                 addresses.collect::<io::Result<Vec<_>>>(),
             )?;
-            let (ident, pod, started) = backends.facts(slot);
+            let (ident, pod, started) = backends.identity(slot);
             let set = s.set_of(slot);
             lines.push(Line {
                 ident,
@@ -244,12 +245,12 @@
                 addresses,
             });
         }
-        let discovery = rig(
+        let discovery = with_context(
             "cannot open discovery",
             Discovery::open(s, lines, &mut context),
         )?;
-        let peers = rig("cannot open the peers' relay", Peers::open(s, &mut context))?;
-        let counter = rig(
+        let peers = with_context("cannot open the peers' relay", Peers::open(s, &mut context))?;
+        let counter = with_context(
             "cannot open the count service",
             Counter::open(s, &mut context),
         )?;
@@ -258,15 +259,15 @@
             let mut front = listen;
             if relayed(Leg::Clients, ingress) {
                 let relay = relays.open((Leg::Clients, ingress), listen, &mut context);
-                front = rig("cannot open a relay", relay)?;
+                front = with_context("cannot open a relay", relay)?;
             }
             fronts.push(front);
             let mut agent = discovery.address(ingress);
             if relayed(Leg::Discovery, ingress) {
                 let relay = relays.open((Leg::Discovery, ingress), agent, &mut context);
-                agent = rig("cannot open a relay", relay)?;
+                agent = with_context("cannot open a relay", relay)?;
             }
-            let peers = rig("cannot open the peers' relay", peers.addresses(ingress))?;
+            let peers = with_context("cannot open the peers' relay", peers.addresses(ingress))?;
             members.push(MemberAddresses {
                 listen,
                 discovery: agent,
@@ -290,7 +291,7 @@
         let processes = Processes::new(
             program,
             &s.ingresses,
-            rig("cannot set up the group", group)?,
+            with_context("cannot set up the group", group)?,
             dir,
         );
         discovery.record_initial_lists(&mut context);
@@ -323,7 +324,7 @@
 
     fn configure(&mut self, ingress: usize) -> Result<(), RigError> {
         let text = self.configs[ingress].to_string();
-        rig(
+        with_context(
             "cannot write a configuration",
             self.processes.configure(ingress, &text),
         )
@@ -331,15 +332,15 @@
 
     fn start(&mut self, ingress: usize) -> Result<(), RigError> {
         let started = self.processes.start(ingress, &mut self.context);
-        rig("cannot start an ingress", started)?;
+        with_context("cannot start an ingress", started)?;
         self.context.record(Seen::Started(ingress));
-        self.clients.watch_for(ingress, &mut self.context);
+        self.clients.ping_until_ready(ingress, &mut self.context);
         Ok(())
     }
 
     fn never_ready(&mut self) -> RigError {
         let missing = (0..self.listens.len())
-            .find(|i| !self.clients.up(*i))
+            .find(|i| !self.clients.is_ready(*i))
             .unwrap_or(0);
         let log = self.processes.log(missing);
         let last = log.lines().last().unwrap_or("its log is empty").to_string();
@@ -381,9 +382,9 @@
         self.began && (now > last + longest + RUN_ON || (idle && now > last + RUN_ON.max(SECOND)))
     }
 
-    fn handle_ready(&mut self, part: Component, key: usize) {
+    fn handle_ready(&mut self, component: Component, key: usize) {
         let context = &mut self.context;
-        match part {
+        match component {
             Component::Client => self.clients.handle_ready(key, context),
             Component::BackendListener => self.backends.accept(key, context),
             Component::Backend => self.backends.handle_ready(key, context),
@@ -468,7 +469,7 @@
                 self.backends.sweep(self.context.now);
             }
             Due::Process(due) => drop(self.processes.handle_due(due, &mut self.context)),
-            Due::FollowUp(later) => self.follow_up(later),
+            Due::FollowUp(action) => self.follow_up(action),
             Due::Seen(seen) => self.judge.note(self.context.now, seen),
         }
     }
@@ -519,7 +520,7 @@
     }
 
     fn set_status(&mut self, slot: usize, status: &'static str) {
-        let (ident, _, started) = self.backends.facts(slot);
+        let (ident, _, started) = self.backends.identity(slot);
         let Some(line) = self.discovery.line(ident) else {
             return;
         };
@@ -533,7 +534,7 @@
 
     /// Starts the process of a backend again, under its old name or a new one.
     fn revive(&mut self, slot: usize, new_name: bool) {
-        let (old, pod, _) = self.backends.facts(slot);
+        let (old, pod, _) = self.backends.identity(slot);
         let Some(line) = self.discovery.line(old).cloned() else {
             return;
         };
@@ -541,7 +542,7 @@
             self.failed = Some(RigError(format!("cannot start backend {slot} again: {e}")));
             return;
         }
-        let (ident, _, started) = self.backends.facts(slot);
+        let (ident, _, started) = self.backends.identity(slot);
         if new_name {
             let gone = Line {
                 status: "removed",
@@ -566,9 +567,9 @@
     }
 
     /// Carries out a delayed action.
-    fn follow_up(&mut self, later: context::FollowUp) {
+    fn follow_up(&mut self, action: context::FollowUp) {
         use context::FollowUp;
-        match later {
+        match action {
             FollowUp::Die {
                 slot,
                 down,
@@ -581,7 +582,7 @@
                     .after(REMOVAL_DELAY, Due::FollowUp(FollowUp::Remove { slot }));
             }
             FollowUp::Remove { slot } => {
-                if !self.backends.alive(slot) {
+                if !self.backends.is_alive(slot) {
                     self.set_status(slot, "removed");
                 }
             }
@@ -599,7 +600,7 @@
             FollowUp::RestoreLinks { from, to } => self.processes.link(&from, &to, None),
             FollowUp::Stop { ingress, down } => {
                 self.processes.stop(ingress, Some(down), &mut self.context);
-                self.clients.leaving(ingress, &mut self.context);
+                self.clients.shutting_down(ingress, &mut self.context);
                 self.log_event(format!("ingress {ingress} is told to stop"));
             }
         }
@@ -739,7 +740,7 @@
             } => {
                 ingresses
                     .into_iter()
-                    .for_each(|i| self.clients.crowd(i, count, lasts, context));
+                    .for_each(|i| self.clients.add_crowd(i, count, lasts, context));
             }
             Fault::Hostile {
                 ingresses,
@@ -749,7 +750,7 @@
             } => {
                 ingresses
                     .into_iter()
-                    .for_each(|i| self.clients.hostile(i, count, manner, lasts, context));
+                    .for_each(|i| self.clients.add_hostile(i, count, manner, lasts, context));
             }
             Fault::Link {
                 from,
@@ -786,7 +787,7 @@
     fn behave(&mut self, backends: Vec<usize>, mode: Mode, lasts: Micros) {
         backends
             .into_iter()
-            .for_each(|b| self.backends.behave(b, mode, lasts, &mut self.context));
+            .for_each(|b| self.backends.set_mode(b, mode, lasts, &mut self.context));
     }
 
     fn fail_agents(&mut self, ingresses: Vec<usize>, mode: AgentMode, lasts: Micros) {
@@ -818,11 +819,11 @@
             failed,
             waiting: self.clients.waiting(),
             ingresses: (0..count)
-                .map(|i| (self.processes.runs(i), self.clients.up(i)))
+                .map(|i| (self.processes.is_running(i), self.clients.is_ready(i)))
                 .collect(),
             rungs: rungs.collect(),
             backends: (0..self.scenario.backend_count())
-                .map(|b| self.backends.alive(b))
+                .map(|b| self.backends.is_alive(b))
                 .collect(),
             broken: self.judge.counts(),
             log: self.log.last().cloned().unwrap_or_default(),
@@ -848,7 +849,7 @@
             .into_iter()
             .map(|u| (u.cpu, u.memory_kb, u.descriptors))
             .collect();
-        let spread = self.backends.spread();
+        let spread = self.backends.commands_and_capacities();
         let lasted = end - self.begin;
         Report::new(
             self.scenario,
@@ -880,12 +881,12 @@
 
 fn listen_at(s: &Scenario, ingress: usize) -> Result<SocketAddr, RigError> {
     match s.ingresses.port {
-        None => rig("cannot find a free address", address::free(address::own())),
+        None => with_context("cannot find a free address", address::free(address::own())),
         Some(first) => {
             let at = SocketAddr::from(([127, 0, 0, 1], first + ingress as u16));
             let free = std::net::TcpListener::bind(at);
             free.map(|_| at)
-                .map_err(|e| RigError(format!("ingress {ingress} cannot listen at {at}: {e}")))
+                .map_err(|e| RigError(format!("ingress {ingress} can't listen at {at}: {e}")))
         }
     }
 }
--- a/crates/testbed/src/rig/processes.rs
+++ b/crates/testbed/src/rig/processes.rs
@@ -186,7 +186,7 @@
     }
 
     /// Whether the process of an ingress runs.
-    pub fn runs(&self, ingress: usize) -> bool {
+    pub fn is_running(&self, ingress: usize) -> bool {
         self.list[ingress].child.is_some()
     }
 
