--- a/crates/config/src/check/identity.rs
+++ b/crates/config/src/check/identity.rs
@@ -5,8 +5,8 @@
 use crate::codes::Code;
 use crate::diagnostic::Diagnostic;
 use crate::model::{Application, Identity, Issuer, Site, Tenant};
-use wrenfork_identity::token::told;
-use wrenfork_identity::trust::Doubt;
+use wrenfork_identity::token::format_time;
+use wrenfork_identity::trust::RotationProblem;
 
 /// Checks that names are unique, keys follow each other without a gap, and accounts and classes exist. With `own`, the
 /// tenants' accounts must be accounts of the application.
@@ -52,11 +52,13 @@
     trust.issuers.retain(|i| i.name == *name);
     // Checked from the first key's start on: the check has no clock, and a gap is a mistake at any time.
     let start = issuer.keys.iter().map(|k| k.from).min().unwrap_or(0);
-    for problem in trust.rotation(start) {
+    for problem in trust.rotation_problems(start) {
         let message = match &problem {
-            Doubt::Gap(_, at) => format!("issuer \"{name}\" has no key from {} on", told(*at)),
-            Doubt::Never(_, key) => format!("key \"{key}\" ends before it begins"),
-            Doubt::NoKey(_) | Doubt::Twice(..) => continue,
+            RotationProblem::Gap(_, at) => {
+                format!("issuer \"{name}\" has no key from {} on", format_time(*at))
+            }
+            RotationProblem::EmptyPeriod(_, key) => format!("key \"{key}\" ends before it begins"),
+            RotationProblem::NoKey(_) | RotationProblem::DuplicateKey(..) => continue,
         };
         found.push(app_file.diagnostic(Code::NoKeyNow, &issuer.name, message));
     }
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -202,7 +202,7 @@
 ///
 /// Describes why the text is invalid.
 pub fn public_key(text: &str) -> Result<String, String> {
-    wrenfork_identity::trust::public(text)
+    wrenfork_identity::trust::parse_public_key(text)
         .map(|_| text.to_string())
         .ok_or_else(|| "this is no public key of Ed25519: 64 hex digits in lower case".to_string())
 }
@@ -227,7 +227,7 @@
 ///
 /// Describes why the text is invalid.
 pub fn moment(text: &str) -> Result<u64, String> {
-    wrenfork_identity::token::moment(text)
+    wrenfork_identity::token::parse_time(text)
         .ok_or_else(|| format!("a moment is written like \"2026-12-01T00:00:00Z\", not \"{text}\""))
 }
 
