--- a/crates/ctl/src/change/apply.rs
+++ b/crates/ctl/src/change/apply.rs
@@ -3,8 +3,8 @@
 use super::drive::{self, drive, End};
 use super::folder::{self, Ingress};
 use super::{failed, micros, plan, show, span, UNFINISHED};
-use crate::group::decide::{self, decide, Outcome, Wanted};
-use crate::group::look::look;
+use crate::group::decide::{self, decide, Outcome, Request};
+use crate::group::query::query_group;
 use crate::group::{sockets as members, Sockets};
 use crate::style;
 use clap::Args;
@@ -98,7 +98,8 @@
     let (groups, rest) = parts(plan);
     let (mut away, mut wrong) = (BTreeMap::new(), false);
     for (at, part) in &groups {
-        let stands = look(&members(at)).and_then(|seen| Ok((seen.known()?, seen.away)));
+        let stands = query_group(&members(at))
+            .and_then(|seen| Ok((seen.committed_state()?, seen.unreachable)));
         match stands {
             Ok((decree, gone)) => {
                 away.extend(
@@ -251,16 +252,16 @@
     for (at, part) in groups {
         let outcome = decide(
             &members(at),
-            &Wanted::Decree(&|stands| follows(&part, stands, some)),
+            &Request::Change(&|stands| follows(&part, stands, some)),
             patience,
         );
-        decide::tell(&format!("change {}", part.id().short()), &outcome);
+        decide::print_outcome(&format!("change {}", part.id().short()), &outcome);
         let code = match outcome {
-            Outcome::Made(..) => {
+            Outcome::Committed(..) => {
                 made.push(part);
                 continue;
             }
-            Outcome::Refused(_) => ExitCode::FAILURE,
+            Outcome::Rejected(_) => ExitCode::FAILURE,
             Outcome::Unfinished => ExitCode::from(UNFINISHED),
         };
         if !made.is_empty() {
@@ -486,9 +487,9 @@
     at.retain(|name, _| groups.iter().all(|g| !g.contains_key(name)));
     let mut worst = ExitCode::SUCCESS;
     for group in &groups {
-        let outcome = decide(group, &Wanted::End, patience);
-        decide::tell("nothing is left undecided", &outcome);
-        if !matches!(outcome, Outcome::Made(..)) {
+        let outcome = decide(group, &Request::Recover, patience);
+        decide::print_outcome("nothing is left undecided", &outcome);
+        if !matches!(outcome, Outcome::Committed(..)) {
             worst = ExitCode::from(UNFINISHED);
         }
     }
--- a/crates/ctl/src/change/plan.rs
+++ b/crates/ctl/src/change/plan.rs
@@ -3,7 +3,7 @@
 use super::folder::{self, Files, Ingress, Status};
 use super::{author, failed, micros, show, span, CHANGES};
 use crate::config::Format;
-use crate::group::look::{look as look_at, Look};
+use crate::group::query::{query_group, GroupView};
 use crate::group::Sockets;
 use crate::style;
 use clap::Args;
@@ -61,11 +61,11 @@
 const LOOK_AGAIN: Duration = Duration::from_millis(300);
 
 /// What stands in a group, once nothing is being decided there.
-fn settled(at: &Sockets) -> Result<(Look, Arc<GroupState>), String> {
+fn settled(at: &Sockets) -> Result<(GroupView, Arc<GroupState>), String> {
     for _ in 0..LOOKS {
-        let seen = look_at(at)?;
-        let stands = seen.known()?;
-        if !seen.pending() {
+        let seen = query_group(at)?;
+        let stands = seen.committed_state()?;
+        if !seen.has_pending() {
             return Ok((seen, stands));
         }
         std::thread::sleep(LOOK_AGAIN);
@@ -116,7 +116,11 @@
             }
         }
         let seated = |name: &String| decree.membership.member(name).is_some();
-        away.extend(seen.away.into_iter().filter(|(name, _)| seated(name)));
+        away.extend(
+            seen.unreachable
+                .into_iter()
+                .filter(|(name, _)| seated(name)),
+        );
         groups.push(
             at.iter()
                 .map(|(name, path)| (name.clone(), path.display().to_string()))
--- a/crates/ctl/src/group/decide.rs
+++ b/crates/ctl/src/group/decide.rs
@@ -1,6 +1,6 @@
-//! Brings a decree to its end: made from what stands, proposed, and made anew where another came first.
+//! Proposes a change of a group state until it is decided; the change is rebuilt when another proposal commits first.
 
-use super::look::look;
+use super::query::query_group;
 use super::Sockets;
 use crate::style;
 use std::hash::{BuildHasher, RandomState};
@@ -13,168 +13,179 @@
 use wrenfork_control_plane::clock;
 use wrenfork_control_plane::proposal::run_proposal;
 
-/// The longest pause before another try, where somebody else proposes as well.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+/// Maximum delay before another attempt when another proposer competes.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// How it ended.
+/// Result of proposing a change to a group.
 pub enum Outcome {
-    /// This decree stands, and nobody serves under the one before. Who is away, and how long it took.
-    Made(Arc<GroupState>, Vec<(String, String)>, Duration),
-    /// Nothing has happened.
-    Refused(String),
-    /// It may be decided or not; the members settle it among themselves.
+    /// The group state is committed, and no member serves under the previous one any more. With the unreachable members,
+    /// the reason for each, and the time taken.
+    Committed(Arc<GroupState>, Vec<(String, String)>, Duration),
+    /// Nothing was changed; with the reason.
+    Rejected(String),
+    /// It is unknown whether the change was committed; the members recover it on their own.
     Unfinished,
 }
 
-/// A number by chance.
-fn drawn() -> u64 {
+/// A random number.
+fn random() -> u64 {
     RandomState::new().hash_one(0)
 }
 
-/// Tells of progress on standard error, a line for each step.
-fn progress(step: &mut &'static str, proposer: &Proposer) {
-    let now = match proposer.phase {
-        ProposalPhase::Preparing => "promises",
+/// Prints a line on standard error when the proposal enters another phase.
+fn print_progress(step: &mut &'static str, proposer: &Proposer) {
+    let phase = match proposer.phase {
+        ProposalPhase::Preparing => "preparing",
         ProposalPhase::Accepting if proposer.is_waiting_for_leases() => {
-            "waiting for the leases of those that are away to run out"
+            "waiting for the leases of unreachable members to expire"
         }
-        ProposalPhase::Accepting => "taking it up",
-        ProposalPhase::Notifying => "switches",
+        ProposalPhase::Accepting => "accepting",
+        ProposalPhase::Notifying => "notifying",
         ProposalPhase::Ended(_) => return,
     };
-    if *step != now {
-        eprintln!("{now}: {} members", proposer.member_names().count());
-        *step = now;
+    if *step != phase {
+        eprintln!("{phase}: {} members", proposer.member_names().count());
+        *step = phase;
     }
 }
 
-/// What is wanted of a group.
-pub enum Wanted<'a> {
-    /// A decree made from the one that stands; its change tells it from others, or its roster does.
-    Decree(&'a dyn Fn(&GroupState) -> Result<GroupState, String>),
-    /// An end of what was left undecided.
-    End,
+/// What a group is asked to decide.
+pub enum Request<'a> {
+    /// A group state built from the current one. It must differ from other proposals in its change or its membership.
+    Change(&'a dyn Fn(&GroupState) -> Result<GroupState, String>),
+    /// Completes or discards an accepted but undecided proposal.
+    Recover,
 }
 
-/// Has a group decide what is wanted, within a time.
-pub fn decide(at: &Sockets, wanted: &Wanted, patience: Duration) -> Outcome {
+/// Proposes a request to a group until it is decided or the timeout expires.
+pub fn decide(sockets: &Sockets, request: &Request, timeout: Duration) -> Outcome {
     let start = Instant::now();
-    let (mut ours, mut round): (Option<Arc<GroupState>>, u64) = (None, 0);
+    let (mut proposed, mut round): (Option<Arc<GroupState>>, u64) = (None, 0);
     let mut step = "";
     loop {
-        let seen = match look(at).and_then(|seen| Ok((seen.known()?, seen))) {
-            Ok(seen) => seen,
-            // Members come and go: as long as there is time, it is tried again where something may have been begun.
-            Err(_) if ours.is_some() && start.elapsed() < patience => {
-                std::thread::sleep(LONGEST_PAUSE);
+        let view = match query_group(sockets).and_then(|view| Ok((view.committed_state()?, view))) {
+            Ok(view) => view,
+            // Members may be unreachable for a while: a proposal that may have started is retried until the timeout.
+            Err(_) if proposed.is_some() && start.elapsed() < timeout => {
+                std::thread::sleep(MAX_RETRY_DELAY);
                 continue;
             }
-            Err(_) if ours.is_some() => return Outcome::Unfinished,
-            Err(why) => return Outcome::Refused(why),
+            Err(_) if proposed.is_some() => return Outcome::Unfinished,
+            Err(reason) => return Outcome::Rejected(reason),
         };
-        let (base, seen) = seen;
-        if ours.as_ref() == Some(&base) {
-            // Somebody settled it for us. From when a majority stands there on, the one before is granted to nobody.
-            let there = |s: &&Member| {
-                seen.stands
+        let (base, view) = view;
+        if proposed.as_ref() == Some(&base) {
+            // Another proposer committed the proposed state. Once a majority has it, no lease is granted under the previous state.
+            let has_state = |s: &&Member| {
+                view.statuses
                     .get(&s.name)
                     .is_some_and(|m| m.version >= base.version)
             };
-            if base.membership.voters().filter(there).count() < base.membership.majority() {
-                if start.elapsed() >= patience {
+            if base.membership.voters().filter(has_state).count() < base.membership.majority() {
+                if start.elapsed() >= timeout {
                     return Outcome::Unfinished;
                 }
-                std::thread::sleep(LONGEST_PAUSE);
+                std::thread::sleep(MAX_RETRY_DELAY);
                 continue;
             }
             std::thread::sleep(base.membership.lease_expiry_bound());
-            return Outcome::Made(base, seen.away.into_iter().collect(), start.elapsed());
+            return Outcome::Committed(
+                base,
+                view.unreachable.into_iter().collect(),
+                start.elapsed(),
+            );
         }
-        if ours.as_ref().is_some_and(|o| o.version < base.version) {
-            return Outcome::Unfinished; // it has been decided or not, and another one after it
+        if proposed.as_ref().is_some_and(|o| o.version < base.version) {
+            return Outcome::Unfinished; // a later state is committed; it is unknown whether the proposed one was committed before it
         }
-        let aim = match wanted {
-            Wanted::End if !seen.pending() => {
-                return Outcome::Made(base, seen.away.into_iter().collect(), start.elapsed())
+        let goal = match request {
+            Request::Recover if !view.has_pending() => {
+                return Outcome::Committed(
+                    base,
+                    view.unreachable.into_iter().collect(),
+                    start.elapsed(),
+                )
             }
-            Wanted::End => ProposalGoal::Recover,
-            Wanted::Decree(make) => match make(&base) {
-                Ok(decree) => ProposalGoal::Change(Arc::new(decree)),
-                Err(why) => return Outcome::Refused(why),
+            Request::Recover => ProposalGoal::Recover,
+            Request::Change(build) => match build(&base) {
+                Ok(state) => ProposalGoal::Change(Arc::new(state)),
+                Err(reason) => return Outcome::Rejected(reason),
             },
         };
-        if let ProposalGoal::Change(decree) = &aim {
-            ours = Some(decree.clone());
+        if let ProposalGoal::Change(state) = &goal {
+            proposed = Some(state.clone());
         }
-        round = round.max(seen.round()) + 1;
+        round = round.max(view.max_round()) + 1;
         let ballot = Ballot {
             round,
-            proposer: drawn(),
+            proposer: random(),
         };
-        let mut proposer = Proposer::new(base.clone(), aim, ballot, clock::now());
-        let left = patience.saturating_sub(start.elapsed());
-        match run_proposal(&mut proposer, at, left, |p| progress(&mut step, p)) {
+        let mut proposer = Proposer::new(base.clone(), goal, ballot, clock::now());
+        let remaining = timeout.saturating_sub(start.elapsed());
+        match run_proposal(&mut proposer, sockets, remaining, |p| {
+            print_progress(&mut step, p)
+        }) {
             ProposalOutcome::Committed => {
-                let Some(decree) = proposer.value().cloned() else {
+                let Some(state) = proposer.value().cloned() else {
                     return Outcome::Unfinished;
                 };
-                let away = proposer.unresponsive().into_iter();
-                let away = away.map(|m| (m.member, m.reason)).collect();
-                return Outcome::Made(decree, away, start.elapsed());
+                let unreachable = proposer.unresponsive().into_iter();
+                let unreachable = unreachable.map(|m| (m.member, m.reason)).collect();
+                return Outcome::Committed(state, unreachable, start.elapsed());
             }
-            ProposalOutcome::Rejected(all) => {
-                let all: Vec<String> = all
+            ProposalOutcome::Rejected(rejections) => {
+                let rejections: Vec<String> = rejections
                     .into_iter()
                     .map(|m| format!("{}: {}", m.member, m.reason))
                     .collect();
-                return Outcome::Refused(all.join("; "));
+                return Outcome::Rejected(rejections.join("; "));
             }
             ProposalOutcome::NoQuorum { votes, needed } => {
-                let away: Vec<String> = proposer
+                let unreachable: Vec<String> = proposer
                     .unresponsive()
                     .into_iter()
                     .map(|m| format!("{} ({})", m.member, m.reason))
                     .collect();
-                return Outcome::Refused(format!(
-                    "too few members vote: {votes}, and {needed} are enough; without an answer: {}",
-                    away.join(", ")
+                return Outcome::Rejected(format!(
+                    "no quorum: {votes} votes of {needed} needed; no answer from: {}",
+                    unreachable.join(", ")
                 ));
             }
             ProposalOutcome::TimedOut => return Outcome::Unfinished,
             ProposalOutcome::HigherBallot(by) => round = round.max(by.round),
             ProposalOutcome::Superseded(_) => {}
         }
-        if start.elapsed() >= patience {
+        if start.elapsed() >= timeout {
             return Outcome::Unfinished;
         }
-        // Whoever else proposes comes to an end meanwhile.
-        std::thread::sleep(LONGEST_PAUSE * (drawn() % 1_000) as u32 / 1_000);
+        // A random delay lets a competing proposer finish.
+        std::thread::sleep(MAX_RETRY_DELAY * (random() % 1_000) as u32 / 1_000);
     }
 }
 
-/// Tells people how it ended; `what` is what was to be made.
-pub fn tell(what: &str, outcome: &Outcome) {
+/// Prints an outcome; `action` names the requested change.
+pub fn print_outcome(action: &str, outcome: &Outcome) {
     match outcome {
-        Outcome::Made(decree, away, took) => {
-            let members = decree.membership.members.len();
+        Outcome::Committed(state, unreachable, elapsed) => {
+            let members = state.membership.members.len();
             anstream::println!(
-                "{} {what} at {} of {members} members in {} ms (generation {}, decree {})",
+                "{} {action} at {} of {members} members in {} ms (generation {}, decree {})",
                 style::good("made:"),
-                members.saturating_sub(away.len()),
-                took.as_millis(),
-                decree.generation,
-                decree.version
+                members.saturating_sub(unreachable.len()),
+                elapsed.as_millis(),
+                state.generation,
+                state.version
             );
-            for (name, why) in away {
-                anstream::println!("  {name} is away ({why}): it serves nobody until it has learnt this");
+            for (name, reason) in unreachable {
+                anstream::println!("  {name} is away ({reason}): it rejects all requests until it has learned the new state");
             }
         }
-        Outcome::Refused(why) => {
-            anstream::eprintln!("{} {what}: {why}; nothing has changed", style::bad("refused:"));
+        Outcome::Rejected(reason) => {
+            anstream::eprintln!("{} {action}: {reason}; nothing has changed", style::bad("refused:"));
         }
         Outcome::Unfinished => anstream::eprintln!(
-            "{} {what}: time was over before it was known to be made; the members settle it among themselves, \
-             and wrenctl status tells how",
+            "{} {action}: timed out before the result was known; the members recover the proposal on their own, \
+             and wrenctl status shows the result",
             style::doubtful("unfinished:")
         ),
     }
--- a/crates/ctl/src/group/mod.rs
+++ b/crates/ctl/src/group/mod.rs
@@ -1,8 +1,8 @@
-//! Ingresses that decide as a group, seen from outside: how it stands with each ([`look`]), a decree brought to its end
-//! ([`decide`]), the roster ([`roster`]), and a witness ([`witness`]).
+//! Commands for a group of ingresses that decides by majority: querying its members ([`query`]), proposing a group state
+//! ([`decide`]), the status ([`status`]), the membership ([`roster`]), and running a witness ([`witness`]).
 
 pub mod decide;
-pub mod look;
+pub mod query;
 pub mod roster;
 pub mod status;
 pub mod witness;
@@ -13,7 +13,7 @@
 /// The control sockets of a group's members, by name.
 pub type Sockets = BTreeMap<String, PathBuf>;
 
-/// Those that a plan carries.
+/// Converts the control socket paths of a plan, by member name.
 pub fn sockets(members: &BTreeMap<String, String>) -> Sockets {
     members
         .iter()
--- a/crates/ctl/src/group/roster.rs
+++ b/crates/ctl/src/group/roster.rs
@@ -1,7 +1,7 @@
-//! `wrenctl roster`: who belongs to a group, and changes of that.
+//! `wrenctl roster`: shows and changes the membership of a group.
 
-use super::decide::{decide, tell, Outcome, Wanted};
-use super::look::look;
+use super::decide::{decide, print_outcome, Outcome, Request};
+use super::query::query_group;
 use super::{status, Sockets};
 use crate::change::{author, failed, folder, span, UNFINISHED};
 use clap::{Args, Subcommand};
@@ -17,8 +17,8 @@
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse};
 use wrenfork_control_plane::client;
 
-/// How long a member may take to say which folder it has.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout for asking a member for its replica id.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Subcommand)]
 pub enum Verb {
@@ -51,25 +51,25 @@
 pub fn main(verb: &Verb) -> ExitCode {
     let done = match verb {
         Verb::Show(options) => return status::main(options),
-        Verb::Add(change) => Work::of(change).and_then(|w| w.add()),
-        Verb::Remove(change) => Work::of(change).and_then(|w| w.remove()),
-        Verb::Replace(change) => Work::of(change).and_then(|w| w.replace()),
+        Verb::Add(change) => MembershipChange::new(change).and_then(|w| w.add()),
+        Verb::Remove(change) => MembershipChange::new(change).and_then(|w| w.remove()),
+        Verb::Replace(change) => MembershipChange::new(change).and_then(|w| w.replace()),
     };
     done.unwrap_or_else(|code| code)
 }
 
-/// What a change of a roster is made with.
-struct Work<'a> {
+/// A membership change and what it needs.
+struct MembershipChange<'a> {
     change: &'a Change,
     author: String,
     files: folder::Files,
-    /// The group's sockets; those of a member that the files don't have any more are not known, and not needed.
-    at: Sockets,
+    /// The group's control sockets. A member that is no longer in the files has none here, and needs none.
+    sockets: Sockets,
     start: Instant,
 }
 
-impl<'a> Work<'a> {
-    fn of(change: &'a Change) -> Result<Work<'a>, ExitCode> {
+impl<'a> MembershipChange<'a> {
+    fn new(change: &'a Change) -> Result<MembershipChange<'a>, ExitCode> {
         let files = folder::read(&change.folder)?;
         let app = change.member.split('/').next().unwrap_or("");
         let Some(group) = files.groups.get(app) else {
@@ -78,11 +78,11 @@
                 change.member
             )));
         };
-        let (at, author) = (group.links(""), author(change.author.as_deref()));
-        Ok(Work {
+        let (sockets, author) = (group.links(""), author(change.author.as_deref()));
+        Ok(MembershipChange {
             change,
             author,
-            at,
+            sockets,
             files,
             start: Instant::now(),
         })
@@ -94,129 +94,134 @@
         found.ok_or_else(|| failed(format!("{} is not in the files", self.change.member)))
     }
 
-    /// The folder that a member has.
-    fn folder(&self, member: &Member) -> Result<ReplicaId, ExitCode> {
-        match client::request(&member.control, &GroupRequest::Status, PATIENCE)
+    /// Asks a running member for its replica id.
+    fn replica_id(&self, member: &Member) -> Result<ReplicaId, ExitCode> {
+        match client::request(&member.control, &GroupRequest::Status, STATUS_TIMEOUT)
             .map_err(|error| error.to_string())
         {
-            Ok(GroupResponse::Status(stand)) if stand.name == member.name => Ok(stand.replica),
-            Ok(GroupResponse::Status(stand)) => Err(failed(format!(
+            Ok(GroupResponse::Status(status)) if status.name == member.name => Ok(status.replica),
+            Ok(GroupResponse::Status(status)) => Err(failed(format!(
                 "{}: {} answers at its socket",
-                member.name, stand.name
+                member.name, status.name
             ))),
             Ok(GroupResponse::Rejected { reason: why }) | Err(why) => Err(failed(format!(
-                "{}: {why}: it has to run, so that it can be asked for its folder",
-                member.name
-            ))),
-            Ok(_) => Err(failed(format!(
-                "{}: it answers something else",
+                "{}: {why}: the member must be running so that its replica id can be read",
                 member.name
             ))),
+            Ok(_) => Err(failed(format!("{}: unexpected response", member.name))),
         }
     }
 
-    /// What a member that is new is to enforce.
-    fn own(&self, stands: &GroupState, name: &str) -> Result<BTreeMap<String, Arc<State>>, String> {
-        let of = |name: &str| self.files.ingresses.iter().find(|i| i.name == name);
-        let Some(new) = of(name) else {
+    /// The state of a new member: none for a witness. For an ingress, the state of a current member with the differences
+    /// between the two in the files.
+    fn initial_state(
+        &self,
+        current: &GroupState,
+        name: &str,
+    ) -> Result<BTreeMap<String, Arc<State>>, String> {
+        let find = |name: &str| self.files.ingresses.iter().find(|i| i.name == name);
+        let Some(new) = find(name) else {
             return Ok(BTreeMap::new());
-        }; // a witness
-        let known = stands
+        }; // a witness enforces nothing
+        let existing = current
             .policy
             .per_member
             .keys()
-            .find_map(|n| Some((stands.policy.state_for(n)?, of(n)?)));
-        let (has, files_like) = known.ok_or("no member of the roster is in the files")?;
+            .find_map(|n| Some((current.policy.state_for(n)?, find(n)?)));
+        let (state, files_of) =
+            existing.ok_or("the files describe no member of the current membership")?;
         Ok([(
             name.to_string(),
-            Arc::new(State(folder::like(&has.0, &files_like.wanted, &new.wanted))),
+            Arc::new(State(folder::like(&state.0, &files_of.wanted, &new.wanted))),
         )]
         .into())
     }
 
-    fn make(
+    /// Proposes a change of the membership; `action` names it in the output.
+    fn propose(
         &self,
-        what: &str,
-        roster: &dyn Fn(&Membership) -> Result<Membership, String>,
+        action: &str,
+        change: &dyn Fn(&Membership) -> Result<Membership, String>,
     ) -> Result<ExitCode, ExitCode> {
-        let wanted = |stands: &GroupState| {
-            let roster = roster(&stands.membership)?;
-            let new = match roster.member(&self.change.member) {
-                Some(seat)
-                    if seat.role == MemberRole::Ingress
-                        && stands.membership.member(&seat.name).is_none() =>
+        let build = |current: &GroupState| {
+            let membership = change(&current.membership)?;
+            let new = match membership.member(&self.change.member) {
+                Some(entry)
+                    if entry.role == MemberRole::Ingress
+                        && current.membership.member(&entry.name).is_none() =>
                 {
-                    self.own(stands, &seat.name)?
+                    self.initial_state(current, &entry.name)?
                 }
                 _ => BTreeMap::new(),
             };
-            Ok(stands.with_membership(&self.author, roster, new))
+            Ok(current.with_membership(&self.author, membership, new))
         };
-        let left = self.change.patience.saturating_sub(self.start.elapsed());
-        let outcome = decide(&self.at, &Wanted::Decree(&wanted), left);
-        tell(what, &outcome);
+        let remaining = self.change.patience.saturating_sub(self.start.elapsed());
+        let outcome = decide(&self.sockets, &Request::Change(&build), remaining);
+        print_outcome(action, &outcome);
         Ok(match outcome {
-            Outcome::Made(..) => ExitCode::SUCCESS,
-            Outcome::Refused(_) => ExitCode::FAILURE,
+            Outcome::Committed(..) => ExitCode::SUCCESS,
+            Outcome::Rejected(_) => ExitCode::FAILURE,
             Outcome::Unfinished => ExitCode::from(UNFINISHED),
         })
     }
 
     fn add(&self) -> Result<ExitCode, ExitCode> {
         let member = self.member()?;
-        let folder = self.folder(member)?;
-        let kind = if member.serves {
+        let replica = self.replica_id(member)?;
+        let role = if member.serves {
             MemberRole::Ingress
         } else {
             MemberRole::Witness
         };
-        let folder = if member.votes { folder } else { 0 };
-        let seat = membership::Member {
+        let replica = if member.votes { replica } else { 0 };
+        let entry = membership::Member {
             name: member.name.clone(),
-            replica: folder,
-            role: kind,
+            replica,
+            role,
             votes: member.votes,
         };
-        let what = format!("{} belongs to the roster", member.name);
-        self.make(&what, &|r| {
-            r.with_member(seat.clone()).map_err(|e| e.to_string())
+        let action = format!("{} belongs to the roster", member.name);
+        self.propose(&action, &|r| {
+            r.with_member(entry.clone()).map_err(|e| e.to_string())
         })
     }
 
     fn remove(&self) -> Result<ExitCode, ExitCode> {
         let name = &self.change.member;
-        self.make(&format!("{name} is out of the roster"), &|r| {
+        self.propose(&format!("{name} is out of the roster"), &|r| {
             r.without_member(name).map_err(|e| e.to_string())
         })
     }
 
-    /// First without a vote, then with one by its new folder: at each step the old and the new majority share a member.
+    /// Removes the member's vote, then restores it with the new replica id. Two steps, so that the old and the new majority
+    /// share a member at each of them.
     fn replace(&self) -> Result<ExitCode, ExitCode> {
         let member = self.member()?;
-        let (name, folder) = (&member.name, self.folder(member)?);
-        let seen = look(&self.at).map_err(failed)?;
-        let stands = seen.known().map_err(failed)?;
-        let Some(seat) = stands.membership.member(name) else {
+        let (name, replica) = (&member.name, self.replica_id(member)?);
+        let view = query_group(&self.sockets).map_err(failed)?;
+        let current = view.committed_state().map_err(failed)?;
+        let Some(entry) = current.membership.member(name) else {
             return Err(failed(format!(
                 "{name} is not in the roster: wrenctl roster add"
             )));
         };
-        if seat.votes && seat.replica == folder {
+        if entry.votes && entry.replica == replica {
             anstream::println!("{name} votes by the folder that it has: there is nothing to do");
             return Ok(ExitCode::SUCCESS);
         }
-        if seat.votes {
-            let what = format!("{name} has no vote by its old folder");
-            let out = self.make(&what, &|r| {
+        if entry.votes {
+            let action = format!("{name} has no vote by its old folder");
+            let code = self.propose(&action, &|r| {
                 r.with_vote(name, None).map_err(|e| e.to_string())
             })?;
-            if out != ExitCode::SUCCESS {
-                return Ok(out);
+            if code != ExitCode::SUCCESS {
+                return Ok(code);
             }
         }
-        let what = format!("{name} votes by its new folder");
-        self.make(&what, &|r| {
-            r.with_vote(name, Some(folder)).map_err(|e| e.to_string())
+        let action = format!("{name} votes by its new folder");
+        self.propose(&action, &|r| {
+            r.with_vote(name, Some(replica)).map_err(|e| e.to_string())
         })
     }
 }
--- a/crates/ctl/src/group/status.rs
+++ b/crates/ctl/src/group/status.rs
@@ -1,6 +1,6 @@
-//! `wrenctl status`: who stands where, whose lease ends when, what is pending.
+//! `wrenctl status`: prints each member's generation, lease and pending proposal.
 
-use super::look::{look, Look};
+use super::query::{query_group, GroupView};
 use crate::change::{failed, folder};
 use crate::config::Format;
 use crate::style;
@@ -21,9 +21,9 @@
     format: Format,
 }
 
-/// What a member's lease allows it, in words.
-fn lease(stand: &GroupStatus, as_known: bool) -> String {
-    match (stand.role, stand.lease_ms) {
+/// Describes a member's lease for the table. `as_known` is set if members without a lease serve with the last known state.
+fn lease_text(status: &GroupStatus, as_known: bool) -> String {
+    match (status.role, status.lease_ms) {
         (Some(MemberRole::Witness), _) => "serves nobody".into(),
         (_, Some(ms)) => format!("serves for {ms} ms more"),
         (_, None) if as_known => style::doubtful("none: serves as known"),
@@ -31,9 +31,9 @@
     }
 }
 
-fn text(name: &str, seen: &Look, as_known: bool) {
-    let head = match &seen.decree {
-        None => "not formed yet: that takes all of its members".to_string(),
+fn print_text(name: &str, view: &GroupView, as_known: bool) {
+    let head = match &view.state {
+        None => "not formed yet: that requires all of its members".to_string(),
         Some(d) => {
             let (voters, enough) = (d.membership.voters().count(), d.membership.majority());
             let (version, lease) = (d.membership.version, d.membership.lease_ms);
@@ -53,63 +53,63 @@
         "lease",
         "notes",
     ]);
-    let seats = seen
-        .decree
+    let members = view
+        .state
         .iter()
         .flat_map(|d| d.membership.members.iter().map(|s| s.name.as_str()));
-    let mut names: Vec<&str> = seats
-        .chain(seen.stands.keys().map(String::as_str))
+    let mut names: Vec<&str> = members
+        .chain(view.statuses.keys().map(String::as_str))
         .collect();
-    names.extend(seen.away.keys().map(String::as_str));
+    names.extend(view.unreachable.keys().map(String::as_str));
     names.sort_unstable();
     names.dedup();
     for name in names {
-        let seat = seen.decree.as_ref().and_then(|d| d.membership.member(name));
-        let is = match seat.map(|s| s.role) {
+        let member = view.state.as_ref().and_then(|d| d.membership.member(name));
+        let role = match member.map(|s| s.role) {
             Some(MemberRole::Ingress) => "ingress",
             Some(MemberRole::Witness) => "witness",
             None => "no member",
         };
         let mut notes = Vec::new();
-        let votes = match (seat, seen.stands.get(name)) {
-            (Some(seat), Some(stand)) if seat.votes && seat.replica != stand.replica => {
+        let votes = match (member, view.statuses.get(name)) {
+            (Some(member), Some(status)) if member.votes && member.replica != status.replica => {
                 notes.push("another folder: wrenctl roster replace".to_string());
                 style::bad("none")
             }
-            (Some(seat), _) if seat.votes => "yes".into(),
+            (Some(member), _) if member.votes => "yes".into(),
             _ => "none".into(),
         };
-        let (generation, number, lease) = match seen.stands.get(name) {
-            Some(stand) => {
+        let (generation, version, lease) = match view.statuses.get(name) {
+            Some(status) => {
                 notes.extend(
-                    stand
+                    status
                         .vote_withheld
                         .clone()
-                        .filter(|_| seat.is_some_and(|s| s.votes)),
+                        .filter(|_| member.is_some_and(|s| s.votes)),
                 );
-                if let Some(pending) = &stand.pending {
+                if let Some(pending) = &status.pending {
                     notes.push(format!(
-                        "a decree is taken up and not decided: {}",
+                        "a proposal is accepted and not decided: {}",
                         pending.short()
                     ));
                 }
                 (
-                    stand.generation.to_string(),
-                    stand.version.to_string(),
-                    lease(stand, as_known),
+                    status.generation.to_string(),
+                    status.version.to_string(),
+                    lease_text(status, as_known),
                 )
             }
             None => {
-                notes.extend(seen.away.get(name).cloned());
+                notes.extend(view.unreachable.get(name).cloned());
                 (String::new(), String::new(), style::bad("away"))
             }
         };
         table.add_row(vec![
             name.to_string(),
-            is.into(),
+            role.into(),
             votes,
             generation,
-            number,
+            version,
             lease,
             notes.join("; "),
         ]);
@@ -125,37 +125,40 @@
     let files = folder::read(&options.folder)?;
     if files.groups.is_empty() {
         return Err(failed(
-            "no application here has a roster: wrenctl plan and wrenctl history tell how its ingresses stand",
+            "no application here has a roster: wrenctl plan and wrenctl history show the state of its ingresses",
         ));
     }
-    let (mut code, mut all) = (ExitCode::SUCCESS, Vec::new());
+    let (mut code, mut reports) = (ExitCode::SUCCESS, Vec::new());
     for (name, group) in &files.groups {
-        let at = group.links("");
-        let seen = match look(&at) {
-            Ok(seen) => seen,
-            Err(why) => {
-                code = failed(format!("{name}: {why}"));
+        let sockets = group.links("");
+        let view = match query_group(&sockets) {
+            Ok(view) => view,
+            Err(reason) => {
+                code = failed(format!("{name}: {reason}"));
                 continue;
             }
         };
-        if let Err(why) = seen.known() {
-            code = failed(format!("{name}: {why}"));
+        if let Err(reason) = view.committed_state() {
+            code = failed(format!("{name}: {reason}"));
         }
         match options.format {
-            Format::Text => text(name, &seen, group.as_known),
+            Format::Text => print_text(name, &view, group.as_known),
             Format::Json => {
-                let stands = seen.decree.as_ref().map(|d| {
+                let state = view.state.as_ref().map(|d| {
                     json!({"number": d.version, "generation": d.generation, "change": d.change,
                            "digest": d.digest, "roster": d.membership})
                 });
-                all.push(
-                    json!({"application": name, "stands": stands, "members": seen.stands, "away": seen.away}),
+                reports.push(
+                    json!({"application": name, "stands": state, "members": view.statuses, "away": view.unreachable}),
                 );
             }
         }
     }
     if options.format == Format::Json {
-        println!("{}", serde_json::to_string_pretty(&all).unwrap_or_default());
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&reports).unwrap_or_default()
+        );
     }
     Ok(code)
 }
--- a/crates/ctl/src/group/witness.rs
+++ b/crates/ctl/src/group/witness.rs
@@ -1,4 +1,4 @@
-//! `wrenctl witness`: a member that keeps promises and serves nobody.
+//! `wrenctl witness`: runs a group member that votes but serves no requests.
 
 use crate::change::failed;
 use clap::Args;
@@ -17,8 +17,8 @@
 use wrenfork_control_plane::{socket, ControlServer, DataPlane, DataPlaneError, ServerConfig};
 use wrenfork_rollout::MemberMetrics;
 
-/// The most bytes of a message: a decree has the whole policy, some hundred thousand accounts at most.
-const MOST: usize = 64 << 20;
+/// Maximum bytes of a message: a group state contains the whole policy, with up to some hundred thousand accounts.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 #[derive(Args)]
 pub struct Options {
@@ -36,7 +36,7 @@
     state: Option<PathBuf>,
 }
 
-/// It enforces nothing.
+/// A data plane without requests: every state is accepted and none is enforced.
 struct Witness;
 
 impl DataPlane for Witness {
@@ -58,20 +58,20 @@
 
     fn log(&self, record: &AuditRecord) {
         let AuditRecord {
-            event: what,
+            event,
             author,
             change,
             generation,
-            detail: why,
+            detail,
             ..
         } = record;
-        let why = if why.is_empty() {
+        let detail = if detail.is_empty() {
             String::new()
         } else {
-            format!(": {why}")
+            format!(": {detail}")
         };
         eprintln!(
-            "{what}{why} (generation {generation}, change {change}, by {author:?})",
+            "{event}{detail} (generation {generation}, change {change}, by {author:?})",
             change = change.short()
         );
     }
@@ -85,7 +85,7 @@
 }
 
 fn run(options: &Options) -> Result<(), String> {
-    let beside = || {
+    let default_site = || {
         options
             .app
             .parent()
@@ -93,27 +93,25 @@
             .join("site.toml")
     };
     let set = Set::read([
-        options.site.clone().unwrap_or_else(beside),
+        options.site.clone().unwrap_or_else(default_site),
         options.app.clone(),
     ]);
     if set.refused() {
         crate::config::print::text(&set);
-        return Err(format!("{} is refused", options.app.display()));
+        return Err(format!("{} has errors", options.app.display()));
     }
     let apps = set.applications();
     let [app] = &apps[..] else {
         return Err(format!(
-            "{} is no application's file",
+            "{} is not an application file",
             options.app.display()
         ));
     };
-    let told = group(app.content).ok_or("the application has no roster")?;
-    let witnesses: Vec<_> = told.members.iter().filter(|m| !m.serves).collect();
+    let group_config = group(app.content).ok_or("the application has no roster")?;
+    let witnesses: Vec<_> = group_config.members.iter().filter(|m| !m.serves).collect();
     let named = |name: &String| witnesses.iter().find(|m| m.short == *name).copied();
-    let own = match (&options.name, &witnesses[..]) {
-        (Some(name), _) => {
-            named(name).ok_or_else(|| format!("there is no witness {name} in the file"))?
-        }
+    let witness = match (&options.name, &witnesses[..]) {
+        (Some(name), _) => named(name).ok_or_else(|| format!("the file has no witness {name}"))?,
         (None, [only]) => *only,
         (None, []) => return Err("the application has no witness: add a [[witness]]".into()),
         (None, _) => {
@@ -123,30 +121,35 @@
     let folder = options
         .state
         .clone()
-        .or_else(|| own.state.clone())
-        .ok_or("it has no folder: --state DIR")?;
-    let mut signals =
-        Signals::new([SIGTERM, SIGINT]).map_err(|e| format!("cannot take signals: {e}"))?;
+        .or_else(|| witness.state.clone())
+        .ok_or("the witness has no state folder: add --state DIR")?;
+    let mut signals = Signals::new([SIGTERM, SIGINT])
+        .map_err(|e| format!("cannot register signal handlers: {e}"))?;
     let durable = DurableState::open(Some(&folder), || ParticipantState::new(1, State::default()))
         .map_err(|error| format!("state: {error}"))?;
-    let socket = socket::listen(&own.control, 0o600).map_err(|why| format!("control: {why}"))?;
-    let links = told.links(&own.name);
+    let socket =
+        socket::listen(&witness.control, 0o600).map_err(|error| format!("control: {error}"))?;
+    let control_sockets = group_config.links(&witness.name);
     let group = GroupConfig {
-        initial_members: told.charter(),
-        control_sockets: links,
+        initial_members: group_config.charter(),
+        control_sockets,
         without_lease: WithoutLease::Reject,
         inherited_lease: None,
     };
     let server = ControlServer::start(ServerConfig {
-        name: own.name.clone(),
+        name: witness.name.clone(),
         socket,
         durable,
         data_plane: Witness,
-        max_message_bytes: MOST,
+        max_message_bytes: MAX_MESSAGE_BYTES,
         group: Some(group),
     })
     .map_err(|error| error.to_string())?;
-    eprintln!("{} keeps promises at {}", own.name, own.control.display());
+    eprintln!(
+        "witness {} listens at {}",
+        witness.name,
+        witness.control.display()
+    );
     let _ = signals.forever().next();
     server.close();
     Ok(())
--- a/crates/ctl/src/rollout/make.rs
+++ b/crates/ctl/src/rollout/make.rs
@@ -1,11 +1,11 @@
-//! Begins a rollout, and has it take a step that somebody wants.
+//! Starts a rollout, and proposes the phase changes that an operator requests.
 
 use super::{programs, terms};
 use super::{Begin, Change};
 use crate::change::apply::{meant, none_under_way, parts, planned};
 use crate::change::{folder, micros, UNFINISHED};
-use crate::group::decide::{decide, tell, Outcome, Wanted};
-use crate::group::look::look;
+use crate::group::decide::{decide, print_outcome, Outcome, Request};
+use crate::group::query::query_group;
 use crate::group::{sockets, Sockets};
 use crate::style;
 use std::collections::BTreeMap;
@@ -17,95 +17,100 @@
 use wrenfork_control_plane::client;
 use wrenfork_rollout::{assign_stages, difference, MemberMetrics, Rollback, Rollout, RolloutPhase};
 
-/// How long a member may take to tell what it counted.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout for requesting a member's counters.
+const METRICS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What each member tells of itself, all asked at once.
-pub fn tallies(at: &Sockets, names: &[String]) -> BTreeMap<String, Result<MemberMetrics, String>> {
-    let ask = |name: &String| match at.get(name) {
-        None => Err("nothing says where its socket is".to_string()),
-        Some(path) => match client::request(path, &GroupRequest::Tally, PATIENCE)
+/// Requests the metrics of all named members at once; for a member without an answer, the reason.
+pub fn member_metrics(
+    sockets: &Sockets,
+    names: &[String],
+) -> BTreeMap<String, Result<MemberMetrics, String>> {
+    let request = |name: &String| match sockets.get(name) {
+        None => Err("its control socket is not known".to_string()),
+        Some(path) => match client::request(path, &GroupRequest::Tally, METRICS_TIMEOUT)
             .map_err(|error| error.to_string())?
         {
-            GroupResponse::Tallied(tally) => Ok(*tally),
-            GroupResponse::Rejected { reason: why } => Err(why),
-            _ => Err("it answers something else".into()),
+            GroupResponse::Tallied(metrics) => Ok(*metrics),
+            GroupResponse::Rejected { reason } => Err(reason),
+            _ => Err("unexpected response".into()),
         },
     };
     std::thread::scope(|scope| {
-        let asked: Vec<_> = names
+        let requests: Vec<_> = names
             .iter()
-            .map(|name| (name, scope.spawn(move || ask(name))))
+            .map(|name| (name, scope.spawn(move || request(name))))
             .collect();
-        let told = |one: std::thread::ScopedJoinHandle<'_, _>| {
-            one.join().unwrap_or_else(|_| Err("the ask ended".into()))
+        let join = |handle: std::thread::ScopedJoinHandle<'_, _>| {
+            handle
+                .join()
+                .unwrap_or_else(|_| Err("the request thread panicked".into()))
         };
-        asked
+        requests
             .into_iter()
-            .map(|(name, one)| (name.clone(), told(one)))
+            .map(|(name, handle)| (name.clone(), join(handle)))
             .collect()
     })
 }
 
-/// The rollout that a plan begins behind what stands.
-fn record(
+/// Builds the rollout of a plan on top of the current group state.
+fn build_rollout(
     part: &Plan,
-    stands: &GroupState,
+    current: &GroupState,
     begin: &Begin,
-    halls: &BTreeMap<String, String>,
+    zone_groups: &BTreeMap<String, String>,
 ) -> Result<Rollout, String> {
-    none_under_way(stands)?;
-    let (reach, terms) = terms::read(&begin.terms)?;
-    let (mut changes, mut of) = (Vec::new(), BTreeMap::new());
+    none_under_way(current)?;
+    let (scopes, policy) = terms::read(&begin.terms)?;
+    let (mut changes, mut change_of) = (Vec::new(), BTreeMap::new());
     for target in &part.targets {
         let name = &target.ingress;
-        let (state, wanted) = planned(part, target, stands)?;
+        let (state, wanted) = planned(part, target, current)?;
         let change = difference(&state, wanted);
-        let place = changes
+        let index = changes
             .iter()
             .position(|c| *c == change)
             .unwrap_or_else(|| {
                 changes.push(change);
                 changes.len() - 1
             });
-        of.insert(name.clone(), place);
+        change_of.insert(name.clone(), index);
     }
-    if let Some(name) = stands
+    if let Some(name) = current
         .policy
         .per_member
         .keys()
-        .find(|name| !of.contains_key(*name))
+        .find(|name| !change_of.contains_key(*name))
     {
         return Err(format!(
-            "{name} has come into the roster since the plan was made: make it anew"
+            "{name} has joined the group since the plan was made: make a new plan"
         ));
     }
     let (id, author) = (part.id(), part.author.clone());
-    let stages = assign_stages(&id, &reach, halls).map_err(|error| error.to_string())?;
-    let record = Rollout {
+    let stages = assign_stages(&id, &scopes, zone_groups).map_err(|error| error.to_string())?;
+    let rollout = Rollout {
         id,
         author,
-        policy: terms,
+        policy,
         stages,
         changes,
-        change_of: of,
+        change_of,
         phase: RolloutPhase::Active { stage: 0 },
         reason: String::new(),
     };
-    record.validate().map_err(|error| error.to_string())?;
-    Ok(record)
+    rollout.validate().map_err(|error| error.to_string())?;
+    Ok(rollout)
 }
 
-/// Shows a rollout before it begins, and begins it.
+/// Prints the stages of a rollout and, if `start` is set, starts it.
 pub fn begin(begin: &Begin, start: bool) -> Result<ExitCode, String> {
-    let told = |e: &dyn std::fmt::Display| format!("{}: {e}", begin.plan.display());
-    let text = std::fs::read_to_string(&begin.plan).map_err(|e| told(&e))?;
-    let plan = Plan::from_file_text(&text).map_err(|e| told(&e))?;
-    plan.check_validity(micros()).map_err(|e| told(&e))?;
+    let in_file = |e: &dyn std::fmt::Display| format!("{}: {e}", begin.plan.display());
+    let text = std::fs::read_to_string(&begin.plan).map_err(|e| in_file(&e))?;
+    let plan = Plan::from_file_text(&text).map_err(|e| in_file(&e))?;
+    plan.check_validity(micros()).map_err(|e| in_file(&e))?;
     let (groups, rest) = parts(&plan);
     let [(members, part)] = &groups[..] else {
         return Err(format!(
-            "a rollout goes through one group, and the plan has {}",
+            "a rollout is for exactly one group, and the plan has {}",
             groups.len()
         ));
     };
@@ -115,133 +120,146 @@
             target.ingress
         ));
     }
-    let at = sockets(members);
-    let stands = look(&at)?.known()?;
-    let names: Vec<String> = stands.policy.per_member.keys().cloned().collect();
-    // A member that is away stands in no hall that is known, and comes last.
-    let halls: BTreeMap<String, String> = tallies(&at, &names)
+    let sockets = sockets(members);
+    let current = query_group(&sockets)?.committed_state()?;
+    let names: Vec<String> = current.policy.per_member.keys().cloned().collect();
+    // The zone group of an unreachable member is unknown; such members are in the last stages.
+    let zone_groups: BTreeMap<String, String> = member_metrics(&sockets, &names)
         .into_iter()
-        .map(|(name, tally)| (name, tally.map(|t| t.zone_group).unwrap_or_default()))
+        .map(|(name, metrics)| (name, metrics.map(|m| m.zone_group).unwrap_or_default()))
         .collect();
-    let first = record(part, &stands, begin, &halls)?;
-    programs::check(&first, &begin.programs)?;
-    stages_of(&first, &halls);
+    let rollout = build_rollout(part, &current, begin, &zone_groups)?;
+    programs::check(&rollout, &begin.programs)?;
+    print_stages(&rollout, &zone_groups);
     if !start {
         return Ok(ExitCode::SUCCESS);
     }
     meant(begin.yes)?;
-    let wanted = |stands: &GroupState| {
-        stands
-            .with_rollout(&part.author, record(part, stands, begin, &halls)?)
+    let wanted = |current: &GroupState| {
+        current
+            .with_rollout(
+                &part.author,
+                build_rollout(part, current, begin, &zone_groups)?,
+            )
             .map_err(|e| e.to_string())
     };
-    let wanted = |stands: &GroupState| {
-        let next = wanted(stands)?;
-        stands
+    let wanted = |current: &GroupState| {
+        let next = wanted(current)?;
+        current
             .check_rollout_step(&next)
             .map_err(|e| e.to_string())?;
         Ok(next)
     };
-    Ok(end(
+    Ok(finish(
         "stage 1",
-        decide(&at, &Wanted::Decree(&wanted), begin.patience),
+        decide(&sockets, &Request::Change(&wanted), begin.patience),
     ))
 }
 
-fn end(what: &str, outcome: Outcome) -> ExitCode {
-    tell(what, &outcome);
+/// Prints the outcome and returns the exit code.
+fn finish(action: &str, outcome: Outcome) -> ExitCode {
+    print_outcome(action, &outcome);
     match outcome {
-        Outcome::Made(..) => ExitCode::SUCCESS,
-        Outcome::Refused(_) => ExitCode::FAILURE,
+        Outcome::Committed(..) => ExitCode::SUCCESS,
+        Outcome::Rejected(_) => ExitCode::FAILURE,
         Outcome::Unfinished => ExitCode::from(UNFINISHED),
     }
 }
 
-/// Who gets the new one when.
-fn stages_of(record: &Rollout, halls: &BTreeMap<String, String>) {
-    let mut table = style::table(&["stage", "members", "halls", "they are"]);
-    for (n, stage) in record.stages.iter().enumerate() {
-        let mut in_halls: Vec<&str> = stage
+/// Prints the members of each stage and the policy.
+fn print_stages(rollout: &Rollout, zone_groups: &BTreeMap<String, String>) {
+    let mut table = style::table(&["stage", "members", "zone groups", "names"]);
+    for (number, stage) in rollout.stages.iter().enumerate() {
+        let mut in_stage: Vec<&str> = stage
             .iter()
-            .filter_map(|s| halls.get(s))
+            .filter_map(|s| zone_groups.get(s))
             .map(String::as_str)
             .collect();
-        in_halls.sort_unstable();
-        in_halls.dedup();
+        in_stage.sort_unstable();
+        in_stage.dedup();
         let shown = stage.iter().take(6).cloned().collect::<Vec<_>>().join(", ");
         let more = if stage.len() > 6 {
             format!(" and {} more", stage.len() - 6)
         } else {
             String::new()
         };
-        let (n, many) = ((n + 1).to_string(), stage.len().to_string());
-        table.add_row(vec![n, many, in_halls.join(", "), format!("{shown}{more}")]);
+        let (number, count) = ((number + 1).to_string(), stage.len().to_string());
+        table.add_row(vec![
+            number,
+            count,
+            in_stage.join(", "),
+            format!("{shown}{more}"),
+        ]);
     }
     anstream::println!("{table}");
-    let t = &record.policy;
+    let policy = &rollout.policy;
     anstream::println!(
-        "each watched for {} s at the least; a loss of {:.1}% of the worth is found, an equal stopped in {:.1} of 100; {} \
-         may be away",
-        t.min_watch_ms / 1_000,
-        t.regression() * 100.0,
-        t.false_alarm() * 100.0,
-        t.max_unavailable
+        "each stage is watched for at least {} s; a loss of {:.1}% of the worth is detected; an equal change is stopped in \
+         {:.1} of 100 rollouts; up to {} members may be unreachable",
+        policy.min_watch_ms / 1_000,
+        policy.regression() * 100.0,
+        policy.false_alarm() * 100.0,
+        policy.max_unavailable
     );
 }
 
-/// Holds it.
-pub fn held(record: &Rollout) -> Result<Rollout, String> {
-    match record.phase {
-        RolloutPhase::Active { stage } => Ok(record.with_phase(RolloutPhase::Paused { stage }, "")),
-        _ => Err(format!("it can't be held: {}", record.phase)),
+/// Pauses an active rollout at its stage.
+pub fn pause(rollout: &Rollout) -> Result<Rollout, String> {
+    match rollout.phase {
+        RolloutPhase::Active { stage } => {
+            Ok(rollout.with_phase(RolloutPhase::Paused { stage }, ""))
+        }
+        _ => Err(format!("the rollout cannot be paused: {}", rollout.phase)),
     }
 }
 
-/// Lets it go on.
-pub fn resumed(record: &Rollout) -> Result<Rollout, String> {
-    match record.phase {
-        RolloutPhase::Paused { stage } => Ok(record.with_phase(RolloutPhase::Active { stage }, "")),
-        _ => Err(format!("it is not held: {}", record.phase)),
+/// Resumes a paused rollout at its stage.
+pub fn resume(rollout: &Rollout) -> Result<Rollout, String> {
+    match rollout.phase {
+        RolloutPhase::Paused { stage } => {
+            Ok(rollout.with_phase(RolloutPhase::Active { stage }, ""))
+        }
+        _ => Err(format!("the rollout is not paused: {}", rollout.phase)),
     }
 }
 
-/// Stops it.
-pub fn stopped(record: &Rollout, at_once: bool, why: &str) -> Result<Rollout, String> {
-    match record.phase {
-        RolloutPhase::Active { .. } | RolloutPhase::Paused { .. } => Ok(record.roll_back(
+/// Rolls a rollout back, in steps or at once.
+pub fn stop(rollout: &Rollout, at_once: bool, reason: &str) -> Result<Rollout, String> {
+    match rollout.phase {
+        RolloutPhase::Active { .. } | RolloutPhase::Paused { .. } => Ok(rollout.roll_back(
             if at_once {
                 Rollback::Immediate
             } else {
                 Rollback::Stepwise
             },
-            why,
+            reason,
         )),
         RolloutPhase::RollingBack { .. } if at_once => {
-            Ok(record.with_phase(RolloutPhase::RolledBack, why))
+            Ok(rollout.with_phase(RolloutPhase::RolledBack, reason))
         }
         _ => Err(format!(
-            "it is not to be stopped any more: {}",
-            record.phase
+            "the rollout can no longer be stopped: {}",
+            rollout.phase
         )),
     }
 }
 
-/// Has the rollout of a folder's group take a step.
+/// Proposes a phase change of the rollout of the only group in a folder that has one under way.
 pub fn step(
     change: &Change,
-    what: &str,
+    action: &str,
     step: &dyn Fn(&Rollout) -> Result<Rollout, String>,
 ) -> Result<ExitCode, String> {
     let files = folder::read(&change.folder).map_err(|_| String::new())?;
     let mut under_way = Vec::new();
     for group in files.groups.values() {
-        let at = group.links("");
-        let stands = look(&at)?.known()?;
-        if stands.rollout.as_ref().is_some_and(|r| !r.phase.ended()) {
-            under_way.push(at);
+        let sockets = group.links("");
+        let current = query_group(&sockets)?.committed_state()?;
+        if current.rollout.as_ref().is_some_and(|r| !r.phase.ended()) {
+            under_way.push(sockets);
         }
     }
-    let [at] = &under_way[..] else {
+    let [sockets] = &under_way[..] else {
         return Err(match under_way.len() {
             0 => "no rollout is under way".into(),
             _ => {
@@ -250,26 +268,23 @@
         });
     };
     let author = crate::change::author(None);
-    let wanted = |stands: &GroupState| {
-        let record = stands.rollout.as_deref().ok_or("no rollout is under way")?;
-        let next = step(record)?;
-        let why = if next.reason.is_empty() {
+    let wanted = |current: &GroupState| {
+        let rollout = current
+            .rollout
+            .as_deref()
+            .ok_or("no rollout is under way")?;
+        let next = step(rollout)?;
+        let reason = if next.reason.is_empty() {
             change.why.clone()
         } else {
             next.reason.clone()
         };
-        stands
-            .with_rollout(
-                &author,
-                Rollout {
-                    reason: why,
-                    ..next
-                },
-            )
+        current
+            .with_rollout(&author, Rollout { reason, ..next })
             .map_err(|e| e.to_string())
     };
-    Ok(end(
-        what,
-        decide(at, &Wanted::Decree(&wanted), change.patience),
+    Ok(finish(
+        action,
+        decide(sockets, &Request::Change(&wanted), change.patience),
     ))
 }
--- a/crates/ctl/src/rollout/mod.rs
+++ b/crates/ctl/src/rollout/mod.rs
@@ -1,5 +1,5 @@
-//! `wrenctl rollout`: a planned change that goes through a group in stages, judged while the old and the new serve side by side.
-//! The members drive it; these commands begin it, hold it, let it go on, stop it, and show it.
+//! `wrenctl rollout`: applies a planned change to a group in stages, while the members with the new and the old state are
+//! compared. The members drive the rollout; these commands start, pause, resume, stop and show it.
 
 mod make;
 mod page;
@@ -75,23 +75,23 @@
 }
 
 pub fn main(verb: &Verb) -> ExitCode {
-    let done = match verb {
+    let result = match verb {
         Verb::Plan(begin) => make::begin(begin, false),
         Verb::Start(begin) => make::begin(begin, true),
         Verb::History(options) => return history::rollouts(options),
         Verb::Status(options) => show::status(options),
         Verb::Watch(options) => show::watch(options),
-        Verb::Pause(change) => make::step(change, "held", &make::held),
-        Verb::Resume(change) => make::step(change, "going on", &make::resumed),
-        Verb::Stop(stop) => make::step(&stop.change, "stopped", &|r| {
-            make::stopped(r, stop.at_once, &stop.change.why)
+        Verb::Pause(change) => make::step(change, "held", &make::pause),
+        Verb::Resume(change) => make::step(change, "going on", &make::resume),
+        Verb::Stop(stop) => make::step(&stop.change, "stopped", &|rollout| {
+            make::stop(rollout, stop.at_once, &stop.change.why)
         }),
     };
-    done.unwrap_or_else(|why| {
-        if why.is_empty() {
+    result.unwrap_or_else(|reason| {
+        if reason.is_empty() {
             ExitCode::FAILURE
         } else {
-            failed(why)
+            failed(reason)
         }
     })
 }
--- a/crates/ctl/src/rollout/programs.rs
+++ b/crates/ctl/src/rollout/programs.rs
@@ -1,4 +1,4 @@
-//! Whether the programs that a rollout changes from and to may serve side by side: asked of the files themselves.
+//! Checks that the old and the new program of a rollout are compatible. Each program file reports its format versions.
 
 use crate::style;
 use crate::tend::{digest, speaks};
@@ -7,8 +7,11 @@
 use wrenfork_compatibility::{check_compatibility, FormatVersions, Program};
 use wrenfork_rollout::{Rollout, ValueChange, PROGRAM_KEY};
 
-/// What the file of a program says, by the digests of those that are given.
-fn said(program: &Program, files: &BTreeMap<String, &PathBuf>) -> Result<FormatVersions, String> {
+/// The format versions of a program. `files` has the given program files by digest.
+fn format_versions(
+    program: &Program,
+    files: &BTreeMap<String, &PathBuf>,
+) -> Result<FormatVersions, String> {
     let path = files.get(&program.sha256).ok_or_else(|| {
         let short = &program.sha256[..8];
         format!(
@@ -23,12 +26,12 @@
     })
 }
 
-/// Tells what is lost, and refuses what could not be taken back.
+/// Prints which features degrade while both programs run, and rejects a change that cannot be rolled back.
 ///
 /// # Errors
 ///
-/// Where a file is missing, says nothing of itself, or the two must not be in service together.
-pub fn check(record: &Rollout, given: &[PathBuf]) -> Result<(), String> {
+/// If a program file is missing or does not report its formats, or if the two programs are incompatible.
+pub fn check(record: &Rollout, program_files: &[PathBuf]) -> Result<(), String> {
     let changes: BTreeSet<&ValueChange> = record
         .changes
         .iter()
@@ -38,13 +41,13 @@
         return Ok(());
     }
     let mut files = BTreeMap::new();
-    for path in given {
+    for path in program_files {
         files.insert(digest(path)?, path);
     }
     for ValueChange { old, new } in changes {
         let (Some(old), Some(new)) = (old, new) else {
             anstream::println!(
-                "{} nobody said what ran before, or what is to run: nothing is compared",
+                "{} the program before or after the change is not named: compatibility is not checked",
                 style::doubtful("programs:")
             );
             continue;
@@ -53,7 +56,10 @@
             Program::parse(old).map_err(|e| e.to_string())?,
             Program::parse(new).map_err(|e| e.to_string())?,
         );
-        let report = check_compatibility(&said(&old, &files)?, &said(&new, &files)?);
+        let report = check_compatibility(
+            &format_versions(&old, &files)?,
+            &format_versions(&new, &files)?,
+        );
         if !report.incompatible.is_empty() {
             let reasons: Vec<String> = report.incompatible.iter().map(|i| i.to_string()).collect();
             return Err(format!(
@@ -63,12 +69,12 @@
                 reasons.join("; ")
             ));
         }
-        for lost in &report.degraded {
-            anstream::println!("{} {lost}", style::doubtful("lost:"));
+        for loss in &report.degraded {
+            anstream::println!("{} {loss}", style::doubtful("lost:"));
         }
         if report.degraded.is_empty() {
             anstream::println!(
-                "from {} to {}: each process hands over to the next",
+                "from {} to {}: each process can hand over to its successor",
                 old.name,
                 new.name
             );
--- a/crates/ctl/src/rollout/show.rs
+++ b/crates/ctl/src/rollout/show.rs
@@ -1,9 +1,9 @@
-//! How rollouts stand.
+//! `wrenctl rollout status` and `watch`.
 
-use super::make::tallies;
+use super::make::member_metrics;
 use super::page::Page;
 use crate::change::folder;
-use crate::group::look::look;
+use crate::group::query::query_group;
 use crate::group::Sockets;
 use crate::style;
 use clap::Args;
@@ -15,10 +15,10 @@
 use wrenfork_control_plane::clock;
 use wrenfork_rollout::{Observations, Rollout, RolloutPhase, StageMonitor};
 
-/// Between two looks.
-const EVERY: Duration = Duration::from_secs(1);
-/// It ended with the old one everywhere, or waits for somebody.
-const NOT_THROUGH: u8 = 1;
+/// Interval between two updates.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Exit code if a rollout was rolled back or is paused.
+const NOT_COMPLETED: u8 = 1;
 
 #[derive(Args)]
 pub struct Options {
@@ -38,14 +38,14 @@
 
 type Group = (String, Sockets);
 
-/// What whoever watches a group remembers.
+/// What `watch` keeps about a group between two updates.
 #[derive(Default)]
-struct Seen {
-    /// Of the decree with that number.
-    watch: Option<(u64, StageMonitor)>,
+struct WatchState {
+    /// The monitor of the current stage, and the version of the group state that it belongs to.
+    monitor: Option<(u64, StageMonitor)>,
     page: Page,
-    /// Whether it has ended well, or otherwise, or is held.
-    end: Option<bool>,
+    /// Some(true) once completed, Some(false) once rolled back or paused, none before.
+    result: Option<bool>,
 }
 
 fn groups(options: &Options) -> Result<Vec<Group>, String> {
@@ -60,58 +60,62 @@
         .collect())
 }
 
-fn words(record: &Rollout) -> String {
-    match record.phase {
-        RolloutPhase::Active { stage } => format!("stage {} of {}", stage + 1, record.stages.len()),
-        _ => record.phase.to_string(),
+/// The phase as plain text; an active stage is shown with the number of stages.
+fn phase_text(rollout: &Rollout) -> String {
+    match rollout.phase {
+        RolloutPhase::Active { stage } => {
+            format!("stage {} of {}", stage + 1, rollout.stages.len())
+        }
+        _ => rollout.phase.to_string(),
     }
 }
 
-fn phase(record: &Rollout) -> String {
-    let words = words(record);
-    let styled = match record.phase {
-        RolloutPhase::Active { .. } | RolloutPhase::Completed => style::good(&words),
-        RolloutPhase::Paused { .. } => style::doubtful(&words),
-        RolloutPhase::RollingBack { .. } | RolloutPhase::RolledBack => style::bad(&words),
+/// The phase in colour, with the reason if there is one.
+fn styled_phase(rollout: &Rollout) -> String {
+    let phase_text = phase_text(rollout);
+    let styled = match rollout.phase {
+        RolloutPhase::Active { .. } | RolloutPhase::Completed => style::good(&phase_text),
+        RolloutPhase::Paused { .. } => style::doubtful(&phase_text),
+        RolloutPhase::RollingBack { .. } | RolloutPhase::RolledBack => style::bad(&phase_text),
     };
-    if record.reason.is_empty() {
+    if rollout.reason.is_empty() {
         styled
     } else {
-        format!("{styled} ({})", record.reason)
+        format!("{styled} ({})", rollout.reason)
     }
 }
 
-/// A program for people: its name, or that nobody says.
-fn runs(program: &str) -> &str {
+/// The name of a program without its digest, or a placeholder if it reports none.
+fn program_name(program: &str) -> &str {
     program
         .split('@')
         .next()
         .filter(|name| !name.is_empty())
-        .unwrap_or("what nobody names")
+        .unwrap_or("a program without a name")
 }
 
-/// What is known of a group's rollout.
-fn stands(at: &Sockets) -> Result<Arc<GroupState>, String> {
-    look(at)?.known()
+/// The committed state of a group.
+fn committed_state(at: &Sockets) -> Result<Arc<GroupState>, String> {
+    query_group(at)?.committed_state()
 }
 
 pub fn status(options: &Options) -> Result<ExitCode, String> {
     for (name, at) in groups(options)? {
-        let decree = stands(&at)?;
-        let Some(record) = &decree.rollout else {
+        let state = committed_state(&at)?;
+        let Some(rollout) = &state.rollout else {
             anstream::println!("{} no rollout", style::head(format!("{name}:")));
             continue;
         };
-        let (id, author) = (record.id.short(), &record.author);
+        let (id, author) = (rollout.id.short(), &rollout.author);
         anstream::println!(
             "{} change {id} by {author}: {}",
             style::head(format!("{name}:")),
-            phase(record)
+            styled_phase(rollout)
         );
-        let names: Vec<String> = decree.policy.per_member.keys().cloned().collect();
-        let (seen, new) = (tallies(&at, &names), record.updated_members());
+        let names: Vec<String> = state.policy.per_member.keys().cloned().collect();
+        let (seen, new) = (member_metrics(&at, &names), rollout.updated_members());
         let mut table = style::table(&["stage", "member", "has", "notes"]);
-        for (n, stage) in record.stages.iter().enumerate() {
+        for (n, stage) in rollout.stages.iter().enumerate() {
             for member in stage.iter().filter(|m| seen.contains_key(*m)) {
                 let has = if new.contains(member.as_str()) {
                     "new"
@@ -119,16 +123,18 @@
                     "old"
                 };
                 let note = match &seen[member] {
-                    Ok(t) if t.group_version < decree.version => {
-                        "it has not learnt this yet".to_string()
+                    Ok(t) if t.group_version < state.version => {
+                        "has not learned the new state yet".to_string()
                     }
                     Ok(t) if !t.unfit_reason.is_empty() => t.unfit_reason.clone(),
-                    Ok(t) if !record.expects_program(member, &t.program) => {
-                        format!("still runs {}", runs(&t.program))
+                    Ok(t) if !rollout.expects_program(member, &t.program) => {
+                        format!("still runs {}", program_name(&t.program))
+                    }
+                    Ok(t) if rollout.changes_programs() => {
+                        format!("runs {}", program_name(&t.program))
                     }
-                    Ok(t) if record.changes_programs() => format!("runs {}", runs(&t.program)),
                     Ok(_) => String::new(),
-                    Err(why) => format!("away: {why}"),
+                    Err(reason) => format!("away: {reason}"),
                 };
                 table.add_row(vec![(n + 1).to_string(), member.clone(), has.into(), note]);
             }
@@ -138,32 +144,37 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// One group's line.
-fn line(name: &str, at: &Sockets, seen: &mut Seen, since: Instant) -> Result<(), String> {
-    let decree = stands(at)?;
-    let Some(record) = &decree.rollout else {
+/// Prints the status line of one group and records it for the report.
+fn print_line(
+    name: &str,
+    at: &Sockets,
+    seen: &mut WatchState,
+    start: Instant,
+) -> Result<(), String> {
+    let state = committed_state(at)?;
+    let Some(rollout) = &state.rollout else {
         return Err(format!("{name}: no rollout"));
     };
-    let (mut text, watch, mut standing) = (phase(record), &mut seen.watch, None);
-    if let RolloutPhase::Active { .. } = record.phase {
-        if watch.as_ref().is_none_or(|w| w.0 != decree.version) {
-            let fresh = StageMonitor::new(Rollout::clone(record), decree.version, clock::now());
-            *watch = Some((decree.version, fresh));
+    let (mut text, monitor, mut report) = (styled_phase(rollout), &mut seen.monitor, None);
+    if let RolloutPhase::Active { .. } = rollout.phase {
+        if monitor.as_ref().is_none_or(|w| w.0 != state.version) {
+            let fresh = StageMonitor::new(Rollout::clone(rollout), state.version, clock::now());
+            *monitor = Some((state.version, fresh));
         }
-        let names: Vec<String> = decree.policy.per_member.keys().cloned().collect();
-        if let Some((_, watch)) = watch {
-            // What it would decide is the driver's to decide.
-            let seen: Observations = tallies(at, &names)
+        let names: Vec<String> = state.policy.per_member.keys().cloned().collect();
+        if let Some((_, monitor)) = monitor {
+            // Only the member that drives the rollout acts on the monitor's decision.
+            let seen: Observations = member_metrics(at, &names)
                 .into_iter()
-                .map(|(name, tally)| (name, tally.ok()))
+                .map(|(name, metrics)| (name, metrics.ok()))
                 .collect();
-            let _ = watch.observe(clock::now(), &seen);
-            let s = watch.report();
-            let most = s
+            let _ = monitor.observe(clock::now(), &seen);
+            let s = monitor.report();
+            let worst = s
                 .measures
                 .iter()
                 .max_by(|a, b| a.wealth.total_cmp(&b.wealth));
-            let worst = most.map_or(String::new(), |worst| {
+            let worst = worst.map_or(String::new(), |worst| {
                 let (m, mean, stake) = (worst.measure, worst.mean, worst.wealth);
                 format!(
                     ", most doubtful: {m} {:+.2}% (stake {stake:.1})",
@@ -179,7 +190,7 @@
                 0 => String::new(),
                 _ => format!(", changing: {}", s.changing.join(", ")),
             };
-            standing = Some(s.clone());
+            report = Some(s.clone());
             text += &format!(
                 ": {} blocks, good {:.1} of {:.0}{worst}{away}{changing}",
                 s.blocks, s.good, s.needed
@@ -187,13 +198,13 @@
         }
     }
     anstream::println!("{} {text}", style::head(format!("{name}:")));
-    seen.page.note(
-        since.elapsed().as_secs_f64(),
-        words(record),
-        record.reason.clone(),
-        standing,
+    seen.page.add_sample(
+        start.elapsed().as_secs_f64(),
+        phase_text(rollout),
+        rollout.reason.clone(),
+        report,
     );
-    seen.end = match record.phase {
+    seen.result = match rollout.phase {
         RolloutPhase::Completed => Some(true),
         RolloutPhase::RolledBack | RolloutPhase::Paused { .. } => Some(false),
         RolloutPhase::Active { .. } | RolloutPhase::RollingBack { .. } => None,
@@ -204,38 +215,40 @@
 pub fn watch(options: &Watching) -> Result<ExitCode, String> {
     let groups = groups(&options.of)?;
     if options.page.is_some() && groups.len() > 1 {
-        return Err("a page is of one group: name the folder of one application".into());
+        return Err("--page is for one group: name the folder of one application".into());
     }
-    let mut all: Vec<Seen> = groups.iter().map(|_| Seen::default()).collect();
-    let since = Instant::now();
+    let mut states: Vec<WatchState> = groups.iter().map(|_| WatchState::default()).collect();
+    let start = Instant::now();
     loop {
-        let begun = Instant::now();
+        let started = Instant::now();
         for ((name, at), seen) in groups
             .iter()
-            .zip(&mut all)
-            .filter(|(_, seen)| seen.end.is_none())
+            .zip(&mut states)
+            .filter(|(_, seen)| seen.result.is_none())
         {
-            match line(name, at, seen, since) {
+            match print_line(name, at, seen, start) {
                 Ok(()) => {}
-                Err(why) if groups.len() == 1 && why.ends_with("no rollout") => return Err(why),
-                // Members come and go: as long as there is something to see, it is looked again.
-                Err(why) => anstream::eprintln!("{} {why}", style::doubtful("not known:")),
+                Err(reason) if groups.len() == 1 && reason.ends_with("no rollout") => {
+                    return Err(reason)
+                }
+                // Members may be unreachable for a while: retry at the next update.
+                Err(reason) => anstream::eprintln!("{} {reason}", style::doubtful("not known:")),
             }
         }
-        if all.iter().all(|seen| seen.end.is_some()) {
-            for ((name, _), seen) in groups.iter().zip(&all) {
+        if states.iter().all(|seen| seen.result.is_some()) {
+            for ((name, _), seen) in groups.iter().zip(&states) {
                 options
                     .page
                     .as_ref()
                     .map_or(Ok(()), |to| seen.page.write(name, to))?;
             }
-            let through = all.iter().all(|seen| seen.end == Some(true));
-            return Ok(if through {
+            let completed = states.iter().all(|seen| seen.result == Some(true));
+            return Ok(if completed {
                 ExitCode::SUCCESS
             } else {
-                ExitCode::from(NOT_THROUGH)
+                ExitCode::from(NOT_COMPLETED)
             });
         }
-        std::thread::sleep(EVERY.saturating_sub(begun.elapsed()));
+        std::thread::sleep(POLL_INTERVAL.saturating_sub(started.elapsed()));
     }
 }
--- a/crates/ctl/src/rollout/terms.rs
+++ b/crates/ctl/src/rollout/terms.rs
@@ -1,11 +1,11 @@
-//! The file that says in which stages a change goes through, and what is asked of each.
+//! Reads the rollout file: the stages of a rollout and its policy.
 
 use serde::Deserialize;
 use std::path::Path;
 use wrenfork_config::values::time;
 use wrenfork_rollout::{RolloutPolicy, StageScope};
 
-/// The only version of the form so far.
+/// The only format version.
 const VERSION: u32 = 1;
 
 #[derive(Deserialize)]
@@ -33,64 +33,64 @@
     let file: File = toml::from_str(text).map_err(|e| e.to_string())?;
     if file.version != VERSION || file.kind != "rollout" {
         return Err(format!(
-            "it must say version = {VERSION} and kind = \"rollout\""
+            "the file must have version = {VERSION} and kind = \"rollout\""
         ));
     }
-    let ms = |text: &Option<String>, key: &str, absent: u64| match text {
-        None => Ok(absent),
+    let ms = |text: &Option<String>, key: &str, default: u64| match text {
+        None => Ok(default),
         Some(text) => time(text)
             .map(|us| us / 1_000)
-            .map_err(|why| format!("{key}: {why}")),
+            .map_err(|reason| format!("{key}: {reason}")),
     };
-    let usual = RolloutPolicy::default();
-    let watch_ms = ms(&file.watch, "watch", usual.min_watch_ms)?;
-    let terms = RolloutPolicy {
+    let defaults = RolloutPolicy::default();
+    let watch_ms = ms(&file.watch, "watch", defaults.min_watch_ms)?;
+    let policy = RolloutPolicy {
         min_watch_ms: watch_ms,
         timeout_ms: ms(
             &file.patience,
             "patience",
-            usual.timeout_ms.max(10 * watch_ms),
+            defaults.timeout_ms.max(10 * watch_ms),
         )?,
-        rollback_interval_ms: ms(&file.pause, "pause", usual.rollback_interval_ms)?,
-        max_unavailable: file.away.unwrap_or(usual.max_unavailable),
+        rollback_interval_ms: ms(&file.pause, "pause", defaults.rollback_interval_ms)?,
+        max_unavailable: file.away.unwrap_or(defaults.max_unavailable),
         regression_ppm: file
             .worse
-            .map_or(Ok(usual.regression_ppm), |s| millionths(s, "worse"))?,
+            .map_or(Ok(defaults.regression_ppm), |s| millionths(s, "worse"))?,
         false_alarm_ppm: file
             .error
-            .map_or(Ok(usual.false_alarm_ppm), |s| millionths(s, "error"))?,
+            .map_or(Ok(defaults.false_alarm_ppm), |s| millionths(s, "error"))?,
     };
-    terms.validate().map_err(|error| error.to_string())?;
-    let reach = file
+    policy.validate().map_err(|error| error.to_string())?;
+    let scopes = file
         .stages
         .iter()
         .map(|s| s.parse::<StageScope>().map_err(|error| error.to_string()))
         .collect::<Result<Vec<_>, _>>()?;
-    Ok((reach, terms))
+    Ok((scopes, policy))
 }
 
-/// Reads the file.
+/// Reads and validates the rollout file.
 ///
 /// # Errors
 ///
-/// With what is wrong, and the file's name.
+/// With the file's name and the invalid field or syntax error.
 pub fn read(path: &Path) -> Result<(Vec<StageScope>, RolloutPolicy), String> {
-    let told = |why: String| format!("{}: {}", path.display(), why.trim_end());
-    let text = std::fs::read_to_string(path).map_err(|e| told(e.to_string()))?;
-    parse(&text).map_err(told)
+    let in_file = |reason: String| format!("{}: {}", path.display(), reason.trim_end());
+    let text = std::fs::read_to_string(path).map_err(|e| in_file(e.to_string()))?;
+    parse(&text).map_err(in_file)
 }
 
 #[cfg(test)]
 mod tests {
     use super::{parse, RolloutPolicy};
 
-    const GOOD: &str = include_str!("../../../../deploy/rollout.toml");
+    const VALID: &str = include_str!("../../../../deploy/rollout.toml");
 
     #[test]
-    fn the_file_that_ships_is_good_and_what_is_wrong_with_one_is_told() {
-        let (reach, terms) = parse(GOOD).unwrap();
-        assert_eq!((reach.len(), terms), (4, RolloutPolicy::default()));
-        for (good, bad, why) in [
+    fn shipped_file_is_valid_and_each_invalid_value_is_reported() {
+        let (scopes, policy) = parse(VALID).unwrap();
+        assert_eq!((scopes.len(), policy), (4, RolloutPolicy::default()));
+        for (valid, invalid, reason) in [
             ("version = 1", "version = 2", "version = 1"),
             (
                 "kind = \"rollout\"",
@@ -106,9 +106,9 @@
             ("away = 1", "away = -1", "away"),
             ("away = 1", "colour = 1", "unknown field"),
         ] {
-            assert!(GOOD.contains(good), "{good}");
-            let found = parse(&GOOD.replacen(good, bad, 1)).unwrap_err();
-            assert!(found.contains(why), "{bad}: {found}");
+            assert!(VALID.contains(valid), "{valid}");
+            let error = parse(&VALID.replacen(valid, invalid, 1)).unwrap_err();
+            assert!(error.contains(reason), "{invalid}: {error}");
         }
     }
 }
