--- a/crates/ctl/src/change/apply.rs
+++ b/crates/ctl/src/change/apply.rs
@@ -1,6 +1,6 @@
-//! `wrenctl apply`.
+//! `wrenctl apply`: applies a plan at all of its ingresses or at none, and resumes unfinished changes.
 
-use super::drive::{self, drive, End};
+use super::drive::{self, drive, Outcome as CommitOutcome};
 use super::folder::{self, Ingress};
 use super::{failed, micros, plan, show, span, UNFINISHED};
 use crate::group::decide::{self, decide, Outcome, Request};
@@ -50,13 +50,17 @@
     patience: Duration,
 }
 
-/// Whether it is meant: asked on a terminal, said with `--yes` elsewhere.
-pub fn meant(yes: bool) -> Result<(), String> {
+/// Confirms a change: with `--yes`, or by a prompt on a terminal.
+///
+/// # Errors
+///
+/// If the operator declines, or there is neither `--yes` nor a terminal.
+pub fn confirm(yes: bool) -> Result<(), String> {
     if yes {
         return Ok(());
     }
     if !std::io::stdin().is_terminal() {
-        return Err("nobody can be asked here: --yes makes the change unasked".into());
+        return Err("standard input is no terminal: confirm with --yes".into());
     }
     eprint!("Make this change? Only \"yes\" makes it: ");
     let mut line = String::new();
@@ -76,8 +80,8 @@
         .collect()
 }
 
-/// Whether a target still enforces what the plan was made from.
-fn still(plan: &Plan, target: &Target, enforces: &Generation) -> Result<(), String> {
+/// Checks that a target still enforces the generation that the plan was made from.
+fn check_base(plan: &Plan, target: &Target, enforces: &Generation) -> Result<(), String> {
     if *enforces == target.base {
         return Ok(());
     }
@@ -85,7 +89,7 @@
         return Err("this plan was applied here already".into());
     }
     Err(format!(
-        "it has moved: it enforces generation {} ({}), and the plan was made for {} ({}): make it anew",
+        "the plan is outdated: the ingress enforces generation {} ({}), and the plan was made for {} ({}): make a new plan",
         enforces.number,
         enforces.digest.short(),
         target.base.number,
@@ -93,42 +97,43 @@
     ))
 }
 
-/// Whether every ingress still enforces what the plan was made from; who is away of its groups.
-fn unmoved(plan: &Plan) -> Result<BTreeMap<String, String>, ExitCode> {
-    let (groups, rest) = parts(plan);
-    let (mut away, mut wrong) = (BTreeMap::new(), false);
+/// Checks that every ingress still enforces what the plan was made from. Returns the unreachable group members.
+fn check_bases(plan: &Plan) -> Result<BTreeMap<String, String>, ExitCode> {
+    let (groups, rest) = split_by_group(plan);
+    let (mut unreachable, mut failed_any) = (BTreeMap::new(), false);
     for (at, part) in &groups {
-        let stands = query_group(&members(at))
+        let current = query_group(&members(at))
             .and_then(|seen| Ok((seen.committed_state()?, seen.unreachable)));
-        match stands {
-            Ok((decree, gone)) => {
-                away.extend(
-                    gone.into_iter()
-                        .filter(|(name, _)| decree.membership.member(name).is_some()),
+        match current {
+            Ok((state, missing)) => {
+                unreachable.extend(
+                    missing
+                        .into_iter()
+                        .filter(|(name, _)| state.membership.member(name).is_some()),
                 );
-                if let Err(why) = follows(part, &decree, false) {
-                    failed(why);
-                    wrong = true;
+                if let Err(reason) = next_state(part, &state, false) {
+                    failed(reason);
+                    failed_any = true;
                 }
             }
-            Err(why) => {
-                failed(why);
-                wrong = true;
+            Err(reason) => {
+                failed(reason);
+                failed_any = true;
             }
         }
     }
-    let rest = alone_unmoved(&rest);
-    if wrong {
+    let rest = check_ungrouped(&rest);
+    if failed_any {
         return Err(ExitCode::FAILURE);
     }
-    rest.map(|()| away)
+    rest.map(|()| unreachable)
 }
 
 /// A group's part of a plan, with its members' sockets.
-pub type Part<'a> = (&'a BTreeMap<String, String>, Plan);
+pub type GroupPart<'a> = (&'a BTreeMap<String, String>, Plan);
 
-/// A plan's parts: that of each group, with its members' sockets, and that of ingresses which decide each for itself.
-pub fn parts(plan: &Plan) -> (Vec<Part<'_>>, Plan) {
+/// Splits a plan into the part of each group and that of the ingresses without a group.
+pub fn split_by_group(plan: &Plan) -> (Vec<GroupPart<'_>>, Plan) {
     let of =
         |group: &BTreeMap<String, String>| plan.restricted_to(|t| group.contains_key(&t.ingress));
     let groups = plan.groups.iter().map(|group| (group, of(group))).collect();
@@ -138,17 +143,21 @@
     )
 }
 
-/// What a target enforces as the plan was made for, and what the plan wants of it.
+/// The current and the wanted state of a group member.
+///
+/// # Errors
+///
+/// If the member has left the group or enforces another generation than the plan was made for.
 pub fn planned<'a>(
     part: &'a Plan,
     target: &Target,
-    stands: &GroupState,
+    current: &GroupState,
 ) -> Result<(State, &'a Arc<State>), String> {
     let name = &target.ingress;
-    let (enforces, state) = stands
+    let (enforces, state) = current
         .enforced_by(name)
-        .ok_or_else(|| format!("{name}: it is not in the roster any more: make the plan anew"))?;
-    still(part, target, &enforces).map_err(|why| format!("{name}: {why}"))?;
+        .ok_or_else(|| format!("{name} is no longer in the roster: make a new plan"))?;
+    check_base(part, target, &enforces).map_err(|reason| format!("{name}: {reason}"))?;
     let wanted = part
         .states
         .get(&target.wanted)
@@ -156,9 +165,9 @@
     Ok((state, wanted))
 }
 
-/// A group makes no other change while a rollout goes through it.
-pub fn none_under_way(stands: &GroupState) -> Result<(), String> {
-    let rollout = stands.rollout.as_ref().filter(|r| !r.phase.ended());
+/// Rejects a change while a rollout of the group is under way.
+pub fn check_no_rollout(current: &GroupState) -> Result<(), String> {
+    let rollout = current.rollout.as_ref().filter(|r| !r.phase.ended());
     rollout.map_or(Ok(()), |r| {
         let (author, phase) = (&r.author, &r.phase);
         Err(format!(
@@ -167,111 +176,112 @@
     })
 }
 
-/// The decree that a group's part of a plan wants behind the one that stands. Only where it is a part of the members on
-/// purpose may it say nothing of one, which goes on with what it has.
-fn follows(part: &Plan, stands: &GroupState, some: bool) -> Result<GroupState, String> {
-    none_under_way(stands)?;
+/// The group state that follows the current one by a group's part of a plan. With `partial`, members that the plan does not
+/// have keep their state; without it, such a member is an error.
+fn next_state(part: &Plan, current: &GroupState, partial: bool) -> Result<GroupState, String> {
+    check_no_rollout(current)?;
     let mut states: BTreeMap<String, Arc<State>> = BTreeMap::new();
     for target in &part.targets {
-        let (state, wanted) = planned(part, target, stands)?;
+        let (state, wanted) = planned(part, target, current)?;
         let (has, wants) = (state.0.get(PROGRAM_KEY), wanted.0.get(PROGRAM_KEY));
-        // What runs may be named; from then on it changes in stages.
+        // A plan may set the program for the first time; later changes of it need a rollout.
         if has.is_some() && wants.is_some() && has != wants {
             return Err(format!(
-                "{}: its program changes in stages: wrenctl rollout start",
+                "{}: a program is changed by a rollout: wrenctl rollout start",
                 target.ingress
             ));
         }
         states.insert(target.ingress.clone(), wanted.clone());
     }
-    for seat in &stands.membership.members {
+    for member in &current.membership.members {
         if let (false, Some((_, state))) = (
-            states.contains_key(&seat.name),
-            stands.enforced_by(&seat.name),
+            states.contains_key(&member.name),
+            current.enforced_by(&member.name),
         ) {
-            if !some {
+            if !partial {
                 return Err(format!(
-                    "{} has come into the roster since the plan was made: make it anew",
-                    seat.name
+                    "{} has joined the group since the plan was made: make a new plan",
+                    member.name
                 ));
             }
-            states.insert(seat.name.clone(), Arc::new(state));
+            states.insert(member.name.clone(), Arc::new(state));
         }
     }
-    let (number, policy) = (stands.version + 1, Policy::from_states(&states));
+    let (version, policy) = (current.version + 1, Policy::from_states(&states));
     Ok(GroupState::new(
-        number,
+        version,
         part.generation,
         part.id(),
         &part.author,
-        stands.membership.clone(),
+        current.membership.clone(),
         policy,
     ))
 }
 
-fn alone_unmoved(plan: &Plan) -> Result<(), ExitCode> {
+/// Checks the bases of the ingresses without a group.
+fn check_ungrouped(plan: &Plan) -> Result<(), ExitCode> {
     let controls: Vec<PathBuf> = sockets(plan).into_values().collect();
     let by_path: BTreeMap<&Path, Result<folder::Status, String>> = controls
         .iter()
         .map(PathBuf::as_path)
         .zip(folder::status(controls.iter().map(PathBuf::as_path)))
         .collect();
-    let mut wrong = false;
+    let mut failed_any = false;
     for target in &plan.targets {
         let status = by_path.get(Path::new(&target.control));
-        let why = match status {
-            Some(Ok(s)) => match still(plan, target, &s.generation) {
+        let reason = match status {
+            Some(Ok(s)) => match check_base(plan, target, &s.generation) {
                 Ok(()) => continue,
-                Err(why) => why,
+                Err(reason) => reason,
             },
-            Some(Err(why)) => format!(
-                "{why}; --leave-out {} applies it to the others",
+            Some(Err(reason)) => format!(
+                "{reason}; --leave-out {} applies it to the others",
                 target.ingress
             ),
-            None => "nothing says where its socket is".to_string(),
+            None => "its control socket is not known".to_string(),
         };
-        failed(format!("{}: {why}", target.ingress));
-        wrong = true;
+        failed(format!("{}: {reason}", target.ingress));
+        failed_any = true;
     }
-    if wrong {
+    if failed_any {
         Err(ExitCode::FAILURE)
     } else {
         Ok(())
     }
 }
 
-/// Makes a change, and tells how it ended.
-pub fn make(plan: &Plan, patience: Duration) -> ExitCode {
-    make_at(plan, false, patience)
+/// Applies a plan and prints the result.
+pub fn apply(plan: &Plan, patience: Duration) -> ExitCode {
+    apply_part(plan, false, patience)
 }
 
-/// The same; with `some` at some members of a group alone.
-fn make_at(plan: &Plan, some: bool, patience: Duration) -> ExitCode {
-    let (groups, rest) = parts(plan);
-    let mut made = Vec::new();
+/// Applies a plan. With `partial`, it may contain only some members of a group.
+fn apply_part(plan: &Plan, partial: bool, patience: Duration) -> ExitCode {
+    let (groups, rest) = split_by_group(plan);
+    let mut applied = Vec::new();
     for (at, part) in groups {
         let outcome = decide(
             &members(at),
-            &Request::Change(&|stands| follows(&part, stands, some)),
+            &Request::Change(&|current| next_state(&part, current, partial)),
             patience,
         );
         decide::print_outcome(&format!("change {}", part.id().short()), &outcome);
         let code = match outcome {
             Outcome::Committed(..) => {
-                made.push(part);
+                applied.push(part);
                 continue;
             }
             Outcome::Rejected(_) => ExitCode::FAILURE,
             Outcome::Unfinished => ExitCode::from(UNFINISHED),
         };
-        if !made.is_empty() {
-            let done: Vec<&str> = made
+        if !applied.is_empty() {
+            let done: Vec<&str> = applied
                 .iter()
-                .flat_map(|p| &p.targets)
+                .flat_map(|vote| &vote.targets)
                 .map(|t| t.ingress.as_str())
                 .collect();
             failed(format!(
-                "it was made at {} before: plan again for the rest",
+                "the change was already made at {}: make a new plan for the rest",
                 done.join(", ")
             ));
         }
@@ -280,22 +290,22 @@
     if rest.targets.is_empty() {
         return ExitCode::SUCCESS;
     }
-    alone(&rest, patience)
+    apply_ungrouped(&rest, patience)
 }
 
-/// Makes a change at ingresses that decide each for itself.
-fn alone(plan: &Plan, patience: Duration) -> ExitCode {
-    let mut applier = Coordinator::new(plan, micros());
-    let end = drive(&mut applier, &sockets(plan), patience);
-    drive::tell(&end, &applier);
-    code(&end)
+/// Applies a plan at ingresses without a group.
+fn apply_ungrouped(plan: &Plan, patience: Duration) -> ExitCode {
+    let mut coordinator = Coordinator::new(plan, micros());
+    let end = drive(&mut coordinator, &sockets(plan), patience);
+    drive::print_outcome(&end, &coordinator);
+    exit_code(&end)
 }
 
-fn code(end: &End) -> ExitCode {
+fn exit_code(end: &CommitOutcome) -> ExitCode {
     match end {
-        End::Made(_) => ExitCode::SUCCESS,
-        End::GivenUp => ExitCode::FAILURE,
-        End::Overtaken | End::Unfinished(_) => ExitCode::from(UNFINISHED),
+        CommitOutcome::Committed(_) => ExitCode::SUCCESS,
+        CommitOutcome::Aborted => ExitCode::FAILURE,
+        CommitOutcome::Superseded | CommitOutcome::Unfinished(_) => ExitCode::from(UNFINISHED),
     }
 }
 
@@ -328,47 +338,49 @@
     } else {
         plan.restricted_to(|t| !options.leave_out.contains(&t.ingress))
     };
-    let away = unmoved(&plan)?;
+    let unreachable = check_bases(&plan)?;
     show::text(&plan);
-    show::away(&away);
-    meant(options.yes).map_err(failed)?;
+    show::away(&unreachable);
+    confirm(options.yes).map_err(failed)?;
     match options.canary {
         Some(first) if first < plan.targets.len() && first > 0 => {
-            canary(&plan, first, &away, options)
+            canary(&plan, first, &unreachable, options)
         }
-        _ => Ok(make(&plan, options.patience)),
+        _ => Ok(apply(&plan, options.patience)),
     }
 }
 
-/// The sum of the figures of some ingresses.
-fn figures(plan: &Plan) -> Result<IngressMetrics, ExitCode> {
+/// The summed metrics of the ingresses of a plan.
+fn total_metrics(plan: &Plan) -> Result<IngressMetrics, ExitCode> {
     let mut sum = IngressMetrics::default();
     for (target, status) in plan.targets.iter().zip(folder::status(
         plan.targets.iter().map(|t| Path::new(&t.control)),
     )) {
-        let status = status.map_err(|why| failed(format!("{}: {why}", target.ingress)))?;
-        sum.merge(&status.figures);
+        let status = status.map_err(|reason| failed(format!("{}: {reason}", target.ingress)))?;
+        sum.merge(&status.metrics);
     }
     Ok(sum)
 }
 
-fn watched(plan: &Plan, span: Duration) -> Result<IngressMetrics, ExitCode> {
-    let before = figures(plan)?;
+/// The metrics counted while the ingresses are watched for a duration.
+fn watch(plan: &Plan, span: Duration) -> Result<IngressMetrics, ExitCode> {
+    let before = total_metrics(plan)?;
     std::thread::sleep(span);
-    Ok(figures(plan)?.since(&before))
+    Ok(total_metrics(plan)?.since(&before))
 }
 
-/// Makes a change at the first ingresses, watches them, and makes it at the others if these do no worse; else takes it back.
+/// Applies a plan at the first ingresses and watches them. If their failure ratio has not grown by more than allowed, applies
+/// it at the others, else reverts it.
 fn canary(
     plan: &Plan,
     first: usize,
-    away: &BTreeMap<String, String>,
+    unreachable: &BTreeMap<String, String>,
     options: &Options,
 ) -> Result<ExitCode, ExitCode> {
     let names: Vec<&str> = plan
         .targets
         .iter()
-        .filter(|t| !away.contains_key(&t.ingress))
+        .filter(|t| !unreachable.contains_key(&t.ingress))
         .take(first)
         .map(|t| t.ingress.as_str())
         .collect();
@@ -379,17 +391,17 @@
         names.join(", "),
         options.watch
     );
-    let before = watched(&part, options.watch)?;
-    let made = make_at(&part, true, options.patience);
-    if made != ExitCode::SUCCESS {
-        return Ok(made);
+    let before = watch(&part, options.watch)?;
+    let applied = apply_part(&part, true, options.patience);
+    if applied != ExitCode::SUCCESS {
+        return Ok(applied);
     }
     eprintln!(
         "watching {} for {:?} after the change",
         names.join(", "),
         options.watch
     );
-    let after = watched(&part, options.watch)?;
+    let after = watch(&part, options.watch)?;
     let (was, is) = (before.failure_ratio(), after.failure_ratio());
     let mut table = style::table(&["", "served", "refused", "failed", "lost"]);
     for (when, f) in [("before", &before), ("after", &after)] {
@@ -404,33 +416,33 @@
     }
     println!("{table}");
     if is > was + options.most_lost {
-        let why = format!("{:.1}% lost in place of {:.1}%", is * 100.0, was * 100.0);
-        anstream::eprintln!("{} {why}: taking it back", style::bad("canary:"));
-        let back = back(&part)?;
-        let taken = make_at(&back, true, options.patience);
-        return Ok(if taken == ExitCode::SUCCESS {
+        let reason = format!("{:.1}% lost in place of {:.1}%", is * 100.0, was * 100.0);
+        anstream::eprintln!("{} {reason}: taking it back", style::bad("canary:"));
+        let back = revert_plan(&part)?;
+        let reverted = apply_part(&back, true, options.patience);
+        return Ok(if reverted == ExitCode::SUCCESS {
             ExitCode::FAILURE
         } else {
-            taken
+            reverted
         });
     }
-    Ok(make_at(&behind(&part, rest), true, options.patience))
+    Ok(apply_part(&rebase(&part, rest), true, options.patience))
 }
 
-/// The rest of a plan once its first part is made. A group numbers what all of it enforces: its members that were not among
-/// the first enforce the same as before, under the first part's number.
-fn behind(part: &Plan, mut rest: Plan) -> Plan {
-    let grouped = |name: &str| part.groups.iter().any(|g| g.contains_key(name));
-    let any = rest.targets.iter().any(|t| grouped(&t.ingress));
-    for target in rest.targets.iter_mut().filter(|t| grouped(&t.ingress)) {
+/// Adapts the rest of a plan after its first part was applied. A generation belongs to a whole group: its other members have
+/// the same state as before, under the first part's generation.
+fn rebase(part: &Plan, mut rest: Plan) -> Plan {
+    let in_group = |name: &str| part.groups.iter().any(|g| g.contains_key(name));
+    let any = rest.targets.iter().any(|t| in_group(&t.ingress));
+    for target in rest.targets.iter_mut().filter(|t| in_group(&t.ingress)) {
         target.base.number = part.generation;
     }
     rest.generation += u64::from(any);
     rest
 }
 
-/// The plan that undoes one that was just made.
-fn back(plan: &Plan) -> Result<Plan, ExitCode> {
+/// The plan that reverts one that was just applied.
+fn revert_plan(plan: &Plan) -> Result<Plan, ExitCode> {
     let has = folder::status(plan.targets.iter().map(|t| Path::new(&t.control)));
     let has = has
         .into_iter()
@@ -441,16 +453,16 @@
         control: PathBuf::from(&t.control),
         wanted: Pairs::new().into(),
     });
-    let grouped = |name: &str| plan.groups.iter().any(|g| g.contains_key(name));
-    let numbers = |n: usize| plan.targets.get(n).map_or(0, |t| t.base.number);
-    let was = folder::recall(
+    let in_group = |name: &str| plan.groups.iter().any(|g| g.contains_key(name));
+    let generation_of = |n: usize| plan.targets.get(n).map_or(0, |t| t.base.number);
+    let was = folder::past_states(
         ingresses.collect(),
         &has,
         &BTreeMap::new(),
-        grouped,
-        numbers,
+        in_group,
+        generation_of,
     )?;
-    let made = plan::make(
+    let applied = plan::make(
         PlanHeader {
             author: plan.author.clone(),
             made_at: micros(),
@@ -460,10 +472,10 @@
         has,
         plan.groups.clone(),
     )?;
-    made.ok_or_else(|| failed("there is nothing to take back"))
+    applied.ok_or_else(|| failed("there is nothing to revert"))
 }
 
-/// Ends what was begun. The ingresses are those of a plan, or of a folder's files.
+/// Completes or aborts unfinished changes at the ingresses of a plan or of a folder.
 fn resume(from: &Path, patience: Duration) -> Result<ExitCode, ExitCode> {
     let mut changes: BTreeMap<Digest, Vec<String>> = BTreeMap::new();
     let (mut at, groups): (BTreeMap<String, PathBuf>, Vec<Sockets>) = if from.is_dir() {
@@ -485,16 +497,16 @@
         (sockets(&plan), plan.groups.iter().map(members).collect())
     };
     at.retain(|name, _| groups.iter().all(|g| !g.contains_key(name)));
-    let mut worst = ExitCode::SUCCESS;
+    let mut code = ExitCode::SUCCESS;
     for group in &groups {
         let outcome = decide(group, &Request::Recover, patience);
         decide::print_outcome("nothing is left undecided", &outcome);
         if !matches!(outcome, Outcome::Committed(..)) {
-            worst = ExitCode::from(UNFINISHED);
+            code = ExitCode::from(UNFINISHED);
         }
     }
     if at.is_empty() {
-        return Ok(worst);
+        return Ok(code);
     }
     for ((name, _), status) in at
         .iter()
@@ -502,11 +514,13 @@
     {
         match status {
             Ok(status) => {
-                if let Some(p) = status.promise {
-                    changes.entry(p.change).or_insert(p.members);
+                if let Some(vote) = status.prepared {
+                    changes.entry(vote.change).or_insert(vote.members);
                 }
             }
-            Err(why) => anstream::eprintln!("{} {name}: {why}", style::doubtful("not asked:")),
+            Err(reason) => {
+                anstream::eprintln!("{} {name}: {reason}", style::doubtful("not asked:"))
+            }
         }
     }
     if changes.is_empty() {
@@ -514,16 +528,19 @@
             "{} no ingress that answers has promised a change",
             style::good("nothing to resume:")
         );
-        return Ok(worst);
+        return Ok(code);
     }
     for (change, members) in changes {
-        let mut applier = Coordinator::recover(change, members, micros());
-        let end = drive(&mut applier, &at, patience);
-        drive::tell(&end, &applier);
-        // Given up is an end as good as another here.
-        if matches!(end, End::Overtaken | End::Unfinished(_)) {
-            worst = code(&end);
+        let mut coordinator = Coordinator::recover(change, members, micros());
+        let end = drive(&mut coordinator, &at, patience);
+        drive::print_outcome(&end, &coordinator);
+        // An aborted change counts as success here.
+        if matches!(
+            end,
+            CommitOutcome::Superseded | CommitOutcome::Unfinished(_)
+        ) {
+            code = exit_code(&end);
         }
     }
-    Ok(worst)
+    Ok(code)
 }
--- a/crates/ctl/src/change/drive.rs
+++ b/crates/ctl/src/change/drive.rs
@@ -1,4 +1,4 @@
-//! Carries an applier's asks to the ingresses and their answers back, until the change has ended or time is over.
+//! Runs a commit coordinator: sends its requests to the ingresses until the change has ended or the timeout expires.
 
 use crate::style;
 use std::collections::BTreeMap;
@@ -11,50 +11,54 @@
 use wrenfork_control_plane::client;
 use wrenfork_control_plane::failpoints::Failpoints;
 
-/// Asks that are under way at once.
-const MOST_AT_ONCE: usize = 32;
-/// How long one ask may take; the disk may be slow.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Between two tries at those that did not answer.
-const AGAIN: Duration = Duration::from_millis(200);
+/// Maximum number of concurrent requests.
+const MAX_CONCURRENT: usize = 32;
+/// Timeout of one request; the ingress syncs to disk before it answers.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay before ingresses that did not answer are asked again.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Asks many at once; their answers, in the same order.
-pub fn ask_all(
-    asks: Vec<(PathBuf, CommitRequest)>,
-    patience: Duration,
+/// Sends requests concurrently and returns the responses in the same order.
+pub fn request_all(
+    requests: Vec<(PathBuf, CommitRequest)>,
+    timeout: Duration,
 ) -> Vec<Result<CommitResponse, String>> {
-    let mut answers = Vec::with_capacity(asks.len());
-    for some in asks.chunks(MOST_AT_ONCE) {
+    let mut answers = Vec::with_capacity(requests.len());
+    for chunk in requests.chunks(MAX_CONCURRENT) {
         std::thread::scope(|scope| {
-            let asked: Vec<_> = some
+            let pending: Vec<_> = chunk
                 .iter()
-                .map(|(at, ask)| {
+                .map(|(at, request)| {
                     scope.spawn(move || {
-                        client::request(at, ask, patience).map_err(|error| error.to_string())
+                        client::request(at, request, timeout).map_err(|error| error.to_string())
                     })
                 })
                 .collect();
-            for one in asked {
-                answers.push(one.join().unwrap_or_else(|_| Err("the ask ended".into())));
+            for handle in pending {
+                answers.push(
+                    handle
+                        .join()
+                        .unwrap_or_else(|_| Err("the request thread panicked".into())),
+                );
             }
         });
     }
     answers
 }
 
-/// How a change ended.
-pub enum End {
-    /// Every member has made the switch. For how long, at the most, some had made it and some had not.
-    Made(Duration),
-    /// Every member has forgotten it.
-    GivenUp,
-    /// Somebody else decides it.
-    Overtaken,
-    /// These have not been told what was decided.
+/// Result of driving a change.
+pub enum Outcome {
+    /// All members have switched; with an upper bound of the time in which only some had.
+    Committed(Duration),
+    /// All members have dropped the change.
+    Aborted,
+    /// Another coordinator has taken over the change.
+    Superseded,
+    /// These members have not confirmed the decision yet, if there is one; with the reasons.
     Unfinished(Vec<String>),
 }
 
-/// Tells of progress, on standard error: results are on standard output.
+/// Shows progress on standard error, as a bar on a terminal and as lines elsewhere. Results go to standard output.
 struct Progress {
     bar: Option<indicatif::ProgressBar>,
     phase: &'static str,
@@ -68,21 +72,21 @@
         Progress { bar, phase: "" }
     }
 
-    fn tell(&mut self, applier: &Coordinator) {
-        let phase = match applier.phase {
-            CommitPhase::Preparing => "promises",
-            CommitPhase::Fencing => "asking how it stands",
-            CommitPhase::Deciding(Decision::Commit) => "switches",
-            CommitPhase::Deciding(Decision::Abort) => "giving up",
+    fn update(&mut self, coordinator: &Coordinator) {
+        let phase = match coordinator.phase {
+            CommitPhase::Preparing => "preparing",
+            CommitPhase::Fencing => "fencing",
+            CommitPhase::Deciding(Decision::Commit) => "committing",
+            CommitPhase::Deciding(Decision::Abort) => "aborting",
             CommitPhase::Ended(_) | CommitPhase::Superseded => return,
         };
-        let answered = applier.members.iter().filter(|m| m.answered).count();
+        let answered = coordinator.members.iter().filter(|m| m.answered).count();
         if let Some(bar) = &self.bar {
-            bar.set_length(applier.members.len() as u64);
+            bar.set_length(coordinator.members.len() as u64);
             bar.set_message(phase);
             bar.set_position(answered as u64);
         } else if self.phase != phase {
-            eprintln!("{phase}: {} ingresses", applier.members.len());
+            eprintln!("{phase}: {} ingresses", coordinator.members.len());
         }
         self.phase = phase;
     }
@@ -96,126 +100,133 @@
     }
 }
 
-/// Drives a change to its end; `at` has the control sockets of the members by name.
-pub fn drive(applier: &mut Coordinator, at: &BTreeMap<String, PathBuf>, patience: Duration) -> End {
+/// Drives a change to its end; `sockets` has the control sockets of the members by name.
+pub fn drive(
+    coordinator: &mut Coordinator,
+    sockets: &BTreeMap<String, PathBuf>,
+    timeout: Duration,
+) -> Outcome {
     let (failpoints, start) = (Failpoints::from_env(), Instant::now());
     let mut progress = Progress::new();
     let mut first_switch = None;
-    let mut why: BTreeMap<String, String> = BTreeMap::new();
+    let mut reasons: BTreeMap<String, String> = BTreeMap::new();
     failpoints.hit("apply", "begun");
     loop {
-        progress.tell(applier);
-        let phase = applier.phase.clone();
+        progress.update(coordinator);
+        let phase = coordinator.phase.clone();
         match phase {
             CommitPhase::Ended(Decision::Commit) => {
-                return End::Made(first_switch.map_or(Duration::ZERO, |t: Instant| t.elapsed()))
+                return Outcome::Committed(
+                    first_switch.map_or(Duration::ZERO, |t: Instant| t.elapsed()),
+                )
             }
-            CommitPhase::Ended(Decision::Abort) => return End::GivenUp,
-            CommitPhase::Superseded => return End::Overtaken,
+            CommitPhase::Ended(Decision::Abort) => return Outcome::Aborted,
+            CommitPhase::Superseded => return Outcome::Superseded,
             CommitPhase::Deciding(Decision::Commit) => {
                 first_switch = first_switch.or(Some(Instant::now()))
             }
             _ => {}
         }
-        let mut asked = Vec::new();
-        let mut asks = Vec::new();
-        for member in 0..applier.members.len() {
-            let Some(ask) = applier.next_request(member) else {
+        let mut pending = Vec::new();
+        let mut requests = Vec::new();
+        for member in 0..coordinator.members.len() {
+            let Some(request) = coordinator.next_request(member) else {
                 continue;
             };
-            let Some(path) = at.get(&applier.members[member].ingress) else {
-                why.insert(
-                    applier.members[member].ingress.clone(),
-                    "nothing says where its socket is".into(),
+            let Some(path) = sockets.get(&coordinator.members[member].ingress) else {
+                reasons.insert(
+                    coordinator.members[member].ingress.clone(),
+                    "its control socket is not known".into(),
                 );
                 continue;
             };
-            asked.push(member);
-            asks.push((path.clone(), ask));
+            pending.push(member);
+            requests.push((path.clone(), request));
         }
-        // One after the other where a test ends this process in between.
-        let answers = asks
+        // With failpoints set, requests are sent one by one, so that a test can end this process between two of them.
+        let answers = requests
             .chunks(if failpoints.is_set() { 1 } else { usize::MAX })
-            .flat_map(|some| {
+            .flat_map(|chunk| {
                 failpoints.hit("apply", "asking");
-                let answers = ask_all(some.to_vec(), PATIENCE);
+                let answers = request_all(chunk.to_vec(), REQUEST_TIMEOUT);
                 failpoints.hit("apply", "answered");
                 answers
             });
         let answers: Vec<_> = answers.collect();
-        let mut silent = asked.is_empty();
-        for (member, answer) in asked.into_iter().zip(answers) {
-            if let Err(what) | Ok(CommitResponse::Unavailable { reason: what }) = &answer {
-                silent = true;
-                why.insert(applier.members[member].ingress.clone(), what.clone());
+        let mut retry = pending.is_empty();
+        for (member, answer) in pending.into_iter().zip(answers) {
+            if let Err(reason) | Ok(CommitResponse::Unavailable { reason }) = &answer {
+                retry = true;
+                reasons.insert(coordinator.members[member].ingress.clone(), reason.clone());
             }
-            if applier.phase == phase {
-                applier.handle_response(member, answer.ok());
+            if coordinator.phase == phase {
+                coordinator.handle_response(member, answer.ok());
             }
         }
-        if applier.phase != phase {
+        if coordinator.phase != phase {
             failpoints.hit("apply", "decided");
             continue;
         }
-        let left: Vec<&str> = applier
+        let missing: Vec<&str> = coordinator
             .members
             .iter()
             .filter(|m| !m.answered)
             .map(|m| m.ingress.as_str())
             .collect();
-        if !left.is_empty() && start.elapsed() > patience {
-            let told = |name: &str| {
-                why.get(name)
-                    .map_or(name.to_string(), |why| format!("{name} ({why})"))
+        if !missing.is_empty() && start.elapsed() > timeout {
+            let with_reason = |name: &str| {
+                reasons
+                    .get(name)
+                    .map_or(name.to_string(), |reasons| format!("{name} ({reasons})"))
             };
-            return End::Unfinished(left.into_iter().map(told).collect());
+            return Outcome::Unfinished(missing.into_iter().map(with_reason).collect());
         }
-        if silent {
-            std::thread::sleep(AGAIN);
+        if retry {
+            std::thread::sleep(RETRY_DELAY);
         }
     }
 }
 
-/// Tells people how a change ended.
-pub fn tell(end: &End, applier: &Coordinator) {
+/// Prints how a change ended.
+pub fn print_outcome(outcome: &Outcome, coordinator: &Coordinator) {
     for MemberReason {
         member: name,
-        reason: why,
-    } in &applier.rejections
+        reason,
+    } in &coordinator.rejections
     {
-        anstream::eprintln!("  {name}: {why}");
+        anstream::eprintln!("  {name}: {reason}");
     }
-    match end {
-        End::Made(mixed) => anstream::println!(
+    match outcome {
+        Outcome::Committed(mixed_time) => anstream::println!(
             "{} change {} at {} ingresses; two generations side by side for at most {} ms",
             style::good("made:"),
-            applier.change.short(),
-            applier.members.len(),
-            mixed.as_millis()
+            coordinator.change.short(),
+            coordinator.members.len(),
+            mixed_time.as_millis()
         ),
-        End::GivenUp => anstream::eprintln!(
+        Outcome::Aborted => anstream::eprintln!(
             "{} change {}: nothing has changed at any ingress",
             style::bad("given up:"),
-            applier.change.short()
+            coordinator.change.short()
         ),
-        End::Overtaken => anstream::eprintln!(
-            "{} change {}: somebody else decides it; wrenctl history tells how it ended",
+        Outcome::Superseded => anstream::eprintln!(
+            "{} change {}: another wrenctl decides it; wrenctl history shows the result",
             style::doubtful("overtaken:"),
-            applier.change.short()
+            coordinator.change.short()
         ),
-        End::Unfinished(left) => {
-            let decided = match applier.phase {
-                CommitPhase::Deciding(Decision::Commit) => "it is made, and ",
+        Outcome::Unfinished(missing) => {
+            let decided = match coordinator.phase {
+                CommitPhase::Deciding(Decision::Commit) => "it is committed, but ",
                 CommitPhase::Deciding(Decision::Abort) => {
-                    "it is given up and nothing has changed, but "
+                    "it is aborted and nothing has changed, but "
                 }
                 _ => "",
             };
             anstream::eprintln!(
-                "{} change {}: {decided}not told yet: {}; when they are back, run wrenctl apply --resume",
+                "{} change {}: {decided}not confirmed yet by: {}; when they are back, run wrenctl apply --resume",
                 style::doubtful("unfinished:"),
-                applier.change.short(),
-                left.join(", ")
+                coordinator.change.short(),
+                missing.join(", ")
             );
         }
     }
--- a/crates/ctl/src/change/folder.rs
+++ b/crates/ctl/src/change/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of files: the ingresses that it describes, and what each is to enforce.
+//! Reads a folder of configuration files: the ingresses that it describes and the state that each should enforce.
 
 use super::drive;
 use crate::config::print;
@@ -15,33 +15,33 @@
 use wrenfork_config::group::{self, Group};
 use wrenfork_config::set::Set;
 
-/// How long an ingress may take to say what it enforces.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout for asking an ingress for its state.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// States that are asked for at once.
-const STATES_AT_ONCE: usize = 4;
+/// Number of states requested concurrently. Limits memory, as each may be several megabytes.
+const MAX_CONCURRENT_STATES: usize = 4;
 
-/// The same state once: the sidecars of an application are to enforce the same.
-fn shared(all: &mut Vec<Arc<Pairs>>, one: Pairs) -> Arc<Pairs> {
-    if let Some(same) = all.iter().find(|known| ***known == one) {
+/// Deduplicates states: the sidecars of an application usually have equal ones.
+fn shared(all: &mut Vec<Arc<Pairs>>, state: Pairs) -> Arc<Pairs> {
+    if let Some(same) = all.iter().find(|known| ***known == state) {
         return same.clone();
     }
-    all.push(Arc::new(one));
+    all.push(Arc::new(state));
     all[all.len() - 1].clone()
 }
 
-/// An ingress, and what it is to enforce.
+/// An ingress, its control socket and the state that it should enforce.
 pub struct Ingress {
     pub name: String,
     pub control: PathBuf,
     pub wanted: Arc<Pairs>,
 }
 
-/// What a folder's files describe.
+/// The ingresses and groups of a folder's files.
 pub struct Files {
-    /// The ingresses with a control socket, by name.
+    /// The ingresses that have a control socket, ordered by name.
     pub ingresses: Vec<Ingress>,
-    /// The groups that decide by a majority, by their application's name.
+    /// The groups that decide by a majority, by application name.
     pub groups: BTreeMap<String, Group>,
 }
 
@@ -54,17 +54,17 @@
     }
 }
 
-/// What an ingress says of itself.
+/// The status that an ingress reports.
 #[derive(Clone)]
 pub struct Status {
     pub generation: Generation,
     pub state: Arc<State>,
-    pub promise: Option<PreparedVote>,
-    pub figures: IngressMetrics,
+    pub prepared: Option<PreparedVote>,
+    pub metrics: IngressMetrics,
 }
 
-/// The files of a folder that are read: those in it, not those below it.
-fn files(folder: &Path) -> Result<Vec<PathBuf>, String> {
+/// The `.toml` and `.json` files directly in a folder.
+fn list_files(folder: &Path) -> Result<Vec<PathBuf>, String> {
     let told = |e: std::io::Error| format!("{}: {e}", folder.display());
     let all = std::fs::read_dir(folder).map_err(told)?;
     let mut files = Vec::new();
@@ -77,32 +77,32 @@
     files.sort();
     if files.is_empty() {
         return Err(format!(
-            "{}: there are no files of a site here (*.toml)",
+            "{}: no configuration files (*.toml, *.json) in this folder",
             folder.display()
         ));
     }
     Ok(files)
 }
 
-/// What a folder's files describe; ingresses without a control socket are not among them.
+/// Reads the files of a folder. Ingresses without a control socket are skipped.
 ///
 /// # Errors
 ///
-/// With the exit code, where the files are refused or describe none; why has been told.
+/// With the exit code, if the files have errors or describe no ingress. The reason has been printed.
 pub fn read(folder: &Path) -> Result<Files, ExitCode> {
-    let set = Set::read(files(folder).map_err(super::failed)?);
+    let set = Set::read(list_files(folder).map_err(super::failed)?);
     if set.refused() {
         print::text(&set);
         return Err(ExitCode::FAILURE);
     }
     let Some(site) = set.site() else {
         return Err(super::failed(format!(
-            "{}: there is no site's file",
+            "{}: no site file in this folder",
             folder.display()
         )));
     };
     let fleet = set.fleet().map(|f| f.content);
-    let (mut found, mut all) = (Vec::<Ingress>::new(), Vec::new());
+    let (mut ingresses, mut all) = (Vec::<Ingress>::new(), Vec::new());
     let mut groups = BTreeMap::new();
     for app in set.applications() {
         if let Some(group) = group::group(app.content) {
@@ -113,83 +113,86 @@
                 continue;
             };
             let name = &sidecar.name.value;
-            let (_, told) =
+            let (_, enforced_state) =
                 enforced::sidecar(app.content, site.content, fleet, name).map_err(super::failed)?;
-            found.push(Ingress {
+            ingresses.push(Ingress {
                 name: app.content.member_name(name),
                 control: PathBuf::from(&control.value),
-                wanted: shared(&mut all, told.state),
+                wanted: shared(&mut all, enforced_state.state),
             });
         }
     }
-    if found.is_empty() {
+    if ingresses.is_empty() {
         return Err(super::failed(format!(
             "{}: no sidecar has a control socket: give each one `control = \"/path\"`",
             folder.display()
         )));
     }
-    found.sort_by(|a, b| a.name.cmp(&b.name));
-    Ok(Files {
-        ingresses: found,
-        groups,
-    })
+    ingresses.sort_by(|a, b| a.name.cmp(&b.name));
+    Ok(Files { ingresses, groups })
 }
 
-/// Of what one enforces, the same for another: with the differences that there are between the two of them elsewhere.
-pub fn like(state: &Pairs, of: &Pairs, to: &Pairs) -> Pairs {
-    let mut made = state.clone();
-    made.retain(|key, _| !of.contains_key(key) || to.contains_key(key));
-    let differs = to.iter().filter(|(k, v)| of.get(*k) != Some(v));
-    made.extend(differs.map(|(k, v)| (k.clone(), v.clone())));
-    made
+/// Converts the state of one ingress to that of another, by applying the differences between `from` and `to`: two states
+/// of the same ingresses from another source.
+pub fn transfer(state: &Pairs, from: &Pairs, to: &Pairs) -> Pairs {
+    let mut result = state.clone();
+    result.retain(|key, _| !from.contains_key(key) || to.contains_key(key));
+    let differs = to.iter().filter(|(k, v)| from.get(*k) != Some(v));
+    result.extend(differs.map(|(k, v)| (k.clone(), v.clone())));
+    result
 }
 
-/// Ingresses that are to enforce again what each enforced under a number; `has` is what each enforces now. A member of a
-/// group that is away, or was when that was enforced, is to enforce what another member of its application did, with what
-/// is its own.
+/// Sets the wanted state of each ingress to the one that it enforced at an earlier generation; `has` is what each enforces
+/// now. For a group member that is unreachable, or was at that generation, it is derived from another member of its
+/// application.
 ///
 /// # Errors
 ///
-/// With the exit code, where it is not known any more; that has been told.
-pub fn recall(
+/// With the exit code, if a state is no longer known. The reason has been printed.
+pub fn past_states(
     ingresses: Vec<Ingress>,
     has: &[Status],
-    away: &BTreeMap<String, String>,
-    grouped: impl Fn(&str) -> bool,
-    numbers: impl Fn(usize) -> u64,
+    unreachable: &BTreeMap<String, String>,
+    in_group: impl Fn(&str) -> bool,
+    generation_of: impl Fn(usize) -> u64,
 ) -> Result<Vec<Ingress>, ExitCode> {
-    let there = ingresses
+    let reachable = ingresses
         .iter()
         .enumerate()
-        .filter(|(_, i)| !away.contains_key(&i.name));
-    let (places, asks): (Vec<usize>, Vec<_>) = there
+        .filter(|(_, i)| !unreachable.contains_key(&i.name));
+    let (indices, requests): (Vec<usize>, Vec<_>) = reachable
         .map(|(n, i)| {
             (
                 n,
                 (
                     i.control.clone(),
                     CommitRequest::FetchGeneration {
-                        generation: numbers(n),
+                        generation: generation_of(n),
                     },
                 ),
             )
         })
         .unzip();
-    let answers = drive::ask_all(asks, PATIENCE);
+    let answers = drive::request_all(requests, REQUEST_TIMEOUT);
     let mut known: BTreeMap<usize, Arc<Pairs>> = BTreeMap::new();
-    let mut missing: BTreeMap<usize, String> = away
+    let mut missing: BTreeMap<usize, String> = unreachable
         .iter()
-        .filter_map(|(name, why)| {
-            Some((ingresses.iter().position(|i| i.name == *name)?, why.clone()))
+        .filter_map(|(name, reason)| {
+            Some((
+                ingresses.iter().position(|i| i.name == *name)?,
+                reason.clone(),
+            ))
         })
         .collect();
-    for (n, answer) in places.into_iter().zip(answers) {
+    for (n, answer) in indices.into_iter().zip(answers) {
         match answer {
             Ok(CommitResponse::PastGeneration { state, .. }) => {
                 drop(known.insert(n, Arc::new(state.0.clone())))
             }
-            Ok(CommitResponse::Rejected { reason: why }) | Err(why) => drop(missing.insert(n, why)),
-            Ok(_) => drop(missing.insert(n, "it answers something else".into())),
+            Ok(CommitResponse::Rejected { reason }) | Err(reason) => {
+                drop(missing.insert(n, reason))
+            }
+            Ok(_) => drop(missing.insert(n, "unexpected response".into())),
         }
     }
     let application = |n: usize| {
@@ -200,37 +203,37 @@
             .unwrap_or("")
             .to_string()
     };
-    for (n, why) in missing {
+    for (n, reason) in missing {
         let name = &ingresses[n].name;
         let other = known
             .iter()
             .find(|(other, _)| application(**other) == application(n));
-        let Some((other, state)) = other.filter(|_| grouped(name)) else {
-            return Err(super::failed(format!("{name}: {why}")));
+        let Some((other, state)) = other.filter(|_| in_group(name)) else {
+            return Err(super::failed(format!("{name}: {reason}")));
         };
-        let state = like(state, &has[*other].state.0, &has[n].state.0);
+        let state = transfer(state, &has[*other].state.0, &has[n].state.0);
         known.insert(n, Arc::new(state));
     }
-    let was = ingresses
+    let restored = ingresses
         .into_iter()
         .enumerate()
         .filter_map(|(n, ingress)| {
             let wanted = known.remove(&n)?;
             Some(Ingress { wanted, ..ingress })
         });
-    Ok(was.collect())
+    Ok(restored.collect())
 }
 
-/// Asks ingresses, all at once, what they enforce.
+/// Requests the status of ingresses. Equal states are shared.
 pub fn status<'a>(at: impl IntoIterator<Item = &'a Path>) -> Vec<Result<Status, String>> {
-    let asks: Vec<_> = at
+    let requests: Vec<_> = at
         .into_iter()
         .map(|path| (path.to_path_buf(), CommitRequest::Status))
         .collect();
     let mut known: HashMap<Digest, Arc<State>> = HashMap::new();
-    // Some at once: each may be of some megabytes, and most are the same.
-    let answers = asks.chunks(STATES_AT_ONCE).flat_map(|some| {
-        let mut answers = drive::ask_all(some.to_vec(), PATIENCE);
+    // In chunks: each state may be several megabytes, and most are equal.
+    let answers = requests.chunks(MAX_CONCURRENT_STATES).flat_map(|chunk| {
+        let mut answers = drive::request_all(chunk.to_vec(), REQUEST_TIMEOUT);
         for answer in answers.iter_mut().flatten() {
             if let CommitResponse::Status {
                 generation, state, ..
@@ -248,17 +251,17 @@
         CommitResponse::Status {
             generation,
             state,
-            prepared: promise,
-            metrics: figures,
+            prepared,
+            metrics,
             ..
         } => Ok(Status {
             generation,
             state,
-            promise,
-            figures,
+            prepared,
+            metrics,
         }),
-        CommitResponse::Rejected { reason: why } => Err(why),
-        _ => Err("it answers something else".into()),
+        CommitResponse::Rejected { reason } => Err(reason),
+        _ => Err("unexpected response".into()),
     });
     read.collect()
 }
--- a/crates/ctl/src/change/history.rs
+++ b/crates/ctl/src/change/history.rs
@@ -1,4 +1,4 @@
-//! `wrenctl history`.
+//! `wrenctl history`: prints the change records of the ingresses.
 
 use super::{drive, failed, folder};
 use crate::config::Format;
@@ -29,7 +29,7 @@
     run(options, false).unwrap_or_else(|code| code)
 }
 
-/// The steps of rollouts alone, each once, by whoever told it first.
+/// Prints the records of rollout steps only. A step that several members recorded is shown once, with the oldest record.
 pub fn rollouts(options: &Options) -> ExitCode {
     run(options, true).unwrap_or_else(|code| code)
 }
@@ -37,7 +37,7 @@
 fn run(options: &Options, rollouts: bool) -> Result<ExitCode, ExitCode> {
     let files = folder::read(&options.folder)?;
     let ingresses = &files.ingresses;
-    let asks = ingresses.iter().map(|i| {
+    let requests = ingresses.iter().map(|i| {
         (
             i.control.clone(),
             CommitRequest::History {
@@ -45,21 +45,21 @@
             },
         )
     });
-    let answers = drive::ask_all(asks.collect(), Duration::from_secs(5));
+    let answers = drive::request_all(requests.collect(), Duration::from_secs(5));
     let (mut rows, mut code): (Vec<(String, AuditRecord)>, _) = (Vec::new(), ExitCode::SUCCESS);
     for (ingress, answer) in ingresses.iter().zip(answers) {
         match answer {
-            // The others have decided without it, and tell.
-            Err(why) if files.group_of(&ingress.name).is_some() => {
-                anstream::eprintln!("{} {}: {why}", style::doubtful("away:"), ingress.name);
+            // The other members of the group have the records of its changes.
+            Err(reason) if files.group_of(&ingress.name).is_some() => {
+                anstream::eprintln!("{} {}: {reason}", style::doubtful("away:"), ingress.name);
             }
             Ok(CommitResponse::Records { records }) => {
                 rows.extend(records.into_iter().map(|r| (ingress.name.clone(), r)))
             }
-            Ok(CommitResponse::Rejected { reason: why }) | Err(why) => {
-                code = failed(format!("{}: {why}", ingress.name))
+            Ok(CommitResponse::Rejected { reason }) | Err(reason) => {
+                code = failed(format!("{}: {reason}", ingress.name))
             }
-            Ok(_) => code = failed(format!("{}: it answers something else", ingress.name)),
+            Ok(_) => code = failed(format!("{}: unexpected response", ingress.name)),
         }
     }
     rows.sort_by_key(|(_, r)| r.at);
--- a/crates/ctl/src/change/plan.rs
+++ b/crates/ctl/src/change/plan.rs
@@ -1,4 +1,4 @@
-//! `wrenctl plan`.
+//! `wrenctl plan`: compares the files of a folder with the state of the ingresses, and writes the plan of a change.
 
 use super::folder::{self, Files, Ingress, Status};
 use super::{author, failed, micros, show, span, CHANGES};
@@ -44,82 +44,82 @@
     format: Format,
 }
 
-/// What stands at the ingresses that files describe.
-pub struct Found {
-    /// Those that can be planned for.
-    pub ingresses: Vec<Ingress>,
-    /// What each enforces, or is to enforce as soon as it is back.
+/// The current states of the ingresses that files describe.
+pub struct CurrentStates {
+    /// The ingresses that can be planned for.
+    pub planned: Vec<Ingress>,
+    /// The status of each, in the same order. For an unreachable group member it has the state of the group.
     pub has: Vec<Status>,
-    /// Members of groups that do not answer, and why.
-    pub away: BTreeMap<String, String>,
-    /// The sockets of the groups' members.
+    /// Group members that do not answer, with the reason.
+    pub unreachable: BTreeMap<String, String>,
+    /// Per group, the control socket of each member.
     pub groups: Vec<BTreeMap<String, String>>,
 }
 
-/// How often, and after which pause, it is looked again at a group that is deciding something.
-const LOOKS: u32 = 10;
-const LOOK_AGAIN: Duration = Duration::from_millis(300);
+/// Number of queries, and the delay between them, while a group has an undecided proposal.
+const MAX_QUERIES: u32 = 10;
+const QUERY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What stands in a group, once nothing is being decided there.
-fn settled(at: &Sockets) -> Result<(GroupView, Arc<GroupState>), String> {
-    for _ in 0..LOOKS {
+/// Queries a group until it has no undecided proposal.
+fn query_decided(at: &Sockets) -> Result<(GroupView, Arc<GroupState>), String> {
+    for _ in 0..MAX_QUERIES {
         let seen = query_group(at)?;
-        let stands = seen.committed_state()?;
+        let group_states = seen.committed_state()?;
         if !seen.has_pending() {
-            return Ok((seen, stands));
+            return Ok((seen, group_states));
         }
-        std::thread::sleep(LOOK_AGAIN);
+        std::thread::sleep(QUERY_INTERVAL);
     }
     Err(
-        "something is being decided there: try again, or wrenctl apply --resume settles it at once"
+        "the group has an undecided proposal: try again, or complete it with wrenctl apply --resume"
             .into(),
     )
 }
 
-/// Why a member of a group can't be left out.
+/// The error, after the member's name, if a group member is to be left out.
 pub const IN_A_GROUP: &str =
     "belongs to a group, which decides for all of its members: one that is away is shut out until it is back";
 
-/// What every ingress enforces; all that hinders is told at once.
-pub fn look(files: Files) -> Result<Found, ExitCode> {
-    let (mut wrong, mut away, mut groups) = (false, BTreeMap::new(), Vec::new());
-    // What stands at each member of a group, as the group says.
-    let mut stands: BTreeMap<String, (Generation, Arc<State>)> = BTreeMap::new();
-    let mut refuse = |why: String| {
-        failed(why);
-        wrong = true;
+/// Queries the current state of all ingresses. Prints all errors before it returns the exit code.
+pub fn query_ingresses(files: Files) -> Result<CurrentStates, ExitCode> {
+    let (mut failed_any, mut unreachable, mut groups) = (false, BTreeMap::new(), Vec::new());
+    // The state of each group member, as the group decided it.
+    let mut group_states: BTreeMap<String, (Generation, Arc<State>)> = BTreeMap::new();
+    let mut report = |reason: String| {
+        failed(reason);
+        failed_any = true;
     };
     let mut states: BTreeMap<Digest, Arc<State>> = BTreeMap::new();
     for (app, group) in &files.groups {
         let at = group.links("");
-        let (seen, decree) = match settled(&at) {
+        let (seen, state) = match query_decided(&at) {
             Ok(seen) => seen,
-            Err(why) => {
-                refuse(format!("{app}: {why}"));
+            Err(reason) => {
+                report(format!("{app}: {reason}"));
                 continue;
             }
         };
-        for seat in &decree.membership.members {
-            if !at.contains_key(&seat.name) {
-                let name = &seat.name;
-                refuse(format!(
+        for member in &state.membership.members {
+            if !at.contains_key(&member.name) {
+                let name = &member.name;
+                report(format!(
                     "{name} is in the roster and not in the files: wrenctl roster remove {name}"
                 ));
             }
-            if let Some((generation, state)) = decree.enforced_by(&seat.name) {
-                // Most members enforce the same, which is kept once.
+            if let Some((generation, state)) = state.enforced_by(&member.name) {
+                // Most members have equal states, which are shared.
                 let state = states
                     .entry(generation.digest.clone())
                     .or_insert_with(|| Arc::new(state))
                     .clone();
-                stands.insert(seat.name.clone(), (generation, state));
+                group_states.insert(member.name.clone(), (generation, state));
             }
         }
-        let seated = |name: &String| decree.membership.member(name).is_some();
-        away.extend(
+        let members = |name: &String| state.membership.member(name).is_some();
+        unreachable.extend(
             seen.unreachable
                 .into_iter()
-                .filter(|(name, _)| seated(name)),
+                .filter(|(name, _)| members(name)),
         );
         groups.push(
             at.iter()
@@ -127,86 +127,88 @@
                 .collect(),
         );
     }
-    let grouped: BTreeSet<String> = files
+    let in_group: BTreeSet<String> = files
         .ingresses
         .iter()
         .filter(|i| files.group_of(&i.name).is_some())
         .map(|i| i.name.clone())
         .collect();
-    let (seated, unseated): (Vec<_>, Vec<_>) = files
+    let (members, strangers): (Vec<_>, Vec<_>) = files
         .ingresses
         .into_iter()
-        .partition(|i| !grouped.contains(&i.name) || stands.contains_key(&i.name));
-    if wrong {
+        .partition(|i| !in_group.contains(&i.name) || group_states.contains_key(&i.name));
+    if failed_any {
         return Err(ExitCode::FAILURE);
     }
-    for ingress in unseated {
+    for ingress in strangers {
         let name = ingress.name;
         anstream::eprintln!(
             "{} {name} is not in the roster: wrenctl roster add {name}",
             style::doubtful("left out:")
         );
     }
-    let mut has = standing(&seated, &stands, &away)?;
-    for (ingress, status) in seated.iter().zip(&mut has) {
-        if let Some((generation, state)) = stands.get(&ingress.name) {
+    let mut has = query_statuses(&members, &group_states, &unreachable)?;
+    for (ingress, status) in members.iter().zip(&mut has) {
+        if let Some((generation, state)) = group_states.get(&ingress.name) {
             (status.generation, status.state) = (generation.clone(), state.clone());
         }
     }
-    Ok(Found {
-        ingresses: seated,
+    Ok(CurrentStates {
+        planned: members,
         has,
-        away,
+        unreachable,
         groups,
     })
 }
 
-/// What ingresses say of themselves. Of a member of a group that is away it is known what stands there, and nothing else.
-fn standing(
+/// Requests the status of ingresses. For an unreachable group member only the group's state is known.
+fn query_statuses(
     ingresses: &[Ingress],
-    stands: &BTreeMap<String, (Generation, Arc<State>)>,
-    away: &BTreeMap<String, String>,
+    group_states: &BTreeMap<String, (Generation, Arc<State>)>,
+    unreachable: &BTreeMap<String, String>,
 ) -> Result<Vec<Status>, ExitCode> {
-    let (mut seen, mut wrong) = (Vec::new(), false);
-    let asked = ingresses.iter().filter(|i| !away.contains_key(&i.name));
-    let mut found = folder::status(asked.map(|i| i.control.as_path())).into_iter();
+    let (mut seen, mut failed_any) = (Vec::new(), false);
+    let reachable = ingresses
+        .iter()
+        .filter(|i| !unreachable.contains_key(&i.name));
+    let mut found = folder::status(reachable.map(|i| i.control.as_path())).into_iter();
     for ingress in ingresses {
-        let status = match away.get(&ingress.name) {
-            Some(why) => Err(why.clone()),
+        let status = match unreachable.get(&ingress.name) {
+            Some(reason) => Err(reason.clone()),
             None => found
                 .next()
-                .unwrap_or_else(|| Err("it was not asked".into())),
+                .unwrap_or_else(|| Err("no status was requested".into())),
         };
-        let known = stands.get(&ingress.name);
+        let known = group_states.get(&ingress.name);
         match (status, known) {
             (Ok(status), Some(_)) => seen.push(status),
             (Err(_), Some((generation, state))) => seen.push(Status {
                 generation: generation.clone(),
                 state: state.clone(),
-                promise: None,
-                figures: IngressMetrics::default(),
+                prepared: None,
+                metrics: IngressMetrics::default(),
             }),
             (Ok(status), None) => {
-                if let Some(p) = &status.promise {
-                    let (change, by) = (p.change.short(), &p.author);
+                if let Some(vote) = &status.prepared {
+                    let (change, by) = (vote.change.short(), &vote.author);
                     failed(format!(
-                        "{}: change {change} by {by} is promised and not decided: wrenctl apply --resume ends it",
+                        "{}: change {change} by {by} is prepared and not decided: complete it with wrenctl apply --resume",
                         ingress.name
                     ));
-                    wrong = true;
+                    failed_any = true;
                 }
                 seen.push(status);
             }
-            (Err(why), None) => {
+            (Err(reason), None) => {
                 failed(format!(
-                    "{}: {why}; --leave-out {} plans without it",
+                    "{}: {reason}; --leave-out {} plans without it",
                     ingress.name, ingress.name
                 ));
-                wrong = true;
+                failed_any = true;
             }
         }
     }
-    if wrong {
+    if failed_any {
         return Err(ExitCode::FAILURE);
     }
     Ok(seen)
@@ -215,25 +217,25 @@
 fn node(seen: &ObservedNode) -> Node<'_> {
     let ObservedNode {
         name,
-        zone_group: hall,
+        zone_group,
         model,
         group,
-        accepting: takes,
-        ejected_for: rests,
+        accepting,
+        ejected_for,
     } = seen;
     Node {
         traits: NodeLabels {
             name,
-            zone_group: hall,
+            zone_group,
             machine_type: model,
             cell: *group,
         },
-        takes: *takes,
-        rests,
+        takes: *accepting,
+        rests: ejected_for,
     }
 }
 
-/// Makes a plan for ingresses, each to enforce what is wanted of it.
+/// Makes a plan that brings each ingress to its wanted state; none if nothing changes.
 pub fn make(
     header: PlanHeader,
     ingresses: Vec<Ingress>,
@@ -241,7 +243,7 @@
     groups: Vec<BTreeMap<String, String>>,
 ) -> Result<Option<Plan>, ExitCode> {
     let mut seen: Vec<IngressSnapshot> = Vec::with_capacity(ingresses.len());
-    // The sidecars of an application tell each other what is used.
+    // States are aligned per application, as its sidecars exchange what is used.
     let application = |name: &str| name.split('/').next().map(String::from);
     let mut known: Vec<((Vec<*const State>, *const _), Arc<State>)> = Vec::new();
     let aligned = ingresses.iter().map(|ingress| {
@@ -252,7 +254,7 @@
             .filter(|(i, _)| application(&i.name) == own);
         let mut running: Vec<&Arc<State>> = all.map(|(_, has)| &has.state).collect();
         running.dedup_by(|a, b| Arc::ptr_eq(a, b));
-        // Those that are alike before and after are aligned once.
+        // Ingresses with the same states before and after are aligned only once.
         let key: (Vec<_>, _) = (
             running.iter().map(|r| Arc::as_ptr(r)).collect(),
             Arc::as_ptr(&ingress.wanted),
@@ -260,15 +262,15 @@
         if let Some((_, done)) = known.iter().find(|(k, _)| *k == key) {
             return Ok::<_, ExitCode>(Arc::clone(done));
         }
-        let places: Vec<_> = running.iter().map(|r| &r.0).collect();
-        let aligned = align(&places, &ingress.wanted)
-            .map_err(|why| failed(format!("{}: {why}", ingress.name)))?;
+        let pairs: Vec<_> = running.iter().map(|r| &r.0).collect();
+        let aligned = align(&pairs, &ingress.wanted)
+            .map_err(|reason| failed(format!("{}: {reason}", ingress.name)))?;
         known.push((key, Arc::new(State(aligned))));
         Ok(known[known.len() - 1].1.clone())
     });
     let aligned = aligned.collect::<Result<Vec<_>, _>>()?;
     for ((ingress, has), wanted) in ingresses.into_iter().zip(has).zip(aligned) {
-        let nodes: Vec<Node> = has.figures.nodes.iter().map(node).collect();
+        let nodes: Vec<Node> = has.metrics.nodes.iter().map(node).collect();
         let lost = stranded(&has.state.0, &wanted.0, &nodes);
         seen.push(IngressSnapshot {
             extra_dangers: lost
@@ -283,42 +285,48 @@
             base: has.generation,
             current: has.state,
             wanted,
-            usage: has.figures.plans,
+            usage: has.metrics.plans,
         });
     }
     Ok(Plan::make(header, seen).map(|plan| Plan { groups, ..plan }.restricted_to(|_| true)))
 }
 
-/// Writes a plan's file: whole or not at all.
+/// Writes the plan file atomically.
 pub fn write(plan: &Plan, to: &Path) -> Result<(), String> {
-    let told = |e: std::io::Error| format!("{}: {e}", to.display());
+    let error_at = |e: std::io::Error| format!("{}: {e}", to.display());
     let folder = to
         .parent()
-        .filter(|p| !p.as_os_str().is_empty())
+        .filter(|vote| !vote.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    let mut file = tempfile::NamedTempFile::new_in(folder).map_err(told)?;
+    let mut file = tempfile::NamedTempFile::new_in(folder).map_err(error_at)?;
     file.write_all(plan.to_file_text().as_bytes())
         .and_then(|()| file.as_file().sync_all())
-        .map_err(told)?;
-    file.persist(to).map_err(|e| told(e.error))?;
+        .map_err(error_at)?;
+    file.persist(to).map_err(|e| error_at(e.error))?;
     Ok(())
 }
 
-/// Has every ingress of a plan that is not away keep a record of what was done; one that can't has none.
-pub fn note(plan: &Plan, away: &BTreeMap<String, String>, what: &str, author: &str, why: &str) {
+/// Appends an audit record at every reachable ingress of a plan. Failures are ignored.
+pub fn append_records(
+    plan: &Plan,
+    unreachable: &BTreeMap<String, String>,
+    event: &str,
+    author: &str,
+    reason: &str,
+) {
     let record = AuditRecord {
         at: 0,
-        event: what.into(),
+        event: event.into(),
         author: author.into(),
         change: plan.id(),
         generation: plan.generation,
-        detail: why.into(),
+        detail: reason.into(),
     };
-    let there = plan
+    let reachable = plan
         .targets
         .iter()
-        .filter(|t| !away.contains_key(&t.ingress));
-    let asks = there.map(|t| {
+        .filter(|t| !unreachable.contains_key(&t.ingress));
+    let requests = reachable.map(|t| {
         (
             PathBuf::from(&t.control),
             CommitRequest::AppendRecord {
@@ -326,7 +334,7 @@
             },
         )
     });
-    super::drive::ask_all(asks.collect(), Duration::from_secs(5));
+    super::drive::request_all(requests.collect(), Duration::from_secs(5));
 }
 
 pub fn main(options: &Options) -> ExitCode {
@@ -346,7 +354,7 @@
     files
         .ingresses
         .retain(|i| !options.leave_out.contains(&i.name));
-    let found = look(files)?;
+    let current = query_ingresses(files)?;
     let author = author(options.author.as_deref());
     let plan = make(
         PlanHeader {
@@ -354,9 +362,9 @@
             made_at: micros(),
             valid_for: options.good_for.as_secs(),
         },
-        found.ingresses,
-        found.has,
-        found.groups,
+        current.planned,
+        current.has,
+        current.groups,
     )?;
     let Some(plan) = plan else {
         match options.format {
@@ -371,13 +379,13 @@
     match options.format {
         Format::Text => {
             show::text(&plan);
-            show::away(&found.away);
+            show::away(&current.unreachable);
         }
-        Format::Json => show::json(&plan, &found.away),
+        Format::Json => show::json(&plan, &current.unreachable),
     }
     if let Some(out) = &options.out {
         write(&plan, out).map_err(failed)?;
-        note(&plan, &found.away, "planned", &author, "");
+        append_records(&plan, &current.unreachable, "planned", &author, "");
         if options.format == Format::Text {
             anstream::println!(
                 "written to {}; wrenctl apply {} makes it",
--- a/crates/ctl/src/change/rollback.rs
+++ b/crates/ctl/src/change/rollback.rs
@@ -1,4 +1,4 @@
-//! `wrenctl rollback`.
+//! `wrenctl rollback`: returns to an earlier generation by a new change.
 
 use super::{apply, author, failed, folder, micros, plan, show, span};
 use clap::Args;
@@ -34,38 +34,42 @@
 }
 
 fn run(options: &Options) -> Result<ExitCode, ExitCode> {
-    let found = plan::look(folder::read(&options.folder)?)?;
-    let grouped = |name: &str| found.groups.iter().any(|g| g.contains_key(name));
-    let wanted = folder::recall(found.ingresses, &found.has, &found.away, grouped, |_| {
-        options.generation
-    })?;
+    let ingresses = plan::query_ingresses(folder::read(&options.folder)?)?;
+    let in_group = |name: &str| ingresses.groups.iter().any(|g| g.contains_key(name));
+    let wanted = folder::past_states(
+        ingresses.planned,
+        &ingresses.has,
+        &ingresses.unreachable,
+        in_group,
+        |_| options.generation,
+    )?;
     let author = author(options.author.as_deref());
     let header = PlanHeader {
         author: author.clone(),
         made_at: micros(),
         valid_for: 3_600,
     };
-    let Some(made) = plan::make(header, wanted, found.has, found.groups)? else {
+    let Some(plan) = plan::make(header, wanted, ingresses.has, ingresses.groups)? else {
         println!(
             "nothing to do: generation {} is what is enforced",
             options.generation
         );
         return Ok(ExitCode::SUCCESS);
     };
-    show::text(&made);
-    show::away(&found.away);
+    show::text(&plan);
+    show::away(&ingresses.unreachable);
     if let Some(out) = &options.out {
-        plan::write(&made, out).map_err(failed)?;
+        plan::write(&plan, out).map_err(failed)?;
         println!("written to {}", out.display());
         return Ok(ExitCode::SUCCESS);
     }
-    apply::meant(options.yes).map_err(failed)?;
-    plan::note(
-        &made,
-        &found.away,
+    apply::confirm(options.yes).map_err(failed)?;
+    plan::append_records(
+        &plan,
+        &ingresses.unreachable,
         "rollback",
         &author,
         &format!("back to generation {}", options.generation),
     );
-    Ok(apply::make(&made, options.patience))
+    Ok(apply::apply(&plan, options.patience))
 }
--- a/crates/ctl/src/change/show.rs
+++ b/crates/ctl/src/change/show.rs
@@ -1,4 +1,4 @@
-//! A plan as people see it, and as scripts do.
+//! Prints a plan as text or as JSON.
 
 use crate::style;
 use anstream::println;
@@ -6,66 +6,71 @@
 use std::collections::BTreeMap;
 use wrenfork_commit::plan::Plan;
 use wrenfork_commit::state::Difference;
-use wrenfork_config::enforced::spoken;
+use wrenfork_config::enforced::spoken as readable_key;
 
-/// Differences that are shown to people.
-const MOST_SHOWN: usize = 60;
+/// Maximum number of differences printed as text for each group of ingresses.
+const MAX_SHOWN: usize = 60;
 
-/// What names the places of a list; the state before is known by its differences alone.
-fn name(d: &Difference, all: &[Difference], plan: &Plan, list: usize) -> String {
-    let target = plan.targets.iter().find(|t| t.differences == list);
+/// The readable name of a difference's key. The old state is known only by the differences in `list`.
+fn key_name(d: &Difference, list: &[Difference], plan: &Plan, differences: usize) -> String {
+    let target = plan.targets.iter().find(|t| t.differences == differences);
     let wanted = target.and_then(|t| plan.states.get(&t.wanted));
     let empty = BTreeMap::new();
-    let before = all
+    let before = list
         .iter()
         .filter_map(|d| Some((d.key.clone(), d.old.clone()?)))
         .collect();
-    spoken(&d.key, &before, wanted.map_or(&empty, |s| &s.0))
+    readable_key(&d.key, &before, wanted.map_or(&empty, |s| &s.0))
 }
 
-/// Shows what would differ and what of it is dangerous.
+/// Prints the differences of a plan and its dangers.
 pub fn text(plan: &Plan) {
-    for (number, list) in plan.differences.iter().enumerate() {
-        if list.is_empty() {
+    for (number, differences) in plan.differences.iter().enumerate() {
+        if differences.is_empty() {
             continue;
         }
-        let at: Vec<&str> = plan
+        let ingresses: Vec<&str> = plan
             .targets
             .iter()
             .filter(|t| t.differences == number)
             .map(|t| t.ingress.as_str())
             .collect();
-        println!("{}", style::head(format!("at {}:", at.join(", "))));
-        for d in list.iter().take(MOST_SHOWN) {
-            let key = name(d, list, plan, number);
-            let touches = match d.accounts {
+        println!("{}", style::head(format!("at {}:", ingresses.join(", "))));
+        for d in differences.iter().take(MAX_SHOWN) {
+            let key = key_name(d, differences, plan, number);
+            let account_count = match d.accounts {
                 0 | 1 => String::new(),
                 n => format!("   ({n} accounts)"),
             };
             match (&d.old, &d.new) {
-                (None, Some(new)) => println!("  {} {key} = {new}{touches}", style::good("+")),
-                (Some(old), None) => println!("  {} {key} = {old}{touches}", style::bad("-")),
+                (None, Some(new)) => {
+                    println!("  {} {key} = {new}{account_count}", style::good("+"))
+                }
+                (Some(old), None) => println!("  {} {key} = {old}{account_count}", style::bad("-")),
                 (Some(old), Some(new)) => {
                     let new = if new.is_empty() { "nothing" } else { new };
-                    println!("  {} {key}: {old} to {new}{touches}", style::doubtful("~"));
+                    println!(
+                        "  {} {key}: {old} to {new}{account_count}",
+                        style::doubtful("~")
+                    );
                 }
                 (None, None) => {}
             }
         }
-        if list.len() > MOST_SHOWN {
+        if differences.len() > MAX_SHOWN {
             println!(
-                "  and {} more; --format json tells all",
-                list.len() - MOST_SHOWN
+                "  and {} more; --format json shows all",
+                differences.len() - MAX_SHOWN
             );
         }
     }
-    let same = plan
+    let unchanged = plan
         .targets
         .iter()
         .filter(|t| plan.differences[t.differences].is_empty())
         .count();
-    if same > 0 {
-        println!("{same} ingresses change nothing but their number");
+    if unchanged > 0 {
+        println!("{unchanged} ingresses change only their generation");
     }
     for danger in &plan.dangers {
         let number = plan
@@ -76,9 +81,11 @@
         let d = plan.differences[number]
             .iter()
             .find(|d| d.key == danger.key);
-        let none = BTreeMap::new();
-        let spoken = || spoken(&danger.key, &none, &none);
-        let key = d.map_or_else(spoken, |d| name(d, &plan.differences[number], plan, number));
+        let empty = BTreeMap::new();
+        let fallback = || readable_key(&danger.key, &empty, &empty);
+        let key = d.map_or_else(fallback, |d| {
+            key_name(d, &plan.differences[number], plan, number)
+        });
         println!("{} {key}: {}", style::bad("danger:"), danger.description);
     }
     let lines: usize = plan.differences.iter().map(Vec::len).sum();
@@ -91,17 +98,17 @@
     );
 }
 
-/// Who is away, and what becomes of them.
+/// Prints the unreachable members and what a change means for them.
 pub fn away(away: &BTreeMap<String, String>) {
-    for (name, why) in away {
+    for (name, reason) in away {
         println!(
-            "{} {name} ({why}): the change is made without it; from then on it serves nobody until it has learnt this",
+            "{} {name} ({reason}): the change is made without it; it then rejects all requests until it has learned the new state",
             style::doubtful("away:")
         );
     }
 }
 
-/// The same for scripts: all of it but the states themselves.
+/// Prints a plan as JSON, without the states.
 pub fn json(plan: &Plan, away: &BTreeMap<String, String>) {
     let targets = plan.targets.iter().map(|t| {
         json!({"ingress": t.ingress, "control": t.control, "base": t.base, "wanted": t.wanted,
--- a/crates/ctl/src/group/roster.rs
+++ b/crates/ctl/src/group/roster.rs
@@ -132,7 +132,11 @@
             existing.ok_or("the files describe no member of the current membership")?;
         Ok([(
             name.to_string(),
-            Arc::new(State(folder::like(&state.0, &files_of.wanted, &new.wanted))),
+            Arc::new(State(folder::transfer(
+                &state.0,
+                &files_of.wanted,
+                &new.wanted,
+            ))),
         )]
         .into())
     }
--- a/crates/ctl/src/rollout/make.rs
+++ b/crates/ctl/src/rollout/make.rs
@@ -2,7 +2,7 @@
 
 use super::{programs, terms};
 use super::{Begin, Change};
-use crate::change::apply::{meant, none_under_way, parts, planned};
+use crate::change::apply::{check_no_rollout, confirm, planned, split_by_group};
 use crate::change::{folder, micros, UNFINISHED};
 use crate::group::decide::{decide, print_outcome, Outcome, Request};
 use crate::group::query::query_group;
@@ -59,7 +59,7 @@
     begin: &Begin,
     zone_groups: &BTreeMap<String, String>,
 ) -> Result<Rollout, String> {
-    none_under_way(current)?;
+    check_no_rollout(current)?;
     let (scopes, policy) = terms::read(&begin.terms)?;
     let (mut changes, mut change_of) = (Vec::new(), BTreeMap::new());
     for target in &part.targets {
@@ -107,7 +107,7 @@
     let text = std::fs::read_to_string(&begin.plan).map_err(|e| in_file(&e))?;
     let plan = Plan::from_file_text(&text).map_err(|e| in_file(&e))?;
     plan.check_validity(micros()).map_err(|e| in_file(&e))?;
-    let (groups, rest) = parts(&plan);
+    let (groups, rest) = split_by_group(&plan);
     let [(members, part)] = &groups[..] else {
         return Err(format!(
             "a rollout is for exactly one group, and the plan has {}",
@@ -134,7 +134,7 @@
     if !start {
         return Ok(ExitCode::SUCCESS);
     }
-    meant(begin.yes)?;
+    confirm(begin.yes)?;
     let wanted = |current: &GroupState| {
         current
             .with_rollout(
--- a/crates/ctl/src/rollout/programs.rs
+++ b/crates/ctl/src/rollout/programs.rs
@@ -1,7 +1,7 @@
 //! Checks that the old and the new program of a rollout are compatible. Each program file reports its format versions.
 
 use crate::style;
-use crate::tend::{digest, speaks};
+use crate::tend::{digest, format_versions as query_format_versions};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use wrenfork_compatibility::{check_compatibility, FormatVersions, Program};
@@ -19,10 +19,10 @@
             program.name
         )
     })?;
-    let speaks = speaks(path)?;
+    let formats = query_format_versions(path)?;
     Ok(FormatVersions {
         version: program.name.clone(),
-        ..speaks
+        ..formats
     })
 }
 
--- a/crates/ctl/src/tend/file.rs
+++ b/crates/ctl/src/tend/file.rs
@@ -1,4 +1,4 @@
-//! The file of whoever keeps an ingress's process, and the programs that it names.
+//! Reads the file of `wrenctl tend`, and verifies the program files that it lists.
 
 use serde::Deserialize;
 use sha2::{Digest, Sha256};
@@ -16,17 +16,17 @@
 use wrenfork_config::values::time;
 use wrenfork_supervisor::{ProgramCatalog, RestartPolicy};
 
-/// The only version of the form so far.
+/// The only format version.
 const VERSION: u32 = 1;
-/// How long a program may take to say what it speaks, and how often that is looked at.
-const SAYS: Duration = Duration::from_secs(5);
-const LOOK: Duration = Duration::from_millis(5);
-/// The most bytes that it may say.
-const MOST_SAID: u64 = 64 << 10;
+/// Timeout for a program to print its format versions, and the interval at which its exit is polled.
+const FORMATS_TIMEOUT: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum bytes read of that output.
+const MAX_OUTPUT_BYTES: u64 = 64 << 10;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Form {
+struct RawFile {
     version: u32,
     kind: String,
     listen: SocketAddr,
@@ -41,68 +41,68 @@
     tries: Option<u32>,
     #[serde(default)]
     cold: bool,
-    program: Vec<Listed>,
+    program: Vec<ProgramEntry>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Listed {
+struct ProgramEntry {
     name: String,
     path: PathBuf,
     sha256: String,
 }
 
-/// What the file says.
-pub struct Told {
-    /// The clients' address.
+/// The content of the file, validated.
+pub struct TendFile {
+    /// The address that clients connect to.
     pub listen: SocketAddr,
     /// The ingress's control socket.
     pub control: PathBuf,
-    /// The folder for what is remembered.
+    /// The folder of the lock and of the supervisor's saved state.
     pub state: PathBuf,
-    /// What every program is started with.
+    /// Command line arguments of every program.
     pub arguments: Vec<String>,
-    /// Where its standard error goes; to this process's without it.
+    /// File that the ingress's standard error is appended to; without it, that of this process.
     pub log: Option<PathBuf>,
-    /// What is asked of the keeper.
-    pub terms: RestartPolicy,
-    /// The programs.
+    /// Backoff, timeouts and limits of restarts.
+    pub policy: RestartPolicy,
+    /// The listed programs; at least one.
     pub programs: Programs,
 }
 
-fn parse(text: &str) -> Result<Told, String> {
-    let form: Form = toml::from_str(text).map_err(|e| e.to_string())?;
-    if form.version != VERSION || form.kind != "tend" {
+fn parse(text: &str) -> Result<TendFile, String> {
+    let raw: RawFile = toml::from_str(text).map_err(|e| e.to_string())?;
+    if raw.version != VERSION || raw.kind != "tend" {
         return Err(format!(
-            "it must say version = {VERSION} and kind = \"tend\""
+            "the file must have version = {VERSION} and kind = \"tend\""
         ));
     }
-    let span = |text: &Option<String>, key: &str, absent: Duration| match text {
-        None => Ok(absent),
+    let span = |text: &Option<String>, key: &str, default: Duration| match text {
+        None => Ok(default),
         Some(text) => time(text)
             .map(Duration::from_micros)
-            .map_err(|why| format!("{key}: {why}")),
+            .map_err(|reason| format!("{key}: {reason}")),
     };
-    let usual = RestartPolicy::default();
-    let terms = RestartPolicy {
-        initial_backoff: span(&form.pause, "pause", usual.initial_backoff)?,
-        max_backoff: span(&form.longest_pause, "longest_pause", usual.max_backoff)?,
-        timeout: span(&form.patience, "patience", usual.timeout)?,
-        probation: span(&form.prove, "prove", usual.probation)?,
-        max_crashes: form.tries.unwrap_or(usual.max_crashes),
-        allow_cold_restart: form.cold,
+    let defaults = RestartPolicy::default();
+    let policy = RestartPolicy {
+        initial_backoff: span(&raw.pause, "pause", defaults.initial_backoff)?,
+        max_backoff: span(&raw.longest_pause, "longest_pause", defaults.max_backoff)?,
+        timeout: span(&raw.patience, "patience", defaults.timeout)?,
+        probation: span(&raw.prove, "prove", defaults.probation)?,
+        max_crashes: raw.tries.unwrap_or(defaults.max_crashes),
+        allow_cold_restart: raw.cold,
     };
-    if terms.max_crashes == 0 || terms.initial_backoff.is_zero() || terms.timeout.is_zero() {
-        return Err("tries, pause and patience are above 0".into());
+    if policy.max_crashes == 0 || policy.initial_backoff.is_zero() || policy.timeout.is_zero() {
+        return Err("tries, pause and patience must be above 0".into());
     }
-    if terms.max_backoff < terms.initial_backoff {
-        return Err("longest_pause is as long as pause at the least".into());
+    if policy.max_backoff < policy.initial_backoff {
+        return Err("longest_pause must not be shorter than pause".into());
     }
-    let mut list = Vec::new();
-    for Listed { name, path, sha256 } in form.program {
+    let mut entries = Vec::new();
+    for ProgramEntry { name, path, sha256 } in raw.program {
         let program = Program::parse(&format!("{name}@{sha256}"))
             .map_err(|_| format!("program \"{name}\": sha256 is 64 hex digits in lower case"))?;
-        if let Some((other, _)) = list
+        if let Some((other, _)) = entries
             .iter()
             .find(|(p, _): &&(Program, PathBuf)| *p == program)
         {
@@ -111,62 +111,62 @@
                 other.name
             ));
         }
-        list.push((program, path));
+        entries.push((program, path));
     }
-    if list.is_empty() {
-        return Err("it names no [[program]]".into());
+    if entries.is_empty() {
+        return Err("the file lists no [[program]]".into());
     }
     let programs = Programs {
-        list,
-        said: RefCell::default(),
-        looked: RefCell::default(),
+        entries,
+        formats: RefCell::default(),
+        verified: RefCell::default(),
     };
-    let Form {
+    let RawFile {
         listen,
         control,
         state,
         arguments,
         log,
         ..
-    } = form;
-    Ok(Told {
+    } = raw;
+    Ok(TendFile {
         listen,
         control,
         state,
         arguments,
         log,
-        terms,
+        policy,
         programs,
     })
 }
 
-/// Reads the file.
+/// Reads and validates the file.
 ///
 /// # Errors
 ///
-/// With what is wrong, and the file's name.
-pub fn read(path: &Path) -> Result<Told, String> {
-    let told = |why: String| format!("{}: {}", path.display(), why.trim_end());
-    let text = std::fs::read_to_string(path).map_err(|e| told(e.to_string()))?;
-    parse(&text).map_err(told)
+/// With the file's name and the invalid field or syntax error.
+pub fn read(path: &Path) -> Result<TendFile, String> {
+    let in_file = |reason: String| format!("{}: {}", path.display(), reason.trim_end());
+    let text = std::fs::read_to_string(path).map_err(|e| in_file(e.to_string()))?;
+    parse(&text).map_err(in_file)
 }
 
 /// The SHA-256 of a file, in hex.
 ///
 /// # Errors
 ///
-/// Where it can't be read.
+/// If the file cannot be read.
 pub fn digest(path: &Path) -> Result<String, String> {
-    let told = |e: std::io::Error| format!("{}: {e}", path.display());
-    let (mut file, mut hash, mut part) = (
-        File::open(path).map_err(told)?,
+    let in_file = |e: std::io::Error| format!("{}: {e}", path.display());
+    let (mut file, mut hash, mut chunk) = (
+        File::open(path).map_err(in_file)?,
         Sha256::new(),
         vec![0; 64 << 10],
     );
     loop {
-        match file.read(&mut part).map_err(told)? {
+        match file.read(&mut chunk).map_err(in_file)? {
             0 => break,
-            n => hash.update(&part[..n]),
+            n => hash.update(&chunk[..n]),
         }
     }
     let mut text = String::with_capacity(64);
@@ -176,107 +176,113 @@
     Ok(text)
 }
 
-/// What a program says that it speaks.
+/// Runs a program with `--speaks` and parses the format versions that it prints.
 ///
 /// # Errors
 ///
-/// Where it can't be started, takes too long, or says something else.
-pub fn speaks(path: &Path) -> Result<FormatVersions, String> {
-    let told = |why: &dyn std::fmt::Display| format!("{} --speaks: {why}", path.display());
+/// If the program cannot be started, does not exit in time, fails, or prints something else.
+pub fn format_versions(path: &Path) -> Result<FormatVersions, String> {
+    let in_file = |reason: &dyn std::fmt::Display| format!("{} --speaks: {reason}", path.display());
     let mut command = Command::new(path);
     command
         .arg("--speaks")
         .stdin(Stdio::null())
         .stdout(Stdio::piped())
         .stderr(Stdio::null());
-    let mut child = command.spawn().map_err(|e| told(&e))?;
-    let begun = Instant::now();
-    let ended = loop {
-        match child.try_wait().map_err(|e| told(&e))? {
+    let mut child = command.spawn().map_err(|e| in_file(&e))?;
+    let started = Instant::now();
+    let status = loop {
+        match child.try_wait().map_err(|e| in_file(&e))? {
             Some(status) => break status,
-            None if begun.elapsed() > SAYS => {
+            None if started.elapsed() > FORMATS_TIMEOUT => {
                 let _ = child.kill();
                 let _ = child.wait();
-                return Err(told(&"it does not end"));
+                return Err(in_file(&"the program did not exit in time"));
             }
-            None => std::thread::sleep(LOOK),
+            None => std::thread::sleep(POLL_INTERVAL),
         }
     };
     let mut text = String::new();
     if let Some(out) = child.stdout.take() {
-        out.take(MOST_SAID)
+        out.take(MAX_OUTPUT_BYTES)
             .read_to_string(&mut text)
-            .map_err(|e| told(&e))?;
+            .map_err(|e| in_file(&e))?;
     }
-    if !ended.success() {
-        return Err(told(&ended));
+    if !status.success() {
+        return Err(in_file(&status));
     }
-    serde_json::from_str(&text).map_err(|e| told(&e))
+    serde_json::from_str(&text).map_err(|e| in_file(&e))
 }
 
-/// The programs that the operator put on this machine.
+/// The programs that the operator installed on this machine.
 pub struct Programs {
-    list: Vec<(Program, PathBuf)>,
-    /// What those that were asked speak; a file of a digest always says the same.
-    said: RefCell<BTreeMap<String, Option<FormatVersions>>>,
-    /// Files whose digest was as it should be, as they were then: one is read whole again when it is another one.
-    looked: RefCell<BTreeMap<PathBuf, Stamp>>,
+    entries: Vec<(Program, PathBuf)>,
+    /// Format versions by digest, none if the program did not report them. Files with one digest report the same.
+    formats: RefCell<BTreeMap<String, Option<FormatVersions>>>,
+    /// Stamps of the files whose digest was correct. A file is hashed again only when its stamp changes.
+    verified: RefCell<BTreeMap<PathBuf, Stamp>>,
 }
 
-/// What tells a file from the one that was looked at: device, number, length, and when it was written.
+/// Identifies the version of a file: device, inode, length, and modification time in seconds and nanoseconds.
 type Stamp = (u64, u64, u64, i64, i64);
 
 impl Programs {
-    /// The first of the file: what a machine begins with that remembers nothing.
+    /// The first listed program, which is started on a machine without saved state.
     pub fn first(&self) -> &Program {
-        &self.list[0].0
+        &self.entries[0].0
     }
 
-    /// The file of a program, as it is at this moment.
+    /// The path of a program, after a check that the file still has its digest.
     ///
     /// # Errors
     ///
-    /// Where there is none, or it has another digest by now.
+    /// If the program is not listed, or its file is missing or has another digest.
     pub fn path(&self, program: &Program) -> Result<&Path, String> {
         let (_, path) = self
-            .list
+            .entries
             .iter()
             .find(|(p, _)| p == program)
-            .ok_or("no file has its digest")?;
-        let m = std::fs::metadata(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        let stamp = (m.dev(), m.ino(), m.len(), m.mtime(), m.mtime_nsec());
-        if self.looked.borrow().get(path) == Some(&stamp) {
+            .ok_or("no listed file has the digest of this program")?;
+        let metadata = std::fs::metadata(path).map_err(|e| format!("{}: {e}", path.display()))?;
+        let stamp = (
+            metadata.dev(),
+            metadata.ino(),
+            metadata.len(),
+            metadata.mtime(),
+            metadata.mtime_nsec(),
+        );
+        if self.verified.borrow().get(path) == Some(&stamp) {
             return Ok(path);
         }
-        let has = digest(path)?;
-        if has != program.sha256 {
-            let (has, wanted) = (&has[..8], &program.sha256[..8]);
+        let found = digest(path)?;
+        if found != program.sha256 {
+            let (found, wanted) = (&found[..8], &program.sha256[..8]);
             return Err(format!(
-                "{} has the digest {has}, not {wanted}",
+                "{} has the digest {found}, not {wanted}",
                 path.display()
             ));
         }
-        self.looked.borrow_mut().insert(path.clone(), stamp);
+        self.verified.borrow_mut().insert(path.clone(), stamp);
         Ok(path)
     }
 
-    /// Those whose files are not what the file says, and why.
-    pub fn wrong(&self) -> Vec<String> {
-        self.list
+    /// The errors of the listed programs whose files are missing or have another digest.
+    pub fn errors(&self) -> Vec<String> {
+        self.entries
             .iter()
             .filter_map(|(program, _)| self.path(program).err())
             .collect()
     }
 
-    fn speaks(&self, program: &Program) -> Option<FormatVersions> {
-        if let Some(said) = self.said.borrow().get(&program.sha256) {
-            return said.clone();
+    fn format_versions(&self, program: &Program) -> Option<FormatVersions> {
+        if let Some(formats) = self.formats.borrow().get(&program.sha256) {
+            return formats.clone();
         }
-        let said = self.path(program).and_then(speaks).ok();
-        self.said
+        let formats = self.path(program).and_then(format_versions).ok();
+        self.formats
             .borrow_mut()
-            .insert(program.sha256.clone(), said.clone());
-        said
+            .insert(program.sha256.clone(), formats.clone());
+        formats
     }
 }
 
@@ -286,7 +292,7 @@
     }
 
     fn can_take_over(&self, old: &Program, new: &Program) -> bool {
-        match (self.speaks(old), self.speaks(new)) {
+        match (self.format_versions(old), self.format_versions(new)) {
             (Some(old), Some(new)) => wrenfork_compatibility::check_compatibility(&old, &new)
                 .degraded
                 .is_empty(),
@@ -300,16 +306,16 @@
     use super::{digest, parse, Program, Programs, RefCell, RestartPolicy};
     use wrenfork_supervisor::ProgramCatalog;
 
-    const GOOD: &str = include_str!("../../../../deploy/tend.toml");
+    const VALID: &str = include_str!("../../../../deploy/tend.toml");
 
     #[test]
-    fn the_file_that_ships_is_good_and_what_is_wrong_with_one_is_told() {
-        let told = parse(GOOD).unwrap();
-        assert_eq!(told.terms, RestartPolicy::default());
-        assert_eq!(told.programs.first().name, "r-12");
-        // Its files are not there.
-        assert_eq!(told.programs.wrong().len(), 2);
-        for (good, bad, why) in [
+    fn shipped_file_is_valid_and_each_invalid_value_is_reported() {
+        let file = parse(VALID).unwrap();
+        assert_eq!(file.policy, RestartPolicy::default());
+        assert_eq!(file.programs.first().name, "r-12");
+        // The two program files of the shipped file do not exist.
+        assert_eq!(file.programs.errors().len(), 2);
+        for (valid, invalid, reason) in [
             ("version = 1", "version = 2", "version = 1"),
             ("kind = \"tend\"", "kind = \"site\"", "kind = \"tend\""),
             ("listen = \"127.0.0.1:7600\"", "listen = \"here\"", "listen"),
@@ -329,14 +335,16 @@
                 "one digest",
             ),
         ] {
-            assert!(GOOD.contains(good), "{good}");
-            let found = parse(&GOOD.replacen(good, bad, 1)).map(drop).unwrap_err();
-            assert!(found.contains(why), "{bad}: {found}");
+            assert!(VALID.contains(valid), "{valid}");
+            let found = parse(&VALID.replacen(valid, invalid, 1))
+                .map(drop)
+                .unwrap_err();
+            assert!(found.contains(reason), "{invalid}: {found}");
         }
     }
 
     #[test]
-    fn a_file_is_what_its_digest_says_or_is_not_started() {
+    fn program_with_another_digest_is_rejected() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("program");
         std::fs::write(&path, "one").unwrap();
@@ -345,12 +353,12 @@
             sha256: digest(&path).unwrap(),
         };
         let programs = Programs {
-            list: vec![(program.clone(), path.clone())],
-            said: RefCell::default(),
-            looked: RefCell::default(),
+            entries: vec![(program.clone(), path.clone())],
+            formats: RefCell::default(),
+            verified: RefCell::default(),
         };
-        assert!(programs.contains(&program) && programs.wrong().is_empty());
-        // It is no program: it says nothing, and so can't take over from anything.
+        assert!(programs.contains(&program) && programs.errors().is_empty());
+        // The file is not executable and reports no formats, so a takeover is not possible.
         assert!(!programs.can_take_over(&program, &program));
         std::fs::write(&path, "another").unwrap();
         assert!(programs
--- a/crates/ctl/src/tend/mod.rs
+++ b/crates/ctl/src/tend/mod.rs
@@ -1,13 +1,13 @@
-//! `wrenctl tend`: keeps an ingress's process on a machine without the platform. What is to be done is `wrenfork-supervisor`'s to say;
-//! here it is carried out: the clients' socket is held, programs are started and ended, the ingress is asked what its group wants.
+//! `wrenctl tend`: supervises an ingress process on a machine without the platform. `wrenfork-supervisor` decides what to
+//! do; this module holds the listening socket, starts and stops processes, and polls the ingress for what its group wants.
 
 mod file;
 mod process;
 
 use crate::change::failed;
 use clap::Args;
-use file::Told;
-pub use file::{digest, speaks};
+use file::TendFile;
+pub use file::{digest, format_versions};
 use process::Process;
 use rustix::fs::{flock, FlockOperation};
 use rustix::io::{fcntl_setfd, FdFlags};
@@ -29,12 +29,12 @@
     Action, Event, Observation, PersistentState, ProcessSlot, StopMode, Supervisor, WantedProgram,
 };
 
-/// Between two looks at the ingress and its processes.
-const EVERY: Duration = Duration::from_millis(100);
-/// How long the ingress may take to answer.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// What is remembered.
-const MEMORY: &str = "tend.json";
+/// Interval at which the ingress and its processes are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of a request to the ingress's control socket.
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(400);
+/// Name of the file with the supervisor's saved state.
+const STATE_FILE: &str = "tend.json";
 
 #[derive(Args)]
 pub struct Options {
@@ -51,193 +51,204 @@
 }
 
 fn run(options: &Options) -> Result<ExitCode, String> {
-    let told = file::read(&options.file)?;
-    let wrong = told.programs.wrong();
+    let file = file::read(&options.file)?;
+    let errors = file.programs.errors();
     if options.check {
-        wrong.iter().for_each(|why| {
-            failed(why);
+        errors.iter().for_each(|reason| {
+            failed(reason);
         });
-        return Ok(if wrong.is_empty() {
+        return Ok(if errors.is_empty() {
             ExitCode::SUCCESS
         } else {
             ExitCode::FAILURE
         });
     }
-    wrong.iter().for_each(|why| log(why));
-    // What ends it is taken before anything is started. A file that may not grow is an error of the write, and no end.
+    errors.iter().for_each(|reason| log(reason));
+    // Handlers are registered before any process is started. SIGXFSZ is caught so that a write beyond the file size limit
+    // fails with an error instead of ending this process.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP, SIGXFSZ])
-        .map_err(|e| format!("cannot take signals: {e}"))?;
-    let mut keeper = Keeper::begin(told)?;
+        .map_err(|e| format!("cannot register signal handlers: {e}"))?;
+    let mut tender = Tender::start(file)?;
     loop {
         match signals.pending().find(|signal| *signal != SIGXFSZ) {
             Some(SIGHUP) => {
-                log("ending alone: the ingress goes on, and the next keeper finds it");
+                log("exiting without stopping the ingress: the next supervisor adopts it");
                 return Ok(ExitCode::SUCCESS);
             }
-            Some(_) => return keeper.end(),
+            Some(_) => return tender.shut_down(),
             None => {}
         }
-        keeper.turn()?;
-        std::thread::sleep(EVERY);
+        tender.poll()?;
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A line for people; where it can't be written, as on a full disk, the ingress is kept all the same.
+/// Writes a log line. A failed write, as on a full disk, is ignored so that the ingress stays supervised.
 fn log(line: &str) {
     let _ = writeln!(std::io::stderr(), "tend: {line}");
 }
 
-/// What is remembered in a folder.
-fn remembered(folder: &Path) -> Result<PersistentState, String> {
-    let path = folder.join(MEMORY);
+/// Loads the saved state from a folder; the default if there is none.
+fn load_state(folder: &Path) -> Result<PersistentState, String> {
+    let path = folder.join(STATE_FILE);
     match fs::read_to_string(&path) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(PersistentState::default()),
         Err(e) => Err(format!("{}: {e}", path.display())),
         Ok(text) => serde_json::from_str(&text).map_err(|e| {
             format!(
-                "{}: {e}; take it away and the first program of the file is begun with",
+                "{}: {e}; remove it to start with the first program of the file",
                 path.display()
             )
         }),
     }
 }
 
-/// Writes it, whole or not at all; it is on the disk once this has returned.
-fn remember(folder: &Path, memory: &PersistentState) -> Result<(), String> {
-    let told = |e: std::io::Error| format!("{}: {e}", folder.display());
-    let text = serde_json::to_vec_pretty(memory).map_err(|e| e.to_string())?;
-    let mut new = tempfile::NamedTempFile::new_in(folder).map_err(told)?;
-    new.write_all(&text)
-        .and_then(|()| new.as_file().sync_all())
-        .map_err(told)?;
-    new.persist(folder.join(MEMORY))
-        .map_err(|e| told(e.error))?;
-    File::open(folder).and_then(|f| f.sync_all()).map_err(told)
+/// Replaces the saved state atomically. It is synced to disk when this returns.
+fn save_state(folder: &Path, state: &PersistentState) -> Result<(), String> {
+    let in_folder = |e: std::io::Error| format!("{}: {e}", folder.display());
+    let text = serde_json::to_vec_pretty(state).map_err(|e| e.to_string())?;
+    let mut temporary = tempfile::NamedTempFile::new_in(folder).map_err(in_folder)?;
+    temporary
+        .write_all(&text)
+        .and_then(|()| temporary.as_file().sync_all())
+        .map_err(in_folder)?;
+    temporary
+        .persist(folder.join(STATE_FILE))
+        .map_err(|e| in_folder(e.error))?;
+    File::open(folder)
+        .and_then(|f| f.sync_all())
+        .map_err(in_folder)
 }
 
-struct Keeper {
-    told: Told,
+/// A supervised ingress: its settings, listening socket and processes.
+struct Tender {
+    file: TendFile,
     supervisor: Supervisor,
     listener: TcpListener,
     serving: Option<Process>,
-    next: Option<Process>,
-    /// That two don't keep one ingress.
+    successor: Option<Process>,
+    /// Held so that no second supervisor runs for the same ingress.
     _lock: File,
 }
 
-impl Keeper {
-    /// Finds what runs already, or binds the clients' address.
-    fn begin(told: Told) -> Result<Keeper, String> {
-        let failed = |e: std::io::Error| format!("{}: {e}", told.state.display());
-        fs::create_dir_all(&told.state).map_err(failed)?;
+impl Tender {
+    /// Adopts a running ingress, or binds the listening address if there is none.
+    fn start(file: TendFile) -> Result<Tender, String> {
+        let failed = |e: std::io::Error| format!("{}: {e}", file.state.display());
+        fs::create_dir_all(&file.state).map_err(failed)?;
         let mut options = OpenOptions::new();
         let lock = options
             .write(true)
             .create(true)
             .truncate(false)
-            .open(told.state.join("lock"))
+            .open(file.state.join("lock"))
             .map_err(failed)?;
-        flock(&lock, FlockOperation::NonBlockingLockExclusive)
-            .map_err(|_| format!("{}: another keeper has the folder", told.state.display()))?;
-        let memory = remembered(&told.state)?;
+        flock(&lock, FlockOperation::NonBlockingLockExclusive).map_err(|_| {
+            format!(
+                "{}: another supervisor holds the folder's lock",
+                file.state.display()
+            )
+        })?;
+        let state = load_state(&file.state)?;
         let mut supervisor = Supervisor::new(
-            told.terms.clone(),
-            memory,
-            told.programs.first().clone(),
-            &told.programs,
+            file.policy.clone(),
+            state,
+            file.programs.first().clone(),
+            &file.programs,
         );
-        let begun = Instant::now();
+        let started = Instant::now();
         let (listener, serving) = loop {
-            if let Some((listener, process)) = running(&told) {
-                let program = serves(&told).unwrap_or_else(|| told.programs.first().clone());
+            if let Some((listener, process)) = find_running(&file) {
+                let program =
+                    running_program(&file).unwrap_or_else(|| file.programs.first().clone());
                 log(&format!(
-                    "{} serves already, as process {}",
+                    "{} already runs, as process {}",
                     program.name, process.id
                 ));
-                supervisor.step(clock::now(), Event::Adopted(program), &told.programs);
+                supervisor.step(clock::now(), Event::Adopted(program), &file.programs);
                 break (listener, Some(process));
             }
-            match TcpListener::bind(told.listen) {
+            match TcpListener::bind(file.listen) {
                 Ok(listener) => break (listener, None),
-                // One that an earlier keeper has just started, or that is just taking over, can't be found yet.
-                Err(e) if begun.elapsed() > told.terms.timeout => {
-                    return Err(format!("listen: cannot listen at {}: {e}", told.listen));
+                // A process that was just started or is taking over holds the address but cannot be found yet.
+                Err(e) if started.elapsed() > file.policy.timeout => {
+                    return Err(format!("listen: cannot listen at {}: {e}", file.listen));
                 }
-                Err(_) => std::thread::sleep(EVERY),
+                Err(_) => std::thread::sleep(POLL_INTERVAL),
             }
         };
-        // It is to pass to those that are started.
+        // Clear close-on-exec, so that started processes inherit the socket.
         fcntl_setfd(&listener, FdFlags::empty()).map_err(|e| format!("listen: {e}"))?;
-        Ok(Keeper {
-            told,
+        Ok(Tender {
+            file,
             supervisor,
             listener,
             serving,
-            next: None,
+            successor: None,
             _lock: lock,
         })
     }
 
-    /// One turn: who has ended, what the ingress says, and what is to be done.
-    fn turn(&mut self) -> Result<(), String> {
-        if let Some(how) = self.next.as_mut().and_then(Process::ended) {
-            self.next = None;
+    /// One iteration: reports exited processes and the ingress's status to the supervisor and performs its actions.
+    fn poll(&mut self) -> Result<(), String> {
+        if let Some(reason) = self.successor.as_mut().and_then(Process::exit_reason) {
+            self.successor = None;
             self.step(Event::Exited {
                 slot: ProcessSlot::Successor,
-                reason: how,
+                reason,
             });
         }
-        if let Some(how) = self.serving.as_mut().and_then(Process::ended) {
-            let changing = self.next.is_some();
-            self.serving = self.next.take();
-            match running(&self.told).filter(|_| !changing) {
-                // An earlier keeper had started another one, that has taken over since.
+        if let Some(reason) = self.serving.as_mut().and_then(Process::exit_reason) {
+            let changing = self.successor.is_some();
+            self.serving = self.successor.take();
+            match find_running(&self.file).filter(|_| !changing) {
+                // A process started by an earlier supervisor has taken over in the meantime.
                 Some((_, process)) => {
-                    let program =
-                        serves(&self.told).unwrap_or_else(|| self.supervisor.program().clone());
+                    let program = running_program(&self.file)
+                        .unwrap_or_else(|| self.supervisor.program().clone());
                     self.serving = Some(process);
                     self.step(Event::Adopted(program));
                 }
                 None => self.step(Event::Exited {
                     slot: ProcessSlot::Serving,
-                    reason: how,
+                    reason,
                 }),
             }
         }
-        let seen = match asked(&self.told) {
+        let observation = match query_status(&self.file) {
             None => Observation::NoAnswer,
             Some(GroupStatus {
-                running_program: runs,
-                wanted_program: wants,
-                may_upgrade: turn,
+                running_program: running,
+                wanted_program: wanted,
+                may_upgrade: may_change,
                 rollout,
                 ..
             }) => Observation::Status {
-                running: runs.and_then(|text| Program::parse(&text).ok()),
-                wanted: wants.and_then(|text| {
+                running: running.and_then(|text| Program::parse(&text).ok()),
+                wanted: wanted.and_then(|text| {
                     Some(WantedProgram {
                         program: Program::parse(&text).ok()?,
-                        may_change: turn,
+                        may_change,
                     })
                 }),
                 settled: rollout.is_none_or(|phase| phase.ended()),
             },
         };
-        self.step(Event::Polled(seen));
+        self.step(Event::Polled(observation));
         Ok(())
     }
 
-    /// Takes what happened, and does what comes of it. What is to be remembered is on the disk first.
+    /// Passes an event to the supervisor and performs its actions. Changed state is saved before any action.
     fn step(&mut self, event: Event) {
-        let (before, looked) = (self.supervisor.clone(), matches!(event, Event::Polled(_)));
+        let (before, polled) = (self.supervisor.clone(), matches!(event, Event::Polled(_)));
         let actions = self
             .supervisor
-            .step(clock::now(), event, &self.told.programs);
+            .step(clock::now(), event, &self.file.programs);
         if self.supervisor.persistent_state() != before.persistent_state() {
-            if let Err(why) = remember(&self.told.state, self.supervisor.persistent_state()) {
-                log(&format!("cannot remember: {why}"));
-                if looked {
-                    // Nothing has happened, and it is tried again at the next look.
+            if let Err(reason) = save_state(&self.file.state, self.supervisor.persistent_state()) {
+                log(&format!("cannot save the state: {reason}"));
+                if polled {
+                    // Drop the event and its actions; the next poll retries.
                     self.supervisor = before;
                     return;
                 }
@@ -255,108 +266,107 @@
                 program,
                 slot,
                 replaces,
-            } => match self.start(&program, replaces) {
+            } => match self.spawn(&program, replaces) {
                 Ok(process) => {
                     log(&format!(
                         "{} started as process {}",
                         program.name, process.id
                     ));
-                    *self.place(slot) = Some(process);
+                    *self.slot(slot) = Some(process);
                 }
                 Err(reason) => self.step(Event::Exited { slot, reason }),
             },
             Action::Stop { slot, mode } => {
-                if let Some(process) = self.place(slot) {
-                    process.end(mode == StopMode::Kill);
+                if let Some(process) = self.slot(slot) {
+                    process.stop(mode == StopMode::Kill);
                 }
             }
-            Action::ReportUnfit {
-                program,
-                reason: why,
-            } => {
+            Action::ReportUnfit { program, reason } => {
                 let unfit = GroupRequest::ProgramUnfit {
                     program: program.to_string(),
-                    reason: why,
+                    reason,
                 };
-                if let Err(why) =
-                    client::request::<_, GroupResponse>(&self.told.control, &unfit, PATIENCE)
+                if let Err(reason) =
+                    client::request::<_, GroupResponse>(&self.file.control, &unfit, CONTROL_TIMEOUT)
                 {
-                    log(&format!("the ingress could not be told: {why}"));
+                    log(&format!(
+                        "cannot report the unfit program to the ingress: {reason}"
+                    ));
                 }
             }
         }
     }
 
-    fn place(&mut self, slot: ProcessSlot) -> &mut Option<Process> {
+    fn slot(&mut self, slot: ProcessSlot) -> &mut Option<Process> {
         match slot {
             ProcessSlot::Serving => &mut self.serving,
-            ProcessSlot::Successor => &mut self.next,
+            ProcessSlot::Successor => &mut self.successor,
         }
     }
 
-    fn start(&self, program: &Program, changed: bool) -> Result<Process, String> {
-        let path = self.told.programs.path(program)?;
+    fn spawn(&self, program: &Program, replaces: bool) -> Result<Process, String> {
+        let path = self.file.programs.path(program)?;
         let mut command = Command::new(path);
-        command.args(&self.told.arguments).stdin(Stdio::null());
+        command.args(&self.file.arguments).stdin(Stdio::null());
         command.env("LB_PASSED_SOCKET", self.listener.as_raw_fd().to_string());
         command.env(PROGRAM_VARIABLE, program.to_string());
-        match changed {
+        match replaces {
             true => command.env(REPLACEMENT_VARIABLE, "1"),
             false => command.env_remove(REPLACEMENT_VARIABLE),
         };
-        if let Some(to) = &self.told.log {
-            let open = OpenOptions::new().create(true).append(true).open(to);
-            command.stderr(open.map_err(|e| format!("{}: {e}", to.display()))?);
+        if let Some(path) = &self.file.log {
+            let open = OpenOptions::new().create(true).append(true).open(path);
+            command.stderr(open.map_err(|e| format!("{}: {e}", path.display()))?);
         }
-        Process::own(
+        Process::spawned(
             command
                 .spawn()
                 .map_err(|e| format!("{}: {e}", path.display()))?,
         )
     }
 
-    /// Ends the ingress, and waits for that.
-    fn end(mut self) -> Result<ExitCode, String> {
-        log("ending the ingress");
-        let begun = Instant::now();
-        for process in [self.serving.as_mut(), self.next.as_mut()]
+    /// Stops the ingress and waits for its processes to exit; they are killed after the timeout.
+    fn shut_down(mut self) -> Result<ExitCode, String> {
+        log("stopping the ingress");
+        let started = Instant::now();
+        for process in [self.serving.as_mut(), self.successor.as_mut()]
             .into_iter()
             .flatten()
         {
-            process.end(false);
-            while process.ended().is_none() {
-                if begun.elapsed() > self.told.terms.timeout {
-                    process.end(true);
+            process.stop(false);
+            while process.exit_reason().is_none() {
+                if started.elapsed() > self.file.policy.timeout {
+                    process.stop(true);
                 }
-                std::thread::sleep(EVERY / 10);
+                std::thread::sleep(POLL_INTERVAL / 10);
             }
         }
         Ok(ExitCode::SUCCESS)
     }
 }
 
-/// The process that serves, with the clients' socket, if there is one.
-fn running(told: &Told) -> Option<(TcpListener, Process)> {
+/// The serving process and its listening socket, if there is one.
+fn find_running(file: &TendFile) -> Option<(TcpListener, Process)> {
     let BorrowedListener {
         listener,
         process_id,
-    } = listener::borrow(&socket_path(told.listen)).ok().flatten()?;
+    } = listener::borrow(&socket_path(file.listen)).ok().flatten()?;
     Some((
         TcpListener::from(listener),
-        Process::found(process_id).ok()?,
+        Process::adopted(process_id).ok()?,
     ))
 }
 
-/// The program that serves, where it says so.
-fn serves(told: &Told) -> Option<Program> {
-    Program::parse(&asked(told)?.running_program?).ok()
+/// The program that the ingress reports to run, if it answers.
+fn running_program(file: &TendFile) -> Option<Program> {
+    Program::parse(&query_status(file)?.running_program?).ok()
 }
 
-/// How the ingress stands, as it says itself.
-fn asked(told: &Told) -> Option<GroupStatus> {
-    match client::request(&told.control, &GroupRequest::Status, PATIENCE) {
-        Ok(GroupResponse::Status(stand)) => Some(*stand),
-        // It belongs to no group, which wants nothing then.
+/// Requests the status of the ingress; none if it does not answer.
+fn query_status(file: &TendFile) -> Option<GroupStatus> {
+    match client::request(&file.control, &GroupRequest::Status, CONTROL_TIMEOUT) {
+        Ok(GroupResponse::Status(status)) => Some(*status),
+        // An ingress without a group rejects the request: no group wants another program.
         Ok(GroupResponse::Rejected { .. }) => Some(GroupStatus {
             may_upgrade: true,
             ..GroupStatus::default()
--- a/crates/ctl/src/tend/process.rs
+++ b/crates/ctl/src/tend/process.rs
@@ -1,4 +1,4 @@
-//! Processes of an ingress: those that were started here, and those that an earlier keeper had started.
+//! Handles of ingress processes: children of this process, and adopted ones that an earlier supervisor started.
 
 use rustix::event::{poll, PollFd, PollFlags};
 use rustix::process::{pidfd_open, pidfd_send_signal, Pid, PidfdFlags, Signal};
@@ -6,49 +6,49 @@
 use std::os::fd::OwnedFd;
 use std::process::Child;
 
-/// A process.
+/// A process, identified by its pidfd.
 pub struct Process {
-    /// Its number.
+    /// The process id.
     pub id: u32,
-    /// Names it for as long as it is held, also where its number is another's by then.
-    handle: OwnedFd,
-    /// Where it was started here.
+    /// Stays valid for this process even if its id is reused.
+    pidfd: OwnedFd,
+    /// Set if this process started it.
     child: Option<Child>,
 }
 
 impl Process {
-    /// One that was started here.
+    /// A child of this process.
     ///
     /// # Errors
     ///
-    /// Where the system gives no handle of it.
-    pub fn own(child: Child) -> Result<Process, String> {
-        let mut process = Process::found(child.id())?;
+    /// If no pidfd can be opened.
+    pub fn spawned(child: Child) -> Result<Process, String> {
+        let mut process = Process::adopted(child.id())?;
         process.child = Some(child);
         Ok(process)
     }
 
-    /// One that runs already.
+    /// A running process that is not a child of this one.
     ///
     /// # Errors
     ///
-    /// Where there is none by now.
-    pub fn found(id: u32) -> Result<Process, String> {
+    /// If there is no process with this id.
+    pub fn adopted(id: u32) -> Result<Process, String> {
         let pid = i32::try_from(id)
             .ok()
             .and_then(Pid::from_raw)
-            .ok_or("no number of a process")?;
-        let handle = pidfd_open(pid, PidfdFlags::empty())
-            .map_err(|e| format!("process {id}: no handle: {e}"))?;
+            .ok_or("invalid process id")?;
+        let pidfd = pidfd_open(pid, PidfdFlags::empty())
+            .map_err(|e| format!("process {id}: cannot open a pidfd: {e}"))?;
         Ok(Process {
             id,
-            handle,
+            pidfd,
             child: None,
         })
     }
 
-    /// How it has ended, if it has.
-    pub fn ended(&mut self) -> Option<String> {
+    /// Why the process exited; none while it runs.
+    pub fn exit_reason(&mut self) -> Option<String> {
         if let Some(child) = &mut self.child {
             return child
                 .try_wait()
@@ -56,24 +56,21 @@
                 .flatten()
                 .map(|status| status.to_string());
         }
-        let mut list = [PollFd::new(&self.handle, PollFlags::IN)];
-        let ended = poll(
-            &mut list,
+        let mut descriptors = [PollFd::new(&self.pidfd, PollFlags::IN)];
+        let exited = poll(
+            &mut descriptors,
             Some(&Timespec {
                 tv_sec: 0,
                 tv_nsec: 0,
             }),
         )
         .is_ok_and(|n| n > 0);
-        ended.then(|| "how is not known: an earlier keeper had started it".to_string())
+        exited.then(|| "exit status unknown: an earlier supervisor started the process".to_string())
     }
 
-    /// Ends it, at once or as it can.
-    pub fn end(&self, at_once: bool) {
-        // One that has ended by itself needs no signal.
-        let _ = pidfd_send_signal(
-            &self.handle,
-            if at_once { Signal::KILL } else { Signal::TERM },
-        );
+    /// Sends SIGKILL if `kill` is set, otherwise SIGTERM.
+    pub fn stop(&self, kill: bool) {
+        // An error means that the process has exited already.
+        let _ = pidfd_send_signal(&self.pidfd, if kill { Signal::KILL } else { Signal::TERM });
     }
 }
