--- a/crates/ctl/src/config/check.rs
+++ b/crates/ctl/src/config/check.rs
@@ -1,4 +1,4 @@
-//! `wrenctl config check`.
+//! `wrenctl config check`: checks configuration files, alone and together.
 
 use super::{discovery, failed, print, Format};
 use clap::Args;
@@ -22,14 +22,14 @@
 
 pub fn main(options: &Options) -> ExitCode {
     let mut files = options.files.clone();
-    // Kept in a file of its own, so that what is wrong with it is told like any other file's mistakes.
-    let listed = match options.discovery.map(discovery::list) {
+    // The list goes into a temporary file, so that its errors are reported like those of any other file.
+    let node_list = match options.discovery.map(discovery::list) {
         Some(Ok(file)) => Some(file),
-        Some(Err(why)) => return failed(why),
+        Some(Err(error)) => return failed(error),
         None => None,
     };
     files.extend(
-        listed
+        node_list
             .as_ref()
             .map(|f: &discovery::Listed| Path::to_path_buf(f.path())),
     );
--- a/crates/ctl/src/config/fmt.rs
+++ b/crates/ctl/src/config/fmt.rs
@@ -1,4 +1,4 @@
-//! `wrenctl config fmt`.
+//! `wrenctl config fmt`: formats configuration files.
 
 use super::failed;
 use anstream::println;
@@ -20,7 +20,7 @@
     check: bool,
 }
 
-/// Replaces a file at one go: whoever reads it meanwhile has the old text or the new.
+/// Replaces a file atomically and keeps its mode: a concurrent reader gets either the old or the new text.
 fn replace(path: &Path, text: &str) -> std::io::Result<()> {
     let folder = path
         .parent()
@@ -36,20 +36,20 @@
 }
 
 pub fn main(options: &Options) -> ExitCode {
-    let mut changes = false;
+    let mut changed = false;
     for path in &options.files {
         let source = match Source::read(path, 0) {
             Ok(source) => source,
-            Err(wrong) => return failed(wrong.message),
+            Err(diagnostic) => return failed(diagnostic.message),
         };
         let formatted = match fmt(&source.text) {
             Ok(text) => text,
-            Err(why) => return failed(format!("{}: {why}", path.display())),
+            Err(error) => return failed(format!("{}: {error}", path.display())),
         };
         if formatted == source.text {
             continue;
         }
-        changes = true;
+        changed = true;
         println!("{}", path.display());
         if !options.check {
             if let Err(e) = replace(path, &formatted) {
@@ -57,7 +57,7 @@
             }
         }
     }
-    if options.check && changes {
+    if options.check && changed {
         ExitCode::FAILURE
     } else {
         ExitCode::SUCCESS
--- a/crates/ctl/src/config/mod.rs
+++ b/crates/ctl/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! `wrenctl config`: writes, checks, formats and renders the files that operators keep.
+//! `wrenctl config`: creates, checks, formats and renders configuration files.
 
 mod check;
 mod discovery;
@@ -17,7 +17,7 @@
 use wrenfork_config::schema;
 use wrenfork_config::set::Set;
 
-/// What could not be read or done.
+/// Exit code if something could not be read or done.
 const FAILED: u8 = 2;
 
 #[derive(Subcommand)]
@@ -80,8 +80,8 @@
     Json,
 }
 
-fn failed(why: impl std::fmt::Display) -> ExitCode {
-    eprintln!("{} {why}", style::bad("error:"));
+fn failed(error: impl std::fmt::Display) -> ExitCode {
+    eprintln!("{} {error}", style::bad("error:"));
     ExitCode::from(FAILED)
 }
 
@@ -89,7 +89,7 @@
     match verb {
         Verb::New(options) => new::main(&options),
         Verb::Check(options) => check::main(&options),
-        Verb::Render { files, ingress } => rendered(&files, &ingress),
+        Verb::Render { files, ingress } => render_sidecar(&files, &ingress),
         Verb::Explain { code } => explain(code.as_deref()),
         Verb::Schema { kind } => {
             let schema = schema::schema(kind.map(KindWord::kind));
@@ -107,14 +107,15 @@
     }
 }
 
-fn rendered(files: &[PathBuf], ingress: &str) -> ExitCode {
+/// Prints the configuration of one sidecar as JSON.
+fn render_sidecar(files: &[PathBuf], ingress: &str) -> ExitCode {
     let set = Set::read(files);
     if set.refused() {
         return print::text(&set);
     }
     let apps = set.applications();
     let (Some(site), [app]) = (set.site(), &apps[..]) else {
-        return failed("one application and its site are wanted");
+        return failed("expected the files of one application and its site");
     };
     match render(
         app.content,
@@ -122,17 +123,18 @@
         set.fleet().map(|f| f.content),
         ingress,
     ) {
-        Ok(told) => {
+        Ok(rendered) => {
             println!(
                 "{}",
-                serde_json::to_string_pretty(&told).unwrap_or_default()
+                serde_json::to_string_pretty(&rendered).unwrap_or_default()
             );
             ExitCode::SUCCESS
         }
-        Err(why) => failed(why),
+        Err(error) => failed(error),
     }
 }
 
+/// Explains a diagnostic code, or lists all.
 fn explain(id: Option<&str>) -> ExitCode {
     let Some(id) = id else {
         let mut table = style::table(&["code", "what"]);
@@ -147,13 +149,13 @@
             "there is no code {id}; `wrenctl config explain` lists all"
         ));
     };
-    let taken = match code.severity() {
+    let severity = match code.severity() {
         Severity::Warned => "told, not refused",
         Severity::Refused => "refused",
         Severity::Unreadable => "can't be read",
     };
     println!(
-        "{} {} ({taken})\n\n{}",
+        "{} {} ({severity})\n\n{}",
         style::head(code.id()),
         style::head(code.title()),
         code.explain()
--- a/crates/ctl/src/config/new.rs
+++ b/crates/ctl/src/config/new.rs
@@ -1,4 +1,4 @@
-//! `wrenctl config new`.
+//! `wrenctl config new`: writes the file of a new application.
 
 use super::{failed, print};
 use crate::style;
@@ -37,12 +37,14 @@
     out: Option<PathBuf>,
 }
 
-/// What no flag said: asked for at a terminal, an error elsewhere.
+/// Asks for the value of a flag that was not given. Without a terminal, returns the default, or an error if there is none.
 fn ask(flag: &str, question: &str, default: Option<&str>) -> Result<String, String> {
     if !std::io::stdin().is_terminal() {
         return match default {
             Some(d) => Ok(d.into()),
-            None => Err(format!("{flag} is wanted, as there is nobody to ask")),
+            None => Err(format!(
+                "{flag} is required, as standard input is no terminal"
+            )),
         };
     }
     let hint = default.map_or(String::new(), |d| format!(" [{d}]"));
@@ -54,15 +56,15 @@
         .map_err(|e| e.to_string())?;
     match (line.trim(), default) {
         ("", Some(d)) => Ok(d.into()),
-        ("", None) => Err(format!("{flag} is wanted")),
-        (said, _) => Ok(said.into()),
+        ("", None) => Err(format!("{flag} is required")),
+        (answer, _) => Ok(answer.into()),
     }
 }
 
-fn account(text: &str) -> Result<(u64, String), String> {
+fn parse_account(text: &str) -> Result<(u64, String), String> {
     let (id, plan) = text
         .split_once(':')
-        .ok_or_else(|| format!("{text}: an account is given as ID:PLAN"))?;
+        .ok_or_else(|| format!("{text}: an account must be given as ID:PLAN"))?;
     Ok((values::account(id)?, plan.to_string()))
 }
 
@@ -77,7 +79,7 @@
         Some(site) if !set.refused() => site.content,
         Some(_) => return Ok(print::text(&set)),
         None if set.found.is_empty() => {
-            return Err(format!("{} is no site's file", site_path.display()))
+            return Err(format!("{} is not a site file", site_path.display()))
         }
         None => return Ok(print::text(&set)),
     };
@@ -87,7 +89,7 @@
         let id = ask("--account", "An account's number, 16 hex digits", None)?;
         let first = site.plans.first().map_or("", |p| p.name.value.as_str());
         let plans: Vec<&str> = site.plans.iter().map(|p| p.name.value.as_str()).collect();
-        // At a terminal the number may come with its plan already.
+        // The answer may already include the plan, as ID:PLAN.
         accounts.push(match id.contains(':') {
             true => id,
             false => format!(
@@ -100,7 +102,8 @@
             ),
         });
     }
-    let given = |flag: &Option<String>, name: &str, question: &str, default: &str| match flag {
+    let flag_or_ask = |flag: &Option<String>, name: &str, question: &str, default: &str| match flag
+    {
         Some(text) => Ok(text.clone()),
         None => ask(name, question, Some(default)),
     };
@@ -117,15 +120,15 @@
         },
         accounts: accounts
             .iter()
-            .map(|a| account(a))
+            .map(|a| parse_account(a))
             .collect::<Result<_, _>>()?,
-        listen: given(
+        listen: flag_or_ask(
             &options.listen,
             "--listen",
             "Where the sidecar listens",
             "127.0.0.1:7600",
         )?,
-        discovery: given(
+        discovery: flag_or_ask(
             &options.discovery,
             "--discovery",
             "Where it asks for nodes",
@@ -137,7 +140,7 @@
         .out
         .clone()
         .unwrap_or_else(|| format!("{}.toml", options.app).into());
-    // Nothing is written that would be refused.
+    // Check the new file before it is written.
     let set = Set::from_sources([
         site_source,
         Source::new(out.display().to_string(), text.clone()),
--- a/crates/ctl/src/config/print.rs
+++ b/crates/ctl/src/config/print.rs
@@ -1,4 +1,4 @@
-//! Mistakes, shown to people with the lines that they stand on, or to scripts.
+//! Prints diagnostics: as text with the source lines, or as JSON.
 
 use super::FAILED;
 use crate::style;
@@ -12,13 +12,13 @@
 use wrenfork_config::set::Set;
 use wrenfork_config::source::Source;
 
-/// The most mistakes that are shown to people.
-const MOST_SHOWN: usize = 100;
-/// The longest part of a line that is shown.
-const LONGEST_LINE: usize = 400;
+/// Maximum number of diagnostics printed as text.
+const MAX_SHOWN: usize = 100;
+/// Maximum bytes shown of a source line.
+const MAX_LINE_BYTES: usize = 400;
 
-/// The exit code that says how a check went.
-pub fn verdict(set: &Set) -> ExitCode {
+/// The exit code of a check: 0 without errors, 1 with errors, 2 if a file could not be read.
+pub fn exit_code(set: &Set) -> ExitCode {
     match (set.unreadable(), set.refused()) {
         (true, _) => ExitCode::from(FAILED),
         (false, true) => ExitCode::FAILURE,
@@ -26,28 +26,28 @@
     }
 }
 
-/// A line of a file with a place in it: its number, its text, and the place in that text.
+/// The line of a source that a span starts in: its number from 1, its text, and the span within that text.
 fn line_of(source: &Source, span: &Range<usize>) -> (usize, String, Range<usize>) {
     let text = source.text.as_str();
-    let floor = |mut at: usize| {
+    let char_boundary = |mut at: usize| {
         at = at.min(text.len());
         while !text.is_char_boundary(at) {
             at -= 1;
         }
         at
     };
-    let start = floor(span.start);
+    let start = char_boundary(span.start);
     let begin = text[..start].rfind('\n').map_or(0, |n| n + 1);
     let end = text[start..].find('\n').map_or(text.len(), |n| start + n);
     let number = text[..begin].matches('\n').count() + 1;
-    // A very long line is cut round the place.
-    let from = if start - begin > LONGEST_LINE / 2 {
-        floor(start - LONGEST_LINE / 2)
+    // A very long line is cut to a part around the span.
+    let from = if start - begin > MAX_LINE_BYTES / 2 {
+        char_boundary(start - MAX_LINE_BYTES / 2)
     } else {
         begin
     };
-    let to = floor(end.min(from + LONGEST_LINE));
-    let stop = floor(span.end).clamp(start, to.max(start));
+    let to = char_boundary(end.min(from + MAX_LINE_BYTES));
+    let stop = char_boundary(span.end).clamp(start, to.max(start));
     let shown = text[from..to].trim_end_matches('\r').to_string();
     let stop = (stop - from).min(shown.len());
     let place = (start - from).min(stop)..stop;
@@ -73,18 +73,18 @@
         found
             .related
             .iter()
-            .filter_map(|(p, part)| Some((place(p)?, Some(part)))),
+            .filter_map(|(p, label)| Some((place(p)?, Some(label)))),
     );
     let mut group = Group::with_title(level.primary_title(&*found.message).id(found.code.id()));
-    for ((name, (number, text, span)), part) in &places {
-        let kind = if part.is_none() {
+    for ((name, (number, text, span)), label) in &places {
+        let kind = if label.is_none() {
             AnnotationKind::Primary
         } else {
             AnnotationKind::Context
         };
         let mut annotation = kind.span(span.clone());
-        if let Some(part) = part {
-            annotation = annotation.label(part.as_str());
+        if let Some(label) = label {
+            annotation = annotation.label(label.as_str());
         }
         group = group.element(
             Snippet::source(text.as_str())
@@ -99,17 +99,17 @@
     renderer.render(&[group])
 }
 
-/// Shows what is wrong to people.
+/// Prints diagnostics as text.
 pub fn text(set: &Set) -> ExitCode {
-    // `anstream` takes the colours away where nobody would see them.
+    // `anstream` drops the colours if the output is no terminal.
     let renderer = Renderer::styled();
-    for found in set.found.iter().take(MOST_SHOWN) {
+    for found in set.found.iter().take(MAX_SHOWN) {
         eprintln!("{}\n", report(found, &set.sources, &renderer));
     }
-    if set.found.len() > MOST_SHOWN {
+    if set.found.len() > MAX_SHOWN {
         eprintln!(
-            "and {} more; --format json tells all\n",
-            set.found.len() - MOST_SHOWN
+            "and {} more; --format json shows all\n",
+            set.found.len() - MAX_SHOWN
         );
     }
     let refused = set.found.iter().filter(|d| d.refused()).count();
@@ -130,7 +130,7 @@
             style::bad("refused:")
         ),
     }
-    verdict(set)
+    exit_code(set)
 }
 
 fn place(place: &Place, sources: &[Source]) -> Value {
@@ -142,7 +142,7 @@
     json!({"file": source.name, "line": line, "column": column, "end_line": end_line, "end_column": end_column})
 }
 
-/// Tells what is wrong to scripts.
+/// Prints diagnostics as JSON.
 pub fn json(set: &Set) -> ExitCode {
     let found = set.found.iter().map(|d| {
         let severity = match d.code.severity() {
@@ -150,15 +150,16 @@
             Severity::Refused => "refused",
             Severity::Warned => "warned",
         };
-        let related = d.related.iter().map(|(p, part)| json!({"place": place(p, &set.sources), "part": part}));
+        let related = d.related.iter().map(|(p, label)| json!({"place": place(p, &set.sources), "part": label}));
         json!({"code": d.code.id(), "severity": severity, "title": d.code.title(), "message": d.message,
                "place": place(&d.place, &set.sources), "related": related.collect::<Vec<_>>(), "help": d.help})
     });
     let files: Vec<&str> = set.sources.iter().map(|s| s.name.as_str()).collect();
-    let whole = json!({"good": !set.refused(), "files": files, "found": found.collect::<Vec<_>>()});
+    let report_json =
+        json!({"good": !set.refused(), "files": files, "found": found.collect::<Vec<_>>()});
     println!(
         "{}",
-        serde_json::to_string_pretty(&whole).unwrap_or_default()
+        serde_json::to_string_pretty(&report_json).unwrap_or_default()
     );
-    verdict(set)
+    exit_code(set)
 }
--- a/crates/ctl/src/keys.rs
+++ b/crates/ctl/src/keys.rs
@@ -1,4 +1,4 @@
-//! `wrenctl keys`: keys that sign tokens. Private halves stand in files that their owner alone may read, and nowhere else.
+//! `wrenctl keys`: manages the keys that sign tokens. Private keys exist only in files that only their owner can read.
 
 use crate::style;
 use anstream::println;
@@ -17,10 +17,10 @@
 use wrenfork_identity::trust::{written, Doubt, Stage};
 use zeroize::Zeroizing;
 
-/// What could not be done or read.
+/// Exit code if something could not be read or done.
 const FAILED: u8 = 2;
-/// Half a private key's file: 32 bytes in hex.
-const SEED: usize = 32;
+/// Bytes of a private key. Its file has them as 64 hex digits.
+const SEED_BYTES: usize = 32;
 
 #[derive(Subcommand)]
 pub enum Verb {
@@ -94,8 +94,8 @@
 
 fn new(out: &Path) -> Result<ExitCode, String> {
     let told = |e: std::io::Error| format!("{}: {e}", out.display());
-    let mut seed = Zeroizing::new([0u8; SEED]);
-    getrandom::fill(&mut *seed).map_err(|e| format!("no random numbers: {e}"))?;
+    let mut seed = Zeroizing::new([0u8; SEED_BYTES]);
+    getrandom::fill(&mut *seed).map_err(|e| format!("cannot get random bytes: {e}"))?;
     let text: Zeroizing<String> = Zeroizing::new(seed.iter().map(|b| format!("{b:02x}")).collect());
     let mut file = OpenOptions::new()
         .write(true)
@@ -114,33 +114,36 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reads a private half. Others who may read or write the file could have it, or put theirs there.
-fn private(path: &Path) -> Result<SigningKey, String> {
+/// Reads a private key. Rejects a file of another user, or one that others may read (they know the key) or write (they can
+/// replace it).
+fn read_private_key(path: &Path) -> Result<SigningKey, String> {
     let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
     let mut file = File::open(path).map_err(|e| told(&e))?;
-    let about = file.metadata().map_err(|e| told(&e))?;
-    if about.mode() & 0o077 != 0 {
+    let metadata = file.metadata().map_err(|e| told(&e))?;
+    if metadata.mode() & 0o077 != 0 {
         return Err(told(&format!(
-            "others may read or write it (mode {:04o}): chmod 600",
-            about.mode() & 0o7777
+            "other users may read or write the file (mode {:04o}): chmod 600",
+            metadata.mode() & 0o7777
         )));
     }
-    if about.uid() != rustix::process::geteuid().as_raw() {
-        return Err(told(&"it belongs to another user"));
+    if metadata.uid() != rustix::process::geteuid().as_raw() {
+        return Err(told(&"the file belongs to another user"));
     }
-    let mut text = Zeroizing::new(Vec::with_capacity(2 * SEED + 2));
+    let mut text = Zeroizing::new(Vec::with_capacity(2 * SEED_BYTES + 2));
     (&mut file)
-        .take(2 * SEED as u64 + 2)
+        .take(2 * SEED_BYTES as u64 + 2)
         .read_to_end(&mut text)
         .map_err(|e| told(&e))?;
     let hex = text.strip_suffix(b"\n").unwrap_or(&text);
     let digit = |b: u8| char::from(b).to_digit(16).map(|d| d as u8);
     let byte = |pair: &[u8]| Some(digit(pair[0])? << 4 | digit(pair[1])?);
-    let bytes: Option<Vec<u8>> = (hex.len() == 2 * SEED)
+    let bytes: Option<Vec<u8>> = (hex.len() == 2 * SEED_BYTES)
         .then(|| hex.chunks(2).map(byte).collect())
         .flatten();
-    let seed = Zeroizing::new(bytes.ok_or_else(|| told(&"this is no private key: 64 hex digits"))?);
-    let seed: &[u8; SEED] = seed
+    let seed = Zeroizing::new(
+        bytes.ok_or_else(|| told(&"this is no private key: 64 hex digits expected"))?,
+    );
+    let seed: &[u8; SEED_BYTES] = seed
         .as_slice()
         .try_into()
         .map_err(|_| told(&"this is no private key"))?;
@@ -160,8 +163,8 @@
     else {
         return Ok(ExitCode::SUCCESS);
     };
-    let with = private(&key)?;
-    let (issuer, name) = kid.split_once('/').ok_or("--kid is ISSUER/KEY")?;
+    let signing_key = read_private_key(&key)?;
+    let (issuer, name) = kid.split_once('/').ok_or("--kid must be ISSUER/KEY")?;
     let accounts = account
         .iter()
         .map(|a| wrenfork_config::values::account(a))
@@ -170,7 +173,7 @@
     let claims = Claims {
         issuer: issuer.into(),
         key: name.into(),
-        public: with.verifying_key(),
+        public: signing_key.verifying_key(),
         audience,
         tenant,
         accounts: (!accounts.is_empty()).then_some(accounts),
@@ -178,7 +181,7 @@
         from,
         until: from + lasts.as_secs(),
     };
-    println!("{}", sign(&claims, &with));
+    println!("{}", sign(&claims, &signing_key));
     Ok(ExitCode::SUCCESS)
 }
 
@@ -194,20 +197,23 @@
     else {
         return Ok(ExitCode::SUCCESS);
     };
-    let told_of = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
+    let in_file = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     wrenfork_config::values::public_key(&public)?;
-    let text = std::fs::read_to_string(&file).map_err(|e| told_of(&e))?;
-    let mut document: DocumentMut = text.parse().map_err(|e| told_of(&e))?;
+    let text = std::fs::read_to_string(&file).map_err(|e| in_file(&e))?;
+    let mut document: DocumentMut = text.parse().map_err(|e| in_file(&e))?;
     let issuers = document
         .get_mut("identity")
         .and_then(|i| i.get_mut("issuer"))
         .and_then(Item::as_array_of_tables_mut);
     let named = |t: &&mut Table| t.get("name").and_then(Item::as_str) == Some(&issuer);
-    let found = issuers.and_then(|list| list.iter_mut().find(named));
-    let found = found.ok_or_else(|| told_of(&format!("there is no issuer \"{issuer}\"")))?;
-    let keys = found.get_mut("key").and_then(Item::as_array_of_tables_mut);
+    let issuer_table = issuers.and_then(|list| list.iter_mut().find(named));
+    let issuer_table =
+        issuer_table.ok_or_else(|| in_file(&format!("there is no issuer \"{issuer}\"")))?;
+    let keys = issuer_table
+        .get_mut("key")
+        .and_then(Item::as_array_of_tables_mut);
     let keys = keys.ok_or_else(|| {
-        told_of(&format!(
+        in_file(&format!(
             "issuer \"{issuer}\" has no [[identity.issuer.key]]"
         ))
     })?;
@@ -215,7 +221,7 @@
         .iter()
         .any(|k| k.get("name").and_then(Item::as_str) == Some(&name))
     {
-        return Err(told_of(&format!(
+        return Err(in_file(&format!(
             "issuer \"{issuer}\" has a key \"{name}\""
         )));
     }
@@ -233,27 +239,28 @@
         new.insert(key, value(text));
     }
     keys.push(new);
-    // Whole or not at all, with the mode that it had: an ingress may read it at any moment.
+    // Replace the file atomically and keep its mode: an ingress may read it at any time.
     let folder = file
         .parent()
         .filter(|p| !p.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    let mut written = tempfile::NamedTempFile::new_in(folder).map_err(|e| told_of(&e))?;
+    let mut written = tempfile::NamedTempFile::new_in(folder).map_err(|e| in_file(&e))?;
     let mode = std::fs::metadata(&file)
-        .map_err(|e| told_of(&e))?
+        .map_err(|e| in_file(&e))?
         .permissions();
-    let done = written
+    let result = written
         .write_all(document.to_string().as_bytes())
         .and_then(|()| written.as_file().sync_all());
-    done.and_then(|()| written.as_file().set_permissions(mode))
-        .map_err(|e| told_of(&e))?;
-    written.persist(&file).map_err(|e| told_of(&e.error))?;
+    result
+        .and_then(|()| written.as_file().set_permissions(mode))
+        .map_err(|e| in_file(&e))?;
+    written.persist(&file).map_err(|e| in_file(&e.error))?;
     println!(
         "{} {issuer}/{name} is taken from {}, the others until {until}",
         style::good("listed:"),
         told(from)
     );
-    println!("apply this file before that, then sign with the new key; to go back, apply the file as it was");
+    println!("apply this file before that, then sign with the new key; to go back, apply the previous file");
     Ok(ExitCode::SUCCESS)
 }
 
@@ -270,9 +277,9 @@
         .ingresses()
         .into_iter()
         .map(|i| i.content.ways.identity.clone());
-    let (at, mut wrong) = (now(), false);
+    let (time, mut wrong) = (now(), false);
     let mut table = style::table(&["issuer", "key", "stands", "from", "until"]);
-    let mut said = Vec::new();
+    let mut warnings = Vec::new();
     for identity in apps.chain(ingresses).flatten() {
         let trust = callers::trust(&identity);
         for (issuer, key) in trust
@@ -280,48 +287,48 @@
             .iter()
             .flat_map(|i| i.keys.iter().map(move |k| (&i.name, k)))
         {
-            let stands = match key.stage(at) {
+            let stage = match key.stage(time) {
                 Stage::Coming => "coming",
                 Stage::Used => "used",
                 Stage::Leaving => "leaving",
                 Stage::Withdrawn => "withdrawn",
             };
-            let moment = |t: Option<u64>| t.filter(|t| *t > 0).map_or("-".into(), told);
+            let date = |t: Option<u64>| t.filter(|t| *t > 0).map_or("-".into(), told);
             table.add_row([
                 issuer.clone(),
                 key.name.clone(),
-                stands.into(),
-                moment(Some(key.from)),
-                moment(key.until),
+                stage.into(),
+                date(Some(key.from)),
+                date(key.until),
             ]);
             let soon = key
                 .until
-                .is_some_and(|u| u > at && u <= at + u64::from(early) * 86_400);
+                .is_some_and(|u| u > time && u <= time + u64::from(early) * 86_400);
             let next = trust
                 .issuers
                 .iter()
                 .filter(|i| i.name == *issuer)
                 .flat_map(|i| &i.keys);
-            if soon && !next.into_iter().any(|k| k.until.is_none() && k.taken(at)) {
-                said.push(format!(
-                    "key {issuer}/{} ends soon, and no other one is used yet",
+            if soon && !next.into_iter().any(|k| k.until.is_none() && k.taken(time)) {
+                warnings.push(format!(
+                    "key {issuer}/{} ends soon, and no other key is in use yet",
                     key.name
                 ));
             }
         }
-        said.extend(trust.rotation(at).iter().map(|doubt| match doubt {
+        warnings.extend(trust.rotation(time).iter().map(|doubt| match doubt {
             Doubt::NoKey(issuer) => {
-                format!("no key of issuer {issuer} is taken now: all of its tokens are refused")
+                format!("no key of issuer {issuer} is accepted now: all of its tokens are refused")
             }
             Doubt::Gap(issuer, from) => {
                 format!("issuer {issuer} has no key from {} on", told(*from))
             }
-            Doubt::Twice(issuer, key) => format!("key {issuer}/{key} is there twice"),
+            Doubt::Twice(issuer, key) => format!("key {issuer}/{key} is listed twice"),
             Doubt::Never(issuer, key) => format!("key {issuer}/{key} ends before it begins"),
         }));
     }
     println!("{table}");
-    for line in said {
+    for line in warnings {
         wrong = true;
         println!("{} {line}", style::bad("doubt:"));
     }
@@ -333,14 +340,14 @@
 }
 
 pub fn main(verb: Verb) -> ExitCode {
-    let done = match verb {
+    let result = match verb {
         Verb::New { out } => new(&out),
         Verb::Status { files, early } => status(&files, early),
         verb @ Verb::Token { .. } => token(verb),
         verb @ Verb::Rotate { .. } => rotate(verb),
     };
-    done.unwrap_or_else(|why| {
-        anstream::eprintln!("{} {why}", style::bad("error:"));
+    result.unwrap_or_else(|reason| {
+        anstream::eprintln!("{} {reason}", style::bad("error:"));
         ExitCode::from(FAILED)
     })
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `wrenctl`, the operators' tool. Exit codes: 0 for good, 1 for a finding, 2 for what could not be done or read;
+//! `wrenctl`, the operators' command line. Exit codes: 0 for success, 1 if a check finds a problem, 2 on an error;
 //! `plan`, `apply` and `rollback` have their own, see [`change`].
 
 // Not done yet, see docs/ROADMAP.md.
--- a/crates/ctl/src/reload.rs
+++ b/crates/ctl/src/reload.rs
@@ -1,4 +1,4 @@
-//! `wrenctl reload`: has an ingress read its files again, and tells what became of it.
+//! `wrenctl reload`: makes an ingress read its files again, and reports the result.
 
 use crate::style;
 use clap::Args;
@@ -8,12 +8,12 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// What could not be done or read.
+/// Exit code if something could not be read or done.
 const FAILED: u8 = 2;
-/// It has not said in time how it ended.
-const UNANSWERED: u8 = 3;
-/// Between two looks.
-const LOOK: Duration = Duration::from_millis(10);
+/// Exit code if the ingress did not report a result in time.
+const TIMED_OUT: u8 = 3;
+/// Interval at which the status file is read.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 #[derive(Args)]
 pub struct Options {
@@ -37,17 +37,18 @@
 }
 
 fn read(path: &Path) -> Result<Status, String> {
-    let told = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|e| told(&e))?;
-    serde_json::from_str(&text).map_err(|e| told(&format!("this is no ingress's status: {e}")))
+    let in_file = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+    let text = std::fs::read_to_string(path).map_err(|e| in_file(&e))?;
+    serde_json::from_str(&text)
+        .map_err(|e| in_file(&format!("this is not the status file of an ingress: {e}")))
 }
 
 fn run(options: &Options) -> Result<ExitCode, String> {
     let before = read(&options.status)?;
-    let process = Pid::from_raw(before.process)
+    let pid = Pid::from_raw(before.process)
         .filter(|_| before.process > 1)
-        .ok_or("it names no process")?;
-    kill_process(process, Signal::HUP).map_err(|e| format!("process {}: {e}", before.process))?;
+        .ok_or("the status file names no process")?;
+    kill_process(pid, Signal::HUP).map_err(|e| format!("process {}: {e}", before.process))?;
     if !options.wait {
         return Ok(ExitCode::SUCCESS);
     }
@@ -55,7 +56,7 @@
     loop {
         let now = read(&options.status)?;
         if now.process != before.process {
-            return Err("it was started anew meanwhile".into());
+            return Err("the ingress was restarted in the meantime".into());
         }
         let read = now.readings > before.readings;
         match now.outcome.as_str() {
@@ -65,7 +66,7 @@
             }
             "refused" if read => {
                 anstream::eprintln!(
-                    "{} {}; it goes on as before",
+                    "{} {}; the previous configuration stays in force",
                     style::bad("refused:"),
                     now.why
                 );
@@ -73,21 +74,21 @@
             }
             _ => {}
         }
-        test_kill_process(process).map_err(|e| format!("process {}: {e}", before.process))?;
+        test_kill_process(pid).map_err(|e| format!("process {}: {e}", before.process))?;
         if start.elapsed() > options.patience {
             let why = match (read, now.outcome.as_str()) {
                 (true, "waiting") => {
                     format!(
-                        "it can't be read, and is read again until it can be: {}",
+                        "the configuration can't be read, and the ingress retries: {}",
                         now.why
                     )
                 }
-                _ => "it has not read its files yet".into(),
+                _ => "the ingress has not read its files yet".into(),
             };
             anstream::eprintln!("{} {why}", style::doubtful("waiting:"));
-            return Ok(ExitCode::from(UNANSWERED));
+            return Ok(ExitCode::from(TIMED_OUT));
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
--- a/crates/ctl/src/route/cases.rs
+++ b/crates/ctl/src/route/cases.rs
@@ -1,17 +1,17 @@
-//! Operators' own expectations of their routes, as a file that their CI holds against the files of a site:
+//! `wrenctl route test`: checks the routes of a site against a file of expected routes, as in an operator's CI:
 //!
 //! ```toml
 //! [[case]]
 //! name = "desk's quotes stay on the fast nodes"
 //! account = "00000000000004d2"
 //! class = "quote"
-//! sidecar = "desk-1"           # the application's first without it; halls in order of nearness depend on it
-//! pools = ["fast", "any"]      # in this order, and no others; [] for any node
-//! never = ["s-0009"]           # nodes that it must never reach
-//! refused = false              # true where it is to be turned away
+//! sidecar = "desk-1"           # default: the application's first; sets which zone group is nearest
+//! pools = ["fast", "any"]      # exactly these, in this order; [] for any node
+//! never = ["s-0009"]           # nodes that the request must never reach
+//! refused = false              # true if the request must be rejected
 //! ```
 
-use super::{failed, way};
+use super::{failed, find_route};
 use crate::style;
 use serde::Deserialize;
 use std::path::Path;
@@ -39,24 +39,28 @@
     refused: bool,
 }
 
-/// What a case found to be otherwise.
-fn wrong(set: &Set, case: &Case) -> Result<(), String> {
-    let found = match (
-        way(set, &case.account, &case.class, case.sidecar.as_deref()),
+/// Checks one case. The error says how the route differs from the expected one.
+fn check_case(set: &Set, case: &Case) -> Result<(), String> {
+    let route = match (
+        find_route(set, &case.account, &case.class, case.sidecar.as_deref()),
         case.refused,
     ) {
         (Err(_), true) => return Ok(()),
-        (Err(why), false) => return Err(why),
+        (Err(reason), false) => return Err(reason),
         (Ok(_), true) => return Err("it is not turned away".into()),
-        (Ok(found), false) => found,
+        (Ok(route), false) => route,
     };
-    let pools: Vec<&str> = found
+    let pools: Vec<&str> = route
         .tiers
         .iter()
         .flatten()
         .map(|t| t.name.as_str())
         .collect();
-    if case.pools.as_ref().is_some_and(|want| *want != pools) {
+    if case
+        .pools
+        .as_ref()
+        .is_some_and(|expected| *expected != pools)
+    {
         let shown = if pools.is_empty() {
             "any node".to_string()
         } else {
@@ -65,7 +69,7 @@
         return Err(format!("it goes to {shown}"));
     }
     for node in &case.never {
-        let reached = match &found.tiers {
+        let reached = match &route.tiers {
             Some(tiers) => tiers
                 .iter()
                 .find(|t| t.nodes.iter().any(|n| n.name.value == *node))
@@ -88,18 +92,22 @@
         Ok(file) => file,
         Err(e) => return failed(format!("{}: {e}", path.display())),
     };
-    let mut bad = 0;
+    let mut failures = 0;
     for case in &file.cases {
-        match wrong(set, case) {
+        match check_case(set, case) {
             Ok(()) => anstream::println!("{} {}", style::good("holds"), case.name),
-            Err(why) => {
-                bad += 1;
-                anstream::println!("{} {}: {why}", style::bad("fails"), case.name);
+            Err(reason) => {
+                failures += 1;
+                anstream::println!("{} {}: {reason}", style::bad("fails"), case.name);
             }
         }
     }
-    anstream::println!("{} of {} hold", file.cases.len() - bad, file.cases.len());
-    if bad == 0 {
+    anstream::println!(
+        "{} of {} hold",
+        file.cases.len() - failures,
+        file.cases.len()
+    );
+    if failures == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/ctl/src/route/mod.rs
+++ b/crates/ctl/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! `wrenctl route`: where a request would go, told to people or held against what they expect.
+//! `wrenctl route`: shows where a request would go, or checks routes against expectations.
 
 mod cases;
 
@@ -15,7 +15,7 @@
 use wrenfork_config::set::Set;
 use wrenfork_routes::NodeLabels;
 
-/// What could not be done or read.
+/// Exit code if something could not be read or done.
 const FAILED: u8 = 2;
 
 #[derive(Subcommand)]
@@ -52,22 +52,22 @@
 /// A pool that a request may go to.
 struct Tier<'a> {
     name: String,
-    /// On trial there, at home, or fallen back.
-    why: &'static str,
-    /// Its nodes.
+    /// Why the request goes there: canary ("on trial"), the route's own pool, or fallback.
+    reason: &'static str,
+    /// The nodes of the fleet snapshot that the pool selects.
     nodes: Vec<&'a Node>,
 }
 
-/// Where a request goes.
-struct Way<'a> {
+/// The pools that a request may go to, in order.
+struct Route<'a> {
     application: &'a str,
-    /// None where any node will do.
+    /// None if there is no route, so that any node may take the request.
     tiers: Option<Vec<Tier<'a>>>,
 }
 
 fn nodes<'a>(pool: &Pool, fleet: Option<&'a Fleet>) -> Vec<&'a Node> {
     let all = fleet.map_or(&[][..], |f| &f.nodes).iter();
-    let takes = |n: &&Node| {
+    let selected = |n: &&Node| {
         let (name, hall, model) = (&*n.name.value, &*n.hall.value, &*n.model);
         pool.selector.matches(&NodeLabels {
             name,
@@ -76,20 +76,21 @@
             cell: n.group,
         })
     };
-    all.filter(takes).collect()
+    all.filter(selected).collect()
 }
 
-/// Finds where a request goes.
-fn way<'a>(
+/// Finds the pools for an account and class. `sidecar` is the receiving one; by default the application's first.
+///
+/// # Errors
+///
+/// If the request would be rejected, or a name is unknown.
+fn find_route<'a>(
     set: &'a Set,
     account: &str,
     class: &str,
     sidecar: Option<&str>,
-) -> Result<Way<'a>, String> {
-    let site = set
-        .site()
-        .ok_or("there is no site's file among these")?
-        .content;
+) -> Result<Route<'a>, String> {
+    let site = set.site().ok_or("no site file was given")?.content;
     let id = wrenfork_config::values::account(account)?;
     let apps = set.applications();
     let app = apps
@@ -97,13 +98,13 @@
         .map(|a| a.content)
         .find(|a| a.accounts.iter().any(|x| x.id.value == id));
     let app = app.ok_or_else(|| {
-        format!("account {account} is no application's here: its requests are turned away")
+        format!("account {account} belongs to no application here: its requests are rejected")
     })?;
-    let place = site.classes.iter().position(|c| c.name.value == class);
-    let place = place.ok_or_else(|| format!("the site has no class \"{class}\""))?;
+    let class_index = site.classes.iter().position(|c| c.name.value == class);
+    let class_index = class_index.ok_or_else(|| format!("the site has no class \"{class}\""))?;
     if app.sends.iter().all(|c| c.value != class) {
         return Err(format!(
-            "application \"{}\" may not send \"{class}\": it is turned away",
+            "application \"{}\" may not send \"{class}\": the request is rejected",
             app.called()
         ));
     }
@@ -118,24 +119,24 @@
     };
     let (pools, routes) = ways(app, site, from);
     let (table, fleet) = (table(&pools, &routes, site), set.fleet().map(|f| f.content));
-    let trial = table.is_canary_customer(place, id);
-    let tiers = table.tiers(place, id).map(|sets| {
+    let canary = table.is_canary_customer(class_index, id);
+    let tiers = table.tiers(class_index, id).map(|sets| {
         let of = |(n, set): (usize, &u64)| {
             let pool = set.trailing_zeros() as usize;
-            let why = match (trial, n) {
+            let reason = match (canary, n) {
                 (true, 0) => "on trial",
                 (true, 1) | (false, 0) => "its own",
                 _ => "fallback",
             };
             Tier {
                 name: pools[pool].name.value.clone(),
-                why,
+                reason,
                 nodes: nodes(&pools[pool], fleet),
             }
         };
         sets.iter().enumerate().map(of).collect()
     });
-    Ok(Way {
+    Ok(Route {
         application: app.called(),
         tiers,
     })
@@ -149,8 +150,8 @@
     }
 }
 
-fn failed(why: impl std::fmt::Display) -> ExitCode {
-    anstream::eprintln!("{} {why}", style::bad("error:"));
+fn failed(reason: impl std::fmt::Display) -> ExitCode {
+    anstream::eprintln!("{} {reason}", style::bad("error:"));
     ExitCode::from(FAILED)
 }
 
@@ -167,51 +168,51 @@
             sidecar,
             format,
             ..
-        } => match way(&set, &account, &class, sidecar.as_deref()) {
-            Ok(found) => {
+        } => match find_route(&set, &account, &class, sidecar.as_deref()) {
+            Ok(route) => {
                 match format {
-                    Format::Text => text(&set, &found, &class),
-                    Format::Json => println!("{}", json(&found)),
+                    Format::Text => text(&set, &route, &class),
+                    Format::Json => println!("{}", json(&route)),
                 }
                 ExitCode::SUCCESS
             }
-            Err(why) => failed(why),
+            Err(reason) => failed(reason),
         },
         Verb::Test { cases, .. } => cases::main(&set, &cases),
     }
 }
 
-fn json(way: &Way) -> String {
+fn json(route: &Route) -> String {
     let tier = |t: &Tier| {
         let nodes = t
             .nodes
             .iter()
             .map(|n| json!({"name": n.name.value, "status": status(n)}));
-        json!({"pool": t.name, "why": t.why, "nodes": nodes.collect::<Vec<_>>()})
+        json!({"pool": t.name, "why": t.reason, "nodes": nodes.collect::<Vec<_>>()})
     };
-    let tiers = way
+    let tiers = route
         .tiers
         .as_ref()
         .map(|list| list.iter().map(tier).collect::<Vec<_>>());
-    let whole = json!({"application": way.application, "tiers": tiers});
-    serde_json::to_string_pretty(&whole).unwrap_or_default()
+    let report = json!({"application": route.application, "tiers": tiers});
+    serde_json::to_string_pretty(&report).unwrap_or_default()
 }
 
-fn text(set: &Set, way: &Way, class: &str) {
-    let Some(tiers) = &way.tiers else {
+fn text(set: &Set, route: &Route, class: &str) {
+    let Some(tiers) = &route.tiers else {
         println!(
             "{} {class} has no route: any node takes it",
-            style::head(way.application)
+            style::head(route.application)
         );
         return;
     };
-    println!("{} {class}", style::head(way.application));
+    println!("{} {class}", style::head(route.application));
     for (n, tier) in tiers.iter().enumerate() {
         println!(
             "  {}. pool {} ({})",
             n + 1,
             style::head(&tier.name),
-            tier.why
+            tier.reason
         );
         for node in &tier.nodes {
             let state = match node.status {
@@ -221,17 +222,17 @@
             println!("       {} {state}", node.name.value);
         }
         if tier.nodes.is_empty() && set.fleet().is_some() {
-            println!("       {}", style::bad("no node is of it"));
+            println!("       {}", style::bad("no node belongs to this pool"));
         }
         if tier.nodes.iter().all(|n| n.status != Status::Up) && set.fleet().is_some() {
             println!(
                 "       {}",
-                style::doubtful("passed over: nobody of it takes work")
+                style::doubtful("skipped: no node of this pool accepts requests")
             );
         }
     }
-    println!("A later pool is gone to where those before have nobody, fail as a whole or are at their bound, as far as it has");
-    println!("room to spare; one that may have run goes on only where its class allows it.");
+    println!("A later pool is used if all earlier ones have no node, fail as a whole or are at their limit, as far as it has");
+    println!("spare capacity; a request that may have been executed is retried only if its class allows it.");
     let others: Vec<&str> = set
         .fleet()
         .map_or(Vec::new(), |f| f.content.nodes.iter().collect())
--- a/crates/ctl/src/style.rs
+++ b/crates/ctl/src/style.rs
@@ -1,33 +1,33 @@
-//! Colours for people. They vanish where the output is no terminal or `NO_COLOR` is set (`anstream` sees to that).
+//! Colours and tables of text output. `anstream` drops the colours if the output is no terminal or `NO_COLOR` is set.
 
 use anstyle::{AnsiColor, Style};
 use std::fmt::Display;
 
-fn paint(style: Style, text: impl Display) -> String {
+fn styled(style: Style, text: impl Display) -> String {
     format!("{style}{text}{style:#}")
 }
 
-/// Something is as it should be.
+/// Green: a success or a healthy state.
 pub fn good(text: impl Display) -> String {
-    paint(AnsiColor::Green.on_default(), text)
+    styled(AnsiColor::Green.on_default(), text)
 }
 
-/// Something is wrong.
+/// Bold red: an error or a failed state.
 pub fn bad(text: impl Display) -> String {
-    paint(AnsiColor::Red.on_default().bold(), text)
+    styled(AnsiColor::Red.on_default().bold(), text)
 }
 
-/// Something is doubtful.
+/// Yellow: a warning or an uncertain state.
 pub fn doubtful(text: impl Display) -> String {
-    paint(AnsiColor::Yellow.on_default(), text)
+    styled(AnsiColor::Yellow.on_default(), text)
 }
 
-/// A heading.
+/// Bold: a heading.
 pub fn head(text: impl Display) -> String {
-    paint(Style::new().bold(), text)
+    styled(Style::new().bold(), text)
 }
 
-/// A table with plain borders: it reads the same on a terminal and in a file.
+/// A table without borders, so that it reads the same on a terminal and in a file.
 pub fn table(header: &[&str]) -> comfy_table::Table {
     let mut table = comfy_table::Table::new();
     table
@@ -36,11 +36,11 @@
     table
 }
 
-/// Values from 0 to 1 as a line of bars.
+/// Draws values from 0 to 1 as a line of bar characters; values outside are clamped.
 pub fn bars(values: &[f64]) -> String {
     const BARS: [char; 8] = ['▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
     values
         .iter()
-        .map(|v| BARS[((v.clamp(0.0, 1.0) * 7.0).round()) as usize])
+        .map(|value| BARS[((value.clamp(0.0, 1.0) * 7.0).round()) as usize])
         .collect()
 }
