--- a/crates/ctl/examples/changes.rs
+++ b/crates/ctl/examples/changes.rs
@@ -1,4 +1,4 @@
-//! Measures changes with real processes; `docs/measurements/changes.md` has what it printed.
+//! Measures configuration changes with real processes. Results are in `docs/measurements/changes.md`.
 //!
 //!     cargo build --release && cargo run --release -p wrenctl --example changes
 
@@ -15,15 +15,15 @@
 use wrenfork_testbed::small::{command, list, place, serve, until, Backend, Client, Ingress};
 
 fn program(name: &str) -> PathBuf {
-    let own = std::env::current_exe().expect("this program's path");
+    let own = std::env::current_exe().expect("path of this executable");
     own.parent()
         .and_then(Path::parent)
-        .expect("the folder of programs")
+        .expect("the build output folder")
         .join(name)
 }
 
-/// The most memory of a process so far, in MB.
-fn peak(id: u32) -> Option<f64> {
+/// Peak resident memory of a process, in MiB.
+fn peak_memory(id: u32) -> Option<f64> {
     let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     let line = status.lines().find(|l| l.starts_with("VmHWM"))?;
     line.split_whitespace()
@@ -33,8 +33,8 @@
         .map(|kb| kb / 1024.0)
 }
 
-/// An application of so many sidecars and accounts.
-fn application(
+/// Writes an application file with one sidecar per address.
+fn write_application(
     folder: &Path,
     at: &[SocketAddr],
     peers: &[SocketAddr],
@@ -58,7 +58,7 @@
             text += &format!("quota = \"{quota}\"\nburst = 2000\n");
         }
     }
-    fs::write(folder.join("files/desk.toml"), text).expect("the application's file");
+    fs::write(folder.join("files/desk.toml"), text).expect("write the application file");
 }
 
 struct Site {
@@ -71,17 +71,17 @@
 
 impl Site {
     fn start(sidecars: usize, accounts: usize, backends: &[Backend]) -> Site {
-        let folder = tempfile::tempdir().expect("a folder");
-        fs::create_dir(folder.path().join("files")).expect("a folder");
+        let folder = tempfile::tempdir().expect("create a folder");
+        fs::create_dir(folder.path().join("files")).expect("create a folder");
         let site = include_str!("../../config/tests/good/site.toml");
-        fs::write(folder.path().join("files/site.toml"), site).expect("the site's file");
+        fs::write(folder.path().join("files/site.toml"), site).expect("write the site file");
         let entries: Vec<String> = backends
             .iter()
             .enumerate()
             .map(|(n, b)| b.entry(&format!("s-{n}"), "up"))
             .collect();
         fs::write(folder.path().join("fleet.json"), list(1, true, &entries))
-            .expect("the list of nodes");
+            .expect("write the endpoint list");
         let (at, peers): (Vec<_>, Vec<_>) = (0..sidecars).map(|_| (place(), place())).unzip();
         let mut site = Site {
             folder,
@@ -90,7 +90,7 @@
             ingresses: Vec::new(),
             accounts,
         };
-        site.want("900/s");
+        site.set_quota("900/s");
         for n in 0..sidecars {
             let base = site.folder.path().display().to_string();
             let line = format!(
@@ -108,8 +108,8 @@
         site
     }
 
-    fn want(&self, quota: &str) {
-        application(
+    fn set_quota(&self, quota: &str) {
+        write_application(
             self.folder.path(),
             &self.at,
             &self.peers,
@@ -118,49 +118,49 @@
         );
     }
 
-    /// Runs `wrenctl`: its time, the most memory, and what it said last.
+    /// Runs `wrenctl`. Returns its duration, its peak memory in MiB, and the last line of its output.
     fn wrenctl(&self, args: &[&str]) -> (Duration, f64, String) {
-        let (start, mut most) = (Instant::now(), 0.0f64);
+        let (start, mut peak) = (Instant::now(), 0.0f64);
         let mut command = Command::new(program("wrenctl"));
         command
             .args(args)
             .current_dir(self.folder.path())
             .stdin(Stdio::null())
             .stdout(Stdio::piped());
-        let mut child = command.spawn().expect("wrenctl");
-        while child.try_wait().expect("wrenctl").is_none() {
-            most = most.max(peak(child.id()).unwrap_or(0.0));
+        let mut child = command.spawn().expect("run wrenctl");
+        while child.try_wait().expect("run wrenctl").is_none() {
+            peak = peak.max(peak_memory(child.id()).unwrap_or(0.0));
             thread::sleep(Duration::from_millis(2));
         }
-        let out = child.wait_with_output().expect("wrenctl");
-        let said = String::from_utf8_lossy(&out.stdout)
+        let out = child.wait_with_output().expect("run wrenctl");
+        let last_line = String::from_utf8_lossy(&out.stdout)
             .lines()
             .last()
             .unwrap_or("")
             .to_string();
-        (start.elapsed(), most, said)
+        (start.elapsed(), peak, last_line)
     }
 }
 
-fn large() {
-    println!("| accounts | ingresses | plan | memory of plan | size of plan | apply | memory of an ingress, at its start and behind the change | said |");
+fn measure_sizes() {
+    println!("| accounts | ingresses | plan | memory of plan | size of plan | apply | memory of an ingress, before and after the change | output |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for (accounts, sidecars) in [(1_000, 3), (100_000, 20)] {
         let site = Site::start(sidecars, accounts, &[]);
-        let most = |site: &Site| {
+        let peak = |site: &Site| {
             site.ingresses
                 .iter()
-                .filter_map(|i| peak(i.child.id()))
+                .filter_map(|i| peak_memory(i.child.id()))
                 .fold(0.0, f64::max)
         };
-        let begun = most(&site);
-        site.want("800/s");
+        let memory_before = peak(&site);
+        site.set_quota("800/s");
         let (plan, memory, _) = site.wrenctl(&["plan", "files", "--out", "change.plan"]);
         let size = fs::metadata(site.folder.path().join("change.plan")).map_or(0, |m| m.len());
-        let (apply, _, said) = site.wrenctl(&["apply", "change.plan", "--yes"]);
-        let held = most(&site);
+        let (apply, _, last_line) = site.wrenctl(&["apply", "change.plan", "--yes"]);
+        let memory_after = peak(&site);
         println!(
-            "| {accounts} | {sidecars} | {:.2} s | {memory:.0} MB | {:.2} MB | {:.2} s | {begun:.0} and {held:.0} MB | {said} |",
+            "| {accounts} | {sidecars} | {:.2} s | {memory:.0} MB | {:.2} MB | {:.2} s | {memory_before:.0} and {memory_after:.0} MB | {last_line} |",
             plan.as_secs_f64(),
             size as f64 / 1e6,
             apply.as_secs_f64()
@@ -168,7 +168,7 @@
     }
 }
 
-/// Latencies of one second, in microseconds.
+/// A quantile of latencies in microseconds; sorts them.
 fn quantile(times: &mut [u64], q: f64) -> u64 {
     times.sort_unstable();
     times
@@ -177,13 +177,13 @@
         .unwrap_or(0)
 }
 
-fn under_load() {
+fn measure_latency() {
     println!("\n| accounts | second | requests | p50 | p99 | longest | CPU of the ingress |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for accounts in [1_000, 100_000] {
         let backends: Vec<Backend> = (0..4).map(|_| Backend::start(serve)).collect();
         let site = Site::start(1, accounts, &backends);
-        site.want("800/s");
+        site.set_quota("800/s");
         site.wrenctl(&["plan", "files", "--out", "change.plan"]);
         let (stop, start) = (AtomicBool::new(false), Instant::now());
         let (times, cpu, at) = thread::scope(|scope| {
@@ -197,11 +197,11 @@
                                 break;
                             }
                             let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
-                            let (id, began) = (format!("m{c}x{n}"), Instant::now());
+                            let (id, sent_at) = (format!("m{c}x{n}"), Instant::now());
                             client.ask(&command(&["CALL.GET", "0000000000000007", &id, options]));
                             times.push((
                                 start.elapsed().as_secs_f64(),
-                                began.elapsed().as_micros() as u64,
+                                sent_at.elapsed().as_micros() as u64,
                             ));
                             thread::sleep(Duration::from_millis(10));
                         }
@@ -213,15 +213,15 @@
             let before = (start.elapsed().as_secs_f64(), site.ingresses[0].cpu());
             thread::sleep(Duration::from_secs(1));
             let at = (start.elapsed().as_secs_f64(), site.ingresses[0].cpu());
-            let (took, _, said) = site.wrenctl(&["apply", "change.plan", "--yes"]);
-            eprintln!("apply took {took:?}: {said}");
-            thread::sleep(Duration::from_secs(1).saturating_sub(took));
+            let (elapsed, _, last_line) = site.wrenctl(&["apply", "change.plan", "--yes"]);
+            eprintln!("apply took {elapsed:?}: {last_line}");
+            thread::sleep(Duration::from_secs(1).saturating_sub(elapsed));
             let after = (start.elapsed().as_secs_f64(), site.ingresses[0].cpu());
             thread::sleep(Duration::from_secs(1));
             stop.store(true, Ordering::Relaxed);
             let times: Vec<(f64, u64)> = clients
                 .into_iter()
-                .flat_map(|c| c.join().expect("a client"))
+                .flat_map(|c| c.join().expect("client thread panicked"))
                 .collect();
             (
                 times,
@@ -233,19 +233,19 @@
             ("before", at.0, at.1, cpu.0),
             ("of the switch", at.1, at.2, cpu.1),
         ] {
-            let mut some: Vec<u64> = times
+            let mut latencies: Vec<u64> = times
                 .iter()
                 .filter(|t| t.0 >= from && t.0 < to)
                 .map(|t| t.1)
                 .collect();
-            let (p50, p99, most) = (
-                quantile(&mut some, 0.5),
-                quantile(&mut some, 0.99),
-                quantile(&mut some, 1.0),
+            let (p50, p99, peak) = (
+                quantile(&mut latencies, 0.5),
+                quantile(&mut latencies, 0.99),
+                quantile(&mut latencies, 1.0),
             );
             println!(
-                "| {accounts} | {name} | {} | {p50} us | {p99} us | {most} us | {} ms |",
-                some.len(),
+                "| {accounts} | {name} | {} | {p50} us | {p99} us | {peak} us | {} ms |",
+                latencies.len(),
                 cpu * 10
             );
         }
@@ -253,6 +253,6 @@
 }
 
 fn main() {
-    large();
-    under_load();
+    measure_sizes();
+    measure_latency();
 }
--- a/crates/ctl/examples/pools.rs
+++ b/crates/ctl/examples/pools.rs
@@ -1,9 +1,9 @@
-//! Measures what a pool's loss costs: with a fallback, without one, and beside a naive relay that sends all at once to the
-//! other pool. Prints a table, and draws the worth earned in each second.
+//! Measures the cost of losing a pool: with a fallback, without one, and for a naive relay that sends all requests to the
+//! other pool at once. Prints a table, and draws the worth earned in each second.
 //!
 //!     cargo build --release && cargo run --release -p wrenctl --example pools
 //!
-//! `docs/measurements/pools.md` has what it printed; it wants the machine to itself.
+//! Results are in `docs/measurements/pools.md`. Needs an otherwise idle machine.
 
 use plotters::prelude::{
     ChartBuilder, Color, IntoDrawingArea, LineSeries, Palette, Palette99, PathElement, Rectangle,
@@ -18,25 +18,26 @@
 use wrenfork_testbed::scenario::Scenario;
 
 const PLOT: &str = "docs/measurements/pool-lost.svg";
-/// The second in which the pool is lost, and in which it is back.
-const LOST: (usize, usize) = (6, 14);
+/// The seconds at which the pool is lost and at which it is back.
+const OUTAGE: (usize, usize) = (6, 14);
 
 fn program(name: &str) -> PathBuf {
-    let own = std::env::current_exe().expect("this program's path");
+    let own = std::env::current_exe().expect("path of this executable");
     own.parent()
         .and_then(Path::parent)
-        .expect("the folder of programs")
+        .expect("the build output folder")
         .join(name)
 }
 
-fn script(folder: &Path, name: &str, line: &str) -> PathBuf {
+fn write_script(folder: &Path, name: &str, line: &str) -> PathBuf {
     let at = folder.join(name);
-    fs::write(&at, format!("#!/bin/sh\n{line}\n")).expect("a script");
-    fs::set_permissions(&at, fs::Permissions::from_mode(0o755)).expect("a mode");
+    fs::write(&at, format!("#!/bin/sh\n{line}\n")).expect("write a script");
+    fs::set_permissions(&at, fs::Permissions::from_mode(0o755))
+        .expect("make the script executable");
     at
 }
 
-fn pools(fallback: &str) -> String {
+fn ingress_file(fallback: &str) -> String {
     format!(
         "version = 1\nkind = \"ingress\"\n[[pool]]\nname = \"a\"\nhalls = [\"hall-a\"]\n{fallback}\
          [[pool]]\nname = \"b\"\nhalls = [\"hall-b\"]\n[[route]]\nclass = \"quote\"\npool = \"a\"\n\
@@ -44,7 +45,7 @@
     )
 }
 
-fn one(scenario: &Scenario, program: &Path) -> Report {
+fn play_in_time(scenario: &Scenario, program: &Path) -> Report {
     loop {
         let stop = AtomicBool::new(false);
         let report = play(
@@ -59,7 +60,7 @@
         if report.verdict != Verdict::Late {
             return report;
         }
-        eprintln!("the machine held the rig up: played again");
+        eprintln!("the rig was late: the run is repeated");
     }
 }
 
@@ -67,7 +68,7 @@
     seconds.iter().sum::<f64>() / seconds.len().max(1) as f64
 }
 
-fn draw(runs: &[(&str, Report)]) -> Result<(), Box<dyn std::error::Error>> {
+fn draw_chart(runs: &[(&str, Report)]) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(PLOT, (900, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let last = runs.iter().map(|r| r.1.seconds.len()).max().unwrap_or(1);
@@ -86,7 +87,7 @@
         .y_desc("share of the worth")
         .draw()?;
     chart.draw_series([Rectangle::new(
-        [(LOST.0, 0.0), (LOST.1, 1.05)],
+        [(OUTAGE.0, 0.0), (OUTAGE.1, 1.05)],
         BLACK.mix(0.06).filled(),
     )])?;
     for (n, (name, report)) in runs.iter().enumerate() {
@@ -113,29 +114,32 @@
 fn main() {
     let scenario = Scenario::read(Path::new("crates/testbed/measurements/pool-lost.toml"));
     let scenario = scenario.unwrap_or_else(|found| panic!("{}", found[0]));
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("create a folder");
     let ingress = |name: &str, fallback: &str| {
         let file = folder.path().join(format!("{name}.toml"));
-        fs::write(&file, pools(fallback)).expect("a file");
+        fs::write(&file, ingress_file(fallback)).expect("write a file");
         let line = format!(
             "exec '{}' --operator '{}'",
             program("wrenfork").display(),
             file.display()
         );
-        script(folder.path(), name, &line)
+        write_script(folder.path(), name, &line)
     };
     let relay = format!(
         "WRENFORK_RELAY=fallback exec '{}'",
         program("wrenfork-relay").display()
     );
-    let kinds = [
+    let programs = [
         ("with a fallback", ingress("with", "fallback = \"b\"\n")),
         ("without one", ingress("without", "")),
-        ("naive: all at once", script(folder.path(), "naive", &relay)),
+        (
+            "naive: all at once",
+            write_script(folder.path(), "naive", &relay),
+        ),
     ];
-    let runs: Vec<(&str, Report)> = kinds
+    let runs: Vec<(&str, Report)> = programs
         .iter()
-        .map(|(name, at)| (*name, one(&scenario, at)))
+        .map(|(name, at)| (*name, play_in_time(&scenario, at)))
         .collect();
     println!("| | whole run | quotes | referrals | while lost | worst 10 s | refused | failed |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
@@ -146,9 +150,10 @@
                 .find(|c| c.name == class)
                 .map_or(0.0, |c| c.share)
         };
-        let lost = mean(&r.seconds[LOST.0.min(r.seconds.len())..LOST.1.min(r.seconds.len())]);
+        let during_outage =
+            mean(&r.seconds[OUTAGE.0.min(r.seconds.len())..OUTAGE.1.min(r.seconds.len())]);
         println!(
-            "| {name} | {:.3} | {:.3} | {:.3} | {lost:.3} | {:.3} | {} | {} |",
+            "| {name} | {:.3} | {:.3} | {:.3} | {during_outage:.3} | {:.3} | {} | {} |",
             r.goodput,
             of("quote"),
             of("referral"),
@@ -157,5 +162,5 @@
             r.failed
         );
     }
-    draw(&runs).unwrap_or_else(|e| panic!("{PLOT}: {e}"));
+    draw_chart(&runs).unwrap_or_else(|e| panic!("{PLOT}: {e}"));
 }
--- a/crates/ctl/src/fleet/cost.rs
+++ b/crates/ctl/src/fleet/cost.rs
@@ -1,7 +1,7 @@
-//! `wrenctl fleet cost`: processor time a request of the ingress beside a bare relay, both in one run and in turn, and
-//! how it grows with backends, accounts and ingresses. Minutes long; wants the machine to itself.
+//! `wrenctl fleet cost`: measures the CPU time per request of the ingress and of a bare relay, in alternating runs, and how
+//! it grows with backends, accounts and ingresses. Takes minutes; needs an otherwise idle machine.
 
-use super::{beside, stop_flag, Programs};
+use super::{sibling_program, stop_flag, Programs};
 use crate::style;
 use anstream::{eprintln, println};
 use clap::Args;
@@ -14,9 +14,10 @@
 use wrenfork_testbed::rig::{self, Run};
 use wrenfork_testbed::scenario::Scenario;
 
-/// Seconds of the longest run: where there are many accounts, most are to be met.
-const LONGEST: u32 = 180;
-const FEW: u32 = 10_000;
+/// Maximum seconds of a run. Runs with many accounts are long, so that most accounts send a request.
+const MAX_SECONDS: u32 = 180;
+/// Sizes with more accounts than this are measured once, in longer runs.
+const MANY_ACCOUNTS: u32 = 10_000;
 
 #[derive(Args)]
 pub struct Options {
@@ -53,43 +54,43 @@
 struct Row {
     #[serde(flatten)]
     size: Size,
-    /// Microseconds a request.
+    /// Median CPU time per request, in microseconds.
     ingress_us: f64,
     relay_us: f64,
-    /// The median of the pairs' ratios, the least and the most.
+    /// Median, minimum and maximum of the ratios of ingress to relay.
     ratio: [f64; 3],
-    /// Times what it costs at the first size, the median of runs in turn.
+    /// Median ratio of the ingress's CPU time per request to that at the first size, over the rounds.
     growth: f64,
     memory_kb: u64,
     spread: f64,
     goodput: f64,
 }
 
-/// Sizes to be measured; one dimension grows at a time.
+/// The sizes to measure; one dimension grows at a time.
 fn sizes(short: bool) -> Vec<Size> {
     let size = |backends, accounts, ingresses| Size {
         backends,
         accounts,
         ingresses,
     };
-    let mut list = vec![
+    let mut values = vec![
         size(10, 1_000, 1),
         size(100, 1_000, 1),
         size(1_000, 1_000, 1),
     ];
-    list.extend([size(100, 1_000, 2), size(100, 1_000, 8)]);
+    values.extend([size(100, 1_000, 2), size(100, 1_000, 8)]);
     if !short {
-        list.extend([size(10, 100_000, 1), size(10, 1_000_000, 1)]);
+        values.extend([size(10, 100_000, 1), size(10, 1_000_000, 1)]);
     }
-    list
+    values
 }
 
-/// A world in which nothing is in the way: idle backends and quotas that nobody reaches.
-fn world(size: Size, rate: u32, seconds: u32, round: u32) -> Result<Scenario, String> {
-    let many = size.accounts > FEW;
-    // Half as long again as it takes to ask once for each account.
-    let seconds = if many {
-        (size.accounts * 3 / 2 / rate).clamp(seconds, LONGEST)
+/// A scenario with idle backends and quotas that no client reaches.
+fn scenario(size: Size, rate: u32, seconds: u32, round: u32) -> Result<Scenario, String> {
+    let has_many_accounts = size.accounts > MANY_ACCOUNTS;
+    // 1.5 times as long as one request per account takes.
+    let seconds = if has_many_accounts {
+        (size.accounts * 3 / 2 / rate).clamp(seconds, MAX_SECONDS)
     } else {
         seconds
     };
@@ -152,9 +153,9 @@
 }
 
 impl Bench<'_> {
-    /// Plays a world once with a program, again where the rig was late.
+    /// Plays a scenario with a program; repeats a run in which the rig was late, up to five times.
     fn play(&self, program: &Path, size: Size, round: u32) -> Result<Report, String> {
-        let scenario = world(size, self.rate, self.seconds, round)?;
+        let scenario = scenario(size, self.rate, self.seconds, round)?;
         for _ in 0..5 {
             let played = rig::play(
                 &scenario,
@@ -175,16 +176,16 @@
         Err("the rig was late five times: the machine is too busy for a measurement".into())
     }
 
-    /// One run of each program at a size, the ingress first.
+    /// Runs the ingress and then the relay at a size.
     fn pair(&self, size: Size, round: u32) -> Result<Pair, String> {
         let ingress = self.play(self.ingress, size, round)?;
         self.bar.inc(1);
-        // A relay knows no accounts: what it costs is measured as with few.
-        let few = Size {
-            accounts: size.accounts.min(FEW),
+        // The relay ignores accounts, so a run with few of them measures the same cost.
+        let relay_size = Size {
+            accounts: size.accounts.min(MANY_ACCOUNTS),
             ..size
         };
-        let relay = self.play(self.relay, few, round)?;
+        let relay = self.play(self.relay, relay_size, round)?;
         self.bar.inc(1);
         Ok(Pair { ingress, relay })
     }
@@ -201,15 +202,15 @@
     }
 }
 
-/// What the pairs at a size came to; `first` are those at the first size, run in turn with these.
+/// Summarizes the pairs of a size; `first` are the pairs of the first size in the same rounds.
 fn row(size: Size, pairs: &[Pair], first: &[Pair]) -> Row {
     let mut ratios: Vec<f64> = pairs.iter().map(Pair::ratio).collect();
     let growth = pairs.iter().zip(first);
     let mut growth: Vec<f64> = growth
         .map(|(p, f)| p.ingress.cpu_per_request_us / f.ingress.cpu_per_request_us)
         .collect();
-    let mut own: Vec<f64> = pairs.iter().map(|p| p.ingress.cpu_per_request_us).collect();
-    let mut bare: Vec<f64> = pairs.iter().map(|p| p.relay.cpu_per_request_us).collect();
+    let mut ingress_us: Vec<f64> = pairs.iter().map(|p| p.ingress.cpu_per_request_us).collect();
+    let mut relay_us: Vec<f64> = pairs.iter().map(|p| p.relay.cpu_per_request_us).collect();
     let memory = pairs
         .iter()
         .flat_map(|p| p.ingress.ingresses.iter().map(|i| i.memory_kb))
@@ -217,8 +218,8 @@
     ratios.sort_by(f64::total_cmp);
     Row {
         size,
-        ingress_us: median(&mut own),
-        relay_us: median(&mut bare),
+        ingress_us: median(&mut ingress_us),
+        relay_us: median(&mut relay_us),
         ratio: [
             ratios[ratios.len() / 2],
             ratios[0],
@@ -231,9 +232,9 @@
     }
 }
 
-fn median(list: &mut [f64]) -> f64 {
-    list.sort_by(f64::total_cmp);
-    list[list.len() / 2]
+fn median(values: &mut [f64]) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values[values.len() / 2]
 }
 
 pub fn main(options: &Options) -> ExitCode {
@@ -241,7 +242,7 @@
     let relay = options
         .relay
         .clone()
-        .unwrap_or_else(|| beside("wrenfork-relay"));
+        .unwrap_or_else(|| sibling_program("wrenfork-relay"));
     let sizes = sizes(options.short);
     let runs = sizes.iter().map(|s| {
         if s.accounts > 10_000 {
@@ -251,9 +252,9 @@
         }
     });
     let bar = ProgressBar::new(runs.sum());
-    let form = "measuring [{bar:30}] {pos}/{len} runs, {elapsed} gone";
+    let template = "measuring [{bar:30}] {pos}/{len} runs, {elapsed} gone";
     bar.set_style(
-        ProgressStyle::with_template(form).unwrap_or_else(|_| ProgressStyle::default_bar()),
+        ProgressStyle::with_template(template).unwrap_or_else(|_| ProgressStyle::default_bar()),
     );
     let (rate, seconds) = (options.rate, options.seconds);
     let bench = Bench {
@@ -266,9 +267,9 @@
     };
     let mut pairs: Vec<Vec<Pair>> = sizes.iter().map(|_| Vec::new()).collect();
     for round in 0..options.rounds {
-        // All sizes in turn, so that a machine that changes meanwhile changes all of them.
+        // Alternate between the sizes, so that changes of the machine's speed affect all of them.
         for (size, pairs) in sizes.iter().zip(&mut pairs) {
-            if size.accounts > FEW && round > 0 {
+            if size.accounts > MANY_ACCOUNTS && round > 0 {
                 continue;
             }
             match bench.pair(*size, round) {
@@ -301,11 +302,11 @@
         "spread",
     ]);
     for r in &rows {
-        let n = |n: u32| n.to_string();
+        let text = |n: u32| n.to_string();
         table.add_row(vec![
-            n(r.size.backends),
-            n(r.size.accounts),
-            n(r.size.ingresses),
+            text(r.size.backends),
+            text(r.size.accounts),
+            text(r.size.ingresses),
             format!("{:.1}", r.ingress_us),
             format!("{:.1}", r.relay_us),
             format!("{:.2}", r.ratio[0]),
--- a/crates/ctl/src/fleet/demo.rs
+++ b/crates/ctl/src/fleet/demo.rs
@@ -1,4 +1,4 @@
-//! `wrenctl fleet demo`: a fleet to look at. On a terminal a table that is drawn anew, elsewhere a line a second.
+//! `wrenctl fleet demo`: shows a running fleet. On a terminal as a table that is redrawn, elsewhere as a line per second.
 
 use super::{run, stop_flag, Programs};
 use crate::style;
@@ -13,29 +13,29 @@
 use wrenfork_testbed::rig::{self, Run, Snapshot};
 use wrenfork_testbed::scenario::{Micros, Scenario, SECOND};
 
-/// Without a time it goes on until it is stopped, for an hour at the most.
-const LONGEST: u64 = 3600;
-/// The timetable begins again after so long.
-const ROUND: Micros = 25 * SECOND;
+/// Maximum duration in seconds, and the duration without `--seconds`.
+const MAX_SECONDS: u64 = 3600;
+/// The scenario's steps are repeated at this interval.
+const ROUND_LENGTH: Micros = 25 * SECOND;
 
 #[derive(Args)]
 pub struct Options {
     /// Ends after so many seconds; without, Ctrl-C ends it
-    #[arg(long, value_parser = clap::value_parser!(u64).range(1..=LONGEST))]
+    #[arg(long, value_parser = clap::value_parser!(u64).range(1..=MAX_SECONDS))]
     seconds: Option<u64>,
     #[command(flatten)]
     programs: Programs,
 }
 
 fn scenario(seconds: u64) -> Result<Scenario, String> {
-    let read = Scenario::parse("demo.toml", wrenfork_testbed::scenario::DEMO);
-    let mut scenario = read.map_err(|found| found[0].to_string())?;
+    let parsed = Scenario::parse("demo.toml", wrenfork_testbed::scenario::DEMO);
+    let mut scenario = parsed.map_err(|found| found[0].to_string())?;
     scenario.lasts = seconds * SECOND;
-    let rounds = scenario.lasts / ROUND;
-    let first = scenario.steps.clone();
+    let rounds = scenario.lasts / ROUND_LENGTH;
+    let steps = scenario.steps.clone();
     for round in 1..=rounds {
-        scenario.steps.extend(first.iter().cloned().map(|mut step| {
-            step.at += round * ROUND;
+        scenario.steps.extend(steps.iter().cloned().map(|mut step| {
+            step.at += round * ROUND_LENGTH;
             step
         }));
     }
@@ -43,7 +43,7 @@
 }
 
 pub fn main(options: &Options) -> ExitCode {
-    let scenario = match scenario(options.seconds.unwrap_or(LONGEST)) {
+    let scenario = match scenario(options.seconds.unwrap_or(MAX_SECONDS)) {
         Ok(scenario) => scenario,
         Err(e) => {
             eprintln!("{e}");
@@ -52,7 +52,7 @@
     };
     let (stop, program) = (stop_flag(), options.programs.ingress());
     let mut screen = Screen::new();
-    let mut watch = |s: &Snapshot| screen.show(s);
+    let mut watch = |s: &Snapshot| screen.update(s);
     let program: &Path = &program;
     match rig::play(
         &scenario,
@@ -67,12 +67,12 @@
             ExitCode::from(2)
         }
         Ok(report) => {
-            println!("\n{}", style::head(run::HEAD));
+            println!("\n{}", style::head(run::HEADER));
             run::print(&report, true);
             match report.verdict {
                 Verdict::Held => ExitCode::SUCCESS,
                 Verdict::Broken => ExitCode::from(1),
-                // Stopped by hand, or on a busy machine: it was there to be looked at.
+                // A demo that was stopped by hand is a success, even if the rig was late.
                 Verdict::Late if stop.load(Ordering::Relaxed) => ExitCode::SUCCESS,
                 Verdict::Late => ExitCode::from(2),
             }
@@ -95,7 +95,7 @@
         }
     }
 
-    fn show(&mut self, s: &Snapshot) {
+    fn update(&mut self, s: &Snapshot) {
         let second = s.at / SECOND;
         if !self.live && self.last.as_ref().is_some_and(|l| l.at / SECOND == second) {
             return;
@@ -144,7 +144,7 @@
             s.failed.to_string(),
         ]);
         table.add_row(vec!["waiting".into(), s.waiting.to_string(), String::new()]);
-        let mark = |up: bool| {
+        let label = |up: bool| {
             if up {
                 style::good("up")
             } else {
@@ -156,13 +156,13 @@
             style::head(format!("{:.0} s", s.at as f64 / SECOND as f64))
         );
         for (n, ((_, ready), rung)) in s.ingresses.iter().zip(&s.rungs).enumerate() {
-            text += &format!("  ingress {n}  {}  rung {rung}\n", mark(*ready));
+            text += &format!("  ingress {n}  {}  rung {rung}\n", label(*ready));
         }
         let backends: Vec<String> = s
             .backends
             .iter()
             .enumerate()
-            .map(|(n, up)| format!("{n} {}", mark(*up)))
+            .map(|(n, up)| format!("{n} {}", label(*up)))
             .collect();
         text += &format!("  backends   {}\n", backends.join("  "));
         let rules = Rule::ALL
@@ -174,7 +174,7 @@
             });
         text += &format!("  rules      {}\n", rules.collect::<Vec<_>>().join("  "));
         text += &format!("  last       {}\n", s.log);
-        // Back to the first line, and each line is written over to its end.
+        // Move the cursor to the first line, then overwrite each line.
         if self.lines > 0 {
             print!("\x1b[{}A", self.lines);
         }
--- a/crates/ctl/src/fleet/mod.rs
+++ b/crates/ctl/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! `wrenctl fleet`: what the rig of `wrenfork-testbed` can do, for people and scripts.
+//! `wrenctl fleet`: runs testbed fleets: a demo, scenarios, and a measurement of the cost of a request.
 
 mod cost;
 mod demo;
@@ -20,7 +20,7 @@
     Cost(cost::Options),
 }
 
-/// The programs to be played with.
+/// The ingress program of a run.
 #[derive(Args)]
 pub struct Programs {
     /// The ingress; by default the `wrenfork` beside this program
@@ -30,21 +30,23 @@
 
 impl Programs {
     fn ingress(&self) -> PathBuf {
-        self.program.clone().unwrap_or_else(|| beside("wrenfork"))
+        self.program
+            .clone()
+            .unwrap_or_else(|| sibling_program("wrenfork"))
     }
 }
 
-/// A program that was built together with this one.
-fn beside(name: &str) -> PathBuf {
+/// Path of a program in the folder of this one.
+fn sibling_program(name: &str) -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
     own.with_file_name(name)
 }
 
-/// Ctrl-C and SIGTERM end a run early, with its summary.
+/// A flag that SIGINT and SIGTERM set, to end a run early with its summary.
 fn stop_flag() -> Arc<AtomicBool> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-        // A second one ends the program at once.
+        // A second signal exits immediately.
         let _ = signal_hook::flag::register_conditional_shutdown(signal, 130, stop.clone());
         let _ = signal_hook::flag::register(signal, stop.clone());
     }
--- a/crates/ctl/src/fleet/run.rs
+++ b/crates/ctl/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! `wrenctl fleet run`: plays scenarios one after the other and judges them.
+//! `wrenctl fleet run`: plays scenarios one after the other and judges the results.
 
 use super::{stop_flag, Programs};
 use crate::style;
@@ -12,8 +12,8 @@
 use wrenfork_testbed::rig::{self, Run};
 use wrenfork_testbed::scenario::{Scenario, SECOND};
 
-/// A run whose rig was late is played again, so many times in all.
-const TRIES: u32 = 3;
+/// Maximum number of runs of a scenario; a run in which the rig was late is repeated.
+const MAX_ATTEMPTS: u32 = 3;
 
 #[derive(Args)]
 pub struct Options {
@@ -47,15 +47,15 @@
     Json,
 }
 
-/// What stands over the lines of runs.
-pub const HEAD: &str =
+/// Column headings of the lines that `print` writes.
+pub const HEADER: &str =
     "verdict   scenario                        goodput  worst 10 s  served  refused  failed  late p99  broken";
 
 fn progress(s: &Scenario) -> ProgressBar {
     let bar = ProgressBar::new(s.lasts / SECOND);
-    let form = "{prefix:28} [{bar:30}] {pos}/{len} s  {msg}";
+    let template = "{prefix:28} [{bar:30}] {pos}/{len} s  {msg}";
     bar.set_style(
-        ProgressStyle::with_template(form).unwrap_or_else(|_| ProgressStyle::default_bar()),
+        ProgressStyle::with_template(template).unwrap_or_else(|_| ProgressStyle::default_bar()),
     );
     bar.set_prefix(s.name.clone());
     bar
@@ -63,7 +63,7 @@
 
 pub fn main(options: &Options) -> ExitCode {
     let mut scenarios = Vec::new();
-    let mut bad = false;
+    let mut invalid = false;
     for file in &options.files {
         match Scenario::read(file) {
             Ok(mut scenario) => {
@@ -71,26 +71,26 @@
                 scenarios.push(scenario);
             }
             Err(found) => {
-                bad = true;
+                invalid = true;
                 found.iter().for_each(|d| eprintln!("{d}\n"));
             }
         }
     }
-    if bad {
-        return ExitCode::from(2); // all files are looked at before any is played
+    if invalid {
+        return ExitCode::from(2); // report the errors of all files before any scenario is played
     }
     let (stop, program) = (stop_flag(), options.programs.ingress());
     let mut reports: Vec<Report> = Vec::new();
     let mut failed = false;
     let text = options.format == Format::Text;
     if text {
-        println!("{}", style::head(HEAD));
+        println!("{}", style::head(HEADER));
     }
     'all: for scenario in scenarios
         .iter()
         .flat_map(|s| std::iter::repeat_n(s, options.times as usize))
     {
-        for again in 1..=TRIES {
+        for attempt in 1..=MAX_ATTEMPTS {
             let bar = progress(scenario);
             let mut watch = |s: &rig::Snapshot| {
                 bar.set_position(s.at / SECOND);
@@ -111,7 +111,7 @@
                         print(&report, options.verbose);
                     }
                     let late = report.verdict == Verdict::Late && !stop.load(Ordering::Relaxed);
-                    if late && again < TRIES {
+                    if late && attempt < MAX_ATTEMPTS {
                         continue;
                     }
                     reports.push(report);
@@ -132,10 +132,10 @@
         eprintln!("{} {e}", style::bad("error:"));
         failed = true;
     }
-    let any = |v: Verdict| reports.iter().any(|r| r.verdict == v);
-    if failed || any(Verdict::Late) {
+    let any_verdict = |v: Verdict| reports.iter().any(|r| r.verdict == v);
+    if failed || any_verdict(Verdict::Late) {
         ExitCode::from(2)
-    } else if any(Verdict::Broken) {
+    } else if any_verdict(Verdict::Broken) {
         ExitCode::from(1)
     } else {
         ExitCode::SUCCESS
@@ -154,7 +154,7 @@
     }
 }
 
-/// The lines of a run.
+/// Prints the result of a run; with `verbose`, also its counters and logs.
 pub fn print(r: &Report, verbose: bool) {
     let verdict = match r.verdict {
         Verdict::Held => style::good("held    "),
@@ -200,7 +200,7 @@
         return;
     }
     println!("    by second {}", style::bars(&r.seconds));
-    let parts = |list: &[wrenfork_testbed::report::Part]| {
+    let shares = |list: &[wrenfork_testbed::report::Part]| {
         list.iter()
             .map(|p| format!("{} {:.3}", p.name, p.share))
             .collect::<Vec<_>>()
@@ -208,8 +208,8 @@
     };
     println!(
         "    classes: {}; plans: {}",
-        parts(&r.classes),
-        parts(&r.plans)
+        shares(&r.classes),
+        shares(&r.plans)
     );
     println!(
         "    {} asked in {:.1} s, {} attempts ({} for clients that had left), {} beyond quota, {} unreachable, {} crossed",
