--- a/crates/ingress/tests/handover/main.rs
+++ b/crates/ingress/tests/handover/main.rs
@@ -14,7 +14,8 @@
     attempts_by_id, backend_pausing_half_way, long_value, longest_pause, Load, Platform, Sampler,
 };
 use wrenfork_testbed::service_fixture::{
-    call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Jammed,
+    call, call_of, command, free_address, serve, served, until, Act, Backend, Client, Discovery,
+    Jammed,
 };
 
 /// Guards against connections that are closed or not read, missing answers and duplicate effects during two consecutive
