--- a/crates/ingress/src/error.rs
+++ b/crates/ingress/src/error.rs
@@ -58,7 +58,7 @@
         source: io::Error,
     },
     /// The descriptor limit leaves too few descriptors for clients and backends.
-    #[error("limits.sockets: a limit of {0} descriptors is too low")]
+    #[error("limits.sockets: a limit of {0} descriptors leaves too few for clients and backends")]
     TooFewDescriptors(usize),
     /// The status file could not be written.
     #[error("status: cannot write {path}: {source}")]
--- a/crates/rollout/src/error.rs
+++ b/crates/rollout/src/error.rs
@@ -77,7 +77,9 @@
         phase: RolloutPhase,
     },
     /// The stages, changes, policy or author differ from those of the rollout under way.
-    #[error("the stages, changes and policy of a rollout that is under way can't be modified")]
+    #[error(
+        "the author, stages, changes and policy of a rollout that is under way can't be modified"
+    )]
     Modified,
     /// The new phase may not follow the previous one.
     #[error("a rollout can't go from \"{from}\" to \"{to}\"")]
