--- a/crates/ctl/tests/group/main.rs
+++ b/crates/ctl/tests/group/main.rs
@@ -62,7 +62,10 @@
     says(
         &planned,
         2,
-        &["away: desk/d2", "serves nobody until it has learnt this"],
+        &[
+            "away: desk/d2",
+            "rejects all requests until it has learned the new state",
+        ],
     );
     let output = group.made(2);
     says(
@@ -302,7 +305,7 @@
         &planned,
         1,
         &[
-            "too few members answer to decide: 1 of 3, and 2 are enough",
+            "no quorum: 1 of 3 voters answer, and 2 are needed",
             "desk/d1",
             "desk/d2",
         ],
@@ -330,7 +333,7 @@
     let (few, many) = (["d0", "d1", "ann"], ["d2", "d3", "d4", "bob"]);
     group.links.between(&few, &many, Fault::Dropped);
     let ann = group.run(&["apply", "ann.plan", "--yes", "--patience", "2s"]);
-    says(&ann, 1, &["too few members answer to decide: 2 of 5"]);
+    says(&ann, 1, &["no quorum: 2 of 5 voters answer"]);
     group.shut(0);
     group.shut(1);
     let bob = group.apply("bob", 2, &[]);
@@ -342,7 +345,7 @@
     says(
         &group.run(&["apply", "ann.plan", "--yes"]),
         1,
-        &["it has moved"],
+        &["the ingress enforces generation"],
     );
     // Both at once, with no split: each is made whole or not at all, and one is.
     says(&group.plan("ann", 3), 2, &[]);
@@ -539,7 +542,7 @@
         says(
             &policy,
             1,
-            &["desk/d3 has come into the roster since the plan was made"],
+            &["desk/d3 has joined the group since the plan was made"],
         );
         group.made(1);
     }
--- a/crates/ctl/tests/group/mixed_builds.rs
+++ b/crates/ctl/tests/group/mixed_builds.rs
@@ -13,7 +13,11 @@
 /// Rolls a program through the group, with one member ahead of the others for the time of a stage.
 fn change_program(group: &mut Group, to: usize, version: &str) {
     let started = group.roll_program("ann", to, "[\"1\", \"all\"]", "");
-    says(&started, 0, &["made: stage 1", "hands over"]);
+    says(
+        &started,
+        0,
+        &["made: stage 1", "can hand over to its successor"],
+    );
     group.wait("one member runs the other build", || {
         group.running(version) > 0
     });
--- a/crates/ctl/tests/group/programs.rs
+++ b/crates/ctl/tests/group/programs.rs
@@ -91,7 +91,7 @@
     says(
         &group.roll_program("ann", 1, "[\"1\", \"50%\", \"all\"]", ""),
         0,
-        &["made: stage 1", "hands over"],
+        &["made: stage 1", "can hand over to its successor"],
     );
     group.until("the end", |p| *p == RolloutPhase::Completed);
     group.all_run("newer");
@@ -187,7 +187,7 @@
     says(
         &group.run(&["apply", "ann.plan", "--yes"]),
         1,
-        &["its program changes in stages"],
+        &["a program is changed by a rollout"],
     );
     group.all_run("equal");
 }
--- a/crates/ctl/tests/group/rollout.rs
+++ b/crates/ctl/tests/group/rollout.rs
@@ -81,7 +81,11 @@
     let mut group = Group::started(four());
     let load = group.load();
     let begun = group.roll("ann", 1, "[\"1\", \"50%\", \"all\"]");
-    says(&begun, 0, &["made: stage 1", "each watched for 2 s"]);
+    says(
+        &begun,
+        0,
+        &["made: stage 1", "each stage is watched for at least 2 s"],
+    );
     assert_eq!(group.on("p1").len(), 1, "{}", group.logs());
     // One at a time, whoever wants another one.
     let second = group.roll("bob", 2, "[\"all\"]");
@@ -253,7 +257,7 @@
     says(
         &group.run(&["rollout", "pause", "ann"]),
         1,
-        &["it can't be held"],
+        &["the rollout cannot be paused"],
     );
     group.wait("somebody drove", || group.driver().is_some());
     let driver = group.driver().unwrap();
@@ -275,7 +279,7 @@
     says(
         &group.run(&["rollout", "resume", "ann"]),
         1,
-        &["it is not held"],
+        &["the rollout is not paused"],
     );
     let load = group.load();
     group.until("the second stage, by another", |p| {
--- a/crates/ctl/tests/route.rs
+++ b/crates/ctl/tests/route.rs
@@ -53,7 +53,7 @@
 #[test]
 fn what_is_turned_away_is_told_with_its_reason() {
     for (account, class, why) in [
-        ("00000000000004d9", "quote", "no application's"),
+        ("00000000000004d9", "quote", "belongs to no application"),
         ("00000000000004d2", "lender-referral", "may not send"),
         ("00000000000004d2", "quotes", "no class"),
         ("4d2", "quote", "16 hex digits"),
