--- a/crates/config/src/callers.rs
+++ b/crates/config/src/callers.rs
@@ -5,7 +5,7 @@
 use crate::pairs::Pairs;
 use crate::values;
 use wrenfork_identity::rights::{Tenant, Tenants};
-use wrenfork_identity::trust::{public, Issuer, Key, Trust};
+use wrenfork_identity::trust::{parse_public_key, Issuer, Key, Trust};
 
 /// Microseconds per second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
@@ -26,7 +26,7 @@
 /// The issuers and keys of a file. Invalid keys are skipped: the reader has reported them.
 pub fn trust(from: &Identity) -> Trust {
     let key = |k: &crate::model::IssuerKey| {
-        let public = public(&k.public.value)?;
+        let public = parse_public_key(&k.public.value)?;
         Some(Key {
             name: k.name.value.clone(),
             public,
@@ -45,7 +45,7 @@
             .map_or(String::new(), |a| a.value.clone()),
         issuers: issuers.collect(),
         skew: from.skew / MICROS_PER_SECOND,
-        longest: from.longest / MICROS_PER_SECOND,
+        max_lifetime: from.longest / MICROS_PER_SECOND,
     }
 }
 
@@ -124,7 +124,7 @@
         audience: audience.clone(),
         issuers: Vec::new(),
         skew: whole("identity.skew_s")?,
-        longest: whole("identity.longest_s")?,
+        max_lifetime: whole("identity.longest_s")?,
     };
     let entries = |prefix: &'static str, field: &'static str| {
         let rows = state.iter().filter_map(move |(key, value)| {
@@ -140,8 +140,8 @@
         let (issuer, key) = name
             .split_once('/')
             .ok_or_else(|| format!("{prefix} has no key name after the issuer's name"))?;
-        let public =
-            public(&text).ok_or_else(|| format!("{prefix}.public is not an Ed25519 public key"))?;
+        let public = parse_public_key(&text)
+            .ok_or_else(|| format!("{prefix}.public is not an Ed25519 public key"))?;
         let until = state
             .contains_key(&format!("{prefix}.until"))
             .then(|| whole(&format!("{prefix}.until")))
--- a/crates/ingress/tests/accepted.rs
+++ b/crates/ingress/tests/accepted.rs
@@ -1,5 +1,5 @@
-//! What the checker accepts, the ingress runs: files drawn at random within the form are checked, and where they are taken
-//! the built sidecar must start from them, answer, and end well.
+//! Runs what the checker accepts: random configuration files are generated and checked, and the built sidecar must
+//! start from each accepted pair, answer PING and exit cleanly.
 
 use proptest::prelude::{any, prop, Strategy};
 use proptest::strategy::ValueTree;
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use wrenfork_config::set::Set;
 use wrenfork_config::source::Source;
-use wrenfork_testbed::small::{command, place, Client, Ingress};
+use wrenfork_testbed::service_fixture::{command, free_address, Client, Ingress};
 
 #[derive(Clone, Debug)]
 struct Class {
@@ -32,7 +32,7 @@
 type Trial = Option<(usize, u32)>;
 
 #[derive(Clone, Debug)]
-struct Drawn {
+struct GeneratedFiles {
     halls: usize,
     near: Vec<(usize, Vec<usize>)>,
     classes: Vec<Class>,
@@ -69,7 +69,7 @@
     })
 }
 
-fn drawn() -> impl Strategy<Value = Drawn> {
+fn generated_files() -> impl Strategy<Value = GeneratedFiles> {
     let near = prop::collection::vec((0usize..6, prop::collection::vec(0usize..6, 1..5)), 0..2);
     let classes = prop::collection::vec(class(), 1..6);
     let plans = prop::collection::vec(plan(), 1..4);
@@ -99,7 +99,7 @@
         prop::collection::vec(pool, 0..5),
         prop::collection::vec(route, 0..4),
     );
-    (site, limits, cold, app).prop_map(|(site, limits, cold, app)| Drawn {
+    (site, limits, cold, app).prop_map(|(site, limits, cold, app)| GeneratedFiles {
         halls: site.0,
         near: site.1,
         classes: site.2,
@@ -115,7 +115,7 @@
     })
 }
 
-impl Drawn {
+impl GeneratedFiles {
     fn site(&self) -> String {
         let halls: Vec<String> = (0..self.halls).map(|h| format!("\"h{h}\"")).collect();
         let mut text = format!(
@@ -210,9 +210,10 @@
     }
 }
 
-/// Guards against a file that is accepted and then not run, and against draws that are nearly all refused and show nothing.
+/// Guards against files that the checker accepts but the sidecar cannot run. The bound on refused draws fails the test
+/// if nearly all generated files are invalid.
 #[test]
-fn files_that_the_checker_accepts_run() {
+fn files_accepted_by_the_checker_start_the_sidecar() {
     let seed = RngSeed::Fixed(19);
     let config = Config {
         rng_seed: seed,
@@ -220,15 +221,15 @@
         ..Config::default()
     };
     let mut runner = proptest::test_runner::TestRunner::new(config);
-    let (folder, strategy) = (tempfile::tempdir().unwrap(), drawn());
-    let (mut taken, mut refused, mut with_pools) = (0, 0, 0);
-    while taken < 24 || with_pools < 8 {
+    let (folder, strategy) = (tempfile::tempdir().unwrap(), generated_files());
+    let (mut valid, mut refused, mut with_pools) = (0, 0, 0);
+    while valid < 24 || with_pools < 8 {
         assert!(
             refused < 5_000,
-            "{taken} of {refused} are taken, {with_pools} with pools"
+            "{valid} accepted ({with_pools} with pools), {refused} refused"
         );
         let files = strategy.new_tree(&mut runner).unwrap().current();
-        let at = place();
+        let at = free_address();
         let (site, app): (String, String) = (files.site(), files.app(at));
         if Set::from_sources([
             Source::new("site.toml", &site),
@@ -239,16 +240,16 @@
             refused += 1;
             continue;
         }
-        (taken, with_pools) = (taken + 1, with_pools + usize::from(!files.pools.is_empty()));
-        if taken > 24 && files.pools.is_empty() {
+        (valid, with_pools) = (valid + 1, with_pools + usize::from(!files.pools.is_empty()));
+        if valid > 24 && files.pools.is_empty() {
             continue;
         }
         let write = |name: &str, text: &str| fs::write(folder.path().join(name), text).unwrap();
         write("site.toml", &site);
         write("app.toml", &app);
-        let shown = folder.path().display();
+        let path = folder.path().display();
         let line = format!(
-            "exec '{}' --app '{shown}/app.toml'",
+            "exec '{}' --app '{path}/app.toml'",
             env!("CARGO_BIN_EXE_wrenfork")
         );
         let mut ingress = Ingress::run("", at, &line);
@@ -256,9 +257,9 @@
         let ready = loop {
             let pong =
                 TcpStream::connect(at).is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG");
-            let over = ingress.child.try_wait().unwrap().is_some()
+            let gave_up = ingress.child.try_wait().unwrap().is_some()
                 || start.elapsed() > Duration::from_secs(20);
-            if pong || over {
+            if pong || gave_up {
                 break pong;
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -268,7 +269,7 @@
             assert!(ingress.exit().success(), "{}\n{site}\n{app}", ingress.log());
         } else {
             let _ = ingress.child.kill();
-            panic!("it does not run: {}\n{site}\n{app}", ingress.log());
+            panic!("sidecar did not start: {}\n{site}\n{app}", ingress.log());
         }
     }
 }
--- a/crates/ingress/tests/handover/support.rs
+++ b/crates/ingress/tests/handover/support.rs
@@ -1,4 +1,4 @@
-//! The platform, processes of the ingress, and load on them.
+//! The platform, processes of the ingress and clients that load them.
 
 use std::collections::{HashMap, HashSet};
 use std::io::{Read, Write};
@@ -10,9 +10,12 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{call, place, until, Act, Backend, Client, Setup, LONG};
+use wrenfork_testbed::service_fixture::{
+    call, free_address, until, Act, Backend, Client, Setup, WAIT_LIMIT,
+};
 
-/// The platform: the clients' socket, the folder that all processes share, and the configuration.
+/// Stands in for the platform: holds the clients' listening socket, the folder that all processes share, and the
+/// configuration.
 pub struct Platform {
     pub listener: TcpListener,
     pub at: SocketAddr,
@@ -20,7 +23,7 @@
     pub setup: Setup,
 }
 
-/// A process of the ingress.
+/// A running ingress with its management address.
 pub struct Process {
     pub child: Child,
     management: SocketAddr,
@@ -28,7 +31,7 @@
 
 impl Platform {
     pub fn new(backends: &[&Backend]) -> Platform {
-        let listener = TcpListener::bind((place().ip(), 0)).unwrap();
+        let listener = TcpListener::bind((free_address().ip(), 0)).unwrap();
         let at = listener.local_addr().unwrap();
         let setup = Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends);
         Platform {
@@ -45,9 +48,9 @@
             .join(format!("wrenfork-{}.next", self.at))
     }
 
-    /// Starts `run` once more; the descriptor is passed as 3 unless another redirection is wanted.
+    /// Starts a process. The shell redirection `redirect` sets up descriptor 3; `3<&0` passes the listening socket.
     pub fn run(&self, redirect: &str) -> Process {
-        let (file, management) = (self.folder.path().join("config.json"), place());
+        let (file, management) = (self.folder.path().join("config.json"), free_address());
         std::fs::write(&file, self.setup.config(self.at)).unwrap();
         let mut command = Command::new("/bin/sh");
         command.args([
@@ -70,10 +73,10 @@
         }
     }
 
-    /// Starts a process and waits until it says yes.
+    /// Starts a process with the listening socket and waits until it is ready.
     pub fn start(&self) -> Process {
         let process = self.run("3<&0");
-        until("it says yes", || process.ask("readyz").starts_with("+OK"));
+        until("readyz is OK", || process.ask("readyz").starts_with("+OK"));
         process
     }
 }
@@ -82,7 +85,7 @@
     pub fn ask(&self, call: &str) -> String {
         let mut text = String::new();
         if let Ok(mut stream) = TcpStream::connect(self.management) {
-            stream.set_read_timeout(Some(LONG)).unwrap();
+            stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
             let _ = stream.write_all(format!("{call}\n").as_bytes());
             let _ = stream.read_to_string(&mut text);
         }
@@ -94,7 +97,7 @@
         let line = text
             .lines()
             .find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
-        line.unwrap_or_else(|| panic!("no {name} in {text}"))
+        line.unwrap_or_else(|| panic!("telemetry has no {name}: {text}"))
             .parse()
             .unwrap()
     }
@@ -108,7 +111,7 @@
             .success());
     }
 
-    /// Waits for its end, which must be a good one; its log.
+    /// Waits for the process to exit with code 0 and returns its log.
     pub fn ended(&mut self) -> String {
         let mut status = None;
         until("the process ends", || {
@@ -127,11 +130,11 @@
     }
 }
 
-/// Looks at two processes together, for the most that they hold at one moment.
+/// Samples the combined memory and descriptor use of two processes and keeps the peak.
 pub struct Sampler {
     pub second: Arc<AtomicU32>,
     pub stop: Arc<AtomicBool>,
-    looking: thread::JoinHandle<(usize, usize)>,
+    sampler: thread::JoinHandle<(usize, usize)>,
 }
 
 impl Sampler {
@@ -141,8 +144,8 @@
             Arc::new(AtomicBool::new(false)),
         );
         let (other, end) = (second.clone(), stop.clone());
-        let looking = thread::spawn(move || {
-            let mut most = (0, 0);
+        let sampler = thread::spawn(move || {
+            let mut peak = (0, 0);
             while !end.load(Ordering::SeqCst) {
                 let now = [first, other.load(Ordering::SeqCst)].map(|id| {
                     let status =
@@ -151,34 +154,34 @@
                         .lines()
                         .find_map(|l| l.strip_prefix("VmRSS:"))
                         .unwrap_or("0 kB");
-                    let held =
+                    let descriptors =
                         std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
                     (
                         line.trim()
                             .trim_end_matches(" kB")
                             .parse::<usize>()
                             .unwrap(),
-                        held,
+                        descriptors,
                     )
                 });
-                most = (
-                    most.0.max(now[0].0 + now[1].0),
-                    most.1.max(now[0].1 + now[1].1),
+                peak = (
+                    peak.0.max(now[0].0 + now[1].0),
+                    peak.1.max(now[0].1 + now[1].1),
                 );
             }
-            most
+            peak
         });
         Sampler {
             second,
             stop,
-            looking,
+            sampler,
         }
     }
 
-    /// The most KiB resident, and the most descriptors.
+    /// Stops sampling. Returns the peak resident memory in KiB and the peak number of descriptors.
     pub fn stop(self) -> (usize, usize) {
         self.stop.store(true, Ordering::SeqCst);
-        self.looking.join().unwrap()
+        self.sampler.join().unwrap()
     }
 }
 
@@ -189,18 +192,18 @@
     }
 }
 
-/// Clients that ask all the time, and what they saw.
+/// Clients that send requests continuously, and the answers they recorded.
 #[derive(Clone)]
 pub struct Load {
     pub at: SocketAddr,
     pub stop: Arc<AtomicBool>,
-    pub asked: Arc<AtomicUsize>,
+    pub answered: Arc<AtomicUsize>,
     pub served_ids: Arc<Mutex<HashSet<String>>>,
     pub answered_at: Arc<Mutex<Vec<Instant>>>,
 }
 
 impl Load {
-    /// Asks for two requests at once, over and over, as the client with this number.
+    /// Sends two requests at a time, in a loop, as client `number`.
     pub fn run(&self, number: usize) {
         let mut client = Client::connect(self.at);
         for n in 0.. {
@@ -208,18 +211,18 @@
                 return;
             }
             if number % 4 == 3 {
-                client = Client::connect(self.at); // and new ones come all the time
+                client = Client::connect(self.at); // every fourth client reconnects for each pair
             }
             let ids = [0, 1].map(|i| format!("c{number}-{n}-{i}"));
             client.send(&ids.clone().map(|id| call("refer", &id, 2500)).concat());
             for id in ids {
-                self.note(&client.answer(), id);
+                self.record_answer(&client.answer(), id);
             }
         }
     }
 
-    fn note(&self, answer: &str, id: String) {
-        self.asked.fetch_add(1, Ordering::SeqCst);
+    fn record_answer(&self, answer: &str, id: String) {
+        self.answered.fetch_add(1, Ordering::SeqCst);
         self.answered_at.lock().unwrap().push(Instant::now());
         if answer == format!("value of {id}") {
             self.served_ids.lock().unwrap().insert(id);
@@ -229,7 +232,7 @@
     }
 }
 
-/// The longest time between two answers.
+/// The longest time between two consecutive answers.
 pub fn longest_pause(answered_at: &[Instant]) -> Duration {
     let pauses = answered_at.windows(2);
     pauses
@@ -238,7 +241,7 @@
         .unwrap()
 }
 
-/// How often the backends were given each request, by its id.
+/// The number of attempts that the backends received for each request id.
 pub fn attempts_by_id(backends: &[Backend]) -> HashMap<String, usize> {
     let mut attempts = HashMap::new();
     for backend in backends {
@@ -249,16 +252,16 @@
     attempts
 }
 
-/// The value of a request, three MiB of its id.
+/// The value for a request: its id repeated to 3 MiB.
 pub fn long_value(id: &str) -> String {
     id.bytes().cycle().take(3 << 20).map(char::from).collect()
 }
 
-/// A backend that gives half of a long value, and the rest when told to go on.
-pub fn half_way_until(go: Arc<AtomicBool>) -> Backend {
+/// A backend that sends half of a long answer, and the rest once `resume` is set.
+pub fn backend_pausing_half_way(resume: Arc<AtomicBool>) -> Backend {
     Backend::start(move |args| {
         let text = long_value(&args[2]);
         let bytes = format!("*3\r\n${}\r\n{text}\r\n$-1\r\n$-1\r\n", text.len()).into_bytes();
-        Act::Until(bytes.len() / 2, go.clone(), bytes)
+        Act::Until(bytes.len() / 2, resume.clone(), bytes)
     })
 }
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -1,19 +1,19 @@
-//! Callers of the built sidecar: who proves nothing, too little or something forged is turned away with the reason, whoever
-//! proves enough is served, also while keys change.
+//! Authentication of callers by the built sidecar: a caller without a valid token is denied with the reason, a caller
+//! with sufficient rights is served, also while keys are rotated.
 
 use ed25519_dalek::SigningKey;
 use std::fs;
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use wrenfork_identity::token::{sign, told, Claims};
-use wrenfork_identity::trust::written;
-use wrenfork_testbed::small::{
-    command, list, place, serve, served, until, Act, Backend, Client, Ingress,
+use wrenfork_identity::token::{format_time, sign, Claims};
+use wrenfork_identity::trust::format_public_key;
+use wrenfork_testbed::service_fixture::{
+    command, free_address, list, serve, served, until, Act, Backend, Client, Ingress,
 };
 
-const OWN: &str = "00000000000004d3";
-const OTHER: &str = "00000000000004d2";
+const OWN_ACCOUNT: &str = "00000000000004d3";
+const OTHER_ACCOUNT: &str = "00000000000004d2";
 
 fn now() -> u64 {
     SystemTime::now()
@@ -34,20 +34,20 @@
 
 impl Site {
     fn new(backend: &Backend, keys: &str) -> Site {
-        let (folder, at) = (tempfile::tempdir().unwrap(), place());
+        let (folder, at) = (tempfile::tempdir().unwrap(), free_address());
         let write = |name: &str, text: &str| fs::write(folder.path().join(name), text).unwrap();
-        write("site.toml", &good("site.toml"));
+        write("site.toml", &read_good_file("site.toml"));
         write("app.toml", &app(at, keys));
         write(
             "fleet.json",
             &list(1, true, &[backend.entry("s-0001", "up")]),
         );
-        let shown = folder.path().display();
-        let line = format!(
-            "exec '{}' --app '{shown}/app.toml' --fleet '{shown}/fleet.json'",
+        let folder_path = folder.path().display();
+        let command_line = format!(
+            "exec '{}' --app '{folder_path}/app.toml' --fleet '{folder_path}/fleet.json'",
             env!("CARGO_BIN_EXE_wrenfork")
         );
-        let ingress = Ingress::run("", at, &line);
+        let ingress = Ingress::run("", at, &command_line);
         until("the sidecar is ready", || {
             TcpStream::connect(at).is_ok_and(|s| Client(s).ask(&command(&["PING"])) == "+PONG")
         });
@@ -63,7 +63,7 @@
     }
 }
 
-fn good(name: &str) -> String {
+fn read_good_file(name: &str) -> String {
     fs::read_to_string(
         Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("../config/tests/good")
@@ -73,20 +73,21 @@
 }
 
 fn app(at: SocketAddr, keys: &str) -> String {
-    let text = good("with-site-no-routes.toml").replace("127.0.0.1:7600", &at.to_string());
+    let text =
+        read_good_file("with-site-no-routes.toml").replace("127.0.0.1:7600", &at.to_string());
     let text = text.replace(
         "plan = \"starter\"",
         "plan = \"starter\"\nquota = \"90/s\"\nburst = 600",
     );
     format!(
         "{text}\n[identity]\naudience = \"bangna\"\nlongest = \"2h\"\n\n[[identity.issuer]]\nname = \"desk\"\n{keys}\n\
-         [[identity.tenant]]\nname = \"broker\"\naccounts = [\"{OWN}\"]\nclasses = [\"quote\"]\n\n\
-         [[identity.tenant]]\nname = \"all\"\naccounts = [\"{OWN}\", \"{OTHER}\"]\n"
+         [[identity.tenant]]\nname = \"broker\"\naccounts = [\"{OWN_ACCOUNT}\"]\nclasses = [\"quote\"]\n\n\
+         [[identity.tenant]]\nname = \"all\"\naccounts = [\"{OWN_ACCOUNT}\", \"{OTHER_ACCOUNT}\"]\n"
     )
 }
 
-fn listed(name: &str, n: u8, more: &str) -> String {
-    let public = written(&key(n).verifying_key());
+fn listed_key(name: &str, n: u8, more: &str) -> String {
+    let public = format_public_key(&key(n).verifying_key());
     format!("[[identity.issuer.key]]\nname = \"{name}\"\npublic = \"{public}\"\n{more}")
 }
 
@@ -123,64 +124,64 @@
 fn save(id: &str) -> Vec<u8> {
     command(&[
         "CALL.POST",
-        OWN,
+        OWN_ACCOUNT,
         id,
         "c=save-scenario,t=starter,d=900,k=00ff,units=1,spread=1,first=0",
         "BODY",
     ])
 }
 
-/// What proves too little, with the code of its refusal.
-fn insufficient() -> [(&'static str, String, &'static str); 10] {
+/// Credentials that prove too little: a description, the token and the code of the expected denial.
+fn insufficient_credentials() -> [(&'static str, String, &'static str); 10] {
     [
-        ("nothing", String::new(), "I100"),
-        ("no token", "letmein".into(), "I101"),
+        ("no credentials", String::new(), "I100"),
+        ("not a token", "letmein".into(), "I101"),
         ("a JWT", "eyJhbGciOiJub25lIn0.e30.".into(), "I102"),
-        ("another's signature", token(|_| (), 2), "I105"),
+        ("a signature of another key", token(|_| (), 2), "I105"),
         (
             "an unknown issuer",
             token(|c| c.issuer = "shop".into(), 1),
             "I104",
         ),
         (
-            "for another place",
+            "for another audience",
             token(|c| c.audience = "odense".into(), 1),
             "I107",
         ),
         (
-            "over",
+            "expired",
             token(|c| (c.from, c.until) = (now() - 900, now() - 100), 1),
             "I108",
         ),
         (
-            "to come",
+            "not yet valid",
             token(|c| (c.from, c.until) = (now() + 900, now() + 1_000), 1),
             "I109",
         ),
         (
-            "for a week",
+            "valid for too long",
             token(|c| c.until = now() + 7 * 86_400, 1),
             "I110",
         ),
         (
-            "no tenant",
+            "an unknown tenant",
             token(|c| c.tenant = "nobody".into(), 1),
             "I201",
         ),
     ]
 }
 
-/// A request's own token counts for it alone, and may say less than the tenant has.
-fn assert_tokens_of_requests_count_alone(client: &mut Client) {
+/// Asserts that a token sent with a request counts for that request alone and may narrow the rights of its tenant.
+fn assert_request_token_applies_to_its_request_only(client: &mut Client) {
     let (all, narrow) = (
         token(|c| c.tenant = "all".into(), 1),
         token(|c| c.accounts = Some(vec![7]), 1),
     );
-    // An account that is new here has what its ceiling has let through since the start, which is little at first.
+    // An account that is new to this process starts with few ceiling tokens.
     let mut asked = 0;
     until("the other account is served", || {
         asked += 1;
-        let answer = client.ask(&quote(OTHER, &format!("r6-{asked}"), &all));
+        let answer = client.ask(&quote(OTHER_ACCOUNT, &format!("r6-{asked}"), &all));
         assert!(
             answer.starts_with("value of r6-") || answer.starts_with("-BUSY"),
             "{answer}"
@@ -188,55 +189,55 @@
         answer.starts_with("value")
     });
     assert!(client
-        .ask(&quote(OWN, "r7", &narrow))
+        .ask(&quote(OWN_ACCOUNT, "r7", &narrow))
         .starts_with("-DENIED I202"));
-    assert_eq!(client.ask(&quote(OWN, "r8", "")), "value of r8");
-    // One that fails to be somebody else is nobody.
+    assert_eq!(client.ask(&quote(OWN_ACCOUNT, "r8", "")), "value of r8");
+    // A failed AUTH leaves the connection without an identity.
     assert!(client
         .ask(&command(&["AUTH", "letmein"]))
         .starts_with("-DENIED I101"));
     assert!(client
-        .ask(&quote(OWN, "r9", ""))
+        .ask(&quote(OWN_ACCOUNT, "r9", ""))
         .starts_with("-DENIED I100"));
 }
 
-/// Guards against a caller that is taken for another one, and a token that reaches a backend or the log.
+/// Guards against taking a caller for another one, and against forwarding or logging a token.
 #[test]
 fn callers_without_rights_are_denied_with_the_reason_and_no_token_is_forwarded() {
     let backend = Backend::start(serve);
-    let mut site = Site::new(&backend, &listed("one", 1, ""));
-    let good = token(|_| (), 1);
-    for (what, forged, code) in insufficient() {
+    let mut site = Site::new(&backend, &listed_key("one", 1, ""));
+    let valid_token = token(|_| (), 1);
+    for (case, credential, code) in insufficient_credentials() {
         let denied = |answer: &str| answer.starts_with(&format!("-DENIED {code}:"));
-        let answer = site.client().ask(&quote(OWN, "r1", &forged));
-        assert!(denied(&answer), "{what}, with a request: {answer}");
+        let answer = site.client().ask(&quote(OWN_ACCOUNT, "r1", &credential));
+        assert!(denied(&answer), "{case}, token in a request: {answer}");
         let mut client = site.client();
-        if !forged.is_empty() {
-            let answer = client.ask(&command(&["AUTH", &forged]));
-            assert!(denied(&answer), "{what}, for a connection: {answer}");
+        if !credential.is_empty() {
+            let answer = client.ask(&command(&["AUTH", &credential]));
+            assert!(denied(&answer), "{case}, token in AUTH: {answer}");
         }
         assert!(
             client
-                .ask(&quote(OWN, "r2", ""))
+                .ask(&quote(OWN_ACCOUNT, "r2", ""))
                 .starts_with("-DENIED I100"),
-            "{what}: nothing was proved"
+            "{case}: the connection must stay unauthenticated"
         );
     }
-    assert_eq!(backend.count(), 0, "something of it went on");
+    assert_eq!(backend.count(), 0, "a denied request was forwarded");
     let mut client = site.client();
-    assert_eq!(client.ask(&command(&["AUTH", &good])), "+OK");
-    assert_eq!(client.ask(&quote(OWN, "r3", "")), "value of r3");
+    assert_eq!(client.ask(&command(&["AUTH", &valid_token])), "+OK");
+    assert_eq!(client.ask(&quote(OWN_ACCOUNT, "r3", "")), "value of r3");
     assert!(
         client
-            .ask(&quote(OTHER, "r4", ""))
+            .ask(&quote(OTHER_ACCOUNT, "r4", ""))
             .starts_with("-DENIED I202"),
-        "another's account"
+        "an account of another tenant must be denied"
     );
     assert!(
         client.ask(&save("r5")).starts_with("-DENIED I203"),
-        "a class that it may not send"
+        "a class that the tenant may not send must be denied"
     );
-    assert_tokens_of_requests_count_alone(&mut client);
+    assert_request_token_applies_to_its_request_only(&mut client);
     let seen = format!("{:?}", backend.seen.commands.lock().unwrap());
     assert_eq!(backend.count(), 3);
     assert!(
@@ -247,21 +248,22 @@
     assert!(site.ingress.exit().success());
     let log = site.ingress.log();
     assert!(
-        !log.contains("v4.") && !log.contains(&good[20..60]),
+        !log.contains("v4.") && !log.contains(&valid_token[20..60]),
         "{log}"
     );
 }
 
-/// Guards against a key that is still taken behind its withdrawal, a request that was taken and is lost with it, and an honest
-/// caller that fails in between.
+/// Guards against accepting a key after its withdrawal, losing a request that was admitted before it, and denying a
+/// caller with a valid token during the rotation.
 #[test]
-fn a_key_rotation_ends_only_what_the_old_key_signed() {
-    // Slow for the one that is to be out alone: if all were, the ladder would cut callers by a lot that is drawn with the time.
+fn withdrawing_a_key_affects_only_tokens_it_signed() {
+    // Only `k2` is slow, because it must be in flight during the change. If all requests were slow, load shedding would
+    // reject callers by a hash that depends on the time.
     let backend = Backend::start(|args| match &args[2][..] {
         "k2" => Act::Later(Duration::from_millis(300), served(args)),
         _ => serve(args),
     });
-    let mut site = Site::new(&backend, &listed("one", 1, ""));
+    let mut site = Site::new(&backend, &listed_key("one", 1, ""));
     let (old, new) = (token(|_| (), 1), token(|c| c.key = "two".into(), 2));
     let mut client = site.client();
     assert_eq!(client.ask(&command(&["AUTH", &old])), "+OK");
@@ -269,22 +271,31 @@
         fs::write(site.folder.path().join("app.toml"), app(site.at, keys)).unwrap();
         site.ingress.signal("HUP");
     };
-    // The new key is trusted before it is used; the old one goes on.
+    // The new key is trusted before it is used, and the old one stays valid.
     assert!(site
         .client()
         .ask(&command(&["AUTH", &new]))
         .starts_with("-DENIED I104"));
-    reload(&site, &(listed("one", 1, "") + &listed("two", 2, "")));
+    reload(
+        &site,
+        &(listed_key("one", 1, "") + &listed_key("two", 2, "")),
+    );
     until("the new key is trusted", || {
         site.client().ask(&command(&["AUTH", &new])) == "+OK"
     });
-    assert_eq!(client.ask(&quote(OWN, "k1", "")), "value of k1");
-    // The old one is withdrawn with a request of its caller out: that one ends, and nothing new is taken from it.
+    assert_eq!(client.ask(&quote(OWN_ACCOUNT, "k1", "")), "value of k1");
+    // The old key is withdrawn while a request of its caller is in flight: that request completes, and no new one is
+    // admitted.
     let before = backend.count();
-    client.send(&quote(OWN, "k2", ""));
-    until("it is with the backend", || backend.count() > before);
-    let ended = format!("until = \"{}\"\n", told(now() - 1));
-    reload(&site, &(listed("one", 1, &ended) + &listed("two", 2, "")));
+    client.send(&quote(OWN_ACCOUNT, "k2", ""));
+    until("the request reaches the backend", || {
+        backend.count() > before
+    });
+    let ended = format!("until = \"{}\"\n", format_time(now() - 1));
+    reload(
+        &site,
+        &(listed_key("one", 1, &ended) + &listed_key("two", 2, "")),
+    );
     until("the old key is withdrawn", || {
         site.client()
             .ask(&command(&["AUTH", &old]))
@@ -292,52 +303,53 @@
     });
     assert_eq!(client.answer(), "value of k2");
     assert!(client
-        .ask(&quote(OWN, "k3", ""))
+        .ask(&quote(OWN_ACCOUNT, "k3", ""))
         .starts_with("-DENIED I106"));
-    // Its caller shows a token of the new key, and goes on over the same connection.
+    // The caller authenticates with a token of the new key on the same connection.
     assert_eq!(client.ask(&command(&["AUTH", &new])), "+OK");
-    assert_eq!(client.ask(&quote(OWN, "k4", "")), "value of k4");
-    // A broken file keeps what was there.
+    assert_eq!(client.ask(&quote(OWN_ACCOUNT, "k4", "")), "value of k4");
+    // An invalid file leaves the current keys in place.
     reload(
         &site,
         "[[identity.issuer.key]]\nname = \"two\"\npublic = \"12\"\n",
     );
     std::thread::sleep(Duration::from_millis(200));
-    assert_eq!(client.ask(&quote(OWN, "k5", "")), "value of k5");
+    assert_eq!(client.ask(&quote(OWN_ACCOUNT, "k5", "")), "value of k5");
     site.ingress.signal("TERM");
     assert!(site.ingress.exit().success());
     let log = site.ingress.log();
     assert!(log.contains("C115"), "{log}");
 }
 
-/// Guards against a flood of forged tokens that has each one's signature checked, and that shuts out who was here before.
+/// Guards against verifying the signature of every token in a flood of forged ones, and against denying known callers
+/// during the flood.
 #[test]
 fn a_flood_of_forged_tokens_is_limited_and_known_callers_are_served() {
     let backend = Backend::start(serve);
-    let site = Site::new(&backend, &listed("one", 1, ""));
-    let good = token(|_| (), 1);
-    let mut known = site.client();
-    assert_eq!(known.ask(&command(&["AUTH", &good])), "+OK");
+    let site = Site::new(&backend, &listed_key("one", 1, ""));
+    let valid_token = token(|_| (), 1);
+    let mut known_client = site.client();
+    assert_eq!(known_client.ask(&command(&["AUTH", &valid_token])), "+OK");
     let mut codes = std::collections::BTreeMap::<String, usize>::new();
     for n in 0..120 {
-        let forged = token(|c| c.tenant = format!("t{n}"), 2);
-        let answer = site.client().ask(&command(&["AUTH", &forged]));
+        let credential = token(|c| c.tenant = format!("t{n}"), 2);
+        let answer = site.client().ask(&command(&["AUTH", &credential]));
         *codes.entry(answer[..12].to_string()).or_default() += 1;
     }
-    // Twenty at once and two a second: how many came to be checked depends on the time that this took.
+    // Twenty verifications at once and two per second: how many tokens were verified depends on the elapsed time.
     assert_eq!(codes.len(), 2, "{codes:?}");
     assert!(
         codes["-DENIED I105"] >= 20 && codes["-DENIED I111"] >= 40,
         "{codes:?}"
     );
     assert_eq!(
-        known.ask(&quote(OWN, "f1", "")),
+        known_client.ask(&quote(OWN_ACCOUNT, "f1", "")),
         "value of f1",
-        "its connection has proved enough"
+        "an authenticated connection must be served"
     );
     assert_eq!(
-        site.client().ask(&quote(OWN, "f2", &good)),
+        site.client().ask(&quote(OWN_ACCOUNT, "f2", &valid_token)),
         "value of f2",
-        "its token was checked before"
+        "a token verified before must be served"
     );
 }
--- a/crates/ingress/tests/ingress/reload.rs
+++ b/crates/ingress/tests/ingress/reload.rs
@@ -1,12 +1,12 @@
-//! SIGHUP: the configuration is read again.
+//! SIGHUP reloads the configuration.
 
 use crate::support::setup;
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{call, serve, until, Backend, Discovery};
+use wrenfork_testbed::service_fixture::{call, serve, until, Backend, Discovery};
 
-/// Guards against SIGHUP for an end, and against news that wait for the old discovery's call to run out.
+/// Guards against SIGHUP ending the process, and against a reload that waits for the pending call to the old discovery.
 #[test]
 fn on_sighup_the_watch_moves_to_the_address_in_the_new_file() {
     let (one, two, three) = (
@@ -18,12 +18,12 @@
     let mut setup = setup(&[&one]);
     setup.discovery = Some(old.at);
     let mut ingress = setup.start();
-    until("the old one is asked", || {
+    until("the old discovery is polled", || {
         old.calls.load(Ordering::SeqCst) > 0
     });
     old.silence(true);
     new.change(two.entry("s-7", "up"));
-    // Half a file is none: the ingress serves on, and looks again by itself.
+    // A truncated file is not applied: the ingress keeps serving and reads the file again by itself.
     setup.discovery = Some(new.at);
     let config = setup.config(ingress.at);
     ingress.configure(&config[..config.len() / 2]);
@@ -35,10 +35,11 @@
     );
     assert_eq!((one.count(), new.calls.load(Ordering::SeqCst)), (1, 0));
     ingress.configure(&config);
-    until("the new one is asked", || {
+    until("the new discovery is polled", || {
         new.calls.load(Ordering::SeqCst) > 1
     });
-    // Its list is whole: who is not in it is gone. Later news come from there as well.
+    // The new discovery's list is complete, so backends that are not in it are removed. Later changes come from there
+    // too.
     assert_eq!(
         ingress.client().ask(&call("refer", "r2", 2000)),
         "value of r2"
@@ -57,13 +58,13 @@
     assert_eq!(
         log.matches("reload: ").count(),
         2,
-        "a line for the bad file, one for the good: {log}"
+        "the log must have one line for the invalid file and one for the valid one: {log}"
     );
 }
 
-/// A signal behind a reading that failed does not wait for that one's pause.
+/// Guards against a second SIGHUP that waits for the pause after a failed read.
 #[test]
-fn a_second_sighup_waits_for_no_backoff() {
+fn a_second_sighup_reloads_without_waiting_for_the_backoff() {
     let (one, two, new) = (
         Backend::start(serve),
         Backend::start(serve),
@@ -73,13 +74,13 @@
     let ingress = setup.start();
     ingress.configure("{");
     ingress.signal("HUP");
-    thread::sleep(Duration::from_millis(3400)); // by now the pause is 2 s, and just begun
+    thread::sleep(Duration::from_millis(3400)); // by now a pause of 2 s has just started
     new.change(two.entry("s-7", "up"));
     setup.discovery = Some(new.at);
     ingress.configure(&setup.config(ingress.at));
     let start = Instant::now();
     ingress.signal("HUP");
-    until("the new one is asked", || {
+    until("the new discovery is polled", || {
         new.calls.load(Ordering::SeqCst) > 1
     });
     assert!(start.elapsed() < Duration::from_millis(1300));
--- a/crates/ingress/tests/long.rs
+++ b/crates/ingress/tests/long.rs
@@ -1,4 +1,5 @@
-//! Answers too long to be kept whole, by the ingress's sockets: they pass on as they come, with both ends slow, broken or gone.
+//! Answers too long to be buffered, seen through the ingress's sockets: they are streamed while either end is slow,
+//! broken or gone.
 
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
@@ -6,22 +7,23 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
-use wrenfork_testbed::small::{
+use wrenfork_testbed::service_fixture::{
     call, command, serve, served, until, Act, Backend, Client, Ingress, Setup,
 };
 
-const LONGEST: usize = 4 << 20;
+/// Longest value that the ingress forwards.
+const MAX_VALUE_BYTES: usize = 4 << 20;
 
 fn setup(backends: &[&Backend]) -> Setup {
     Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends)
 }
 
-/// A value that is its request's own, of so many bytes.
+/// A value of `length` bytes made from the request's id.
 fn value(id: &str, length: usize) -> String {
     id.bytes().cycle().take(length).map(char::from).collect()
 }
 
-fn long(args: &[String], length: usize) -> Vec<u8> {
+fn long_answer(args: &[String], length: usize) -> Vec<u8> {
     format!(
         "*3\r\n${length}\r\n{}\r\n$-1\r\n$9\r\nutil=0.25\r\n",
         value(&args[2], length)
@@ -29,8 +31,8 @@
     .into_bytes()
 }
 
-/// The most memory that a process has had resident, in KiB.
-fn peak(ingress: &Ingress) -> usize {
+/// The peak resident memory of the process in KiB.
+fn peak_rss_kib(ingress: &Ingress) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", ingress.child.id())).unwrap();
     let line = status
         .lines()
@@ -39,26 +41,28 @@
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
-/// Reads on until the end of what comes, or so many bytes; how many came, and whether the connection has ended.
-fn read_some(stream: &mut TcpStream, most: usize) -> (usize, bool) {
-    let (mut had, mut chunk) = (0, vec![0; 64 * 1024]);
-    while had < most {
-        let room = chunk.len().min(most - had);
+/// Reads until the end of the stream or `max_bytes`. Returns the bytes read and whether the connection has ended.
+fn read_some(stream: &mut TcpStream, max_bytes: usize) -> (usize, bool) {
+    let (mut read_bytes, mut chunk) = (0, vec![0; 64 * 1024]);
+    while read_bytes < max_bytes {
+        let room = chunk.len().min(max_bytes - read_bytes);
         match stream.read(&mut chunk[..room]) {
-            Ok(0) => return (had, true),
-            Ok(n) => had += n,
-            Err(e) if e.kind() == ErrorKind::ConnectionReset => return (had, true),
+            Ok(0) => return (read_bytes, true),
+            Ok(n) => read_bytes += n,
+            Err(e) if e.kind() == ErrorKind::ConnectionReset => return (read_bytes, true),
             Err(e) => panic!("{e}"),
         }
     }
-    (had, false)
+    (read_bytes, false)
 }
 
-/// Guards against values that are kept whole: 32 of 4 MiB at once, to readers that take nothing for a while, in 24 MiB.
+/// Guards against buffering whole values: 32 of 4 MiB at once, to clients that do not read for a while, with a memory
+/// limit of 24 MiB.
 #[test]
-fn many_of_the_longest_answers_stream_through_a_small_memory() {
-    let backend = Backend::start(|args| Act::Say(long(args, LONGEST)));
-    let others = [(); 3].map(|()| Backend::start(|args| Act::Say(long(args, LONGEST))));
+fn many_answers_of_maximum_length_stream_within_a_small_memory_limit() {
+    let backend = Backend::start(|args| Act::Say(long_answer(args, MAX_VALUE_BYTES)));
+    let others =
+        [(); 3].map(|()| Backend::start(|args| Act::Say(long_answer(args, MAX_VALUE_BYTES))));
     let small = Backend::start(serve);
     let mut setup = setup(&[&backend, &others[0], &others[1], &others[2]]);
     setup.memory_mb = 24;
@@ -66,34 +70,36 @@
     let mut clients: Vec<Client> = (0..32).map(|_| ingress.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&call("refer", &format!("r{n}"), 7000));
-        // One after the other begins, and nobody reads: those that have begun keep no place from the next.
-        until("it has begun", || {
+        // The answers begin one after the other and no client reads: the streams that have begun do not hold up
+        // the next one.
+        until("the answer begins to arrive", || {
             client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
         });
     }
     for (n, client) in clients.iter_mut().enumerate() {
         assert!(
-            client.answer() == value(&format!("r{n}"), LONGEST),
-            "r{n} is not what its backend gave"
+            client.answer() == value(&format!("r{n}"), MAX_VALUE_BYTES),
+            "the value of r{n} differs from the backend's"
         );
     }
-    let peak = peak(&ingress);
-    assert!(peak < 24 * 1024, "{peak} KiB resident");
+    let peak_kib = peak_rss_kib(&ingress);
+    assert!(peak_kib < 24 * 1024, "peak of {peak_kib} KiB resident");
     assert_eq!(small.count(), 0);
 }
 
-/// Guards against a slow reader, or a value behind others, that keeps anybody else from being served or changes the order.
+/// Guards against a slow reader, or a long value in a pipeline, that delays other clients or changes the order of
+/// answers.
 #[test]
 fn a_slow_reader_delays_no_other_client_and_answers_stay_in_order() {
     let backend = Backend::start(|args| match &args[2][..1] {
-        "l" => Act::Say(long(args, 1 << 20)),
+        "l" => Act::Say(long_answer(args, 1 << 20)),
         "s" => Act::Later(Duration::from_millis(400), served(args)),
         _ => serve(args),
     });
     let ingress = setup(&[&backend]).start();
     let (mut slow, mut line) = (ingress.client(), ingress.client());
     slow.send(&call("refer", "l0", 2000));
-    until("it has begun", || {
+    until("the answer begins to arrive", || {
         slow.0.peek(&mut [0]).is_ok_and(|n| n > 0)
     });
     line.send(
@@ -101,8 +107,9 @@
             .map(|id| call("refer", id, 2500))
             .concat(),
     );
-    // Five at once are more than one backend has places for: whoever asks while one waits may be refused by lot.
-    until("all are with the backend", || backend.count() == 6);
+    // Five at once exceed the backend's concurrency limit: a request sent while one waits may be rejected by load
+    // shedding.
+    until("all requests reach the backend", || backend.count() == 6);
     for n in 0..20 {
         assert_eq!(
             ingress.client().ask(&call("refer", &format!("q1{n}"), 900)),
@@ -114,41 +121,42 @@
     assert_eq!(line.answer(), "value of q3");
     assert!(line.answer() == value("l4", 1 << 20));
     assert_eq!(line.answer(), "value of q5");
-    thread::sleep(Duration::from_millis(2500)); // past its deadline, which was for the first byte
+    thread::sleep(Duration::from_millis(2500)); // past the deadline, which applies to the first byte only
     assert!(slow.answer() == value("l0", 1 << 20));
     assert_eq!(slow.ask(&call("refer", "q9", 900)), "value of q9");
 }
 
-/// Guards against a deadline, or a second copy, that ends an answer which comes slowly but comes.
+/// Guards against a deadline or a hedged request that ends an answer which arrives slowly but steadily.
 #[test]
 fn a_streamed_answer_ends_early_only_when_it_stalls() {
     let backend = Backend::start(|args| {
-        let bytes = long(args, 300_000);
+        let bytes = long_answer(args, 300_000);
         Act::Parts(
             if args[2] == "q1" { 100_000 } else { 20 },
             Duration::from_millis(1400),
             bytes,
         )
     });
-    let other = Backend::start(|args| Act::Say(long(args, 300_000)));
+    let other = Backend::start(|args| Act::Say(long_answer(args, 300_000)));
     let ingress = setup(&[&backend]).start();
-    // 900 ms, and a repeatable class: neither its end nor a second copy comes in between.
+    // 900 ms in a repeatable class: neither the deadline nor a hedged request ends the stream.
     assert!(ingress.client().ask(&call("quote", "q1", 900)) == value("q1", 300_000));
     assert!(ingress.client().ask(&call("quote", "q2", 900)) == value("q2", 300_000));
     assert_eq!((backend.count(), other.count()), (2, 0));
 }
 
-/// Guards against half a value that seems whole, and a second try of what the client has begun to read.
+/// Guards against a truncated value that looks complete, and against a retry after the client has received part of the
+/// answer.
 #[test]
-fn an_answer_that_breaks_in_the_middle_closes_the_clients_connection() {
+fn an_answer_that_breaks_half_way_closes_the_client_connection() {
     let (cut, id) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(0)));
     let at = cut.clone();
     let backend = Backend::start(move |args| {
-        let mut bytes = long(args, 200_000);
+        let mut bytes = long_answer(args, 200_000);
         let at = at.load(Ordering::SeqCst);
         match at {
             1 => {
-                let end = bytes.len() - 22; // the end of the value is another
+                let end = bytes.len() - 22; // the value's terminator is wrong
                 bytes[end] = b'x';
             }
             2 => bytes.extend_from_slice(&[b'z'; 10]),
@@ -168,26 +176,32 @@
         };
         let before = backend.count();
         client.send(&call("quote", &name, 5000));
-        until("the backend has it", || backend.count() == before + 1);
+        until("the request reaches the backend", || {
+            backend.count() == before + 1
+        });
         if at > 1 {
-            until("it has begun", || {
+            until("the answer begins to arrive", || {
                 client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
             });
             backend.seen.hang_up.store(true, Ordering::SeqCst);
         }
-        let (had, ended) = read_some(&mut client.0, LONGEST);
+        let (read_bytes, ended) = read_some(&mut client.0, MAX_VALUE_BYTES);
         backend.seen.hang_up.store(false, Ordering::SeqCst);
         assert!(
-            ended && had < "$200000\r\n".len() + 200_002,
-            "cut at {at}: {had} bytes, ended: {ended}"
+            ended && read_bytes < "$200000\r\n".len() + 200_002,
+            "cut at {at}: {read_bytes} bytes read, connection ended: {ended}"
+        );
+        assert_eq!(
+            backend.count(),
+            before + 1,
+            "a request whose answer had begun was sent again"
         );
-        assert_eq!(backend.count(), before + 1, "it was sent again");
     }
-    // What comes behind a whole one spoils nothing but its connection.
+    // Extra bytes after a complete answer end the backend connection and affect nothing else.
     cut.store(2, Ordering::SeqCst);
     assert!(ingress.client().ask(&call("quote", "b9", 5000)) == value("b9", 200_000));
-    // Beyond the bound nothing is passed on.
-    let huge = Backend::start(|args| Act::Say(long(args, LONGEST + 1)));
+    // A value over the length limit is not forwarded.
+    let huge = Backend::start(|args| Act::Say(long_answer(args, MAX_VALUE_BYTES + 1)));
     let ingress = setup(&[&huge]).start();
     assert_eq!(
         ingress.client().ask(&call("refer", "r1", 2000)),
@@ -195,23 +209,27 @@
     );
 }
 
-/// A backend whose answers to `l…` stop in the middle, until it hangs up, and to `w…` pause there.
-fn breaking() -> Backend {
+/// A backend whose answers to `l…` stop half way until it hangs up, and whose answers to `w…` pause half way.
+fn backend_that_breaks() -> Backend {
     Backend::start(|args| match &args[2][..1] {
         "l" => Act::Parts(
             150_000,
             Duration::ZERO,
-            long(args, 200_000)[..150_000].to_vec(),
+            long_answer(args, 200_000)[..150_000].to_vec(),
+        ),
+        "w" => Act::Parts(
+            100_000,
+            Duration::from_millis(300),
+            long_answer(args, 200_000),
         ),
-        "w" => Act::Parts(100_000, Duration::from_millis(300), long(args, 200_000)),
         _ => serve(args),
     })
 }
 
-/// Guards against an answer that breaks in the middle and takes with it what others on its connection are owed.
+/// Guards against an answer that breaks half way and takes the other answers on its client connection with it.
 #[test]
-fn an_answer_that_breaks_in_the_middle_loses_no_other_answer() {
-    let backend = breaking();
+fn an_answer_that_breaks_half_way_loses_no_other_answer() {
+    let backend = backend_that_breaks();
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
     client.send(
@@ -219,14 +237,14 @@
             .map(|id| call("refer", id, 5000))
             .concat(),
     );
-    until("all are with the backend", || backend.count() == 3);
+    until("all requests reach the backend", || backend.count() == 3);
     backend.seen.hang_up.store(true, Ordering::SeqCst);
     assert_eq!(
         ["q1", "l2", "q3"].map(|_| client.answer()),
         ["value of q1", "-ERR failed", "value of q3"]
     );
     backend.seen.hang_up.store(false, Ordering::SeqCst);
-    // A sound one among others comes whole, and one that would be late has failed in time.
+    // A complete long answer in a pipeline arrives whole, and one that would be late fails in time.
     client.send(
         &["q4", "w5", "q6"]
             .map(|id| call("refer", id, 5000))
@@ -242,42 +260,49 @@
     );
 }
 
-/// Guards against a request that is read behind an answer which passes on as it comes: if that breaks, its connection ends, and
-/// whatever came of the request would be lost. Unread, it is one that its client sends again.
+/// Guards against reading a request while an answer is streamed before it. If the stream breaks, the connection is
+/// closed and the result of the request would be lost; if it was not read, the client can safely send it again.
 #[test]
-fn nothing_is_read_behind_a_streamed_answer() {
-    let backend = breaking();
+fn no_request_is_read_while_an_answer_is_streamed() {
+    let backend = backend_that_breaks();
     let ingress = setup(&[&backend]).start();
     let begun = |client: &Client| client.0.peek(&mut [0]).is_ok_and(|n| n > 0);
     let mut client = ingress.client();
     client.send(&call("refer", "w1", 5000));
-    until("it has begun", || begun(&client));
+    until("the answer begins to arrive", || begun(&client));
     client.send(&call("refer", "q2", 5000));
     assert!(client.answer() == value("w1", 200_000));
     assert_eq!(client.answer(), "value of q2");
     client.send(&call("refer", "l3", 5000));
-    until("it has begun", || begun(&client));
+    until("the answer begins to arrive", || begun(&client));
     client.send(&call("refer", "q4", 5000));
     (0..2).for_each(|_| assert_eq!(ingress.client().ask(&command(&["PING"])), "+PONG"));
     backend.seen.hang_up.store(true, Ordering::SeqCst);
-    let (had, ended) = read_some(&mut client.0, LONGEST);
-    assert!(ended && had < 200_000, "{had}");
-    assert_eq!(backend.count(), 3, "what came behind it was sent on");
+    let (read_bytes, ended) = read_some(&mut client.0, MAX_VALUE_BYTES);
+    assert!(
+        ended && read_bytes < 200_000,
+        "{read_bytes} bytes read, connection ended: {ended}"
+    );
+    assert_eq!(
+        backend.count(),
+        3,
+        "a request after a broken stream was forwarded"
+    );
 }
 
-/// Guards against a backend that goes on for a client that has left, and against one that stands still for ever.
+/// Guards against a backend that keeps sending after the client disconnected, and against one that stalls for ever.
 #[test]
 fn streaming_ends_when_the_client_disconnects_or_the_backend_stalls() {
     let backend = Backend::start(|args| {
         if args[2] == "still" {
-            return Act::Parts(100_000, Duration::from_secs(60), long(args, 200_000));
+            return Act::Parts(100_000, Duration::from_secs(60), long_answer(args, 200_000));
         }
-        Act::Say(long(args, LONGEST))
+        Act::Say(long_answer(args, MAX_VALUE_BYTES))
     });
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
     client.send(&call("refer", "l1", 2000));
-    until("it has begun", || {
+    until("the answer begins to arrive", || {
         client.0.peek(&mut [0]).is_ok_and(|n| n > 0)
     });
     drop(client);
@@ -286,15 +311,18 @@
     });
     let mut client = ingress.client();
     client.send(&call("refer", "still", 2000));
-    let (had, ended) = read_some(&mut client.0, LONGEST);
-    assert!(ended && (50_000..200_000).contains(&had), "{had}");
+    let (read_bytes, ended) = read_some(&mut client.0, MAX_VALUE_BYTES);
+    assert!(
+        ended && (50_000..200_000).contains(&read_bytes),
+        "{read_bytes} bytes read, connection ended: {ended}"
+    );
 }
 
-/// Guards against a place in the answer where a cut of the bytes is taken for something else.
+/// Guards against misreading an answer that is split at an unusual byte.
 #[test]
-fn an_answer_may_be_cut_anywhere() {
+fn an_answer_may_be_split_at_any_byte() {
     let backend = Backend::start(|args| {
-        let bytes = long(args, 500_000);
+        let bytes = long_answer(args, 500_000);
         let at = args[2][1..].parse::<usize>().unwrap();
         Act::Parts(at, Duration::from_millis(20), bytes)
     });
@@ -320,13 +348,13 @@
     command(&["CALL.POST", &customer, id, &options, body])
 }
 
-/// What a backend was given as the body of a request.
+/// The body of the request that a backend received under this id.
 fn body_at(backend: &Backend, id: &str) -> Option<String> {
     let seen = backend.seen.commands.lock().unwrap();
     seen.iter().find(|c| c[2] == id).map(|c| c[4].clone())
 }
 
-/// Guards against bodies that fill the memory: a dozen of 4 MiB at once, in pieces, where there is room for one or two.
+/// Guards against bodies that exhaust the memory: a dozen of 4 MiB at once, in pieces, with room for one or two.
 #[test]
 fn long_bodies_wait_for_memory_and_arrive_complete() {
     let backend = Backend::start(serve);
@@ -338,8 +366,8 @@
             let mut client = ingress.client();
             thread::spawn(move || {
                 let id = format!("b{n}");
-                let asked = post("refer", &id, &value(&id, LONGEST - n));
-                // The head in pieces, and the body at once or in halves; a small one waits behind it.
+                let asked = post("refer", &id, &value(&id, MAX_VALUE_BYTES - n));
+                // The head arrives in pieces, the body in two halves; a small request follows on the connection.
                 let cut = 3 + n * 7;
                 client.send(&asked[..cut]);
                 client.send(&asked[cut..asked.len() / 2]);
@@ -357,28 +385,40 @@
         );
         let id = format!("b{n}");
         assert!(
-            body_at(&backend, &id) == Some(value(&id, LONGEST - n)),
-            "{id} came otherwise"
+            body_at(&backend, &id) == Some(value(&id, MAX_VALUE_BYTES - n)),
+            "the body of {id} arrived changed"
         );
     }
-    let peak = peak(&ingress);
-    assert!(peak < 24 * 1024, "{peak} KiB resident");
+    let peak_kib = peak_rss_kib(&ingress);
+    assert!(peak_kib < 24 * 1024, "peak of {peak_kib} KiB resident");
 }
 
-/// Guards against a body that is repeated in part, or not at all where its class allows it; lengths round the border.
+/// Guards against a retry with an incomplete body, or no retry where the class allows one. The lengths are around the
+/// buffer limits.
 #[test]
-fn a_long_body_is_retried_completely() {
-    // It turns two away, no more: where it turned all away the ladder would cut customers by a lot drawn with the time.
-    let turned = AtomicUsize::new(0);
-    let bad = Backend::start(move |args| match turned.fetch_add(1, Ordering::SeqCst) {
-        0 | 1 => Act::Say(b"-BUSY\r\n".to_vec()),
-        _ => serve(args),
-    });
+fn a_long_body_is_retried_in_full() {
+    // The backend rejects two requests only: if it rejected all, load shedding would reject customers by a hash that
+    // depends on the time.
+    let rejections = AtomicUsize::new(0);
+    let bad = Backend::start(
+        move |args| match rejections.fetch_add(1, Ordering::SeqCst) {
+            0 | 1 => Act::Say(b"-BUSY\r\n".to_vec()),
+            _ => serve(args),
+        },
+    );
     let good = Backend::start(serve);
     let ingress = setup(&[&bad, &good]).start();
     let mut client = ingress.client();
     for (n, length) in [
-        65_535, 65_536, 65_537, 66_000, 70_000, 73_728, 73_729, 200_000, LONGEST,
+        65_535,
+        65_536,
+        65_537,
+        66_000,
+        70_000,
+        73_728,
+        73_729,
+        200_000,
+        MAX_VALUE_BYTES,
     ]
     .into_iter()
     .enumerate()
@@ -389,18 +429,22 @@
             format!("value of {id}"),
             "{length} bytes"
         );
-        let had = body_at(&good, &id).or_else(|| body_at(&bad, &id));
+        let received = body_at(&good, &id).or_else(|| body_at(&bad, &id));
         assert!(
-            had == Some(value(&id, length)),
-            "{length} bytes came otherwise"
+            received == Some(value(&id, length)),
+            "a body of {length} bytes arrived changed"
         );
     }
-    // Until one has been turned away, and so repeated, whichever backends were chosen above.
+    // Repeats until the first backend has rejected a request, so that a retry happens whichever backends were picked
+    // above.
     for n in 0.. {
         if bad.count() > 0 {
             break;
         }
-        assert!(n < 200, "200 requests passed it by");
+        assert!(
+            n < 200,
+            "none of 200 requests was sent to the rejecting backend"
+        );
         let id = format!("w{n}");
         assert_eq!(
             client.ask(&post("save", &id, &value(&id, 70_000))),
@@ -409,12 +453,12 @@
     }
 }
 
-/// Guards against a body that nobody has room for, or that never comes, and holds up the others for ever.
+/// Guards against a body that exceeds the memory, or that never completes, blocking other requests for ever.
 #[test]
 fn a_body_too_long_or_too_late_is_refused() {
     let backend = Backend::start(serve);
     let mut small = setup(&[&backend]);
-    small.memory_mb = 16; // a quarter of it is less than the longest and its head
+    small.memory_mb = 16; // a quarter of it is less than the longest body and its head
     let ingress = small.start();
     let mut client = ingress.client();
     let head = |length: usize| {
@@ -422,12 +466,13 @@
         let at = whole.windows(8).position(|w| w == b"$70000\r\n").unwrap();
         [&whole[..at], format!("${length}\r\n").as_bytes()].concat()
     };
-    client.send(&head(LONGEST + 1));
+    client.send(&head(MAX_VALUE_BYTES + 1));
     assert!(client.answer().contains("over the limit"));
     let mut client = ingress.client();
-    client.send(&head(LONGEST));
+    client.send(&head(MAX_VALUE_BYTES));
     assert!(client.answer().contains("longer than there is memory for"));
-    // One that stops half way keeps its grant for as long as a head may take; the next one is served then.
+    // A body that stops half way keeps its memory grant for as long as a head may take; then the next request is
+    // served.
     let (mut stopped, mut next) = (ingress.client(), ingress.client());
     stopped.send(&head(3 << 20));
     thread::sleep(Duration::from_millis(50));
@@ -435,7 +480,7 @@
     assert_eq!(next.answer(), "value of n1");
     assert!(stopped.answer().contains("did not come in time"));
     assert_eq!(backend.count(), 1);
-    // What is turned down is read to its end, and what comes behind it is served.
+    // The body of a refused request is read to its end, and the request after it is served.
     let mut client = ingress.client();
     client.send(
         &[
--- a/crates/ingress/tests/management.rs
+++ b/crates/ingress/tests/management.rs
@@ -1,4 +1,5 @@
-//! The operators' address by its sockets, and settings that change while requests are open: the built binary between stand-ins.
+//! The management address seen through its sockets, and settings that change while requests are open: the built binary
+//! with stand-in backends and discovery.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -6,29 +7,33 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::operators::{ask, figure};
-use wrenfork_testbed::small::{
-    call, call_of, command, place, serve, served, until, Act, Backend, Client, Discovery, Setup,
+use wrenfork_testbed::service_fixture::operators::{ask, figure};
+use wrenfork_testbed::service_fixture::{
+    call, call_of, command, free_address, serve, served, until, Act, Backend, Client, Discovery,
+    Setup,
 };
 
-/// A setup whose ingress listens for operators.
+/// A setup whose ingress listens for operators; returns it with the management address.
 fn setup(backends: &[&Backend]) -> (Setup, SocketAddr) {
-    let (mut setup, at) = (Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends), place());
+    let (mut setup, at) = (
+        Setup::of(env!("CARGO_BIN_EXE_wrenfork"), backends),
+        free_address(),
+    );
     setup.more = format!(r#""management":"{at}","#);
     (setup, at)
 }
 
-fn ended(at: SocketAddr, class: &str) -> [u64; 3] {
+fn outcome_counts(at: SocketAddr, class: &str) -> [u64; 3] {
     ["fulfilled", "throttled", "faulted"]
         .map(|end| figure(at, &format!("ingress.operations.{class}.{end}")))
 }
 
-// ---- Figures ----
+// ---- Telemetry ----
 
 const CLASSES: [&str; 3] = ["quote", "save", "refer"];
 
-/// How an answer counts: as served, rejected or failed.
-fn end_of(answer: &str) -> usize {
+/// The index of an answer's outcome: 0 served, 1 rejected, 2 failed.
+fn outcome_index(answer: &str) -> usize {
     if answer.starts_with("value") {
         0
     } else {
@@ -36,15 +41,16 @@
     }
 }
 
-/// Guards against figures that are guessed beside what happened: each is held against what clients and backends counted.
+/// Guards against telemetry that differs from what happened: each figure is compared with the counts of clients and
+/// backends.
 #[test]
 fn telemetry_matches_what_clients_and_backends_counted() {
-    let held = Arc::new(AtomicUsize::new(0));
-    let holding = held.clone();
+    let attempt_count = Arc::new(AtomicUsize::new(0));
+    let attempt_counter = attempt_count.clone();
     let backend = Backend::start(move |args| match &args[2][..1] {
         "f" => Act::Say(b"-ERR failed\r\n".to_vec()),
         "h" => {
-            holding.fetch_add(1, Ordering::SeqCst);
+            attempt_counter.fetch_add(1, Ordering::SeqCst);
             Act::Later(Duration::from_millis(700), served(args))
         }
         _ => serve(args),
@@ -52,9 +58,9 @@
     let (setup, at) = setup(&[&backend]);
     let ingress = setup.start();
     let mut client = ingress.client();
-    let mut saw = [[0; 3]; 3]; // by class: served, refused, failed
+    let mut observed = [[0; 3]; 3]; // by class: served, rejected, failed
     for n in 0..40 {
-        // A burst of 7 lets some of one customer's through; the others have a customer each.
+        // The `q` requests share one customer, whose burst of 7 admits some of them; all others have a customer each.
         let (class, kind) = [
             ("quote", "a"),
             ("save", "b"),
@@ -67,15 +73,15 @@
         } else {
             call(class, &id, 900)
         };
-        let place = CLASSES.iter().position(|c| *c == class).unwrap();
-        saw[place][end_of(&client.ask(&asked))] += 1;
+        let class_index = CLASSES.iter().position(|c| *c == class).unwrap();
+        observed[class_index][outcome_index(&client.ask(&asked))] += 1;
     }
-    // An id that is not new is answered here, and counts as failed.
+    // A duplicate id is answered by the ingress and counts as failed.
     assert!(client.ask(&call("save", "b37", 900)).starts_with("-ERR"));
-    saw[1][2] += 1;
-    assert!(saw[0][1] > 0 && saw[2][2] > 0, "{saw:?}");
-    let had = CLASSES.map(|class| ended(at, class));
-    assert_eq!(had, saw);
+    observed[1][2] += 1;
+    assert!(observed[0][1] > 0 && observed[2][2] > 0, "{observed:?}");
+    let reported = CLASSES.map(|class| outcome_counts(at, class));
+    assert_eq!(reported, observed);
     assert_eq!(figure(at, "ingress.relayed"), backend.count() as u64);
     assert_eq!(
         (
@@ -87,17 +93,19 @@
     for n in 0..5 {
         client.send(&call("refer", &format!("h{n}"), 2900));
     }
-    // Some wait for a place, which is open as well.
-    until("all are open", || figure(at, "ingress.open_requests") == 5);
-    // Open here is not yet heard there: the backend reads in its own time.
-    until("one is with the backend", || {
-        held.load(Ordering::SeqCst) > 0
+    // Requests that wait for a concurrency slot count as open too.
+    until("all requests are open", || {
+        figure(at, "ingress.open_requests") == 5
+    });
+    // A request open in the ingress may not have been read by the backend yet.
+    until("one request reaches the backend", || {
+        attempt_count.load(Ordering::SeqCst) > 0
     });
     (0..5).for_each(|n| assert_eq!(client.answer(), format!("value of h{n}")));
     assert_eq!(figure(at, "ingress.open_requests"), 0);
 }
 
-/// Guards against a backend that counts as used while nothing is sent to it.
+/// Guards against counting a backend as in rotation while it gets no requests.
 #[test]
 fn a_draining_backend_is_listed_and_out_of_rotation() {
     let (one, two, discovery) = (
@@ -114,32 +122,32 @@
             figure(at, "ingress.out_of_rotation"),
         )
     };
-    until("the list holds", || rotation() == (2, 0));
+    until("the endpoint list is applied", || rotation() == (2, 0));
     discovery.tell(two.entry("s-1", "draining"));
     assert_eq!(rotation(), (2, 1));
     discovery.tell(two.entry("s-1", "removed"));
     assert_eq!(rotation(), (1, 0));
 }
 
-// ---- Calls ----
+// ---- Management calls ----
 
 #[test]
-fn an_invalid_line_is_refused_and_a_good_one_needs_no_end_of_input() {
+fn an_invalid_line_is_refused_and_a_valid_one_needs_no_end_of_input() {
     let backend = Backend::start(serve);
     let (setup, at) = setup(&[&backend]);
     let mut ingress = setup.start();
     assert_eq!(ask(at, "readyz\n"), "+OK ready\r\n");
     assert_eq!(ask(at, "readyz\r\nand more\n"), "+OK ready\r\n");
-    for bad in [
+    for invalid_line in [
         "\n",
         "ready\n",
         "*1\r\n$4\r\nPING\r\n",
         &format!("{}\n", "x".repeat(300)),
         &"y".repeat(4000),
     ] {
-        assert!(ask(at, bad).starts_with("-ERR "), "{bad}");
+        assert!(ask(at, invalid_line).starts_with("-ERR "), "{invalid_line}");
     }
-    // In pieces.
+    // The line arrives in pieces.
     let mut stream = TcpStream::connect(at).unwrap();
     for piece in ["rea", "dy", "z\n"] {
         stream.write_all(piece.as_bytes()).unwrap();
@@ -148,10 +156,10 @@
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     assert_eq!(text, "+OK ready\r\n");
-    // Told to stop, it is ready no more; while it still answers.
+    // After SIGTERM the ingress is no longer ready, but still answers.
     let mut client = ingress.client();
     ingress.signal("TERM");
-    until("it says that it stops", || {
+    until("the ingress reports that it is stopping", || {
         ask(at, "readyz\n").starts_with("-ERR stopping")
     });
     assert_eq!(client.ask(&call("quote", "q1", 900)), "value of q1");
@@ -159,9 +167,9 @@
     assert_eq!(ingress.exit().code(), Some(0));
 }
 
-/// Guards against callers that say nothing, or go on and on, for whom another call or a client has to wait.
+/// Guards against operator connections that send nothing, or an endless line, delaying other operators or clients.
 #[test]
-fn endless_connections_of_operators_keep_out_neither_operators_nor_clients() {
+fn idle_operator_connections_block_neither_operators_nor_clients() {
     let backend = Backend::start(serve);
     let (mut setup, at) = setup(&[&backend]);
     setup.sockets = 64;
@@ -170,7 +178,7 @@
     for n in 0..60 {
         let mut stream = TcpStream::connect(at).unwrap();
         if n % 2 == 1 {
-            let _ = stream.write_all(b"telem"); // half a line; it may have been made to go already
+            let _ = stream.write_all(b"telem"); // half a line; the connection may already be evicted
         }
         silent.push(stream);
         if n % 10 == 9 {
@@ -182,13 +190,13 @@
             );
         }
     }
-    // And with no descriptor left for clients.
-    let held: Vec<Client> = (0..60).map(|_| ingress.client()).collect();
+    // Operators are answered also with no descriptor left for clients.
+    let connected: Vec<Client> = (0..60).map(|_| ingress.client()).collect();
     assert_eq!(ask(at, "readyz\n"), "+OK ready\r\n");
-    drop((silent, held));
+    drop((silent, connected));
 }
 
-/// Guards against a caller that ends its sending behind its line, as many tools do, and has no answer for it.
+/// Guards against leaving an operator unanswered who half-closes the connection after the line, as many tools do.
 #[test]
 fn an_operator_that_half_closed_gets_its_answer() {
     let backend = Backend::start(serve);
@@ -205,7 +213,7 @@
 }
 
 #[test]
-fn without_endpoints_it_is_not_ready() {
+fn an_ingress_without_endpoints_is_not_ready() {
     let (setup, at) = setup(&[]);
     let _ingress = setup.start();
     assert!(ask(at, "readyz\n").starts_with("-ERR no backend"));
@@ -213,8 +221,9 @@
 
 // ---- Settings that change ----
 
-/// What a platform's retuning does: quote goes, report comes and is unsafe, save is safe to repeat now, one attempt is left.
-fn retuned(settings: &str) -> String {
+/// Applies a platform's change of settings: `quote` is replaced by the unsafe class `report`, `save` becomes safe to
+/// repeat, and one attempt is allowed.
+fn with_changed_classes(settings: &str) -> String {
     settings
         .replace(
             r#""name":"quote","effect":"repeatable""#,
@@ -227,14 +236,15 @@
         .replace(r#""most_tries":3"#, r#""most_tries":1"#)
 }
 
-/// Guards against requests that change their rules while they are open, and against classes that mix with others' places.
+/// Guards against applying new rules to open requests, and against mixing up the counters of classes whose position
+/// changed.
 #[test]
 fn classes_change_and_open_requests_keep_their_settings() {
-    let held = Arc::new(AtomicUsize::new(0));
-    let holding = held.clone();
-    // The first attempt at what begins with an h is held, then fails; a second one is served.
+    let attempt_count = Arc::new(AtomicUsize::new(0));
+    let attempt_counter = attempt_count.clone();
+    // The first attempt at a request whose id begins with `h` is delayed and then fails; the second one is served.
     let backend = Backend::start(move |args| {
-        if args[2].starts_with('h') && holding.fetch_add(1, Ordering::SeqCst) == 0 {
+        if args[2].starts_with('h') && attempt_counter.fetch_add(1, Ordering::SeqCst) == 0 {
             return Act::Later(Duration::from_millis(250), b"-ERR failed\r\n".to_vec());
         }
         serve(args)
@@ -245,14 +255,16 @@
     let mut client = ingress.client();
     assert_eq!(client.ask(&call("quote", "q1", 900)), "value of q1");
     client.send(&call("quote", "h1", 900));
-    until("it is held", || held.load(Ordering::SeqCst) == 1);
-    setup.settings = retuned(&setup.settings);
+    until("the attempt reaches the backend", || {
+        attempt_count.load(Ordering::SeqCst) == 1
+    });
+    setup.settings = with_changed_classes(&setup.settings);
     ingress.configure(&setup.config(ingress.at));
     ingress.signal("HUP");
-    until("the file is taken", || {
+    until("the file is applied", || {
         figure(at, "ingress.cfg_accepted") == 1
     });
-    // Open, it is still repeatable and may have three attempts.
+    // The open request is still repeatable and may have three attempts.
     assert_eq!(client.answer(), "value of h1");
     assert!(client
         .ask(&call("quote", "q2", 900))
@@ -269,22 +281,22 @@
     assert_eq!(client.ask(&get("save", "s1")), "value of s1");
     assert!(
         client.ask(&post("save", "s2")).starts_with("-ERR"),
-        "it is safe to repeat now"
+        "a class that became safe to repeat must refuse CALL.POST"
     );
     assert_eq!(
-        (ended(at, "quote"), ended(at, "report")),
+        (outcome_counts(at, "quote"), outcome_counts(at, "report")),
         ([2, 0, 0], [1, 0, 0]),
-        "counts go with the name"
+        "the counts must follow the class name"
     );
-    // One attempt: what fails is not sent again.
-    held.store(0, Ordering::SeqCst);
+    // One attempt is allowed, so a failed request is not retried.
+    attempt_count.store(0, Ordering::SeqCst);
     assert!(!client.ask(&get("save", "h2")).starts_with("value"));
-    assert_eq!(held.load(Ordering::SeqCst), 1);
+    assert_eq!(attempt_count.load(Ordering::SeqCst), 1);
     assert_eq!(other.count(), 0);
 }
 
-/// What is wrong in a file: a part of a good one, what stands there instead, and what the log has to name.
-const BROKEN: [(&str, &str, &str); 17] = [
+/// Faults in a file: a part of a valid file, its replacement, and the text that the log must contain.
+const INVALID_FILES: [(&str, &str, &str); 17] = [
     (
         r#""give_up_us":1000000"#,
         r#""give_up_us":0"#,
@@ -344,32 +356,34 @@
     (r#""known":"#, r#""known_":"#, "known is missing"),
 ];
 
-/// Guards against a slip that stops the service: of a broken file nothing is taken, it counts once, and the log names its place.
+/// Guards against a mistake in the file that stops the service: nothing of an invalid file is applied, it is counted
+/// once, and the log names the faulty key.
 #[test]
-fn a_broken_file_changes_nothing() {
+fn an_invalid_file_changes_nothing() {
     let (one, two) = (Backend::start(serve), Backend::start(serve));
     let (mut setup, at) = setup(&[&one]);
-    let trap = Discovery::start();
-    trap.change(two.entry("s-7", "up"));
+    let unused_discovery = Discovery::start();
+    unused_discovery.change(two.entry("s-7", "up"));
     let mut ingress = setup.start();
     let good = setup.config(ingress.at);
-    setup.discovery = Some(trap.at); // what would be taken of a broken file
-    let told = setup.config(ingress.at);
-    let mut broken: Vec<(String, &str)> = BROKEN
-        .map(|(from, to, why)| (told.replace(from, to), why))
+    setup.discovery = Some(unused_discovery.at); // reached only if an invalid file is applied
+    let complete = setup.config(ingress.at);
+    let mut invalid: Vec<(String, &str)> = INVALID_FILES
+        .map(|(from, to, why)| (complete.replace(from, to), why))
         .to_vec();
-    broken.extend([
+    invalid.extend([
         (String::new(), "cut off"),
         ("[]".into(), "settings is missing"),
         ("nonsense".into(), "no JSON"),
     ]);
-    broken.extend((1..8).map(|part| (told[..told.len() * part / 8].to_string(), "cut off")));
+    invalid
+        .extend((1..8).map(|part| (complete[..complete.len() * part / 8].to_string(), "cut off")));
     let mut client = ingress.client();
-    for (n, (file, _)) in broken.iter().enumerate() {
-        assert_ne!(*file, told, "file {n} is not broken");
+    for (n, (file, _)) in invalid.iter().enumerate() {
+        assert_ne!(*file, complete, "replacement {n} does not change the file");
         ingress.configure(file);
         ingress.signal("HUP");
-        until("the file has its verdict", || {
+        until("the file is counted as invalid", || {
             figure(at, "ingress.cfg_invalid") == n as u64 + 1
         });
         assert_eq!(
@@ -379,58 +393,68 @@
     }
     ingress.configure(&good);
     ingress.signal("HUP");
-    until("a good one is taken", || {
+    until("the valid file is applied", || {
         figure(at, "ingress.cfg_accepted") == 1
     });
-    assert_eq!(figure(at, "ingress.cfg_invalid"), broken.len() as u64);
-    assert_eq!((two.count(), trap.calls.load(Ordering::SeqCst)), (0, 0));
+    assert_eq!(figure(at, "ingress.cfg_invalid"), invalid.len() as u64);
+    assert_eq!(
+        (two.count(), unused_discovery.calls.load(Ordering::SeqCst)),
+        (0, 0)
+    );
     ingress.signal("TERM");
     drop(client);
     assert_eq!(ingress.exit().code(), Some(0));
-    assert_each_is_named(&ingress.log(), &broken);
+    assert_each_fault_is_logged(&ingress.log(), &invalid);
 }
 
-/// Whether the log has a line for each refused file, with what is wrong in it.
-fn assert_each_is_named(log: &str, broken: &[(String, &str)]) {
+/// Asserts that the log has a line for each refused file that names its fault.
+fn assert_each_fault_is_logged(log: &str, invalid: &[(String, &str)]) {
     let lines: Vec<&str> = log
         .lines()
         .filter(|l| l.contains("reload: ") && l.contains("WARN"))
         .collect();
-    assert_eq!(lines.len(), broken.len(), "a line for each: {log}");
-    for ((_, why), line) in broken.iter().zip(lines) {
-        assert!(line.contains(why), "{why} is not named: {line}");
+    assert_eq!(
+        lines.len(),
+        invalid.len(),
+        "the log must have one line for each invalid file: {log}"
+    );
+    for ((_, why), line) in invalid.iter().zip(lines) {
+        assert!(
+            line.contains(why),
+            "the log line does not contain {why:?}: {line}"
+        );
     }
 }
 
-/// Guards against an answer that waits for a turn that is busy: thousands of requests at once, and calls among them.
+/// Guards against management calls that wait for a busy event loop: calls are made between thousands of requests.
 #[test]
 fn operators_are_answered_under_load() {
     let backend = Backend::start(serve);
     let (setup, at) = setup(&[&backend]);
     let ingress = setup.start();
-    let flood = thread::spawn({
+    let load_thread = thread::spawn({
         let mut client = ingress.client();
         move || {
             for burst in 0..40 {
-                let many: Vec<u8> = (0..100)
+                let burst_requests: Vec<u8> = (0..100)
                     .flat_map(|n| call("quote", &format!("b{burst}-{n}"), 900))
                     .collect();
-                client.send(&many);
+                client.send(&burst_requests);
                 (0..100).for_each(|_| drop(client.answer()));
             }
         }
     });
-    let (mut calls, mut slowest) = (0, Duration::ZERO);
-    while !flood.is_finished() || calls < 20 {
+    let (mut call_count, mut slowest) = (0, Duration::ZERO);
+    while !load_thread.is_finished() || call_count < 20 {
         let start = Instant::now();
         assert!(ask(at, "telemetry\n").ends_with("\n.\n"));
         slowest = slowest.max(start.elapsed());
-        calls += 1;
+        call_count += 1;
     }
-    flood.join().unwrap();
-    let all: u64 = ended(at, "quote").iter().sum();
+    load_thread.join().unwrap();
+    let counted: u64 = outcome_counts(at, "quote").iter().sum();
     assert_eq!(
-        all, 4000,
-        "each has one end; the slowest call took {slowest:?}"
+        counted, 4000,
+        "each request must be counted once; the slowest call took {slowest:?}"
     );
 }
--- a/crates/ingress/tests/scenarios.rs
+++ b/crates/ingress/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! The scenarios that ship, played with the built ingress: no rule may break while parts die. They are long, so they
-//! run one after the other and alone in this file.
+//! Plays every scenario in the repository with the built ingress: no rule may be broken while components fail. The
+//! scenarios are long, so they run one after the other in a file of their own.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::AtomicBool;
@@ -7,8 +7,8 @@
 use wrenfork_testbed::rig::{play, Run};
 use wrenfork_testbed::scenario::Scenario;
 
-/// A run in which the machine held the rig up has no verdict, and is played again.
-const TRIES: usize = 5;
+/// A run that the machine delayed too much has no verdict and is repeated, up to this number of runs.
+const MAX_RUNS: usize = 5;
 
 #[test]
 fn every_rule_holds_in_every_scenario() {
@@ -17,15 +17,15 @@
         .unwrap()
         .map(|e| e.unwrap().path())
         .collect();
-    // The demonstration is played by the tests of `wrenctl`.
+    // The tests of `wrenctl` play the demonstration.
     files.retain(|f| !f.ends_with("demo.toml"));
     files.sort();
     assert!(files.len() >= 12);
     let program = Path::new(env!("CARGO_BIN_EXE_wrenfork"));
-    let mut wrong = Vec::new();
+    let mut failures = Vec::new();
     for file in files {
-        let scenario = Scenario::read(&file).unwrap_or_else(|found| panic!("{}", found[0]));
-        let played = (0..TRIES).map(|_| {
+        let scenario = Scenario::read(&file).unwrap_or_else(|errors| panic!("{}", errors[0]));
+        let reports = (0..MAX_RUNS).map(|_| {
             let stop = AtomicBool::new(false);
             play(
                 &scenario,
@@ -37,10 +37,10 @@
             )
             .unwrap_or_else(|e| panic!("{e}"))
         });
-        let report = played.into_iter().find(|r| r.verdict != Verdict::Late);
+        let report = reports.into_iter().find(|r| r.verdict != Verdict::Late);
         let Some(report) = report else {
-            wrong.push(format!(
-                "{}: the machine is too busy for the rig",
+            failures.push(format!(
+                "{}: each run was too delayed by the machine for a verdict",
                 scenario.name
             ));
             continue;
@@ -49,41 +49,41 @@
             "{}: {:?}, goodput {:.3}",
             scenario.name, report.verdict, report.goodput
         );
-        // What the judge found counts, and that there was something to judge.
+        // A scenario passes if the judge found no violation and enough requests were served.
         if report.verdict != Verdict::Held || report.served < 50 {
-            let found: Vec<String> = report
+            let first_violations: Vec<String> = report
                 .violations
                 .iter()
                 .take(10)
                 .map(|v| format!("{v:?}"))
                 .collect();
-            wrong.push(format!(
+            failures.push(format!(
                 "{}: {} {:?}",
                 scenario.name,
-                found.join("\n  "),
+                first_violations.join("\n  "),
                 report.crashes
             ));
         }
     }
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Guards against links of a scenario that fail in words alone: members that hear of no other turn requests away once their
-/// leases have run out, and serve again.
+/// Guards against link faults of a scenario that have no effect: group members that cannot reach each other reject
+/// requests once their leases have expired, and serve again afterwards.
 #[test]
 fn a_partitioned_group_rejects_requests_and_serves_again() {
-    let calm = include_str!("../../testbed/scenarios/calm.toml");
-    let grouped = calm.replacen(
+    let base_scenario = include_str!("../../testbed/scenarios/calm.toml");
+    let grouped = base_scenario.replacen(
         "count = 3\n",
         "count = 3\n\n[group]\nlease = \"600ms\"\n",
         1,
     );
-    let fault = "\n[[at]]\nat = \"500ms\"\nwhat = \"link\"\nfrom = [0, 1, 2]\nto = [0, 1, 2]\nfault = \"dropped\"\nfor = \"2s\"\n";
+    let partition_fault = "\n[[at]]\nat = \"500ms\"\nwhat = \"link\"\nfrom = [0, 1, 2]\nto = [0, 1, 2]\nfault = \"dropped\"\nfor = \"2s\"\n";
     let program = Path::new(env!("CARGO_BIN_EXE_wrenfork"));
-    let [whole, cut] = [grouped.clone(), grouped + fault].map(|text| {
+    let [connected, partitioned] = [grouped.clone(), grouped + partition_fault].map(|text| {
         let scenario =
-            Scenario::parse("group.toml", &text).unwrap_or_else(|found| panic!("{}", found[0]));
-        let played = (0..TRIES).map(|_| {
+            Scenario::parse("group.toml", &text).unwrap_or_else(|errors| panic!("{}", errors[0]));
+        let reports = (0..MAX_RUNS).map(|_| {
             let stop = AtomicBool::new(false);
             play(
                 &scenario,
@@ -95,10 +95,10 @@
             )
             .unwrap_or_else(|e| panic!("{e}"))
         });
-        let report = played
+        let report = reports
             .into_iter()
             .find(|r| r.verdict != Verdict::Late)
-            .expect("a run in time");
+            .expect("each run was too delayed by the machine for a verdict");
         assert_eq!(
             report.verdict,
             Verdict::Held,
@@ -109,15 +109,15 @@
         report
     });
     assert!(
-        cut.refused > whole.refused + 20,
-        "{} and {} refused",
-        whole.refused,
-        cut.refused
+        partitioned.refused > connected.refused + 20,
+        "{} requests refused without the partition, {} with it",
+        connected.refused,
+        partitioned.refused
     );
     assert!(
-        cut.served > 150,
-        "{} served, {} refused",
-        cut.served,
-        cut.refused
+        partitioned.served > 150,
+        "{} requests served, {} refused",
+        partitioned.served,
+        partitioned.refused
     );
 }
