--- a/crates/commit/src/coordinator.rs
+++ b/crates/commit/src/coordinator.rs
@@ -82,7 +82,7 @@
 /// The coordinator of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Coordinator {
-    /// Identity of the plan that is applied.
+    /// Digest over all fields of the plan that is applied, as returned by `Plan::id`.
     pub change: Digest,
     ballot: Ballot,
     /// Participants of the change, in the order of the plan's targets or of the names given for recovery.
--- a/crates/commit/src/participant.rs
+++ b/crates/commit/src/participant.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(Digest, bool)", into = "(Digest, bool)")]
 pub struct EndedChange {
-    /// Identity of the change's plan.
+    /// Digest over all fields of the change's plan, as returned by `Plan::id`.
     pub change: Digest,
     /// Whether the change was committed; otherwise it was aborted.
     pub committed: bool,
@@ -91,7 +91,7 @@
 /// Durable state of a participant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ParticipantState {
-    /// Generation that is enforced.
+    /// Generation that the ingress enforces now; set when a change commits.
     pub enforced: Generation,
     /// State of the enforced generation.
     pub state: Arc<State>,
@@ -222,7 +222,7 @@
     #[error("the change can't be committed: it has not been prepared here")]
     NotPrepared,
     /// The change may only be decided by another ballot.
-    #[error("another coordinator decides this change: check how it ended")]
+    #[error("the change is fenced with another coordinator's ballot: check whether it was committed or aborted")]
     DecidedByAnother,
     /// The request reads or writes history, which this state machine does not keep.
     #[error("this participant does not keep a history of generations and audit records")]
--- a/crates/decision/src/gateway/owners.rs
+++ b/crates/decision/src/gateway/owners.rs
@@ -66,8 +66,8 @@
         }
         customer.quota.set_tokens(tokens);
         // The second owner of a pair need not ask, since the first one reports to it anyway.
-        let asks = every_gateway_owns || customer.owners.pair()[0] == this_gateway;
-        if asks {
+        let asks_other_owners = every_gateway_owns || customer.owners.pair()[0] == this_gateway;
+        if asks_other_owners {
             let others = customer.owners.all().iter().filter(|o| **o != this_gateway);
             for owner in others {
                 self.peers.put_report(*owner, id, OutboxEntry::new(1, true));
--- a/crates/decision/tests/quotas.rs
+++ b/crates/decision/tests/quotas.rs
@@ -155,7 +155,7 @@
         sent
     }
 
-    /// Passes in one request at gateway `at`, then advances all gateways by 20 ms. Returns how many
+    /// Sends one request to gateway `at`, then advances all gateways by 20 ms. Returns how many
     /// attempts were sent.
     fn request(
         &mut self,
--- a/crates/ingress/src/config/error.rs
+++ b/crates/ingress/src/config/error.rs
@@ -38,7 +38,7 @@
     /// Two classes or two plans have the same name.
     #[error("setting {list}.{index}.name: duplicate name {name}")]
     DuplicateName {
-        /// Key of the list.
+        /// Settings key of the list: `grades` for classes, `contracts` for plans.
         list: &'static str,
         /// Index of the second entry with the name.
         index: usize,
--- a/crates/ingress/tests/long.rs
+++ b/crates/ingress/tests/long.rs
@@ -386,7 +386,7 @@
         let id = format!("b{n}");
         assert!(
             body_at(&backend, &id) == Some(value(&id, MAX_VALUE_BYTES - n)),
-            "the body of {id} arrived changed"
+            "the body of {id} at the backend differs from the value sent"
         );
     }
     let peak_kib = peak_rss_kib(&ingress);
@@ -432,7 +432,7 @@
         let received = body_at(&good, &id).or_else(|| body_at(&bad, &id));
         assert!(
             received == Some(value(&id, length)),
-            "a body of {length} bytes arrived changed"
+            "a body of {length} bytes at the backend differs from the value sent"
         );
     }
     // Repeats until the first backend has rejected a request, so that a retry happens whichever backends were picked
--- a/crates/rollout/src/comparison.rs
+++ b/crates/rollout/src/comparison.rs
@@ -99,7 +99,7 @@
 struct LateResponses {
     /// Fraction of the responses that were late.
     fraction: f64,
-    /// Number of all responses of the class.
+    /// Responses of the class, whether late or not.
     responses: f64,
 }
 
--- a/crates/rollout/tests/whole_rollouts.rs
+++ b/crates/rollout/tests/whole_rollouts.rs
@@ -336,7 +336,11 @@
             continue;
         };
         let transition = check_transition(Some(&simulation.rollout), Some(&next));
-        assert_eq!(transition, Ok(()), "{fault:?}, seed {seed}");
+        assert_eq!(
+            transition,
+            Ok(()),
+            "{fault:?}, seed {seed}: invalid transition at second {second}"
+        );
         simulation.rollout = next;
         simulation.version += 1;
         simulation.version_since = second;
