--- a/crates/adapter/src/wire/error.rs
+++ b/crates/adapter/src/wire/error.rs
@@ -1,9 +1,9 @@
-//! Errors in frames.
+//! Reasons why a received frame or one of its fields is rejected.
 
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// An invalid frame.
+/// Reason why a frame is invalid, with the number of the batch at fault.
 #[derive(Debug, Error)]
 pub enum FrameError {
     /// The length of the frame is too short for its records.
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -230,12 +230,12 @@
     fn table(
         &mut self,
         table: &'static Table,
-        from: &DeTable,
+        source: &DeTable,
         span: Range<usize>,
         is_complete: bool,
     ) -> Fields {
         let (mut values, mut invalid) = (BTreeMap::new(), BTreeSet::new());
-        for (key, value) in from.iter() {
+        for (key, value) in source.iter() {
             let name: &str = key.get_ref();
             match table.field(name) {
                 Some(field) => {
@@ -259,7 +259,7 @@
         for field in table
             .fields
             .iter()
-            .filter(|f| is_complete && f.need == Need::Required && from.get(f.key).is_none())
+            .filter(|f| is_complete && f.need == Need::Required && source.get(f.key).is_none())
         {
             let (code, example) = match field.key {
                 "version" => (Code::NoVersion, field.example),
--- a/crates/config/src/set.rs
+++ b/crates/config/src/set.rs
@@ -126,7 +126,7 @@
             })
     }
 
-    /// All operators' files.
+    /// Returns the content and index of each ingress file.
     pub fn ingresses(&self) -> Vec<InFile<'_, Ingress>> {
         let all = self
             .contents
@@ -139,7 +139,7 @@
         all.collect()
     }
 
-    /// All applications.
+    /// Returns the content and index of each application file.
     pub fn applications(&self) -> Vec<InFile<'_, Application>> {
         let apps = self
             .contents
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -213,11 +213,12 @@
 ///
 /// Describes why the text is invalid.
 pub fn digest(text: &str) -> Result<String, String> {
-    let hex = text.len() == 64
+    let is_hex = text.len() == 64
         && text
             .bytes()
             .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
-    hex.then(|| text.to_string())
+    is_hex
+        .then(|| text.to_string())
         .ok_or_else(|| "this is no SHA-256: 64 hex digits in lower case".to_string())
 }
 
@@ -237,11 +238,11 @@
 ///
 /// Describes why the text is invalid.
 pub fn account(text: &str) -> Result<u64, String> {
-    let hex = text.len() == 16
+    let is_hex = text.len() == 16
         && text
             .bytes()
             .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
-    let number = u64::from_str_radix(text, 16).ok().filter(|_| hex);
+    let number = u64::from_str_radix(text, 16).ok().filter(|_| is_hex);
     let number = number.ok_or_else(|| {
         format!(
             "an account is 16 hex digits in lower case, like \"00000000000004d2\", not \"{text}\""
--- a/crates/config/tests/locality.rs
+++ b/crates/config/tests/locality.rs
@@ -39,7 +39,7 @@
     assert_eq!(
         local,
         if near.is_empty() { 0 } else { 2 },
-        "classes without a route go to the own hall first"
+        "classes without a route must go to the sidecar's own zone first"
     );
     let describe = |p: &Pool| {
         let fallback = p
--- a/crates/ctl/src/change/history.rs
+++ b/crates/ctl/src/change/history.rs
@@ -20,7 +20,7 @@
     /// Records of each ingress, the last ones
     #[arg(long, value_name = "N", default_value_t = 20)]
     most: usize,
-    /// For people or for scripts
+    /// Output format, for people or for scripts
     #[arg(long, value_enum, default_value_t)]
     format: Format,
 }
--- a/crates/ctl/src/change/plan.rs
+++ b/crates/ctl/src/change/plan.rs
@@ -39,7 +39,7 @@
     /// An ingress that is not to be changed, though the files describe it; it must be planned for later
     #[arg(long, value_name = "NAME")]
     leave_out: Vec<String>,
-    /// For people or for scripts
+    /// Output format, for people or for scripts
     #[arg(long, value_enum, default_value_t)]
     format: Format,
 }
--- a/crates/ctl/src/config/check.rs
+++ b/crates/ctl/src/config/check.rs
@@ -15,7 +15,7 @@
     /// Checks routes against the nodes that discovery lists at this address
     #[arg(long, value_name = "IP:PORT")]
     discovery: Option<SocketAddr>,
-    /// For people or for scripts
+    /// Output format, for people or for scripts
     #[arg(long, value_enum, default_value_t)]
     format: Format,
 }
--- a/crates/ctl/src/fleet/demo.rs
+++ b/crates/ctl/src/fleet/demo.rs
@@ -173,7 +173,7 @@
                 n => style::bad(format!("{} broken {n} times", rule.name())),
             });
         text += &format!("  rules      {}\n", rules.collect::<Vec<_>>().join("  "));
-        text += &format!("  last       {}\n", s.log);
+        text += &format!("  last event {}\n", s.log);
         // Move the cursor to the first line, then overwrite each line.
         if self.lines > 0 {
             print!("\x1b[{}A", self.lines);
--- a/crates/ctl/src/group/status.rs
+++ b/crates/ctl/src/group/status.rs
@@ -16,7 +16,7 @@
     /// The folder with the files that describe the ingresses
     #[arg(value_name = "DIR")]
     folder: PathBuf,
-    /// For people or for scripts
+    /// Output format, for people or for scripts
     #[arg(long, value_enum, default_value_t)]
     format: Format,
 }
--- a/crates/ctl/src/keys.rs
+++ b/crates/ctl/src/keys.rs
@@ -222,7 +222,7 @@
         .any(|k| k.get("name").and_then(Item::as_str) == Some(&name))
     {
         return Err(in_file(&format!(
-            "issuer \"{issuer}\" has a key \"{name}\""
+            "issuer \"{issuer}\" already has a key \"{name}\""
         )));
     }
     let from = now() + lead.as_secs();
--- a/crates/ctl/src/route/mod.rs
+++ b/crates/ctl/src/route/mod.rs
@@ -34,7 +34,7 @@
         /// The sidecar that takes it: with halls in order of nearness, its own comes first; else the application's first
         #[arg(long, value_name = "NAME")]
         sidecar: Option<String>,
-        /// For people or for scripts
+        /// Output format, for people or for scripts
         #[arg(long, value_enum, default_value_t)]
         format: Format,
     },
--- a/crates/testbed/src/judge/mod.rs
+++ b/crates/testbed/src/judge/mod.rs
@@ -232,7 +232,7 @@
 pub struct Judge {
     classes: Vec<(Effect, f64)>,
     plans: Vec<crate::scenario::Plan>,
-    second_copies: bool,
+    hedging_allowed: bool,
     drain_grace: Micros,
     /// Number of outstanding attempts by account.
     outstanding: HashMap<u32, u32>,
@@ -270,7 +270,7 @@
         Judge {
             classes: s.classes.iter().map(|c| (c.effect, c.units)).collect(),
             plans: s.plans.clone(),
-            second_copies: s.network.second_copies,
+            hedging_allowed: s.network.second_copies,
             drain_grace: s.network.drain_grace,
             outstanding: HashMap::new(),
             requests: HashMap::new(),
@@ -630,7 +630,7 @@
         let second = second.map(|a| (a.backend, (at - a.at) / 1000));
         let out = self.outstanding.entry(r.try_.account).or_default();
         *out = out.saturating_sub(1);
-        if let Some((other, ms)) = second.filter(|_| !self.second_copies) {
+        if let Some((other, ms)) = second.filter(|_| !self.hedging_allowed) {
             let what =
                 format!("out at backend {other} for {ms} ms while backend {backend} still had it");
             self.record_violation(Rule::Effects, id, at, what);
--- a/crates/testbed/src/scenario/timetable.rs
+++ b/crates/testbed/src/scenario/timetable.rs
@@ -707,7 +707,12 @@
             Fault::Up { backends: b } => write!(f, "backend {} is listed as up", n(b)),
             Fault::Remove { backends: b } => write!(f, "backend {} is listed no more", n(b)),
             Fault::Die { backends: b, down } => {
-                write!(f, "backend {} dies, back in {} s", n(b), s(down))
+                write!(
+                    f,
+                    "backend {} stops and restarts cold after {} s",
+                    n(b),
+                    s(down)
+                )
             }
             Fault::Replace { backends: b, .. } => write!(f, "backend {} will be replaced", n(b)),
             Fault::Hang { backends: b, lasts } => {
