--- a/crates/config/src/callers.rs
+++ b/crates/config/src/callers.rs
@@ -45,7 +45,7 @@
             .map_or(String::new(), |a| a.value.clone()),
         issuers: issuers.collect(),
         skew: from.skew / MICROS_PER_SECOND,
-        max_lifetime: from.longest / MICROS_PER_SECOND,
+        longest: from.longest / MICROS_PER_SECOND,
     }
 }
 
@@ -124,7 +124,7 @@
         audience: audience.clone(),
         issuers: Vec::new(),
         skew: whole("identity.skew_s")?,
-        max_lifetime: whole("identity.longest_s")?,
+        longest: whole("identity.longest_s")?,
     };
     let entries = |prefix: &'static str, field: &'static str| {
         let rows = state.iter().filter_map(move |(key, value)| {
--- a/crates/identity/src/token.rs
+++ b/crates/identity/src/token.rs
@@ -207,7 +207,7 @@
     if now.saturating_add(trust.skew) < claims.from {
         return Err(Refusal::NotYetValid);
     }
-    if claims.until.saturating_sub(claims.from) > trust.max_lifetime {
+    if claims.until.saturating_sub(claims.from) > trust.longest {
         return Err(Refusal::LifetimeTooLong);
     }
     Ok(())
--- a/crates/identity/src/trust.rs
+++ b/crates/identity/src/trust.rs
@@ -85,7 +85,7 @@
     /// The clock skew tolerated when `nbf` and `exp` are checked, in seconds.
     pub skew: Seconds,
     /// The longest time allowed from `nbf` to `exp`, in seconds.
-    pub max_lifetime: Seconds,
+    pub longest: Seconds,
 }
 
 impl Default for Trust {
@@ -94,7 +94,7 @@
             audience: String::new(),
             issuers: Vec::new(),
             skew: 30,
-            max_lifetime: 24 * 3600,
+            longest: 24 * 3600,
         }
     }
 }
