--- a/crates/ctl/tests/changes.rs
+++ b/crates/ctl/tests/changes.rs
@@ -240,7 +240,7 @@
         "+ account 00000000000004d4 = starter~50~60",
         "- account 00000000000004d3",
         "desk/d0, desk/d1, desk/d2",
-        "danger: account 00000000000004d3: an account goes",
+        "danger: account 00000000000004d3: the account is removed",
         "generation 2, 2 differences at 3 ingresses",
     ] {
         assert!(text.contains(part), "{part} is not in:\n{text}");
@@ -314,13 +314,21 @@
     site.plan("three.plan");
     let text = fs::read_to_string(site.path("three.plan")).unwrap();
     fs::write(site.path("altered.plan"), text.replacen("ann", "bob", 1)).unwrap();
-    refused(&site, &["apply", "altered.plan", "--yes"], "altered");
+    refused(
+        &site,
+        &["apply", "altered.plan", "--yes"],
+        "modified after it was written",
+    );
     fs::write(site.path("half.plan"), &text[..text.len() / 2]).unwrap();
-    refused(&site, &["apply", "half.plan", "--yes"], "no plan");
+    refused(
+        &site,
+        &["apply", "half.plan", "--yes"],
+        "not a valid plan file",
+    );
     let output = site.run(&["plan", "files", "--out", "old.plan", "--good-for", "0s"]);
     assert_eq!(output.status.code(), Some(2), "{}", told(&output));
     thread::sleep(Duration::from_millis(1_100));
-    refused(&site, &["apply", "old.plan", "--yes"], "good for 0 s");
+    refused(&site, &["apply", "old.plan", "--yes"], "was valid for 0 s");
     // One that is gone is missed, unless it is left out by its name.
     site.ingresses[1].as_ref().unwrap().signal("KILL");
     site.dead(1);
@@ -753,7 +761,10 @@
     let output = site.run(&["apply", "change.plan", "--yes", "--patience", "1s"]);
     let said = told(&output);
     assert_eq!(output.status.code(), Some(3), "{said}");
-    assert!(said.contains("desk/d1 can't keep it: the disk"), "{said}");
+    assert!(
+        said.contains("desk/d1 can't store the change: the disk"),
+        "{said}"
+    );
     assert!(said.contains("nothing has changed"), "{said}");
     assert_eq!(site.agree(), OLD);
     assert!(!site.status(0).1 && !site.status(1).1, "a promise is left");
