--- a/crates/ingress/src/backend/response.rs
+++ b/crates/ingress/src/backend/response.rs
@@ -20,10 +20,10 @@
 pub(super) fn interpret(buf: &[u8], reply: &Reply, activity: Activity) -> Option<Response> {
     match (reply, activity) {
         (Reply::Array(list), Activity::Attempt(..)) => interpret_served(buf, list),
-        (Reply::One(element), _) if element.kind == Kind::Error => {
+        (Reply::Single(element), _) if element.kind == Kind::Error => {
             Some(interpret_error(&buf[element.text.clone()]))
         }
-        (Reply::One(element), Activity::HealthCheck) if element.kind == Kind::Bulk => {
+        (Reply::Single(element), Activity::HealthCheck) if element.kind == Kind::Bulk => {
             Some(Response {
                 outcome: Outcome::Ok,
                 value: Vec::new(),
--- a/crates/ingress/src/backend/streaming.rs
+++ b/crates/ingress/src/backend/streaming.rs
@@ -102,7 +102,7 @@
         };
         self.end_activity(key, response, now);
         let state = AnswerState {
-            no_trailing_bytes: end.nothing_behind,
+            no_trailing_bytes: end.no_trailing_bytes,
             is_valid: true,
         };
         if self.reuse(key, now, state) == Reuse::Close {
