--- a/crates/ingress/tests/addresses.rs
+++ b/crates/ingress/tests/addresses.rs
@@ -1,4 +1,5 @@
-//! A node with several addresses, as the built sidecar meets it: connects race, requests never do.
+//! A node with several addresses, seen through the built sidecar: connects to the addresses race, and each request is
+//! written to one connection only.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -15,60 +16,66 @@
 };
 
 const ACCOUNT: &str = "00000000000004d3";
-/// Accounts of which a load-shedding level cuts the same ones for ten seconds, by a hash of account and time: a test whose
-/// requests all come from one would turn on the time of day.
-const ACCOUNTS: u64 = 20;
+/// Number of accounts that the tests spread their requests over. A load-shedding level rejects a fixed subset of
+/// accounts for ten seconds, picked by a hash of account and time, so a test with one account would depend on the time
+/// of day.
+const ACCOUNT_COUNT: u64 = 20;
 
-/// The account with this number, the first of them [`ACCOUNT`].
+/// The id of account `number` modulo [`ACCOUNT_COUNT`]; number 0 is [`ACCOUNT`].
 fn account(number: u64) -> String {
-    format!("{:016x}", 0x4d3 + number % ACCOUNTS)
+    format!("{:016x}", 0x4d3 + number % ACCOUNT_COUNT)
 }
 
-/// Copies until either end closes.
-fn copy(mut from: impl Read, mut to: impl Write, end: impl FnOnce()) {
+/// Copies bytes until either side closes, then calls `on_close`.
+fn copy_until_closed(mut from: impl Read, mut to: impl Write, on_close: impl FnOnce()) {
     let mut buf = [0; 4096];
     while let Ok(n @ 1..) = from.read(&mut buf) {
         if to.write_all(&buf[..n]).is_err() {
             break;
         }
     }
-    end();
+    on_close();
 }
 
-/// Another address of a backend.
-fn pass(stream: UnixStream, to: SocketAddr) {
-    let Ok(back) = TcpStream::connect(to) else {
+/// Proxies a connection to the backend at `to`, which gives the backend a second address.
+fn proxy(stream: UnixStream, to: SocketAddr) {
+    let Ok(upstream) = TcpStream::connect(to) else {
         return;
     };
-    let (inner, outer) = (back.try_clone().unwrap(), stream.try_clone().unwrap());
-    let (ends, end) = (back.try_clone().unwrap(), stream.try_clone().unwrap());
-    thread::spawn(move || copy(outer, inner, move || drop(ends.shutdown(Shutdown::Both))));
-    thread::spawn(move || copy(back, stream, move || drop(end.shutdown(Shutdown::Both))));
+    let (inner, outer) = (upstream.try_clone().unwrap(), stream.try_clone().unwrap());
+    let (ends, end) = (upstream.try_clone().unwrap(), stream.try_clone().unwrap());
+    thread::spawn(move || {
+        copy_until_closed(outer, inner, move || drop(ends.shutdown(Shutdown::Both)))
+    });
+    thread::spawn(move || {
+        copy_until_closed(upstream, stream, move || drop(end.shutdown(Shutdown::Both)))
+    });
 }
 
-fn unix_door(path: &Path, to: SocketAddr) -> Arc<AtomicUsize> {
-    let (listener, came) = (
+fn start_unix_proxy(path: &Path, to: SocketAddr) -> Arc<AtomicUsize> {
+    let (listener, connection_count) = (
         UnixListener::bind(path).unwrap(),
         Arc::new(AtomicUsize::new(0)),
     );
-    let count = came.clone();
+    let count = connection_count.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             count.fetch_add(1, Ordering::SeqCst);
-            pass(stream, to);
+            proxy(stream, to);
         }
     });
-    came
+    connection_count
 }
 
-/// An address that accepts connections, takes what comes and never says a word; the requests that came.
-fn silent_door() -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
+/// Starts a listener that accepts connections, reads what arrives and never answers. Returns its address and the bytes
+/// received.
+fn start_silent_listener() -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (at, heard) = (
+    let (at, received_bytes) = (
         listener.local_addr().unwrap(),
         Arc::new(Mutex::new(Vec::new())),
     );
-    let all = heard.clone();
+    let all = received_bytes.clone();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let all = all.clone();
@@ -80,7 +87,7 @@
             });
         }
     });
-    (at, heard)
+    (at, received_bytes)
 }
 
 struct Site {
@@ -90,12 +97,12 @@
 }
 
 impl Site {
-    /// A sidecar whose only node has these addresses.
+    /// Starts a sidecar whose only node has these addresses, with a connect timeout of 250 ms.
     fn new(addresses: &[String]) -> Site {
         Site::with(addresses, "250ms")
     }
 
-    /// The same, where a connect may take so long.
+    /// Starts a sidecar whose only node has these addresses, with the given connect timeout.
     fn with(addresses: &[String], connect: &str) -> Site {
         let (folder, at) = (tempfile::tempdir().unwrap(), place());
         let good = |name: &str| {
@@ -116,7 +123,7 @@
                 "\"quote\", \"save-scenario\"",
                 "\"quote\", \"save-scenario\", \"lender-referral\"",
             );
-        let more_accounts: String = (1..ACCOUNTS)
+        let more_accounts: String = (1..ACCOUNT_COUNT)
             .map(|number| {
                 let id = account(number);
                 format!("\n[[account]]\nid = \"{id}\"\nplan = \"starter\"\nquota = \"90/s\"\nburst = 600\n")
@@ -133,12 +140,12 @@
             &format!("\"{}\",\"addresses\":[{}]", addresses[0], more.join(",")),
         );
         write("fleet.json", &list(1, true, &[entry]));
-        let shown = folder.path().display();
-        let line = format!(
-            "exec '{}' --app '{shown}/app.toml' --fleet '{shown}/fleet.json'",
+        let folder_path = folder.path().display();
+        let command_line = format!(
+            "exec '{}' --app '{folder_path}/app.toml' --fleet '{folder_path}/fleet.json'",
             env!("CARGO_BIN_EXE_wrenfork")
         );
-        let ingress = Ingress::run("", at, &line);
+        let ingress = Ingress::run("", at, &command_line);
         until("the sidecar is ready", || {
             TcpStream::connect(at)
                 .is_ok_and(|stream| Client(stream).ask(&command(&["PING"])) == "+PONG")
@@ -173,9 +180,9 @@
     command(&["CALL.POST", account, id, &options, "BODY"])
 }
 
-/// How often each request came to a node.
-fn counts(backend: &Backend) -> BTreeMap<String, usize> {
-    let mut counts = BTreeMap::new();
+/// Counts the attempts that a backend received, by request id.
+fn attempts_by_id(backend: &Backend) -> BTreeMap<String, usize> {
+    let mut attempts_by_id = BTreeMap::new();
     for args in backend
         .seen
         .commands
@@ -184,23 +191,24 @@
         .iter()
         .filter(|args| args.len() > 2)
     {
-        *counts.entry(args[2].clone()).or_default() += 1;
+        *attempts_by_id.entry(args[2].clone()).or_default() += 1;
     }
-    counts
+    attempts_by_id
 }
 
-/// Guards against a node that is lost with one of its addresses, and a request that comes twice because connects race.
+/// Guards against losing a node because one of its addresses fails, and against sending a request twice because
+/// connects race.
 #[test]
-fn a_dead_address_costs_nothing_and_each_request_comes_once() {
+fn unreachable_addresses_fail_no_request_and_duplicate_none() {
     let backend = Backend::start(serve);
     let folder = tempfile::tempdir().unwrap();
-    let (path, gone) = (folder.path().join("node"), folder.path().join("nobody"));
-    let came = unix_door(&path, backend.at);
-    let dead = place();
+    let (path, missing_path) = (folder.path().join("node"), folder.path().join("missing"));
+    let connection_count = start_unix_proxy(&path, backend.at);
+    let closed_address = place();
     let unix = |p: &Path| format!("unix:{}", p.display());
     let site = Site::new(&[
-        dead.to_string(),
-        unix(&gone),
+        closed_address.to_string(),
+        unix(&missing_path),
         "[::1]:9".into(),
         unix(&path),
         backend.at.to_string(),
@@ -211,10 +219,10 @@
         assert_eq!(client.ask(&referral(&id, 5_000)), format!("value of {id}"));
     }
     assert!(
-        came.load(Ordering::SeqCst) > 0,
-        "a socket on this machine comes first"
+        connection_count.load(Ordering::SeqCst) > 0,
+        "the Unix socket must be tried before the TCP address"
     );
-    // Its file is gone, and whoever listened there: new connections go over the network.
+    // The socket file and its listener are gone, so new connections go over TCP.
     fs::remove_file(&path).unwrap();
     let before = backend.count();
     for n in 50..60 {
@@ -223,20 +231,20 @@
     }
     assert_eq!(backend.count() - before, 10);
     assert!(
-        counts(&backend).values().all(|n| *n == 1),
+        attempts_by_id(&backend).values().all(|n| *n == 1),
         "{:?}",
-        counts(&backend)
+        attempts_by_id(&backend)
     );
     drop(site.folder);
 }
 
-/// Guards against a wait for an address that takes no connection and refuses none: the next one is tried meanwhile, and the
-/// request goes to the one that is up first, once.
+/// Guards against waiting for an address that neither accepts nor refuses a connection. The next address is tried
+/// meanwhile, and the request is written once, to whichever connects first.
 #[test]
-fn an_address_that_does_not_connect_is_overtaken_by_the_next() {
+fn the_next_address_is_tried_while_one_does_not_connect() {
     use socket2::{Domain, Socket, Type};
     let backend = Backend::start(serve);
-    // Its queue is full, and nobody takes anything out of it: whoever connects hears nothing.
+    // The listen queue is full and nothing is accepted, so further connects get no reply.
     let full = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     full.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
         .unwrap();
@@ -245,8 +253,11 @@
     let held: Vec<TcpStream> = (0..8)
         .map_while(|_| TcpStream::connect_timeout(&at, Duration::from_millis(100)).ok())
         .collect();
-    assert!(held.len() < 8, "the queue has no end");
-    // One connect after the other would take five seconds, and no request here waits for so long.
+    assert!(
+        held.len() < 8,
+        "all connects succeeded, the listen queue is not full"
+    );
+    // Connecting to the addresses one after the other would take five seconds, longer than any request here may wait.
     let site = Site::with(&[at.to_string(), backend.at.to_string()], "5s");
     let mut client = site.client();
     for n in 0..10 {
@@ -254,44 +265,47 @@
         assert_eq!(client.ask(&referral(&id, 3_000)), format!("value of {id}"));
     }
     assert!(
-        counts(&backend).values().all(|n| *n == 1),
+        attempts_by_id(&backend).values().all(|n| *n == 1),
         "{:?}",
-        counts(&backend)
+        attempts_by_id(&backend)
     );
 }
 
-/// Guards against a request that may have reached a node over one address and is sent again over another.
+/// Guards against a request that may have reached a node over one address being sent again over another.
 #[test]
-fn a_request_taken_by_a_silent_address_is_retried_over_another_only_if_idempotent() {
+fn a_request_read_by_a_silent_address_is_retried_over_another_only_if_idempotent() {
     let backend = Backend::start(serve);
-    let (silent, heard) = silent_door();
+    let (silent, received_bytes) = start_silent_listener();
     let site = Site::new(&[silent.to_string(), backend.at.to_string()]);
     let mut client = site.client();
     let answer = client.ask(&referral("once", 700));
     assert!(answer.starts_with("-ERR"), "{answer}");
-    let heard_of = |id: &str| {
-        String::from_utf8_lossy(&heard.lock().unwrap())
+    let received_count = |id: &str| {
+        String::from_utf8_lossy(&received_bytes.lock().unwrap())
             .matches(id)
             .count()
     };
     assert_eq!(
-        (heard_of("once"), counts(&backend).get("once").copied()),
+        (
+            received_count("once"),
+            attempts_by_id(&backend).get("once").copied()
+        ),
         (1, None),
-        "it came once, over one address"
+        "the request must arrive once, over the silent address only"
     );
-    // The address that was silent comes last from now on.
+    // The silent address is tried last from now on.
     for n in 0..20 {
         let id = format!("c{n}");
         assert_eq!(client.ask(&quote(&id)), format!("value of {id}"));
     }
-    assert_eq!(counts(&backend).len(), 20);
+    assert_eq!(attempts_by_id(&backend).len(), 20);
 }
 
-/// A count at the node: of many referrals whose answers are cut off over either address, none comes twice.
+/// Checks, as counted by the node, that no referral arrives twice when answers are cut off over both addresses.
 #[test]
-fn no_referral_comes_twice_over_addresses_that_break() {
+fn no_referral_is_sent_twice_over_breaking_connections() {
     let backend = Backend::start(|args| {
-        // By its id: answered, cut off without a word, or refused.
+        // The id decides whether the request is cut off without an answer, answered or refused.
         match args[2].bytes().map(usize::from).sum::<usize>() % 3 {
             0 => Act::Hang,
             1 => serve(args),
@@ -300,7 +314,7 @@
     });
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("node");
-    unix_door(&path, backend.at);
+    start_unix_proxy(&path, backend.at);
     let mut site = Site::new(&[format!("unix:{}", path.display()), backend.at.to_string()]);
     let clients: Vec<_> = (0..4)
         .map(|c| {
@@ -318,14 +332,18 @@
         })
         .collect();
     clients.into_iter().for_each(|c| c.join().unwrap());
-    let counts = counts(&backend);
+    let attempts_by_id = attempts_by_id(&backend);
     let refused = |id: &str| id.bytes().map(usize::from).sum::<usize>() % 3 == 2;
-    assert!(counts.len() > 100, "{} came at all", counts.len());
-    let twice: Vec<_> = counts
+    assert!(
+        attempts_by_id.len() > 100,
+        "only {} referrals reached the backend",
+        attempts_by_id.len()
+    );
+    let repeated: Vec<_> = attempts_by_id
         .iter()
         .filter(|(id, n)| **n > 1 && !refused(id))
         .collect();
-    assert!(twice.is_empty(), "{twice:?}");
+    assert!(repeated.is_empty(), "sent more than once: {repeated:?}");
     let mut ingress = site.ingress.take().unwrap();
     ingress.signal("TERM");
     assert!(ingress.exit().success());
--- a/crates/ingress/tests/ingress/attempts.rs
+++ b/crates/ingress/tests/ingress/attempts.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request when an attempt at it fails, and of the connection that carried it.
+//! What happens to a request, and to the connection that carried it, when an attempt fails.
 
 use crate::support::{answer_through, is_rejected, new_id, setup};
 use std::net::SocketAddr;
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 use wrenfork_testbed::small::{call, entry, place, serve, served, until, Act, Backend, Client};
 
-/// An unsafe request that a backend was given whole goes to nobody else, whatever becomes of it.
-fn may_have_run(bad: Backend) -> (Backend, String) {
+/// Asserts that an unsafe request that `bad` received completely is not sent again. Returns `bad` and the answer.
+fn assert_not_sent_again(bad: Backend) -> (Backend, String) {
     let good = Backend::start(serve);
     let ingress = setup(&[&bad, &good]).start();
     let answer = answer_through(&ingress, "refer", &bad);
@@ -20,33 +20,40 @@
             .unwrap()
             .iter()
             .all(|c| c[2] != id),
-        "it was sent again"
+        "the request was sent to another backend"
+    );
+    assert_eq!(
+        bad.count(),
+        1,
+        "the request was sent to the same backend again"
     );
-    assert_eq!(bad.count(), 1, "it was sent again to the same one");
     assert!(
         !is_rejected(&answer),
-        "a refusal says that it is harmless to try again"
+        "a rejection would allow the client to retry, but the request may have run"
     );
     (bad, answer)
 }
 
 #[test]
-fn a_request_that_must_not_run_twice_fails_with_an_error_answer() {
+fn an_unsafe_request_fails_on_an_error_answer() {
     assert_eq!(
-        may_have_run(Backend::start(|_| Act::Say(b"-ERR failed\r\n".to_vec()))).1,
+        assert_not_sent_again(Backend::start(|_| Act::Say(b"-ERR failed\r\n".to_vec()))).1,
         "-ERR failed"
     );
 }
 
-/// Guards against taking a break behind the last byte for a connection that never was.
+/// Guards against treating a reset after the last byte of a request as a failed connect.
 #[test]
-fn a_request_that_must_not_run_twice_fails_with_a_reset_after_its_last_byte() {
-    assert_eq!(may_have_run(Backend::start(|_| Act::Hang)).1, "-ERR failed");
+fn an_unsafe_request_fails_on_a_reset_after_its_last_byte() {
+    assert_eq!(
+        assert_not_sent_again(Backend::start(|_| Act::Hang)).1,
+        "-ERR failed"
+    );
 }
 
 #[test]
 fn a_garbled_answer_counts_as_a_reset_and_ends_its_connection() {
-    let (bad, answer) = may_have_run(Backend::start(|_| {
+    let (bad, answer) = assert_not_sent_again(Backend::start(|_| {
         Act::Say(b"*3\r\n$2\r\nvalue\r\n".to_vec())
     }));
     assert_eq!(answer, "-ERR failed");
@@ -55,15 +62,15 @@
     });
 }
 
-/// Guards against waiting for the rest of what will not come until the client's time is over.
+/// Guards against waiting until the client's deadline for the rest of an incomplete answer.
 #[test]
 fn an_answer_without_an_end_times_out() {
-    for spoilt in [
+    for incomplete in [
         &b"*3\r\n$40000\r\nabc\r\n"[..],
         b"-ERR and so on",
         b"*3\r\n",
     ] {
-        let bad = Backend::start(|_| Act::Say(spoilt.to_vec()));
+        let bad = Backend::start(|_| Act::Say(incomplete.to_vec()));
         let ingress = setup(&[&bad]).start();
         let start = Instant::now();
         assert_eq!(
@@ -72,20 +79,20 @@
         );
         assert!(
             start.elapsed() < Duration::from_secs(4),
-            "waited for {:?}",
+            "the error answer took {:?}",
             start.elapsed()
         );
     }
 }
 
-/// Guards against serving a request with the copy of the answer before it: it came once the connection was in its
-/// pool again.
+/// Guards against using a duplicate of the previous answer for the next request: the duplicate arrives when the
+/// connection is in the pool again.
 #[test]
-fn bytes_behind_an_answer_serve_no_other_request() {
+fn bytes_after_an_answer_serve_no_other_request() {
     let backend = Backend::start(|args| {
-        let mut twice = served(args);
-        twice.extend_from_slice(&served(args));
-        Act::Parts(twice.len() / 2, Duration::from_micros(300), twice)
+        let mut duplicated = served(args);
+        duplicated.extend_from_slice(&served(args));
+        Act::Parts(duplicated.len() / 2, Duration::from_micros(300), duplicated)
     });
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
@@ -98,14 +105,14 @@
     }
 }
 
-/// Guards against serving requests with copies that come after any rest: a backend known for them gets a connection
-/// for each request.
+/// Guards against the same where the duplicate arrives after a longer pause: a backend known for duplicates gets a new
+/// connection for each request.
 #[test]
 fn a_backend_that_answers_twice_gets_a_new_connection_for_each_request() {
     let backend = Backend::start(|args| {
-        let mut twice = served(args);
-        twice.extend_from_slice(&served(args));
-        Act::Parts(twice.len() / 2, Duration::from_millis(6), twice)
+        let mut duplicated = served(args);
+        duplicated.extend_from_slice(&served(args));
+        Act::Parts(duplicated.len() / 2, Duration::from_millis(6), duplicated)
     });
     let ingress = setup(&[&backend]).start();
     let mut client = ingress.client();
@@ -117,7 +124,7 @@
     };
     for n in 0..4 {
         ask(n);
-        until("the copy is seen", || {
+        until("the duplicate closes the connection", || {
             backend.seen.ended.load(Ordering::SeqCst) > n
         });
     }
@@ -127,9 +134,9 @@
     }
 }
 
-/// Guards against losing a good value to a report that can't be read.
+/// Guards against losing a valid value because its load report is invalid.
 #[test]
-fn a_value_is_served_though_its_load_report_is_invalid() {
+fn a_value_with_an_invalid_load_report_is_served() {
     for load in [
         "$3\r\n=,=\r\n",
         "$9\r\nutil=-1e9\r\n",
@@ -149,8 +156,8 @@
 }
 
 #[test]
-fn an_answer_of_another_form_fails() {
-    let (_, answer) = may_have_run(Backend::start(|_| {
+fn an_answer_without_a_value_fails() {
+    let (_, answer) = assert_not_sent_again(Backend::start(|_| {
         Act::Say(b"*3\r\n$-1\r\n$-1\r\n$-1\r\n".to_vec())
     }));
     assert_eq!(answer, "-ERR failed");
@@ -160,8 +167,8 @@
 fn a_request_without_an_answer_fails_before_its_client_times_out() {
     let silent = Backend::start(|_| Act::Silent);
     let ingress = setup(&[&silent]).start();
-    // The answer comes some 10 ms before the client's time is over: a busy machine may miss that once.
-    let soonest = (0..4).map(|n| {
+    // The answer comes about 10 ms before the client's deadline, which a busy machine may miss once.
+    let earliest_ms = (0..4).map(|n| {
         let start = Instant::now();
         assert_eq!(
             ingress.client().ask(&call("refer", &format!("r{n}"), 1500)),
@@ -169,17 +176,20 @@
         );
         start.elapsed().as_millis()
     });
-    let soonest = soonest.min().unwrap_or_default();
-    assert!((1400..1500).contains(&soonest), "after {soonest} ms");
+    let earliest_ms = earliest_ms.min().unwrap_or_default();
+    assert!(
+        (1400..1500).contains(&earliest_ms),
+        "the earliest error answer came after {earliest_ms} ms"
+    );
     assert_eq!(silent.count(), 4);
-    until("the attempts are given up", || {
+    until("the attempts are cancelled", || {
         silent.seen.ended.load(Ordering::SeqCst) == 4
     });
 }
 
-/// Requests of a class that must never run twice are all served, though `bad` lets none in. They come at once:
-/// one after the other they would all go to the backend that answers.
-fn never_ran(bad: SocketAddr) -> Duration {
+/// Asserts that requests that must not run twice are all served although `bad` accepts none. They are sent at once: one
+/// after the other they would all go to the working backend. Returns the elapsed time.
+fn assert_all_served_despite(bad: SocketAddr) -> Duration {
     let good = Backend::start(|args| Act::Later(Duration::from_millis(30), served(args)));
     let mut setup = setup(&[&good]);
     setup.known.push(entry("s-9", bad, "up"));
@@ -198,42 +208,43 @@
 #[test]
 fn a_rejected_request_is_retried_elsewhere() {
     let bad = Backend::start(|_| Act::Say(b"-BUSY util=0.99\r\n".to_vec()));
-    never_ran(bad.at);
-    assert!(bad.count() > 0, "it was never tried");
+    assert_all_served_despite(bad.at);
+    assert!(bad.count() > 0, "the rejecting backend got no request");
 }
 
 #[test]
 fn a_request_to_a_closed_port_is_retried_elsewhere() {
-    never_ran(place());
+    assert_all_served_despite(place());
 }
 
-/// Guards against waiting for a connection for as long as for an answer: a machine that is cut off says nothing.
+/// Guards against waiting as long for a connect as for an answer: an unreachable machine sends no reply.
 #[test]
 fn a_connect_without_an_answer_times_out() {
     let silent = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     silent.bind(&place().into()).unwrap();
     silent.listen(0).unwrap();
     let at = silent.local_addr().unwrap().as_socket().unwrap();
-    // What the line holds is taken; the kernel drops whatever comes then.
-    let line: Vec<_> = (0..4)
+    // The listen queue is full; the kernel drops further connects.
+    let queued: Vec<_> = (0..4)
         .map(|_| {
-            let one =
+            let socket =
                 socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-            one.set_nonblocking(true).unwrap();
-            let _ = one.connect(&at.into());
-            one
+            socket.set_nonblocking(true).unwrap();
+            let _ = socket.connect(&at.into());
+            socket
         })
         .collect();
     thread::sleep(Duration::from_millis(50));
-    let longest = never_ran(at);
+    let elapsed = assert_all_served_despite(at);
     assert!(
-        longest >= Duration::from_millis(250),
-        "it was never tried, or not waited for: {longest:?}"
+        elapsed >= Duration::from_millis(250),
+        "no request waited for the connect timeout: {elapsed:?}"
     );
-    drop(line);
+    drop(queued);
 }
 
-/// Guards against calling an attempt off on a connection that goes on: the second copy's answer is the answer.
+/// Guards against cancelling an attempt on a connection that is used further; the hedged attempt's answer is the
+/// result.
 #[test]
 fn an_idempotent_request_is_hedged_and_its_first_attempt_cancelled() {
     let slow = Backend::start(|args| Act::Later(Duration::from_millis(5000), served(args)));
@@ -249,12 +260,12 @@
         .unwrap()
         .iter()
         .any(|c| c[2] == id));
-    until("the first copy is called off", || {
+    until("the first attempt is cancelled", || {
         slow.seen.ended.load(Ordering::SeqCst) == 1
     });
 }
 
-/// Guards against keeping connections that the backend has ended: what is written to one may have run.
+/// Guards against keeping connections that the backend has closed: a request written to one may have run.
 #[test]
 fn connections_closed_by_a_backend_are_not_reused() {
     let backend = Backend::start(serve);
@@ -266,7 +277,7 @@
             format!("value of r{n}")
         );
         backend.seen.hang_up.store(true, Ordering::SeqCst);
-        until("the backend hangs up", || {
+        until("the backend closes the connection", || {
             backend.seen.ended.load(Ordering::SeqCst) == n + 1
         });
         backend.seen.hang_up.store(false, Ordering::SeqCst);
@@ -275,8 +286,8 @@
     assert_eq!(backend.count(), 5);
 }
 
-/// Guards against connections that are dead after a moment of idleness and say so only under the next request:
-/// a request that must not run twice fails with each. They are found out by how long they were idle.
+/// Guards against connections that die while idle and fail only under the next request, which must not run twice and so
+/// fails. The ingress learns the idle time after which they fail.
 #[test]
 fn connections_that_go_stale_while_idle_are_detected() {
     let backend = Backend::start(serve);
@@ -290,18 +301,21 @@
     };
     let served = (0..30).filter(|_| ask(80)).count();
     assert!(served >= 22, "{served} of 30 served");
-    assert!((0..10).all(|_| ask(80)), "found out by now");
-    // Those that were idle for less are used on.
+    assert!(
+        (0..10).all(|_| ask(80)),
+        "the stale connections must be detected by now"
+    );
+    // Connections that were idle for a shorter time are still reused.
     let before = backend.seen.opened.load(Ordering::SeqCst);
     assert!((0..10).filter(|_| ask(8)).count() >= 7);
     assert!(
         backend.seen.opened.load(Ordering::SeqCst) <= before + 7,
-        "each request has a new one"
+        "connections idle for a short time are not reused"
     );
 }
 
 #[test]
-fn idle_connections_are_closed_before_the_backend_does() {
+fn idle_connections_are_closed_after_the_idle_timeout() {
     let backend = Backend::start(serve);
     let mut setup = setup(&[&backend]);
     setup.settings = setup.settings.replace("15000000", "1000000");
@@ -310,7 +324,7 @@
         ingress.client().ask(&call("quote", "q1", 900)),
         "value of q1"
     );
-    until("it is closed", || {
+    until("the idle connection is closed", || {
         backend.seen.ended.load(Ordering::SeqCst) == 1
     });
 }
--- a/crates/ingress/tests/sidecar.rs
+++ b/crates/ingress/tests/sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar: the built ingress that runs from an application's files.
+//! The sidecar: the built ingress started from an application's files.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
     Ingress,
 };
 
-fn good(name: &str) -> String {
+fn read_good_file(name: &str) -> String {
     fs::read_to_string(
         Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("../config/tests/good")
@@ -18,13 +18,13 @@
     .unwrap()
 }
 
-/// An application's folder, with its site and the nodes that there are.
+/// A folder with an application's file, its site file and the endpoint list.
 struct Folder(tempfile::TempDir);
 
 impl Folder {
     fn new(app: &str, backends: &[&Backend]) -> Folder {
         let folder = Folder(tempfile::tempdir().unwrap());
-        folder.write("site.toml", &good("site.toml"));
+        folder.write("site.toml", &read_good_file("site.toml"));
         folder.write("app.toml", app);
         let nodes: Vec<String> = backends
             .iter()
@@ -41,18 +41,20 @@
         path
     }
 
-    fn command(&self, more: &str) -> String {
+    fn command(&self, extra_args: &str) -> String {
         let (program, folder) = (env!("CARGO_BIN_EXE_wrenfork"), self.0.path().display());
-        format!("exec '{program}' --app '{folder}/app.toml' --fleet '{folder}/fleet.json' {more}")
+        format!(
+            "exec '{program}' --app '{folder}/app.toml' --fleet '{folder}/fleet.json' {extra_args}"
+        )
     }
 
-    fn start(&self, at: SocketAddr, more: &str) -> Ingress {
-        self.start_until(at, more, "+PONG")
+    fn start(&self, at: SocketAddr, extra_args: &str) -> Ingress {
+        self.start_until(at, extra_args, "+PONG")
     }
 
-    /// Starts it, and waits until it answers a PING with that.
-    fn start_until(&self, at: SocketAddr, more: &str, answer: &str) -> Ingress {
-        let ingress = Ingress::run("", at, &self.command(more));
+    /// Starts the sidecar and waits until its answer to a PING begins with `answer`.
+    fn start_until(&self, at: SocketAddr, extra_args: &str, answer: &str) -> Ingress {
+        let ingress = Ingress::run("", at, &self.command(extra_args));
         until("the sidecar is ready", || {
             std::net::TcpStream::connect(at)
                 .is_ok_and(|stream| Client(stream).ask(&command(&["PING"])).starts_with(answer))
@@ -61,14 +63,14 @@
     }
 }
 
-/// The application without routes, listening at a place.
+/// The application file without routes, listening at `at`.
 fn app(at: SocketAddr) -> String {
-    good("with-site-no-routes.toml").replace("127.0.0.1:7600", &at.to_string())
+    read_good_file("with-site-no-routes.toml").replace("127.0.0.1:7600", &at.to_string())
 }
 
-/// Guards against a request that spends another's plan, or more than its share, by saying so.
+/// Guards against a request that claims another plan, or a larger share of the quota.
 #[test]
-fn claims_of_plan_and_spread_are_ignored() {
+fn claimed_plan_and_spread_are_ignored() {
     let (at, backend) = (place(), Backend::start(serve));
     let folder = Folder::new(&app(at), &[&backend]);
     let ingress = folder.start(at, "");
@@ -86,7 +88,7 @@
     );
 }
 
-/// The starter plan lets 7 through at once, whatever plan is claimed.
+/// The starter plan admits a burst of 7, whatever plan the request claims.
 #[test]
 fn the_quota_is_that_of_the_accounts_own_plan() {
     let (at, backend) = (place(), Backend::start(serve));
@@ -104,7 +106,8 @@
     };
     let answers: Vec<String> = (0..20).map(|n| ask(&mut client, n)).collect();
     let served = answers.iter().filter(|a| a.starts_with("value")).count();
-    // Some more where the machine stands still; the plan that was claimed would have let 16 through at once.
+    // The claimed plan would have admitted a burst of 16. A stalled machine lets the quota refill, so a few more than 7
+    // are possible.
     assert!((7..14).contains(&served), "{served} of 20: {answers:?}");
     assert!(
         answers.last().is_some_and(|a| a.starts_with("-BUSY")),
@@ -137,14 +140,15 @@
     );
     assert!(class.contains("may not send"), "{class}");
     assert_eq!(backend.count(), 0);
-    // An account without a ceiling: one that has counts from nothing at a start.
+    // This account has no ceiling; one with a ceiling starts without ceiling tokens.
     assert_eq!(
         ask(&mut client, "CALL.GET", "00000000000004d3", "quote"),
         "value of r1"
     );
 }
 
-/// Guards against a sidecar that runs from a file that the check refuses, or does not say what is wrong with it.
+/// Guards against a sidecar that starts from a file that the checker refuses, or that does not report what is wrong
+/// with it.
 #[test]
 fn a_refused_file_starts_nothing_and_reports_all_errors() {
     let at = place();
@@ -158,17 +162,20 @@
         .args(["-c", &folder.command("")])
         .output()
         .unwrap();
-    let said = String::from_utf8(out.stderr).unwrap();
+    let stderr = String::from_utf8(out.stderr).unwrap();
     assert_eq!(out.status.code(), Some(1));
     for part in ["app.toml:19:9: C106", "app.toml:23:8: C203", "\"stater\""] {
-        assert!(said.contains(part), "{part} is not in:\n{said}");
+        assert!(
+            stderr.contains(part),
+            "{part:?} is missing from the error output:\n{stderr}"
+        );
     }
     assert!(std::net::TcpStream::connect(at).is_err());
 }
 
-/// What the check takes, a sidecar starts with.
+/// The sidecar starts with every file that the checker accepts.
 #[test]
-fn every_good_application_starts() {
+fn every_valid_application_file_starts() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../config/tests/good");
     let mut started = 0;
     let mut names: Vec<String> = fs::read_dir(folder)
@@ -179,8 +186,8 @@
     names.sort();
     for name in names {
         let at = place();
-        let text = good(&name).replace("127.0.0.1:7600", &at.to_string());
-        // One of a group alone starts, and turns away what comes.
+        let text = read_good_file(&name).replace("127.0.0.1:7600", &at.to_string());
+        // A single member of a group starts and rejects requests.
         let (two, grouped) = (name.contains("two-sidecars"), name.contains("roster"));
         let text = (7946..=7949).fold(text, |text, port| {
             text.replace(&format!("127.0.0.1:{port}"), &place().to_string())
@@ -193,44 +200,45 @@
                 &own.path().join("state").display().to_string(),
             );
         let folder = Folder::new(&text, &[]);
-        folder.write("fleet.json", &good("fleet.json"));
-        let more = if two || grouped {
+        folder.write("fleet.json", &read_good_file("fleet.json"));
+        let extra_args = if two || grouped {
             "--sidecar desk-1"
         } else {
             ""
         };
-        let mut ingress = folder.start_until(at, more, if grouped { "-BUSY " } else { "+PONG" });
+        let mut ingress =
+            folder.start_until(at, extra_args, if grouped { "-BUSY " } else { "+PONG" });
         ingress.signal("TERM");
         assert!(ingress.exit().success(), "{name}");
         started += 1;
     }
-    assert!(started >= 12, "only {started}");
+    assert!(started >= 12, "only {started} files were started");
 }
 
-/// A node's entry, of a model.
-fn entry_of(backend: &Backend, name: &str, model: &str, status: &str) -> String {
+/// The endpoint entry of a backend with the given model and status.
+fn entry_with_model(backend: &Backend, name: &str, model: &str, status: &str) -> String {
     let entry = backend.entry(name, status);
     let at = entry.find("\"type\":\"").unwrap() + 8;
     let end = at + entry[at..].find('"').unwrap();
     format!("{}{model}{}", &entry[..at], &entry[end..])
 }
 
-/// A folder with an application whose starter plan has this quota.
+/// A folder with an application whose starter plan has this quota and burst.
 fn with_quota(app: &str, quota: &str, burst: u32) -> Folder {
     let plan = "plan = \"starter\"";
     let limits = format!("{plan}\nquota = \"{quota}\"\nburst = {burst}");
     Folder::new(&app.replace(plan, &limits), &[])
 }
 
-/// Has the first list and discovery tell of these nodes.
-fn publish(folder: &Folder, discovery: &Discovery, entries: &[String]) {
+/// Writes these entries to the initial list and publishes them in discovery.
+fn publish_entries(folder: &Folder, discovery: &Discovery, entries: &[String]) {
     folder.write("fleet.json", &list(1, true, entries));
     for entry in entries {
         discovery.change(entry.clone());
     }
 }
 
-/// A request of a class, which only quotes have no key and body for.
+/// A request of a class; all classes but `quote` carry a key and a body.
 fn call_of_class(class: &str, id: &str) -> Vec<u8> {
     let options = |key: &str| format!("c={class},t=starter,d=900{key},units=1,spread=1,first=0");
     let account = "00000000000004d3";
@@ -241,7 +249,7 @@
     }
 }
 
-/// Guards against a route that is checked and then ignored: two classes in two pools, and the fallback of one.
+/// Guards against a route that is checked and then ignored: two classes in two pools, and the fallback of one pool.
 #[test]
 fn requests_go_to_the_pools_of_their_routes_and_fall_back_when_these_drain() {
     let (at, fast, slow, other) = (
@@ -257,11 +265,11 @@
         + "\n[[route]]\nclass = \"quote\"\npool = \"fast\"\n\n[[route]]\nclass = \"save-scenario\"\npool = \"slow\"\n";
     let folder = with_quota(&text, "9/s", 60);
     let entries = [
-        entry_of(&fast, "s-fast", "std-3c", "up"),
-        entry_of(&slow, "s-slow", "small-2c", "up"),
-        entry_of(&other, "s-other", "old-1c", "up"),
+        entry_with_model(&fast, "s-fast", "std-3c", "up"),
+        entry_with_model(&slow, "s-slow", "small-2c", "up"),
+        entry_with_model(&other, "s-other", "old-1c", "up"),
     ];
-    publish(&folder, &discovery, &entries);
+    publish_entries(&folder, &discovery, &entries);
     let ingress = folder.start(at, "");
     let mut client = ingress.client();
     let mut next = 0;
@@ -279,8 +287,8 @@
     }
     let after = counts();
     assert_eq!((after.0 - before.0, after.1 - before.1), (10, 10));
-    discovery.change(entry_of(&fast, "s-fast", "std-3c", "draining"));
-    until("it falls back", || {
+    discovery.change(entry_with_model(&fast, "s-fast", "std-3c", "draining"));
+    until("quotes go to the fallback pool", || {
         let (had, answer) = (slow.count(), ask("quote"));
         answer.starts_with("value") && slow.count() > had
     });
@@ -292,11 +300,11 @@
     assert_eq!(
         (after.0, after.1 - before.1, after.2),
         (before.0, 10, 0),
-        "the one in neither pool has had nothing"
+        "a backend in neither pool must get no request"
     );
 }
 
-/// What the log has of the files that are refused, and of the one that is taken.
+/// Texts that the log must contain for the refused files and the applied one.
 const RELOADS: [&str; 4] = [
     "stater",
     "enforcing the new files",
@@ -304,7 +312,7 @@
     "tick_us is fixed",
 ];
 
-/// Guards against a new file of which only a part is taken, or none, or which ends what is under way.
+/// Guards against a new file that is applied in part or not at all, or that ends requests in flight.
 #[test]
 fn on_sighup_a_new_file_is_applied_completely_or_not_at_all() {
     let (at, backend) = (
@@ -313,30 +321,30 @@
     );
     let folder = Folder::new(&app(at), &[&backend]);
     let mut ingress = folder.start(at, "");
-    let asked = std::cell::Cell::new(0);
-    let bytes = |account: &str| {
-        asked.set(asked.get() + 1);
+    let sent = std::cell::Cell::new(0);
+    let quote = |account: &str| {
+        sent.set(sent.get() + 1);
         let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
-        command(&["CALL.GET", account, &format!("s{}", asked.get()), options])
+        command(&["CALL.GET", account, &format!("s{}", sent.get()), options])
     };
     let (mut client, mut open) = (ingress.client(), ingress.client());
     let unknown = "not this application's";
-    let knows = |client: &mut Client, account: &str| !client.ask(&bytes(account)).contains(unknown);
+    let known = |client: &mut Client, account: &str| !client.ask(&quote(account)).contains(unknown);
     let (old, new) = ("00000000000004d3", "00000000000004d5");
-    assert!(knows(&mut client, old) && !knows(&mut client, new));
-    // A request is under way while its account goes and another comes.
+    assert!(known(&mut client, old) && !known(&mut client, new));
+    // A request is in flight while its account is removed and another one is added.
     let before = backend.count();
-    open.send(&bytes(old));
-    until("it is with the backend", || backend.count() > before);
+    open.send(&quote(old));
+    until("the quote is sent", || backend.count() > before);
     folder.write("app.toml", &app(at).replace(old, new));
     ingress.signal("HUP");
-    until("the new account is known", || knows(&mut client, new));
-    assert!(!knows(&mut client, old), "half of the file was taken");
+    until("the new account is known", || known(&mut client, new));
+    assert!(!known(&mut client, old), "the file was applied in part");
     assert!(
         open.answer().starts_with("value"),
-        "what was under way ends"
+        "an open request was lost"
     );
-    // A file that is refused, one that changes what is fixed, one cut in half: nothing of them is taken.
+    // An invalid file, a truncated one, and one that changes a fixed setting: nothing of them is applied.
     let elsewhere = app(at).replace(&at.to_string(), "127.0.0.1:9");
     for text in [
         app(at).replace("starter", "stater"),
@@ -346,36 +354,39 @@
         folder.write("app.toml", &text);
         (0..10).for_each(|_| ingress.signal("HUP"));
         std::thread::sleep(std::time::Duration::from_millis(150));
-        assert!(knows(&mut client, new), "it went on as before");
+        assert!(known(&mut client, new), "an invalid file was applied");
     }
-    let good_site = good("site.toml");
+    let good_site = read_good_file("site.toml");
     let other_tick = good_site.replace("[limits]", "[limits]\ntick = \"8ms\"");
     folder.write("site.toml", &other_tick);
     folder.write("app.toml", &app(at));
     ingress.signal("HUP");
     std::thread::sleep(std::time::Duration::from_millis(150));
-    assert!(knows(&mut client, new), "the tick takes a restart");
+    assert!(known(&mut client, new), "a changed tick was applied");
     folder.write("site.toml", &good_site);
     let fewer_classes = app(at).replace("[\"quote\", \"save-scenario\"]", "[\"save-scenario\"]");
     folder.write("app.toml", &fewer_classes.replace(old, new));
     ingress.signal("HUP");
-    until("quotes may not be sent any more", || {
-        client.ask(&bytes(new)).contains("may not send")
+    until("quotes are refused", || {
+        client.ask(&quote(new)).contains("may not send")
     });
     assert_reloads_are_logged(&mut ingress);
 }
 
-/// Ends the ingress; its log has each of [`RELOADS`].
+/// Stops the ingress and asserts that its log contains each of [`RELOADS`].
 fn assert_reloads_are_logged(ingress: &mut Ingress) {
     ingress.signal("TERM");
     assert!(ingress.exit().success());
     let log = ingress.log();
     for part in RELOADS {
-        assert!(log.contains(part), "{part} is not in:\n{log}");
+        assert!(
+            log.contains(part),
+            "{part:?} is missing from the log:\n{log}"
+        );
     }
 }
 
-/// A Unix socket is its owner's from the first moment, serves as TCP does, and is gone at the end.
+/// A Unix socket is accessible to its owner only from the start, serves as TCP does, and is removed at exit.
 #[test]
 fn a_unix_socket_serves_and_is_removed_at_exit() {
     use std::io::{Read, Write};
@@ -385,7 +396,7 @@
     let path = run.path().join("desk.sock");
     let text = app(at).replace(&at.to_string(), &format!("unix:{}", path.display()));
     let folder = Folder::new(&text, &[&backend]);
-    // One that a crash left is taken over.
+    // A socket file left by a crash is replaced.
     drop(std::os::unix::net::UnixListener::bind(&path).unwrap());
     let mut ingress = Ingress::run("", at, &folder.command(""));
     until("the sidecar listens", || UnixStream::connect(&path).is_ok());
@@ -409,7 +420,7 @@
             format!("value of u{n}")
         );
     }
-    // A second one there is refused, and the first serves on.
+    // A second process on the same socket is refused, and the first one keeps serving.
     let mut second = Ingress::run("", at, &folder.command(""));
     assert_eq!(second.exit().code(), Some(1));
     assert!(second.log().contains("another process listens there"));
@@ -417,12 +428,12 @@
     assert_eq!(read_value(&mut stream).unwrap().concat(), "+PONG");
     ingress.signal("TERM");
     assert!(ingress.exit().success());
-    assert!(!path.exists(), "its file is left behind");
+    assert!(!path.exists(), "the socket file was not removed");
     assert!(stream.read(&mut [0]).map_or(true, |n| n == 0));
 }
 
-/// Guards against a list of users that is checked and then ignored: whoever is not on it is let go at once, and those who are
-/// are served.
+/// Guards against a list of users that is checked and then ignored: connections of users not on the list are closed at
+/// once, and users on it are served.
 #[test]
 fn a_unix_socket_serves_only_the_users_on_its_list() {
     use std::io::{Read, Write};
@@ -431,7 +442,7 @@
     let (at, backend, run) = (place(), Backend::start(serve), tempfile::tempdir().unwrap());
     let path = run.path().join("desk.sock");
     let listen = format!("\"{at}\"");
-    for (users, lets) in [(vec![own + 1, own], true), (vec![own + 1], false)] {
+    for (users, allowed) in [(vec![own + 1, own], true), (vec![own + 1], false)] {
         let socket = format!("\"unix:{}\"\nusers = {users:?}", path.display());
         let folder = Folder::new(&app(at).replace(&listen, &socket), &[&backend]);
         let mut ingress = Ingress::run("", at, &folder.command(""));
@@ -439,14 +450,14 @@
         for n in 0..5 {
             let mut stream = UnixStream::connect(&path).unwrap();
             let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
-            // One that is let go may be gone before it is written to.
+            // A refused connection may already be closed at the write.
             let _ = stream.write_all(&command(&[
                 "CALL.GET",
                 "00000000000004d3",
                 &format!("u{n}"),
                 options,
             ]));
-            if lets {
+            if allowed {
                 assert_eq!(
                     read_value(&mut stream).unwrap().concat(),
                     format!("value of u{n}")
@@ -454,13 +465,13 @@
             } else {
                 assert!(
                     stream.read(&mut [0]).map_or(true, |n| n == 0),
-                    "it was answered"
+                    "a user not on the list was answered"
                 );
             }
         }
         ingress.signal("TERM");
         assert!(ingress.exit().success());
-        assert_eq!(ingress.log().contains("may not connect"), !lets);
+        assert_eq!(ingress.log().contains("may not connect"), !allowed);
     }
     assert_eq!(backend.count(), 5);
     let refused = app(at).replace(&listen, &format!("\"{at}\"\nusers = [{own}]"));
@@ -471,10 +482,10 @@
     assert!(log.contains("C408"), "{log}");
 }
 
-/// Guards against halls that are all alike to a class without a route: it stays in its own hall, goes to the nearest one
-/// that has somebody when its own drains, and comes back.
+/// Guards against ignoring zones for a class without a route: its requests stay in the own hall, go to the nearest hall
+/// with a backend while the own one drains, and return afterwards.
 #[test]
-fn a_class_without_a_route_prefers_its_own_zone_then_the_nearest() {
+fn a_class_without_a_route_prefers_its_own_hall_then_the_nearest() {
     let (at, home, next, far) = (
         place(),
         Backend::start(serve),
@@ -484,7 +495,7 @@
     let discovery = Discovery::start();
     let text = app(at).replace("127.0.0.1:8500", &discovery.at.to_string());
     let folder = with_quota(&text, "90/s", 600);
-    let site = good("site.toml").replace("\"hall-b\"]", "\"hall-b\", \"hall-c\"]");
+    let site = read_good_file("site.toml").replace("\"hall-b\"]", "\"hall-b\", \"hall-c\"]");
     folder.write(
         "site.toml",
         &format!("{site}\n[[near]]\nhall = \"hall-a\"\nothers = [\"hall-c\", \"hall-b\"]\n"),
@@ -497,17 +508,17 @@
         node(&next, "s-2", "hall-c", "up"),
         node(&far, "s-3", "hall-b", "up"),
     ];
-    publish(&folder, &discovery, &entries);
+    publish_entries(&folder, &discovery, &entries);
     let ingress = folder.start(at, "");
     let mut client = ingress.client();
-    let mut asked = 0;
+    let mut request_count = 0;
     let mut ask = || {
-        asked += 1;
+        request_count += 1;
         let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
         let answer = client.ask(&command(&[
             "CALL.GET",
             "00000000000004d3",
-            &format!("n{asked}"),
+            &format!("n{request_count}"),
             options,
         ]));
         assert!(answer.starts_with("value"), "{answer}");
@@ -516,7 +527,7 @@
     (0..10).for_each(|_| ask());
     assert_eq!(counts(), [10, 0, 0]);
     discovery.change(node(&home, "s-1", "hall-a", "draining"));
-    until("the nearest takes over", || {
+    until("the nearest hall gets requests", || {
         ask();
         next.count() > 0
     });
@@ -525,10 +536,10 @@
     assert_eq!(
         counts(),
         [before[0], before[1] + 10, 0],
-        "hall-b is further"
+        "hall-b is further away and must get none"
     );
     discovery.change(node(&home, "s-1", "hall-a", "up"));
-    until("home is back", || {
+    until("the own hall gets requests again", || {
         ask();
         home.count() > before[0]
     });
