--- a/crates/ctl/tests/group/site.rs
+++ b/crates/ctl/tests/group/site.rs
@@ -12,9 +12,11 @@
 use wrenfork_consensus::protocol::{GroupRequest, GroupResponse, GroupStatus};
 use wrenfork_control_plane::{client, failpoints};
 use wrenfork_handover::listener;
-use wrenfork_testbed::judge::policy::{judge, Answer, Change, Said};
+use wrenfork_testbed::judge::policy::{find_violations, Answer, Change, ReportedGeneration};
 use wrenfork_testbed::links::Links;
-use wrenfork_testbed::small::{command, list, place, signal, Act, Backend, Client, Ingress, LONG};
+use wrenfork_testbed::service_fixture::{
+    command, free_address, list, signal, Act, Backend, Client, Ingress, WAIT_LIMIT,
+};
 
 /// The policies that tests go through: each sends quotes to a pool of its own, whose node says its name.
 pub const POLICIES: usize = 4;
@@ -225,8 +227,8 @@
         )
         .unwrap();
         let mut group = Group {
-            at: (0..layout.ingresses).map(|_| place()).collect(),
-            peers: (0..layout.ingresses).map(|_| place()).collect(),
+            at: (0..layout.ingresses).map(|_| free_address()).collect(),
+            peers: (0..layout.ingresses).map(|_| free_address()).collect(),
             ingresses: (0..layout.ingresses).map(|_| None).collect(),
             witnesses: (0..layout.witnesses).map(|_| None).collect(),
             layout,
@@ -438,7 +440,7 @@
         let start = Instant::now();
         while !ready() {
             assert!(
-                start.elapsed() < LONG,
+                start.elapsed() < WAIT_LIMIT,
                 "waited in vain: {what}\n{}",
                 self.logs()
             );
@@ -475,7 +477,7 @@
     }
 
     pub fn stand(&self, n: usize) -> Option<GroupStatus> {
-        match client::request(&self.control(n), &GroupRequest::Status, LONG) {
+        match client::request(&self.control(n), &GroupRequest::Status, WAIT_LIMIT) {
             Ok(GroupResponse::Status(stand)) => Some(*stand),
             _ => None,
         }
@@ -654,7 +656,7 @@
                 last = format!("{digests:?} pending: {pending}, {last}");
             }
             assert!(
-                start.elapsed() < LONG,
+                start.elapsed() < WAIT_LIMIT,
                 "no agreement: {last}\n{}",
                 self.logs()
             );
@@ -682,16 +684,16 @@
     pub fn judged(&self, answers: &[(Answer, Got)]) {
         let answers: Vec<Answer> = answers.iter().map(|a| a.0.clone()).collect();
         assert!(!answers.is_empty());
-        let said: Vec<Said> = (0..self.count())
+        let said: Vec<ReportedGeneration> = (0..self.count())
             .filter_map(|n| self.stand(n))
             .filter(|s| s.version > 0)
-            .map(|s| Said {
+            .map(|s| ReportedGeneration {
                 member: s.name,
                 generation: s.version,
                 enforces: s.digest.0,
             })
             .collect();
-        let wrong = judge(&self.changes, BOUND, &answers, &said);
+        let wrong = find_violations(&self.changes, BOUND, &answers, &said);
         assert!(
             wrong.is_empty(),
             "{} wrong, first {:?}\n{:?}\n{}",
--- a/crates/ingress/tests/identity.rs
+++ b/crates/ingress/tests/identity.rs
@@ -6,10 +6,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use wrenfork_identity::token::{sign, told, Claims};
-use wrenfork_identity::trust::written;
-use wrenfork_testbed::small::{
-    command, list, place, serve, served, until, Act, Backend, Client, Ingress,
+use wrenfork_identity::token::{format_time, sign, Claims};
+use wrenfork_identity::trust::format_public_key;
+use wrenfork_testbed::service_fixture::{
+    command, free_address, list, serve, served, until, Act, Backend, Client, Ingress,
 };
 
 const OWN_ACCOUNT: &str = "00000000000004d3";
@@ -34,7 +34,7 @@
 
 impl Site {
     fn new(backend: &Backend, keys: &str) -> Site {
-        let (folder, at) = (tempfile::tempdir().unwrap(), place());
+        let (folder, at) = (tempfile::tempdir().unwrap(), free_address());
         let write = |name: &str, text: &str| fs::write(folder.path().join(name), text).unwrap();
         write("site.toml", &read_good_file("site.toml"));
         write("app.toml", &app(at, keys));
@@ -87,7 +87,7 @@
 }
 
 fn listed_key(name: &str, n: u8, more: &str) -> String {
-    let public = written(&key(n).verifying_key());
+    let public = format_public_key(&key(n).verifying_key());
     format!("[[identity.issuer.key]]\nname = \"{name}\"\npublic = \"{public}\"\n{more}")
 }
 
@@ -291,7 +291,7 @@
     until("the request reaches the backend", || {
         backend.count() > before
     });
-    let ended = format!("until = \"{}\"\n", told(now() - 1));
+    let ended = format!("until = \"{}\"\n", format_time(now() - 1));
     reload(
         &site,
         &(listed_key("one", 1, &ended) + &listed_key("two", 2, "")),
--- a/crates/ingress/tests/ingress/answers.rs
+++ b/crates/ingress/tests/ingress/answers.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{call, call_of, command, serve, Backend};
+use wrenfork_testbed::service_fixture::{call, call_of, command, serve, Backend};
 
 #[test]
 fn requests_and_values_are_forwarded_unchanged() {
--- a/crates/ingress/tests/ingress/peers.rs
+++ b/crates/ingress/tests/ingress/peers.rs
@@ -3,11 +3,11 @@
 use crate::support::setup;
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{call, place, serve, until, Backend, LONG};
+use wrenfork_testbed::service_fixture::{call, free_address, serve, until, Backend, WAIT_LIMIT};
 
 /// A UDP socket with a read timeout of 0.1 s.
 fn udp_socket() -> UdpSocket {
-    let socket = UdpSocket::bind(place()).unwrap();
+    let socket = UdpSocket::bind(free_address()).unwrap();
     let timeout = Duration::from_millis(100);
     socket.set_read_timeout(Some(timeout)).unwrap();
     socket
@@ -17,7 +17,7 @@
 fn only_valid_messages_from_peers_are_answered_and_messages_are_short() {
     let backend = Backend::start(serve);
     let mut setup = setup(&[&backend]);
-    let (peer, stranger, own_address) = (udp_socket(), udp_socket(), place());
+    let (peer, stranger, own_address) = (udp_socket(), udp_socket(), free_address());
     setup.settings = setup.settings.replace(
         "\"may_probe\":true,\"peers\":false",
         "\"may_probe\":true,\"peers\":true",
@@ -48,7 +48,7 @@
     let mut usage_message = None;
     until("the peer receives a usage message", || {
         usage_message = receive(&peer).filter(|m| m[1] & 3 == 0 && m[8] > 0);
-        usage_message.is_some() || start.elapsed() > LONG
+        usage_message.is_some() || start.elapsed() > WAIT_LIMIT
     });
     assert_eq!(client.answer(), "value of q1");
     // The same message with the query bit set is answered if it comes from the peer, and otherwise ignored.
--- a/crates/ingress/tests/restarts.rs
+++ b/crates/ingress/tests/restarts.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use wrenfork_testbed::small::{
-    call, command, place, serve, until, Backend, Client, Discovery, Ingress, Setup,
+use wrenfork_testbed::service_fixture::{
+    call, command, free_address, serve, until, Backend, Client, Discovery, Ingress, Setup,
 };
 
 /// As many processes as the test machines can run; the users run some hundreds.
@@ -48,7 +48,7 @@
         discovery: Some(discovery.at),
         ..Setup::of(env!("CARGO_BIN_EXE_wrenfork"), &[&backend])
     };
-    let addresses: Vec<SocketAddr> = (0..PROCESS_COUNT).map(|_| place()).collect();
+    let addresses: Vec<SocketAddr> = (0..PROCESS_COUNT).map(|_| free_address()).collect();
     let (mut processes, _) = start_all(&setup, &addresses);
     for (n, ingress) in processes.iter_mut().enumerate() {
         if n % 2 == 0 {
--- a/crates/testbed/src/rig/mod.rs
+++ b/crates/testbed/src/rig/mod.rs
@@ -1,5 +1,5 @@
-//! The rig: one thread and one readiness loop that is clients, backends, discovery and the network at once, round
-//! real ingress processes. One clock orders all that is seen.
+//! The rig runs real ingress processes against stand-ins on sockets. One thread with one event loop plays the clients, backends,
+//! discovery and the network. All observations have times of one clock, so that they are in order.
 
 pub mod address;
 mod backends;
@@ -8,13 +8,13 @@
 mod counter;
 mod discovery;
 mod group;
+mod ingress_config;
 mod peers;
 mod pipe;
 mod processes;
 mod relays;
 #[cfg(test)]
 mod tests;
-mod told;
 
 use crate::arrivals::{Arrivals, HOT};
 use crate::judge::{Judge, Seen};
@@ -24,10 +24,11 @@
 use crate::scenario::{Fault, Leg, LegFault, Micros, Scenario, SECOND};
 use backends::{BackendDue, Backends, Mode};
 use clients::Clients;
-use context::{owner, Context, Due, Part};
+use context::{decode_token, Component, Context, Due};
 use counter::Counter;
 use discovery::{AgentMode, Discovery, Line};
-use group::{Group, Place};
+use group::{Group, MemberAddresses};
+use ingress_config::Addresses;
 use mio::{Events, Poll};
 use peers::Peers;
 use processes::{Ended, ProcessDue, Processes};
@@ -39,19 +40,19 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
-use told::Addresses;
-
-/// How long the ingresses may take to be ready.
-const READY_WITHIN: Micros = 10 * SECOND;
-/// How long after the last deadline the run goes on: what is sent on too late must show.
-const AFTER: Micros = 300_000;
-/// How long after a backend's death discovery lists it no more, and before its death that it drains.
-const NOTICED: Micros = 500_000;
-const DRAINED: Micros = 1_500_000;
-/// Time between two snapshots.
-const LOOK: Micros = 250_000;
-
-/// Why a run could not be made.
+
+/// How long the ingresses may take until all are ready.
+const READY_TIMEOUT: Micros = 10 * SECOND;
+/// How long the run goes on after the last deadline, so that attempts sent too late are seen.
+const RUN_ON: Micros = 300_000;
+/// The delay from the death of a backend until discovery removes it.
+const REMOVAL_DELAY: Micros = 500_000;
+/// How long a backend drains before it is replaced.
+const DRAIN_TIME: Micros = 1_500_000;
+/// The time between two snapshots.
+const SNAPSHOT_INTERVAL: Micros = 250_000;
+
+/// The reason why a run could not be set up or finished.
 #[derive(Debug)]
 pub struct RigError(pub String);
 
@@ -63,17 +64,18 @@
 
 impl std::error::Error for RigError {}
 
-fn rig<T>(what: &str, result: io::Result<T>) -> Result<T, RigError> {
-    result.map_err(|e| RigError(format!("{what}: {e}")))
+/// Turns an I/O error into a [`RigError`] with a description of the failed action.
+fn with_context<T>(action: &str, result: io::Result<T>) -> Result<T, RigError> {
+    result.map_err(|e| RigError(format!("{action}: {e}")))
 }
 
-/// How a run is to be made.
+/// The parameters of a run.
 pub struct Run<'a> {
-    /// The built ingress.
+    /// The ingress executable.
     pub program: &'a Path,
-    /// Ends the run early, with its report, once it is set.
+    /// Ends the run early, with a report, once set.
     pub stop: &'a AtomicBool,
-    /// Is shown how the run goes, four times a second; the ingresses' logs are read for that.
+    /// Receives a snapshot four times a second. Each snapshot reads the logs of the ingresses.
     pub watch: Option<&'a mut dyn FnMut(&Snapshot)>,
 }
 
@@ -98,52 +100,52 @@
     failed: Option<RigError>,
 }
 
-/// Plays a scenario.
+/// Runs a scenario and reports what the judge found.
 ///
 /// # Errors
 ///
-/// Where the rig can't be set up: a port that is taken, a program that doesn't start or is never ready. No process is
-/// left behind.
+/// If the rig cannot be set up, as a port is in use or an ingress does not start or become ready, or if a component fails during
+/// the run. No process is left running.
 pub fn play(scenario: &Scenario, run: Run) -> Result<Report, RigError> {
     let mut watch = run.watch;
-    let dir = rig(
+    let dir = with_context(
         "cannot make a folder for the ingresses' files",
         tempfile::tempdir(),
     )?;
     raise_limit();
-    let mut poll = rig("cannot poll", Poll::new())?;
-    let registry = rig("cannot poll", poll.registry().try_clone())?;
+    let mut poll = with_context("cannot poll", Poll::new())?;
+    let registry = with_context("cannot poll", poll.registry().try_clone())?;
     let mut rig = Rig::set_up(scenario, run.program, dir.path(), Context::new(registry))?;
-    rig.processes.keep_apart();
+    rig.processes.pin_rig_thread();
     let mut events = Events::with_capacity(1024);
-    let ready_by = rig.context.now + READY_WITHIN;
+    let ready_by = rig.context.now + READY_TIMEOUT;
     for ingress in 0..rig.listens.len() {
         rig.start(ingress)?;
     }
-    rig.context.after(0, Due::Process(ProcessDue::Look));
-    let mut next_look = 0;
+    rig.context.after(0, Due::Process(ProcessDue::Measure));
+    let mut next_snapshot = 0;
     let end = loop {
         let now = rig.context.read_clock();
-        if rig.began && now >= next_look {
-            next_look = now + LOOK;
+        if rig.began && now >= next_snapshot {
+            next_snapshot = now + SNAPSHOT_INTERVAL;
             if let Some(watch) = &mut watch {
                 watch(&rig.snapshot());
             }
         }
-        if !rig.began && rig.clients.all_up() {
+        if !rig.began && rig.clients.all_ready() {
             rig.begin();
         }
         if !rig.began && now > ready_by {
             return Err(rig.never_ready());
         }
-        if run.stop.load(Ordering::Relaxed) || rig.over(now) {
+        if run.stop.load(Ordering::Relaxed) || rig.is_over(now) {
             break now;
         }
         let wait = rig
             .context
-            .next()
-            .map_or(LOOK, |at| at.saturating_sub(now))
-            .min(LOOK / 10);
+            .next_time()
+            .map_or(SNAPSHOT_INTERVAL, |at| at.saturating_sub(now))
+            .min(SNAPSHOT_INTERVAL / 10);
         match poll.poll(&mut events, Some(Duration::from_micros(wait))) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => {
                 return Err(RigError(format!("cannot poll: {e}")))
@@ -151,25 +153,25 @@
             _ => {}
         }
         for event in events.iter() {
-            let (part, key) = owner(event.token());
-            rig.ready(part, key);
+            let (component, key) = decode_token(event.token());
+            rig.handle_ready(component, key);
         }
-        while let Some(due) = rig.context.take(rig.began) {
-            rig.due(due);
+        while let Some(due) = rig.context.next_due(rig.began) {
+            rig.handle_due(due);
         }
         rig.reap();
-        rig.tell_judge();
+        rig.report_to_judge();
         if let Some(e) = rig.failed.take() {
             return Err(e);
         }
     };
-    rig.tell_judge();
+    rig.report_to_judge();
     rig.judge.finish(end);
     rig.processes.end();
     Ok(rig.report(end))
 }
 
-/// A fleet of hundreds of backends wants more descriptors than a shell gives.
+/// Raises the descriptor limit to the maximum: hundreds of backends need more than the default of a shell.
 fn raise_limit() {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let limit = getrlimit(Resource::Nofile);
@@ -199,7 +201,7 @@
         let listens = (0..count)
             .map(|n| listen_at(s, n))
             .collect::<Result<Vec<_>, _>>()?;
-        let backends = rig("cannot open the backends", Backends::open(s, &mut context))?;
+        let backends = with_context("cannot open the backends", Backends::open(s, &mut context))?;
         let mut relays = Relays::new();
         let legs: HashSet<(u8, usize)> = s
             .steps
@@ -221,11 +223,11 @@
                     Ok(at)
                 }
             });
-            let addresses = rig(
+            let addresses = with_context(
                 "cannot open a relay",
                 addresses.collect::<io::Result<Vec<_>>>(),
             )?;
-            let (ident, pod, started) = backends.facts(slot);
+            let (ident, pod, started) = backends.identity(slot);
             let set = s.set_of(slot);
             lines.push(Line {
                 ident,
@@ -243,35 +245,35 @@
                 addresses,
             });
         }
-        let discovery = rig(
+        let discovery = with_context(
             "cannot open discovery",
             Discovery::open(s, lines, &mut context),
         )?;
-        let peers = rig("cannot open the peers' relay", Peers::open(s, &mut context))?;
-        let counter = rig(
+        let peers = with_context("cannot open the peers' relay", Peers::open(s, &mut context))?;
+        let counter = with_context(
             "cannot open the count service",
             Counter::open(s, &mut context),
         )?;
-        let (mut fronts, mut configs, mut places) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut fronts, mut configs, mut members) = (Vec::new(), Vec::new(), Vec::new());
         for (ingress, listen) in listens.iter().copied().enumerate() {
             let mut front = listen;
             if relayed(Leg::Clients, ingress) {
                 let relay = relays.open((Leg::Clients, ingress), listen, &mut context);
-                front = rig("cannot open a relay", relay)?;
+                front = with_context("cannot open a relay", relay)?;
             }
             fronts.push(front);
             let mut agent = discovery.address(ingress);
             if relayed(Leg::Discovery, ingress) {
                 let relay = relays.open((Leg::Discovery, ingress), agent, &mut context);
-                agent = rig("cannot open a relay", relay)?;
+                agent = with_context("cannot open a relay", relay)?;
             }
-            let peers = rig("cannot open the peers' relay", peers.addresses(ingress))?;
-            places.push(Place {
+            let peers = with_context("cannot open the peers' relay", peers.addresses(ingress))?;
+            members.push(MemberAddresses {
                 listen,
                 discovery: agent,
                 peers: peers.0,
             });
-            let (_, known) = discovery.known(ingress, None);
+            let (_, known) = discovery.list_at(ingress, None);
             let counter = counter.as_ref().map(|c| c.address(ingress));
             let at = Addresses {
                 listen,
@@ -279,20 +281,20 @@
                 peers,
                 counter,
             };
-            configs.push(told::config(s, ingress, &at, &known));
+            configs.push(ingress_config::config(s, ingress, &at, &known));
         }
         let group = s
             .group
             .as_ref()
-            .map(|g| Group::open(s, g, &places, dir))
+            .map(|g| Group::open(s, g, &members, dir))
             .transpose();
         let processes = Processes::new(
             program,
             &s.ingresses,
-            rig("cannot set up the group", group)?,
+            with_context("cannot set up the group", group)?,
             dir,
         );
-        discovery.told_at_start(&mut context);
+        discovery.record_initial_lists(&mut context);
         let now = context.now;
         let mut rig = Rig {
             clients: Clients::new(s, &fronts),
@@ -322,7 +324,7 @@
 
     fn configure(&mut self, ingress: usize) -> Result<(), RigError> {
         let text = self.configs[ingress].to_string();
-        rig(
+        with_context(
             "cannot write a configuration",
             self.processes.configure(ingress, &text),
         )
@@ -330,30 +332,30 @@
 
     fn start(&mut self, ingress: usize) -> Result<(), RigError> {
         let started = self.processes.start(ingress, &mut self.context);
-        rig("cannot start an ingress", started)?;
-        self.context.see(Seen::Started(ingress));
-        self.clients.watch_for(ingress, &mut self.context);
+        with_context("cannot start an ingress", started)?;
+        self.context.record(Seen::Started(ingress));
+        self.clients.ping_until_ready(ingress, &mut self.context);
         Ok(())
     }
 
     fn never_ready(&mut self) -> RigError {
         let missing = (0..self.listens.len())
-            .find(|i| !self.clients.up(*i))
+            .find(|i| !self.clients.is_ready(*i))
             .unwrap_or(0);
         let log = self.processes.log(missing);
-        let last = log.lines().last().unwrap_or("it said nothing").to_string();
+        let last = log.lines().last().unwrap_or("its log is empty").to_string();
         RigError(format!(
             "ingress {missing} was not ready within {} s: {last}",
-            READY_WITHIN / SECOND
+            READY_TIMEOUT / SECOND
         ))
     }
 
-    /// All ingresses are ready: the first arrivals and the timetable count from now on.
+    /// Starts the arrivals and the steps of the scenario, once all ingresses are ready.
     fn begin(&mut self) {
         let now = self.context.now;
         (self.begin, self.began) = (now, true);
         self.judge = Judge::new(self.scenario, now);
-        self.tell_judge();
+        self.report_to_judge();
         self.clients.begin(now);
         for (n, step) in self.scenario.steps.iter().enumerate() {
             self.context.at(now + step.at, Due::Step(n));
@@ -367,7 +369,7 @@
         }
     }
 
-    fn over(&self, now: Micros) -> bool {
+    fn is_over(&self, now: Micros) -> bool {
         let longest = self
             .scenario
             .classes
@@ -377,36 +379,43 @@
             .unwrap_or(0);
         let idle = self.clients.waiting() == 0;
         let last = self.begin + self.scenario.lasts;
-        self.began && (now > last + longest + AFTER || (idle && now > last + AFTER.max(SECOND)))
+        self.began && (now > last + longest + RUN_ON || (idle && now > last + RUN_ON.max(SECOND)))
     }
 
-    fn ready(&mut self, part: Part, key: usize) {
+    fn handle_ready(&mut self, component: Component, key: usize) {
         let context = &mut self.context;
-        match part {
-            Part::Client => self.clients.ready(key, context),
-            Part::BackendListener => self.backends.accept(key, context),
-            Part::Backend => self.backends.ready(key, context),
-            Part::DiscoveryListener => self.discovery.accept(key, context),
-            Part::Discovery => self.discovery.ready(key, context),
-            Part::Peer => self.peers.ready(key, context),
-            Part::RelayListener => self.relays.accept(key, context),
-            Part::Relay => self.relays.ready(key, context),
-            Part::CounterListener => self.counter.iter_mut().for_each(|c| c.accept(key, context)),
-            Part::Counter => self.counter.iter_mut().for_each(|c| c.ready(key, context)),
+        match component {
+            Component::Client => self.clients.handle_ready(key, context),
+            Component::BackendListener => self.backends.accept(key, context),
+            Component::Backend => self.backends.handle_ready(key, context),
+            Component::DiscoveryListener => self.discovery.accept(key, context),
+            Component::Discovery => self.discovery.handle_ready(key, context),
+            Component::Peer => self.peers.handle_ready(key, context),
+            Component::RelayListener => self.relays.accept(key, context),
+            Component::Relay => self.relays.handle_ready(key, context),
+            Component::CounterListener => {
+                self.counter.iter_mut().for_each(|c| c.accept(key, context))
+            }
+            Component::Counter => self
+                .counter
+                .iter_mut()
+                .for_each(|c| c.handle_ready(key, context)),
         }
     }
 
-    fn tell_judge(&mut self) {
+    fn report_to_judge(&mut self) {
         if !self.began {
             return;
         }
         for (at, seen) in std::mem::take(&mut self.context.seen) {
-            // What discovery writes is told once it has passed the way to the ingress.
-            let way = match seen {
-                Seen::Told { ingress, .. } => self.relays.fault((Leg::Discovery, ingress)),
+            // An ingress knows what discovery wrote only once it has passed the relay between them.
+            let leg_fault = match seen {
+                Seen::BackendReported { ingress, .. } => {
+                    self.relays.fault((Leg::Discovery, ingress))
+                }
                 _ => None,
             };
-            match way {
+            match leg_fault {
                 None => self.judge.note(at, seen),
                 Some(LegFault::Slow(delay)) => self.context.after(delay, Due::Seen(seen)),
                 Some(LegFault::Silent | LegFault::Reset) => {}
@@ -414,7 +423,7 @@
         }
     }
 
-    fn due(&mut self, due: Due) {
+    fn handle_due(&mut self, due: Due) {
         match due {
             Due::Arrival(a) => {
                 self.clients.arrive(a, &mut self.context);
@@ -423,47 +432,51 @@
                 }
             }
             Due::Step(n) => self.step(n),
-            Due::Client(due) => self.clients.due(due, &mut self.context),
-            Due::Backend(due) => self.backends.due(due, &mut self.context),
-            Due::Discovery(due) => self.discovery.due(due, &mut self.context),
-            Due::Peer(due) => self.peers.due(due, &mut self.context),
+            Due::Client(due) => self.clients.handle_due(due, &mut self.context),
+            Due::Backend(due) => self.backends.handle_due(due, &mut self.context),
+            Due::Discovery(due) => self.discovery.handle_due(due, &mut self.context),
+            Due::Peer(due) => self.peers.handle_due(due, &mut self.context),
             Due::Counter(due) => {
-                let done = self.counter.as_mut().map(|c| c.due(due, &mut self.context));
+                let done = self
+                    .counter
+                    .as_mut()
+                    .map(|c| c.handle_due(due, &mut self.context));
                 if let Some(Err(e)) = done {
-                    self.failed = Some(RigError(format!("the count service can't come back: {e}")));
+                    self.failed = Some(RigError(format!("cannot restart the count service: {e}")));
                 }
             }
             Due::Relay(due) => {
-                if let Some((leg, ingress)) = self.relays.due(due, &mut self.context) {
-                    self.leg_seen(leg, ingress, false);
+                if let Some((leg, ingress)) = self.relays.handle_due(due, &mut self.context) {
+                    self.record_leg(leg, ingress, false);
                 }
             }
             Due::Process(ProcessDue::Start { ingress }) => {
                 if let Err(e) = self.start(ingress) {
                     self.failed = Some(e);
                 }
-                self.say(format!("ingress {ingress} starts"));
+                self.log_event(format!("ingress {ingress} starts"));
             }
             Due::Process(ProcessDue::Resume { ingress, life }) => {
                 if self
                     .processes
-                    .due(ProcessDue::Resume { ingress, life }, &mut self.context)
+                    .handle_due(ProcessDue::Resume { ingress, life }, &mut self.context)
                 {
-                    self.context.see(Seen::Resumed(ingress));
-                    self.say(format!("ingress {ingress} goes on"));
+                    self.context.record(Seen::Resumed(ingress));
+                    self.log_event(format!("ingress {ingress} goes on"));
                 }
             }
-            Due::Process(ProcessDue::Look) => {
-                self.processes.due(ProcessDue::Look, &mut self.context);
+            Due::Process(ProcessDue::Measure) => {
+                self.processes
+                    .handle_due(ProcessDue::Measure, &mut self.context);
                 self.backends.sweep(self.context.now);
             }
-            Due::Process(due) => drop(self.processes.due(due, &mut self.context)),
-            Due::Later(later) => self.carry_on(later),
+            Due::Process(due) => drop(self.processes.handle_due(due, &mut self.context)),
+            Due::FollowUp(action) => self.follow_up(action),
             Due::Seen(seen) => self.judge.note(self.context.now, seen),
         }
     }
 
-    fn say(&mut self, text: String) {
+    fn log_event(&mut self, text: String) {
         let at = self.context.now.saturating_sub(self.begin) as f64 / SECOND as f64;
         self.log.push(format!("{at:6.2} s  {text}"));
     }
@@ -471,8 +484,9 @@
     fn reap(&mut self) {
         for ended in self.processes.reap() {
             match ended {
-                Ended::AsTold(ingress, down) => {
-                    // What a killed ingress held is the client's; one that was told to stop owes all its answers.
+                Ended::Requested(ingress, down) => {
+                    // Requests of a killed ingress are left to the clients; an ingress that shut down
+                    // gracefully must have answered all of its requests.
                     self.clients.died(ingress, &mut self.context);
                     if let Some(down) = down {
                         self.context
@@ -481,12 +495,12 @@
                 }
                 Ended::Crashed(ingress, status) => {
                     let log = self.processes.log(ingress);
-                    let last = log.lines().last().unwrap_or("it said nothing");
+                    let last = log.lines().last().unwrap_or("its log is empty");
                     let text = format!("ingress {ingress} ended by itself ({status}): {last}");
                     if self.began {
-                        self.context.see(Seen::Killed(ingress));
+                        self.context.record(Seen::Killed(ingress));
                         self.clients.died(ingress, &mut self.context);
-                        self.say(text.clone());
+                        self.log_event(text.clone());
                         self.crashes.push(text);
                     } else {
                         self.failed = Some(RigError(text));
@@ -496,19 +510,19 @@
         }
     }
 
-    fn leg_seen(&mut self, leg: Leg, ingress: usize, down: bool) {
+    fn record_leg(&mut self, leg: Leg, ingress: usize, down: bool) {
         if leg == Leg::Clients {
             let seen = if down {
                 Seen::LegDown(ingress)
             } else {
                 Seen::LegUp(ingress)
             };
-            self.context.see(seen);
+            self.context.record(seen);
         }
     }
 
-    fn status(&mut self, slot: usize, status: &'static str) {
-        let (ident, _, started) = self.backends.facts(slot);
+    fn set_status(&mut self, slot: usize, status: &'static str) {
+        let (ident, _, started) = self.backends.identity(slot);
         let Some(line) = self.discovery.line(ident) else {
             return;
         };
@@ -520,9 +534,9 @@
         self.discovery.change(line, &mut self.context);
     }
 
-    /// A backend's process starts again, under its old name or a new one.
+    /// Starts the process of a backend again, under its old name or a new one.
     fn revive(&mut self, slot: usize, new_name: bool) {
-        let (old, pod, _) = self.backends.facts(slot);
+        let (old, pod, _) = self.backends.identity(slot);
         let Some(line) = self.discovery.line(old).cloned() else {
             return;
         };
@@ -530,7 +544,7 @@
             self.failed = Some(RigError(format!("cannot start backend {slot} again: {e}")));
             return;
         }
-        let (ident, _, started) = self.backends.facts(slot);
+        let (ident, _, started) = self.backends.identity(slot);
         if new_name {
             let gone = Line {
                 status: "removed",
@@ -548,62 +562,62 @@
             ..line
         };
         self.discovery.change(line, &mut self.context);
-        self.say(format!(
+        self.log_event(format!(
             "backend {slot} is back, cold{}",
             if new_name { ", under a new name" } else { "" }
         ));
     }
 
-    /// The later parts of what happens to backends.
-    fn carry_on(&mut self, later: context::Later) {
-        use context::Later;
-        match later {
-            Later::Die {
+    /// Carries out a delayed action.
+    fn follow_up(&mut self, action: context::FollowUp) {
+        use context::FollowUp;
+        match action {
+            FollowUp::Die {
                 slot,
                 down,
                 new_name,
             } => {
                 self.backends.die(slot, &mut self.context);
                 self.context
-                    .after(down, Due::Later(Later::Revive { slot, new_name }));
+                    .after(down, Due::FollowUp(FollowUp::Revive { slot, new_name }));
                 self.context
-                    .after(NOTICED, Due::Later(Later::Noticed { slot }));
+                    .after(REMOVAL_DELAY, Due::FollowUp(FollowUp::Remove { slot }));
             }
-            Later::Noticed { slot } => {
-                if !self.backends.alive(slot) {
-                    self.status(slot, "removed");
+            FollowUp::Remove { slot } => {
+                if !self.backends.is_alive(slot) {
+                    self.set_status(slot, "removed");
                 }
             }
-            Later::Revive { slot, new_name } => self.revive(slot, new_name),
-            Later::Replace { slot, down } => {
-                self.status(slot, "draining");
-                self.say(format!("backend {slot} is replaced"));
-                let die = Later::Die {
+            FollowUp::Revive { slot, new_name } => self.revive(slot, new_name),
+            FollowUp::Replace { slot, down } => {
+                self.set_status(slot, "draining");
+                self.log_event(format!("backend {slot} is replaced"));
+                let die = FollowUp::Die {
                     slot,
                     down,
                     new_name: true,
                 };
-                self.context.after(DRAINED, Due::Later(die));
+                self.context.after(DRAIN_TIME, Due::FollowUp(die));
             }
-            Later::LinksWell { from, to } => self.processes.link(&from, &to, None),
-            Later::Stop { ingress, down } => {
+            FollowUp::RestoreLinks { from, to } => self.processes.link(&from, &to, None),
+            FollowUp::Stop { ingress, down } => {
                 self.processes.stop(ingress, Some(down), &mut self.context);
-                self.clients.leaving(ingress, &mut self.context);
-                self.say(format!("ingress {ingress} is told to stop"));
+                self.clients.shutting_down(ingress, &mut self.context);
+                self.log_event(format!("ingress {ingress} is told to stop"));
             }
         }
     }
 
     fn step(&mut self, n: usize) {
-        use context::Later;
+        use context::FollowUp;
         let fault = self.scenario.steps[n].fault.clone();
-        self.say(fault.to_string());
+        self.log_event(fault.to_string());
         let context = &mut self.context;
         match fault {
             Fault::Kill { ingresses, down } => {
                 for ingress in ingresses {
                     self.processes.kill(ingress, down);
-                    self.context.see(Seen::Killed(ingress));
+                    self.context.record(Seen::Killed(ingress));
                 }
             }
             Fault::Restart {
@@ -612,13 +626,13 @@
                 down,
             } => {
                 for (n, ingress) in (0..).zip(ingresses) {
-                    context.after(n * every, Due::Later(Later::Stop { ingress, down }));
+                    context.after(n * every, Due::FollowUp(FollowUp::Stop { ingress, down }));
                 }
             }
             Fault::Freeze { ingresses, lasts } => {
                 for ingress in ingresses {
                     if self.processes.freeze(ingress, lasts, context) {
-                        context.see(Seen::Frozen(ingress));
+                        context.record(Seen::Frozen(ingress));
                     }
                 }
             }
@@ -643,24 +657,24 @@
                     if let Err(e) = self.processes.configure(ingress, &text) {
                         self.failed = Some(RigError(format!("cannot write a configuration: {e}")));
                     }
-                    self.processes.hang_up(ingress);
+                    self.processes.reload(ingress);
                 }
             }
             Fault::Drain { backends } => backends
                 .into_iter()
-                .for_each(|b| self.status(b, "draining")),
-            Fault::Up { backends } => backends.into_iter().for_each(|b| self.status(b, "up")),
-            Fault::Remove { backends } => {
-                backends.into_iter().for_each(|b| self.status(b, "removed"))
-            }
+                .for_each(|b| self.set_status(b, "draining")),
+            Fault::Up { backends } => backends.into_iter().for_each(|b| self.set_status(b, "up")),
+            Fault::Remove { backends } => backends
+                .into_iter()
+                .for_each(|b| self.set_status(b, "removed")),
             Fault::Die { backends, down } => {
                 for slot in backends {
-                    let die = Later::Die {
+                    let die = FollowUp::Die {
                         slot,
                         down,
                         new_name: false,
                     };
-                    self.context.after(0, Due::Later(die));
+                    self.context.after(0, Due::FollowUp(die));
                 }
             }
             Fault::Replace {
@@ -670,7 +684,7 @@
             } => {
                 for (n, slot) in (0..).zip(backends) {
                     self.context
-                        .after(n * every, Due::Later(Later::Replace { slot, down }));
+                        .after(n * every, Due::FollowUp(FollowUp::Replace { slot, down }));
                 }
             }
             Fault::Hang { backends, lasts } => self.behave(backends, Mode::Hang, lasts),
@@ -688,23 +702,23 @@
                 lasts,
             } => {
                 for slot in backends {
-                    self.backends.neighbour(slot, factor);
-                    let over = BackendDue::Taken { slot, factor: 0.0 };
+                    self.backends.set_neighbour(slot, factor);
+                    let over = BackendDue::NeighbourLoad { slot, factor: 0.0 };
                     self.context.after(lasts, Due::Backend(over));
                 }
             }
             Fault::DiscoverySilent { ingresses, lasts } => {
-                self.agents(ingresses, AgentMode::Silent, lasts)
+                self.fail_agents(ingresses, AgentMode::Silent, lasts)
             }
             Fault::DiscoveryGone { ingresses, lasts } => {
-                self.agents(ingresses, AgentMode::Gone, lasts)
+                self.fail_agents(ingresses, AgentMode::Gone, lasts)
             }
             Fault::DiscoveryLate {
                 ingresses,
                 delay,
                 lasts,
             } => {
-                self.agents(ingresses, AgentMode::Late(delay), lasts);
+                self.fail_agents(ingresses, AgentMode::Late(delay), lasts);
             }
             Fault::Split { lasts } => self.peers.split(lasts, context),
             Fault::Lossy {
@@ -719,8 +733,8 @@
                 accounts,
                 rate,
                 lasts,
-            } => self.more(n, lasts, rate, Some(accounts)),
-            Fault::Scan { rate, lasts } => self.more(n, lasts, rate, None),
+            } => self.add_arrivals(n, lasts, rate, Some(accounts)),
+            Fault::Scan { rate, lasts } => self.add_arrivals(n, lasts, rate, None),
             Fault::Crowd {
                 ingresses,
                 count,
@@ -728,7 +742,7 @@
             } => {
                 ingresses
                     .into_iter()
-                    .for_each(|i| self.clients.crowd(i, count, lasts, context));
+                    .for_each(|i| self.clients.add_crowd(i, count, lasts, context));
             }
             Fault::Hostile {
                 ingresses,
@@ -738,7 +752,7 @@
             } => {
                 ingresses
                     .into_iter()
-                    .for_each(|i| self.clients.hostile(i, count, manner, lasts, context));
+                    .for_each(|i| self.clients.add_hostile(i, count, manner, lasts, context));
             }
             Fault::Link {
                 from,
@@ -747,7 +761,7 @@
                 lasts,
             } => {
                 self.processes.link(&from, &to, Some(fault));
-                context.after(lasts, Due::Later(Later::LinksWell { from, to }));
+                context.after(lasts, Due::FollowUp(FollowUp::RestoreLinks { from, to }));
             }
             Fault::Counter { fault, lasts } => {
                 if let Some(counter) = &mut self.counter {
@@ -764,9 +778,9 @@
                     self.relays
                         .fail((leg, ingress), fault, lasts, &mut self.context);
                     if let (Leg::Backends, LegFault::Slow(delay)) = (leg, fault) {
-                        self.context.see(Seen::Slow(ingress, delay));
+                        self.context.record(Seen::Slow(ingress, delay));
                     }
-                    self.leg_seen(leg, ingress, true);
+                    self.record_leg(leg, ingress, true);
                 }
             }
         }
@@ -775,17 +789,17 @@
     fn behave(&mut self, backends: Vec<usize>, mode: Mode, lasts: Micros) {
         backends
             .into_iter()
-            .for_each(|b| self.backends.behave(b, mode, lasts, &mut self.context));
+            .for_each(|b| self.backends.set_mode(b, mode, lasts, &mut self.context));
     }
 
-    fn agents(&mut self, ingresses: Vec<usize>, mode: AgentMode, lasts: Micros) {
+    fn fail_agents(&mut self, ingresses: Vec<usize>, mode: AgentMode, lasts: Micros) {
         ingresses
             .into_iter()
             .for_each(|i| self.discovery.fail(i, mode, lasts, &mut self.context));
     }
 
-    /// Arrivals that a fault adds.
-    fn more(&mut self, n: usize, lasts: Micros, rate: f64, hot: Option<u32>) {
+    /// Schedules the additional arrivals of a fault.
+    fn add_arrivals(&mut self, n: usize, lasts: Micros, rate: f64, hot: Option<u32>) {
         let from = self.scenario.steps[n].at;
         for a in Arrivals::extra(self.scenario, from, lasts, rate, hot) {
             self.context.at(self.begin + a.at, Due::Arrival(a));
@@ -797,7 +811,7 @@
         let count = self.listens.len();
         let (asked, served, refused, failed) =
             (worth.asked, worth.served, worth.refused, worth.failed);
-        let rungs = (0..count).map(|i| rung(&self.processes.log(i)));
+        let rungs = (0..count).map(|i| last_rung(&self.processes.log(i)));
         Snapshot {
             at: self.context.now - self.begin,
             lasts: self.scenario.lasts,
@@ -807,11 +821,11 @@
             failed,
             waiting: self.clients.waiting(),
             ingresses: (0..count)
-                .map(|i| (self.processes.runs(i), self.clients.up(i)))
+                .map(|i| (self.processes.is_running(i), self.clients.is_ready(i)))
                 .collect(),
             rungs: rungs.collect(),
             backends: (0..self.scenario.backend_count())
-                .map(|b| self.backends.alive(b))
+                .map(|b| self.backends.is_alive(b))
                 .collect(),
             broken: self.judge.counts(),
             log: self.log.last().cloned().unwrap_or_default(),
@@ -837,7 +851,7 @@
             .into_iter()
             .map(|u| (u.cpu, u.memory_kb, u.descriptors))
             .collect();
-        let spread = self.backends.spread();
+        let spread = self.backends.commands_and_capacities();
         let lasted = end - self.begin;
         Report::new(
             self.scenario,
@@ -853,8 +867,8 @@
     }
 }
 
-/// The rung of the ladder that an ingress's log tells last: shown to people, and nothing that the judge goes by.
-fn rung(log: &str) -> u8 {
+/// The last load-shedding level in the log of an ingress. It is shown in snapshots; the judge does not use it.
+fn last_rung(log: &str) -> u8 {
     let last = log
         .lines()
         .rev()
@@ -869,7 +883,7 @@
 
 fn listen_at(s: &Scenario, ingress: usize) -> Result<SocketAddr, RigError> {
     match s.ingresses.port {
-        None => rig("cannot find a free address", address::free(address::own())),
+        None => with_context("cannot find a free address", address::free(address::own())),
         Some(first) => {
             let at = SocketAddr::from(([127, 0, 0, 1], first + ingress as u16));
             let free = std::net::TcpListener::bind(at);
